--- a/crates/accord/src/chair.rs
+++ b/crates/accord/src/chair.rs
@@ -101,8 +101,13 @@
 
 impl<D: Policy> Chair<D> {
     /// In order: who is there, then the change that is under way, then what is asked.
-    const RULES: [Rule<D>; 5] =
-        [Self::seat, Self::refuse, Self::bind, Self::decide, Self::take_back_the_overdue];
+    const RULES: [Rule<D>; 5] = [
+        Self::seat,
+        Self::refuse,
+        Self::bind,
+        Self::decide,
+        Self::take_back_the_overdue,
+    ];
 
     pub fn new(now: Ms, lease: Ms) -> Self {
         let (heard, knocking, asks, going, seated) = Default::default();
@@ -126,7 +131,9 @@
 
     /// Whether a member may still decide by what it last held.
     pub fn counts(&self, now: Ms, fleet: &Fleet<D>, name: &str) -> bool {
-        let Some(seat) = fleet.members.get(name) else { return false };
+        let Some(seat) = fleet.members.get(name) else {
+            return false;
+        };
         let heard = self.heard.get(name).filter(|h| h.start == seat.start);
         if heard.is_some_and(|h| h.leaving) {
             return false;
@@ -158,8 +165,14 @@
         }
         let staged = fleet.change.as_ref().filter(|c| c.step == Step::Staged);
         let seen = beat.examined.as_ref().map(|e| e.0);
-        answer.offer = staged.filter(|c| seen != Some(c.number)).map(|c| (c.number, c.document.clone()));
-        let seat = Seat { start: beat.start, steady: beat.steady, place: beat.place.clone() };
+        answer.offer = staged
+            .filter(|c| seen != Some(c.number))
+            .map(|c| (c.number, c.document.clone()));
+        let seat = Seat {
+            start: beat.start,
+            steady: beat.steady,
+            place: beat.place.clone(),
+        };
         match fleet.members.get(&beat.name) {
             Some(s) if *s == seat => {}
             // Not beside a process of that name that may still decide.
@@ -180,7 +193,14 @@
             }
         }
         let grace = self.grace();
-        let fresh = Heard { start: beat.start, at: now, mark: 0, until: 0.0, examined: None, leaving: false };
+        let fresh = Heard {
+            start: beat.start,
+            at: now,
+            mark: 0,
+            until: 0.0,
+            examined: None,
+            leaving: false,
+        };
         let h = self.heard.entry(beat.name.clone()).or_insert(fresh.clone());
         if h.start != beat.start {
             *h = fresh;
@@ -195,7 +215,10 @@
         if mark == fleet.mark && hears && !h.leaving && !self.going.contains_key(&beat.name) {
             h.until = h.until.max(now + grace);
             answer.lease = Some(self.lease);
-            answer.share = Some(self.count(fleet).share(now, &beat.name, beat.start, beat.shares));
+            answer.share = Some(
+                self.count(fleet)
+                    .share(now, &beat.name, beat.start, beat.shares),
+            );
         }
         answer
     }
@@ -205,7 +228,8 @@
         let told = fleet.running.as_ref().map_or(1.0, |r| r.1.gateways());
         let most = told.max(fleet.members.len() as f64);
         let (since, lease, grace) = (self.since, self.lease, self.grace());
-        self.count.get_or_insert_with(|| Count::new(since, lease, grace, most))
+        self.count
+            .get_or_insert_with(|| Count::new(since, lease, grace, most))
     }
 
     /// How many gateways share, and how many of them have their share by now.
@@ -220,7 +244,9 @@
 
     /// Whether a member has said what it makes of a change.
     pub fn examined(&self, name: &str, number: u64) -> bool {
-        self.heard.get(name).is_some_and(|h| h.examined.as_ref().is_some_and(|e| e.0 == number))
+        self.heard
+            .get(name)
+            .is_some_and(|h| h.examined.as_ref().is_some_and(|e| e.0 == number))
     }
 
     /// Whether all that may still decide hold what is to be held.
@@ -253,9 +279,16 @@
             Ask::Change(wish) => {
                 let asked = |a: &&Ask<D>| matches!(a, Ask::Change(_));
                 if let Some(Ask::Change(w)) = self.asks.iter().find(asked).filter(|a| *a != ask) {
-                    return Err(Refusal::UnderWay { number: fleet.next, who: w.who.clone() });
+                    return Err(Refusal::UnderWay {
+                        number: fleet.next,
+                        who: w.who.clone(),
+                    });
                 }
-                let number = fleet.change.as_ref().map(|c| c.number).or(id.map(|_| *runs));
+                let number = fleet
+                    .change
+                    .as_ref()
+                    .map(|c| c.number)
+                    .or(id.map(|_| *runs));
                 if let Some(number) = number {
                     let line = fleet.lines.iter().find(|l| l.number == number);
                     let who = line.map(|l| l.who.clone()).unwrap_or_default();
@@ -264,13 +297,20 @@
                 if wish.upon != fleet.mark {
                     return Err(Refusal::Outdated { runs: *runs });
                 }
-                running.stricter(&wish.document).map(drop).ok_or(Refusal::Apart)
+                running
+                    .stricter(&wish.document)
+                    .map(drop)
+                    .ok_or(Refusal::Apart)
             }
             Ask::Confirm { id: asked } if id == Some(asked) => Ok(()),
             Ask::Cancel { id: asked, .. } => {
                 let way = fleet.change.as_ref().is_some_and(|c| !c.back);
                 let which = asked.as_ref().is_none_or(|a| {
-                    id == Some(a) || fleet.change.iter().any(|c| c.commit.as_ref().is_some_and(|c| c.0 == *a))
+                    id == Some(a)
+                        || fleet
+                            .change
+                            .iter()
+                            .any(|c| c.commit.as_ref().is_some_and(|c| c.0 == *a))
                 });
                 if which && (way || id.is_some()) {
                     Ok(())
@@ -294,9 +334,12 @@
         if self.written {
             return None;
         }
-        self.knocking.retain(|name, seat| fleet.members.get(name) != Some(seat));
-        self.heard.retain(|name, _| fleet.members.contains_key(name));
-        self.seated.retain(|name, at| fleet.members.get(name).is_some_and(|s| s.start == at.0));
+        self.knocking
+            .retain(|name, seat| fleet.members.get(name) != Some(seat));
+        self.heard
+            .retain(|name, _| fleet.members.contains_key(name));
+        self.seated
+            .retain(|name, at| fleet.members.get(name).is_some_and(|s| s.start == at.0));
         for (name, seat) in &fleet.members {
             self.seated.entry(name.clone()).or_insert((seat.start, now));
         }
@@ -307,7 +350,9 @@
         let record = Self::RULES.iter().find_map(|rule| rule(self, now, fleet));
         let record = record.or_else(|| self.asked(fleet))?;
         if let Record::Members { joined, left } = &record {
-            let replaced = joined.iter().filter_map(|(n, _)| Some((n.clone(), fleet.members.get(n)?.start)));
+            let replaced = joined
+                .iter()
+                .filter_map(|(n, _)| Some((n.clone(), fleet.members.get(n)?.start)));
             self.going = replaced.chain(left.iter().cloned()).collect();
         }
         self.written = true;
@@ -315,17 +360,31 @@
     }
 
     /// Whether an earlier process of that name may still decide, for all that a later one shows.
-    fn may_live(&self, now: Ms, fleet: &Fleet<D>, earlier: &Seat, later: &Seat, name: &str) -> bool {
+    fn may_live(
+        &self,
+        now: Ms,
+        fleet: &Fleet<D>,
+        earlier: &Seat,
+        later: &Seat,
+        name: &str,
+    ) -> bool {
         let other = earlier.start != later.start && !earlier.steady;
         other && !earlier.ended_before(later) && self.counts(now, fleet, name)
     }
 
     fn count_all(&mut self, now: Ms, fleet: &Fleet<D>) {
         self.count(fleet);
-        let Some(mut count) = self.count.take() else { return };
-        let live = fleet.members.keys().filter(|name| self.counts(now, fleet, name)).count();
+        let Some(mut count) = self.count.take() else {
+            return;
+        };
+        let live = fleet
+            .members
+            .keys()
+            .filter(|name| self.counts(now, fleet, name))
+            .count();
         let lives = |name: &str, start: u64| {
-            fleet.members.get(name).is_some_and(|s| s.start == start) && self.counts(now, fleet, name)
+            fleet.members.get(name).is_some_and(|s| s.start == start)
+                && self.counts(now, fleet, name)
         };
         count.look(now, live, lives);
         self.count = Some(count);
@@ -340,12 +399,22 @@
             let long = now >= last + FORGOTTEN * self.lease && !seat.steady;
             heard.is_some_and(|h| h.leaving) || long && !self.counts(now, fleet, name)
         };
-        let left = fleet.members.iter().filter(gone).map(|(name, seat)| (name.clone(), seat.start));
+        let left = fleet
+            .members
+            .iter()
+            .filter(gone)
+            .map(|(name, seat)| (name.clone(), seat.start));
         let left: Vec<_> = left.take(SEATED_AT_ONCE).collect();
         let joined = self.knocking.iter().filter(|(name, seat)| {
-            !fleet.members.get(*name).is_some_and(|s| self.may_live(now, fleet, s, seat, name))
+            !fleet
+                .members
+                .get(*name)
+                .is_some_and(|s| self.may_live(now, fleet, s, seat, name))
         });
-        let joined: Vec<_> = joined.take(SEATED_AT_ONCE).map(|(n, s)| (n.clone(), s.clone())).collect();
+        let joined: Vec<_> = joined
+            .take(SEATED_AT_ONCE)
+            .map(|(n, s)| (n.clone(), s.clone()))
+            .collect();
         (!left.is_empty() || !joined.is_empty()).then_some(Record::Members { joined, left })
     }
 
@@ -355,29 +424,43 @@
 
     /// Whether all that may still decide are so.
     fn all(&self, now: Ms, fleet: &Fleet<D>, so: impl Fn(&Heard) -> bool) -> bool {
-        let mut counted = fleet.members.iter().filter(|(name, _)| self.counts(now, fleet, name));
-        counted.all(|(name, seat)| self.heard.get(name).is_some_and(|h| h.start == seat.start && so(h)))
+        let mut counted = fleet
+            .members
+            .iter()
+            .filter(|(name, _)| self.counts(now, fleet, name));
+        counted.all(|(name, seat)| {
+            self.heard
+                .get(name)
+                .is_some_and(|h| h.start == seat.start && so(h))
+        })
     }
 
     fn refuse(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Staged)?.number;
-        let counted = self.heard.iter().filter(|(name, _)| self.counts(now, fleet, name));
+        let counted = self
+            .heard
+            .iter()
+            .filter(|(name, _)| self.counts(now, fleet, name));
         let mut faults = counted.filter_map(|(name, h)| match &h.examined {
             Some((n, Err(why))) if *n == number => Some((name.clone(), why.clone())),
             _ => None,
         });
-        faults.next().map(|(by, why)| Record::Refused { number, by, why })
+        faults
+            .next()
+            .map(|(by, why)| Record::Refused { number, by, why })
     }
 
     fn bind(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Staged)?.number;
         let fit = |h: &Heard| h.examined == Some((number, Ok(())));
-        self.all(now, fleet, fit).then_some(Record::Binding { number })
+        self.all(now, fleet, fit)
+            .then_some(Record::Binding { number })
     }
 
     fn decide(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Binding)?.number;
-        self.all(now, fleet, |h| h.mark == fleet.mark).then_some(Record::Decided { number })
+        self.all(now, fleet, |h| h.mark == fleet.mark)
+            .then_some(Record::Decided { number })
     }
 
     fn take_back_the_overdue(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
@@ -396,7 +479,11 @@
                 Ask::Change(wish) => Record::Staged(wish),
                 Ask::Confirm { .. } => Record::Confirmed { number },
                 Ask::Cancel { who, .. } => match &fleet.change {
-                    Some(c) => Record::Refused { number: c.number, by: who, why: "taken back".into() },
+                    Some(c) => Record::Refused {
+                        number: c.number,
+                        by: who,
+                        why: "taken back".into(),
+                    },
                     None => Record::TakenBack { number },
                 },
             });
--- a/crates/accord/src/count.rs
+++ b/crates/accord/src/count.rs
@@ -27,8 +27,16 @@
 
     /// What the decisions go by: of all gateways this many share, and who takes no share sends no cold engine anything.
     pub fn of(self, mandate: &Mandate) -> Mandate {
-        let bears = if self.taken { mandate.fall_multiple } else { 0.0 };
-        Mandate { gateways: self.among, fall_multiple: bears, ..mandate.clone() }
+        let bears = if self.taken {
+            mandate.fall_multiple
+        } else {
+            0.0
+        };
+        Mandate {
+            gateways: self.among,
+            fall_multiple: bears,
+            ..mandate.clone()
+        }
     }
 }
 
@@ -50,7 +58,15 @@
     /// Of a chair that sits since then; `most` is no less than any earlier chair can have told.
     pub fn new(since: Ms, lease: Ms, grace: Ms, most: f64) -> Self {
         let (told, sharing) = Default::default();
-        Count { alone_from: since + grace, lease, grace, used: most.max(1.0), at: since, told, sharing }
+        Count {
+            alone_from: since + grace,
+            lease,
+            grace,
+            used: most.max(1.0),
+            at: since,
+            told,
+            sharing,
+        }
     }
 
     /// Grows at once to those that may decide, and shrinks slowly.
@@ -84,7 +100,10 @@
         if taken && !has {
             self.sharing.insert(name.into(), start);
         }
-        Share { among: self.used, taken }
+        Share {
+            among: self.used,
+            taken,
+        }
     }
 
     /// Told to members, and how many of them take a share.
--- a/crates/accord/src/fleet.rs
+++ b/crates/accord/src/fleet.rs
@@ -53,7 +53,16 @@
 impl<D> Default for Fleet<D> {
     fn default() -> Self {
         let (lines, members) = Default::default();
-        Fleet { history: 0, running: None, mark: 0, change: None, trial: None, members, lines, next: 1 }
+        Fleet {
+            history: 0,
+            running: None,
+            mark: 0,
+            change: None,
+            trial: None,
+            members,
+            lines,
+            next: 1,
+        }
     }
 }
 
@@ -70,17 +79,26 @@
 
     /// The change of that number at that step.
     fn at(&self, number: u64, step: Step) -> Option<&Change<D>> {
-        self.change.as_ref().filter(|c| c.number == number && c.step == step)
+        self.change
+            .as_ref()
+            .filter(|c| c.number == number && c.step == step)
     }
 
     fn mark(&mut self, number: u64, standing: Standing) {
-        self.lines.iter_mut().filter(|l| l.number == number).for_each(|l| l.standing = standing);
+        self.lines
+            .iter_mut()
+            .filter(|l| l.number == number)
+            .for_each(|l| l.standing = standing);
     }
 
     /// Takes one more record; whether it had an effect.
     pub fn apply(&mut self, record: Record<D>) -> bool {
         match record {
-            Record::Begun { history, document, line } if self.history == 0 && history != 0 => {
+            Record::Begun {
+                history,
+                document,
+                line,
+            } if self.history == 0 && history != 0 => {
                 (self.history, self.running, self.mark) = (history, Some((0, document)), 1);
                 self.lines.extend(line);
             }
@@ -94,7 +112,8 @@
                 self.mark += (change.step == Step::Binding) as u64;
                 self.mark(number, Standing::Refused);
                 let line = self.lines.iter_mut().find(|l| l.number == number);
-                line.into_iter().for_each(|l| l.refused = Some((by.clone(), why.clone())));
+                line.into_iter()
+                    .for_each(|l| l.refused = Some((by.clone(), why.clone())));
             }
             Record::Binding { number } if self.at(number, Step::Staged).is_some() => {
                 self.change.iter_mut().for_each(|c| c.step = Step::Binding);
@@ -107,9 +126,20 @@
                 self.mark(number, Standing::Running);
             }
             Record::TakenBack { number } if self.tried(number) => {
-                let Some(Trial { before: (to, document), .. }) = self.trial.take() else { return false };
-                self.change =
-                    Some(Change { number: to, document, step: Step::Binding, commit: None, back: true });
+                let Some(Trial {
+                    before: (to, document),
+                    ..
+                }) = self.trial.take()
+                else {
+                    return false;
+                };
+                self.change = Some(Change {
+                    number: to,
+                    document,
+                    step: Step::Binding,
+                    commit: None,
+                    back: true,
+                });
                 self.mark += 1;
                 self.mark(number, Standing::TakenBack);
             }
@@ -134,30 +164,71 @@
     }
 
     fn stage(&mut self, wish: Wish<D>) -> bool {
-        if self.running.is_none() || self.mark != wish.upon || self.change.is_some() || self.trial.is_some() {
+        if self.running.is_none()
+            || self.mark != wish.upon
+            || self.change.is_some()
+            || self.trial.is_some()
+        {
             return false;
         }
-        let (number, Wish { token, who, when, what, document, commit, .. }) = (self.next, wish);
+        let (
+            number,
+            Wish {
+                token,
+                who,
+                when,
+                what,
+                document,
+                commit,
+                ..
+            },
+        ) = (self.next, wish);
         self.next += 1;
         let id = commit.as_ref().map(|c| c.0.clone());
         let standing = Standing::Staged;
-        self.lines.push_back(Line { number, token, who, when, what, standing, commit: id, refused: None });
+        self.lines.push_back(Line {
+            number,
+            token,
+            who,
+            when,
+            what,
+            standing,
+            commit: id,
+            refused: None,
+        });
         if self.lines.len() > REMEMBERED {
             self.lines.pop_front();
         }
-        self.change = Some(Change { number, document, step: Step::Staged, commit, back: false });
+        self.change = Some(Change {
+            number,
+            document,
+            step: Step::Staged,
+            commit,
+            back: false,
+        });
         true
     }
 
     fn decide(&mut self) {
-        let Some(change) = self.change.take() else { return };
+        let Some(change) = self.change.take() else {
+            return;
+        };
         let was = self.running.replace((change.number, change.document));
         self.mark += 1;
         if let Some((number, _)) = was.as_ref().filter(|_| !change.back) {
             self.mark(*number, Standing::Replaced);
         }
         let tried = change.commit.is_some();
-        self.trial = was.zip(change.commit).map(|(before, (id, span))| Trial { id, span, before });
-        self.mark(change.number, if tried { Standing::Unconfirmed } else { Standing::Running });
+        self.trial = was
+            .zip(change.commit)
+            .map(|(before, (id, span))| Trial { id, span, before });
+        self.mark(
+            change.number,
+            if tried {
+                Standing::Unconfirmed
+            } else {
+                Standing::Running
+            },
+        );
     }
 }
--- a/crates/accord/src/history.rs
+++ b/crates/accord/src/history.rs
@@ -20,7 +20,9 @@
 pub fn anew(known: impl IntoIterator<Item = u64>, drawn: u64) -> Result<u64, String> {
     // Never of the first generation: two operators who begin anew at once draw numbers of which one goes before.
     let next = known.into_iter().map(|h| h >> DRAWN_BITS).fold(1, u64::max) + 1;
-    (next < 1 << (64 - DRAWN_BITS)).then(|| of(next, drawn)).ok_or("no further history can begin".into())
+    (next < 1 << (64 - DRAWN_BITS))
+        .then(|| of(next, drawn))
+        .ok_or("no further history can begin".into())
 }
 
 /// Whether a history goes before another: of a later generation, or, where two were begun anew at once, with the larger
@@ -38,12 +40,17 @@
     fn the_one_begun_anew_goes_before_all_that_were_known_and_none_before_it() {
         let old = [first(7), anew([first(7)], 1).unwrap(), 0, 9];
         let new = anew(old, u64::MAX).unwrap();
-        assert!(old.iter().all(|h| supersedes(new, *h) && !supersedes(*h, new)));
+        assert!(old
+            .iter()
+            .all(|h| supersedes(new, *h) && !supersedes(*h, new)));
         assert!(!supersedes(first(1), first(2)) && !supersedes(new, new));
         // Two begun anew at once, also where nothing of an earlier one was known: one of them goes before.
         for known in [vec![], vec![first(3)], old.to_vec()] {
             let two = [1, 2].map(|drawn| anew(known.clone(), drawn).unwrap());
-            assert!(supersedes(two[1], two[0]) && !supersedes(two[0], two[1]), "{known:?}");
+            assert!(
+                supersedes(two[1], two[0]) && !supersedes(two[0], two[1]),
+                "{known:?}"
+            );
         }
         assert!(anew([u64::MAX], 1).is_err());
     }
--- a/crates/accord/src/member.rs
+++ b/crates/accord/src/member.rs
@@ -138,7 +138,10 @@
             }
             Input::Unable { mark, why } => {
                 if self.applying.take_if(|m| *m == mark).is_some() {
-                    self.say(format!("what the fleet holds can't be held here: {why}"), &mut actions);
+                    self.say(
+                        format!("what the fleet holds can't be held here: {why}"),
+                        &mut actions,
+                    );
                 }
             }
             Input::Examined { number, how } => {
@@ -188,14 +191,25 @@
         if a.history != self.history {
             // A steady one holds for good: it goes over as soon as it hears of a later history.
             let over = !self.holds(now) || self.steady && supersedes(a.history, self.history);
-            if a.history == 0 || supersedes(self.history, a.history) || !over || self.applying.is_some() {
+            if a.history == 0
+                || supersedes(self.history, a.history)
+                || !over
+                || self.applying.is_some()
+            {
                 return;
             }
             (self.history, self.mark, self.examined) = (a.history, 0, None);
         }
-        if let Some((number, document)) = a.hold.filter(|_| a.mark > self.mark && self.applying.is_none()) {
+        if let Some((number, document)) = a
+            .hold
+            .filter(|_| a.mark > self.mark && self.applying.is_none())
+        {
             (self.applying, self.number) = (Some(a.mark), number);
-            actions.push(Action::Apply { mark: a.mark, number, document });
+            actions.push(Action::Apply {
+                mark: a.mark,
+                number,
+                document,
+            });
         }
         if let Some((number, document)) = a.offer {
             if self.examined.as_ref().is_none_or(|e| e.0 < number) {
@@ -203,7 +217,11 @@
             }
         }
         if let Some(lease) = a.lease.filter(|_| a.mark == self.mark && !self.leaving) {
-            let until = if self.steady { Ms::INFINITY } else { a.sent + lease };
+            let until = if self.steady {
+                Ms::INFINITY
+            } else {
+                a.sent + lease
+            };
             if until > self.until {
                 (self.until, self.share) = (until, a.share.unwrap_or_default());
                 actions.push(Action::Hold(until, self.share));
--- a/crates/accord/src/record.rs
+++ b/crates/accord/src/record.rs
@@ -8,13 +8,24 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
     /// A history begins, by an operator's word, with what one gateway was told; or anew, with what its line says.
-    Begun { history: u64, document: D, line: Option<Line> },
+    Begun {
+        history: u64,
+        document: D,
+        line: Option<Line>,
+    },
     /// Members come in with a process, instead of an earlier one of that name, and go.
-    Members { joined: Vec<(String, Seat)>, left: Vec<(String, u64)> },
+    Members {
+        joined: Vec<(String, Seat)>,
+        left: Vec<(String, u64)>,
+    },
     /// Somebody wants a change: it is examined everywhere.
     Staged(Wish<D>),
     /// It holds nowhere: a member or an operator has said no.
-    Refused { number: u64, by: String, why: String },
+    Refused {
+        number: u64,
+        by: String,
+        why: String,
+    },
     /// The stricter of both holds from here.
     Binding { number: u64 },
     /// The new one holds from here.
--- a/crates/accord/tests/chair.rs
+++ b/crates/accord/tests/chair.rs
@@ -28,10 +28,21 @@
     /// With these members in, each of start 1, holding the first policy.
     fn of(names: &[&str], steady: bool) -> Desk {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun { history: 7, document: Pol(1), line: None });
-        let mut d = Desk { now: 100_000.0, fleet, chair: Chair::new(0.0, LEASE) };
+        fleet.apply(Record::Begun {
+            history: 7,
+            document: Pol(1),
+            line: None,
+        });
+        let mut d = Desk {
+            now: 100_000.0,
+            fleet,
+            chair: Chair::new(0.0, LEASE),
+        };
         for name in names {
-            let beat = Beat { steady, ..d.of_start(name, 1) };
+            let beat = Beat {
+                steady,
+                ..d.of_start(name, 1)
+            };
             assert!(d.say(&beat).lease.is_none(), "not before it is in the log");
             d.write();
             assert_eq!(d.say(&beat).lease, Some(LEASE));
@@ -43,7 +54,19 @@
         let (history, mark, sent) = (7, self.fleet.mark, self.now);
         let (name, heard, steady, examined, leaving) = (name.into(), sent, false, None, false);
         let (shares, place) = (false, String::new());
-        Beat { name, start, sent, history, mark, heard, steady, examined, leaving, shares, place }
+        Beat {
+            name,
+            start,
+            sent,
+            history,
+            mark,
+            heard,
+            steady,
+            examined,
+            leaving,
+            shares,
+            place,
+        }
     }
 
     fn say(&mut self, beat: &Beat) -> Answer<Pol> {
@@ -65,7 +88,15 @@
         let (who, what) = (format!("op{to}"), "set".to_string());
         let upon = self.fleet.mark;
         let commit = commit.map(|span| ("c".to_string(), span));
-        let wish = Wish { token: 1, who, when: 0.0, what, upon, document: Pol(to), commit };
+        let wish = Wish {
+            token: 1,
+            who,
+            when: 0.0,
+            what,
+            upon,
+            document: Pol(to),
+            commit,
+        };
         self.chair.ask(&self.fleet, Ask::Change(wish))
     }
 
@@ -73,7 +104,10 @@
     fn through(&mut self, name: &str) {
         self.write();
         let number = self.fleet.change.as_ref().unwrap().number;
-        let yes = Beat { examined: Some((number, Ok(()))), ..self.of_start(name, 1) };
+        let yes = Beat {
+            examined: Some((number, Ok(()))),
+            ..self.of_start(name, 1)
+        };
         self.say(&yes);
         self.write();
         self.hold(name);
@@ -89,7 +123,12 @@
     }
 
     fn standing(&self, number: u64) -> Standing {
-        self.fleet.lines.iter().find(|l| l.number == number).unwrap().standing
+        self.fleet
+            .lines
+            .iter()
+            .find(|l| l.number == number)
+            .unwrap()
+            .standing
     }
 }
 
@@ -100,7 +139,10 @@
     let mut d = Desk::of(&["a", "b"], false);
     d.now += 11.0 * LEASE;
     let removal = d.chair.next(d.now, &d.fleet).unwrap();
-    assert!(matches!(&removal, Record::Members { left, .. } if left.len() == 2), "{removal:?}");
+    assert!(
+        matches!(&removal, Record::Members { left, .. } if left.len() == 2),
+        "{removal:?}"
+    );
     let beat = d.of_start("a", 1);
     assert_eq!(d.say(&beat).lease, None);
     d.fleet.apply(removal);
@@ -133,7 +175,10 @@
     let first = d.of_start("a", 1);
     assert!(d.say(&first).why.is_some());
     // One that says that it leaves makes room at once.
-    let bye = Beat { leaving: true, ..second };
+    let bye = Beat {
+        leaving: true,
+        ..second
+    };
     assert_eq!(d.say(&bye).lease, None);
     d.write();
     assert!(d.fleet.members.is_empty());
@@ -142,17 +187,30 @@
 #[test]
 fn who_holds_what_the_last_process_of_its_name_held_needs_not_wait_for_its_lease() {
     // Against seven seconds without service after a kill: what only one process can hold proves that the last has ended.
-    for (held, holds, waits) in
-        [("here", "here", false), ("here", "there", true), ("", "", true), ("", "here", true)]
-    {
+    for (held, holds, waits) in [
+        ("here", "here", false),
+        ("here", "there", true),
+        ("", "", true),
+        ("", "here", true),
+    ] {
         let mut d = Desk::of(&["b"], false);
-        let first = Beat { place: held.into(), ..d.of_start("a", 1) };
+        let first = Beat {
+            place: held.into(),
+            ..d.of_start("a", 1)
+        };
         d.say(&first);
         d.write();
         assert_eq!(d.say(&first).lease, Some(LEASE));
-        let second = Beat { place: holds.into(), ..d.of_start("a", 2) };
+        let second = Beat {
+            place: holds.into(),
+            ..d.of_start("a", 2)
+        };
         let told = d.say(&second);
-        assert_eq!((told.lease, told.why.is_some(), told.soon), (None, waits, true), "{held:?}, {holds:?}");
+        assert_eq!(
+            (told.lease, told.why.is_some(), told.soon),
+            (None, waits, true),
+            "{held:?}, {holds:?}"
+        );
         d.write();
         assert_eq!(d.say(&second).lease.is_none(), waits, "{held:?}, {holds:?}");
         // The first is never granted another one.
@@ -165,16 +223,30 @@
     let mut d = Desk::of(&["a"], false);
     assert_eq!(d.ask(9, None), Err(Refusal::Apart));
     assert_eq!(d.ask(2, None), Ok(()));
-    let under_way = |who: &str| Err(Refusal::UnderWay { number: 1, who: who.into() });
+    let under_way = |who: &str| {
+        Err(Refusal::UnderWay {
+            number: 1,
+            who: who.into(),
+        })
+    };
     assert_eq!(d.ask(3, None), under_way("op2"), "before the log has it");
     d.write();
     assert_eq!(d.ask(3, None), under_way("op2"));
-    let no = Beat { examined: Some((1, Err("it lacks a kind".into()))), ..d.of_start("a", 1) };
+    let no = Beat {
+        examined: Some((1, Err("it lacks a kind".into()))),
+        ..d.of_start("a", 1)
+    };
     d.say(&no);
     d.write();
     let line = d.fleet.lines[0].clone();
-    assert_eq!(line.refused, Some(("a".to_string(), "it lacks a kind".to_string())));
-    assert_eq!((d.standing(1), d.fleet.held()), (Standing::Refused, Some((0, Pol(1)))));
+    assert_eq!(
+        line.refused,
+        Some(("a".to_string(), "it lacks a kind".to_string()))
+    );
+    assert_eq!(
+        (d.standing(1), d.fleet.held()),
+        (Standing::Refused, Some((0, Pol(1))))
+    );
     assert_eq!(d.ask(3, None), Ok(()));
     d.through("a");
     assert_eq!(d.fleet.held(), Some((2, Pol(3))));
@@ -185,16 +257,26 @@
     let mut d = Desk::of(&["a"], false);
     d.ask(2, Some(5000.0)).unwrap();
     d.through("a");
-    assert_eq!((d.standing(1), d.fleet.held()), (Standing::Unconfirmed, Some((1, Pol(2)))));
+    assert_eq!(
+        (d.standing(1), d.fleet.held()),
+        (Standing::Unconfirmed, Some((1, Pol(2))))
+    );
     d.now += 2500.0;
     d.hold("a");
     d.now += 2500.0;
     assert_eq!(d.write(), [Record::TakenBack { number: 1 }]);
-    assert_eq!(d.fleet.held(), Some((1, Pol(2))), "the stricter of both first");
+    assert_eq!(
+        d.fleet.held(),
+        Some((1, Pol(2))),
+        "the stricter of both first"
+    );
     let late = Ask::Confirm { id: "c".into() };
     assert_eq!(d.chair.ask(&d.fleet, late), Err(Refusal::Nothing));
     d.hold("a");
-    assert_eq!((d.standing(1), d.fleet.held()), (Standing::TakenBack, Some((0, Pol(1)))));
+    assert_eq!(
+        (d.standing(1), d.fleet.held()),
+        (Standing::TakenBack, Some((0, Pol(1))))
+    );
 }
 
 #[test]
@@ -204,13 +286,24 @@
         d.ask(2, None).unwrap();
         d.now += 5.0 * LEASE;
         d.write();
-        let yes = Beat { examined: Some((1, Ok(()))), steady, ..d.of_start("a", 1) };
+        let yes = Beat {
+            examined: Some((1, Ok(()))),
+            steady,
+            ..d.of_start("a", 1)
+        };
         d.say(&yes);
         d.write();
-        let holds = Beat { steady, ..d.of_start("a", 1) };
+        let holds = Beat {
+            steady,
+            ..d.of_start("a", 1)
+        };
         d.say(&holds);
         d.write();
-        assert_eq!(d.standing(1) == Standing::Running, decided, "steady: {steady}");
+        assert_eq!(
+            d.standing(1) == Standing::Running,
+            decided,
+            "steady: {steady}"
+        );
     }
 }
 
@@ -218,9 +311,15 @@
 fn who_hears_nothing_is_granted_no_lease_and_holds_up_no_change() {
     // Against a way that is cut one way only: its beats come, no answer arrives, and it would count for good.
     let mut d = Desk::of(&["a"], false);
-    let deaf = Beat { heard: d.now - 3.5 * LEASE, ..d.of_start("a", 1) };
+    let deaf = Beat {
+        heard: d.now - 3.5 * LEASE,
+        ..d.of_start("a", 1)
+    };
     assert_eq!(d.say(&deaf).lease, None);
-    let hears = Beat { heard: d.now - 0.5 * LEASE, ..d.of_start("a", 1) };
+    let hears = Beat {
+        heard: d.now - 0.5 * LEASE,
+        ..d.of_start("a", 1)
+    };
     assert_eq!(d.say(&hears).lease, Some(LEASE));
 }
 
@@ -229,8 +328,9 @@
     let grace = 1.1 * LEASE;
     let mut count = Count::new(0.0, LEASE, grace, 5.0);
     let names = ["a", "b", "c", "d", "e", "f"];
-    let takes =
-        |count: &mut Count, now: f64, nth: usize, start| count.share(now, names[nth], start, false).taken;
+    let takes = |count: &mut Count, now: f64, nth: usize, start| {
+        count.share(now, names[nth], start, false).taken
+    };
     // Nobody new before no lease of an earlier chair is left.
     assert!(!takes(&mut count, grace - 1.0, 0, 1));
     count.look(grace, 5, |_, _| true);
@@ -243,7 +343,10 @@
     // One more than the count: it grows at once, and the last waits for a grace.
     let now = grace + LEASE + 1.0;
     count.look(now, 6, |_, _| true);
-    assert_eq!((count.shown().0, takes(&mut count, now, 4, 1)), (6.0, false));
+    assert_eq!(
+        (count.shown().0, takes(&mut count, now, 4, 1)),
+        (6.0, false)
+    );
     count.look(now + grace, 6, |_, _| true);
     assert!(takes(&mut count, now + grace, 4, 1));
 }
--- a/crates/accord/tests/count.rs
+++ b/crates/accord/tests/count.rs
@@ -63,8 +63,15 @@
     }
 
     fn shares(&self) -> impl Iterator<Item = f64> + '_ {
-        let decides = self.gates.iter().flatten().filter(|g| g.member.holds(self.now));
-        decides.map(|g| g.member.share()).filter(|s| s.taken).map(|s| 1.0 / s.among)
+        let decides = self
+            .gates
+            .iter()
+            .flatten()
+            .filter(|g| g.member.holds(self.now));
+        decides
+            .map(|g| g.member.share())
+            .filter(|s| s.taken)
+            .map(|s| 1.0 / s.among)
     }
 }
 
@@ -74,15 +81,33 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun { history: 1, document: Pol(0, 0), line: None });
+        fleet.apply(Record::Begun {
+            history: 1,
+            document: Pol(0, 0),
+            line: None,
+        });
         let chair = Chair::new(-9.0, LEASE);
-        let left = Budget { ticks: 9, ..self.budget };
-        let mut w = World { now: 0.0, fleet, chair, gates: vec![None; GATES], starts: 0, left };
+        let left = Budget {
+            ticks: 9,
+            ..self.budget
+        };
+        let mut w = World {
+            now: 0.0,
+            fleet,
+            chair,
+            gates: vec![None; GATES],
+            starts: 0,
+            left,
+        };
         // Two are in and have their shares; the third comes when it likes.
         let talk = [Move::Talk(0), Move::Hear(0), Move::Talk(1), Move::Hear(1)];
         let round = [&talk[..], &talk[..], &[Move::Tick]].concat();
         let rounds = (0..6).flat_map(|_| round.clone());
-        for step in [Move::Start(0), Move::Start(1)].into_iter().chain(rounds).chain(talk) {
+        for step in [Move::Start(0), Move::Start(1)]
+            .into_iter()
+            .chain(rounds)
+            .chain(talk)
+        {
             w = self.next_state(&w, step).unwrap_or(w);
         }
         assert_eq!(w.shares().sum::<f64>(), 1.0);
@@ -142,24 +167,58 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more than the whole", |_, w: &World| w.shares().sum::<f64>() <= 1.0 + 1e-9),
-            Property::sometimes("the third has its share", |_, w: &World| w.shares().count() == GATES),
+            Property::always("no more than the whole", |_, w: &World| {
+                w.shares().sum::<f64>() <= 1.0 + 1e-9
+            }),
+            Property::sometimes("the third has its share", |_, w: &World| {
+                w.shares().count() == GATES
+            }),
         ]
     }
 }
 
 #[test]
 fn in_every_order_the_shares_come_to_no_more_than_the_whole() {
-    let quiet = Budget { ticks: 3, ends: 0, chairs: 0 };
-    let killed = |ticks| Budget { ticks, ends: 1, ..quiet };
+    let quiet = Budget {
+        ticks: 3,
+        ends: 0,
+        chairs: 0,
+    };
+    let killed = |ticks| Budget {
+        ticks,
+        ends: 1,
+        ..quiet
+    };
     // The larger one by `ORDERS=all`.
     let larger = std::env::var_os("ORDERS").map(|_| (killed(2), 100_000));
-    let usual = [(quiet, 1_000), (killed(1), 1_000), (Budget { ticks: 2, chairs: 1, ..quiet }, 1_000)];
+    let usual = [
+        (quiet, 1_000),
+        (killed(1), 1_000),
+        (
+            Budget {
+                ticks: 2,
+                chairs: 1,
+                ..quiet
+            },
+            1_000,
+        ),
+    ];
     for (budget, states) in usual.into_iter().chain(larger) {
-        let found = Days { budget, out: Out::Nothing }.checker().threads(4).spawn_bfs().join();
+        let found = Days {
+            budget,
+            out: Out::Nothing,
+        }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
         found.assert_no_discovery("no more than the whole");
         println!("{budget:?}: {} states", found.unique_state_count());
-        assert!(found.unique_state_count() >= states, "{budget:?}: {}", found.unique_state_count());
+        assert!(
+            found.unique_state_count() >= states,
+            "{budget:?}: {}",
+            found.unique_state_count()
+        );
         assert!(budget != quiet || found.discovery("the third has its share").is_some());
     }
 }
@@ -167,10 +226,17 @@
 #[test]
 fn a_share_taken_at_once_and_a_chair_that_knows_no_earlier_leases_break_it() {
     for (out, chairs) in [(Out::Waits, 0), (Out::Grace, 1)] {
-        let budget = Budget { ticks: 3, ends: 0, chairs };
+        let budget = Budget {
+            ticks: 3,
+            ends: 0,
+            chairs,
+        };
         let days = Days { budget, out }.checker().threads(4);
         let failure = HasDiscoveries::AllOf(["no more than the whole"].into());
         let found = days.finish_when(failure).spawn_bfs().join();
-        assert!(found.discovery("no more than the whole").is_some(), "{out:?}");
+        assert!(
+            found.discovery("no more than the whole").is_some(),
+            "{out:?}"
+        );
     }
 }
--- a/crates/accord/tests/keepers.rs
+++ b/crates/accord/tests/keepers.rs
@@ -128,14 +128,20 @@
 
 fn begun() -> Fleet<Pol> {
     let mut fleet = Fleet::default();
-    fleet.apply(Record::Begun { history: 1, document: Pol(0, 0), line: None });
+    fleet.apply(Record::Begun {
+        history: 1,
+        document: Pol(0, 0),
+        line: None,
+    });
     fleet
 }
 
 impl World {
     /// Whether two are one, by the voters' numbers that the first knows.
     fn are_a_quorum(&self, k: usize, j: usize) -> bool {
-        let (Some(log), Some(_)) = (&self.keepers[k].log, &self.keepers[j].log) else { return false };
+        let (Some(log), Some(_)) = (&self.keepers[k].log, &self.keepers[j].log) else {
+            return false;
+        };
         let all = voters(log, self.keepers[k].known);
         k != j && [k, j].iter().all(|i| all[*i] == self.keepers[*i].number)
     }
@@ -143,10 +149,15 @@
     /// What a quorum has by now: entries of the chair's own term, and all before them.
     fn learn(&mut self, k: usize) {
         let own = self.keepers[k].clone();
-        let (Some(log), Some(mut seat)) = (own.log, own.sits) else { return };
+        let (Some(log), Some(mut seat)) = (own.log, own.sits) else {
+            return;
+        };
         let has = |j: usize, upto: usize, all: &[u8; KEEPERS]| {
             let other = &self.keepers[j];
-            let same = other.log.as_ref().is_some_and(|l| l.len() >= upto && l[..upto] == log[..upto]);
+            let same = other
+                .log
+                .as_ref()
+                .is_some_and(|l| l.len() >= upto && l[..upto] == log[..upto]);
             same && other.number == all[j]
         };
         for upto in (seat.known + 1..=log.len()).rev() {
@@ -157,13 +168,16 @@
                 continue;
             }
             for (_, entry) in &log[seat.known..upto] {
-                let Entry::Record(record) = entry else { continue };
+                let Entry::Record(record) = entry else {
+                    continue;
+                };
                 let change = seat.fleet.change.clone();
                 let refused = matches!(record, Record::Refused { .. });
                 if seat.fleet.apply(record.clone()) && refused {
                     self.refused.extend(change.map(|c| c.document.1));
                 }
-                self.decided.extend(seat.fleet.running.iter().map(|r| r.1 .0));
+                self.decided
+                    .extend(seat.fleet.running.iter().map(|r| r.1 .0));
                 self.decided.sort();
                 self.decided.dedup();
                 seat.chair.applied();
@@ -177,7 +191,10 @@
 
     fn push(&mut self, k: usize, entry: Entry) {
         let term = self.keepers[k].term;
-        self.keepers[k].log.iter_mut().for_each(|l| l.push((term, entry.clone())));
+        self.keepers[k]
+            .log
+            .iter_mut()
+            .for_each(|l| l.push((term, entry.clone())));
     }
 
     fn deciding(&self) -> impl Iterator<Item = &Gate> {
@@ -187,7 +204,10 @@
     /// A chair that has read all that its own log holds.
     fn sits(&self, k: usize) -> Option<&Seat> {
         let log = self.keepers[k].log.as_ref()?;
-        self.keepers[k].sits.as_ref().filter(|s| s.known == log.len())
+        self.keepers[k]
+            .sits
+            .as_ref()
+            .filter(|s| s.known == log.len())
     }
 }
 
@@ -196,7 +216,13 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<World> {
-        let keeper = |number| Keeper { number, term: 0, log: Some(Vec::new()), known: 0, sits: None };
+        let keeper = |number| Keeper {
+            number,
+            term: 0,
+            log: Some(Vec::new()),
+            known: 0,
+            sits: None,
+        };
         let mut w = World {
             now: 0.0,
             keepers: (0..KEEPERS as u8).map(keeper).collect(),
@@ -204,7 +230,10 @@
             decided: vec![0],
             refused: Vec::new(),
             numbers: KEEPERS as u8,
-            left: Budget { elections: 1, ..self.budget },
+            left: Budget {
+                elections: 1,
+                ..self.budget
+            },
         };
         // One chair, all gateways in: what comes before is the same for each.
         let first = [Move::Elect(0, 1), Move::Copy(0, 1), Move::Copy(0, 2)];
@@ -224,27 +253,58 @@
         // Its log is whole everywhere.
         let seat = w.keepers[0].sits.as_ref().expect("a chair");
         let fleet = seat.fleet.clone();
-        w.keepers.iter_mut().for_each(|k| k.log = Some(vec![(1, Entry::Sits)]));
+        w.keepers
+            .iter_mut()
+            .for_each(|k| k.log = Some(vec![(1, Entry::Sits)]));
         w.left = self.budget;
         let base = Entry::Record(Record::Members {
-            joined: fleet.members.iter().map(|(n, s)| (n.clone(), s.clone())).collect(),
+            joined: fleet
+                .members
+                .iter()
+                .map(|(n, s)| (n.clone(), s.clone()))
+                .collect(),
             left: Vec::new(),
         });
-        w.keepers.iter_mut().for_each(|k| k.log.iter_mut().for_each(|l| l.insert(0, (0, base.clone()))));
+        w.keepers.iter_mut().for_each(|k| {
+            k.log
+                .iter_mut()
+                .for_each(|l| l.insert(0, (0, base.clone())))
+        });
         w.keepers.iter_mut().for_each(|k| k.known = 2);
         w.keepers[0].sits.iter_mut().for_each(|s| s.known = 2);
-        let beats =
-            (0..GATES).flat_map(|g| [Move::Talk(g, 0, 1), Move::Hear(g), Move::Talk(g, 0, 1), Move::Hear(g)]);
-        let step: Vec<Move> =
-            [Move::Tick].into_iter().chain(beats).chain([Move::Write(0), Move::Copy(0, 1)]).collect();
+        let beats = (0..GATES).flat_map(|g| {
+            [
+                Move::Talk(g, 0, 1),
+                Move::Hear(g),
+                Move::Talk(g, 0, 1),
+                Move::Hear(g),
+            ]
+        });
+        let step: Vec<Move> = [Move::Tick]
+            .into_iter()
+            .chain(beats)
+            .chain([Move::Write(0), Move::Copy(0, 1)])
+            .collect();
         let first = [Move::Ask(0), Move::Write(0), Move::Copy(0, 1)];
         let made = (1..self.made).flat_map(|_| step.clone());
-        w.left = Budget { ticks: 9, asks: 1, ..self.budget };
+        w.left = Budget {
+            ticks: 9,
+            asks: 1,
+            ..self.budget
+        };
         w.left.elections += 1;
-        for step in first.into_iter().filter(|_| self.made > 0).chain(made).chain(self.then.clone()) {
+        for step in first
+            .into_iter()
+            .filter(|_| self.made > 0)
+            .chain(made)
+            .chain(self.then.clone())
+        {
             w = self.next_state(&w, step).unwrap_or(w);
         }
-        w.left = Budget { asks: self.budget.asks - (self.made > 0) as u8, ..self.budget };
+        w.left = Budget {
+            asks: self.budget.asks - (self.made > 0) as u8,
+            ..self.budget
+        };
         vec![w]
     }
 
@@ -260,7 +320,8 @@
                     moves.push(Move::LetIn(k, j));
                     let due = |g: &usize| !w.gates[*g].paused && w.gates[*g].has_a_beat(w.now);
                     moves.extend((0..GATES).filter(due).map(|g| Move::Talk(g, k, j)));
-                    let again = (0..GATES).filter(|g| w.left.twice > 0 && w.gates[*g].beat.is_some());
+                    let again =
+                        (0..GATES).filter(|g| w.left.twice > 0 && w.gates[*g].beat.is_some());
                     moves.extend(again.map(|g| Move::TalkAgain(g, k, j)));
                 }
             }
@@ -298,7 +359,12 @@
                 }
                 (w.keepers[k].term, w.keepers[j].term, w.keepers[j].sits) = (term, term, None);
                 let (chair, fleet) = (Chair::new(w.now, LEASE), begun());
-                w.keepers[k].sits = Some(Seat { term, chair, fleet, known: 0 });
+                w.keepers[k].sits = Some(Seat {
+                    term,
+                    chair,
+                    fleet,
+                    known: 0,
+                });
                 if self.out == Out::Known {
                     // As if all that lies in its log were known to be in a quorum's.
                     let seat = w.keepers[k].sits.as_mut()?;
@@ -336,11 +402,21 @@
                 if w.keepers.iter().any(|k| k.log.is_none()) {
                     return None;
                 }
-                let number = if self.out == Out::Number { w.keepers[k].number } else { w.numbers };
+                let number = if self.out == Out::Number {
+                    w.keepers[k].number
+                } else {
+                    w.numbers
+                };
                 w.numbers += 1;
-                let log =
-                    (self.out == Out::Number).then(|| w.keepers[k].log.as_ref().map(|l| l[..2].to_vec()));
-                w.keepers[k] = Keeper { number, term: 0, log: log.flatten(), known: 0, sits: None };
+                let log = (self.out == Out::Number)
+                    .then(|| w.keepers[k].log.as_ref().map(|l| l[..2].to_vec()));
+                w.keepers[k] = Keeper {
+                    number,
+                    term: 0,
+                    log: log.flatten(),
+                    known: 0,
+                    sits: None,
+                };
             }
             Move::LetIn(k, j) => {
                 w.sits(k)?;
@@ -390,7 +466,9 @@
                 w.sits(k)?;
                 let seat = w.keepers[k].sits.as_mut()?;
                 let upon = seat.fleet.mark;
-                seat.chair.ask(&seat.fleet, Ask::Change(wish(to, upon))).ok()?;
+                seat.chair
+                    .ask(&seat.fleet, Ask::Change(wish(to, upon)))
+                    .ok()?;
             }
         }
         Some(w).filter(|w| w != was)
@@ -413,38 +491,137 @@
                     let term = w.keepers[k].term;
                     (0..KEEPERS).any(|j| w.are_a_quorum(k, j) && w.keepers[j].term <= term)
                 };
-                (0..KEEPERS).filter(|k| confirmed(*k)).all(|k| w.sits(k).is_none_or(knows))
+                (0..KEEPERS)
+                    .filter(|k| confirmed(*k))
+                    .all(|k| w.sits(k).is_none_or(knows))
             }),
             Property::sometimes("a change is decided and holds at all", |_, w: &World| {
-                w.gates.iter().all(|g| g.holding == Pol(1, 1) && g.decides(w.now, false))
+                w.gates
+                    .iter()
+                    .all(|g| g.holding == Pol(1, 1) && g.decides(w.now, false))
             }),
         ]
     }
 }
 
-const QUIET: Budget = Budget { ticks: 0, elections: 0, disks: 0, pauses: 0, asks: 1, kills: 0, twice: 0 };
+const QUIET: Budget = Budget {
+    ticks: 0,
+    elections: 0,
+    disks: 0,
+    pauses: 0,
+    asks: 1,
+    kills: 0,
+    twice: 0,
+};
 
 fn played_to_the_end(budget: Budget, made: usize, tick: f64) -> impl Checker<Days> {
-    Days { budget, out: Out::Nothing, made, then: Vec::new(), tick }.checker().threads(4).spawn_bfs().join()
+    Days {
+        budget,
+        out: Out::Nothing,
+        made,
+        then: Vec::new(),
+        tick,
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join()
 }
 
 /// What is played to its end, after how many steps of a change; the larger by `ORDERS=all`.
 const CASES: [(&str, bool, Budget, &[usize], f64); 9] = [
-    ("a change", false, Budget { ticks: 2, ..QUIET }, &[0, 1, 2, 3], 1.0),
-    ("a chair lost", false, Budget { elections: 1, ..QUIET }, &[1, 2, 3], 1.0),
-    ("a disk lost", false, Budget { disks: 1, ..QUIET }, &[1, 2, 3], 1.0),
-    ("a chair and a disk lost", false, Budget { elections: 1, disks: 1, ..QUIET }, &[2, 3], 1.0),
-    ("a gateway killed and started anew", false, Budget { ticks: 1, kills: 1, ..QUIET }, &[2, 3], 1.0),
-    ("a beat twice, a chair lost", false, Budget { ticks: 1, twice: 1, elections: 1, ..QUIET }, &[2], 1.0),
-    ("two operators", false, Budget { ticks: 1, asks: 2, ..QUIET }, &[0, 2], 1.0),
+    (
+        "a change",
+        false,
+        Budget { ticks: 2, ..QUIET },
+        &[0, 1, 2, 3],
+        1.0,
+    ),
+    (
+        "a chair lost",
+        false,
+        Budget {
+            elections: 1,
+            ..QUIET
+        },
+        &[1, 2, 3],
+        1.0,
+    ),
+    (
+        "a disk lost",
+        false,
+        Budget { disks: 1, ..QUIET },
+        &[1, 2, 3],
+        1.0,
+    ),
+    (
+        "a chair and a disk lost",
+        false,
+        Budget {
+            elections: 1,
+            disks: 1,
+            ..QUIET
+        },
+        &[2, 3],
+        1.0,
+    ),
+    (
+        "a gateway killed and started anew",
+        false,
+        Budget {
+            ticks: 1,
+            kills: 1,
+            ..QUIET
+        },
+        &[2, 3],
+        1.0,
+    ),
+    (
+        "a beat twice, a chair lost",
+        false,
+        Budget {
+            ticks: 1,
+            twice: 1,
+            elections: 1,
+            ..QUIET
+        },
+        &[2],
+        1.0,
+    ),
+    (
+        "two operators",
+        false,
+        Budget {
+            ticks: 1,
+            asks: 2,
+            ..QUIET
+        },
+        &[0, 2],
+        1.0,
+    ),
     (
         "a gateway stopped while its lease runs out",
         false,
-        Budget { ticks: 2, pauses: 1, ..QUIET },
+        Budget {
+            ticks: 2,
+            pauses: 1,
+            ..QUIET
+        },
         &[1, 2],
         2.0,
     ),
-    ("two chairs and a disk lost", true, Budget { ticks: 1, elections: 2, disks: 1, ..QUIET }, &[1, 2], 1.0),
+    (
+        "two chairs and a disk lost",
+        true,
+        Budget {
+            ticks: 1,
+            elections: 2,
+            disks: 1,
+            ..QUIET
+        },
+        &[1, 2],
+        1.0,
+    ),
 ];
 
 #[test]
@@ -458,7 +635,13 @@
         let mut found = 0;
         for made in after {
             let checked = played_to_the_end(budget, *made, tick);
-            let days = Days { budget, out: Out::Nothing, made: *made, then: Vec::new(), tick };
+            let days = Days {
+                budget,
+                out: Out::Nothing,
+                made: *made,
+                then: Vec::new(),
+                tick,
+            };
             let always = |p: &&Property<Days>| p.expectation == stateright::Expectation::Always;
             for property in days.properties().iter().filter(always) {
                 checked.assert_no_discovery(property.name);
@@ -475,18 +658,49 @@
 #[test]
 fn every_guard_of_the_keepers_that_is_taken_out_breaks_a_promise() {
     // An earlier chair is asked by one gateway still, and the new one waits for leases of its own time alone.
-    let two_chairs =
-        [Move::Elect(1, 2), Move::Copy(1, 2), Move::Tick, Move::Talk(0, 0, 1), Move::Hear(0), Move::Tick];
-    let chair_and_disk = Budget { elections: 1, disks: 1, ..QUIET };
-    let chair = Budget { ticks: 2, elections: 1, ..QUIET };
+    let two_chairs = [
+        Move::Elect(1, 2),
+        Move::Copy(1, 2),
+        Move::Tick,
+        Move::Talk(0, 0, 1),
+        Move::Hear(0),
+        Move::Tick,
+    ];
+    let chair_and_disk = Budget {
+        elections: 1,
+        disks: 1,
+        ..QUIET
+    };
+    let chair = Budget {
+        ticks: 2,
+        elections: 1,
+        ..QUIET
+    };
     for (out, budget, made, then, promise) in [
-        (Out::Number, chair_and_disk, 3, vec![], "a decided one is never lost"),
+        (
+            Out::Number,
+            chair_and_disk,
+            3,
+            vec![],
+            "a decided one is never lost",
+        ),
         (Out::Confirm, QUIET, 1, two_chairs.to_vec(), "apart"),
         (Out::Known, chair, 2, vec![], "all or none"),
     ] {
         let tick = if then.is_empty() { 1.0 } else { 2.0 };
-        let days = Days { budget, out, made, then, tick }.checker().threads(4);
-        let found = days.finish_when(HasDiscoveries::AllOf([promise].into())).spawn_bfs().join();
+        let days = Days {
+            budget,
+            out,
+            made,
+            then,
+            tick,
+        }
+        .checker()
+        .threads(4);
+        let found = days
+            .finish_when(HasDiscoveries::AllOf([promise].into()))
+            .spawn_bfs()
+            .join();
         assert!(found.discovery(promise).is_some(), "{out:?}");
     }
 }
--- a/crates/accord/tests/orders.rs
+++ b/crates/accord/tests/orders.rs
@@ -81,17 +81,22 @@
 impl World {
     fn hand(&mut self, i: usize, input: Input<Pol>) {
         let now = self.now;
-        self.gates[i].iter_mut().for_each(|g| g.hand(now, i, input.clone()));
+        self.gates[i]
+            .iter_mut()
+            .for_each(|g| g.hand(now, i, input.clone()));
     }
 
     fn commit(&mut self) {
-        let Some(record) = self.writing.take() else { return };
+        let Some(record) = self.writing.take() else {
+            return;
+        };
         let (mark, change) = (self.fleet.mark, self.fleet.change.clone());
         let refused = matches!(record, Record::Refused { .. });
         if self.fleet.apply(record) && refused {
             self.refused.extend(change.map(|c| c.document.1));
         }
-        self.decided.extend(self.fleet.running.iter().map(|r| r.1 .0));
+        self.decided
+            .extend(self.fleet.running.iter().map(|r| r.1 .0));
         self.decided.dedup();
         if self.fleet.mark != mark {
             self.marked = self.now;
@@ -101,7 +106,10 @@
 
     /// Those that may decide now.
     fn deciding(&self, out: Out) -> impl Iterator<Item = &Gate> {
-        self.gates.iter().flatten().filter(move |g| g.decides(self.now, out == Out::Timer))
+        self.gates
+            .iter()
+            .flatten()
+            .filter(move |g| g.decides(self.now, out == Out::Timer))
     }
 }
 
@@ -111,14 +119,20 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun { history: 1, document: Pol(0, 0), line: None });
+        fleet.apply(Record::Begun {
+            history: 1,
+            document: Pol(0, 0),
+            line: None,
+        });
         let mut w = World {
             now: 0.0,
             marked: 0.0,
             fleet,
             chair: Chair::new(-9.0, LEASE),
             writing: None,
-            gates: (0..self.gates).map(|i| Some(Gate::new(i, i as u64 + 1))).collect(),
+            gates: (0..self.gates)
+                .map(|i| Some(Gate::new(i, i as u64 + 1)))
+                .collect(),
             starts: self.gates as u64,
             decided: vec![0],
             refused: Vec::new(),
@@ -185,7 +199,11 @@
             Move::Talk(i, again) => {
                 w.left.twice -= again as u8;
                 let gate = w.gates[i].as_mut()?;
-                let beat = if again { gate.beat.clone() } else { gate.sends(w.now, i) };
+                let beat = if again {
+                    gate.beat.clone()
+                } else {
+                    gate.sends(w.now, i)
+                };
                 gate.answer = Some(w.chair.beat(w.now, &w.fleet, &beat?));
             }
             Move::Hear(i, again) => {
@@ -202,7 +220,9 @@
                 let record = w.chair.next(w.now, &w.fleet);
                 w.writing = match (record, self.out) {
                     (None, Out::Unheard) => match &w.fleet.change {
-                        Some(c) if c.step == Stage::Binding => Some(Record::Decided { number: c.number }),
+                        Some(c) if c.step == Stage::Binding => {
+                            Some(Record::Decided { number: c.number })
+                        }
                         _ => None,
                     },
                     (record, _) => record,
@@ -244,7 +264,13 @@
             }
             Move::Cancel => {
                 w.left.cancels -= 1;
-                let _ = w.chair.ask(&w.fleet, Ask::Cancel { id: None, who: "op".into() });
+                let _ = w.chair.ask(
+                    &w.fleet,
+                    Ask::Cancel {
+                        id: None,
+                        who: "op".into(),
+                    },
+                );
             }
         }
         Some(w)
@@ -252,7 +278,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("apart", |days: &Days, w: &World| played::apart(w.deciding(days.out))),
+            Property::always("apart", |days: &Days, w: &World| {
+                played::apart(w.deciding(days.out))
+            }),
             Property::always("together", |days: &Days, w: &World| {
                 let old = |g: &Gate| g.member.held().1 < w.fleet.mark;
                 w.now < w.marked + LEASE || !w.deciding(days.out).any(old)
@@ -260,18 +288,35 @@
             Property::always("all or none", |_, w: &World| {
                 played::all_or_none(w.gates.iter().flatten(), &w.decided, &w.refused)
             }),
-            Property::always("nothing before the policy is known", |days: &Days, w: &World| {
-                played::knows(w.deciding(days.out))
-            }),
-            Property::sometimes("a change is decided and holds everywhere", |days: &Days, w: &World| {
-                w.deciding(days.out).filter(|g| g.holding == Pol(1, 1)).count() == days.gates
+            Property::always(
+                "nothing before the policy is known",
+                |days: &Days, w: &World| played::knows(w.deciding(days.out)),
+            ),
+            Property::sometimes(
+                "a change is decided and holds everywhere",
+                |days: &Days, w: &World| {
+                    w.deciding(days.out)
+                        .filter(|g| g.holding == Pol(1, 1))
+                        .count()
+                        == days.gates
+                },
+            ),
+            Property::sometimes("one that can't be read is refused", |_, w: &World| {
+                !w.refused.is_empty()
             }),
-            Property::sometimes("one that can't be read is refused", |_, w: &World| !w.refused.is_empty()),
         ]
     }
 }
 
-const QUIET: Budget = Budget { ticks: 4, chairs: 0, crashes: 0, asks: 2, cancels: 0, twice: 0, pauses: 0 };
+const QUIET: Budget = Budget {
+    ticks: 4,
+    chairs: 0,
+    crashes: 0,
+    asks: 2,
+    cancels: 0,
+    twice: 0,
+    pauses: 0,
+};
 
 fn days(gates: usize, budget: Budget, out: Out) -> Days {
     Days { gates, budget, out }
@@ -280,29 +325,144 @@
 /// The budgets that are played to their ends, and how many states that is at least.
 const CASES: [(&str, usize, Budget, usize); 6] = [
     ("two changes", 2, Budget { ticks: 3, ..QUIET }, 10_000),
-    ("chairs lost", 2, Budget { ticks: 2, chairs: 1, asks: 1, ..QUIET }, 10_000),
-    ("crashes", 2, Budget { ticks: 2, crashes: 1, asks: 1, ..QUIET }, 40_000),
-    ("doubled", 2, Budget { ticks: 2, twice: 1, asks: 1, ..QUIET }, 5_000),
-    ("taken back", 2, Budget { ticks: 3, cancels: 1, asks: 1, ..QUIET }, 5_000),
-    ("stopped and gone on", 2, Budget { ticks: 3, pauses: 1, asks: 1, ..QUIET }, 50_000),
+    (
+        "chairs lost",
+        2,
+        Budget {
+            ticks: 2,
+            chairs: 1,
+            asks: 1,
+            ..QUIET
+        },
+        10_000,
+    ),
+    (
+        "crashes",
+        2,
+        Budget {
+            ticks: 2,
+            crashes: 1,
+            asks: 1,
+            ..QUIET
+        },
+        40_000,
+    ),
+    (
+        "doubled",
+        2,
+        Budget {
+            ticks: 2,
+            twice: 1,
+            asks: 1,
+            ..QUIET
+        },
+        5_000,
+    ),
+    (
+        "taken back",
+        2,
+        Budget {
+            ticks: 3,
+            cancels: 1,
+            asks: 1,
+            ..QUIET
+        },
+        5_000,
+    ),
+    (
+        "stopped and gone on",
+        2,
+        Budget {
+            ticks: 3,
+            pauses: 1,
+            asks: 1,
+            ..QUIET
+        },
+        50_000,
+    ),
 ];
 
 /// The larger ones, by `ORDERS=all cargo test -p ironstair-accord --test orders`.
 const LARGER: [(&str, usize, Budget, usize); 6] = [
-    ("chairs lost, longer", 2, Budget { ticks: 3, chairs: 1, asks: 1, ..QUIET }, 100_000),
-    ("crashes, longer", 2, Budget { ticks: 3, crashes: 1, asks: 1, ..QUIET }, 300_000),
-    ("doubled, longer", 2, Budget { ticks: 3, twice: 1, asks: 1, ..QUIET }, 100_000),
-    ("doubled, taken back", 2, Budget { ticks: 3, twice: 1, cancels: 1, asks: 1, ..QUIET }, 200_000),
-    ("stopped, longer", 2, Budget { pauses: 1, asks: 1, ..QUIET }, 100_000),
-    ("three gateways", 3, Budget { ticks: 3, asks: 1, ..QUIET }, 160_000),
+    (
+        "chairs lost, longer",
+        2,
+        Budget {
+            ticks: 3,
+            chairs: 1,
+            asks: 1,
+            ..QUIET
+        },
+        100_000,
+    ),
+    (
+        "crashes, longer",
+        2,
+        Budget {
+            ticks: 3,
+            crashes: 1,
+            asks: 1,
+            ..QUIET
+        },
+        300_000,
+    ),
+    (
+        "doubled, longer",
+        2,
+        Budget {
+            ticks: 3,
+            twice: 1,
+            asks: 1,
+            ..QUIET
+        },
+        100_000,
+    ),
+    (
+        "doubled, taken back",
+        2,
+        Budget {
+            ticks: 3,
+            twice: 1,
+            cancels: 1,
+            asks: 1,
+            ..QUIET
+        },
+        200_000,
+    ),
+    (
+        "stopped, longer",
+        2,
+        Budget {
+            pauses: 1,
+            asks: 1,
+            ..QUIET
+        },
+        100_000,
+    ),
+    (
+        "three gateways",
+        3,
+        Budget {
+            ticks: 3,
+            asks: 1,
+            ..QUIET
+        },
+        160_000,
+    ),
 ];
 
 #[test]
 fn in_every_order_a_change_holds_everywhere_or_nowhere() {
-    let larger = LARGER.into_iter().filter(|_| std::env::var_os("ORDERS").is_some());
+    let larger = LARGER
+        .into_iter()
+        .filter(|_| std::env::var_os("ORDERS").is_some());
     for (what, gates, budget, states) in CASES.into_iter().chain(larger) {
         let begun = std::time::Instant::now();
-        let checked = days(gates, budget, Out::Nothing).checker().threads(4).spawn_bfs().join();
+        let checked = days(gates, budget, Out::Nothing)
+            .checker()
+            .threads(4)
+            .spawn_bfs()
+            .join();
         for property in days(gates, budget, Out::Nothing).properties() {
             if property.expectation == stateright::Expectation::Always {
                 checked.assert_no_discovery(property.name);
@@ -317,13 +477,41 @@
 #[test]
 fn every_guard_that_is_taken_out_breaks_a_promise() {
     for (out, budget, promise) in [
-        (Out::Grace, Budget { chairs: 1, asks: 1, ..QUIET }, "apart"),
-        (Out::Sent, Budget { asks: 1, ticks: 5, ..QUIET }, "apart"),
+        (
+            Out::Grace,
+            Budget {
+                chairs: 1,
+                asks: 1,
+                ..QUIET
+            },
+            "apart",
+        ),
+        (
+            Out::Sent,
+            Budget {
+                asks: 1,
+                ticks: 5,
+                ..QUIET
+            },
+            "apart",
+        ),
         (Out::Unheard, Budget { asks: 1, ..QUIET }, "apart"),
-        (Out::Timer, Budget { pauses: 1, asks: 1, ticks: 5, ..QUIET }, "apart"),
+        (
+            Out::Timer,
+            Budget {
+                pauses: 1,
+                asks: 1,
+                ticks: 5,
+                ..QUIET
+            },
+            "apart",
+        ),
     ] {
         let days = days(2, budget, out).checker().threads(4);
-        let found = days.finish_when(HasDiscoveries::AllOf([promise].into())).spawn_bfs().join();
+        let found = days
+            .finish_when(HasDiscoveries::AllOf([promise].into()))
+            .spawn_bfs()
+            .join();
         assert!(found.discovery(promise).is_some(), "{out:?}");
     }
 }
--- a/crates/accord/tests/played/mod.rs
+++ b/crates/accord/tests/played/mod.rs
@@ -81,14 +81,21 @@
                 match action {
                     Action::Beat(beat) => (self.beat, self.unsent) = (Some(beat), true),
                     Action::Apply { mark, document, .. } if unread(document) => {
-                        inputs.push(Input::Unable { mark, why: "a newer version".into() });
+                        inputs.push(Input::Unable {
+                            mark,
+                            why: "a newer version".into(),
+                        });
                     }
                     Action::Apply { mark, document, .. } => {
                         self.holding = document;
                         inputs.push(Input::Applied { mark });
                     }
                     Action::Examine { number, document } => {
-                        let how = if unread(document) { Err("a newer version".into()) } else { Ok(()) };
+                        let how = if unread(document) {
+                            Err("a newer version".into())
+                        } else {
+                            Ok(())
+                        };
                         inputs.push(Input::Examined { number, how });
                     }
                     Action::Hold(..) | Action::Say(_) => {}
@@ -120,20 +127,34 @@
 
     /// Whether it may decide, by the clock or, with that guard out, by its timer.
     pub fn decides(&self, now: f64, by_timer: bool) -> bool {
-        !self.paused && if by_timer { self.by_timer } else { self.member.holds(now) }
+        !self.paused
+            && if by_timer {
+                self.by_timer
+            } else {
+                self.member.holds(now)
+            }
     }
 }
 
 /// Nobody decides by one policy alone while another decides by another alone.
 pub fn apart<'a>(deciding: impl Iterator<Item = &'a Gate>) -> bool {
-    let mut alone: Vec<u8> = deciding.filter(|g| g.holding.0 == g.holding.1).map(|g| g.holding.0).collect();
+    let mut alone: Vec<u8> = deciding
+        .filter(|g| g.holding.0 == g.holding.1)
+        .map(|g| g.holding.0)
+        .collect();
     alone.dedup();
     alone.len() <= 1
 }
 
 /// What is held alone anywhere was decided, and not refused.
-pub fn all_or_none<'a>(gates: impl Iterator<Item = &'a Gate>, decided: &[u8], refused: &[u8]) -> bool {
-    let mut alone = gates.map(|g| g.holding).filter(|p| p.0 == p.1 && *p != NONE);
+pub fn all_or_none<'a>(
+    gates: impl Iterator<Item = &'a Gate>,
+    decided: &[u8],
+    refused: &[u8],
+) -> bool {
+    let mut alone = gates
+        .map(|g| g.holding)
+        .filter(|p| p.0 == p.1 && *p != NONE);
     alone.all(|p| decided.contains(&p.0) && !refused.contains(&p.0))
 }
 
@@ -143,5 +164,13 @@
 
 pub fn wish(to: u8, upon: u64) -> Wish<Pol> {
     let (who, what) = ("op".to_string(), "set".to_string());
-    Wish { token: to as u64, who, when: 0.0, what, upon, document: Pol(to, to), commit: None }
+    Wish {
+        token: to as u64,
+        who,
+        when: 0.0,
+        what,
+        upon,
+        document: Pol(to, to),
+        commit: None,
+    }
 }
--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -68,8 +68,16 @@
 
 fn record(owner: u64, what: &impl Serialize) -> Result<Vec<u8>, String> {
     let value = postcard::to_allocvec(what).map_err(|e| e.to_string())?;
-    let length = u32::try_from(value.len()).map_err(|_| "a step is too long")?.to_le_bytes();
-    Ok([&length[..], &sum(owner, &length), &sum(owner, &value), &value].concat())
+    let length = u32::try_from(value.len())
+        .map_err(|_| "a step is too long")?
+        .to_le_bytes();
+    Ok([
+        &length[..],
+        &sum(owner, &length),
+        &sum(owner, &value),
+        &value,
+    ]
+    .concat())
 }
 
 fn next(owner: u64, bytes: &[u8]) -> Next<'_> {
@@ -80,13 +88,17 @@
     if bytes.iter().all(|b| *b == 0) {
         return Next::Torn;
     }
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return Next::Torn };
+    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
+        return Next::Torn;
+    };
     // Against a length that points behind the end: what stands there looked as if it were being written.
     if sum(owner, &head[..4]) != head[4..8] {
         return Next::Wrong;
     }
     let long = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let Some((value, rest)) = rest.split_at_checked(long) else { return Next::Torn };
+    let Some((value, rest)) = rest.split_at_checked(long) else {
+        return Next::Torn;
+    };
     match sum(owner, value) == head[8..] {
         true => Next::Whole(value, rest),
         false => Next::Wrong,
@@ -131,17 +143,27 @@
         let fault = |e: String| format!("{}: {e}", path.display());
         std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let bytes = match std::fs::metadata(&path) {
-            Ok(m) if m.len() > FILE_MOST => return Err(fault(format!("{} bytes are no log", m.len()))),
+            Ok(m) if m.len() > FILE_MOST => {
+                return Err(fault(format!("{} bytes are no log", m.len())))
+            }
             Ok(_) => std::fs::read(&path).map_err(|e| fault(e.to_string()))?,
             Err(e) if e.kind() == ErrorKind::NotFound => Vec::new(),
             Err(e) => return Err(fault(e.to_string())),
         };
-        let wanted = Owner { form: FORM, fleet: fleet.into(), gateway: gateway.into(), id: number };
+        let wanted = Owner {
+            form: FORM,
+            fleet: fleet.into(),
+            gateway: gateway.into(),
+            id: number,
+        };
         let blank = Image::blank(number);
         let (owner, image, note) = match read(&bytes) {
             Ok(None) => (wanted, blank, None),
             Ok(Some((is, ..))) if is.form != FORM => {
-                return Err(fault(format!("its form {} is of another version than {FORM}", is.form)));
+                return Err(fault(format!(
+                    "its form {} is of another version than {FORM}",
+                    is.form
+                )));
             }
             Ok(Some((is, ..))) if (&is.fleet, &is.gateway) != (&wanted.fleet, &wanted.gateway) => {
                 return Err(fault(format!(
@@ -152,17 +174,33 @@
             Ok(Some((owner, image, whole, _))) => {
                 let lost = bytes.len() - whole;
                 let torn = || {
-                    format!("{}: the last {lost} bytes were being written and are cut off", path.display())
+                    format!(
+                        "{}: the last {lost} bytes were being written and are cut off",
+                        path.display()
+                    )
                 };
                 (owner, image, (lost > 0).then(torn))
             }
             Err(why) => {
                 let aside = put_aside(folder, &path).map_err(|e| fault(e.to_string()))?;
-                (wanted, blank, Some(fault(format!("can't be trusted ({why}) and is put aside as {aside}"))))
+                (
+                    wanted,
+                    blank,
+                    Some(fault(format!(
+                        "can't be trusted ({why}) and is put aside as {aside}"
+                    ))),
+                )
             }
         };
         let folder = folder.to_path_buf();
-        let mut archive = Archive { folder, owner, file: None, whole: 0, steps: 0, image };
+        let mut archive = Archive {
+            folder,
+            owner,
+            file: None,
+            whole: 0,
+            steps: 0,
+            image,
+        };
         archive.anew().map_err(fault)?;
         Ok(Opened { archive, note })
     }
@@ -183,7 +221,8 @@
     pub fn begin(&mut self, image: Image) -> Result<(), String> {
         let was = (self.owner.id, std::mem::replace(&mut self.image, image));
         self.owner.id = self.image.id;
-        self.anew().inspect_err(|_| (self.owner.id, self.image) = was)
+        self.anew()
+            .inspect_err(|_| (self.owner.id, self.image) = was)
     }
 
     /// Puts aside what the disk holds, and begins blank under `number`; where it lies now.
@@ -192,7 +231,8 @@
     /// As the disk has it.
     pub fn put_aside(&mut self, number: u64) -> Result<String, String> {
         let path = self.folder.join(FILE);
-        let aside = put_aside(&self.folder, &path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let aside =
+            put_aside(&self.folder, &path).map_err(|e| format!("{}: {e}", path.display()))?;
         self.begin(Image::blank(number)).map(|()| aside)
     }
 
@@ -219,7 +259,11 @@
 
     /// Writes all beside the file, and puts it in its place.
     fn anew(&mut self) -> Result<(), String> {
-        let bytes = [record(0, &self.owner)?, record(self.owner.id, &self.image.step())?].concat();
+        let bytes = [
+            record(0, &self.owner)?,
+            record(self.owner.id, &self.image.step())?,
+        ]
+        .concat();
         let file = ironstair_disk::replace(&self.folder, FILE, BESIDE, &bytes);
         let file = file.map_err(|e| format!("{}: {e}", self.folder.join(FILE).display()))?;
         (self.file, self.whole, self.steps) = (Some(file), bytes.len() as u64, 0);
@@ -228,7 +272,9 @@
 }
 
 fn put_aside(folder: &Path, file: &Path) -> io::Result<String> {
-    let free = (1..ASIDE_MOST).map(|n| format!("{FILE}.aside-{n}")).find(|n| !folder.join(n).exists());
+    let free = (1..ASIDE_MOST)
+        .map(|n| format!("{FILE}.aside-{n}"))
+        .find(|n| !folder.join(n).exists());
     // The last is written over: what fills a disk helps nobody.
     let name = free.unwrap_or(format!("{FILE}.aside-{ASIDE_MOST}"));
     std::fs::rename(file, folder.join(&name))?;
--- a/crates/archive/tests/disk.rs
+++ b/crates/archive/tests/disk.rs
@@ -14,11 +14,24 @@
 /// Steps as a keeper makes them: a vote, records, an end rewritten, a cut.
 fn steps() -> Vec<Save> {
     let record = |n: u8| vec![n; 100];
-    let entries = |first: u64, last: u64| Some((first, (first..=last).map(|n| record(n as u8)).collect()));
+    let entries =
+        |first: u64, last: u64| Some((first, (first..=last).map(|n| record(n as u8)).collect()));
     vec![
-        Save { hard: Some(b"vote 1".to_vec()), entries: entries(2, 10), whole: None },
-        Save { hard: Some(b"vote 2".to_vec()), entries: Some((8, vec![record(200)])), whole: None },
-        Save { whole: Some((5, b"all up to 5".to_vec())), entries: entries(9, 11), hard: None },
+        Save {
+            hard: Some(b"vote 1".to_vec()),
+            entries: entries(2, 10),
+            whole: None,
+        },
+        Save {
+            hard: Some(b"vote 2".to_vec()),
+            entries: Some((8, vec![record(200)])),
+            whole: None,
+        },
+        Save {
+            whole: Some((5, b"all up to 5".to_vec())),
+            entries: entries(9, 11),
+            hard: None,
+        },
     ]
 }
 
@@ -55,7 +68,9 @@
         let (image, note) = found(&bytes[..cut]);
         // Before the first step is whole, nobody rests on it: it begins under another number, or its own.
         match all.iter().rfind(|(length, _)| *length <= cut) {
-            Some((length, want)) => assert_eq!((&image, note.is_some()), (want, cut > *length), "{cut}"),
+            Some((length, want)) => {
+                assert_eq!((&image, note.is_some()), (want, cut > *length), "{cut}")
+            }
             None => assert!(image.entries.is_empty() && image.whole.is_empty(), "{cut}"),
         }
     }
@@ -75,7 +90,10 @@
         bytes[at] ^= 0x10;
         let (image, note) = found(&bytes);
         assert_eq!(image, Image::blank(8), "{at}");
-        assert!(note.is_some_and(|n| n.contains("put aside as fleet.log.aside-1")), "{at}");
+        assert!(
+            note.is_some_and(|n| n.contains("put aside as fleet.log.aside-1")),
+            "{at}"
+        );
     }
 }
 
@@ -84,13 +102,26 @@
     let folder = tempdir().unwrap();
     let all = filled(folder.path());
     for (fleet, gateway, why) in [
-        ("north", "g2", "it is of gateway g1 in fleet north, not of g2 in north"),
-        ("south", "g1", "it is of gateway g1 in fleet north, not of g1 in south"),
+        (
+            "north",
+            "g2",
+            "it is of gateway g1 in fleet north, not of g2 in north",
+        ),
+        (
+            "south",
+            "g1",
+            "it is of gateway g1 in fleet north, not of g1 in south",
+        ),
     ] {
-        let told = Archive::open(folder.path(), fleet, gateway, 9).err().unwrap();
+        let told = Archive::open(folder.path(), fleet, gateway, 9)
+            .err()
+            .unwrap();
         assert!(told.ends_with(why), "{told}");
     }
-    assert_eq!(open(folder.path(), 9).archive.image(), &all.last().unwrap().1);
+    assert_eq!(
+        open(folder.path(), 9).archive.image(),
+        &all.last().unwrap().1
+    );
     // A folder that can't be one: the sentence names it.
     let file = folder.path().join(FILE);
     let told = Archive::open(&file, "north", "g1", 9).err().unwrap();
@@ -105,10 +136,18 @@
     let before = archive.image().clone();
     // Beyond what the file may be it is written anew, which a folder in the place of the new file refuses.
     std::fs::create_dir(folder.path().join("fleet.new")).unwrap();
-    let filling = std::iter::from_fn(|| Some(archive.save(Save { hard: Some(vec![1]), ..Save::default() })));
+    let filling = std::iter::from_fn(|| {
+        Some(archive.save(Save {
+            hard: Some(vec![1]),
+            ..Save::default()
+        }))
+    });
     let refused = filling.take(2000).find_map(Result::err).unwrap();
     assert!(refused.contains("fleet.log"), "{refused}");
-    let held = Image { hard: vec![1], ..before };
+    let held = Image {
+        hard: vec![1],
+        ..before
+    };
     assert_eq!(archive.image(), &held);
     std::fs::remove_dir(folder.path().join("fleet.new")).unwrap();
     archive.save(steps().remove(1)).unwrap();
--- a/crates/cells/src/assign.rs
+++ b/crates/cells/src/assign.rs
@@ -96,7 +96,11 @@
         if cells.len() > CELLS_MOST {
             return Err(Wrong::TooManyCells(cells.len()));
         }
-        if let Some((i, c)) = cells.iter().enumerate().find(|(i, c)| cells[..*i].iter().any(|o| o.0 == c.0)) {
+        if let Some((i, c)) = cells
+            .iter()
+            .enumerate()
+            .find(|(i, c)| cells[..*i].iter().any(|o| o.0 == c.0))
+        {
             debug_assert!(i > 0);
             return Err(Wrong::TwiceNamed(c.0.clone()));
         }
@@ -105,8 +109,17 @@
         }
         let names = cells.iter().map(|c| c.0.clone()).collect();
         // A cell without weight is drawn by nobody, but may be pinned to.
-        let weights = cells.iter().map(|c| if c.1.is_finite() { c.1.max(0.0) } else { 0.0 }).collect();
-        Ok(Assignment { number, names, weights, shard, ..Assignment::default() })
+        let weights = cells
+            .iter()
+            .map(|c| if c.1.is_finite() { c.1.max(0.0) } else { 0.0 })
+            .collect();
+        Ok(Assignment {
+            number,
+            names,
+            weights,
+            shard,
+            ..Assignment::default()
+        })
     }
 
     pub fn names(&self) -> &[String] {
@@ -123,7 +136,10 @@
     /// # Errors
     /// There is no such cell.
     pub fn pin_engine(&self, engine: u64, cell: Option<&str>) -> Result<Assignment, Wrong> {
-        let mut next = Assignment { number: self.number + 1, ..self.clone() };
+        let mut next = Assignment {
+            number: self.number + 1,
+            ..self.clone()
+        };
         match cell {
             Some(name) => drop(next.engines.insert(engine, self.cell(name)?)),
             None => drop(next.engines.remove(&engine)),
@@ -136,13 +152,17 @@
     /// # Errors
     /// There is no such cell, or none is named.
     pub fn pin_tenant(&self, tenant: u64, cells: Option<&[&str]>) -> Result<Assignment, Wrong> {
-        let mut next = Assignment { number: self.number + 1, ..self.clone() };
+        let mut next = Assignment {
+            number: self.number + 1,
+            ..self.clone()
+        };
         match cells {
             Some([]) => return Err(Wrong::Shard(0)),
             Some(names) => {
                 let all = names.iter().map(|n| self.cell(n).map(Cells::one));
                 let all = all.collect::<Result<Vec<_>, _>>()?;
-                next.tenants.insert(tenant, all.into_iter().fold(Cells::default(), Cells::with));
+                next.tenants
+                    .insert(tenant, all.into_iter().fold(Cells::default(), Cells::with));
             }
             None => drop(next.tenants.remove(&tenant)),
         }
@@ -153,7 +173,12 @@
     /// depends on no other id.
     fn drawn(&self, id: u64) -> impl Iterator<Item = usize> {
         let mut order: Vec<(f64, usize)> = (0..self.names.len())
-            .map(|c| (-share(mix(id, c as u64)).ln() / self.weights[c].max(f64::MIN_POSITIVE), c))
+            .map(|c| {
+                (
+                    -share(mix(id, c as u64)).ln() / self.weights[c].max(f64::MIN_POSITIVE),
+                    c,
+                )
+            })
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         order.into_iter().map(|o| o.1)
@@ -171,9 +196,11 @@
     pub fn tenant(&self, id: u64) -> Cells {
         match self.tenants.get(&id) {
             Some(&cells) => cells,
-            None => {
-                self.drawn(id ^ TENANTS).take(self.shard).map(Cells::one).fold(Cells::default(), Cells::with)
-            }
+            None => self
+                .drawn(id ^ TENANTS)
+                .take(self.shard)
+                .map(Cells::one)
+                .fold(Cells::default(), Cells::with),
         }
     }
 }
--- a/crates/cells/src/keeper.rs
+++ b/crates/cells/src/keeper.rs
@@ -22,7 +22,9 @@
 
 impl Keeper {
     pub fn new(assignment: Assignment, choice: Choice) -> Keeper {
-        let all = (0..assignment.names().len()).map(Cells::one).fold(Cells::default(), Cells::with);
+        let all = (0..assignment.names().len())
+            .map(Cells::one)
+            .fold(Cells::default(), Cells::with);
         Keeper {
             assignment,
             choice,
@@ -49,7 +51,9 @@
 
     /// The roster has changed; `ready` are the ready engines.
     pub fn roster(&mut self, ready: impl Iterator<Item = u64>) {
-        self.ready = ready.map(|id| self.assignment.engine(id)).fold(Cells::default(), Cells::with);
+        self.ready = ready
+            .map(|id| self.assignment.engine(id))
+            .fold(Cells::default(), Cells::with);
         if self.all.without(self.ready).is_empty() {
             self.lent.clear();
         }
@@ -61,7 +65,10 @@
         let mut tenants: BTreeMap<u64, Tenant> = BTreeMap::new();
         for (tenant, cells) in out {
             let new = || Tenant::settled(0, was.tenant(tenant));
-            tenants.entry(tenant).or_insert_with(new).on(now, Ms::INFINITY, Input::Out(cells));
+            tenants
+                .entry(tenant)
+                .or_insert_with(new)
+                .on(now, Ms::INFINITY, Input::Out(cells));
         }
         for (id, mut tenant) in tenants {
             // What it was leaving already is still being left.
@@ -84,7 +91,9 @@
 
     /// A forward of the tenant has ended, in those cells; whether its move is over with it.
     pub fn ended(&mut self, now: Ms, tenant: u64, cells: Cells) -> bool {
-        let Some(t) = self.moving.get_mut(&tenant) else { return false };
+        let Some(t) = self.moving.get_mut(&tenant) else {
+            return false;
+        };
         let over = t.on(now, Ms::INFINITY, Input::Ended(cells)).is_some();
         if over {
             self.moving.remove(&tenant);
@@ -113,7 +122,10 @@
     #[test]
     fn a_move_is_over_with_the_last_forward_where_the_tenant_was() {
         let cells = ["a", "b", "c"].map(|c| (c.to_string(), 1.0));
-        let first = Assignment::new(1, &cells, 1).unwrap().pin_tenant(7, Some(&["a"])).unwrap();
+        let first = Assignment::new(1, &cells, 1)
+            .unwrap()
+            .pin_tenant(7, Some(&["a"]))
+            .unwrap();
         let keeper = |a: &Assignment| Keeper::new(a.clone(), Choice::Reject { come_back: 0.0 });
         let (a, b, c) = (Cells::one(0), Cells::one(1), Cells::one(2));
         let second = first.pin_tenant(7, Some(&["b"])).unwrap();
@@ -123,7 +135,10 @@
         // On to the third before the first is empty: what runs in either holds it up, in the new one nothing does.
         let mut next = keeper(&second.pin_tenant(7, Some(&["c"])).unwrap());
         next.succeeds(3.0, &k, [(7, a), (7, b), (7, c)].into_iter());
-        assert_eq!((next.ended(4.0, 7, c), next.ended(4.0, 7, a)), (false, false));
+        assert_eq!(
+            (next.ended(4.0, 7, c), next.ended(4.0, 7, a)),
+            (false, false)
+        );
         assert!(next.ended(5.0, 7, b) && next.moving() == 0);
         assert!(!next.ended(6.0, 7, b), "once");
     }
@@ -132,14 +147,27 @@
     fn tenants_keep_to_their_cells_and_one_in_trouble_to_its_share() {
         let cells = [("a".to_string(), 1.0), ("b".to_string(), 1.0)];
         let a = Assignment::new(1, &cells, 1).unwrap();
-        let a = a.pin_engine(1, Some("a")).unwrap().pin_engine(2, Some("b")).unwrap();
-        let a = a.pin_tenant(7, Some(&["a"])).unwrap().pin_tenant(8, Some(&["b"])).unwrap();
+        let a = a
+            .pin_engine(1, Some("a"))
+            .unwrap()
+            .pin_engine(2, Some("b"))
+            .unwrap();
+        let a = a
+            .pin_tenant(7, Some(&["a"]))
+            .unwrap()
+            .pin_tenant(8, Some(&["b"]))
+            .unwrap();
         let mut k = Keeper::new(a, Choice::Lend { share: 0.5 });
         k.roster([1, 2].into_iter());
-        assert_eq!((k.goes(0.0, 7), k.goes(0.0, 8)), (Goes::To(Cells::one(0)), Goes::To(Cells::one(1))));
+        assert_eq!(
+            (k.goes(0.0, 7), k.goes(0.0, 8)),
+            (Goes::To(Cells::one(0)), Goes::To(Cells::one(1)))
+        );
         assert_eq!(k.names(Cells::one(0).with(Cells::one(1))), "a b");
         k.roster([2].into_iter());
-        let lent = (0..20).filter(|_| k.goes(1.0, 7) == Goes::To(Cells::one(1))).count();
+        let lent = (0..20)
+            .filter(|_| k.goes(1.0, 7) == Goes::To(Cells::one(1)))
+            .count();
         assert_eq!((lent, k.goes(1.0, 8)), (10, Goes::To(Cells::one(1))));
         k.roster([1, 2].into_iter());
         assert!(k.lent.is_empty() && k.goes(2.0, 7) == Goes::To(Cells::one(0)));
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -43,7 +43,11 @@
 
 impl Tenant {
     pub fn settled(number: u64, cells: Cells) -> Tenant {
-        Tenant { number, cells, ..Tenant::default() }
+        Tenant {
+            number,
+            cells,
+            ..Tenant::default()
+        }
     }
 
     /// Where new forwards go.
@@ -119,7 +123,9 @@
         return Err("no engine there is ready".into());
     }
     if to.meets(halted) {
-        return Err("a cell there is much worse than its peers, or a release has halted in it".into());
+        return Err(
+            "a cell there is much worse than its peers, or a release has halted in it".into(),
+        );
     }
     Ok(())
 }
--- a/crates/cells/src/trouble.rs
+++ b/crates/cells/src/trouble.rs
@@ -44,7 +44,9 @@
         }
         let elsewhere = all.without(own);
         match choice {
-            Choice::Lend { share } if elsewhere.meets(ready) && self.lent + 1.0 <= share * self.sent => {
+            Choice::Lend { share }
+                if elsewhere.meets(ready) && self.lent + 1.0 <= share * self.sent =>
+            {
                 self.lent += 1.0;
                 Goes::To(elsewhere)
             }
@@ -78,14 +80,19 @@
 /// The cells that are much worse than their peers: more than half of the last outcomes failed, and twice their share.
 /// When all worsen together none is: that is no cell's fault.
 pub fn worse(records: &[Record]) -> Cells {
-    let (bad, seen) = records.iter().fold((0, 0), |a, r| (a.0 + r.failures(), a.1 + r.seen));
+    let (bad, seen) = records
+        .iter()
+        .fold((0, 0), |a, r| (a.0 + r.failures(), a.1 + r.seen));
     let share = |bad: u32, seen: u32| bad as f64 / seen.max(1) as f64;
     let is = |r: &&(usize, &Record)| {
         let r = r.1;
-        r.failures() >= BAD && share(r.failures(), r.seen) > 2.0 * share(bad - r.failures(), seen - r.seen)
+        r.failures() >= BAD
+            && share(r.failures(), r.seen) > 2.0 * share(bad - r.failures(), seen - r.seen)
     };
     let all: Vec<(usize, &Record)> = records.iter().enumerate().collect();
-    all.iter().filter(is).fold(Cells::default(), |found, (n, _)| found.with(Cells::one(*n)))
+    all.iter()
+        .filter(is)
+        .fold(Cells::default(), |found, (n, _)| found.with(Cells::one(*n)))
 }
 
 /// A release that goes cell by cell.
@@ -115,7 +122,9 @@
     pub fn started(&mut self, now: Ms, cell: usize) -> Option<Word> {
         match *self {
             Release::None => *self = Release::Watched { cell, since: now },
-            Release::Watched { cell: first, .. } if first != cell => return Some(Word::TooEarly { cell }),
+            Release::Watched { cell: first, .. } if first != cell => {
+                return Some(Word::TooEarly { cell })
+            }
             _ => {}
         }
         None
@@ -123,7 +132,9 @@
 
     /// Time has gone on; `worse` are the cells much worse than their peers, `watch` how long one is watched.
     pub fn due(&mut self, now: Ms, worse: Cells, watch: Ms) -> Option<Word> {
-        let Release::Watched { cell, since } = *self else { return None };
+        let Release::Watched { cell, since } = *self else {
+            return None;
+        };
         if worse.meets(Cells::one(cell)) {
             *self = Release::Halted { cell };
             return Some(Word::Halt { cell });
--- a/crates/cells/tests/moves.rs
+++ b/crates/cells/tests/moves.rs
@@ -76,7 +76,11 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let gateway = Gateway { tenant: Tenant::settled(0, A), knows: 0, out: Vec::new() };
+        let gateway = Gateway {
+            tenant: Tenant::settled(0, A),
+            knows: 0,
+            out: Vec::new(),
+        };
         vec![World {
             gateways: vec![gateway; 2],
             made: 0,
@@ -115,7 +119,13 @@
             Step::Make => w.made += 1,
             Step::Learn(g, r) => {
                 w.gateways[g].knows = w.gateways[g].knows.max(r);
-                w.hand(g, Input::Revision { number: r as u64, cells: REVISIONS[r] });
+                w.hand(
+                    g,
+                    Input::Revision {
+                        number: r as u64,
+                        cells: REVISIONS[r],
+                    },
+                );
             }
             Step::Forward(g) => {
                 w.forwards -= 1;
@@ -142,7 +152,10 @@
                 w.now += 1;
                 for g in 0..w.gateways.len() {
                     // A hard limit ends what is out for so long, as the module does.
-                    while let Some(o) = w.gateways[g].out.iter().position(|o| w.now - o.1 >= OUTLIVED as u32)
+                    while let Some(o) = w.gateways[g]
+                        .out
+                        .iter()
+                        .position(|o| w.now - o.1 >= OUTLIVED as u32)
                     {
                         let (cell, _) = w.gateways[g].out.remove(o);
                         w.hand(g, Input::Ended(cell));
@@ -154,7 +167,11 @@
                 w.crashes -= 1;
                 let knows = w.gateways[g].knows;
                 let tenant = Tenant::settled(knows as u64, REVISIONS[knows]);
-                w.gateways[g] = Gateway { tenant, knows, out: Vec::new() };
+                w.gateways[g] = Gateway {
+                    tenant,
+                    knows,
+                    out: Vec::new(),
+                };
             }
         }
         (w != *was).then_some(w)
@@ -170,13 +187,18 @@
                 "what runs does so in the tenant's cells or in those it leaves",
                 |_, w: &World| {
                     let known = |g: &Gateway| g.tenant.cells().with(g.tenant.leaving());
-                    w.gateways.iter().all(|g| g.out.iter().all(|o| known(g).meets(o.0)))
+                    w.gateways
+                        .iter()
+                        .all(|g| g.out.iter().all(|o| known(g).meets(o.0)))
+                },
+            ),
+            Property::always(
+                "who moves has something running where it was",
+                |_, w: &World| {
+                    let runs = |g: &Gateway| g.out.iter().any(|o| g.tenant.leaving().meets(o.0));
+                    w.gateways.iter().all(|g| !g.tenant.is_moving() || runs(g))
                 },
             ),
-            Property::always("who moves has something running where it was", |_, w: &World| {
-                let runs = |g: &Gateway| g.out.iter().any(|o| g.tenant.leaving().meets(o.0));
-                w.gateways.iter().all(|g| !g.tenant.is_moving() || runs(g))
-            }),
             Property::always("no move outlasts what can still run", |_, w: &World| {
                 let late = |g: &Gateway| g.tenant.due(OUTLIVED).is_some_and(|d| d <= w.now as f64);
                 w.gateways.iter().all(|g| !late(g))
@@ -184,30 +206,71 @@
             Property::sometimes("a second move comes during the first", |_, w: &World| {
                 w.gateways.iter().any(|g| g.tenant.leaving().count() == 2)
             }),
-            Property::sometimes("gateways know of different revisions while one moves", |_, w: &World| {
-                w.gateways[0].knows != w.gateways[1].knows && w.gateways.iter().any(|g| g.tenant.is_moving())
-            }),
+            Property::sometimes(
+                "gateways know of different revisions while one moves",
+                |_, w: &World| {
+                    w.gateways[0].knows != w.gateways[1].knows
+                        && w.gateways.iter().any(|g| g.tenant.is_moving())
+                },
+            ),
         ]
     }
 }
 
 #[test]
 fn in_every_order_moves_end_and_nothing_runs_outside_old_and_new() {
-    let checked = Days.checker().threads(4).target_state_count(400_000).spawn_bfs().join();
+    let checked = Days
+        .checker()
+        .threads(4)
+        .target_state_count(400_000)
+        .spawn_bfs()
+        .join();
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 50_000, "{}", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 50_000,
+        "{}",
+        checked.unique_state_count()
+    );
 }
 
 #[test]
 fn a_move_back_during_a_move_leaves_only_what_is_not_come_back_to() {
     let mut t = Tenant::settled(0, A);
     t.on(0.0, 9.0, Input::Out(A));
-    assert_eq!(t.on(1.0, 9.0, Input::Revision { number: 1, cells: B }), None);
+    assert_eq!(
+        t.on(
+            1.0,
+            9.0,
+            Input::Revision {
+                number: 1,
+                cells: B
+            }
+        ),
+        None
+    );
     t.on(1.0, 9.0, Input::Out(B));
     assert_eq!((t.cells(), t.leaving()), (B, A));
-    t.on(2.0, 9.0, Input::Revision { number: 2, cells: A });
+    t.on(
+        2.0,
+        9.0,
+        Input::Revision {
+            number: 2,
+            cells: A,
+        },
+    );
     assert_eq!((t.cells(), t.leaving(), t.due(9.0)), (A, B, Some(11.0)));
-    assert_eq!(t.on(3.0, 9.0, Input::Revision { number: 1, cells: C }), None, "an older one says nothing");
+    assert_eq!(
+        t.on(
+            3.0,
+            9.0,
+            Input::Revision {
+                number: 1,
+                cells: C
+            }
+        ),
+        None,
+        "an older one says nothing"
+    );
     assert_eq!(t.on(4.0, 9.0, Input::Ended(A)), None);
     assert_eq!(t.on(5.0, 9.0, Input::Ended(B)), Some(Over::Emptied));
     assert!(!t.is_moving());
@@ -217,7 +280,14 @@
 fn an_outcome_that_never_comes_does_not_hold_a_move_up_for_good() {
     let mut t = Tenant::settled(0, A);
     t.on(0.0, 9.0, Input::Out(A));
-    t.on(1.0, 9.0, Input::Revision { number: 1, cells: B });
+    t.on(
+        1.0,
+        9.0,
+        Input::Revision {
+            number: 1,
+            cells: B,
+        },
+    );
     assert_eq!(t.on(9.9, 9.0, Input::Due), None);
     assert_eq!(t.on(10.0, 9.0, Input::Due), Some(Over::Outlived));
 }
@@ -225,8 +295,15 @@
 #[test]
 fn moves_to_where_nothing_is_ready_or_a_release_has_halted_are_refused() {
     assert!(may_move(B, A.with(B), Cells::default()).is_ok());
-    assert!(may_move(B.with(C), C, Cells::default()).is_ok(), "one of its cells is enough");
-    for (to, ready, halted) in [(Cells::default(), A, C), (B, A, Cells::default()), (B, A.with(B), B)] {
+    assert!(
+        may_move(B.with(C), C, Cells::default()).is_ok(),
+        "one of its cells is enough"
+    );
+    for (to, ready, halted) in [
+        (Cells::default(), A, C),
+        (B, A, Cells::default()),
+        (B, A.with(B), B),
+    ] {
         assert!(may_move(to, ready, halted).is_err());
     }
 }
--- a/crates/change/src/document.rs
+++ b/crates/change/src/document.rs
@@ -44,7 +44,9 @@
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
         let number = text.parse::<f64>().ok().filter(|x| x.is_finite());
-        number.map(Self::of).ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
+        number
+            .map(Self::of)
+            .ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
     }
 }
 
@@ -174,14 +176,24 @@
     /// # Errors
     /// A cell that is not there, too many, or a shard that can't be; by its path.
     pub fn keeper(&self, number: fn(&[u8]) -> u64) -> Result<Keeper, Fault> {
-        let at =
-            |field: &str, why: &dyn fmt::Display| fault(format!("/settings/cells/{field}"), why.to_string());
-        let mut cells: Vec<(String, f64)> =
-            self.cell.iter().map(|c| (c.name.clone(), c.weight.get())).collect();
+        let at = |field: &str, why: &dyn fmt::Display| {
+            fault(format!("/settings/cells/{field}"), why.to_string())
+        };
+        let mut cells: Vec<(String, f64)> = self
+            .cell
+            .iter()
+            .map(|c| (c.name.clone(), c.weight.get()))
+            .collect();
         // Alike from whatever order they were told in.
         cells.sort_by(|a, b| a.0.cmp(&b.0));
         let made = Assignment::new(1, &cells, self.shard as usize);
-        let field = |e: &Wrong| if matches!(e, Wrong::Shard(_)) { "shard" } else { "cell" };
+        let field = |e: &Wrong| {
+            if matches!(e, Wrong::Shard(_)) {
+                "shard"
+            } else {
+                "cell"
+            }
+        };
         let mut a = made.map_err(|e| at(field(&e), &e))?;
         for pin in &self.engine {
             // In lower case, like the names that the list brings.
@@ -197,7 +209,9 @@
         let choice = match (self.turn_back, self.lend) {
             (Some(_), Some(_)) => return Err(at("lend", &"either turn-back or lend")),
             (_, Some(share)) => Choice::Lend { share: share.get() },
-            (ms, None) => Choice::Reject { come_back: ms.unwrap_or(0) as f64 },
+            (ms, None) => Choice::Reject {
+                come_back: ms.unwrap_or(0) as f64,
+            },
         };
         Ok(Keeper::new(a, choice))
     }
@@ -244,7 +258,10 @@
         Self::index(&self.kinds, name).unwrap_or(u16::MAX)
     }
     pub(crate) fn index(names: &[String], name: &str) -> Option<u16> {
-        names.iter().position(|n| n.eq_ignore_ascii_case(name)).and_then(|i| u16::try_from(i).ok())
+        names
+            .iter()
+            .position(|n| n.eq_ignore_ascii_case(name))
+            .and_then(|i| u16::try_from(i).ok())
     }
 }
 
@@ -262,7 +279,10 @@
 }
 
 pub(crate) fn fault(path: impl Into<String>, why: impl Into<String>) -> Fault {
-    Fault { path: path.into(), why: why.into() }
+    Fault {
+        path: path.into(),
+        why: why.into(),
+    }
 }
 
 pub(crate) fn band_path(name: &str, field: &str) -> String {
@@ -276,30 +296,41 @@
         let whole = |x: Ms| x.round().clamp(0.0, u32::MAX as f64) as u32;
         let named = |of: &Option<Vec<u16>>, names: &[String]| -> Vec<String> {
             let of = of.iter().flatten();
-            of.map(|&i| names.get(i as usize).cloned().unwrap_or_else(|| format!("unknown-{i}"))).collect()
+            of.map(|&i| {
+                names
+                    .get(i as usize)
+                    .cloned()
+                    .unwrap_or_else(|| format!("unknown-{i}"))
+            })
+            .collect()
         };
-        let band = m.bands.iter().zip(names).zip(limits).map(|((t, name), &limit)| Band {
-            name: name.clone(),
-            expected: whole(t.expected),
-            expected_stretch: Decimal::of(t.expected_stretch),
-            hard_limit: whole(limit),
-            payoff: Decimal::of(t.payoff),
-            threads: t.threads as u16,
-            repeat: match t.repeat {
-                Effect::Idempotent => Again::Repeatable,
-                Effect::Deduplicated(_) => Again::Tagged,
-                Effect::NonIdempotent => Again::OnceOnly,
-            },
-            within: match t.repeat {
-                Effect::Deduplicated(Within::Zone) => Group::Zone,
-                Effect::Deduplicated(Within::MarkGroup) => Group::MarkGroup,
-                _ => Group::All,
-            },
-            window: matches!(t.repeat, Effect::Deduplicated(_)).then(|| whole(t.window)),
-            in_order: t.in_order,
-            zone: named(&t.zones, &frame.zones),
-            kind: named(&t.kinds, &frame.kinds),
-        });
+        let band = m
+            .bands
+            .iter()
+            .zip(names)
+            .zip(limits)
+            .map(|((t, name), &limit)| Band {
+                name: name.clone(),
+                expected: whole(t.expected),
+                expected_stretch: Decimal::of(t.expected_stretch),
+                hard_limit: whole(limit),
+                payoff: Decimal::of(t.payoff),
+                threads: t.threads as u16,
+                repeat: match t.repeat {
+                    Effect::Idempotent => Again::Repeatable,
+                    Effect::Deduplicated(_) => Again::Tagged,
+                    Effect::NonIdempotent => Again::OnceOnly,
+                },
+                within: match t.repeat {
+                    Effect::Deduplicated(Within::Zone) => Group::Zone,
+                    Effect::Deduplicated(Within::MarkGroup) => Group::MarkGroup,
+                    _ => Group::All,
+                },
+                window: matches!(t.repeat, Effect::Deduplicated(_)).then(|| whole(t.window)),
+                in_order: t.in_order,
+                zone: named(&t.zones, &frame.zones),
+                kind: named(&t.kinds, &frame.kinds),
+            });
         Document {
             band: band.collect(),
             gateways: m.gateways as u32,
@@ -330,7 +361,11 @@
                 found.push(fault(path, why));
             }
         };
-        check(!self.band.is_empty(), "/settings/band".into(), "there must be a band");
+        check(
+            !self.band.is_empty(),
+            "/settings/band".into(),
+            "there must be a band",
+        );
         let mut names = BTreeSet::new();
         for b in &self.band {
             let at = |field: &str| band_path(&b.name, field);
@@ -341,18 +376,41 @@
                 "the hard limit is shorter than the expected time",
             );
             let tagged = b.repeat == Again::Tagged;
-            check(tagged || b.within == Group::All, at("within"), "within is for tagged bands");
-            check(tagged || b.window.is_none(), at("window"), "window is for tagged bands");
-            check(!tagged || b.window.is_some(), at("window"), "a tagged band needs its window");
-            for (field, names, known) in [("zone", &b.zone, &frame.zones), ("kind", &b.kind, &frame.kinds)] {
+            check(
+                tagged || b.within == Group::All,
+                at("within"),
+                "within is for tagged bands",
+            );
+            check(
+                tagged || b.window.is_none(),
+                at("window"),
+                "window is for tagged bands",
+            );
+            check(
+                !tagged || b.window.is_some(),
+                at("window"),
+                "a tagged band needs its window",
+            );
+            for (field, names, known) in [
+                ("zone", &b.zone, &frame.zones),
+                ("kind", &b.kind, &frame.kinds),
+            ] {
                 for name in names {
                     let told = Frame::index(known, name).is_some();
-                    check(told, at(field), &format!("{name} is not among those told at start"));
+                    check(
+                        told,
+                        at(field),
+                        &format!("{name} is not among those told at start"),
+                    );
                 }
             }
         }
         // Which names are meant matters here, not what they are spread over.
-        found.extend(self.cells.iter().filter_map(|c| c.keeper(|name| name.len() as u64).err()));
+        found.extend(
+            self.cells
+                .iter()
+                .filter_map(|c| c.keeper(|name| name.len() as u64).err()),
+        );
         found
     }
 }
--- a/crates/change/src/journal.rs
+++ b/crates/change/src/journal.rs
@@ -71,7 +71,13 @@
 
 impl<D: Clone + PartialEq> Kept<D> {
     pub fn told(told: D) -> Self {
-        Kept { running: told.clone(), told, number: 0, next: 1, lines: VecDeque::new() }
+        Kept {
+            running: told.clone(),
+            told,
+            number: 0,
+            next: 1,
+            lines: VecDeque::new(),
+        }
     }
 
     /// What a journal's records come to, beside what the told file says now.
@@ -112,7 +118,9 @@
                 (_, None) => {}
             }
         }
-        let Some(mut kept) = kept else { return (Kept::told(told), Found::Nothing) };
+        let Some(mut kept) = kept else {
+            return (Kept::told(told), Found::Nothing);
+        };
         let mut found = Found::Revision(kept.number);
         if let Some((number, before)) = trial {
             kept.take_back(before);
@@ -129,7 +137,10 @@
     /// Gives the revision that runs another standing.
     fn mark(&mut self, standing: Standing) {
         let number = self.number;
-        self.lines.iter_mut().filter(|l| l.number == number).for_each(|l| l.standing = standing);
+        self.lines
+            .iter_mut()
+            .filter(|l| l.number == number)
+            .for_each(|l| l.standing = standing);
     }
 
     fn take_back(&mut self, before: (u64, D)) {
@@ -169,7 +180,12 @@
 }
 
 fn one<D: DeserializeOwned>(bytes: &[u8]) -> Result<(Record<D>, usize), &'static str> {
-    let word = |at: usize| bytes.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
+    let word = |at: usize| {
+        bytes
+            .get(at..at + 4)
+            .and_then(|b| b.try_into().ok())
+            .map(u32::from_le_bytes)
+    };
     let (length, sum) = word(0).zip(word(4)).ok_or("torn")?;
     if length as usize > RECORD_MOST {
         return Err("no length");
--- a/crates/change/src/plan.rs
+++ b/crates/change/src/plan.rs
@@ -66,10 +66,14 @@
 /// those taken before: the decision module holds each to the stricter of its own terms and the new ones.
 const BAND: [(&str, When, Shown); 7] = [
     ("expected", When::NewOnly, |b| b.expected.to_string()),
-    ("expected-stretch", When::NewOnly, |b| b.expected_stretch.to_string()),
+    ("expected-stretch", When::NewOnly, |b| {
+        b.expected_stretch.to_string()
+    }),
     ("hard-limit", When::NewOnly, |b| b.hard_limit.to_string()),
     ("payoff", When::AtOnce, |b| b.payoff.to_string()),
-    ("window", When::AtOnce, |b| b.window.map_or(String::new(), |w| w.to_string())),
+    ("window", When::AtOnce, |b| {
+        b.window.map_or(String::new(), |w| w.to_string())
+    }),
     ("zone", When::AtOnce, |b| b.zone.join(" ")),
     ("kind", When::AtOnce, |b| b.kind.join(" ")),
 ];
@@ -89,14 +93,26 @@
 /// The fields beside the bands; all of them at once but for the most forwards, of which fewer bind at once.
 const REST: [(&str, When, Told); 10] = [
     ("gateways", When::AtOnce, |d| Some(d.gateways.to_string())),
-    ("forwards-most", When::AtOnce, |d| Some(d.forwards_most.to_string())),
+    ("forwards-most", When::AtOnce, |d| {
+        Some(d.forwards_most.to_string())
+    }),
     ("advice", When::AtOnce, |d| Some(d.advice.to_string())),
-    ("ration/spare", When::AtOnce, |d| d.ration.map(|r| r.spare.to_string())),
-    ("ration/share", When::AtOnce, |d| d.ration.map(|r| r.share.to_string())),
-    ("ration/span", When::AtOnce, |d| d.ration.map(|r| r.span.to_string())),
+    ("ration/spare", When::AtOnce, |d| {
+        d.ration.map(|r| r.spare.to_string())
+    }),
+    ("ration/share", When::AtOnce, |d| {
+        d.ration.map(|r| r.share.to_string())
+    }),
+    ("ration/span", When::AtOnce, |d| {
+        d.ration.map(|r| r.span.to_string())
+    }),
     ("cold/from", When::AtOnce, |d| Some(d.cold.from.to_string())),
-    ("cold/warm-after", When::AtOnce, |d| Some(d.cold.warm_after.to_string())),
-    ("cold/multiple", When::AtOnce, |d| Some(d.cold.multiple.to_string())),
+    ("cold/warm-after", When::AtOnce, |d| {
+        Some(d.cold.warm_after.to_string())
+    }),
+    ("cold/multiple", When::AtOnce, |d| {
+        Some(d.cold.multiple.to_string())
+    }),
     ("cold/span", When::AtOnce, |d| Some(d.cold.span.to_string())),
 ];
 
@@ -111,12 +127,22 @@
 }
 
 /// The plan from what runs to what is wanted, or all that stands against it.
-pub fn plan(from: &Document, to: &Document, roll: &Roll, frame: &Frame) -> Result<Plan, Vec<Fault>> {
+pub fn plan(
+    from: &Document,
+    to: &Document,
+    roll: &Roll,
+    frame: &Frame,
+) -> Result<Plan, Vec<Fault>> {
     let mut faults = to.faults(frame);
     let (mut steps, mut roll) = (Vec::new(), roll.clone());
     let was: BTreeMap<&str, &Band> = from.band.iter().map(|b| (b.name.as_str(), b)).collect();
     let step = |path: String, from: Option<String>, to: Option<String>, when: When| {
-        (from != to).then_some(Step { path, from, to, when })
+        (from != to).then_some(Step {
+            path,
+            from,
+            to,
+            when,
+        })
     };
     for band in &to.band {
         let name = band.name.as_str();
@@ -125,13 +151,15 @@
                 let (old, new) = (&roll.0[i], Slot::of(band));
                 for (field, show) in FIXED {
                     if show(old) != show(&new) {
-                        let why = "cannot change in service: take the band out and use another name";
+                        let why =
+                            "cannot change in service: take the band out and use another name";
                         faults.push(fault(band_path(name, field), why));
                     }
                 }
             }
             None if roll.0.len() >= ROLL_MOST => {
-                let why = format!("more than {ROLL_MOST} bands since the start: it takes a restart");
+                let why =
+                    format!("more than {ROLL_MOST} bands since the start: it takes a restart");
                 faults.push(fault(band_path(name, "name"), why));
             }
             None => roll.0.push(Slot::of(band)),
@@ -139,7 +167,12 @@
         match was.get(name) {
             Some(old) => {
                 for (field, when, show) in BAND {
-                    steps.extend(step(band_path(name, field), Some(show(old)), Some(show(band)), when));
+                    steps.extend(step(
+                        band_path(name, field),
+                        Some(show(old)),
+                        Some(show(band)),
+                        when,
+                    ));
                 }
             }
             None => {
@@ -148,18 +181,36 @@
             }
         }
     }
-    for name in was.keys().filter(|n| !to.band.iter().any(|b| b.name == **n)) {
+    for name in was
+        .keys()
+        .filter(|n| !to.band.iter().any(|b| b.name == **n))
+    {
         let path = format!("/settings/band[name={name}]");
         steps.extend(step(path, Some("in service".into()), None, When::OpenFirst));
     }
     for (field, when, show) in REST {
-        steps.extend(step(format!("/settings/{field}"), show(from), show(to), when));
+        steps.extend(step(
+            format!("/settings/{field}"),
+            show(from),
+            show(to),
+            when,
+        ));
     }
     // As a whole: a tenant's cells follow from all of it.
     let cells = |d: &Document| d.cells.as_ref().map(|c| format!("{c:?}"));
-    steps.extend(step("/settings/cells".into(), cells(from), cells(to), When::AtOnce));
+    steps.extend(step(
+        "/settings/cells".into(),
+        cells(from),
+        cells(to),
+        When::AtOnce,
+    ));
     let level = |d: &Document| Some(format!("{:?}", d.log.level).to_lowercase());
-    steps.extend(step("/settings/log/level".into(), level(from), level(to), When::AtOnce));
+    steps.extend(step(
+        "/settings/log/level".into(),
+        level(from),
+        level(to),
+        When::AtOnce,
+    ));
     if faults.is_empty() {
         Ok(Plan { steps, roll })
     } else {
@@ -184,7 +235,11 @@
         let ration = match (to.ration, was.ration == to.ration) {
             (_, true) => m.ration,
             (None, _) => None,
-            (Some(r), _) => Some(Ration { spare: r.spare as f64, share: r.share.get(), span: r.span as f64 }),
+            (Some(r), _) => Some(Ration {
+                spare: r.spare as f64,
+                share: r.share.get(),
+                span: r.span as f64,
+            }),
         };
         let (cold, old) = (&to.cold, &was.cold);
         Mandate {
@@ -193,8 +248,16 @@
             come_back_most: changed(to.advice != was.advice, to.advice as f64, m.come_back_most),
             most_forwards: to.forwards_most,
             cold_from: changed(cold.from != old.from, cold.from.get(), m.cold_from),
-            warm_after: changed(cold.warm_after != old.warm_after, cold.warm_after as f64, m.warm_after),
-            fall_multiple: changed(cold.multiple != old.multiple, cold.multiple.get(), m.fall_multiple),
+            warm_after: changed(
+                cold.warm_after != old.warm_after,
+                cold.warm_after as f64,
+                m.warm_after,
+            ),
+            fall_multiple: changed(
+                cold.multiple != old.multiple,
+                cold.multiple.get(),
+                m.fall_multiple,
+            ),
             fall_span: changed(cold.span != old.span, cold.span as f64, m.fall_span),
             ration,
             ..m.clone()
@@ -221,7 +284,10 @@
             };
         };
         let indices = |names: &[String], known: &[String]| {
-            let found = names.iter().filter_map(|n| Frame::index(known, n)).collect();
+            let found = names
+                .iter()
+                .filter_map(|n| Frame::index(known, n))
+                .collect();
             (!names.is_empty()).then_some(found)
         };
         let mut terms = Terms {
@@ -244,7 +310,11 @@
                     *new = old;
                 }
             };
-            keep(was.expected == band.expected, &mut terms.expected, told.expected);
+            keep(
+                was.expected == band.expected,
+                &mut terms.expected,
+                told.expected,
+            );
             keep(
                 was.expected_stretch == band.expected_stretch,
                 &mut terms.expected_stretch,
--- a/crates/change/src/renewal.rs
+++ b/crates/change/src/renewal.rs
@@ -28,10 +28,22 @@
 impl Renewal {
     /// The first file's order is that of the indices.
     pub fn new(file: File) -> Renewal {
-        let File { mandate, names, limits, frame } = file;
+        let File {
+            mandate,
+            names,
+            limits,
+            frame,
+        } = file;
         let document = Document::told(&mandate, &names, &limits, &frame);
         let roll = Roll::of(&document);
-        Renewal { origin: Origin { mandate, document, frame }, roll }
+        Renewal {
+            origin: Origin {
+                mandate,
+                document,
+                frame,
+            },
+            roll,
+        }
     }
 
     /// What runs once this file is taken over; none where it says the same as the last.
@@ -44,26 +56,50 @@
         let kinds = united(&was.frame.kinds, &file.frame.kinds);
         let frame = Frame { zones, kinds };
         let place = |known: &[String], names: &[String], i: u16| {
-            let name =
-                names.get(i as usize).ok_or_else(|| format!("index {i} is past the {} told", names.len()));
+            let name = names
+                .get(i as usize)
+                .ok_or_else(|| format!("index {i} is past the {} told", names.len()));
             name.map(|n| Frame::index(known, n).unwrap_or(u16::MAX))
         };
         let mut mandate = file.mandate;
         for (terms, name) in mandate.bands.iter_mut().zip(&file.names) {
             for (field, at, known, names) in [
-                ("dcs_allowed", &mut terms.zones, &frame.zones, &file.frame.zones),
-                ("machine_types_allowed", &mut terms.kinds, &frame.kinds, &file.frame.kinds),
+                (
+                    "dcs_allowed",
+                    &mut terms.zones,
+                    &frame.zones,
+                    &file.frame.zones,
+                ),
+                (
+                    "machine_types_allowed",
+                    &mut terms.kinds,
+                    &frame.kinds,
+                    &file.frame.kinds,
+                ),
             ] {
-                let moved = at.iter().flatten().map(|&i| place(known, names, i)).collect::<Result<_, _>>();
-                let moved = moved.map_err(|why| format!("settings: class {name}: {field}: {why}"))?;
+                let moved = at
+                    .iter()
+                    .flatten()
+                    .map(|&i| place(known, names, i))
+                    .collect::<Result<_, _>>();
+                let moved =
+                    moved.map_err(|why| format!("settings: class {name}: {field}: {why}"))?;
                 *at = at.is_some().then_some(moved);
             }
         }
-        let told = |name: &String| Frame::index(&file.frame.kinds, name).map(|i| mandate.kinds[i as usize]);
-        let kept =
-            |i: usize| was.mandate.kinds.get(i).copied().unwrap_or(Kind { cores: 1.0, memory_mb: 0.0 });
+        let told = |name: &String| {
+            Frame::index(&file.frame.kinds, name).map(|i| mandate.kinds[i as usize])
+        };
+        let kept = |i: usize| {
+            was.mandate.kinds.get(i).copied().unwrap_or(Kind {
+                cores: 1.0,
+                memory_mb: 0.0,
+            })
+        };
         let all = frame.kinds.iter().enumerate();
-        mandate.kinds = all.map(|(i, name)| told(name).unwrap_or_else(|| kept(i))).collect();
+        mandate.kinds = all
+            .map(|(i, name)| told(name).unwrap_or_else(|| kept(i)))
+            .collect();
         if !mandate.bands.iter().any(|b| b.in_order) {
             // Those still open in a band that is closed keep their order, and its rest after doubt.
             mandate.key_rest = was.mandate.key_rest;
@@ -73,7 +109,11 @@
         if mandate == was.mandate && document == was.document {
             return Ok(None);
         }
-        let faults: Vec<String> = document.faults(&frame).iter().map(|f| f.to_string()).collect();
+        let faults: Vec<String> = document
+            .faults(&frame)
+            .iter()
+            .map(|f| f.to_string())
+            .collect();
         if !faults.is_empty() {
             return Err(faults.join("; "));
         }
@@ -88,7 +128,11 @@
                 "settings: classes: more than {ROLL_MOST} since the start: it takes a restart"
             ));
         }
-        let origin = Origin { mandate, document, frame };
+        let origin = Origin {
+            mandate,
+            document,
+            frame,
+        };
         Ok(Some(Renewal { origin, roll }))
     }
 
--- a/crates/change/src/revisions.rs
+++ b/crates/change/src/revisions.rs
@@ -27,7 +27,11 @@
     if (CONFIRM_LEAST..=CONFIRM_MOST).contains(&span) {
         return Ok(span);
     }
-    Err(format!("is outside {} s to {} s", CONFIRM_LEAST / 1000.0, CONFIRM_MOST / 1000.0))
+    Err(format!(
+        "is outside {} s to {} s",
+        CONFIRM_LEAST / 1000.0,
+        CONFIRM_MOST / 1000.0
+    ))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -108,7 +112,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Write<D> {
-    Set { line: Line, document: D, commit: Option<(String, Ms)> },
+    Set {
+        line: Line,
+        document: D,
+        commit: Option<(String, Ms)>,
+    },
     Confirm,
 }
 
@@ -196,7 +204,10 @@
 
     /// When `Due` is wanted next.
     pub fn due(&self) -> Option<Ms> {
-        self.trial.as_ref().filter(|_| self.writing.is_none()).map(|t| t.until)
+        self.trial
+            .as_ref()
+            .filter(|_| self.writing.is_none())
+            .map(|t| t.until)
     }
 
     pub fn on(&mut self, now: Ms, input: Input<D>) -> Vec<Action<D>> {
@@ -230,16 +241,24 @@
     }
 
     fn answer_what_was_not_kept(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(why) = self.written.take_if(|w| w.is_err()).and_then(Result::err) else { return false };
+        let Some(why) = self.written.take_if(|w| w.is_err()).and_then(Result::err) else {
+            return false;
+        };
         self.writing = None;
         actions.push(Action::Answer(Err(Refusal::NotKept { why })));
         true
     }
 
     fn run_what_was_kept(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(Ok(())) = self.written.take() else { return false };
+        let Some(Ok(())) = self.written.take() else {
+            return false;
+        };
         match self.writing.take() {
-            Some(Write::Set { line, document, commit }) => {
+            Some(Write::Set {
+                line,
+                document,
+                commit,
+            }) => {
                 self.mark(Standing::Replaced);
                 let number = line.number;
                 // The time runs from here, where the settings begin to: a slow disk does not eat it up.
@@ -251,7 +270,11 @@
                 let before = std::mem::replace(&mut self.running, document.clone());
                 let before = (std::mem::replace(&mut self.number, number), before);
                 self.next = number + 1;
-                self.trial = commit.map(|(id, span)| Trial { id, until: self.now + span, before });
+                self.trial = commit.map(|(id, span)| Trial {
+                    id,
+                    until: self.now + span,
+                    before,
+                });
                 actions.push(Action::Apply { number, document });
                 actions.push(Action::Answer(Ok(number)));
             }
@@ -267,17 +290,23 @@
 
     // A confirmation that came in time and is being written counts.
     fn take_back_the_overdue(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let overdue = self.writing.is_none() && self.trial.as_ref().is_some_and(|t| t.until <= self.now);
+        let overdue =
+            self.writing.is_none() && self.trial.as_ref().is_some_and(|t| t.until <= self.now);
         overdue && self.take_back(actions)
     }
 
     fn take_back(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(trial) = self.trial.take() else { return false };
+        let Some(trial) = self.trial.take() else {
+            return false;
+        };
         let number = self.number;
         self.mark(Standing::TakenBack);
         (self.number, self.running) = trial.before;
         self.mark(Standing::Running);
-        actions.push(Action::Apply { number: self.number, document: self.running.clone() });
+        actions.push(Action::Apply {
+            number: self.number,
+            document: self.running.clone(),
+        });
         if self.durable {
             actions.push(Action::Note(Record::TakenBack { number }));
         }
@@ -285,11 +314,20 @@
     }
 
     fn refuse_a_second(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(trial) = &self.trial else { return false };
-        if self.asked.take_if(|a| matches!(a, Ask::Set { .. })).is_none() {
+        let Some(trial) = &self.trial else {
+            return false;
+        };
+        if self
+            .asked
+            .take_if(|a| matches!(a, Ask::Set { .. }))
+            .is_none()
+        {
             return false;
         }
-        let refusal = Refusal::Unconfirmed { number: self.number, id: trial.id.clone() };
+        let refusal = Refusal::Unconfirmed {
+            number: self.number,
+            id: trial.id.clone(),
+        };
         actions.push(Action::Answer(Err(refusal)));
         true
     }
@@ -297,7 +335,9 @@
     fn refuse_an_unknown_commit(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let known = |id: &String| self.trial.as_ref().is_some_and(|t| t.id == *id);
         let unknown = match &self.asked {
-            Some(Ask::Confirm { id } | Ask::Cancel { id } | Ask::Extend { id, .. }) if !known(id) => {
+            Some(Ask::Confirm { id } | Ask::Cancel { id } | Ask::Extend { id, .. })
+                if !known(id) =>
+            {
                 id.clone()
             }
             _ => return false,
@@ -308,8 +348,12 @@
     }
 
     fn set(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(Ask::Set { who, what, document, commit }) =
-            self.asked.take_if(|a| matches!(a, Ask::Set { .. }))
+        let Some(Ask::Set {
+            who,
+            what,
+            document,
+            commit,
+        }) = self.asked.take_if(|a| matches!(a, Ask::Set { .. }))
         else {
             return false;
         };
@@ -318,20 +362,41 @@
             who,
             when: self.now,
             what,
-            standing: if commit.is_some() { Standing::Unconfirmed } else { Standing::Running },
+            standing: if commit.is_some() {
+                Standing::Unconfirmed
+            } else {
+                Standing::Running
+            },
             commit: commit.as_ref().map(|c| c.0.clone()),
             until: None,
         };
-        let record = Record::Set { line: line.clone(), document: document.clone() };
-        self.record(Write::Set { line, document, commit }, record, actions);
+        let record = Record::Set {
+            line: line.clone(),
+            document: document.clone(),
+        };
+        self.record(
+            Write::Set {
+                line,
+                document,
+                commit,
+            },
+            record,
+            actions,
+        );
         true
     }
 
     fn confirm(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        if self.asked.take_if(|a| matches!(a, Ask::Confirm { .. })).is_none() {
+        if self
+            .asked
+            .take_if(|a| matches!(a, Ask::Confirm { .. }))
+            .is_none()
+        {
             return false;
         }
-        let record = Record::Confirmed { number: self.number };
+        let record = Record::Confirmed {
+            number: self.number,
+        };
         self.record(Write::Confirm, record, actions);
         true
     }
@@ -341,7 +406,10 @@
             Some(Ask::Extend { span, .. }) => {
                 let (until, number) = (self.now + span, self.number);
                 self.trial.iter_mut().for_each(|t| t.until = until);
-                self.lines.iter_mut().filter(|l| l.number == number).for_each(|l| l.until = Some(until));
+                self.lines
+                    .iter_mut()
+                    .filter(|l| l.number == number)
+                    .for_each(|l| l.until = Some(until));
                 actions.push(Action::Answer(Ok(number)));
             }
             Some(Ask::Cancel { .. }) => {
--- a/crates/change/src/stricter.rs
+++ b/crates/change/src/stricter.rs
@@ -27,24 +27,45 @@
 
 // No ration is no bound. Counts over spans of different length do not bound one another: then none at all.
 fn ration(a: Option<Ration>, b: Option<Ration>) -> Option<Ration> {
-    let (Some(a), Some(b)) = (a, b) else { return a.or(b) };
+    let (Some(a), Some(b)) = (a, b) else {
+        return a.or(b);
+    };
     let comparable = a.span == b.span;
     let spare = if comparable { a.spare.min(b.spare) } else { 0 };
-    let share = if comparable { least(a.share, b.share) } else { Decimal::default() };
-    Some(Ration { spare, share, span: a.span.max(b.span) })
+    let share = if comparable {
+        least(a.share, b.share)
+    } else {
+        Decimal::default()
+    };
+    Some(Ration {
+        spare,
+        share,
+        span: a.span.max(b.span),
+    })
 }
 
 fn band(a: &Band, b: &Band) -> Option<Band> {
     let (zone, kind) = (in_both(&a.zone, &b.zone)?, in_both(&a.kind, &b.kind)?);
     let window = a.window.zip(b.window).map(|(a, b)| a.min(b)).or(a.window);
-    (Slot::of(a) == Slot::of(b)).then(|| Band { zone, kind, window, ..a.clone() })
+    (Slot::of(a) == Slot::of(b)).then(|| Band {
+        zone,
+        kind,
+        window,
+        ..a.clone()
+    })
 }
 
 impl Document {
     /// The stricter of both, field by field where gateways' sums are bounded; the rest is as here. None where no
     /// band is left that both have.
     pub fn stricter(&self, other: &Document) -> Option<Document> {
-        let same = |a: &Band| other.band.iter().find(|b| b.name == a.name).and_then(|b| band(a, b));
+        let same = |a: &Band| {
+            other
+                .band
+                .iter()
+                .find(|b| b.name == a.name)
+                .and_then(|b| band(a, b))
+        };
         let (a, b) = (&self.cold, &other.cold);
         let left: Vec<Band> = self.band.iter().filter_map(same).collect();
         (!left.is_empty()).then(|| Document {
--- a/crates/change/tests/journal.rs
+++ b/crates/change/tests/journal.rs
@@ -6,11 +6,22 @@
 
 fn line(number: u64, standing: Standing) -> Line {
     let (who, what) = ("op".to_string(), format!("change {number}"));
-    Line { number, who, when: 1e12, what, standing, commit: None, until: None }
+    Line {
+        number,
+        who,
+        when: 1e12,
+        what,
+        standing,
+        commit: None,
+        until: None,
+    }
 }
 
 fn day() -> Vec<Record<u8>> {
-    let set = |n, standing| Record::Set { line: line(n, standing), document: n as u8 };
+    let set = |n, standing| Record::Set {
+        line: line(n, standing),
+        document: n as u8,
+    };
     vec![
         Record::Whole(Kept::told(0)),
         set(1, Standing::Running),
@@ -73,18 +84,30 @@
 #[test]
 fn what_the_told_file_says_anew_comes_before_the_revisions() {
     let (kept, found) = Kept::open(day(), 0);
-    assert_eq!((kept.running, kept.number, kept.next, found), (4, 4, 5, Found::Revision(4)));
+    assert_eq!(
+        (kept.running, kept.number, kept.next, found),
+        (4, 4, 5, Found::Revision(4))
+    );
     let (kept, found) = Kept::open(day(), 9);
-    assert_eq!((kept.running, kept.told, kept.number, kept.next), (9, 9, 0, 5));
+    assert_eq!(
+        (kept.running, kept.told, kept.number, kept.next),
+        (9, 9, 0, 5)
+    );
     assert_eq!(found, Found::ToldAnew);
     assert!(kept.lines.iter().all(|l| l.standing != Standing::Running));
     // And so it stays once that is written down.
-    assert_eq!(Kept::open(vec![Record::Whole(kept)], 9).1, Found::Revision(0));
+    assert_eq!(
+        Kept::open(vec![Record::Whole(kept)], 9).1,
+        Found::Revision(0)
+    );
 }
 
 #[test]
 fn a_trial_upon_one_whose_taking_back_was_never_written_goes_back_before_both() {
-    let set = |n| Record::Set { line: line(n, Standing::Unconfirmed), document: n as u8 };
+    let set = |n| Record::Set {
+        line: line(n, Standing::Unconfirmed),
+        document: n as u8,
+    };
     let (kept, _) = Kept::open(vec![Record::Whole(Kept::told(0)), set(1), set(2)], 0);
     assert_eq!((kept.running, kept.number), (0, 0));
 }
--- a/crates/change/tests/plan.rs
+++ b/crates/change/tests/plan.rs
@@ -20,19 +20,33 @@
             terms(1000.25, Effect::Idempotent),
             terms(5000.0, Effect::Deduplicated(Within::MarkGroup)),
         ],
-        kinds: vec![Kind { cores: 16.0, memory_mb: 1.0 }],
+        kinds: vec![Kind {
+            cores: 16.0,
+            memory_mb: 1.0,
+        }],
         most_forwards: 6,
         cold_from: 0.123456,
         warm_after: 15e3,
         fall_multiple: 4.0,
         fall_span: 1e3,
-        ration: Some(Ration { spare: 10.0, share: 0.1, span: 10e3 }),
+        ration: Some(Ration {
+            spare: 10.0,
+            share: 0.1,
+            span: 10e3,
+        }),
         ..Mandate::default()
     };
-    let frame = Frame { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into()] };
+    let frame = Frame {
+        zones: vec!["a".into(), "b".into()],
+        kinds: vec!["std".into()],
+    };
     let names = ["lookup".to_string(), "post".to_string()];
     let document = Document::told(&mandate, &names, &[5e3, 20e3], &frame);
-    Origin { mandate, document, frame }
+    Origin {
+        mandate,
+        document,
+        frame,
+    }
 }
 
 type Tried = Result<(Vec<(String, When)>, Mandate), Vec<String>>;
@@ -43,7 +57,10 @@
     let mut to = o.document.clone();
     change(&mut to);
     match plan(&o.document, &to, &Roll::of(&o.document), &o.frame) {
-        Ok(p) => Ok((p.steps.into_iter().map(|s| (s.path, s.when)).collect(), o.mandate(&to, &p.roll))),
+        Ok(p) => Ok((
+            p.steps.into_iter().map(|s| (s.path, s.when)).collect(),
+            o.mandate(&to, &p.roll),
+        )),
         Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect()),
     }
 }
@@ -54,8 +71,17 @@
     let (steps, same) = tried(|_| {}).unwrap();
     assert_eq!((steps.len(), format!("{same:?}")), (0, format!("{told:?}")));
     let (steps, new) = tried(|d| d.band[0].payoff = Decimal::of(2.0)).unwrap();
-    assert_eq!(steps, [("/settings/band[name=lookup]/payoff".to_string(), When::AtOnce)]);
-    assert_eq!((new.bands[0].expected, new.bands[1].payoff, new.cold_from), (1000.25, 1.0 / 3.0, 0.123456));
+    assert_eq!(
+        steps,
+        [(
+            "/settings/band[name=lookup]/payoff".to_string(),
+            When::AtOnce
+        )]
+    );
+    assert_eq!(
+        (new.bands[0].expected, new.bands[1].payoff, new.cold_from),
+        (1000.25, 1.0 / 3.0, 0.123456)
+    );
     assert_eq!(new.bands[0].payoff, 2.0);
 }
 
@@ -73,28 +99,61 @@
     assert_eq!(at("band[name=lookup]/expected"), Some(When::NewOnly));
     assert_eq!(at("band[name=lookup]/zone"), Some(When::AtOnce));
     assert_eq!(at("band[name=post]"), Some(When::OpenFirst));
-    assert_eq!((at("gateways"), at("ration/share")), (Some(When::AtOnce), Some(When::AtOnce)));
-    assert_eq!((new.bands[0].zones.clone(), new.gateways), (Some(vec![1]), 4.0));
+    assert_eq!(
+        (at("gateways"), at("ration/share")),
+        (Some(When::AtOnce), Some(When::AtOnce))
+    );
+    assert_eq!(
+        (new.bands[0].zones.clone(), new.gateways),
+        (Some(vec![1]), 4.0)
+    );
     assert!(new.ration.is_none() && new.bands[1].closed && !new.bands[0].closed);
     // Out of service it still tells apart what it takes and what may run again.
-    assert_eq!((new.bands[1].repeat, new.bands[1].threads), (Effect::Deduplicated(Within::MarkGroup), 2.0));
+    assert_eq!(
+        (new.bands[1].repeat, new.bands[1].threads),
+        (Effect::Deduplicated(Within::MarkGroup), 2.0)
+    );
 }
 
 #[test]
 fn what_cannot_change_in_service_is_refused_by_its_path() {
     let cases: [(Change, &str); 8] = [
-        (&|d| d.band[0].threads = 3, "/settings/band[name=lookup]/threads: cannot change in service"),
-        (&|d| d.band[0].in_order = true, "/settings/band[name=lookup]/in-order: cannot"),
-        (&|d| d.band[0].hard_limit = 10, "/settings/band[name=lookup]/hard-limit: the hard limit is shorter"),
-        (&|d| d.band[1].window = None, "/settings/band[name=post]/window: a tagged band needs"),
-        (&|d| d.band[0].window = Some(1), "/settings/band[name=lookup]/window: window is for tagged"),
-        (&|d| d.band[0].zone = vec!["c".into()], "/settings/band[name=lookup]/zone: c is not among"),
-        (&|d| d.band[1].name = "lookup".into(), "/settings/band[name=lookup]/name: the name is there twice"),
+        (
+            &|d| d.band[0].threads = 3,
+            "/settings/band[name=lookup]/threads: cannot change in service",
+        ),
+        (
+            &|d| d.band[0].in_order = true,
+            "/settings/band[name=lookup]/in-order: cannot",
+        ),
+        (
+            &|d| d.band[0].hard_limit = 10,
+            "/settings/band[name=lookup]/hard-limit: the hard limit is shorter",
+        ),
+        (
+            &|d| d.band[1].window = None,
+            "/settings/band[name=post]/window: a tagged band needs",
+        ),
+        (
+            &|d| d.band[0].window = Some(1),
+            "/settings/band[name=lookup]/window: window is for tagged",
+        ),
+        (
+            &|d| d.band[0].zone = vec!["c".into()],
+            "/settings/band[name=lookup]/zone: c is not among",
+        ),
+        (
+            &|d| d.band[1].name = "lookup".into(),
+            "/settings/band[name=lookup]/name: the name is there twice",
+        ),
         (&|d| d.band.clear(), "/settings/band: there must be a band"),
     ];
     for (change, why) in cases {
         let faults = tried(change).unwrap_err();
-        assert!(faults.iter().any(|f| f.starts_with(why)), "{why}: {faults:?}");
+        assert!(
+            faults.iter().any(|f| f.starts_with(why)),
+            "{why}: {faults:?}"
+        );
     }
 }
 
@@ -103,13 +162,27 @@
     let o = origin();
     let (mut out, mut back) = (o.document.clone(), o.document.clone());
     let post = out.band.remove(1);
-    let roll = plan(&o.document, &out, &Roll::of(&o.document), &o.frame).unwrap().roll;
+    let roll = plan(&o.document, &out, &Roll::of(&o.document), &o.frame)
+        .unwrap()
+        .roll;
     assert_eq!(roll.find("post"), Some(1));
-    back.band.insert(0, ironstair_change::Band { name: "audit".into(), ..post.clone() });
+    back.band.insert(
+        0,
+        ironstair_change::Band {
+            name: "audit".into(),
+            ..post.clone()
+        },
+    );
     let p = plan(&out, &back, &roll, &o.frame).unwrap();
-    assert_eq!((p.roll.find("post"), p.roll.find("audit")), (Some(1), Some(2)));
+    assert_eq!(
+        (p.roll.find("post"), p.roll.find("audit")),
+        (Some(1), Some(2))
+    );
     let m = o.mandate(&back, &p.roll);
-    assert_eq!((m.bands.len(), m.bands[1].window, m.bands[2].window), (3, 900.4, 900.0));
+    assert_eq!(
+        (m.bands.len(), m.bands[1].window, m.bands[2].window),
+        (3, 900.4, 900.0)
+    );
     back.band[2].threads = 9;
     assert!(plan(&out, &back, &p.roll, &o.frame).is_err());
 }
@@ -141,19 +214,61 @@
     };
     let ration = |spare: u32, span: u32| {
         move |d: &mut Document| {
-            d.ration = d.ration.map(|r| ironstair_change::Ration { spare, span, ..r });
+            d.ration = d
+                .ration
+                .map(|r| ironstair_change::Ration { spare, span, ..r });
         }
     };
     type Seen = fn(&Document) -> String;
     let cases: [(Change, Change, Seen, &str); 9] = [
-        (&|d| d.gateways = 5, &|d| d.gateways = 4, |d| d.gateways.to_string(), "5"),
-        (&|d| d.forwards_most = 3, &|_| {}, |d| d.forwards_most.to_string(), "3"),
-        (&|d| d.cold.from = Decimal::of(0.1), &|_| {}, |d| d.cold.from.to_string(), "0.1"),
-        (&|d| d.cold.warm_after = 9, &|_| {}, |d| d.cold.warm_after.to_string(), "15000"),
-        (&|d| d.band[1].window = Some(7), &|_| {}, |d| format!("{:?}", d.band[1].window), "Some(7)"),
-        (&zones(&["a", "b"]), &zones(&["B"]), |d| d.band[0].zone.join(" ").to_lowercase(), "b"),
-        (&zones(&["a"]), &zones(&["b"]), |d| d.band[0].name.clone(), "post"),
-        (&ration(3, 10_000), &ration(5, 10_000), |d| d.ration.unwrap().spare.to_string(), "3"),
+        (
+            &|d| d.gateways = 5,
+            &|d| d.gateways = 4,
+            |d| d.gateways.to_string(),
+            "5",
+        ),
+        (
+            &|d| d.forwards_most = 3,
+            &|_| {},
+            |d| d.forwards_most.to_string(),
+            "3",
+        ),
+        (
+            &|d| d.cold.from = Decimal::of(0.1),
+            &|_| {},
+            |d| d.cold.from.to_string(),
+            "0.1",
+        ),
+        (
+            &|d| d.cold.warm_after = 9,
+            &|_| {},
+            |d| d.cold.warm_after.to_string(),
+            "15000",
+        ),
+        (
+            &|d| d.band[1].window = Some(7),
+            &|_| {},
+            |d| format!("{:?}", d.band[1].window),
+            "Some(7)",
+        ),
+        (
+            &zones(&["a", "b"]),
+            &zones(&["B"]),
+            |d| d.band[0].zone.join(" ").to_lowercase(),
+            "b",
+        ),
+        (
+            &zones(&["a"]),
+            &zones(&["b"]),
+            |d| d.band[0].name.clone(),
+            "post",
+        ),
+        (
+            &ration(3, 10_000),
+            &ration(5, 10_000),
+            |d| d.ration.unwrap().spare.to_string(),
+            "3",
+        ),
         // Counts over spans of different length bound nothing of one another.
         (
             &ration(3, 100),
@@ -172,6 +287,12 @@
         assert_eq!(seen(&a.stricter(&b).unwrap()), want);
         assert_eq!(seen(&b.stricter(&a).unwrap()), want, "the other way round");
     }
-    let (a, b) = (changed(&|d| drop(d.band.pop())), changed(&|d| drop(d.band.remove(0))));
-    assert!(a.stricter(&b).is_none() && b.stricter(&a).is_none(), "no band in both");
+    let (a, b) = (
+        changed(&|d| drop(d.band.pop())),
+        changed(&|d| drop(d.band.remove(0))),
+    );
+    assert!(
+        a.stricter(&b).is_none() && b.stricter(&a).is_none(),
+        "no band in both"
+    );
 }
--- a/crates/change/tests/renewal.rs
+++ b/crates/change/tests/renewal.rs
@@ -6,33 +6,65 @@
 
 fn band(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> Terms {
     let (expected, payoff) = (500.0, 1.0);
-    Terms { expected, payoff, threads, repeat, kinds, ..Default::default() }
+    Terms {
+        expected,
+        payoff,
+        threads,
+        repeat,
+        kinds,
+        ..Default::default()
+    }
 }
 
 fn file(bands: Vec<(&str, Terms)>, kinds: &[(&str, f64)]) -> File {
-    let (names, bands): (Vec<_>, Vec<_>) = bands.into_iter().map(|(n, t)| (n.to_string(), t)).unzip();
+    let (names, bands): (Vec<_>, Vec<_>) =
+        bands.into_iter().map(|(n, t)| (n.to_string(), t)).unzip();
     let limits = vec![2000.0; bands.len()];
-    let cores = kinds.iter().map(|k| Kind { cores: k.1, memory_mb: 1024.0 });
-    let mandate =
-        Mandate { gateways: 2.0, bands, kinds: cores.collect(), most_forwards: 3, ..Default::default() };
-    let frame = Frame { zones: vec![], kinds: kinds.iter().map(|k| k.0.to_string()).collect() };
-    File { mandate, names, limits, frame }
+    let cores = kinds.iter().map(|k| Kind {
+        cores: k.1,
+        memory_mb: 1024.0,
+    });
+    let mandate = Mandate {
+        gateways: 2.0,
+        bands,
+        kinds: cores.collect(),
+        most_forwards: 3,
+        ..Default::default()
+    };
+    let frame = Frame {
+        zones: vec![],
+        kinds: kinds.iter().map(|k| k.0.to_string()).collect(),
+    };
+    File {
+        mandate,
+        names,
+        limits,
+        frame,
+    }
 }
 
 fn first() -> File {
     let safe = Effect::Idempotent;
     file(
-        vec![("lookup", band(1.0, safe, None)), ("report", band(4.0, safe, Some(vec![1])))],
+        vec![
+            ("lookup", band(1.0, safe, None)),
+            ("report", band(4.0, safe, Some(vec![1]))),
+        ],
         &[("s", 8.0), ("l", 16.0)],
     )
 }
 
 fn second() -> File {
-    let load = Terms { in_order: true, ..band(2.0, Effect::NonIdempotent, None) };
+    let load = Terms {
+        in_order: true,
+        ..band(2.0, Effect::NonIdempotent, None)
+    };
     let report = band(2.0, Effect::Idempotent, Some(vec![0]));
     let lookup = band(1.0, Effect::Idempotent, None);
-    let mut f =
-        file(vec![("load", load), ("report", report), ("lookup", lookup)], &[("l", 12.0), ("new", 4.0)]);
+    let mut f = file(
+        vec![("load", load), ("report", report), ("lookup", lookup)],
+        &[("l", 12.0), ("new", 4.0)],
+    );
     f.mandate.key_rest = 300.0;
     f
 }
@@ -56,13 +88,23 @@
     );
     assert_eq!((m.bands[1].threads, m.bands[3].threads), (4.0, 2.0));
     assert_eq!(there.frame().kinds, ["s", "l", "new"]);
-    assert_eq!(m.kinds.iter().map(|k| k.cores).collect::<Vec<_>>(), [8.0, 12.0, 4.0]);
-    assert_eq!(m.bands[3].kinds, Some(vec![1]), "kind l under its old index");
+    assert_eq!(
+        m.kinds.iter().map(|k| k.cores).collect::<Vec<_>>(),
+        [8.0, 12.0, 4.0]
+    );
+    assert_eq!(
+        m.bands[3].kinds,
+        Some(vec![1]),
+        "kind l under its old index"
+    );
     let back = there.renew(first()).unwrap().expect("other settings");
     let (m, was) = (back.mandate(), start.mandate());
     assert_eq!(m.bands[..2], was.bands[..]);
     assert!(m.bands[2].closed && m.bands[3].closed && m.bands[2].in_order);
-    assert_eq!(m.key_rest, 300.0, "what is open in order still rests after doubt");
+    assert_eq!(
+        m.key_rest, 300.0,
+        "what is open in order still rests after doubt"
+    );
     assert_eq!((m.kinds[0], m.kinds[1]), (was.kinds[0], was.kinds[1]));
     let again = back.renew(second()).unwrap().unwrap().mandate();
     assert_eq!(again, there.mandate(), "the same step once more");
@@ -75,7 +117,10 @@
     let mut bad = second();
     bad.mandate.bands[1].kinds = Some(vec![7]);
     let why = start.renew(bad).err().unwrap();
-    assert!(why.contains("report: machine_types_allowed: index 7"), "{why}");
+    assert!(
+        why.contains("report: machine_types_allowed: index 7"),
+        "{why}"
+    );
     let mut bad = second();
     bad.limits[0] = 100.0;
     let why = start.renew(bad).err().unwrap();
@@ -86,7 +131,12 @@
 fn bands_that_come_and_go_for_ever_are_refused_in_the_end() {
     // Against memory that grows with every file.
     let mut now = Renewal::new(first());
-    let many = |n: usize| file(vec![(&*format!("b{n}"), band(1.0, Effect::Idempotent, None))], &[("s", 8.0)]);
+    let many = |n: usize| {
+        file(
+            vec![(&*format!("b{n}"), band(1.0, Effect::Idempotent, None))],
+            &[("s", 8.0)],
+        )
+    };
     let end = (0..400).find_map(|n| match now.renew(many(n)) {
         Ok(next) => {
             now = next.unwrap();
--- a/crates/change/tests/revisions.rs
+++ b/crates/change/tests/revisions.rs
@@ -51,13 +51,21 @@
 
 fn asked(what: &str, document: u8) -> Ask<u8> {
     let id = || "c".to_string();
-    let set = |commit| Ask::Set { who: "op".into(), what: what.into(), document, commit };
+    let set = |commit| Ask::Set {
+        who: "op".into(),
+        what: what.into(),
+        document,
+        commit,
+    };
     match what {
         "set" => set(None),
         "try" => set(Some((id(), 1.0))),
         "confirm" => Ask::Confirm { id: id() },
         "cancel" => Ask::Cancel { id: id() },
-        _ => Ask::Extend { id: id(), span: 2.0 },
+        _ => Ask::Extend {
+            id: id(),
+            span: 2.0,
+        },
     }
 }
 
@@ -68,7 +76,9 @@
 
     fn hand(&mut self, input: Input<u8>) {
         let now = self.now();
-        let Some(ledger) = self.ledger.as_mut() else { return };
+        let Some(ledger) = self.ledger.as_mut() else {
+            return;
+        };
         if let Input::Asked(ask) = &input {
             self.ask = Some(ask.clone());
         }
@@ -154,7 +164,11 @@
             Step::Wrote(kept) => {
                 let record = w.writing.take()?;
                 w.disk.extend(kept.then_some(record));
-                w.hand(Input::Written(if kept { Ok(()) } else { Err("full".into()) }));
+                w.hand(Input::Written(if kept {
+                    Ok(())
+                } else {
+                    Err("full".into())
+                }));
             }
             Step::Crash(kept) => {
                 w.left.1 -= 1;
@@ -187,9 +201,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one revision runs, and it is the ledger's", |_, w: &World| {
-                w.ledger.as_ref().is_none_or(|l| *l.running() == w.applied)
-            }),
+            Property::always(
+                "one revision runs, and it is the ledger's",
+                |_, w: &World| w.ledger.as_ref().is_none_or(|l| *l.running() == w.applied),
+            ),
             Property::always("at most one line runs or waits", |_, w: &World| {
                 let open = |s: &Standing| matches!(s, Standing::Running | Standing::Unconfirmed);
                 let lines = |l: &Ledger<u8>| l.lines().iter().filter(|l| open(&l.standing)).count();
@@ -216,11 +231,24 @@
 fn in_every_order_of_commits_crashes_and_lost_writes_only_what_is_for_good_outlives_the_process() {
     let checked = Days.checker().threads(4).spawn_bfs().join();
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 10_000, "{}", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 10_000,
+        "{}",
+        checked.unique_state_count()
+    );
 }
 
 fn answers(actions: Vec<Action<u8>>) -> Vec<Result<u64, Refusal>> {
-    actions.into_iter().filter_map(|a| if let Action::Answer(how) = a { Some(how) } else { None }).collect()
+    actions
+        .into_iter()
+        .filter_map(|a| {
+            if let Action::Answer(how) = a {
+                Some(how)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 #[test]
@@ -228,14 +256,36 @@
     let mut l = Ledger::new(Kept::told(0), false);
     assert_eq!(answers(l.on(10.0, Input::Asked(asked("try", 7)))), [Ok(1)]);
     assert_eq!((l.due(), *l.running()), (Some(11.0), 7));
-    let refused = Refusal::Unconfirmed { number: 1, id: "c".into() };
-    assert_eq!(answers(l.on(10.1, Input::Asked(asked("set", 8)))), [Err(refused)]);
-    assert_eq!(answers(l.on(10.2, Input::Asked(asked("extend", 0)))), [Ok(1)]);
+    let refused = Refusal::Unconfirmed {
+        number: 1,
+        id: "c".into(),
+    };
+    assert_eq!(
+        answers(l.on(10.1, Input::Asked(asked("set", 8)))),
+        [Err(refused)]
+    );
+    assert_eq!(
+        answers(l.on(10.2, Input::Asked(asked("extend", 0)))),
+        [Ok(1)]
+    );
     assert_eq!((l.on(11.0, Input::Due), l.due()), (vec![], Some(12.2)));
-    assert_eq!(l.on(12.2, Input::Due), [Action::Apply { number: 0, document: 0 }]);
-    assert_eq!((l.number(), l.lines()[0].standing), (0, Standing::TakenBack));
+    assert_eq!(
+        l.on(12.2, Input::Due),
+        [Action::Apply {
+            number: 0,
+            document: 0
+        }]
+    );
+    assert_eq!(
+        (l.number(), l.lines()[0].standing),
+        (0, Standing::TakenBack)
+    );
     let none = Refusal::NoSuchCommit { id: "c".into() };
-    assert_eq!(answers(l.on(12.3, Input::Asked(asked("confirm", 0)))), [Err(none)], "too late");
+    assert_eq!(
+        answers(l.on(12.3, Input::Asked(asked("confirm", 0)))),
+        [Err(none)],
+        "too late"
+    );
 }
 
 #[test]
@@ -246,8 +296,16 @@
         l.on(0.5, Input::Written(Ok(())));
         assert_eq!(answers(l.on(1.4, Input::Asked(asked("confirm", 0)))), []);
         assert_eq!((l.on(1.6, Input::Due), l.due()), (vec![], None));
-        let how = if kept { Ok(()) } else { Err("full".to_string()) };
+        let how = if kept {
+            Ok(())
+        } else {
+            Err("full".to_string())
+        };
         let then = l.on(1.7, Input::Written(how));
-        assert_eq!((*l.running(), l.trial()), (if kept { 7 } else { 0 }, None), "{then:?}");
+        assert_eq!(
+            (*l.running(), l.trial()),
+            (if kept { 7 } else { 0 }, None),
+            "{then:?}"
+        );
     }
 }
--- a/crates/fleet/src/link.rs
+++ b/crates/fleet/src/link.rs
@@ -72,7 +72,9 @@
 
     fn lanes(&self, way: Way) -> impl Iterator<Item = &Lane> {
         let there = (way != Way::Back).then_some(&self.inner.there);
-        there.into_iter().chain((way != Way::There).then_some(&self.inner.back))
+        there
+            .into_iter()
+            .chain((way != Way::There).then_some(&self.inner.back))
     }
 
     /// Nothing comes through that way until it heals.
@@ -85,7 +87,8 @@
     }
 
     pub fn rate(&self, way: Way, bytes_a_second: u64) {
-        self.lanes(way).for_each(|l| l.rate.store(bytes_a_second, Relaxed));
+        self.lanes(way)
+            .for_each(|l| l.rate.store(bytes_a_second, Relaxed));
     }
 
     /// Ends all that is open, and all that is opened until it heals.
@@ -96,8 +99,13 @@
 
     /// Ends all that is open.
     pub fn reset(&self) {
-        let mut open = self.inner.open.lock().unwrap_or_else(PoisonError::into_inner);
-        open.drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
+        let mut open = self
+            .inner
+            .open
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        open.drain(..)
+            .for_each(|s| drop(s.shutdown(Shutdown::Both)));
     }
 
     /// As it was at first.
@@ -112,7 +120,10 @@
 
     /// Bytes that came through, there and back.
     pub fn passed(&self) -> (u64, u64) {
-        (self.inner.there.passed.load(Relaxed), self.inner.back.passed.load(Relaxed))
+        (
+            self.inner.there.passed.load(Relaxed),
+            self.inner.back.passed.load(Relaxed),
+        )
     }
 }
 
@@ -135,8 +146,15 @@
         return;
     };
     let _ = (from.set_nodelay(true), to.set_nodelay(true));
-    let copies = (from.try_clone(), to.try_clone(), from.try_clone(), to.try_clone());
-    let (Ok(f1), Ok(t1), Ok(f2), Ok(t2)) = copies else { return };
+    let copies = (
+        from.try_clone(),
+        to.try_clone(),
+        from.try_clone(),
+        to.try_clone(),
+    );
+    let (Ok(f1), Ok(t1), Ok(f2), Ok(t2)) = copies else {
+        return;
+    };
     {
         let mut open = inner.open.lock().unwrap_or_else(PoisonError::into_inner);
         open.retain(|s| s.peer_addr().is_ok());
@@ -167,7 +185,10 @@
             0 => {}
             rate => thread::sleep(Duration::from_secs_f64(n as f64 / rate as f64)),
         }
-        if to.write_all(&bytes[..n]).is_err_and(|e| e.kind() != ErrorKind::Interrupted) {
+        if to
+            .write_all(&bytes[..n])
+            .is_err_and(|e| e.kind() != ErrorKind::Interrupted)
+        {
             break;
         }
         lane.passed.fetch_add(n as u64, Relaxed);
--- a/crates/fleet/src/oracle.rs
+++ b/crates/fleet/src/oracle.rs
@@ -23,14 +23,9 @@
         what: What,
     },
     /// The connection ended.
-    Closed {
-        client: usize,
-        connection: usize,
-    },
+    Closed { client: usize, connection: usize },
     /// A gateway's process was killed outright, and owes its client (of the same number) nothing on what was open.
-    Killed {
-        gateway: usize,
-    },
+    Killed { gateway: usize },
     /// An engine got a forward.
     Forward {
         gateway: usize,
@@ -39,15 +34,9 @@
         band: String,
     },
     /// From now on no gateway that decides may send that band to the engine, by a policy that holds.
-    Barred {
-        engine: usize,
-        band: &'static str,
-    },
+    Barred { engine: usize, band: &'static str },
     /// It may again.
-    Free {
-        engine: usize,
-        band: &'static str,
-    },
+    Free { engine: usize, band: &'static str },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -76,8 +65,12 @@
             Breach::TwoAnswers { client, call } => {
                 write!(f, "client {client}: a further answer for call {call}")
             }
-            Breach::NoAnswer { client, call } => write!(f, "client {client}: no answer for call {call}"),
-            Breach::TwiceOut { id } => write!(f, "submission {id}, which may run once, was out twice"),
+            Breach::NoAnswer { client, call } => {
+                write!(f, "client {client}: no answer for call {call}")
+            }
+            Breach::TwiceOut { id } => {
+                write!(f, "submission {id}, which may run once, was out twice")
+            }
             Breach::Left { gateway, at, after } => {
                 write!(
                     f,
@@ -98,7 +91,10 @@
 
 impl Default for Book {
     fn default() -> Self {
-        Book { since: Instant::now(), lines: Arc::default() }
+        Book {
+            since: Instant::now(),
+            lines: Arc::default(),
+        }
     }
 }
 
@@ -115,7 +111,10 @@
     }
 
     pub fn lines(&self) -> Vec<(f64, Seen)> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// How many answers of each kind clients had.
@@ -131,8 +130,7 @@
 
     /// How many of that kind one client had.
     pub fn answers_of(&self, of: usize, kind: What) -> usize {
-        let hit =
-            |s: &Seen| matches!(s, Seen::Answered { client, what, .. } if *client == of && *what == kind);
+        let hit = |s: &Seen| matches!(s, Seen::Answered { client, what, .. } if *client == of && *what == kind);
         self.lines().iter().filter(|l| hit(&l.1)).count()
     }
 
@@ -146,16 +144,29 @@
     let (mut open, mut began, mut killed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     for (at, seen) in lines {
         match seen {
-            Seen::Asked { client, connection, call, .. } => {
+            Seen::Asked {
+                client,
+                connection,
+                call,
+                ..
+            } => {
                 began.entry((*client, *connection)).or_insert(*at);
                 open.insert((*client, *connection, *call), ());
             }
-            Seen::Answered { client, connection, call, .. } => {
+            Seen::Answered {
+                client,
+                connection,
+                call,
+                ..
+            } => {
                 open.remove(&(*client, *connection, *call));
             }
             Seen::Closed { client, connection } => {
                 let first = began.get(&(*client, *connection));
-                if first.zip(killed.get(client)).is_some_and(|(first, at)| *at + KILLED_WITHIN >= *first) {
+                if first
+                    .zip(killed.get(client))
+                    .is_some_and(|(first, at)| *at + KILLED_WITHIN >= *first)
+                {
                     open.retain(|k, _| (k.0, k.1) != (*client, *connection));
                 }
             }
@@ -179,18 +190,40 @@
     let mut barred: BTreeMap<(usize, &str), f64> = BTreeMap::new();
     for (at, seen) in lines {
         match seen {
-            Seen::Asked { client, connection, call, .. } => {
+            Seen::Asked {
+                client,
+                connection,
+                call,
+                ..
+            } => {
                 asked.insert((*client, *connection, *call), ());
             }
-            Seen::Answered { client, connection, call, .. } => {
+            Seen::Answered {
+                client,
+                connection,
+                call,
+                ..
+            } => {
                 if asked.remove(&(*client, *connection, *call)).is_none() {
-                    found.push(Breach::TwoAnswers { client: *client, call: *call });
+                    found.push(Breach::TwoAnswers {
+                        client: *client,
+                        call: *call,
+                    });
                 }
             }
             Seen::Closed { .. } | Seen::Killed { .. } => {}
-            Seen::Forward { gateway, engine, id, band } => {
+            Seen::Forward {
+                gateway,
+                engine,
+                id,
+                band,
+            } => {
                 if let Some(after) = barred.get(&(*engine, band.as_str())) {
-                    found.push(Breach::Left { gateway: *gateway, at: *at, after: *after });
+                    found.push(Breach::Left {
+                        gateway: *gateway,
+                        at: *at,
+                        after: *after,
+                    });
                 }
                 if once.contains(&band.as_str()) {
                     let times = out.entry(id).or_default();
@@ -208,7 +241,9 @@
             }
         }
     }
-    let lost = owed(lines).into_keys().map(|(client, _, call)| Breach::NoAnswer { client, call });
+    let lost = owed(lines)
+        .into_keys()
+        .map(|(client, _, call)| Breach::NoAnswer { client, call });
     found.extend(lost);
     found
 }
@@ -219,25 +254,85 @@
 
     #[test]
     fn each_kind_of_breach_is_caught_and_a_clean_run_is_none() {
-        let ask = |call| Seen::Asked { client: 0, connection: 1, call, band: "post" };
-        let answer = |call| Seen::Answered { client: 0, connection: 1, call, what: What::Settled };
-        let forward =
-            |id: &str, engine| Seen::Forward { gateway: 2, engine, id: id.into(), band: "post".into() };
-        let (bar, free) = (Seen::Barred { engine: 1, band: "post" }, Seen::Free { engine: 1, band: "post" });
-        let closed = Seen::Closed { client: 0, connection: 1 };
-        let left = Breach::Left { gateway: 2, at: 3.0, after: 1.0 };
+        let ask = |call| Seen::Asked {
+            client: 0,
+            connection: 1,
+            call,
+            band: "post",
+        };
+        let answer = |call| Seen::Answered {
+            client: 0,
+            connection: 1,
+            call,
+            what: What::Settled,
+        };
+        let forward = |id: &str, engine| Seen::Forward {
+            gateway: 2,
+            engine,
+            id: id.into(),
+            band: "post".into(),
+        };
+        let (bar, free) = (
+            Seen::Barred {
+                engine: 1,
+                band: "post",
+            },
+            Seen::Free {
+                engine: 1,
+                band: "post",
+            },
+        );
+        let closed = Seen::Closed {
+            client: 0,
+            connection: 1,
+        };
+        let left = Breach::Left {
+            gateway: 2,
+            at: 3.0,
+            after: 1.0,
+        };
         for (seen, want) in [
             (vec![ask(1), forward("x", 1), answer(1)], vec![]),
-            (vec![ask(1), answer(1), answer(1)], vec![Breach::TwoAnswers { client: 0, call: 1 }]),
-            (vec![answer(7)], vec![Breach::TwoAnswers { client: 0, call: 7 }]),
-            (vec![ask(1), ask(2), answer(2)], vec![Breach::NoAnswer { client: 0, call: 1 }]),
-            (vec![ask(1), Seen::Killed { gateway: 0 }, closed.clone()], vec![]),
-            (vec![ask(1), closed], vec![Breach::NoAnswer { client: 0, call: 1 }]),
-            (vec![forward("x", 0), forward("x", 1)], vec![Breach::TwiceOut { id: "x".into() }]),
-            (vec![forward("x", 0), bar.clone(), forward("y", 0), forward("z", 1)], vec![left]),
+            (
+                vec![ask(1), answer(1), answer(1)],
+                vec![Breach::TwoAnswers { client: 0, call: 1 }],
+            ),
+            (
+                vec![answer(7)],
+                vec![Breach::TwoAnswers { client: 0, call: 7 }],
+            ),
+            (
+                vec![ask(1), ask(2), answer(2)],
+                vec![Breach::NoAnswer { client: 0, call: 1 }],
+            ),
+            (
+                vec![ask(1), Seen::Killed { gateway: 0 }, closed.clone()],
+                vec![],
+            ),
+            (
+                vec![ask(1), closed],
+                vec![Breach::NoAnswer { client: 0, call: 1 }],
+            ),
+            (
+                vec![forward("x", 0), forward("x", 1)],
+                vec![Breach::TwiceOut { id: "x".into() }],
+            ),
+            (
+                vec![
+                    forward("x", 0),
+                    bar.clone(),
+                    forward("y", 0),
+                    forward("z", 1),
+                ],
+                vec![left],
+            ),
             (vec![bar, free, forward("z", 1)], vec![]),
         ] {
-            let lines: Vec<(f64, Seen)> = seen.into_iter().enumerate().map(|(i, s)| (i as f64, s)).collect();
+            let lines: Vec<(f64, Seen)> = seen
+                .into_iter()
+                .enumerate()
+                .map(|(i, s)| (i as f64, s))
+                .collect();
             assert_eq!(breaches(&lines, &["post"]), want, "{lines:?}");
         }
     }
--- a/crates/fleet/src/rig.rs
+++ b/crates/fleet/src/rig.rs
@@ -42,7 +42,14 @@
 impl Default for Plan {
     fn default() -> Self {
         let (steady, without, edit) = Default::default();
-        Plan { gateways: 5, lease_ms: 1000, steady, takes_ms: 5, without, edit }
+        Plan {
+            gateways: 5,
+            lease_ms: 1000,
+            steady,
+            takes_ms: 5,
+            without,
+            edit,
+        }
     }
 }
 
@@ -98,7 +105,8 @@
 
     /// Files, links and engines; no process yet.
     pub fn laid_out(test: &str, plan: &Plan) -> Rig {
-        let dir = std::env::temp_dir().join(format!("ironstair-fleet-{test}-{}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("ironstair-fleet-{test}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         let book = Book::default();
         let listens: Vec<SocketAddr> = (0..plan.gateways).map(|_| own_address()).collect();
@@ -143,12 +151,22 @@
             Gate { process: None, stopped: false, dir, at: listens[g], management, without, links }
         });
         let gates = gates.collect();
-        Rig { book, dir, gates, loads: Vec::new(), rounds: 0 }
+        Rig {
+            book,
+            dir,
+            gates,
+            loads: Vec::new(),
+            rounds: 0,
+        }
     }
 
     pub fn start(&mut self, g: usize) {
         let gate = &mut self.gates[g];
-        let log = File::options().create(true).append(true).open(gate.dir.join("log")).expect("a log");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(gate.dir.join("log"))
+            .expect("a log");
         let mut serve = Command::new(binary());
         serve
             .arg("serve")
@@ -158,7 +176,10 @@
         if !gate.without.is_empty() {
             serve.env("IRONSTAIR_TAKEN_OUT", gate.without.join(","));
         }
-        serve.stdin(Stdio::null()).stdout(log.try_clone().expect("a log")).stderr(log);
+        serve
+            .stdin(Stdio::null())
+            .stdout(log.try_clone().expect("a log"))
+            .stderr(log);
         gate.process = Some(serve.spawn().expect("a process"));
     }
 
@@ -175,7 +196,9 @@
             said.code == 0 || said.err.contains("has a history")
         });
         until("every keeper votes", || {
-            self.shown(0)["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS)
+            self.shown(0)["keepers"]
+                .as_array()
+                .is_some_and(|k| k.len() == KEEPERS)
         });
     }
 
@@ -194,18 +217,29 @@
 
     /// Whether `check` says fit.
     pub fn fit(&self, g: usize) -> bool {
-        let Ok(stream) = TcpStream::connect(self.gates[g].at) else { return false };
-        if stream.set_read_timeout(Some(Duration::from_secs(5))).is_err() {
+        let Ok(stream) = TcpStream::connect(self.gates[g].at) else {
+            return false;
+        };
+        if stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .is_err()
+        {
             return false;
         }
         let mut client = Client(std::io::BufReader::new(stream));
         client.try_say(r#"{"jsonrpc":"2.0","id":1,"method":"check","params":{}}"#)
-            && client.try_hear().is_some_and(|told| told["result"]["fit"] == json!(true))
+            && client
+                .try_hear()
+                .is_some_and(|told| told["result"]["fit"] == json!(true))
     }
 
     fn command(&self, g: usize, before: &[&str], after: &[&str]) -> Said {
         let mut command = Command::new(binary());
-        command.args(before).arg("--at").arg(self.gates[g].management.to_string()).args(after);
+        command
+            .args(before)
+            .arg("--at")
+            .arg(self.gates[g].management.to_string())
+            .args(after);
         run(&mut command)
     }
 
@@ -217,13 +251,18 @@
     /// The same beside what goes on. One that was made upon what runs no more, since the gateway asked had not caught
     /// up yet, is asked for again, as its operator would.
     pub fn cli_meanwhile(&self, g: usize, args: &[&str]) -> JoinHandle<Said> {
-        let (at, args) = (self.gates[g].management.to_string(), args.iter().map(|a| a.to_string()));
+        let (at, args) = (
+            self.gates[g].management.to_string(),
+            args.iter().map(|a| a.to_string()),
+        );
         let args: Vec<String> = args.collect();
         thread::spawn(move || {
             let late = Instant::now() + WITHIN;
             loop {
                 let said = run(Command::new(binary()).args(&args).arg("--at").arg(&at));
-                let stale = ["runs by now", "is not known here yet"].iter().any(|w| said.err.contains(w));
+                let stale = ["runs by now", "is not known here yet"]
+                    .iter()
+                    .any(|w| said.err.contains(w));
                 if !stale || Instant::now() > late {
                     return said;
                 }
@@ -314,7 +353,9 @@
 
     pub fn signal(&mut self, g: usize, signal: &str) {
         if let Some(process) = &self.gates[g].process {
-            let sent = Command::new("kill").args([signal, &process.id().to_string()]).status();
+            let sent = Command::new("kill")
+                .args([signal, &process.id().to_string()])
+                .status();
             assert!(sent.is_ok_and(|s| s.success()), "{signal} to {}", name(g));
         }
     }
@@ -376,7 +417,11 @@
         for other in (0..self.gates.len()).filter(|o| *o != g) {
             for (own, link) in self.links(g, other) {
                 // Who opens a connection sends there and hears back.
-                let (out, back) = if own { (Way::There, Way::Back) } else { (Way::Back, Way::There) };
+                let (out, back) = if own {
+                    (Way::There, Way::Back)
+                } else {
+                    (Way::Back, Way::There)
+                };
                 if sends {
                     link.cut(out);
                 }
@@ -390,12 +435,16 @@
     /// All that a gateway says to others and hears from them comes so late.
     pub fn slow(&self, g: usize, ms: u64) {
         for other in (0..self.gates.len()).filter(|o| *o != g) {
-            self.links(g, other).for_each(|(_, l)| l.delay(Way::Both, ms));
+            self.links(g, other)
+                .for_each(|(_, l)| l.delay(Way::Both, ms));
         }
     }
 
     pub fn heal(&self) {
-        self.gates.iter().flat_map(|g| g.links.values()).for_each(Link::heal);
+        self.gates
+            .iter()
+            .flat_map(|g| g.links.values())
+            .for_each(Link::heal);
     }
 
     /// Of a gateway's process; 0 where there is none.
@@ -405,7 +454,12 @@
 
     /// Bytes over the links that a gateway opened, there and back.
     pub fn passed(&self, g: usize) -> u64 {
-        self.gates[g].links.values().map(|l| l.passed()).map(|(there, back)| there + back).sum()
+        self.gates[g]
+            .links
+            .values()
+            .map(|l| l.passed())
+            .map(|(there, back)| there + back)
+            .sum()
     }
 
     /// What a gateway wrote to its log.
@@ -474,7 +528,12 @@
     pub fn over(&mut self) -> BTreeMap<What, usize> {
         let found = self.end_of_load();
         let told: Vec<String> = found.iter().take(8).map(Breach::to_string).collect();
-        assert!(found.is_empty(), "{} breaches: {}", found.len(), told.join("; "));
+        assert!(
+            found.is_empty(),
+            "{} breaches: {}",
+            found.len(),
+            told.join("; ")
+        );
         self.book.answers()
     }
 
@@ -508,7 +567,11 @@
 fn run(command: &mut Command) -> Said {
     let out = command.output().expect("a command");
     let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
-    Said { code: out.status.code().unwrap_or(-1), out: text(out.stdout), err: text(out.stderr) }
+    Said {
+        code: out.status.code().unwrap_or(-1),
+        out: text(out.stdout),
+        err: text(out.stderr),
+    }
 }
 
 fn rewrite(path: &Path, edit: impl FnOnce(&mut Value)) {
@@ -531,9 +594,18 @@
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
-        let band = line.split("c=").nth(1).and_then(|r| r.split([',', ' ']).next()).unwrap_or_default();
+        let band = line
+            .split("c=")
+            .nth(1)
+            .and_then(|r| r.split([',', ' ']).next())
+            .unwrap_or_default();
         let id = stand::id(line).to_string();
-        book.note(Seen::Forward { gateway, engine: nth, id, band: band.to_string() });
+        book.note(Seen::Forward {
+            gateway,
+            engine: nth,
+            id,
+            band: band.to_string(),
+        });
         thread::sleep(Duration::from_millis(takes_ms));
         (done(line, "a\tb\tc\n"), false)
     });
@@ -557,7 +629,8 @@
 
 impl Load {
     fn of(at: SocketAddr, client: usize, first: usize, book: Book) -> Load {
-        let (over, paused, open): (Arc<AtomicBool>, Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
+        let (over, paused, open): (Arc<AtomicBool>, Arc<AtomicBool>, Arc<AtomicUsize>) =
+            Default::default();
         let (o, p, n) = (over.clone(), paused.clone(), open.clone());
         let thread = thread::spawn(move || {
             for connection in first.. {
@@ -573,7 +646,12 @@
                 book.note(Seen::Closed { client, connection });
             }
         });
-        Load { over, paused, open, thread }
+        Load {
+            over,
+            paused,
+            open,
+            thread,
+        }
     }
 }
 
@@ -599,9 +677,18 @@
             // Ids differ among clients and connections.
             let call = (client as u64 + 1) << 48 | (connection as u64) << 32 | asked;
             open.fetch_add(1, Relaxed);
-            book.note(Seen::Asked { client, connection, call, band });
+            book.note(Seen::Asked {
+                client,
+                connection,
+                call,
+                band,
+            });
             // Of many table groups: each engine is the home of some.
-            if !c.try_ask_of(band, call, &format!("select a from s_{}.t", asked / 2 % TABLES)) {
+            if !c.try_ask_of(
+                band,
+                call,
+                &format!("select a from s_{}.t", asked / 2 % TABLES),
+            ) {
                 return;
             }
             thread::sleep(EVERY);
@@ -624,7 +711,12 @@
             Some(_) => What::Refused,
         };
         let call = told["id"].as_u64().unwrap_or(0);
-        book.note(Seen::Answered { client, connection, call, what });
+        book.note(Seen::Answered {
+            client,
+            connection,
+            call,
+            what,
+        });
         open.fetch_sub(1, Relaxed);
     }
 }
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -54,17 +54,28 @@
             0 | 1 => Fault::Kill(g),
             2 | 3 => Fault::Stop(g),
             4 => Fault::CutOff(g, true, true),
-            5 => [Fault::CutOff(g, true, false), Fault::CutOff(g, false, true)][below(2) as usize].clone(),
+            5 => [Fault::CutOff(g, true, false), Fault::CutOff(g, false, true)][below(2) as usize]
+                .clone(),
             6 => Fault::Slow(g, 50 + below(400)),
             7 => Fault::Wipe(keeper),
             _ => Fault::KillKeepers,
         };
         let lasts = LASTS.start + below(LASTS.end - LASTS.start);
         let band = BANDS[below(2) as usize];
-        let ask =
-            [Ask::Bar(band), Ask::Bar(band), Ask::Free(band), Ask::Forwards(2 + below(5)), Ask::Nothing];
+        let ask = [
+            Ask::Bar(band),
+            Ask::Bar(band),
+            Ask::Free(band),
+            Ask::Forwards(2 + below(5)),
+            Ask::Nothing,
+        ];
         let ask = ask[below(5) as usize];
-        Step { fault, lasts, ask, at: below(GATEWAYS) as usize }
+        Step {
+            fault,
+            lasts,
+            ask,
+            at: below(GATEWAYS) as usize,
+        }
     };
     (0..STEPS).map(step).collect()
 }
@@ -74,9 +85,10 @@
         Ask::Nothing => None,
         Ask::Bar(band) => Some(rig.bar_meanwhile(at, band)),
         Ask::Free(band) => Some(rig.free_meanwhile(at, band)),
-        Ask::Forwards(n) => {
-            Some(rig.cli_meanwhile(at, &["set", "/settings/forwards-most", &n.to_string(), "--fleet"]))
-        }
+        Ask::Forwards(n) => Some(rig.cli_meanwhile(
+            at,
+            &["set", "/settings/forwards-most", &n.to_string(), "--fleet"],
+        )),
     }
 }
 
@@ -84,7 +96,9 @@
 pub fn play(rig: &mut Rig, steps: &[Step]) -> usize {
     let (mut made, mut lost) = (0, None);
     for step in steps {
-        let (lasts, asks) = (Duration::from_millis(step.lasts), |rig: &Rig| ask(rig, step.at, step.ask));
+        let (lasts, asks) = (Duration::from_millis(step.lasts), |rig: &Rig| {
+            ask(rig, step.at, step.ask)
+        });
         // Half of it lies before what is asked, half after.
         let meanwhile = |rig: &Rig| {
             thread::sleep(lasts / 2);
@@ -118,7 +132,8 @@
             }
             Fault::Wipe(k) => {
                 // A further disk, lost before the last one's keeper has a vote again, is one too many.
-                let votes = |rig: &Rig, k: usize| rig.log(k).matches("this keeper has a vote").count();
+                let votes =
+                    |rig: &Rig, k: usize| rig.log(k).matches("this keeper has a vote").count();
                 until("the keeper whose disk was lost has a vote", || {
                     lost.is_none_or(|(lost, before)| votes(rig, lost) > before)
                 });
@@ -165,5 +180,8 @@
     (1..GATEWAYS as usize).for_each(|g| assert_eq!(of(g), first, "{} and {}", name(g), name(0)));
 }
 
-const SETTINGS: [&str; 3] =
-    ["/settings/forwards-most", "/settings/band[name=lookup]/zone", "/settings/band[name=post]/zone"];
+const SETTINGS: [&str; 3] = [
+    "/settings/forwards-most",
+    "/settings/band[name=lookup]/zone",
+    "/settings/band[name=post]/zone",
+];
--- a/crates/fleet/src/stand.rs
+++ b/crates/fleet/src/stand.rs
@@ -13,7 +13,9 @@
 pub type Seen = Arc<Mutex<Vec<String>>>;
 
 /// An engine that answers each line as `act` says: bytes to send, and whether to end the connection then.
-pub fn engine(act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static) -> (SocketAddr, Seen) {
+pub fn engine(
+    act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
+) -> (SocketAddr, Seen) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (at, seen) = (listener.local_addr().unwrap(), Seen::default());
     answer_all(listener, seen.clone(), act);
@@ -36,7 +38,9 @@
 impl Opened {
     /// Until so many connections that were kept back have come up, with the next tries of the system's.
     pub fn until_up(&self, connections: usize) {
-        assert!(soon(|| self.ups.load(Ordering::Relaxed) as usize >= connections + self._fills.len()));
+        assert!(soon(
+            || self.ups.load(Ordering::Relaxed) as usize >= connections + self._fills.len()
+        ));
     }
 }
 
@@ -55,12 +59,24 @@
     pub fn until_kept_back(&self, connections: usize) {
         let port = self.listener.local_addr().unwrap().port();
         let sent = format!(":{port:04X} 02 ");
-        let on_their_way = || std::fs::read_to_string("/proc/net/tcp").unwrap().matches(&sent).count();
-        assert!(soon(|| on_their_way() >= connections), "{} on their way", on_their_way());
+        let on_their_way = || {
+            std::fs::read_to_string("/proc/net/tcp")
+                .unwrap()
+                .matches(&sent)
+                .count()
+        };
+        assert!(
+            soon(|| on_their_way() >= connections),
+            "{} on their way",
+            on_their_way()
+        );
     }
 
     /// From now on an engine.
-    pub fn open(self, act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static) -> Opened {
+    pub fn open(
+        self,
+        act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
+    ) -> Opened {
         let (seen, _fills) = (Seen::default(), self.fills);
         rustix::net::listen(&self.listener, 128).unwrap();
         let ups = answer_all(self.listener, seen.clone(), act);
@@ -90,7 +106,10 @@
                         from.read_exact(&mut bytes).unwrap();
                         body = String::from_utf8(bytes).unwrap();
                     }
-                    lines.lock().unwrap().push(format!("{}{body}", line.trim_end()));
+                    lines
+                        .lock()
+                        .unwrap()
+                        .push(format!("{}{body}", line.trim_end()));
                     let (answer, end) = act(line.trim_end(), &body);
                     // The gateway may have left meanwhile.
                     if to.write_all(&answer).is_err() {
@@ -112,7 +131,12 @@
 }
 
 pub fn done(line: &str, rows: &str) -> Vec<u8> {
-    format!("{} DONE pages=1,cost=5,need=4 {}\r\n{rows}\r\n", id(line), rows.len()).into_bytes()
+    format!(
+        "{} DONE pages=1,cost=5,need=4 {}\r\n{rows}\r\n",
+        id(line),
+        rows.len()
+    )
+    .into_bytes()
 }
 
 pub struct Gateway {
@@ -142,12 +166,24 @@
 pub fn answer(serial: u32, engines: &[(&str, SocketAddr, u16)]) -> Vec<u8> {
     let count = engines.len() as u16;
     let mut m = vec![0x84, 0, 0, 0];
-    m.extend([count.to_be_bytes(), 1u16.to_be_bytes(), (2 * count).to_be_bytes()].concat());
+    m.extend(
+        [
+            count.to_be_bytes(),
+            1u16.to_be_bytes(),
+            (2 * count).to_be_bytes(),
+        ]
+        .concat(),
+    );
     let mut record = |name: &str, kind: u16, data: Vec<u8>| {
         names(&mut m, name);
         m.extend(
-            [&kind.to_be_bytes()[..], &[0, 1, 0, 0, 0, 0], &(data.len() as u16).to_be_bytes(), &data]
-                .concat(),
+            [
+                &kind.to_be_bytes()[..],
+                &[0, 1, 0, 0, 0, 0],
+                &(data.len() as u16).to_be_bytes(),
+                &data,
+            ]
+            .concat(),
         );
     };
     for (name, at, state) in engines {
@@ -162,7 +198,11 @@
     for (name, at, _) in engines {
         let SocketAddr::V4(at) = at else { panic!() };
         record(&format!("{name}.a.hosts"), 1, at.ip().octets().to_vec());
-        record(&format!("{name}.a.hosts"), 16, b"\x06kind=m\x06cell=0\x09started=0".to_vec());
+        record(
+            &format!("{name}.a.hosts"),
+            16,
+            b"\x06kind=m\x06cell=0\x09started=0".to_vec(),
+        );
     }
     m
 }
@@ -170,7 +210,10 @@
 /// A name service that answers each question with the list set, as soon as there is one.
 pub fn name_service() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let service = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let (at, roster) = (service.local_addr().unwrap(), Arc::new(Mutex::new(Vec::new())));
+    let (at, roster) = (
+        service.local_addr().unwrap(),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     let list = roster.clone();
     thread::spawn(move || {
         let mut query = [0; 512];
@@ -188,7 +231,15 @@
     let (pid, nth) = (std::process::id(), NTH.fetch_add(1, Ordering::Relaxed));
     // Hundreds of processes in one run: then other ports, of which each may use three.
     let port = 8080 + 3 * (nth / 250) as u16;
-    SocketAddr::from(([127, 64 + (pid >> 8 & 63) as u8, pid as u8, 1 + (nth % 250) as u8], port))
+    SocketAddr::from((
+        [
+            127,
+            64 + (pid >> 8 & 63) as u8,
+            pid as u8,
+            1 + (nth % 250) as u8,
+        ],
+        port,
+    ))
 }
 
 pub fn gateway(test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
@@ -209,7 +260,9 @@
         json!({"instanceId": name, "hostPort": at.to_string(), "zone": "a", "machineType": "m", "cell": 0,
             "lifecycle": "ready", "weight": 4, "startedAtMs": 0})
     });
-    let threads: Vec<u32> = (0..classes.as_array().unwrap().len()).map(|i| 1 + 3 * (i % 2) as u32).collect();
+    let threads: Vec<u32> = (0..classes.as_array().unwrap().len())
+        .map(|i| 1 + 3 * (i % 2) as u32)
+        .collect();
     let told = json!({"name": "n0", "listen": own_address().to_string(), "seed": "8c1f30d27a5be964",
     "names": names.to_string(),
     "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": true, "instances": known.collect::<Vec<_>>()}}]},
@@ -236,19 +289,29 @@
         std::fs::write(dir.join("operator.json"), operator.to_string()).unwrap();
     }
     let process = serve(&dir);
-    Gateway { process, at, roster, dir }
+    Gateway {
+        process,
+        at,
+        roster,
+        dir,
+    }
 }
 
 /// The built program that lies beside the running test or tool.
 pub fn binary() -> std::path::PathBuf {
     let own = std::env::current_exe().unwrap();
     let folders = own.ancestors().skip(1).take(2).map(|f| f.join("ironstair"));
-    folders.into_iter().find(|f| f.is_file()).expect("the program is built beside this one")
+    folders
+        .into_iter()
+        .find(|f| f.is_file())
+        .expect("the program is built beside this one")
 }
 
 pub fn serve(dir: &std::path::Path) -> Child {
     let mut serve = Command::new(binary());
-    serve.arg("serve").env("ROUTER_CONFIG", dir.join("told.json"));
+    serve
+        .arg("serve")
+        .env("ROUTER_CONFIG", dir.join("told.json"));
     if dir.join("operator.json").exists() {
         serve.arg("--operator").arg(dir.join("operator.json"));
     }
@@ -270,7 +333,10 @@
         self.signal("-HUP");
     }
     pub fn signal(&self, name: &str) {
-        Command::new("kill").args([name, &self.process.id().to_string()]).status().unwrap();
+        Command::new("kill")
+            .args([name, &self.process.id().to_string()])
+            .status()
+            .unwrap();
     }
 }
 
@@ -303,7 +369,10 @@
     }
     /// Whether it went out.
     pub fn try_say(&mut self, message: &str) -> bool {
-        self.0.get_mut().write_all(framed(message).as_bytes()).is_ok()
+        self.0
+            .get_mut()
+            .write_all(framed(message).as_bytes())
+            .is_ok()
     }
     /// The statement is the text `select 1`.
     pub fn ask(&mut self, call: u64) {
@@ -337,8 +406,15 @@
     pub fn rows(&mut self) -> (u64, Vec<u8>) {
         use base64::Engine;
         let answer = self.hear();
-        let text = answer["result"]["bytes"].as_str().unwrap_or_else(|| panic!("{answer}"));
-        (answer["id"].as_u64().unwrap(), base64::engine::general_purpose::STANDARD.decode(text).unwrap())
+        let text = answer["result"]["bytes"]
+            .as_str()
+            .unwrap_or_else(|| panic!("{answer}"));
+        (
+            answer["id"].as_u64().unwrap(),
+            base64::engine::general_purpose::STANDARD
+                .decode(text)
+                .unwrap(),
+        )
     }
 }
 
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -18,12 +18,22 @@
 
 fn spread(mut all: Vec<f64>) -> String {
     all.sort_by(f64::total_cmp);
-    format!("{:.1} ({:.1} to {:.1})", all[all.len() / 2], all[0], all[all.len() - 1])
+    format!(
+        "{:.1} ({:.1} to {:.1})",
+        all[all.len() / 2],
+        all[0],
+        all[all.len() - 1]
+    )
 }
 
 fn processor_us(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = text.rsplit_once(')').unwrap().1.split_whitespace().collect();
+    let fields: Vec<&str> = text
+        .rsplit_once(')')
+        .unwrap()
+        .1
+        .split_whitespace()
+        .collect();
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) * 1e4
 }
 
@@ -79,13 +89,21 @@
             for call in 0..calls {
                 let now = 2.0 + call as f64 / 10.0;
                 let cells = if cells { 1 << (call % 8) } else { 0 };
-                let of = Submission { left: 5000.0, tables: call % 40, cells, ..Submission::default() };
+                let of = Submission {
+                    left: 5000.0,
+                    tables: call % 40,
+                    cells,
+                    ..Submission::default()
+                };
                 module.take(now, call as usize % 64, of, &mut hands);
                 if let Some(s) = hands.0.take() {
                     module.outcome(
                         now + 0.05,
                         s,
-                        Outcome::Settled(Some(Cost { work: 1.0, memory_mb: 0.0 })),
+                        Outcome::Settled(Some(Cost {
+                            work: 1.0,
+                            memory_mb: 0.0,
+                        })),
                         true,
                         &mut hands,
                     );
@@ -111,13 +129,16 @@
     println!("| --- | --- | --- | --- |");
     for n in SIZES {
         // Eight that answer at once stand behind all names.
-        let real: Vec<SocketAddr> =
-            (0..8).map(|_| engine(|line, _| (done(line, "a\tb\tc\n"), false)).0).collect();
+        let real: Vec<SocketAddr> = (0..8)
+            .map(|_| engine(|line, _| (done(line, "a\tb\tc\n"), false)).0)
+            .collect();
         let names: Vec<String> = (0..n).map(|i| format!("engine-{i}")).collect();
-        let listed: Vec<(&str, SocketAddr)> =
-            names.iter().enumerate().map(|(i, n)| (n.as_str(), real[i % 8])).collect();
-        let class =
-            json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
+        let listed: Vec<(&str, SocketAddr)> = names
+            .iter()
+            .enumerate()
+            .map(|(i, n)| (n.as_str(), real[i % 8]))
+            .collect();
+        let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
         let (mut told, roster) = told(1, json!([class]), &listed);
         told["limits"] = json!({"memory_mb": 512, "sockets": 8192});
         let gateway = started(&format!("bench-calls-{groups}-{n}"), told, roster, None);
@@ -145,7 +166,8 @@
             costs.push((processor_us(gateway.process.id()) - before) / calls);
             rates.push(calls / since.elapsed().as_secs_f64());
         }
-        let text = std::fs::read_to_string(format!("/proc/{}/status", gateway.process.id())).unwrap();
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/status", gateway.process.id())).unwrap();
         let rss = text
             .lines()
             .find(|l| l.starts_with("VmRSS"))
