--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -34,7 +34,12 @@
 fn taken_over(log: &str) -> Vec<f64> {
     let lines = log.lines().filter(|l| l.contains("settings changed"));
     let at = lines.filter_map(|l| {
-        let clock: Vec<f64> = l.split(' ').nth(2)?.split(':').filter_map(|p| p.parse().ok()).collect();
+        let clock: Vec<f64> = l
+            .split(' ')
+            .nth(2)?
+            .split(':')
+            .filter_map(|p| p.parse().ok())
+            .collect();
         Some(clock[0] * 3.6e6 + clock[1] * 6e4 + clock[2] * 1e3)
     });
     at.collect()
@@ -48,16 +53,31 @@
         let at = all.iter().map(|t| t[t.len() - back]);
         at.fold((f64::INFINITY, 0.0), |a, t| (a.0.min(t), a.1.max(t)))
     };
-    let steps: Vec<((f64, f64), (f64, f64))> =
-        (1..=changes).map(|c| (step(2 * c), step(2 * c - 1))).collect();
-    let widest = steps.iter().flat_map(|s| [s.0 .1 - s.0 .0, s.1 .1 - s.1 .0]).fold(0.0, f64::max);
-    (widest, steps.iter().map(|s| s.1 .0 - s.0 .1).fold(f64::INFINITY, f64::min))
+    let steps: Vec<((f64, f64), (f64, f64))> = (1..=changes)
+        .map(|c| (step(2 * c), step(2 * c - 1)))
+        .collect();
+    let widest = steps
+        .iter()
+        .flat_map(|s| [s.0 .1 - s.0 .0, s.1 .1 - s.1 .0])
+        .fold(0.0, f64::max);
+    (
+        widest,
+        steps
+            .iter()
+            .map(|s| s.1 .0 - s.0 .1)
+            .fold(f64::INFINITY, f64::min),
+    )
 }
 
 /// Seconds of processor that a process has used.
 fn processor(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap()
+        .split_whitespace()
+        .collect();
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
@@ -65,7 +85,11 @@
     println!("| processes | set to held everywhere, p50 / p99, ms | one cut off: the first, the middle of three more, ms | a step's first to last, ms | last old to first new, ms |");
     let mut idle = Vec::new();
     for gateways in [3, 10, 30] {
-        let plan = Plan { gateways, lease_ms: LEASE, ..Plan::default() };
+        let plan = Plan {
+            gateways,
+            lease_ms: LEASE,
+            ..Plan::default()
+        };
         let rig = Rig::started(&format!("bench-{gateways}"), &plan);
         let mut took = timed(&rig, gateways - 1, CHANGES);
         let (widest, between) = side_by_side(&rig, gateways, CHANGES);
@@ -76,7 +100,10 @@
         let (before, span) = ([of(chair), of(keeper), of(member)], Duration::from_secs(10));
         std::thread::sleep(span);
         let after = [of(chair), of(keeper), of(member)];
-        for (who, (a, b)) in ["chair", "keeper", "member"].iter().zip(before.iter().zip(&after)) {
+        for (who, (a, b)) in ["chair", "keeper", "member"]
+            .iter()
+            .zip(before.iter().zip(&after))
+        {
             let s = span.as_secs_f64();
             idle.push(format!(
                 "| {gateways} | {who} | {:.2} | {:.0} |",
@@ -96,7 +123,9 @@
             quantile(&mut cut, 0.5),
         );
     }
-    println!("\n| processes | idle | processor, % of a core | bytes a second over the links it opened |");
+    println!(
+        "\n| processes | idle | processor, % of a core | bytes a second over the links it opened |"
+    );
     idle.iter().for_each(|l| println!("{l}"));
 }
 
@@ -106,14 +135,28 @@
 }
 
 fn without_fleet(test: &str) -> Rig {
-    let mut rig = Rig::laid_out(test, &Plan { gateways: 3, edit: Some(alone), ..Plan::default() });
+    let mut rig = Rig::laid_out(
+        test,
+        &Plan {
+            gateways: 3,
+            edit: Some(alone),
+            ..Plan::default()
+        },
+    );
     (0..3).for_each(|g| rig.start(g));
     (0..3).for_each(|g| rig.until_fit(g));
     rig
 }
 
 fn with_fleet(test: &str) -> Rig {
-    Rig::started(test, &Plan { gateways: 3, lease_ms: LEASE, ..Plan::default() })
+    Rig::started(
+        test,
+        &Plan {
+            gateways: 3,
+            lease_ms: LEASE,
+            ..Plan::default()
+        },
+    )
 }
 
 fn shares() {
@@ -132,9 +175,13 @@
     alone.load();
     for value in 2..7 {
         for g in 0..3 {
-            alone.retell(g, |told| told["settings"]["policy_limits"]["max_attempts"] = json!(value));
+            alone.retell(g, |told| {
+                told["settings"]["policy_limits"]["max_attempts"] = json!(value)
+            });
             let seen = value as usize - 1;
-            until("it holds", || alone.log(g).matches("new settings hold").count() >= seen);
+            until("it holds", || {
+                alone.log(g).matches("new settings hold").count() >= seen
+            });
         }
     }
     let (back, all) = share(&mut alone);
@@ -159,7 +206,10 @@
         println!("processor for a call: {with:.0} us in a fleet, {without:.0} us alone");
         ratios.push(with / without);
     }
-    println!("ratio, median of five pairs: {:.2}", quantile(&mut ratios, 0.5));
+    println!(
+        "ratio, median of five pairs: {:.2}",
+        quantile(&mut ratios, 0.5)
+    );
 }
 
 /// A chair alone with so many members that beat, in virtual time: its processor for a second of that.
@@ -169,8 +219,9 @@
     let log = Logger::root(Discard, o!());
     let lease = LEASE as f64;
     let mut keeper: Keeper<Value> = Keeper::open("a", 0, lease, &image, 0.0, &log).unwrap();
-    let mut all: Vec<Member> =
-        (0..members).map(|m| Member::new(&format!("g{m}"), m as u64 + 1, false, lease)).collect();
+    let mut all: Vec<Member> = (0..members)
+        .map(|m| Member::new(&format!("g{m}"), m as u64 + 1, false, lease))
+        .collect();
     let (mut now, mut bytes, mut beats, mut since) = (0.0, 0usize, 0usize, Instant::now());
     let seconds = 60.0;
     while now < 20_000.0 + seconds * 1000.0 {
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -30,7 +30,12 @@
 /// Median over rounds, and least to most.
 fn spread(mut all: Vec<u64>) -> String {
     all.sort_unstable();
-    format!("{} ({} to {})", all[all.len() / 2], all[0], all[all.len() - 1])
+    format!(
+        "{} ({} to {})",
+        all[all.len() / 2],
+        all[0],
+        all[all.len() - 1]
+    )
 }
 
 fn resident(pid: u32) -> u64 {
@@ -41,14 +46,21 @@
 
 fn processor_ms(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = text.rsplit_once(')').unwrap().1.split_whitespace().collect();
+    let fields: Vec<&str> = text
+        .rsplit_once(')')
+        .unwrap()
+        .1
+        .split_whitespace()
+        .collect();
     (fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()) * 10
 }
 
 /// Engines that are told and never asked.
 fn listed(n: usize) -> Vec<(String, SocketAddr)> {
     let address = |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, 1 + (i % 250) as u8], 9));
-    (0..n).map(|i| (format!("engine-{i}"), address(i))).collect()
+    (0..n)
+        .map(|i| (format!("engine-{i}"), address(i)))
+        .collect()
 }
 
 fn reads() {
@@ -58,7 +70,8 @@
     println!("| --- | --- | --- | --- | --- |");
     for n in [10, 100, 1000] {
         let engines = listed(n);
-        let engines: Vec<(&str, SocketAddr)> = engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
+        let engines: Vec<(&str, SocketAddr)> =
+            engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
         let (gateway, at) = managed(&format!("bench-reads-{n}"), &engines);
         runtime().block_on(async {
             let mut c = client(at).await;
@@ -83,12 +96,18 @@
             let idle = processor_ms(gateway.process.id());
             tokio::time::sleep(Duration::from_secs(3)).await;
             let idle = processor_ms(gateway.process.id()) - idle;
-            let mut s = subscribe(&mut c, subscribing("/state", SubscriptionMode::OnChange)).await.unwrap();
+            let mut s = subscribe(&mut c, subscribing("/state", SubscriptionMode::OnChange))
+                .await
+                .unwrap();
             let before = processor_ms(gateway.process.id());
             let reading = async { while s.message().await.is_ok() {} };
             let _ = tokio::time::timeout(Duration::from_secs(3), reading).await;
             let watched = (processor_ms(gateway.process.id()) - before).saturating_sub(idle) / 3;
-            println!("| {n} | {} | {} | {bytes} | {watched} |", spread(leaf), spread(whole));
+            println!(
+                "| {n} | {} | {} | {bytes} | {watched} |",
+                spread(leaf),
+                spread(whole)
+            );
         });
     }
 }
@@ -124,11 +143,16 @@
             let mut c = client(at).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             for round in 0..ROUNDS as u32 {
-                let (before, stood) = (heard.load(Ordering::Relaxed), stands_for.load(Ordering::Relaxed));
+                let (before, stood) = (
+                    heard.load(Ordering::Relaxed),
+                    stands_for.load(Ordering::Relaxed),
+                );
                 let (since, mut made) = (Instant::now(), 0u32);
                 while since.elapsed() < Duration::from_secs(1) {
                     made += 1;
-                    set(&mut c, "/settings/advice", json!(1 + (made + round) % 5000)).await.unwrap();
+                    set(&mut c, "/settings/advice", json!(1 + (made + round) % 5000))
+                        .await
+                        .unwrap();
                 }
                 let seconds = since.elapsed().as_secs_f64();
                 rates.push((made as f64 / seconds) as u64);
@@ -138,7 +162,12 @@
                 folded.push(stood / told.max(1));
             }
         });
-        println!("| {n} | {} | {} | {} |", spread(rates), spread(told_rates), spread(folded));
+        println!(
+            "| {n} | {} | {} | {} |",
+            spread(rates),
+            spread(told_rates),
+            spread(folded)
+        );
     }
 }
 
@@ -148,7 +177,10 @@
     for kept in [false, true] {
         let (_gateway, at) = managed_with(&format!("bench-apply-{kept}"), &[], |operator, _| {
             if !kept {
-                operator["management"].as_object_mut().unwrap().remove("state");
+                operator["management"]
+                    .as_object_mut()
+                    .unwrap()
+                    .remove("state");
             }
         });
         runtime().block_on(async {
@@ -164,7 +196,11 @@
                 half.push(us(&h, 0.5));
                 tail.push(us(&h, 0.99));
             }
-            let how = if kept { "kept on disk" } else { "as long as the process" };
+            let how = if kept {
+                "kept on disk"
+            } else {
+                "as long as the process"
+            };
             println!("| {how} | {} | {} |", spread(half), spread(tail));
         });
     }
@@ -222,10 +258,19 @@
                         mode: SubscriptionMode::Sample as i32,
                         ..Default::default()
                     }];
-                    let list = gnmi::SubscriptionList { subscription, encoding: 2, ..Default::default() };
+                    let list = gnmi::SubscriptionList {
+                        subscription,
+                        encoding: 2,
+                        ..Default::default()
+                    };
                     let request = Some(gnmi::subscribe_request::Request::Subscribe(list));
-                    let first = gnmi::SubscribeRequest { request, extension: Vec::new() };
-                    let Ok(mut s) = subscribe(&mut c, first).await else { continue };
+                    let first = gnmi::SubscribeRequest {
+                        request,
+                        extension: Vec::new(),
+                    };
+                    let Ok(mut s) = subscribe(&mut c, first).await else {
+                        continue;
+                    };
                     while busy.load(Ordering::Relaxed) && s.message().await.is_ok() {}
                 }
             });
@@ -279,7 +324,9 @@
                     clients.push(client(at).await);
                 }
                 let c = clients.last_mut().unwrap();
-                let mut s = subscribe(c, subscribing("/state", SubscriptionMode::OnChange)).await.unwrap();
+                let mut s = subscribe(c, subscribing("/state", SubscriptionMode::OnChange))
+                    .await
+                    .unwrap();
                 // Up to the first word's end; then it is left to itself.
                 while let Some(m) = s.message().await.unwrap() {
                     if matches!(m.response, Some(Sent::SyncResponse(_))) {
@@ -290,7 +337,10 @@
             }
             tokio::time::sleep(Duration::from_millis(500)).await;
             let now = resident(gateway.process.id());
-            println!("| {most} | {now} | {} |", now.saturating_sub(first) / most as u64);
+            println!(
+                "| {most} | {now} | {} |",
+                now.saturating_sub(first) / most as u64
+            );
         }
     });
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -61,7 +61,15 @@
     let _ = stream.get_ref().set_nodelay(true);
     let (own, replies) = async_channel::bounded(MAILBOX);
     let (open, writing, faults, ended) = Default::default();
-    let client = Client { shared, place, own, open, writing, faults, ended };
+    let client = Client {
+        shared,
+        place,
+        own,
+        open,
+        writing,
+        faults,
+        ended,
+    };
     let read = async {
         let how = client.read(&stream).await.map_err(|e| e.kind());
         if how.is_err_and(|kind| kind != io::ErrorKind::ConnectionAborted) {
@@ -88,11 +96,15 @@
         return;
     }
     // The place is the next one's; without room to linger the end is at once.
-    let Some(_lingers) = place.linger() else { return };
+    let Some(_lingers) = place.linger() else {
+        return;
+    };
     let thrown_away = async {
         for _ in 0..THROWN_AWAY {
             stream.readable().await?;
-            let Some(mut buffer) = shared.pool.lend() else { break };
+            let Some(mut buffer) = shared.pool.lend() else {
+                break;
+            };
             if (&mut &stream).read(buffer.space()).await? == 0 {
                 break;
             }
@@ -103,13 +115,17 @@
 }
 
 fn id(text: &[u8]) -> Option<Id> {
-    Id::try_from(text).ok().filter(|id| id.iter().all(u8::is_ascii_hexdigit))
+    Id::try_from(text)
+        .ok()
+        .filter(|id| id.iter().all(u8::is_ascii_hexdigit))
 }
 
 /// A word that fits among the fields of an engine's line.
 fn once(text: &[u8]) -> Option<Rc<str>> {
     let fits = |c: &u8| c.is_ascii_alphanumeric() || b"-_.:".contains(c);
-    let text = std::str::from_utf8(text).ok().filter(|t| t.bytes().all(|c| fits(&c)))?;
+    let text = std::str::from_utf8(text)
+        .ok()
+        .filter(|t| t.bytes().all(|c| fits(&c)))?;
     (1..=ONCE_MOST).contains(&text.len()).then(|| text.into())
 }
 
@@ -119,33 +135,56 @@
         let open = self.open.take();
         open.values().for_each(|(_, waits)| waits.set(false));
         for (id, _) in open.into_values() {
-            let _ = self.shared.module.send(Event::Left(id, self.own.clone())).await;
+            let _ = self
+                .shared
+                .module
+                .send(Event::Left(id, self.own.clone()))
+                .await;
         }
     }
 
     /// The client's way has ended: whether it has closed its connection can't be told before something is written.
     /// What is out may still be answered; nothing more begins.
     async fn closed(&self) {
-        let soon = time(&self.shared.clock, Some(self.shared.clock.now() + CLOSED_BEGINS));
+        let soon = time(
+            &self.shared.clock,
+            Some(self.shared.clock.now() + CLOSED_BEGINS),
+        );
         or(self.quiet(), soon).await;
         let open: Vec<(Id, Waits)> = self.open.borrow().values().cloned().collect();
         open.iter().for_each(|(_, waits)| waits.set(false));
         for (id, _) in open {
-            let _ = self.shared.module.send(Event::Closed(id, self.own.clone())).await;
+            let _ = self
+                .shared
+                .module
+                .send(Event::Closed(id, self.own.clone()))
+                .await;
         }
     }
 
     /// Until the client is seen to have gone, while nothing is read: its end, behind what is unread too.
     async fn left_unread(&self, stream: &Async<TcpStream>) -> io::Result<()> {
         loop {
-            time(&self.shared.clock, Some(self.shared.clock.now() + LOOK_EVERY)).await;
+            time(
+                &self.shared.clock,
+                Some(self.shared.clock.now() + LOOK_EVERY),
+            )
+            .await;
             let mut of = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
-            let ended = poll(&mut of, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|n| n > 0);
+            let ended = poll(
+                &mut of,
+                Some(&Timespec {
+                    tv_sec: 0,
+                    tv_nsec: 0,
+                }),
+            )
+            .is_ok_and(|n| n > 0);
             if ended && of[0].revents().intersects(PollFlags::ERR | PollFlags::HUP) {
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
             if ended {
-                self.ended.set(self.ended.get().or(Some(self.shared.clock.now())));
+                self.ended
+                    .set(self.ended.get().or(Some(self.shared.clock.now())));
                 self.closed().await;
                 return pending().await;
             }
@@ -161,7 +200,8 @@
     fn over(&self, call: Option<u64>, answered: bool) {
         let mut open = self.open.borrow_mut();
         call.and_then(|c| open.remove(&c));
-        self.place.rest(self.shared.clock.now(), answered, !open.is_empty());
+        self.place
+            .rest(self.shared.clock.now(), answered, !open.is_empty());
     }
 
     /// Until a connection on which nothing is open has been quiet for too long, or a message, begun at `since`,
@@ -180,7 +220,11 @@
             if due <= self.shared.clock.now() {
                 break;
             }
-            or(heard, time(&self.shared.clock, Some(due).filter(|d| d.is_finite()))).await;
+            or(
+                heard,
+                time(&self.shared.clock, Some(due).filter(|d| d.is_finite())),
+            )
+            .await;
         }
         if since.is_some() {
             self.fault(None, rpc::UNREADABLE);
@@ -203,13 +247,18 @@
                     or(stream.readable(), self.impatient(stream, None)).await?;
                     let spare = async { Ok(Some(self.shared.pool.spare().await)) };
                     let left = async { self.left_unread(stream).await.map(|()| None) };
-                    let Some(buffer) = or(spare, left).await? else { return Ok(()) };
+                    let Some(buffer) = or(spare, left).await? else {
+                        return Ok(());
+                    };
                     (buffer, self.shared.clock.now())
                 }
             };
             let n = {
                 let read = async { (&mut &*stream).read(buffer.space()).await };
-                or(read, async { self.impatient(stream, Some(since)).await.map(|()| 0) }).await?
+                or(read, async {
+                    self.impatient(stream, Some(since)).await.map(|()| 0)
+                })
+                .await?
             };
             if n == 0 {
                 self.closed().await;
@@ -229,11 +278,17 @@
                 if head + length > SIZE {
                     buffer.consume(head);
                     let read = self.long(stream, &mut buffer, length);
-                    let late = async { self.impatient(stream, Some(since)).await.map(|()| Chain::default()) };
+                    let late = async {
+                        self.impatient(stream, Some(since))
+                            .await
+                            .map(|()| Chain::default())
+                    };
                     let chain = or(read, late).await?;
                     self.message(&chain.joined()).await?;
                 } else {
-                    let Some(message) = buffer.bytes().get(head..head + length) else { break };
+                    let Some(message) = buffer.bytes().get(head..head + length) else {
+                        break;
+                    };
                     self.message(message).await?;
                     buffer.consume(head + length);
                 }
@@ -246,7 +301,12 @@
     }
 
     /// A message that is longer than a buffer.
-    async fn long(&self, stream: &Async<TcpStream>, first: &mut Buffer, length: usize) -> io::Result<Chain> {
+    async fn long(
+        &self,
+        stream: &Async<TcpStream>,
+        first: &mut Buffer,
+        length: usize,
+    ) -> io::Result<Chain> {
         let mut chain = Chain::default();
         let mut missing = length;
         while missing > 0 {
@@ -276,11 +336,16 @@
 
     async fn message(&self, message: &[u8]) -> io::Result<()> {
         let at = self.shared.clock.now();
-        let event = rpc::read(message, |call, method, params| self.call(at, call, method, params));
+        let event = rpc::read(message, |call, method, params| {
+            self.call(at, call, method, params)
+        });
         match event.and_then(|event| event) {
-            Ok(Some(event)) => {
-                self.shared.module.send(event).await.map_err(|_| io::ErrorKind::BrokenPipe.into())
-            }
+            Ok(Some(event)) => self
+                .shared
+                .module
+                .send(event)
+                .await
+                .map_err(|_| io::ErrorKind::BrokenPipe.into()),
             Ok(None) => Ok(()),
             Err((call, code)) => {
                 self.fault(call, code);
@@ -331,14 +396,21 @@
             self.plain(|m| rpc::fit(m, call, !self.place.of.begun() && self.shared.in_tenure()));
             return Ok(None);
         }
-        if self.place.of.closing() || self.ended.get().is_some_and(|since| at - since > CLOSED_BEGINS) {
+        if self.place.of.closing()
+            || self
+                .ended
+                .get()
+                .is_some_and(|since| at - since > CLOSED_BEGINS)
+        {
             // Sent on now, it might not end before the process does, or would begin long after its client closed.
             self.no_room(Some(call));
             return Ok(None);
         }
         let bands = self.shared.bands();
         let named = |service: bool| {
-            bands.iter().position(|b| b.name.as_bytes() == method && (b.in_service || !service))
+            bands
+                .iter()
+                .position(|b| b.name.as_bytes() == method && (b.in_service || !service))
         };
         // One of the name may be closed behind which another is open, under other terms.
         let band = named(true).or_else(|| named(false));
@@ -355,11 +427,21 @@
         let id = p.text("id").as_deref().and_then(id).ok_or(unusable)?;
         // A little more than the longest: clients may count otherwise.
         let longest = self.shared.longest.get();
-        let left = p.figure("wait", 2.0 * longest).ok().flatten().filter(|l| *l > 0.0).ok_or(unusable)?;
-        let work = p.figure("cost", self.shared.work_most()).map_err(|_| unusable)?;
+        let left = p
+            .figure("wait", 2.0 * longest)
+            .ok()
+            .flatten()
+            .filter(|l| *l > 0.0)
+            .ok_or(unusable)?;
+        let work = p
+            .figure("cost", self.shared.work_most())
+            .map_err(|_| unusable)?;
         let memory = p.figure("ram", MEMORY_MOST).map_err(|_| unusable)?;
         let tries = p.figure("retry", TRIES_MOST).map_err(|_| unusable)?;
-        let once = p.text("once").map(|t| once(&t).ok_or(unusable)).transpose()?;
+        let once = p
+            .text("once")
+            .map(|t| once(&t).ok_or(unusable))
+            .transpose()?;
         let text = p.text("bytes").ok_or(unusable)?;
         let statement = match self.statement(&text) {
             Ok(statement) => statement.ok_or(unusable)?,
@@ -378,7 +460,11 @@
             later_try: tries.is_some_and(|t| t > 0.0),
             ..Default::default()
         };
-        let tenant = if self.shared.tenants { p.text("tenant").map(|t| number(&t)) } else { None };
+        let tenant = if self.shared.tenants {
+            p.text("tenant").map(|t| number(&t))
+        } else {
+            None
+        };
         let waits = Rc::new(Cell::new(true));
         self.open.borrow_mut().insert(call, (id, waits.clone()));
         self.place.busy();
@@ -400,7 +486,9 @@
         let mut chain = Chain::default();
         for part in text.chunks(SIZE / 4 * 4) {
             let mut b = self.shared.pool.lend().ok_or(io::ErrorKind::OutOfMemory)?;
-            let Ok(n) = STANDARD.decode_slice(part, b.space()) else { return Ok(None) };
+            let Ok(n) = STANDARD.decode_slice(part, b.space()) else {
+                return Ok(None);
+            };
             b.filled(n);
             chain.0.push(b);
         }
@@ -413,7 +501,10 @@
             out.clear();
             self.writing.set(true);
             let call = match &reply {
-                Reply::Settled(c, _) | Reply::Rejected(c, _) | Reply::Scrapped(c) | Reply::Unusable(c) => {
+                Reply::Settled(c, _)
+                | Reply::Rejected(c, _)
+                | Reply::Scrapped(c)
+                | Reply::Unusable(c) => {
                     // Not for one that its client has taken back meanwhile.
                     if !self.open.borrow().contains_key(c) {
                         self.writing.set(false);
@@ -426,12 +517,18 @@
             };
             let written = async {
                 match reply {
-                    Reply::Settled(call, rows) => self.settled(stream, &mut out, call, rows).await?,
+                    Reply::Settled(call, rows) => {
+                        self.settled(stream, &mut out, call, rows).await?
+                    }
                     Reply::Rejected(_, after) => {
                         rpc::error(&mut out, call, rpc::REJECTED, "turned back", after)
                     }
-                    Reply::Scrapped(_) => rpc::error(&mut out, call, rpc::SCRAPPED, "scrapped", 0.0),
-                    Reply::Unusable(_) => rpc::error(&mut out, call, rpc::INVALID_FIELDS, "id in use", 0.0),
+                    Reply::Scrapped(_) => {
+                        rpc::error(&mut out, call, rpc::SCRAPPED, "scrapped", 0.0)
+                    }
+                    Reply::Unusable(_) => {
+                        rpc::error(&mut out, call, rpc::INVALID_FIELDS, "id in use", 0.0)
+                    }
                     Reply::Plain(message) => out = message,
                 }
                 (&mut &*stream).write_all(&out).await
@@ -458,10 +555,16 @@
         for (nth, page) in rows.0.into_iter().enumerate() {
             over.extend(page.bytes());
             drop(page);
-            let whole = if nth == last { over.len() } else { over.len() / 3 * 3 };
+            let whole = if nth == last {
+                over.len()
+            } else {
+                over.len() / 3 * 3
+            };
             let at = out.len();
             out.resize(at + whole.div_ceil(3) * 4, 0);
-            STANDARD.encode_slice(&over[..whole], &mut out[at..]).map_err(io::Error::other)?;
+            STANDARD
+                .encode_slice(&over[..whole], &mut out[at..])
+                .map_err(io::Error::other)?;
             over.drain(..whole);
             if nth < last {
                 stream.write_all(out).await?;
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -96,8 +96,21 @@
         own: Sender<Order>,
         connections: Rc<Cell<u32>>,
     ) -> Self {
-        let (flights, links, events, said) = (BTreeMap::new(), BTreeMap::new(), Vec::new(), Vec::new());
-        Engine { index, address, shared, own, flights, links, opened: 0, asked: 0, events, said, connections }
+        let (flights, links, events, said) =
+            (BTreeMap::new(), BTreeMap::new(), Vec::new(), Vec::new());
+        Engine {
+            index,
+            address,
+            shared,
+            own,
+            flights,
+            links,
+            opened: 0,
+            asked: 0,
+            events,
+            said,
+            connections,
+        }
     }
 
     pub async fn run(mut self, orders: Receiver<Order>) {
@@ -110,7 +123,8 @@
                 // Closed by the module's actor: this process of the engine is over, and its connections lead nowhere.
                 Err(_) => {
                     let all: Vec<u64> = self.links.keys().copied().collect();
-                    all.into_iter().for_each(|l| self.drop_link(l, Outcome::Reset));
+                    all.into_iter()
+                        .for_each(|l| self.drop_link(l, Outcome::Reset));
                 }
             }
             self.connections.set(self.links.len() as u32);
@@ -152,7 +166,9 @@
                 self.say(link, line);
             }
             Order::Up(link, stream) => {
-                let Some(l) = self.links.get_mut(&link) else { return };
+                let Some(l) = self.links.get_mut(&link) else {
+                    return;
+                };
                 (l.stream, l.heard) = (Some(stream), self.shared.clock.now());
                 self.write(link);
             }
@@ -166,11 +182,25 @@
     /// this engine's part of the descriptors, the connection with the fewest open attempts.
     fn link(&mut self, of: Option<&Id>) -> u64 {
         // Against a machine cut off, whose connections stay open and silent, maybe for good: a new one tells.
-        let silent: Vec<u64> = self.flights.values().filter(|f| self.unheard(f)).map(|f| f.link).collect();
+        let silent: Vec<u64> = self
+            .flights
+            .values()
+            .filter(|f| self.unheard(f))
+            .map(|f| f.link)
+            .collect();
         let streams = self.shared.carriage().streams;
         let again = |l: &Link| of.is_some_and(|id| l.given_up.contains(id));
-        let room = self.links.iter().filter(|l| l.1.open < streams && !again(l.1));
-        let rank = |l: &(&u64, &Link)| (l.1.silent || silent.contains(l.0), l.1.open, l.1.stream.is_none());
+        let room = self
+            .links
+            .iter()
+            .filter(|l| l.1.open < streams && !again(l.1));
+        let rank = |l: &(&u64, &Link)| {
+            (
+                l.1.silent || silent.contains(l.0),
+                l.1.open,
+                l.1.stream.is_none(),
+            )
+        };
         let most = (self.shared.links_most / self.shared.listed.get().max(1)).clamp(2, LINKS_MOST);
         let free = |l: &(&u64, &Link)| !rank(l).0 && l.1.open == 0 || self.links.len() >= most;
         if let Some(l) = room.min_by_key(rank).filter(free) {
@@ -180,7 +210,14 @@
         let (held_back, goes_on) = async_channel::bounded(1);
         let s = &self.shared;
         let within = s.carriage().connect_within;
-        let task = carry(self.opened, self.address, within, s.pool.clone(), goes_on, self.own.clone());
+        let task = carry(
+            self.opened,
+            self.address,
+            within,
+            s.pool.clone(),
+            goes_on,
+            self.own.clone(),
+        );
         let link = Link {
             stream: None,
             open: 0,
@@ -200,21 +237,43 @@
 
     /// Whether its connection has been silent for longer than the attempt was expected to take.
     fn unheard(&self, f: &Flight) -> bool {
-        let heard = self.links.get(&f.link).filter(|l| l.stream.is_some()).map(|l| l.heard.max(f.sent));
+        let heard = self
+            .links
+            .get(&f.link)
+            .filter(|l| l.stream.is_some())
+            .map(|l| l.heard.max(f.sent));
         heard.is_some_and(|h| self.shared.clock.now() - h > self.shared.bands()[f.of.band].expected)
     }
 
     fn attempt(&mut self, of: Rc<Attempt>) {
         let (id, sent) = (of.id, self.shared.clock.now());
         if !of.may_begin(sent) {
-            self.events.push(Event::Ended { id, what: Outcome::Unsent, rows: None });
+            self.events.push(Event::Ended {
+                id,
+                what: Outcome::Unsent,
+                rows: None,
+            });
             return;
         }
         let link = self.link(Some(&id));
-        self.flights.insert(id, Flight { of: of.clone(), link, sent, pages: Vec::new(), cost: None });
+        self.flights.insert(
+            id,
+            Flight {
+                of: of.clone(),
+                link,
+                sent,
+                pages: Vec::new(),
+                cost: None,
+            },
+        );
         if let Some(l) = self.links.get_mut(&link) {
             l.open += 1;
-            l.out.push_back(Parcel { attempt: Some(of), bytes: Vec::new(), written: 0, withdraws: None });
+            l.out.push_back(Parcel {
+                attempt: Some(of),
+                bytes: Vec::new(),
+                written: 0,
+                withdraws: None,
+            });
         }
         self.write(link);
     }
@@ -224,8 +283,12 @@
     fn write(&mut self, link: u64) {
         loop {
             let (now, shared) = (self.shared.clock.now(), self.shared.clone());
-            let Some(l) = self.links.get_mut(&link) else { return };
-            let (Some(stream), Some(first)) = (&l.stream, l.out.front_mut()) else { return };
+            let Some(l) = self.links.get_mut(&link) else {
+                return;
+            };
+            let (Some(stream), Some(first)) = (&l.stream, l.out.front_mut()) else {
+                return;
+            };
             if let Some(of) = first.attempt.as_ref().filter(|of| !of.begun.get()) {
                 if !of.may_begin(now) {
                     let id = of.id;
@@ -247,8 +310,19 @@
                     let (band, size) = (&bands[of.band].name, of.statement.size());
                     let once = of.once.as_deref();
                     let priority = of.priority.get();
-                    lines::attempt(&mut first.bytes, text(&of.id), band, once, left as u64, priority, size);
-                    of.statement.0.iter().for_each(|b| first.bytes.extend(b.bytes()));
+                    lines::attempt(
+                        &mut first.bytes,
+                        text(&of.id),
+                        band,
+                        once,
+                        left as u64,
+                        priority,
+                        size,
+                    );
+                    of.statement
+                        .0
+                        .iter()
+                        .for_each(|b| first.bytes.extend(b.bytes()));
                     first.bytes.extend(lines::END);
                 }
             }
@@ -260,8 +334,11 @@
                         continue;
                     }
                     let withdraws = l.out.pop_front().and_then(|p| p.withdraws);
-                    let own =
-                        |of: &Rc<Attempt>| self.flights.get(&of.id).is_some_and(|f| Rc::ptr_eq(&f.of, of));
+                    let own = |of: &Rc<Attempt>| {
+                        self.flights
+                            .get(&of.id)
+                            .is_some_and(|f| Rc::ptr_eq(&f.of, of))
+                    };
                     if let Some(of) = withdraws.filter(own) {
                         self.end(&of.id, Outcome::Withdrawn, None);
                     }
@@ -281,8 +358,12 @@
     fn withdraw(&mut self, of: &Rc<Attempt>) {
         let id = &of.id;
         // Another of the same request may be here by now.
-        let Some(f) = self.flights.get(id).filter(|f| Rc::ptr_eq(&f.of, of)) else { return };
-        let Some(l) = self.links.get_mut(&f.link) else { return };
+        let Some(f) = self.flights.get(id).filter(|f| Rc::ptr_eq(&f.of, of)) else {
+            return;
+        };
+        let Some(l) = self.links.get_mut(&f.link) else {
+            return;
+        };
         let first = l.out.front().and_then(|p| p.attempt.as_ref());
         if !f.of.begun.get() {
             return self.end(id, Outcome::Unsent, None);
@@ -301,13 +382,20 @@
             true => lines::withdraw(&mut bytes, text(id)),
             false => lines::no_more(&mut bytes, text(id)),
         }
-        l.out.push_back(Parcel { attempt: None, bytes, written: 0, withdraws: Some(of.clone()) });
+        l.out.push_back(Parcel {
+            attempt: None,
+            bytes,
+            written: 0,
+            withdraws: Some(of.clone()),
+        });
         self.write(link);
     }
 
     /// Says something about an attempt, unless it has not begun and the engine never heard of it.
     fn tell(&mut self, id: &Id, write: impl FnOnce(&Flight, &mut Vec<u8>)) {
-        let Some(f) = self.flights.get(id).filter(|f| f.of.begun.get()) else { return };
+        let Some(f) = self.flights.get(id).filter(|f| f.of.begun.get()) else {
+            return;
+        };
         let (link, mut line) = (f.link, Vec::new());
         write(f, &mut line);
         self.say(link, line);
@@ -315,14 +403,21 @@
 
     fn say(&mut self, link: u64, bytes: Vec<u8>) {
         if let Some(l) = self.links.get_mut(&link) {
-            l.out.push_back(Parcel { attempt: None, bytes, written: 0, withdraws: None });
+            l.out.push_back(Parcel {
+                attempt: None,
+                bytes,
+                written: 0,
+                withdraws: None,
+            });
             self.said.push(link);
         }
     }
 
     fn came(&mut self, link: u64, mut new: Buffer) {
         let now = self.shared.clock.now();
-        self.links.entry(link).and_modify(|l| (l.heard, l.silent) = (now, false));
+        self.links
+            .entry(link)
+            .and_modify(|l| (l.heard, l.silent) = (now, false));
         // What was left of an answer is completed first; it always fits, as one answer is less than a buffer.
         while let Some(mut held) = self.links.get_mut(&link).and_then(|l| l.held.take()) {
             let n = held.append(new.bytes());
@@ -369,7 +464,10 @@
         let values: Option<Vec<f64>> = self.shared.carriage().reports.iter().map(named).collect();
         let values = values.unwrap_or_else(|| fields.load().map(|l| l.1).collect());
         if !values.is_empty() {
-            self.events.push(Event::Report { engine: self.index, values });
+            self.events.push(Event::Report {
+                engine: self.index,
+                values,
+            });
         }
     }
 
@@ -382,7 +480,9 @@
         }
         let Ok(id) = Id::try_from(id) else { return };
         // What was withdrawn or has timed out is answered in vain.
-        let Some(f) = self.flights.get_mut(&id).filter(|f| f.link == link) else { return };
+        let Some(f) = self.flights.get_mut(&id).filter(|f| f.link == link) else {
+            return;
+        };
         let page = match word {
             // A second copy of what is already there is more than is its own, and does no harm.
             Word::Done if !f.pages.is_empty() => return,
@@ -395,8 +495,13 @@
                 let most = self.shared.work_most();
                 let work = fields.number("cost").filter(|w| (0.0..=most).contains(w));
                 // Without it, or with what is no amount of memory, the work still counts.
-                let need = fields.number("need").filter(|n| (0.0..=MEMORY_MOST).contains(n));
-                f.cost = work.map(|work| Cost { work, memory_mb: need.unwrap_or(0.0) });
+                let need = fields
+                    .number("need")
+                    .filter(|n| (0.0..=MEMORY_MOST).contains(n));
+                f.cost = work.map(|work| Cost {
+                    work,
+                    memory_mb: need.unwrap_or(0.0),
+                });
                 f.pages.resize_with(pages as usize, || None);
                 if f.pages.len() > 1 {
                     self.tell(&id, |f, line| {
@@ -405,12 +510,17 @@
                 }
                 0
             }
-            Word::More => fields.number("page").filter(|n| *n >= 1.0).unwrap_or(f64::MAX) as usize,
+            Word::More => fields
+                .number("page")
+                .filter(|n| *n >= 1.0)
+                .unwrap_or(f64::MAX) as usize,
             Word::Full => return self.end(&id, Outcome::Full, None),
             Word::Past => return self.end(&id, Outcome::TimedOut, None),
             _ => return self.end(&id, Outcome::Error, None),
         };
-        let Some(f) = self.flights.get_mut(&id) else { return };
+        let Some(f) = self.flights.get_mut(&id) else {
+            return;
+        };
         let before: usize = f.pages.iter().flatten().map(|b| b.bytes().len()).sum();
         match f.pages.get_mut(page) {
             Some(Some(_)) => return,
@@ -429,30 +539,45 @@
             if rows.len() > 1 {
                 self.tell(&id, |_, line| lines::no_more(line, text(&id)));
             }
-            self.end(&id, Outcome::Settled(cost), Some(Chain(rows.into_iter().flatten().collect())));
+            self.end(
+                &id,
+                Outcome::Settled(cost),
+                Some(Chain(rows.into_iter().flatten().collect())),
+            );
         }
     }
 
     /// The one place where an attempt's room on its connection is given back.
     fn end(&mut self, id: &Id, what: Outcome, rows: Option<Chain>) {
-        let Some(f) = self.flights.remove(id) else { return };
+        let Some(f) = self.flights.remove(id) else {
+            return;
+        };
         let silent = matches!(what, Outcome::Withdrawn | Outcome::TimedOut) && self.unheard(&f);
         if let Some(l) = self.links.get_mut(&f.link) {
             l.open -= 1;
             l.silent |= silent;
             // What has begun is written to its end: half a line would spoil what comes behind it.
-            l.out.retain(|p| p.written > 0 || p.attempt.as_ref().is_none_or(|of| of.id != *id));
+            l.out
+                .retain(|p| p.written > 0 || p.attempt.as_ref().is_none_or(|of| of.id != *id));
             l.idle_since = self.shared.clock.now();
         }
-        self.events.push(Event::Ended { id: *id, what, rows });
+        self.events.push(Event::Ended {
+            id: *id,
+            what,
+            rows,
+        });
     }
 
     /// One loss speaks against the engine once, by its longest open attempt; what else was open there went
     /// with the connection. What still waited for it was never written.
     fn drop_link(&mut self, link: u64, how: Outcome) {
-        let Some(l) = self.links.remove(&link) else { return };
+        let Some(l) = self.links.remove(&link) else {
+            return;
+        };
         // At once, and not only when its task has ended: what is given up here may go out again elsewhere.
-        l.stream.iter().for_each(|s| drop(s.get_ref().shutdown(Shutdown::Both)));
+        l.stream
+            .iter()
+            .for_each(|s| drop(s.get_ref().shutdown(Shutdown::Both)));
         let on = self.flights.iter().filter(|f| f.1.link == link);
         let mut on: Vec<(Ms, Id)> = on.map(|f| (f.1.sent, *f.0)).collect();
         on.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -468,27 +593,51 @@
     }
 
     fn idle_until(&self, l: &Link) -> Option<Ms> {
-        let rest = if l.silent { 0.0 } else { self.shared.carriage().idle * IDLE_SHARE };
+        let rest = if l.silent {
+            0.0
+        } else {
+            self.shared.carriage().idle * IDLE_SHARE
+        };
         (l.stream.is_some() && l.open == 0).then_some(l.idle_since + rest)
     }
 
     /// An answer is written at once: half of one for longer than a connection takes to come up is all of it.
     fn part_until(&self, l: &Link) -> Option<Ms> {
-        l.part_since.map(|since| since + self.shared.carriage().connect_within)
+        l.part_since
+            .map(|since| since + self.shared.carriage().connect_within)
     }
 
     fn due(&self) -> Option<Ms> {
-        let links = self.links.values().flat_map(|l| [self.idle_until(l), self.part_until(l)]).flatten();
-        let begins = |f: &Flight| if f.of.begun.get() { f.of.limit } else { f.of.by.get().min(f.of.limit) };
-        self.flights.values().map(begins).chain(links).min_by(f64::total_cmp)
+        let links = self
+            .links
+            .values()
+            .flat_map(|l| [self.idle_until(l), self.part_until(l)])
+            .flatten();
+        let begins = |f: &Flight| {
+            if f.of.begun.get() {
+                f.of.limit
+            } else {
+                f.of.by.get().min(f.of.limit)
+            }
+        };
+        self.flights
+            .values()
+            .map(begins)
+            .chain(links)
+            .min_by(f64::total_cmp)
     }
 
     /// What may not begin any more is taken out where it waits.
     fn refuse(&mut self) {
         let now = self.shared.clock.now();
-        let barred = self.flights.values().filter(|f| !f.of.begun.get() && !f.of.may_begin(now));
+        let barred = self
+            .flights
+            .values()
+            .filter(|f| !f.of.begun.get() && !f.of.may_begin(now));
         let barred: Vec<Id> = barred.map(|f| f.of.id).collect();
-        barred.iter().for_each(|id| self.end(id, Outcome::Unsent, None));
+        barred
+            .iter()
+            .for_each(|id| self.end(id, Outcome::Unsent, None));
     }
 
     fn expire(&mut self) {
@@ -496,13 +645,21 @@
         let now = self.shared.clock.now();
         let late = self.flights.iter().filter(|f| f.1.of.limit <= now);
         let late: Vec<Id> = late.map(|f| *f.0).collect();
-        late.iter().for_each(|id| self.end(id, Outcome::TimedOut, None));
-        let half = self.links.iter().filter(|l| self.part_until(l.1).is_some_and(|t| t <= now));
+        late.iter()
+            .for_each(|id| self.end(id, Outcome::TimedOut, None));
+        let half = self
+            .links
+            .iter()
+            .filter(|l| self.part_until(l.1).is_some_and(|t| t <= now));
         let half: Vec<u64> = half.map(|l| *l.0).collect();
         half.into_iter().for_each(|l| self.spoilt(l, "no end"));
-        let idle = self.links.iter().filter(|l| self.idle_until(l.1).is_some_and(|t| t <= now));
+        let idle = self
+            .links
+            .iter()
+            .filter(|l| self.idle_until(l.1).is_some_and(|t| t <= now));
         let idle: Vec<u64> = idle.map(|l| *l.0).collect();
-        idle.into_iter().for_each(|l| self.drop_link(l, Outcome::Reset));
+        idle.into_iter()
+            .for_each(|l| self.drop_link(l, Outcome::Reset));
     }
 }
 
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -26,7 +26,14 @@
 fn bench(streams: usize) -> Bench {
     let (module, events) = async_channel::unbounded();
     let (connect_within, idle, longest) = (1000.0, 3e4, 5000.0);
-    let carriage = Carriage { connect_within, idle, streams, most_open: 100, longest, reports: Vec::new() };
+    let carriage = Carriage {
+        connect_within,
+        idle,
+        streams,
+        most_open: 100,
+        longest,
+        reports: Vec::new(),
+    };
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         pool: Pool::of(1 << 20),
@@ -52,7 +59,14 @@
     let engine = Engine::new(0, at, shared.clone(), orders.clone(), Rc::default());
     shared.executor.spawn(engine.run(mailbox)).detach();
     let standing = Rc::new(Cell::new(Standing::Ready));
-    Bench { shared, events, orders, listener, standing, waits: Rc::new(Cell::new(true)) }
+    Bench {
+        shared,
+        events,
+        orders,
+        listener,
+        standing,
+        waits: Rc::new(Cell::new(true)),
+    }
 }
 
 impl Bench {
@@ -135,7 +149,10 @@
 fn until_closed_by_peer(port: u16) {
     let late = Instant::now() + Duration::from_secs(5);
     let remote = format!(":{port:04X} 08 ");
-    while !std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&remote) {
+    while !std::fs::read_to_string("/proc/net/tcp")
+        .unwrap()
+        .contains(&remote)
+    {
         assert!(Instant::now() < late, "the end has not come");
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -152,12 +169,16 @@
             b.order(Order::Withdraw(of.clone()));
         }),
         ("its client has left", |b, _| b.waits.set(false)),
-        ("its engine drains", |b, _| b.standing.set(Standing::Draining)),
+        ("its engine drains", |b, _| {
+            b.standing.set(Standing::Draining)
+        }),
         ("its engine is gone, the mailbox closed", |b, _| {
             b.standing.set(Standing::Gone);
             b.orders.close();
         }),
-        ("its window or its time is over", |b, of| of.by.set(b.shared.clock.now())),
+        ("its window or its time is over", |b, of| {
+            of.by.set(b.shared.clock.now())
+        }),
     ];
     // In the mailbox, and while its connection comes up.
     for (what, cross) in crosses {
@@ -170,7 +191,11 @@
                 assert!(b.shared.executor.try_tick());
             }
             cross(&b, &of);
-            assert_eq!(b.ended(), (of.id, Outcome::Unsent), "{what}, in the mailbox: {in_mailbox}");
+            assert_eq!(
+                b.ended(),
+                (of.id, Outcome::Unsent),
+                "{what}, in the mailbox: {in_mailbox}"
+            );
             assert!(!of.begun.get(), "{what}");
         }
     }
@@ -189,7 +214,11 @@
     until_closed_by_peer(b.listener.local_addr().unwrap().port());
     let of = b.attempt(2);
     b.order(Order::Attempt(of.clone()));
-    assert_eq!(b.ended(), (of.id, Outcome::Unsent), "it never ran, and that is known");
+    assert_eq!(
+        b.ended(),
+        (of.id, Outcome::Unsent),
+        "it never ran, and that is known"
+    );
 }
 
 #[test]
@@ -209,7 +238,9 @@
     let mut other = b.accepted();
     b.heard(&mut other, "fetch");
     stream.write_all(&done(1)).unwrap();
-    other.write_all(b"0000000000000001 BROKE - 0\r\n\r\n").unwrap();
+    other
+        .write_all(b"0000000000000001 BROKE - 0\r\n\r\n")
+        .unwrap();
     assert_eq!(b.ended(), (again.id, Outcome::Error));
     // Nor is it taken back by a withdrawal of the first that comes late.
     let third = b.attempt(1);
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -74,7 +74,9 @@
     /// this is dropped while the module is busy.
     async fn heard(&mut self, rev: u32, lines: BTreeMap<String, Place>) {
         if rev > self.rev {
-            self.memory.iter().for_each(|m| m.keep(rev, &lines, &self.index));
+            self.memory
+                .iter()
+                .for_each(|m| m.keep(rev, &lines, &self.index));
         }
         if rev > self.rev && self.module.send(Event::Roster(lines)).await.is_ok() {
             self.rev = rev;
@@ -84,7 +86,10 @@
 
     async fn ask(&mut self) -> std::io::Result<()> {
         let mut socket = Async::<UdpSocket>::bind((self.from, 0))?;
-        self.shared.gauges.source.replace(format!("dns {}", self.names));
+        self.shared
+            .gauges
+            .source
+            .replace(format!("dns {}", self.names));
         let (mut query, mut packet) = (Vec::new(), vec![0; dns::ANSWER_MOST]);
         let (mut unanswered, mut unread) = (0u32, false);
         for number in (0..=u16::MAX).cycle() {
@@ -98,14 +103,18 @@
             }
             if unanswered.is_multiple_of(ANOTHER_SOCKET) {
                 // Without a descriptor the old one is better than none.
-                Async::<UdpSocket>::bind((self.from, 0)).into_iter().for_each(|another| socket = another);
+                Async::<UdpSocket>::bind((self.from, 0))
+                    .into_iter()
+                    .for_each(|another| socket = another);
             }
             let until = Instant::now() + span(ASK_EVERY);
             let late = || async {
                 Timer::at(until).await;
                 None
             };
-            while let Some((n, from)) = or(async { socket.recv_from(&mut packet).await.ok() }, late()).await {
+            while let Some((n, from)) =
+                or(async { socket.recv_from(&mut packet).await.ok() }, late()).await
+            {
                 let mut lines = BTreeMap::new();
                 let asked = |n: u16| number.wrapping_sub(n) < WAITING;
                 let serial = dns::read(&packet[..n], asked, |h| {
@@ -130,13 +139,21 @@
 }
 
 fn place(h: &dns::Host, index: &Frame) -> Place {
-    let number = |name: &str| h.text(name).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
+    let number = |name: &str| {
+        h.text(name)
+            .and_then(|t| t.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     Place {
         address: (h.address, h.port).into(),
         zone: index.zone(h.zone),
         kind: index.kind(h.text("kind").unwrap_or_default()),
         marks: number("cell") as u16,
-        standing: if h.priority == 0 { Standing::Ready } else { Standing::Draining },
+        standing: if h.priority == 0 {
+            Standing::Ready
+        } else {
+            Standing::Draining
+        },
         since: number("started"),
     }
 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -34,9 +34,12 @@
 pub fn open(gateway: &str, form: Form) -> (Logger, slog_async::AsyncGuard, Least) {
     let to = std::io::stderr();
     match form {
-        Form::Text => {
-            start(gateway, slog_term::FullFormat::new(slog_term::PlainDecorator::new(to)).build().fuse())
-        }
+        Form::Text => start(
+            gateway,
+            slog_term::FullFormat::new(slog_term::PlainDecorator::new(to))
+                .build()
+                .fuse(),
+        ),
         Form::Json => start(gateway, slog_json::Json::default(to).fuse()),
     }
 }
@@ -45,9 +48,14 @@
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
-    let (drain, guard) =
-        slog_async::Async::new(lines).overflow_strategy(OverflowStrategy::DropAndReport).build_with_guard();
+    let (drain, guard) = slog_async::Async::new(lines)
+        .overflow_strategy(OverflowStrategy::DropAndReport)
+        .build_with_guard();
     let least = Arc::new(AtomicUsize::new(Level::Info.as_usize()));
     let sieve = Sieve(drain.fuse(), least.clone());
-    (Logger::root(sieve.fuse(), o!("gateway" => gateway.to_string())), guard, least)
+    (
+        Logger::root(sieve.fuse(), o!("gateway" => gateway.to_string())),
+        guard,
+        least,
+    )
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -21,7 +21,10 @@
 use user::Failed;
 
 #[derive(Parser)]
-#[command(name = "ironstair", about = "Keeps short and long queries apart on shared engines")]
+#[command(
+    name = "ironstair",
+    about = "Keeps short and long queries apart on shared engines"
+)]
 struct Line {
     #[command(subcommand)]
     job: Job,
@@ -93,7 +96,10 @@
 fn check(from: &Source, operator: Option<operator::Operator>) -> Result<(), String> {
     let t = told::read(&from.told)?;
     let (bands, engines) = (t.bands.len(), t.known.len());
-    println!("{}: {bands} bands, {engines} engines, listens on {}", t.name, t.listen);
+    println!(
+        "{}: {bands} bands, {engines} engines, listens on {}",
+        t.name, t.listen
+    );
     let Some(o) = operator else { return Ok(()) };
     if let Some(m) = &o.management {
         management::fits(&t, &o)?;
@@ -103,7 +109,11 @@
         println!("recovery: in {}", r.state.display());
     }
     if let Some(f) = &o.fleet {
-        let part = if f.keepers.contains_key(&t.name) { "a keeper" } else { "a member" };
+        let part = if f.keepers.contains_key(&t.name) {
+            "a keeper"
+        } else {
+            "a member"
+        };
         println!("fleet: {part} of {}, on {}", f.name, f.listen);
     }
     Ok(())
@@ -112,11 +122,14 @@
 fn main() -> ExitCode {
     let plain = |how: Result<(), String>| how.map_err(|e| Failed(e, 1));
     let done = match Line::parse().job {
-        Job::Serve(Serve { from, log }) => {
-            plain(from.operator().and_then(|operator| start::serve(&from.told, operator, log)))
-        }
+        Job::Serve(Serve { from, log }) => plain(
+            from.operator()
+                .and_then(|operator| start::serve(&from.told, operator, log)),
+        ),
         Job::Check(from) => plain(from.operator().and_then(|operator| check(&from, operator))),
-        Job::Schema { of: Schema::Operator } => {
+        Job::Schema {
+            of: Schema::Operator,
+        } => {
             println!("{}", operator::schema());
             Ok(())
         }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -49,14 +49,31 @@
 pub fn open(m: &Management, told: &crate::told::Told, of: &Operator) -> Result<Opened, String> {
     let cells = of.cells.as_ref().map(operator::cells);
     let (mandate, state) = (told.mandate.clone(), m.state.as_deref());
-    let charter = of.fleet.as_ref().map(|f| operator::charter(f, &told.name)).transpose()?;
-    let started =
-        ironstair_manage::open(mandate, &told.bands, &told.limits, told.index.clone(), cells, state)?;
+    let charter = of
+        .fleet
+        .as_ref()
+        .map(|f| operator::charter(f, &told.name))
+        .transpose()?;
+    let started = ironstair_manage::open(
+        mandate,
+        &told.bands,
+        &told.limits,
+        told.index.clone(),
+        cells,
+        state,
+    )?;
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (serve::bind(m.listen)?, m.streams);
     let fleet = charter.map(actor::Opened::open).transpose()?;
-    Ok(Opened { started, bound, streams, keys, fleet, window: Arc::default() })
+    Ok(Opened {
+        started,
+        bound,
+        streams,
+        keys,
+        fleet,
+        window: Arc::default(),
+    })
 }
 
 fn files(t: &Tls) -> Files {
@@ -64,7 +81,10 @@
         certificate: t.certificate.clone(),
         key: t.key.clone(),
         clients: t.clients.clone(),
-        roles: Roles { change: t.change.clone(), read: t.read.clone() },
+        roles: Roles {
+            change: t.change.clone(),
+            read: t.read.clone(),
+        },
     }
 }
 
@@ -73,10 +93,20 @@
 /// # Errors
 /// It does not fit the tree; the sentence names the field.
 pub fn fits(told: &crate::told::Told, of: &Operator) -> Result<(), String> {
-    of.fleet.as_ref().map(|f| operator::charter(f, &told.name)).transpose()?;
+    of.fleet
+        .as_ref()
+        .map(|f| operator::charter(f, &told.name))
+        .transpose()?;
     let cells = of.cells.as_ref().map(operator::cells);
-    ironstair_manage::open(told.mandate.clone(), &told.bands, &told.limits, told.index.clone(), cells, None)
-        .map(drop)
+    ironstair_manage::open(
+        told.mandate.clone(),
+        &told.bands,
+        &told.limits,
+        told.index.clone(),
+        cells,
+        None,
+    )
+    .map(drop)
 }
 
 impl Opened {
@@ -101,7 +131,13 @@
     ///
     /// # Errors
     /// The thread can't be started.
-    pub fn start(self, name: &str, clock: Clock, log: Logger, level: Least) -> Result<Running, String> {
+    pub fn start(
+        self,
+        name: &str,
+        clock: Clock,
+        log: Logger,
+        level: Least,
+    ) -> Result<Running, String> {
         let (requests, asked) = async_channel::bounded(MAILBOX);
         let (renew, word) = tokio::sync::mpsc::channel(1);
         let on = self.bound.local_addr().map_err(|e| e.to_string())?;
@@ -110,11 +146,16 @@
         let (leaves, leave) = std::sync::mpsc::channel();
         let in_fleet = self.fleet.is_some();
         let serve = move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build();
             let runtime = runtime.map_err(|e| e.to_string())?;
             let (wanted, wants) = tokio::sync::mpsc::channel(MAILBOX);
             let (shown, shows) = tokio::sync::watch::channel(Default::default());
-            let fleet = self.fleet.as_ref().map(|_| Fleetward { wanted, shown: shows });
+            let fleet = self.fleet.as_ref().map(|_| Fleetward {
+                wanted,
+                shown: shows,
+            });
             let around = Around {
                 clock,
                 window: self.window,
@@ -128,8 +169,12 @@
             runtime.block_on(async {
                 tokio::spawn(manager.run());
                 if let Some(opened) = self.fleet {
-                    let ends = actor::Ends { wanted: wants, shown };
-                    let (actor, leave) = Actor::start(opened, ends, desk, requests, clock, log.clone())?;
+                    let ends = actor::Ends {
+                        wanted: wants,
+                        shown,
+                    };
+                    let (actor, leave) =
+                        Actor::start(opened, ends, desk, requests, clock, log.clone())?;
                     let _ = leaves.send(leave);
                     tokio::spawn(actor.run());
                 }
@@ -141,9 +186,16 @@
                 error!(said, "management has ended"; "why" => why);
             }
         };
-        std::thread::Builder::new().name("management".into()).spawn(work).map_err(|e| e.to_string())?;
+        std::thread::Builder::new()
+            .name("management".into())
+            .spawn(work)
+            .map_err(|e| e.to_string())?;
         let leave = if in_fleet { leave.recv().ok() } else { None };
-        Ok(Running { asked, renew, leave })
+        Ok(Running {
+            asked,
+            renew,
+            leave,
+        })
     }
 }
 
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -45,7 +45,9 @@
     match std::fs::metadata(&path) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(fault(e.to_string())),
-        Ok(m) if m.len() > BYTES_MOST => return Err(fault(format!("{} bytes are none of ours", m.len()))),
+        Ok(m) if m.len() > BYTES_MOST => {
+            return Err(fault(format!("{} bytes are none of ours", m.len())))
+        }
         Ok(_) => {}
     }
     disk_takes_its_time(folder);
@@ -53,7 +55,10 @@
     let mut kept = decode(&bytes).map_err(fault)?;
     if kept.clean {
         // Before anything is out: the next start must not find that word of the process before this one.
-        let spent = encode(&Kept { clean: false, ..kept.clone() });
+        let spent = encode(&Kept {
+            clean: false,
+            ..kept.clone()
+        });
         kept.clean = spent.and_then(|bytes| write(folder, &bytes)).is_ok();
     }
     Ok(Some(kept))
@@ -70,7 +75,8 @@
     disk_takes_its_time(folder);
     let made = std::fs::create_dir_all(folder);
     let done = made.and_then(|()| ironstair_disk::replace(folder, FILE, BESIDE, bytes));
-    done.map(drop).map_err(|e| format!("{}: {e}", folder.join(FILE).display()))
+    done.map(drop)
+        .map_err(|e| format!("{}: {e}", folder.join(FILE).display()))
 }
 
 /// What a start found.
@@ -89,30 +95,61 @@
     let (writes, waiting) = bounded(1);
     let own = folder.to_path_buf();
     // The one thread that touches the folder: what a slow one reads or writes late comes before what is written next.
-    let reads = thread::Builder::new().name("recovery".into()).spawn(move || {
-        let _ = tell.send(read(&own));
-        write_on(&own, &waiting);
-    });
-    let late = || Err(format!("{}: not read within {READ_WITHIN:?}", folder.display()));
+    let reads = thread::Builder::new()
+        .name("recovery".into())
+        .spawn(move || {
+            let _ = tell.send(read(&own));
+            write_on(&own, &waiting);
+        });
+    let late = || {
+        Err(format!(
+            "{}: not read within {READ_WITHIN:?}",
+            folder.display()
+        ))
+    };
     let kept = match reads {
         Ok(_) => answer.recv_timeout(READ_WITHIN).unwrap_or_else(|_| late()),
         Err(e) => Err(e.to_string()),
     };
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let begun = found(kept, &told.name, unix.as_secs_f64() * 1000.0, told.rev);
     let mut notes: Vec<String> = begun.note.into_iter().collect();
-    let mut kept = Kept { gateway: told.name.clone(), ..Kept::default() };
+    let mut kept = Kept {
+        gateway: told.name.clone(),
+        ..Kept::default()
+    };
     if let Some((rev, age, engines)) = begun.roster {
-        (kept.rev, kept.heard, kept.engines) = (rev, unix.as_secs_f64() * 1000.0 - age, engines.clone());
-        notes.push(format!("{} engines as the last process heard of them, {age:.0} ms ago", engines.len()));
+        (kept.rev, kept.heard, kept.engines) =
+            (rev, unix.as_secs_f64() * 1000.0 - age, engines.clone());
+        notes.push(format!(
+            "{} engines as the last process heard of them, {age:.0} ms ago",
+            engines.len()
+        ));
         let place = |e: Engine| {
             let (zone, kind) = (told.index.zone(&e.zone), told.index.kind(&e.kind));
             let (address, marks, since) = (e.address, e.marks, e.since);
-            (e.name, Place { address, zone, kind, marks, standing: Standing::Ready, since })
+            (
+                e.name,
+                Place {
+                    address,
+                    zone,
+                    kind,
+                    marks,
+                    standing: Standing::Ready,
+                    since,
+                },
+            )
         };
         (told.rev, told.known) = (rev, engines.into_iter().map(place).collect());
     }
-    Begun { rests: begun.rests, notes, kept, writes }
+    Begun {
+        rests: begun.rests,
+        notes,
+        kept,
+        writes,
+    }
 }
 
 impl Memory {
@@ -120,7 +157,9 @@
     pub fn start(begun: Begun, shared: Rc<Shared>) -> Memory {
         let (mail, inbox) = bounded(4);
         let executor = shared.executor.clone();
-        executor.spawn(tend(begun.kept, shared, inbox, begun.writes)).detach();
+        executor
+            .spawn(tend(begun.kept, shared, inbox, begun.writes))
+            .detach();
         Memory { mail }
     }
 
@@ -136,7 +175,9 @@
             draining: p.standing != Standing::Ready,
             since: p.since,
         };
-        let _ = self.mail.try_send(Mail::Roster(rev, lines.iter().map(line).collect()));
+        let _ = self
+            .mail
+            .try_send(Mail::Roster(rev, lines.iter().map(line).collect()));
     }
 
     /// The process ends: kept is whether anything is out. Waits for the disk for so long, in ms, at most.
@@ -164,19 +205,33 @@
     loop {
         let mail = async { inbox.recv().await.ok() };
         let again = async {
-            Timer::after(span(if std::mem::take(&mut first) { 0.0 } else { KEEP_EVERY })).await;
+            Timer::after(span(if std::mem::take(&mut first) {
+                0.0
+            } else {
+                KEEP_EVERY
+            }))
+            .await;
             None
         };
         let mut done = None;
         match or(mail, again).await {
             Some(Mail::Roster(rev, engines)) => (kept.rev, kept.engines) = (rev, engines),
-            Some(Mail::End(tell)) => (kept.clean, done) = (shared.gauges.open.get() == 0, Some(tell)),
+            Some(Mail::End(tell)) => {
+                (kept.clean, done) = (shared.gauges.open.get() == 0, Some(tell))
+            }
             None => {}
         }
-        (kept.at, kept.heard) = (shared.clock.now(), kept.heard.max(shared.gauges.heard.get()));
+        (kept.at, kept.heard) = (
+            shared.clock.now(),
+            kept.heard.max(shared.gauges.heard.get()),
+        );
         if let Ok(bytes) = encode(&kept) {
             // What waits there is older.
-            let _ = writes.force_send(Write { bytes, done, log: shared.log.clone() });
+            let _ = writes.force_send(Write {
+                bytes,
+                done,
+                log: shared.log.clone(),
+            });
         }
         if kept.clean {
             return;
@@ -191,7 +246,9 @@
             Err(why) if !std::mem::replace(&mut fails, true) => {
                 warn!(log, "nothing is kept for the next process"; "why" => why);
             }
-            Ok(()) if std::mem::take(&mut fails) => info!(log, "what the next process needs is kept again"),
+            Ok(()) if std::mem::take(&mut fails) => {
+                info!(log, "what the next process needs is kept again")
+            }
             _ => {}
         }
         drop(done);
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -107,8 +107,12 @@
 
     /// The one final answer: whoever asks for a second finds no client any more.
     fn answer(&mut self, submission: usize, reply: impl FnOnce(u64) -> Reply) -> bool {
-        let Some(h) = self.held(submission) else { return false };
-        let Some(client) = h.client.take() else { return false };
+        let Some(h) = self.held(submission) else {
+            return false;
+        };
+        let Some(client) = h.client.take() else {
+            return false;
+        };
         // A client whose connection is gone needs no answer; one that reads none of so many loses its connection.
         if client.try_send(reply(h.call)).is_err() {
             client.close();
@@ -125,14 +129,19 @@
 
     /// Counts what becomes of a submission whose client still waits.
     fn counted(&mut self, submission: usize, add: impl FnOnce(&mut Counts)) {
-        let waited = self.held(submission).filter(|h| h.client.is_some()).map(|h| h.band);
+        let waited = self
+            .held(submission)
+            .filter(|h| h.client.is_some())
+            .map(|h| h.band);
         if let Some(band) = waited {
             add(self.count(band));
         }
     }
 
     fn order(&mut self, engine: usize, order: Order) -> bool {
-        let Some(e) = self.engines.get_mut(engine).and_then(Option::as_mut) else { return false };
+        let Some(e) = self.engines.get_mut(engine).and_then(Option::as_mut) else {
+            return false;
+        };
         let orders = e.orders.get_or_insert_with(|| {
             let (orders, mailbox) = async_channel::bounded(MAILBOX);
             let (shared, own) = (self.shared.clone(), orders.clone());
@@ -147,9 +156,15 @@
 impl Hands {
     /// An attempt has ended; its tenant's move may be over with it.
     fn left_its_cell(&mut self, submission: usize) {
-        let (now, Some(h)) = (self.now, self.held.get(submission).and_then(Option::as_ref)) else { return };
+        let (now, Some(h)) = (self.now, self.held.get(submission).and_then(Option::as_ref)) else {
+            return;
+        };
         let (tenant, cells) = (h.tenant, Cells(h.cells));
-        if self.cells.as_mut().is_some_and(|k| h.engine.is_some() && k.ended(now, tenant, cells)) {
+        if self
+            .cells
+            .as_mut()
+            .is_some_and(|k| h.engine.is_some() && k.ended(now, tenant, cells))
+        {
             info!(self.shared.log, "tenant {:012x} has moved", tenant);
         }
     }
@@ -157,7 +172,9 @@
     /// Settled, in time or not, its client still there.
     fn settled(&mut self, submission: usize) {
         let (now, bands) = (self.now, self.shared.bands());
-        let Some((band, at)) = self.held(submission).map(|h| (h.band, h.at)) else { return };
+        let Some((band, at)) = self.held(submission).map(|h| (h.band, h.at)) else {
+            return;
+        };
         let late = bands.get(band).is_some_and(|b| now - at > b.expected);
         let counts = self.count(band);
         counts.settled += 1;
@@ -168,28 +185,56 @@
 impl Outlet for Hands {
     fn attempt(&mut self, submission: usize, engine: usize, by: Ms) {
         let id = self.subs.id(submission);
-        let cells = self.cells.as_ref().map_or(0, |k| k.engine(self.names.id(engine)).0);
+        let cells = self
+            .cells
+            .as_ref()
+            .map_or(0, |k| k.engine(self.names.id(engine)).0);
         let known = self.engines.get(engine).and_then(Option::as_ref);
         let standing = known.map_or_else(Rc::default, |e| e.standing.clone());
-        let Some(h) = self.held(submission) else { return };
+        let Some(h) = self.held(submission) else {
+            return;
+        };
         (h.engine, h.cells) = (Some(engine), cells);
         h.met.push(engine);
-        let (band, statement, once, waits) = (h.band, h.statement.clone(), h.once.clone(), h.waits.clone());
+        let (band, statement, once, waits) =
+            (h.band, h.statement.clone(), h.once.clone(), h.waits.clone());
         let (priority, begun, by) = (Cell::new(h.priority), Cell::new(false), Cell::new(by));
-        let of = Attempt { id, band, statement, once, priority, limit: h.limit, by, waits, standing, begun };
+        let of = Attempt {
+            id,
+            band,
+            statement,
+            once,
+            priority,
+            limit: h.limit,
+            by,
+            waits,
+            standing,
+            begun,
+        };
         let of = Rc::new(of);
         h.out = Some(of.clone());
         self.count(band).released += 1;
         if !self.order(engine, Order::Attempt(of)) {
             // Nobody is there to tell how it ended.
-            let ended = Event::Ended { id, what: Outcome::Unsent, rows: None };
+            let ended = Event::Ended {
+                id,
+                what: Outcome::Unsent,
+                rows: None,
+            };
             let module = self.shared.module.clone();
-            self.shared.executor.spawn(async move { module.send(ended).await.unwrap_or(()) }).detach();
+            self.shared
+                .executor
+                .spawn(async move { module.send(ended).await.unwrap_or(()) })
+                .detach();
         }
     }
     fn withdraw(&mut self, submission: usize, _nth: u8) {
-        let Some(h) = self.held(submission) else { return };
-        let (Some(engine), Some(of)) = (h.engine, h.out.clone()) else { return };
+        let Some(h) = self.held(submission) else {
+            return;
+        };
+        let (Some(engine), Some(of)) = (h.engine, h.out.clone()) else {
+            return;
+        };
         of.withdraw();
         if !self.order(engine, Order::Withdraw(of.clone())) {
             // A full mailbox must not swallow it: what it withdraws would stay out until its time is up.
@@ -203,7 +248,9 @@
     fn terms(&mut self, submission: usize, priority: u8, _grant_mb: f64) {
         // The engines' lines have no word for memory.
         let id = self.subs.id(submission);
-        let Some(h) = self.held(submission) else { return };
+        let Some(h) = self.held(submission) else {
+            return;
+        };
         h.priority = Some(priority);
         if let Some(engine) = h.engine {
             self.order(engine, Order::Priority(id, priority));
@@ -231,7 +278,11 @@
         info!(self.shared.log, "{}", text);
     }
     fn forget(&mut self, submission: usize) {
-        if self.held.get_mut(submission).is_some_and(|held| held.take().is_some()) {
+        if self
+            .held
+            .get_mut(submission)
+            .is_some_and(|held| held.take().is_some())
+        {
             self.open -= 1;
             self.shared.gauges.open.set(self.open);
         }
@@ -258,7 +309,9 @@
     gateway.tenure(hands.now, hands.shared.tenure.get(), &mut hands);
     gateway.rest_keys(hands.shared.gauges.keys_rest.get());
     loop {
-        let Ok(event) = next(&hands.shared.clock, &events, hands.wake).await else { return };
+        let Ok(event) = next(&hands.shared.clock, &events, hands.wake).await else {
+            return;
+        };
         let now = hands.shared.clock.now();
         hands.now = now;
         match event {
@@ -268,9 +321,12 @@
             }
             Some(Event::Taken(t)) => take(&mut gateway, &mut hands, *t),
             Some(Event::Left(id, client)) => {
-                let Some(s) = hands.subs.find(id) else { continue };
+                let Some(s) = hands.subs.find(id) else {
+                    continue;
+                };
                 // Only its own client takes it back, not who sent another under the same id.
-                let own = |h: &&mut Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
+                let own =
+                    |h: &&mut Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
                 if let Some(h) = hands.held[s].as_mut().filter(own) {
                     h.client = None;
                     let band = h.band;
@@ -279,14 +335,18 @@
                 }
             }
             Some(Event::Closed(id, client)) => {
-                let Some(s) = hands.subs.find(id) else { continue };
+                let Some(s) = hands.subs.find(id) else {
+                    continue;
+                };
                 let own = |h: &Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
                 if hands.held[s].as_ref().is_some_and(own) {
                     gateway.closed(now, s, &mut hands);
                 }
             }
             Some(Event::Ended { id, what, rows }) => {
-                let Some(s) = hands.subs.find(id) else { continue };
+                let Some(s) = hands.subs.find(id) else {
+                    continue;
+                };
                 hands.left_its_cell(s);
                 let open = hands.held[s].as_mut().is_some_and(|h| {
                     (h.engine, h.out) = (None, None);
@@ -295,10 +355,13 @@
                 if open && rows.is_some() {
                     hands.settled(s);
                 }
-                let settled = rows.is_some_and(|rows| hands.answer(s, |call| Reply::Settled(call, rows)));
+                let settled =
+                    rows.is_some_and(|rows| hands.answer(s, |call| Reply::Settled(call, rows)));
                 gateway.outcome(now, s, what, settled || !open, &mut hands);
             }
-            Some(Event::Report { engine, values }) => gateway.report(now, engine, &values, &mut hands),
+            Some(Event::Report { engine, values }) => {
+                gateway.report(now, engine, &values, &mut hands)
+            }
             Some(Event::Ending(at)) => {
                 hands.ends = at;
                 gateway.ending(now, at, &mut hands);
@@ -309,10 +372,14 @@
                 (Request::Amend(to), _) => amend(&mut gateway, &mut hands, *to),
                 (Request::Tenure(until, share), _) => {
                     hands.shared.tenure.set(until);
-                    if let Some(share) = share.filter(|s| hands.share.is_none_or(|was| s.differs(was))) {
+                    if let Some(share) =
+                        share.filter(|s| hands.share.is_none_or(|was| s.differs(was)))
+                    {
                         hands.share = Some(share);
                         let mandate = hands.mandate.as_ref().map(|m| share.of(m));
-                        mandate.into_iter().for_each(|m| gateway.amend(now, m, &mut hands));
+                        mandate
+                            .into_iter()
+                            .for_each(|m| gateway.amend(now, m, &mut hands));
                     }
                     gateway.tenure(now, until, &mut hands);
                 }
@@ -329,7 +396,10 @@
     if let Some(carriage) = to.carriage {
         hands.shared.carriage.replace(Rc::new(carriage));
     }
-    if let Some(cells) = to.cells.filter(|cells| hands.cells.is_some() || cells.is_some()) {
+    if let Some(cells) = to
+        .cells
+        .filter(|cells| hands.cells.is_some() || cells.is_some())
+    {
         let was = std::mem::replace(&mut hands.cells, cells);
         if let (Some(is), Some(was)) = (&mut hands.cells, &was) {
             let out = hands.held.iter().flatten().filter(|h| h.engine.is_some());
@@ -359,7 +429,12 @@
         return gateway.roster(hands.now, true, &lines, hands);
     };
     let lines = lines(&hands.engines, &hands.names, |id| keeper.engine(id).0);
-    keeper.roster(lines.iter().filter(|l| l.standing == Standing::Ready).map(|l| l.id));
+    keeper.roster(
+        lines
+            .iter()
+            .filter(|l| l.standing == Standing::Ready)
+            .map(|l| l.id),
+    );
     for (s, held) in hands.held.iter().enumerate() {
         if let Some(h) = held {
             gateway.confine(s, keeper.tenant(h.tenant).0);
@@ -370,10 +445,32 @@
 
 /// The roster as it stands, for the module.
 fn lines(engines: &[Option<Known>], names: &Door<u64>, cells: impl Fn(u64) -> u64) -> Vec<Listed> {
-    let known = engines.iter().enumerate().filter_map(|(i, e)| e.as_ref().map(|e| (i, &e.place)));
+    let known = engines
+        .iter()
+        .enumerate()
+        .filter_map(|(i, e)| e.as_ref().map(|e| (i, &e.place)));
     let line = |(engine, p): (usize, &Place)| {
-        let (id, Place { zone, kind, marks, standing, since, .. }) = (names.id(engine), p.clone());
-        Listed { engine, id, zone, kind, marks, cells: cells(id), standing, since }
+        let (
+            id,
+            Place {
+                zone,
+                kind,
+                marks,
+                standing,
+                since,
+                ..
+            },
+        ) = (names.id(engine), p.clone());
+        Listed {
+            engine,
+            id,
+            zone,
+            kind,
+            marks,
+            cells: cells(id),
+            standing,
+            since,
+        }
     };
     known.map(line).collect()
 }
@@ -383,9 +480,18 @@
     let (window, shared) = (&shown.window, hands.shared.clone());
     let was = window.latest();
     let mut inflight = vec![0u32; hands.engines.len()];
-    hands.held.iter().flatten().filter_map(|h| h.engine).for_each(|e| inflight[e] += 1);
-    let named =
-        |names: &[Arc<str>], i: u16| names.get(i as usize).cloned().unwrap_or_else(|| "unknown".into());
+    hands
+        .held
+        .iter()
+        .flatten()
+        .filter_map(|h| h.engine)
+        .for_each(|e| inflight[e] += 1);
+    let named = |names: &[Arc<str>], i: u16| {
+        names
+            .get(i as usize)
+            .cloned()
+            .unwrap_or_else(|| "unknown".into())
+    };
     let mut engines = was.engines.clone();
     let listed: BTreeMap<&str, usize> = hands
         .engines
@@ -393,17 +499,25 @@
         .enumerate()
         .filter_map(|(i, e)| e.as_ref().map(|e| (e.name.as_str(), i)))
         .collect();
-    let gone = was.engines.keys().filter(|name| !listed.contains_key(&***name));
+    let gone = was
+        .engines
+        .keys()
+        .filter(|name| !listed.contains_key(&***name));
     gone.for_each(|name| drop(engines.remove(name)));
     for (name, i) in listed {
-        let (Some(e), Some(view)) = (&hands.engines[i], gateway.engine_view(i)) else { continue };
+        let (Some(e), Some(view)) = (&hands.engines[i], gateway.engine_view(i)) else {
+            continue;
+        };
         let is = state::Engine {
             id: hands.names.id(i),
             address: e.place.address.to_string(),
             zone: named(&shown.zones, e.place.zone),
             kind: named(&shown.kinds, e.place.kind),
             marks: e.place.marks,
-            cells: hands.cells.as_ref().map_or("".into(), |k| k.names(k.engine(hands.names.id(i))).into()),
+            cells: hands
+                .cells
+                .as_ref()
+                .map_or("".into(), |k| k.names(k.engine(hands.names.id(i))).into()),
             since: e.place.since,
             inflight: inflight[i],
             connections: e.connections.get(),
@@ -493,7 +607,16 @@
         cells: 0,
         met: Vec::new(),
     });
-    gateway.take(hands.now, s, Submission { left: limit - hands.now, cells, ..t.of }, hands);
+    gateway.take(
+        hands.now,
+        s,
+        Submission {
+            left: limit - hands.now,
+            cells,
+            ..t.of
+        },
+        hands,
+    );
 }
 
 fn roster(gateway: &mut Gateway, hands: &mut Hands, lines: BTreeMap<String, Place>) {
@@ -504,7 +627,8 @@
     }
     // The one place where an engine's index is given back: once it is gone and no submission held met it.
     for at in 0..hands.engines.len() {
-        if hands.engines[at].is_none() && !hands.held.iter().flatten().any(|h| h.met.contains(&at)) {
+        if hands.engines[at].is_none() && !hands.held.iter().flatten().any(|h| h.met.contains(&at))
+        {
             hands.names.release(at);
         }
     }
@@ -517,8 +641,24 @@
             hands.engines.resize_with(engine + 1, || None);
         }
         let cells = hands.cells.as_ref().map_or(0, |k| k.engine(id).0);
-        let Place { zone, kind, marks, standing, since, address } = place;
-        listed.push(Listed { engine, id, zone, kind, marks, cells, standing, since });
+        let Place {
+            zone,
+            kind,
+            marks,
+            standing,
+            since,
+            address,
+        } = place;
+        listed.push(Listed {
+            engine,
+            id,
+            zone,
+            kind,
+            marks,
+            cells,
+            standing,
+            since,
+        });
         let known = &mut hands.engines[engine];
         // Another process by now, maybe elsewhere.
         let anew = |e: &Known| e.place.address != address || (e.place.since - since).abs() >= 1.0;
@@ -529,16 +669,29 @@
             e.place = place;
             if e.standing.replace(standing) != standing && standing != Standing::Ready {
                 // Where the mailbox is full, what lies in it is looked at before its write all the same.
-                e.orders.iter().for_each(|orders| drop(orders.try_send(Order::Standing)));
+                e.orders
+                    .iter()
+                    .for_each(|orders| drop(orders.try_send(Order::Standing)));
             }
             continue;
         }
         info!(hands.shared.log, "engine {:012x} is {}", id, name; "zone" => zone, "kind" => kind);
         let standing = Rc::new(Cell::new(standing));
-        *known = Some(Known { name, place, orders: None, connections: Rc::default(), standing });
+        *known = Some(Known {
+            name,
+            place,
+            orders: None,
+            connections: Rc::default(),
+            standing,
+        });
     }
     if let Some(keeper) = &mut hands.cells {
-        keeper.roster(listed.iter().filter(|l| l.standing == Standing::Ready).map(|l| l.id));
+        keeper.roster(
+            listed
+                .iter()
+                .filter(|l| l.standing == Standing::Ready)
+                .map(|l| l.id),
+        );
     }
     gateway.roster(hands.now, true, &listed, hands);
 }
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -59,7 +59,13 @@
         since: 0.0,
     };
     let (connections, standing) = (Rc::default(), Rc::new(Cell::new(Standing::Ready)));
-    let known = Known { name: "e1".into(), place, orders: Some(orders.clone()), connections, standing };
+    let known = Known {
+        name: "e1".into(),
+        place,
+        orders: Some(orders.clone()),
+        connections,
+        standing,
+    };
     hands.engines.push(Some(known));
     let submission = hands.subs.admit(*b"0000000000000001");
     hands.held.push(Some(Held {
@@ -81,8 +87,13 @@
     hands.attempt(submission, 0, 5000.0);
     orders.try_send(Order::Report).map_err(|_| "full").unwrap();
     hands.withdraw(submission, 0);
-    let Ok(Order::Attempt(of)) = mailbox.try_recv() else { panic!("the attempt is there") };
-    assert!(!of.may_begin(0.0), "withdrawn where it lies, ahead of the order");
+    let Ok(Order::Attempt(of)) = mailbox.try_recv() else {
+        panic!("the attempt is there")
+    };
+    assert!(
+        !of.may_begin(0.0),
+        "withdrawn where it lies, ahead of the order"
+    );
     assert!(matches!(mailbox.try_recv(), Ok(Order::Report)));
     while hands.shared.executor.try_tick() {}
     assert!(matches!(mailbox.try_recv(), Ok(Order::Withdraw(w)) if Rc::ptr_eq(&w, &of)));
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -143,16 +143,33 @@
 
 /// The cells of the file as settings.
 pub fn cells(c: &Cells) -> ironstair_change::Cells {
-    let pin = |(name, cell): (&String, &String)| EnginePin { name: name.clone(), cell: cell.clone() };
+    let pin = |(name, cell): (&String, &String)| EnginePin {
+        name: name.clone(),
+        cell: cell.clone(),
+    };
     let (turn_back, lend) = match c.without {
         Without::TurnBack(ms) => (Some(ms), None),
         Without::Lend(share) => (None, Some(Decimal::of(share))),
     };
     ironstair_change::Cells {
         shard: c.shard,
-        cell: c.names.iter().map(|(n, w)| Cell { name: n.clone(), weight: Decimal::of(*w) }).collect(),
+        cell: c
+            .names
+            .iter()
+            .map(|(n, w)| Cell {
+                name: n.clone(),
+                weight: Decimal::of(*w),
+            })
+            .collect(),
         engine: c.engines.iter().map(pin).collect(),
-        tenant: c.tenants.iter().map(|(n, c)| TenantPin { name: n.clone(), cell: c.clone() }).collect(),
+        tenant: c
+            .tenants
+            .iter()
+            .map(|(n, c)| TenantPin {
+                name: n.clone(),
+                cell: c.clone(),
+            })
+            .collect(),
         turn_back,
         lend,
     }
@@ -246,11 +263,17 @@
                 m.listen
             ));
         }
-        if m.tls.as_ref().is_some_and(|t| t.change.is_empty() && t.read.is_empty()) {
+        if m.tls
+            .as_ref()
+            .is_some_and(|t| t.change.is_empty() && t.read.is_empty())
+        {
             return Err("management.tls: neither change nor read names anybody".into());
         }
         if !(1..=10_000).contains(&m.streams) {
-            return Err(format!("management.streams: {} is outside 1 to 10000", m.streams));
+            return Err(format!(
+                "management.streams: {} is outside 1 to 10000",
+                m.streams
+            ));
         }
     }
     Ok(found)
@@ -279,31 +302,56 @@
             more => format!(r#""management": {{"listen": "127.0.0.1:1"{more}}}, "#),
         };
         let keepers = r#""keepers": {"a": "127.0.0.1:2", "b": "127.0.0.1:3", "c": "127.0.0.1:4"}"#;
-        format!(r#"{{{management}"fleet": {{"name": "f", "listen": "127.0.0.1:2", {keepers}, {fleet}}}}}"#)
+        format!(
+            r#"{{{management}"fleet": {{"name": "f", "listen": "127.0.0.1:2", {keepers}, {fleet}}}}}"#
+        )
     }
 
     #[test]
     fn a_fleet_is_checked_whole_and_the_platform_runs_without_one() {
         // Against a gateway that is half in a fleet, and one that is in one by accident.
-        let read = |more: &str| decode(fleet(r#", "streams": 1"#, more).as_bytes()).unwrap().fleet.unwrap();
+        let read = |more: &str| {
+            decode(fleet(r#", "streams": 1"#, more).as_bytes())
+                .unwrap()
+                .fleet
+                .unwrap()
+        };
         let keeper = charter(&read(r#""state": "s""#), "a").unwrap();
-        assert_eq!((keeper.lease, keeper.steady, keeper.is_keeper()), (3000.0, false, true));
-        assert!(!charter(&read(r#""cut_off": "steady""#), "d").unwrap().is_keeper());
+        assert_eq!(
+            (keeper.lease, keeper.steady, keeper.is_keeper()),
+            (3000.0, false, true)
+        );
+        assert!(!charter(&read(r#""cut_off": "steady""#), "d")
+            .unwrap()
+            .is_keeper());
         for (more, name, why) in [
             (r#""lease_ms": 999"#, "d", "fleet.lease_ms: 999"),
-            (r#""state": "s""#, "d", "fleet.state: d is not among the keepers"),
+            (
+                r#""state": "s""#,
+                "d",
+                "fleet.state: d is not among the keepers",
+            ),
             (r#""lease_ms": 3000"#, "a", "fleet.state: a is a keeper"),
             (r#""lease_ms": 3000"#, "", "fleet: the gateway's own name"),
-            (r#""count": "members", "cut_off": "steady""#, "d", "fleet.count: who goes on"),
+            (
+                r#""count": "members", "cut_off": "steady""#,
+                "d",
+                "fleet.count: who goes on",
+            ),
         ] {
             let told = charter(&read(more), name).unwrap_err();
             assert!(told.starts_with(why), "{more}: {told}");
         }
         let mut two = read(r#""state": "s""#);
         two.keepers.insert("c".into(), two.keepers["b"]);
-        assert!(charter(&two, "a").unwrap_err().starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
+        assert!(charter(&two, "a")
+            .unwrap_err()
+            .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
         two.keepers.remove("c");
-        assert_eq!(charter(&two, "a").unwrap_err(), "fleet.keepers: 3 or 5 are named, not 2");
+        assert_eq!(
+            charter(&two, "a").unwrap_err(),
+            "fleet.keepers: 3 or 5 are named, not 2"
+        );
         let platform = include_str!("../../../deploy/balancer.toml");
         assert!(platform.contains("ironstair serve") && !platform.contains("operator"));
     }
@@ -313,13 +361,34 @@
         for (text, why) in [
             ("", "the file: EOF"),
             ("[]", "the file: invalid length 0"),
-            (r#"{"managment": {}}"#, "managment: unknown field `managment`"),
-            (r#"{"management": {}}"#, "management: missing field `listen`"),
-            (r#"{"management": {"listen": 5}}"#, "management.listen: invalid type"),
-            (r#"{"management": {"listen": "here"}}"#, "management.listen: invalid socket address"),
-            (r#"{"management": {"listen": "0.0.0.0:1"}}"#, "management.listen: without TLS"),
-            (r#"{"management": {"listen": "[::1]:1", "streams": 0}}"#, "management.streams: 0"),
-            (r#"{"management": {"listen": "[::1]:1", "state": 1}}"#, "management.state: invalid type"),
+            (
+                r#"{"managment": {}}"#,
+                "managment: unknown field `managment`",
+            ),
+            (
+                r#"{"management": {}}"#,
+                "management: missing field `listen`",
+            ),
+            (
+                r#"{"management": {"listen": 5}}"#,
+                "management.listen: invalid type",
+            ),
+            (
+                r#"{"management": {"listen": "here"}}"#,
+                "management.listen: invalid socket address",
+            ),
+            (
+                r#"{"management": {"listen": "0.0.0.0:1"}}"#,
+                "management.listen: without TLS",
+            ),
+            (
+                r#"{"management": {"listen": "[::1]:1", "streams": 0}}"#,
+                "management.streams: 0",
+            ),
+            (
+                r#"{"management": {"listen": "[::1]:1", "state": 1}}"#,
+                "management.state: invalid type",
+            ),
             (
                 r#"{"management": {"listen": "[::1]:1", "tls": {}}}"#,
                 "management.tls: missing field `certificate`",
@@ -328,9 +397,18 @@
                 r#"{"management": {"listen": "0.0.0.0:1", "tls": {"certificate": "", "key": "", "clients": ""}}}"#,
                 "management.tls: neither",
             ),
-            (r#"{"cells": {"names": {}}}"#, "cells: /settings/cells/cell: there is no cell"),
-            (r#"{"cells": {"names": {"a": -1}}}"#, "cells.names.a: is no share"),
-            (r#"{"cells": {"names": {"a": 1}, "shard": 2}}"#, "cells: /settings/cells/shard: a tenant"),
+            (
+                r#"{"cells": {"names": {}}}"#,
+                "cells: /settings/cells/cell: there is no cell",
+            ),
+            (
+                r#"{"cells": {"names": {"a": -1}}}"#,
+                "cells.names.a: is no share",
+            ),
+            (
+                r#"{"cells": {"names": {"a": 1}, "shard": 2}}"#,
+                "cells: /settings/cells/shard: a tenant",
+            ),
             (
                 r#"{"cells": {"names": {"a": 1}, "engines": {"e1": "b"}}}"#,
                 "cells: /settings/cells/engine[name=e1]/cell: there is no cell b",
@@ -339,11 +417,23 @@
                 r#"{"cells": {"names": {"a": 1}, "tenants": {"t": []}}}"#,
                 "cells: /settings/cells/tenant[name=t]/cell: a tenant",
             ),
-            (r#"{"cells": {"names": {"a": 1}, "without": {"lend": 2}}}"#, "cells.without: is no"),
+            (
+                r#"{"cells": {"names": {"a": 1}, "without": {"lend": 2}}}"#,
+                "cells.without: is no",
+            ),
             (r#"{"fleet": {}}"#, "fleet: missing field `name`"),
-            (&fleet("", r#""lease_ms": 3000"#), "fleet: it is shown and changed by management"),
-            (&fleet(r#", "state": "s""#, r#""lease_ms": 3000"#), "management.state: in a fleet"),
-            (&fleet(r#", "streams": 1"#, r#""cut_off": "maybe""#), "fleet.cut_off: unknown variant"),
+            (
+                &fleet("", r#""lease_ms": 3000"#),
+                "fleet: it is shown and changed by management",
+            ),
+            (
+                &fleet(r#", "state": "s""#, r#""lease_ms": 3000"#),
+                "management.state: in a fleet",
+            ),
+            (
+                &fleet(r#", "streams": 1"#, r#""cut_off": "maybe""#),
+                "fleet.cut_off: unknown variant",
+            ),
             (r#"{"recovery": {}}"#, "recovery: missing field `state`"),
             ("{} {}", "trailing characters"),
         ] {
@@ -355,9 +445,17 @@
     #[test]
     fn the_schema_names_every_field() {
         let schema = schema();
-        for field in
-            ["management", "listen", "state", "streams", "tls", "change", "read", "clients", "recovery"]
-        {
+        for field in [
+            "management",
+            "listen",
+            "state",
+            "streams",
+            "tls",
+            "change",
+            "read",
+            "clients",
+            "recovery",
+        ] {
             assert!(schema.contains(&format!("\"{field}\"")), "{field}");
         }
     }
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -117,8 +117,11 @@
             if taken.len() >= self.most && !quiet().any(|s| s.leave.get()) {
                 let new = |s: &Seat| !s.answered.get() && now - s.since < NEW;
                 let rank = |s: &Rc<Seat>| (new(s), s.answered.get(), s.quiet.get());
-                let first =
-                    quiet().min_by(|a, b| rank(a).partial_cmp(&rank(b)).unwrap_or(std::cmp::Ordering::Equal));
+                let first = quiet().min_by(|a, b| {
+                    rank(a)
+                        .partial_cmp(&rank(b))
+                        .unwrap_or(std::cmp::Ordering::Equal)
+                });
                 first.inspect(|s| s.ask());
             }
             (taken.len() < self.most).then_some(())
@@ -135,11 +138,25 @@
 
     fn seat(self: &Rc<Self>, clock: &Clock) -> Place {
         let (now, nth) = (clock.now(), self.nth.replace(self.nth.get() + 1));
-        let (quiet, answered, leave) = (Cell::new(now), Cell::new(false), Cell::new(self.closing.get()));
-        let seat = Rc::new(Seat { since: now, quiet, answered, leave, bell: Bell::new() });
+        let (quiet, answered, leave) = (
+            Cell::new(now),
+            Cell::new(false),
+            Cell::new(self.closing.get()),
+        );
+        let seat = Rc::new(Seat {
+            since: now,
+            quiet,
+            answered,
+            leave,
+            bell: Bell::new(),
+        });
         self.taken.borrow_mut().insert(nth, seat.clone());
         self.count.set(self.taken.borrow().len() as u32);
-        Place { of: self.clone(), seat, nth }
+        Place {
+            of: self.clone(),
+            seat,
+            nth,
+        }
     }
 }
 
--- a/crates/gateway/src/places_tests.rs
+++ b/crates/gateway/src/places_tests.rs
@@ -13,7 +13,11 @@
     // The last is new: it has not had its word yet.
     for leaver in [2, 1] {
         assert!(block_on(take()).is_none());
-        assert_eq!((asked(&held), held[leaver].seat.asked_to_leave()), (1, true), "{leaver}");
+        assert_eq!(
+            (asked(&held), held[leaver].seat.asked_to_leave()),
+            (1, true),
+            "{leaver}"
+        );
         drop(held.remove(leaver));
         held.push(block_on(take()).unwrap());
         held.last().unwrap().busy();
@@ -24,5 +28,9 @@
     assert!(held[1].seat.asked_to_leave(), "it never said anything");
     held[1].busy();
     assert!(block_on(take()).is_none());
-    assert_eq!((asked(&held), held[2].seat.asked_to_leave()), (1, true), "what has come to speak stays");
+    assert_eq!(
+        (asked(&held), held[2].seat.asked_to_leave()),
+        (1, true),
+        "what has come to speak stays"
+    );
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -92,7 +92,10 @@
                             take_over(&renewal, told.carriage.clone(), &shared).await;
                         }
                         Settings::Management => {
-                            warn!(log, "settings come by management, those of the file are not taken over");
+                            warn!(
+                                log,
+                                "settings come by management, those of the file are not taken over"
+                            );
                         }
                         Settings::Fleet => {
                             warn!(log, "settings are the fleet's, those of the file are not taken over: ironstair set --fleet");
@@ -100,14 +103,30 @@
                     }
                 }
                 told.under(renewal.frame());
-                let Told { names, known, rev, index, .. } = told;
-                let _ = moves.send(Moved { names, known, rev, index }).await;
+                let Told {
+                    names,
+                    known,
+                    rev,
+                    index,
+                    ..
+                } = told;
+                let _ = moves
+                    .send(Moved {
+                        names,
+                        known,
+                        rev,
+                        index,
+                    })
+                    .await;
             }
             _ if places.begun() => info!(log, "told to end once more"),
             _ => {
                 info!(log, "told to end");
                 places.begin();
-                let _ = shared.module.send(Event::Ending(shared.clock.now() + left(&shared))).await;
+                let _ = shared
+                    .module
+                    .send(Event::Ending(shared.clock.now() + left(&shared)))
+                    .await;
             }
         }
     }
@@ -118,8 +137,18 @@
     let mandate = renewal.mandate();
     let (bands, longest) = ironstair_manage::bands(renewal.roll(), renewal.document(), &mandate);
     let (done, told) = async_channel::bounded(1);
-    let to = Amendment { mandate, bands, longest, cells: None, carriage: Some(carriage), done };
-    let _ = shared.module.send(Event::Asked(Request::Amend(Box::new(to)))).await;
+    let to = Amendment {
+        mandate,
+        bands,
+        longest,
+        cells: None,
+        carriage: Some(carriage),
+        done,
+    };
+    let _ = shared
+        .module
+        .send(Event::Asked(Request::Amend(Box::new(to))))
+        .await;
     if told.recv().await.is_ok() {
         let open = shared.bands().iter().filter(|b| b.in_service).count();
         info!(shared.log, "new settings hold"; "bands" => open);
@@ -136,7 +165,8 @@
     let wanted = descriptors.clamp(1, ROOM_MOST);
     let mut fewer = std::iter::successors(Some(wanted), |n| Some(n / 2)).take_while(|n| *n > 0);
     // One copy with the highest number, given back at once: the table keeps its size.
-    let copied = |n: &usize| rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), *n as i32 - 1).is_ok();
+    let copied =
+        |n: &usize| rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), *n as i32 - 1).is_ok();
     let made = fewer.find(copied).unwrap_or(0);
     (made < wanted).then_some((wanted, made))
 }
@@ -168,7 +198,11 @@
         Some(m) => (m.mandate(), m.bands()),
         None => {
             let bands = told.bands.iter().cloned().zip(&told.mandate.bands);
-            let bands = bands.map(|(name, b)| window::Told { name, expected: b.expected, in_service: true });
+            let bands = bands.map(|(name, b)| window::Told {
+                name,
+                expected: b.expected,
+                in_service: true,
+            });
             let bands = bands.collect();
             (told.mandate, (bands, told.carriage.longest))
         }
@@ -184,18 +218,27 @@
         links_most: told.descriptors / 4,
         listed: Cell::new(0),
         // In a fleet nothing is decided before that has said until when.
-        tenure: Cell::new(if in_fleet && !taken_out("start") { 0.0 } else { f64::INFINITY }),
+        tenure: Cell::new(if in_fleet && !taken_out("start") {
+            0.0
+        } else {
+            f64::INFINITY
+        }),
         bands: RefCell::new(Rc::new(bands)),
         longest: Cell::new(longest),
         gauges: Gauges::default(),
-        tenants: operator.as_ref().and_then(|o| o.cells.as_ref()).is_some_and(|c| c.named_by_clients),
+        tenants: operator
+            .as_ref()
+            .and_then(|o| o.cells.as_ref())
+            .is_some_and(|c| c.named_by_clients),
         carriage: RefCell::new(Rc::new(told.carriage)),
         log: log.clone(),
         module: module.clone(),
         executor: executor.clone(),
     });
     if let Some(memory::Begun { rests, notes, .. }) = &begun {
-        notes.iter().for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
+        notes
+            .iter()
+            .for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
         if *rests {
             shared.gauges.keys_rest.set(shared.clock.now() + key_rest);
         }
@@ -207,18 +250,24 @@
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
         let signals = signals.map_err(|e| fault("signals", e))?;
         let listener = Async::<TcpListener>::bind(told.listen).map_err(|e| fault("listen", e))?;
-        module.try_send(Event::Roster(told.known)).map_err(|e| e.to_string())?;
+        module
+            .try_send(Event::Roster(told.known))
+            .map_err(|e| e.to_string())?;
         let shown = management.as_ref().map(|m| Shown {
             window: m.window.clone(),
             zones: told.index.zones.iter().map(|n| n.as_str().into()).collect(),
             kinds: told.index.kinds.iter().map(|n| n.as_str().into()).collect(),
         });
-        executor.spawn(decide(gateway, shared.clone(), events, shown, cells)).detach();
+        executor
+            .spawn(decide(gateway, shared.clone(), events, shown, cells))
+            .detach();
         let (mut renew, mut leave) = (None, None);
         if let Some(m) = management {
             let running = m.start(&told.name, shared.clock, log.clone(), level)?;
             (renew, leave) = (Some(running.renew), running.leave);
-            executor.spawn(management::carry(running.asked, module.clone())).detach();
+            executor
+                .spawn(management::carry(running.asked, module.clone()))
+                .detach();
         }
         let settings = match (&renew, &leave) {
             (None, _) => Settings::File,
@@ -240,10 +289,20 @@
         executor.spawn(list.follow(moved)).detach();
         // Clients keep to a third of the descriptors.
         shared.gauges.serial.set(told.rev);
-        shared.gauges.connections_most.set((told.descriptors / 2) as u32);
+        shared
+            .gauges
+            .connections_most
+            .set((told.descriptors / 2) as u32);
         let places = Places::new(told.descriptors / 2, shared.gauges.connections.clone());
-        let heeded =
-            heed(signals, path.into(), moves, (renew, settings), renewal, places.clone(), shared.clone());
+        let heeded = heed(
+            signals,
+            path.into(),
+            moves,
+            (renew, settings),
+            renewal,
+            places.clone(),
+            shared.clone(),
+        );
         executor.spawn(heeded).detach();
         info!(log, "serving"; "on" => told.listen);
 
@@ -256,7 +315,9 @@
                         waits.set(Some(stream));
                         let place = places.take(&shared.clock).await;
                         let Some(stream) = waits.take() else { continue };
-                        executor.spawn(client::serve(stream, shared.clone(), place)).detach();
+                        executor
+                            .spawn(client::serve(stream, shared.clone(), place))
+                            .detach();
                         // Each is heard before the next is let in, which may need its place.
                         yield_now().await;
                     }
@@ -277,10 +338,20 @@
         };
         or(accept, told_to_end).await;
         // What the system has accepted is taken: none of it is left behind when the listener goes.
-        let accepted = || listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)).ok();
+        let accepted = || {
+            listener
+                .get_ref()
+                .accept()
+                .and_then(|(stream, _)| Async::new(stream))
+                .ok()
+        };
         while let Some(stream) = waits.take().or_else(accepted) {
-            let Some(place) = places.last(&shared.clock) else { break };
-            executor.spawn(client::serve(stream, shared.clone(), place)).detach();
+            let Some(place) = places.last(&shared.clock) else {
+                break;
+            };
+            executor
+                .spawn(client::serve(stream, shared.clone(), place))
+                .detach();
         }
         drop(listener);
         places.close();
@@ -290,12 +361,16 @@
         info!(log, "all is answered");
         if let Some(memory) = memory {
             // A slow disk has what is left of the time, and a little where nothing is.
-            memory.end((ends.get() - shared.clock.now()).max(LAST_WORDS)).await;
+            memory
+                .end((ends.get() - shared.clock.now()).max(LAST_WORDS))
+                .await;
         }
         if let Some(leave) = leave {
             // Who says so needs no lease to run out before its fleet goes on without it.
             let (done, told) = tokio::sync::oneshot::channel();
-            let said = leave.try_send(ironstair_muster::actor::Mail::Leave(done)).is_ok();
+            let said = leave
+                .try_send(ironstair_muster::actor::Mail::Leave(done))
+                .is_ok();
             let most = async {
                 Timer::after(span(LEAVE_WITHIN)).await;
             };
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -36,7 +36,12 @@
 impl Told {
     pub fn file(&self) -> File {
         let (mandate, names) = (self.mandate.clone(), self.bands.clone());
-        File { mandate, names, limits: self.limits.clone(), frame: self.index.clone() }
+        File {
+            mandate,
+            names,
+            limits: self.limits.clone(),
+            frame: self.index.clone(),
+        }
     }
 
     /// The roster with its zones and kinds under other indices.
@@ -57,14 +62,19 @@
 
 fn address(v: &Value, key: &str) -> Result<SocketAddr, String> {
     let found = word(v, key)?;
-    found.parse().map_err(|_| format!("{key} is no address: {found}"))
+    found
+        .parse()
+        .map_err(|_| format!("{key} is no address: {found}"))
 }
 
 pub fn decode(json: &[u8]) -> Result<Told, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
     let seed = word(&v, "seed")?;
-    let index = Frame { zones: zones(settings)?, kinds: kinds(settings)? };
+    let index = Frame {
+        zones: zones(settings)?,
+        kinds: kinds(settings)?,
+    };
     let mut known = BTreeMap::new();
     let notices = v["known"]["notices"].as_array();
     for notice in notices.into_iter().flatten() {
@@ -74,7 +84,8 @@
         name: word(&v, "name")?.to_string(),
         listen: address(&v, "listen")?,
         names: address(&v, "names")?,
-        seed: u64::from_str_radix(seed, 16).map_err(|_| format!("seed is no hexadecimal number: {seed}"))?,
+        seed: u64::from_str_radix(seed, 16)
+            .map_err(|_| format!("seed is no hexadecimal number: {seed}"))?,
         memory_mb: v["limits"]["memory_mb"].as_f64().unwrap_or(MEMORY_MB),
         descriptors: v["limits"]["sockets"].as_f64().unwrap_or(DESCRIPTORS) as usize,
         mandate: mandate(settings).map_err(|e| format!("settings: {e}"))?,
@@ -127,7 +138,10 @@
             json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
                 "cell": 2, "lifecycle": state, "startedAtMs": 5})
         };
-        let index = Frame { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into()] };
+        let index = Frame {
+            zones: vec!["a".into(), "b".into()],
+            kinds: vec!["std".into()],
+        };
         let mut known = BTreeMap::from([(
             "left-over".to_string(),
             Place {
@@ -139,10 +153,8 @@
                 since: 0.0,
             },
         )]);
-        let first =
-            json!({"reset": true, "instances": [engine("S-1", "ready", 1), engine("s-2", "ready", 2)]});
-        let then =
-            json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
+        let first = json!({"reset": true, "instances": [engine("S-1", "ready", 1), engine("s-2", "ready", 2)]});
+        let then = json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
         follow(&mut known, &first, &index).unwrap();
         follow(&mut known, &then, &index).unwrap();
         let place = Place {
@@ -154,6 +166,11 @@
             since: 5.0,
         };
         assert_eq!(known, BTreeMap::from([("s-1".to_string(), place)]));
-        assert!(follow(&mut known, &json!({"instances": [{"instanceId": "s-3"}]}), &index).is_err());
+        assert!(follow(
+            &mut known,
+            &json!({"instances": [{"instanceId": "s-3"}]}),
+            &index
+        )
+        .is_err());
     }
 }
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -2,7 +2,9 @@
 
 use humantime::Duration as Span;
 use ironstair_gnmi::proto::gnmi::g_nmi_client::GNmiClient;
-use ironstair_gnmi::proto::gnmi::{self, subscribe_request, subscribe_response, typed_value, TypedValue};
+use ironstair_gnmi::proto::gnmi::{
+    self, subscribe_request, subscribe_response, typed_value, TypedValue,
+};
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Commit, Extension};
 use ironstair_gnmi::FLEET;
 use ironstair_tree::path::{key_name, Wanted};
@@ -182,20 +184,27 @@
 }
 
 async fn client(at: &At) -> Result<Client, Failed> {
-    let unreachable =
-        |e: &dyn std::fmt::Display| Failed(format!("{}: no gateway serves management there: {e}", at.at), 4);
+    let unreachable = |e: &dyn std::fmt::Display| {
+        Failed(
+            format!("{}: no gateway serves management there: {e}", at.at),
+            4,
+        )
+    };
     let scheme = if at.ca.is_some() { "https" } else { "http" };
     let endpoint = Channel::from_shared(format!("{scheme}://{}", at.at));
     let mut endpoint = endpoint.map_err(|e| wrong(e.to_string()))?;
     if let (Some(ca), Some(cert), Some(key)) = (&at.ca, &at.cert, &at.key) {
-        let file = |p: &PathBuf| std::fs::read(p).map_err(|e| wrong(format!("{}: {e}", p.display())));
+        let file =
+            |p: &PathBuf| std::fs::read(p).map_err(|e| wrong(format!("{}: {e}", p.display())));
         let mut tls = ClientTlsConfig::new()
             .ca_certificate(Certificate::from_pem(file(ca)?))
             .identity(Identity::from_pem(file(cert)?, file(key)?));
         if let Some(name) = &at.server_name {
             tls = tls.domain_name(name);
         }
-        endpoint = endpoint.tls_config(tls).map_err(|e| wrong(format!("the keys can't be used: {e}")))?;
+        endpoint = endpoint
+            .tls_config(tls)
+            .map_err(|e| wrong(format!("the keys can't be used: {e}")))?;
     }
     let connected = endpoint.connect_timeout(CONNECT_WITHIN).connect().await;
     let channel = connected.map_err(|e| unreachable(&cause(&e)))?;
@@ -210,15 +219,32 @@
 fn path(text: &str) -> Result<gnmi::Path, Failed> {
     let pattern = Pattern::read(text).map_err(wrong)?;
     let elem = pattern.0.iter().map(|w| match w {
-        Wanted::Any => gnmi::PathElem { name: "...".into(), ..Default::default() },
-        Wanted::Step { name, key, key_name } => {
+        Wanted::Any => gnmi::PathElem {
+            name: "...".into(),
+            ..Default::default()
+        },
+        Wanted::Step {
+            name,
+            key,
+            key_name,
+        } => {
             let any = || "*".to_string();
-            let key =
-                key_name.iter().map(|k| (k.to_string(), key.as_ref().map_or_else(any, |v| v.to_string())));
-            gnmi::PathElem { name: name.as_ref().map_or_else(any, |n| n.to_string()), key: key.collect() }
+            let key = key_name.iter().map(|k| {
+                (
+                    k.to_string(),
+                    key.as_ref().map_or_else(any, |v| v.to_string()),
+                )
+            });
+            gnmi::PathElem {
+                name: name.as_ref().map_or_else(any, |n| n.to_string()),
+                key: key.collect(),
+            }
         }
     });
-    Ok(gnmi::Path { elem: elem.collect(), ..Default::default() })
+    Ok(gnmi::Path {
+        elem: elem.collect(),
+        ..Default::default()
+    })
 }
 
 /// A path as text; the keys in the order of their names.
@@ -261,20 +287,31 @@
 }
 
 async fn read(at: &At, what: &str, encoding: gnmi::Encoding) -> Result<Vec<gnmi::Update>, Failed> {
-    let request =
-        gnmi::GetRequest { path: vec![path(what)?], encoding: encoding as i32, ..Default::default() };
+    let request = gnmi::GetRequest {
+        path: vec![path(what)?],
+        encoding: encoding as i32,
+        ..Default::default()
+    };
     let answer = client(at).await?.get(request).await?.into_inner();
-    Ok(answer.notification.into_iter().flat_map(|n| n.update).collect())
+    Ok(answer
+        .notification
+        .into_iter()
+        .flat_map(|n| n.update)
+        .collect())
 }
 
 pub async fn get(g: Get) -> Done {
     if g.at.json {
         let all = read(&g.at, &g.path, gnmi::Encoding::JsonIetf).await?;
-        let all =
-            all.iter().map(|u| json!({"path": shown(None, u.path.as_ref()), "value": value(u.val.as_ref())}));
+        let all = all
+            .iter()
+            .map(|u| json!({"path": shown(None, u.path.as_ref()), "value": value(u.val.as_ref())}));
         return say(&format!("{:#}", Json::Array(all.collect())));
     }
-    say(&table(&schema()?, &read(&g.at, &g.path, gnmi::Encoding::Proto).await?))
+    say(&table(
+        &schema()?,
+        &read(&g.at, &g.path, gnmi::Encoding::Proto).await?,
+    ))
 }
 
 type Row = BTreeMap<String, String>;
@@ -286,25 +323,48 @@
     let mut last = String::new();
     for u in updates {
         let Some(path) = &u.path else { continue };
-        let nodes = path.elem.iter().try_fold(&schema.root, |n, e| n.child(&e.name));
+        let nodes = path
+            .elem
+            .iter()
+            .try_fold(&schema.root, |n, e| n.child(&e.name));
         let moments = nodes.is_some_and(|n| n.typedef.as_deref() == Some("moment"));
         let value = value(u.val.as_ref());
-        let value = if moments { moment(value.as_u64().unwrap_or(0)) } else { plain(&value) };
+        let value = if moments {
+            moment(value.as_u64().unwrap_or(0))
+        } else {
+            plain(&value)
+        };
         let n = path.elem.len();
         let entry = n >= 2 && !path.elem[n - 2].key.is_empty();
         if !entry {
             let _ = writeln!(text, "{} {value}", shown(None, Some(path)));
             continue;
         }
-        let list = shown(None, Some(&gnmi::Path { elem: path.elem[..n - 1].to_vec(), ..Default::default() }));
-        let name = list.rsplit_once('[').map_or(list.as_str(), |l| l.0).to_string();
+        let list = shown(
+            None,
+            Some(&gnmi::Path {
+                elem: path.elem[..n - 1].to_vec(),
+                ..Default::default()
+            }),
+        );
+        let name = list
+            .rsplit_once('[')
+            .map_or(list.as_str(), |l| l.0)
+            .to_string();
         if lists.last().is_none_or(|l| l.0 != name) {
             lists.push((name, Vec::new(), Vec::new()));
             last.clear();
         }
-        let Some((_, columns, rows)) = lists.last_mut() else { continue };
+        let Some((_, columns, rows)) = lists.last_mut() else {
+            continue;
+        };
         if list != last {
-            let key = path.elem[n - 2].key.values().next().cloned().unwrap_or_default();
+            let key = path.elem[n - 2]
+                .key
+                .values()
+                .next()
+                .cloned()
+                .unwrap_or_default();
             let name = key_name(&path.elem[n - 2].name).to_string();
             if !columns.contains(&name) {
                 columns.insert(0, name.clone());
@@ -328,26 +388,43 @@
         let place = |c: &String| list.and_then(|l| l.inner.iter().position(|n| *n.name == **c));
         columns.sort_by_key(place);
         let cell = |row: &Row, c: &String| row.get(c).cloned().unwrap_or("-".into());
-        let wide =
-            |c: &String| rows.iter().map(|r| cell(r, c).chars().count()).max().unwrap_or(0).max(c.len());
+        let wide = |c: &String| {
+            rows.iter()
+                .map(|r| cell(r, c).chars().count())
+                .max()
+                .unwrap_or(0)
+                .max(c.len())
+        };
         let mut line = |cells: Vec<String>| {
-            let padded = cells.iter().zip(&columns).map(|(v, c)| format!("{v:<0$}", wide(c)));
+            let padded = cells
+                .iter()
+                .zip(&columns)
+                .map(|(v, c)| format!("{v:<0$}", wide(c)));
             let padded: Vec<String> = padded.collect();
             let _ = writeln!(text, "{}", padded.join("  ").trim_end());
         };
         line(columns.clone());
-        rows.iter().for_each(|r| line(columns.iter().map(|c| cell(r, c)).collect()));
+        rows.iter()
+            .for_each(|r| line(columns.iter().map(|c| cell(r, c)).collect()));
         let _ = writeln!(text, "({} of {name})", rows.len());
     }
     text
 }
 
 fn commit(id: String, action: Action) -> Vec<Extension> {
-    vec![Extension { ext: Some(Ext::Commit(Commit { id, action: Some(action) })) }]
+    vec![Extension {
+        ext: Some(Ext::Commit(Commit {
+            id,
+            action: Some(action),
+        })),
+    }]
 }
 
 fn span(of: Span) -> prost_types::Duration {
-    prost_types::Duration { seconds: of.as_secs() as i64, nanos: of.subsec_nanos() as i32 }
+    prost_types::Duration {
+        seconds: of.as_secs() as i64,
+        nanos: of.subsec_nanos() as i32,
+    }
 }
 
 pub async fn set(s: Set) -> Done {
@@ -358,25 +435,38 @@
         None => Json::Null,
     };
     let bytes = json.to_string().into_bytes();
-    let val = Some(TypedValue { value: Some(typed_value::Value::JsonIetfVal(bytes)) });
-    let update = vec![gnmi::Update { path: Some(at.clone()), val, duplicates: 0 }];
+    let val = Some(TypedValue {
+        value: Some(typed_value::Value::JsonIetfVal(bytes)),
+    });
+    let update = vec![gnmi::Update {
+        path: Some(at.clone()),
+        val,
+        duplicates: 0,
+    }];
     let mut request = gnmi::SetRequest::default();
     match (s.delete, s.replace) {
         (true, _) => request.delete = vec![at],
         (_, true) => request.replace = update,
         _ => request.update = update,
     }
-    let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let id = s.id.unwrap_or_else(|| format!("c{}", unix.as_millis()));
     if let Some(within) = s.confirm_within {
         let rollback_duration = Some(span(within));
-        request.extension = commit(id.clone(), Action::Commit(gnmi_ext::CommitRequest { rollback_duration }));
+        request.extension = commit(
+            id.clone(),
+            Action::Commit(gnmi_ext::CommitRequest { rollback_duration }),
+        );
     }
     request.prefix = prefix(s.fleet);
     client(&s.at).await?.set(request).await?;
     match (s.at.json, s.confirm_within) {
         (true, within) => say(&json!({"changed": true, "confirm": within.map(|_| id)}).to_string()),
-        (_, Some(within)) => say(&format!("changed for {within}; it stays by: ironstair confirm {id}")),
+        (_, Some(within)) => say(&format!(
+            "changed for {within}; it stays by: ironstair confirm {id}"
+        )),
         _ => say("changed"),
     }
 }
@@ -385,48 +475,90 @@
     let id = match t.id {
         Some(id) => id,
         None if t.fleet => {
-            let waits = fleet_shown(&t.at).await?["unconfirmed"].as_str().map(String::from);
+            let waits = fleet_shown(&t.at).await?["unconfirmed"]
+                .as_str()
+                .map(String::from);
             waits.ok_or_else(|| Failed("nothing waits to be confirmed".into(), 3))?
         }
         None => {
             let all = read(&t.at, "/state/revision[number=*]", gnmi::Encoding::JsonIetf).await?;
             let all: Vec<Json> = all.iter().map(|u| value(u.val.as_ref())).collect();
-            let of = |r: &Json, name: &str| r[format!("ironstair-gateway:{name}")].as_str().map(String::from);
-            let waits = all.iter().find(|r| of(r, "outcome").as_deref() == Some("unconfirmed"));
+            let of = |r: &Json, name: &str| {
+                r[format!("ironstair-gateway:{name}")]
+                    .as_str()
+                    .map(String::from)
+            };
+            let waits = all
+                .iter()
+                .find(|r| of(r, "outcome").as_deref() == Some("unconfirmed"));
             let id = waits.and_then(|r| of(r, "commit"));
             id.ok_or_else(|| Failed("nothing waits to be confirmed".into(), 3))?
         }
     };
-    let done = if matches!(action, Action::Confirm(_)) { "confirmed" } else { "taken back" };
+    let done = if matches!(action, Action::Confirm(_)) {
+        "confirmed"
+    } else {
+        "taken back"
+    };
     let extension = commit(id, action);
-    let request = gnmi::SetRequest { prefix: prefix(t.fleet), extension, ..Default::default() };
+    let request = gnmi::SetRequest {
+        prefix: prefix(t.fleet),
+        extension,
+        ..Default::default()
+    };
     client(&t.at).await?.set(request).await?;
-    say(&if t.at.json { json!({"done": done}).to_string() } else { done.to_string() })
+    say(&if t.at.json {
+        json!({"done": done}).to_string()
+    } else {
+        done.to_string()
+    })
 }
 
 pub async fn cells(l: Listed) -> Done {
-    match get(Get { path: "/settings/cells".into(), at: l.at }).await {
+    match get(Get {
+        path: "/settings/cells".into(),
+        at: l.at,
+    })
+    .await
+    {
         Err(Failed(_, 5)) => say("there are no cells"),
         other => other,
     }
 }
 
 pub async fn move_tenant(m: Move) -> Done {
-    let path =
-        format!("/settings/cells/tenant[name={}]/cell", m.tenant.replace('\\', "\\\\").replace(']', "\\]"));
+    let path = format!(
+        "/settings/cells/tenant[name={}]/cell",
+        m.tenant.replace('\\', "\\\\").replace(']', "\\]")
+    );
     let value = Some(json!(m.cells).to_string());
     let (replace, delete, id) = (true, false, None);
-    set(Set { path, value, replace, delete, confirm_within: m.confirm_within, id, fleet: m.fleet, at: m.at })
-        .await
+    set(Set {
+        path,
+        value,
+        replace,
+        delete,
+        confirm_within: m.confirm_within,
+        id,
+        fleet: m.fleet,
+        at: m.at,
+    })
+    .await
 }
 
 /// The tree that is meant: the fleet's, or this gateway's.
 fn prefix(fleet: bool) -> Option<gnmi::Path> {
-    fleet.then(|| gnmi::Path { origin: FLEET.into(), ..Default::default() })
+    fleet.then(|| gnmi::Path {
+        origin: FLEET.into(),
+        ..Default::default()
+    })
 }
 
 async fn fleet_shown(at: &At) -> Result<Json, Failed> {
-    let request = gnmi::GetRequest { prefix: prefix(true), ..Default::default() };
+    let request = gnmi::GetRequest {
+        prefix: prefix(true),
+        ..Default::default()
+    };
     let answer = client(at).await?.get(request).await?.into_inner();
     let updates = answer.notification.into_iter().flat_map(|n| n.update);
     let shown = updates.map(|u| value(u.val.as_ref())).next();
@@ -439,13 +571,25 @@
         let at = if anew { "/begin-anew" } else { "/begin" };
         let yes = typed_value::Value::JsonIetfVal(b"true".to_vec());
         let val = Some(TypedValue { value: Some(yes) });
-        let update = vec![gnmi::Update { path: Some(path(at)?), val, duplicates: 0 }];
-        let request = gnmi::SetRequest { prefix: prefix(true), update, ..Default::default() };
+        let update = vec![gnmi::Update {
+            path: Some(path(at)?),
+            val,
+            duplicates: 0,
+        }];
+        let request = gnmi::SetRequest {
+            prefix: prefix(true),
+            update,
+            ..Default::default()
+        };
         client(&f.at).await?.set(request).await?;
         if anew {
             return begun_anew(&f.at).await;
         }
-        return say(if f.at.json { r#"{"begun":true}"# } else { "begun" });
+        return say(if f.at.json {
+            r#"{"begun":true}"#
+        } else {
+            "begun"
+        });
     }
     let shown = fleet_shown(&f.at).await?;
     if f.at.json {
@@ -472,8 +616,16 @@
     if !shown["unconfirmed"].is_null() {
         let _ = writeln!(text, "to be confirmed: {}", plain(&shown["unconfirmed"]));
     }
-    text +=
-        &rows(&shown["members"], &["name", "cut-off", "heard-ms-ago", "lease-left-ms", "holds-what-is-held"]);
+    text += &rows(
+        &shown["members"],
+        &[
+            "name",
+            "cut-off",
+            "heard-ms-ago",
+            "lease-left-ms",
+            "holds-what-is-held",
+        ],
+    );
     say(&text)
 }
 
@@ -482,7 +634,11 @@
     for _ in 0..ANEW_LOOKS {
         if let Ok(shown) = fleet_shown(at).await {
             let first = &shown["revisions"][0];
-            return say(&if at.json { first.to_string() } else { plain(&first["what"]) });
+            return say(&if at.json {
+                first.to_string()
+            } else {
+                plain(&first["what"])
+            });
         }
         tokio::time::sleep(ANEW_LOOK).await;
     }
@@ -497,13 +653,23 @@
     };
     let all = all.as_array().cloned().unwrap_or_default();
     let mut text = String::new();
-    let wide = |c: &str| all.iter().map(|r| cell(r, c).chars().count()).max().unwrap_or(0).max(c.len());
+    let wide = |c: &str| {
+        all.iter()
+            .map(|r| cell(r, c).chars().count())
+            .max()
+            .unwrap_or(0)
+            .max(c.len())
+    };
     let mut line = |cells: Vec<String>| {
-        let padded = cells.iter().zip(columns).map(|(v, c)| format!("{v:<0$}", wide(c)));
+        let padded = cells
+            .iter()
+            .zip(columns)
+            .map(|(v, c)| format!("{v:<0$}", wide(c)));
         let _ = writeln!(text, "{}", padded.collect::<Vec<_>>().join("  ").trim_end());
     };
     line(columns.iter().map(|c| c.to_string()).collect());
-    all.iter().for_each(|r| line(columns.iter().map(|c| cell(r, c)).collect()));
+    all.iter()
+        .for_each(|r| line(columns.iter().map(|c| cell(r, c)).collect()));
     text
 }
 
@@ -513,17 +679,28 @@
         if l.at.json {
             return say(&format!("{:#}", shown["revisions"]));
         }
-        return say(&rows(&shown["revisions"], &["number", "outcome", "who", "what", "refused-by", "why"]));
+        return say(&rows(
+            &shown["revisions"],
+            &["number", "outcome", "who", "what", "refused-by", "why"],
+        ));
     }
-    match get(Get { path: "/state/revision[number=*]".into(), at: l.at }).await {
+    match get(Get {
+        path: "/state/revision[number=*]".into(),
+        at: l.at,
+    })
+    .await
+    {
         Err(Failed(_, 5)) => Ok(()),
         other => other,
     }
 }
 
 pub async fn watch(w: Watch) -> Done {
-    let mode =
-        if w.every.is_some() { gnmi::SubscriptionMode::Sample } else { gnmi::SubscriptionMode::OnChange };
+    let mode = if w.every.is_some() {
+        gnmi::SubscriptionMode::Sample
+    } else {
+        gnmi::SubscriptionMode::OnChange
+    };
     let subscription = gnmi::Subscription {
         path: Some(path(&w.path)?),
         mode: mode as i32,
@@ -543,7 +720,11 @@
     let asked = tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
     let mut told = client(&w.at).await?.subscribe(asked).await?.into_inner();
     let mut left = w.count.unwrap_or(usize::MAX);
-    while let Some(message) = if left > 0 { told.message().await? } else { None } {
+    while let Some(message) = if left > 0 {
+        told.message().await?
+    } else {
+        None
+    } {
         match message.response {
             Some(subscribe_response::Response::Update(n)) => {
                 left -= 1;
@@ -569,7 +750,10 @@
         }
     });
     let told = n.update.iter().map(|u| {
-        let (path, v) = (shown(n.prefix.as_ref(), u.path.as_ref()), value(u.val.as_ref()));
+        let (path, v) = (
+            shown(n.prefix.as_ref(), u.path.as_ref()),
+            value(u.val.as_ref()),
+        );
         match for_programs {
             true => json!({"at": at, "path": path, "value": v}).to_string(),
             false => format!("{} {path} {}", moment(at as u64), plain(&v)),
@@ -603,8 +787,12 @@
 
 /// Runs one command to its end.
 pub fn run(work: impl std::future::Future<Output = Done>) -> Done {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| Failed(e.to_string(), 1))?.block_on(work)
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    runtime
+        .map_err(|e| Failed(e.to_string(), 1))?
+        .block_on(work)
 }
 
 #[cfg(test)]
@@ -615,7 +803,9 @@
     fn entries_of_a_list_are_rows_and_the_rest_lines() {
         let leaf = |text: &str, n: u64| gnmi::Update {
             path: path(text).ok(),
-            val: Some(TypedValue { value: Some(typed_value::Value::UintVal(n)) }),
+            val: Some(TypedValue {
+                value: Some(typed_value::Value::UintVal(n)),
+            }),
             duplicates: 0,
         };
         let all = [
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -24,10 +24,11 @@
 }
 
 fn fleet(test: &str, operator: Option<Value>) -> (Gateway, Vec<(SocketAddr, Seen)>) {
-    let engines: Vec<_> = (0..2).map(|_| engine(|line, _| (done(line, "a\tb\tc\n"), false))).collect();
+    let engines: Vec<_> = (0..2)
+        .map(|_| engine(|line, _| (done(line, "a\tb\tc\n"), false)))
+        .collect();
     let listed = [("e1", engines[0].0), ("e2", engines[1].0)];
-    let class =
-        json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
+    let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let (told, roster) = told(1, json!([class]), &listed);
     (started(test, told, roster, operator), engines)
 }
@@ -36,7 +37,9 @@
 fn reached(seen: &Seen) -> BTreeSet<u64> {
     let lines = seen.lock().unwrap();
     let fetches = lines.iter().filter(|l| l.starts_with("fetch"));
-    fetches.map(|l| u64::from_str_radix(id(l), 16).unwrap()).collect()
+    fetches
+        .map(|l| u64::from_str_radix(id(l), 16).unwrap())
+        .collect()
 }
 
 /// Thirty calls each of two tenants, sixteen open at a time.
@@ -63,7 +66,10 @@
     let (gateway, engines) = fleet("cells-off", None);
     play(&mut Client::of(&gateway));
     let on = |t: std::ops::RangeInclusive<u64>| {
-        engines.iter().filter(|e| t.clone().any(|c| reached(&e.1).contains(&c))).count()
+        engines
+            .iter()
+            .filter(|e| t.clone().any(|c| reached(&e.1).contains(&c)))
+            .count()
     };
     // One table group: its homes are the same for both.
     assert_eq!(on(1..=30), on(31..=60));
@@ -74,9 +80,10 @@
 
 #[test]
 fn a_cell_without_a_ready_engine_turns_its_tenant_back_at_once_and_touches_no_other() {
-    for (test, without, lent) in
-        [("cells-back", json!({"turn_back": 500}), 0), ("cells-lend", json!({"lend": 0.5}), 10)]
-    {
+    for (test, without, lent) in [
+        ("cells-back", json!({"turn_back": 500}), 0),
+        ("cells-lend", json!({"lend": 0.5}), 10),
+    ] {
         let (gateway, engines) = fleet(test, Some(cells(without)));
         let drained = [("e1", engines[0].0, 1), ("e2", engines[1].0, 0)];
         *gateway.roster.lock().unwrap() = answer(2, &drained);
@@ -101,7 +108,11 @@
             assert_eq!(c.rows().0, 200 + call);
         }
         assert!(since.elapsed() < Duration::from_secs(2), "at once");
-        assert_eq!(reached(&engines[0].1), before, "nothing new to a draining engine");
+        assert_eq!(
+            reached(&engines[0].1),
+            before,
+            "nothing new to a draining engine"
+        );
         assert!(settled.abs_diff(lent) <= 1, "{settled} lent");
     }
 }
@@ -117,7 +128,9 @@
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
-        told.lock().unwrap().push((line.to_string(), Instant::now()));
+        told.lock()
+            .unwrap()
+            .push((line.to_string(), Instant::now()));
         std::thread::sleep(Duration::from_millis(3));
         match nth.fetch_add(1, Ordering::Relaxed) % every == every - 1 {
             true => (Vec::new(), true),
@@ -131,11 +144,27 @@
 fn day(test: &str, moves: bool) -> Option<Instant> {
     let engines: Vec<_> = [19, 23, 17, 29, usize::MAX, usize::MAX].map(failing).into();
     let names = ["a1", "a2", "b1", "b2", "c1", "c2"];
-    let listed: Vec<(&str, SocketAddr)> = names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
+    let listed: Vec<(&str, SocketAddr)> =
+        names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
     let class = |name: &str, semantics: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0});
-    let (told, roster) = told(1, json!([class("lookup", "pure"), class("post", "side_effect")]), &listed);
-    let at = SocketAddr::new(told["listen"].as_str().unwrap().parse::<SocketAddr>().unwrap().ip(), 9339);
-    let pins: serde_json::Map<String, Value> = names.iter().map(|n| (n.to_string(), json!(n[..1]))).collect();
+    let (told, roster) = told(
+        1,
+        json!([class("lookup", "pure"), class("post", "side_effect")]),
+        &listed,
+    );
+    let at = SocketAddr::new(
+        told["listen"]
+            .as_str()
+            .unwrap()
+            .parse::<SocketAddr>()
+            .unwrap()
+            .ip(),
+        9339,
+    );
+    let pins: serde_json::Map<String, Value> = names
+        .iter()
+        .map(|n| (n.to_string(), json!(n[..1])))
+        .collect();
     let operator = json!({"management": {"listen": at.to_string()}, "cells": {"names": {"a": 1, "b": 1, "c": 1},
         "named_by_clients": true, "engines": pins, "tenants": {"t1": ["a"], "t2": ["c"]}}});
     let gateway = started(test, told, roster, Some(operator));
@@ -167,26 +196,54 @@
     let moved = moves.then(|| {
         runtime().block_on(async {
             let mut c = client(at).await;
-            assert_eq!(get(&mut c, "/state/engine[name=a1]/cell").await.unwrap(), json!("a"));
-            let nowhere =
-                set(&mut c, "/settings/cells/tenant[name=t1]/cell", json!(["z"])).await.unwrap_err();
-            assert!(nowhere.message().contains("there is no cell z"), "{nowhere:?}");
+            assert_eq!(
+                get(&mut c, "/state/engine[name=a1]/cell").await.unwrap(),
+                json!("a")
+            );
+            let nowhere = set(&mut c, "/settings/cells/tenant[name=t1]/cell", json!(["z"]))
+                .await
+                .unwrap_err();
+            assert!(
+                nowhere.message().contains("there is no cell z"),
+                "{nowhere:?}"
+            );
             // A cell without a ready engine takes nobody in.
-            set(&mut c, "/settings/cells/cell[name=empty]/weight", json!("0.0")).await.unwrap();
-            let nowhere =
-                set(&mut c, "/settings/cells/tenant[name=t1]/cell", json!(["empty"])).await.unwrap_err();
-            assert!(nowhere.message().ends_with("no engine there is ready"), "{nowhere:?}");
+            set(
+                &mut c,
+                "/settings/cells/cell[name=empty]/weight",
+                json!("0.0"),
+            )
+            .await
+            .unwrap();
+            let nowhere = set(
+                &mut c,
+                "/settings/cells/tenant[name=t1]/cell",
+                json!(["empty"]),
+            )
+            .await
+            .unwrap_err();
+            assert!(
+                nowhere.message().ends_with("no engine there is ready"),
+                "{nowhere:?}"
+            );
         });
         // As an operator would.
         let said = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"))
             .args(["move", "t1", "b", "--at", &at.to_string()])
             .output()
             .unwrap();
-        assert!(said.status.success(), "{}", String::from_utf8_lossy(&said.stderr));
+        assert!(
+            said.status.success(),
+            "{}",
+            String::from_utf8_lossy(&said.stderr)
+        );
         Instant::now()
     });
     let settled: Vec<u32> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    assert!(settled[4..].iter().all(|n| *n == 200), "the other tenant is settled throughout: {settled:?}");
+    assert!(
+        settled[4..].iter().all(|n| *n == 200),
+        "the other tenant is settled throughout: {settled:?}"
+    );
     assert!(settled.iter().sum::<u32>() > 1000, "{settled:?}");
     let mut forwards: BTreeMap<String, u32> = BTreeMap::new();
     let mut last_in_old = None;
@@ -204,10 +261,17 @@
             assert!(moves || !(2..4).contains(&nth), "nobody has moved");
         }
     }
-    assert!(forwards.values().all(|n| *n == 1), "once-only ones are forwarded once");
+    assert!(
+        forwards.values().all(|n| *n == 1),
+        "once-only ones are forwarded once"
+    );
     if let (Some(moved), Some(last)) = (moved, last_in_old) {
         // What was on its way when the change was answered may still come in.
-        assert!(last < moved + Duration::from_millis(500), "{:?} after the move", last - moved);
+        assert!(
+            last < moved + Duration::from_millis(500),
+            "{:?} after the move",
+            last - moved
+        );
         assert!(engines[2].1.lock().unwrap().len() + engines[3].1.lock().unwrap().len() > 100);
     }
     last_in_old
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -17,13 +17,20 @@
 }
 
 fn broke(line: &str, _: &str) -> (Vec<u8>, bool) {
-    (format!("{} BROKE - 0\r\n\r\n", id(line)).into_bytes(), false)
+    (
+        format!("{} BROKE - 0\r\n\r\n", id(line)).into_bytes(),
+        false,
+    )
 }
 
 /// Classes: one of each effect, the deduplicated one within half a second.
 fn classes() -> Value {
     let class = |name: &str, semantics: &str| json!({"name": name, "slo_ns": 4e9, "give_up_ns": 8e9, "semantics": semantics, "worth": 1.0, "window_ns": 5e8});
-    json!([class("lookup", "pure"), class("stow", "token"), class("post", "side_effect")])
+    json!([
+        class("lookup", "pure"),
+        class("stow", "token"),
+        class("post", "side_effect")
+    ])
 }
 
 /// A gateway that waits up to 6 s for a connection to come up.
@@ -35,8 +42,11 @@
 }
 
 fn ask(c: &mut Client, band: &str, call: u64) {
-    let fields = format!(r#""id":"{call:016x}","wait":7000,"bytes":"c2VsZWN0IDE=","once":"o{call}""#);
-    c.say(&format!(r#"{{"jsonrpc":"2.0","id":{call},"method":"{band}","params":{{{fields}}}}}"#));
+    let fields =
+        format!(r#""id":"{call:016x}","wait":7000,"bytes":"c2VsZWN0IDE=","once":"o{call}""#);
+    c.say(&format!(
+        r#"{{"jsonrpc":"2.0","id":{call},"method":"{band}","params":{{{fields}}}}}"#
+    ));
 }
 
 /// All that a client said is with the decisions: what is answered at once comes behind it.
@@ -46,7 +56,11 @@
 }
 
 fn fetches(seen: &Seen) -> usize {
-    seen.lock().unwrap().iter().filter(|l| l.starts_with("fetch")).count()
+    seen.lock()
+        .unwrap()
+        .iter()
+        .filter(|l| l.starts_with("fetch"))
+        .count()
 }
 
 #[test]
@@ -54,7 +68,9 @@
     type Leave = fn(Client);
     let interrupt: Leave = |mut c| {
         (1..=8).for_each(|call| {
-            c.say(&format!(r#"{{"jsonrpc":"2.0","method":"interrupt","params":{{"id":{call}}}}}"#));
+            c.say(&format!(
+                r#"{{"jsonrpc":"2.0","method":"interrupt","params":{{"id":{call}}}}}"#
+            ));
         });
         heard(&mut c);
     };
@@ -80,7 +96,11 @@
         ask(&mut other, "lookup", 77);
         assert_eq!(other.rows().0, 77, "{nth}");
         let seen = opened.seen.lock().unwrap();
-        assert!(seen.iter().all(|l| l.starts_with("fetch 000000000000004d ")), "{nth}: {seen:?}");
+        assert!(
+            seen.iter()
+                .all(|l| l.starts_with("fetch 000000000000004d ")),
+            "{nth}: {seen:?}"
+        );
     }
 }
 
@@ -94,17 +114,35 @@
     let mut c = Client::of(&g);
     (1..=8).for_each(|call| ask(&mut c, "stow", call));
     gate.until_kept_back(8);
-    assert!(seen.lock().unwrap()[0].contains(",i=o"), "the word by which it is known goes along");
+    assert!(
+        seen.lock().unwrap()[0].contains(",i=o"),
+        "the word by which it is known goes along"
+    );
     thread::sleep(Duration::from_millis(600));
     let opened = gate.open(good);
     opened.until_up(8);
     let ends: Vec<Value> = (0..8).map(|_| c.hear()).collect();
-    let ran =
-        |seen: &Seen| -> Vec<String> { seen.lock().unwrap().iter().map(|l| id(l).to_string()).collect() };
+    let ran = |seen: &Seen| -> Vec<String> {
+        seen.lock()
+            .unwrap()
+            .iter()
+            .map(|l| id(l).to_string())
+            .collect()
+    };
     let (before, after) = (ran(&seen), ran(&opened.seen));
-    assert!(before.iter().all(|id| !after.contains(id)), "again behind the window: {before:?}, {after:?}");
-    let scrapped = ends.iter().filter(|e| e["error"]["code"] == SCRAPPED).count();
-    assert_eq!(scrapped, before.len(), "it may have run, and may not run again: {ends:?}");
+    assert!(
+        before.iter().all(|id| !after.contains(id)),
+        "again behind the window: {before:?}, {after:?}"
+    );
+    let scrapped = ends
+        .iter()
+        .filter(|e| e["error"]["code"] == SCRAPPED)
+        .count();
+    assert_eq!(
+        scrapped,
+        before.len(),
+        "it may have run, and may not run again: {ends:?}"
+    );
 }
 
 #[test]
@@ -126,7 +164,11 @@
     calls.sort();
     assert_eq!(calls, Vec::from_iter(1..=8));
     assert_eq!(fetches(&seen), 9);
-    assert!(opened.seen.lock().unwrap().is_empty(), "{:?}", opened.seen.lock().unwrap());
+    assert!(
+        opened.seen.lock().unwrap().is_empty(),
+        "{:?}",
+        opened.seen.lock().unwrap()
+    );
 }
 
 #[test]
@@ -147,8 +189,13 @@
             let _ = s.read_to_end(&mut all);
             String::from_utf8_lossy(&all).into_owned()
         };
-        let both = held.into_iter().map(|s| thread::spawn(move || to_its_end(s))).collect::<Vec<_>>();
-        both.into_iter().map(|t| t.join().unwrap()).collect::<String>()
+        let both = held
+            .into_iter()
+            .map(|s| thread::spawn(move || to_its_end(s)))
+            .collect::<Vec<_>>();
+        both.into_iter()
+            .map(|t| t.join().unwrap())
+            .collect::<String>()
     });
     let g = patient("held-back", &[("e1", at)], |told| {
         told["limits"] = json!({"memory_mb": 192, "sockets": 8});
@@ -159,7 +206,8 @@
     let mut filling = [Client::of(&g), Client::of(&g)];
     for call in 1..=60u64 {
         let fields = format!(r#""id":"{call:016x}","wait":7000,"bytes":"{long}""#);
-        let whole = format!(r#"{{"jsonrpc":"2.0","id":{call},"method":"lookup","params":{{{fields}}}}}"#);
+        let whole =
+            format!(r#"{{"jsonrpc":"2.0","id":{call},"method":"lookup","params":{{{fields}}}}}"#);
         filling[call as usize % 2].say(&whole);
     }
     filling.iter_mut().for_each(heard);
@@ -170,8 +218,14 @@
     heard(&mut c);
     read.send(()).unwrap();
     let all = reader.join().unwrap();
-    assert!(all.contains("fetch 000000000000003c"), "what lay before it is written");
-    assert!(!all.contains("fetch 000000000000004d"), "begun after it was taken back");
+    assert!(
+        all.contains("fetch 000000000000003c"),
+        "what lay before it is written"
+    );
+    assert!(
+        !all.contains("fetch 000000000000004d"),
+        "begun after it was taken back"
+    );
 }
 
 #[test]
@@ -186,7 +240,11 @@
     c.0.get_ref().shutdown(Shutdown::Write).unwrap();
     let since = Instant::now();
     assert_eq!(c.hear()["error"]["code"], REJECTED);
-    assert!(since.elapsed() < Duration::from_secs(1), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        since.elapsed()
+    );
     assert_eq!(c.0.read(&mut [0; 1]).unwrap(), 0);
 }
 
@@ -203,7 +261,9 @@
     gate.until_kept_back(4);
     let call = |id: u64| {
         let fields = format!(r#""id":"{id:016x}","wait":7000,"bytes":"c2VsZWN0IDE=""#);
-        framed(&format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{{fields}}}}}"#))
+        framed(&format!(
+            r#"{{"jsonrpc":"2.0","id":{id},"method":"lookup","params":{{{fields}}}}}"#
+        ))
     };
     let check = framed(r#"{"jsonrpc":"2.0","id":9000,"method":"check"}"#);
     let all: String = (100..130).map(call).chain([check]).collect();
@@ -230,17 +290,30 @@
         told["limits"] = json!({"memory_mb": 192, "sockets": 32});
     });
     let mut busy: Vec<Client> = (1..=16).map(|_| Client::of(&g)).collect();
-    (1..).zip(&mut busy).for_each(|(call, c)| ask(c, "lookup", call));
+    (1..)
+        .zip(&mut busy)
+        .for_each(|(call, c)| ask(c, "lookup", call));
     assert!(soon(|| fetches(&seen) == 16));
     let mut last: Vec<Client> = (0..2).map(|_| Client::of(&g)).collect();
-    (77..).zip(&mut last).for_each(|(call, c)| ask(c, "lookup", call));
+    (77..)
+        .zip(&mut last)
+        .for_each(|(call, c)| ask(c, "lookup", call));
     g.signal("-TERM");
     for c in last.iter_mut().take(1) {
-        assert_eq!(c.hear()["error"]["code"], REJECTED, "taken by the system, and answered");
+        assert_eq!(
+            c.hear()["error"]["code"],
+            REJECTED,
+            "taken by the system, and answered"
+        );
     }
-    busy.iter_mut().for_each(|c| assert!(c.try_hear().is_some()));
+    busy.iter_mut()
+        .for_each(|c| assert!(c.try_hear().is_some()));
     assert!(g.process.wait().unwrap().success());
-    assert_eq!(fetches(&seen), 16, "what is read after the end is not sent on");
+    assert_eq!(
+        fetches(&seen),
+        16,
+        "what is read after the end is not sent on"
+    );
 }
 
 #[test]
@@ -248,7 +321,10 @@
     // Each row is an end that the gateway makes while more is coming than it reads.
     let (at, _) = engine(good);
     let flood = vec![b'x'; 1 << 20];
-    for (nth, bad) in ["GET / HTTP/1.1\r\n\r\n", "Content-Length: 1e9\r\n\r\n"].into_iter().enumerate() {
+    for (nth, bad) in ["GET / HTTP/1.1\r\n\r\n", "Content-Length: 1e9\r\n\r\n"]
+        .into_iter()
+        .enumerate()
+    {
         let g = patient(&format!("unread-{nth}"), &[("e1", at)], |_| {});
         let mut c = Client::of(&g);
         ask(&mut c, "lookup", 1);
@@ -290,16 +366,22 @@
         told["limits"] = json!({"memory_mb": 192, "sockets": 64});
     });
     drop(Client::of(&g));
-    let rest: Vec<TcpStream> = (0..300).filter_map(|_| TcpStream::connect(g.at).ok()).collect();
+    let rest: Vec<TcpStream> = (0..300)
+        .filter_map(|_| TcpStream::connect(g.at).ok())
+        .collect();
     let (names, roster) = name_service();
     *roster.lock().unwrap() = answer(2, &[("e2", new, 0)]);
-    g.moves(&std::fs::read_to_string(g.dir.join("told.json")).unwrap(), names);
+    g.moves(
+        &std::fs::read_to_string(g.dir.join("told.json")).unwrap(),
+        names,
+    );
     let mut call = 1;
     assert!(soon(|| {
         call += 1;
         let mut c = Client::of(&g);
         c.ask(call);
-        c.try_hear().is_some_and(|a| a["result"]["bytes"] == "bmV3CQkK")
+        c.try_hear()
+            .is_some_and(|a| a["result"]["bytes"] == "bmV3CQkK")
     }));
     drop(rest);
 }
@@ -342,11 +424,15 @@
         while let Ok((_, from)) = service.recv_from(&mut query) {
             // Dead for the first socket for good.
             if *first.get_or_insert(from) != from {
-                let _ = service.send_to(&[&query[..2], &answer(2, &[("e2", new, 0)])].concat(), from);
+                let _ =
+                    service.send_to(&[&query[..2], &answer(2, &[("e2", new, 0)])].concat(), from);
             }
         }
     });
-    g.moves(&std::fs::read_to_string(g.dir.join("told.json")).unwrap(), names);
+    g.moves(
+        &std::fs::read_to_string(g.dir.join("told.json")).unwrap(),
+        names,
+    );
     let (mut c, mut call) = (Client::of(&g), 1);
     assert!(soon(|| {
         call += 1;
@@ -363,8 +449,13 @@
     ask(&mut c, "lookup", 1);
     assert_eq!(c.rows().0, 1);
     let pid = rustix::process::Pid::from_raw(g.process.id() as i32);
-    let held = std::fs::read_dir(format!("/proc/{}/fd", g.process.id())).unwrap().count() as u64;
-    let most = rustix::process::Rlimit { current: Some(held + 4), maximum: Some(held + 4) };
+    let held = std::fs::read_dir(format!("/proc/{}/fd", g.process.id()))
+        .unwrap()
+        .count() as u64;
+    let most = rustix::process::Rlimit {
+        current: Some(held + 4),
+        maximum: Some(held + 4),
+    };
     rustix::process::prlimit(pid, rustix::process::Resource::Nofile, most).unwrap();
     let mut rest: Vec<Client> = (0..12).map(|_| Client::of(&g)).collect();
     rest.truncate(2);
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -17,7 +17,9 @@
 /// All gateways hold that revision, and serve.
 fn all_hold(rig: &Rig, revision: u64) {
     for g in ALL {
-        until(&format!("gateway {g} holds revision {revision}"), || rig.revision(g) == Some(revision));
+        until(&format!("gateway {g} holds revision {revision}"), || {
+            rig.revision(g) == Some(revision)
+        });
         rig.until_fit(g);
     }
 }
@@ -33,20 +35,32 @@
 /// All gateways have that setting, once they serve.
 fn all_have(rig: &Rig, path: &str, value: &Value) {
     // One that was slow holds no lease for a moment, and then none of it: a busy machine is no breach.
-    ALL.for_each(|g| until(&format!("gateway {g} has {path} {value}"), || rig.setting(g, path) == *value));
+    ALL.for_each(|g| {
+        until(&format!("gateway {g} has {path} {value}"), || {
+            rig.setting(g, path) == *value
+        })
+    });
 }
 
 fn without(what: &'static str) -> Plan {
-    Plan { without: vec![(None, what)], ..Plan::default() }
+    Plan {
+        without: vec![(None, what)],
+        ..Plan::default()
+    }
 }
 
 fn left(found: &[Breach], gateway: usize) -> bool {
-    found.iter().any(|b| matches!(b, Breach::Left { gateway: g, .. } if *g == gateway))
+    found
+        .iter()
+        .any(|b| matches!(b, Breach::Left { gateway: g, .. } if *g == gateway))
 }
 
 /// The outcome of the last revision in the log, asked at that gateway.
 fn last(rig: &Rig, g: usize) -> Value {
-    rig.shown(g)["revisions"].as_array().and_then(|r| r.last().cloned()).unwrap_or_default()
+    rig.shown(g)["revisions"]
+        .as_array()
+        .and_then(|r| r.last().cloned())
+        .unwrap_or_default()
 }
 
 fn down_at_a_change(test: &str, plan: Plan) -> Rig {
@@ -86,7 +100,13 @@
 
 #[test]
 fn control_1_who_says_that_it_holds_before_it_does_decides_by_the_old_policy() {
-    let mut rig = loaded("control-1b", Plan { without: vec![(Some(4), "hold")], ..Plan::default() });
+    let mut rig = loaded(
+        "control-1b",
+        Plan {
+            without: vec![(Some(4), "hold")],
+            ..Plan::default()
+        },
+    );
     well(rig.bar(1, "lookup"));
     rig.until_answers(What::Settled, 200);
     assert!(left(&rig.end_of_load(), 4));
@@ -95,7 +115,13 @@
 #[test]
 fn case_2_a_proposer_killed_at_each_step_leaves_the_change_everywhere_or_nowhere() {
     // A member whose words take long, so that each step lasts.
-    let mut rig = loaded("case-2", Plan { lease_ms: 2000, ..Plan::default() });
+    let mut rig = loaded(
+        "case-2",
+        Plan {
+            lease_ms: 2000,
+            ..Plan::default()
+        },
+    );
     for (nth, step) in ["staged", "binding", "half told"].into_iter().enumerate() {
         (0..3)
             .flat_map(|k| rig.links(4, k))
@@ -104,12 +130,21 @@
         let chair = rig.chair();
         let change = rig.cli_meanwhile(chair, &["set", FORWARDS, &value.to_string(), "--fleet"]);
         until(step, || {
-            assert!(!change.is_finished(), "{step} was not seen: {} {}", rig.shown(chair), rig.log(chair));
+            assert!(
+                !change.is_finished(),
+                "{step} was not seen: {} {}",
+                rig.shown(chair),
+                rig.log(chair)
+            );
             let shown = rig.shown(chair);
             let members = shown["members"].as_array().cloned().unwrap_or_default();
-            let lacks = members.iter().any(|m| m["holds-what-is-held"] == json!(false));
+            let lacks = members
+                .iter()
+                .any(|m| m["holds-what-is-held"] == json!(false));
             let ours = shown["revisions"].as_array().is_some_and(|r| {
-                r.last().is_some_and(|l| l["number"] == json!(nth + 1) && l["outcome"] == json!("running"))
+                r.last().is_some_and(|l| {
+                    l["number"] == json!(nth + 1) && l["outcome"] == json!("running")
+                })
             });
             shown["change"]["step"] == json!(step) || step == "half told" && ours && lacks
         });
@@ -122,7 +157,10 @@
             shown["revisions"].is_array() && shown["change"].is_null()
         });
         let outcome = last(&rig, chair)["outcome"].clone();
-        assert!(["running", "refused"].iter().any(|o| outcome == json!(o)), "{step}: {outcome}");
+        assert!(
+            ["running", "refused"].iter().any(|o| outcome == json!(o)),
+            "{step}: {outcome}"
+        );
         let runs = rig.shown(chair)["revision"].as_u64().unwrap();
         all_hold(&rig, runs);
         let held = rig.setting(0, FORWARDS);
@@ -151,12 +189,18 @@
     let mut rig = cut_off_one_way("case-3", Plan::default());
     all_hold(&rig, 2);
     let answers = rig.over();
-    assert!(answers[&What::Rejected] > 0, "it was without a lease: {answers:?}");
+    assert!(
+        answers[&What::Rejected] > 0,
+        "it was without a lease: {answers:?}"
+    );
 }
 
 #[test]
 fn control_3_without_an_end_of_tenure_it_does() {
-    assert!(left(&cut_off_one_way("control-3", without("tenure")).end_of_load(), 4));
+    assert!(left(
+        &cut_off_one_way("control-3", without("tenure")).end_of_load(),
+        4
+    ));
 }
 
 fn stopped_over_a_change(test: &str, plan: Plan) -> Rig {
@@ -182,7 +226,10 @@
 
 #[test]
 fn control_4_without_an_end_of_tenure_it_does() {
-    assert!(left(&stopped_over_a_change("control-4", without("tenure")).end_of_load(), 3));
+    assert!(left(
+        &stopped_over_a_change("control-4", without("tenure")).end_of_load(),
+        3
+    ));
 }
 
 /// Gateway 4 was told of zone a alone.
@@ -196,14 +243,30 @@
 
 #[test]
 fn case_5_what_one_live_member_refuses_holds_nowhere_and_the_operator_sees_who_and_why() {
-    let mut rig = loaded("case-5", Plan { edit: Some(narrow), ..Plan::default() });
+    let mut rig = loaded(
+        "case-5",
+        Plan {
+            edit: Some(narrow),
+            ..Plan::default()
+        },
+    );
     let said = rig.set(0, &[ZONE, r#"["b"]"#]);
     assert_eq!(said.code, 3, "{said:?}");
-    assert!(said.err.contains("g5") && said.err.contains("b is not among those told"), "{said:?}");
+    assert!(
+        said.err.contains("g5") && said.err.contains("b is not among those told"),
+        "{said:?}"
+    );
     let line = last(&rig, 1);
-    assert_eq!((&line["outcome"], &line["refused-by"]), (&json!("refused"), &json!("g5")), "{line}");
+    assert_eq!(
+        (&line["outcome"], &line["refused-by"]),
+        (&json!("refused"), &json!("g5")),
+        "{line}"
+    );
     let table = rig.cli(2, &["revisions", "--fleet"]);
-    assert!(table.out.contains("refused") && table.out.contains("g5"), "{table:?}");
+    assert!(
+        table.out.contains("refused") && table.out.contains("g5"),
+        "{table:?}"
+    );
     all_hold(&rig, 0);
     all_have(&rig, ZONE, &Value::Null);
     rig.until_answers(What::Settled, 100);
@@ -212,10 +275,17 @@
 
 #[test]
 fn control_5_unexamined_it_holds_at_some() {
-    let plan = Plan { edit: Some(narrow), without: vec![(Some(4), "examine")], ..Plan::default() };
+    let plan = Plan {
+        edit: Some(narrow),
+        without: vec![(Some(4), "examine")],
+        ..Plan::default()
+    };
     let rig = loaded("control-5", plan);
     well(rig.set(0, &[ZONE, r#"["b"]"#]));
-    assert_eq!((rig.setting(0, ZONE), rig.setting(4, ZONE)), (json!(["b"]), Value::Null));
+    assert_eq!(
+        (rig.setting(0, ZONE), rig.setting(4, ZONE)),
+        (json!(["b"]), Value::Null)
+    );
 }
 
 #[test]
@@ -229,7 +299,10 @@
     let codes = (both[0].code, both[1].code);
     assert!(codes == (0, 3) || codes == (3, 0), "one of them: {both:?}");
     let refused = both.iter().find(|s| s.code == 3).unwrap();
-    assert!(refused.err.contains("is under way") || refused.err.contains("runs by now"), "{refused:?}");
+    assert!(
+        refused.err.contains("is under way") || refused.err.contains("runs by now"),
+        "{refused:?}"
+    );
     let held = rig.setting(0, FORWARDS);
     all_have(&rig, FORWARDS, &held);
     // Taken back while it waits to be confirmed.
@@ -239,24 +312,40 @@
     well(rig.set(2, &asks("2", "a", "1h")));
     all_have(&rig, FORWARDS, &json!(2));
     let second = rig.set(1, &[FORWARDS, "6"]);
-    assert!(second.code == 3 && second.err.contains("waits to be confirmed"), "{second:?}");
+    assert!(
+        second.code == 3 && second.err.contains("waits to be confirmed"),
+        "{second:?}"
+    );
     well(rig.cli(3, &["cancel", "a", "--fleet"]));
     all_have(&rig, FORWARDS, &held);
     // And while it is under way, by who waits for a gateway that is stopped.
     rig.quiet(4);
     rig.stop(4);
-    let change = rig.cli_meanwhile(0, &[&["set", "--fleet"][..], &asks("2", "b", "1h")].concat());
-    until("it is staged", || rig.shown(1)["change"]["step"] == json!("staged"));
+    let change = rig.cli_meanwhile(
+        0,
+        &[&["set", "--fleet"][..], &asks("2", "b", "1h")].concat(),
+    );
+    until("it is staged", || {
+        rig.shown(1)["change"]["step"] == json!("staged")
+    });
     well(rig.cli(1, &["cancel", "b", "--fleet"]));
     let told = change.join().unwrap();
-    assert!(told.code == 3 && told.err.contains("taken back"), "{told:?}");
+    assert!(
+        told.code == 3 && told.err.contains("taken back"),
+        "{told:?}"
+    );
     rig.go_on(4);
     rig.loud(4);
     // Not confirmed in its time, and confirmed too late.
     well(rig.set(0, &asks("2", "c", "1s")));
-    until("it is taken back", || last(&rig, 0)["outcome"] == json!("taken-back"));
+    until("it is taken back", || {
+        last(&rig, 0)["outcome"] == json!("taken-back")
+    });
     let late = rig.cli(0, &["confirm", "c", "--fleet"]);
-    assert!(late.code == 3 && late.err.contains("taken back"), "{late:?}");
+    assert!(
+        late.code == 3 && late.err.contains("taken back"),
+        "{late:?}"
+    );
     all_have(&rig, FORWARDS, &held);
     // In time.
     well(rig.set(0, &asks("5", "d", "1h")));
@@ -271,10 +360,18 @@
     let rig = Rig::started("control-6", &without("upon"));
     rig.cut_off(4, false, true);
     well(rig.set(0, &[FORWARDS, "3"]));
-    let args = ["set", "/settings/band[name=lookup]/expected", "700", "--fleet"].map(String::from);
+    let args = [
+        "set",
+        "/settings/band[name=lookup]/expected",
+        "700",
+        "--fleet",
+    ]
+    .map(String::from);
     let second = std::thread::scope(|scope| {
         let asked = scope.spawn(|| rig.cli(4, &[&args[0], &args[1], &args[2], &args[3]]));
-        until("it is asked for", || asked.is_finished() || last(&rig, 0)["number"] == json!(2));
+        until("it is asked for", || {
+            asked.is_finished() || last(&rig, 0)["number"] == json!(2)
+        });
         rig.heal();
         asked.join().unwrap()
     });
@@ -310,7 +407,9 @@
     all_hold(&rig, 2);
     rig.until_answers(What::Settled, 200);
     // The wiped one has a vote again, as at its first start: without the first keeper, the fleet goes on.
-    until("it votes", || rig.log(1).matches("this keeper has a vote").count() == 2);
+    until("it votes", || {
+        rig.log(1).matches("this keeper has a vote").count() == 2
+    });
     rig.kill(0);
     rig.until_answers(What::Settled, 200);
     well(rig.set(1, &[FORWARDS, "5"]));
@@ -328,15 +427,25 @@
 
 #[test]
 fn case_8_a_change_that_only_newer_ones_can_read_is_refused_by_the_older_and_keeps_it_out() {
-    let mut rig = loaded("case-8", Plan { without: vec![(Some(4), "advice")], ..Plan::default() });
+    let mut rig = loaded(
+        "case-8",
+        Plan {
+            without: vec![(Some(4), "advice")],
+            ..Plan::default()
+        },
+    );
     let said = rig.set(0, &[ADVICE, "500"]);
-    assert!(said.code == 3 && said.err.contains("g5") && said.err.contains("can't read it"), "{said:?}");
+    assert!(
+        said.code == 3 && said.err.contains("g5") && said.err.contains("can't read it"),
+        "{said:?}"
+    );
     all_have(&rig, ADVICE, &json!(0));
     rig.kill(4);
     well(rig.set(0, &[ADVICE, "500"]));
     rig.start(4);
     until("it says why it can't hold that", || {
-        rig.log(4).contains("what the fleet holds can't be held here")
+        rig.log(4)
+            .contains("what the fleet holds can't be held here")
     });
     assert!(!rig.fit(4));
     (0..4).for_each(|g| assert_eq!(rig.setting(g, ADVICE), json!(500)));
@@ -348,27 +457,43 @@
 
 #[test]
 fn control_8_unexamined_it_is_decided_and_the_older_is_out() {
-    let plan = Plan { without: vec![(Some(4), "advice"), (Some(4), "examine")], ..Plan::default() };
+    let plan = Plan {
+        without: vec![(Some(4), "advice"), (Some(4), "examine")],
+        ..Plan::default()
+    };
     let rig = Rig::started("control-8", &plan);
     well(rig.set(0, &[ADVICE, "500"]));
     until("a live member can't hold it", || {
-        rig.log(4).contains("what the fleet holds can't be held here") && !rig.fit(4)
+        rig.log(4)
+            .contains("what the fleet holds can't be held here")
+            && !rig.fit(4)
     });
 }
 
 #[test]
 fn case_10_a_slow_disk_and_a_full_one_at_a_keeper_cost_the_fleet_nothing() {
     let slow_and_full = vec![(Some(1), "quick-disk"), (Some(2), "room")];
-    let mut rig = loaded("case-10", Plan { lease_ms: 3000, without: slow_and_full, ..Plan::default() });
+    let mut rig = loaded(
+        "case-10",
+        Plan {
+            lease_ms: 3000,
+            without: slow_and_full,
+            ..Plan::default()
+        },
+    );
     std::fs::write(rig.state_folder(1).join("slow"), "").unwrap();
     well(rig.set(0, &[FORWARDS, "3"]));
     std::fs::remove_file(rig.state_folder(1).join("slow")).unwrap();
     // Each alone: with both, two of three have no disk that serves, and that is no minority.
     std::fs::write(rig.state_folder(2).join("full"), "").unwrap();
     well(rig.set(3, &[FORWARDS, "4"]));
-    until("it says so", || rig.log(2).contains("the fleet's log can't be kept"));
+    until("it says so", || {
+        rig.log(2).contains("the fleet's log can't be kept")
+    });
     std::fs::remove_file(rig.state_folder(2).join("full")).unwrap();
-    until("it has room again", || rig.log(2).contains("the fleet's log is kept again"));
+    until("it has room again", || {
+        rig.log(2).contains("the fleet's log is kept again")
+    });
     well(rig.set(2, &[FORWARDS, "5"]));
     all_hold(&rig, 3);
     rig.over();
@@ -397,16 +522,32 @@
 
 #[test]
 fn case_10_what_two_full_disks_did_not_take_was_not_decided() {
-    let (rig, said) = full_over_a_change("full", Plan { without: room(), ..Plan::default() });
+    let (rig, said) = full_over_a_change(
+        "full",
+        Plan {
+            without: room(),
+            ..Plan::default()
+        },
+    );
     // Asked for once more by its own command, it is made once there is room; or nobody was told that it was.
-    let value = if said.code == 0 { json!(3) } else { rig.setting(0, FORWARDS) };
+    let value = if said.code == 0 {
+        json!(3)
+    } else {
+        rig.setting(0, FORWARDS)
+    };
     all_have(&rig, FORWARDS, &value);
 }
 
 #[test]
 fn control_10_and_2_a_keeper_that_counts_as_kept_what_is_not_loses_a_decided_change() {
     let without = [room(), vec![(Some(1), "kept"), (Some(2), "kept")]].concat();
-    let (rig, said) = full_over_a_change("control-10", Plan { without, ..Plan::default() });
+    let (rig, said) = full_over_a_change(
+        "control-10",
+        Plan {
+            without,
+            ..Plan::default()
+        },
+    );
     well(said);
     (1..3).for_each(|g| assert_eq!(rig.setting(g, FORWARDS), json!(6)));
     // Who held it holds to it, and decides nothing beside them.
@@ -415,7 +556,13 @@
 
 #[test]
 fn without_most_keepers_a_strict_one_stops_at_once_and_a_steady_one_goes_on() {
-    let mut rig = loaded("majority", Plan { steady: vec![4], ..Plan::default() });
+    let mut rig = loaded(
+        "majority",
+        Plan {
+            steady: vec![4],
+            ..Plan::default()
+        },
+    );
     rig.kill(0);
     rig.kill(1);
     (2..4).for_each(|g| rig.until_answers_of(g, What::Rejected, 20));
@@ -432,12 +579,23 @@
 
 #[test]
 fn a_steady_one_that_is_cut_off_goes_on_and_no_change_is_decided_without_it() {
-    let mut rig = loaded("steady", Plan { steady: vec![4], ..Plan::default() });
+    let mut rig = loaded(
+        "steady",
+        Plan {
+            steady: vec![4],
+            ..Plan::default()
+        },
+    );
     rig.cut_off(4, true, true);
     let change = rig.bar_meanwhile(0, "lookup");
-    until("it waits", || rig.shown(1)["change"]["waits-for"] == json!(["g5"]));
+    until("it waits", || {
+        rig.shown(1)["change"]["waits-for"] == json!(["g5"])
+    });
     rig.until_answers_of(4, What::Settled, 300);
-    assert_eq!((rig.shown(1)["revision"].clone(), change.is_finished()), (json!(0), false));
+    assert_eq!(
+        (rig.shown(1)["revision"].clone(), change.is_finished()),
+        (json!(0), false)
+    );
     rig.heal();
     well(change.join().unwrap());
     all_hold(&rig, 1);
@@ -449,13 +607,21 @@
     let mut rig = loaded("control-majority", without("tenure"));
     rig.kill(0);
     rig.kill(1);
-    until("it has no lease", || rig.log(3).contains("the fleet was not heard for a lease"));
+    until("it has no lease", || {
+        rig.log(3).contains("the fleet was not heard for a lease")
+    });
     rig.until_answers_of(3, What::Settled, 100);
 }
 
 #[test]
 fn control_a_steady_one_that_does_not_say_so_decides_by_what_was_left() {
-    let mut rig = loaded("control-steady", Plan { steady: vec![4], ..without("says-steady") });
+    let mut rig = loaded(
+        "control-steady",
+        Plan {
+            steady: vec![4],
+            ..without("says-steady")
+        },
+    );
     rig.cut_off(4, true, true);
     well(rig.bar(0, "lookup"));
     rig.until_answers_of(4, What::Settled, 200);
@@ -466,12 +632,22 @@
 fn control_without_its_time_a_trial_stays_unconfirmed_for_good() {
     let rig = Rig::started("control-trial", &without("trial"));
     well(rig.set(0, &[FORWARDS, "2", "--confirm-within", "1s"]));
-    assert_eq!(last(&rig, 0)["outcome"], json!("running"), "nobody confirmed it, and nothing waits");
+    assert_eq!(
+        last(&rig, 0)["outcome"],
+        json!("running"),
+        "nobody confirmed it, and nothing waits"
+    );
 }
 
 #[test]
 fn a_chair_that_is_killed_costs_no_submission() {
-    let mut rig = loaded("minority", Plan { lease_ms: 5000, ..Plan::default() });
+    let mut rig = loaded(
+        "minority",
+        Plan {
+            lease_ms: 5000,
+            ..Plan::default()
+        },
+    );
     let chair = rig.chair();
     // Its own client's calls are lost with it.
     rig.quiet(chair);
@@ -480,7 +656,11 @@
     assert_ne!(rig.chair(), chair);
     well(rig.set(3, &[FORWARDS, "5"]));
     let answers = rig.over();
-    assert_eq!(answers.keys().collect::<Vec<_>>(), [&What::Settled], "{answers:?}");
+    assert_eq!(
+        answers.keys().collect::<Vec<_>>(),
+        [&What::Settled],
+        "{answers:?}"
+    );
 }
 
 /// Gateway 3 is of another fleet, and 4 is called as the third keeper is.
@@ -498,27 +678,53 @@
 
 #[test]
 fn strangers_are_refused_in_a_sentence_and_one_that_ends_says_so() {
-    let plan = Plan { lease_ms: 10_000, edit: Some(strange), ..Plan::default() };
+    let plan = Plan {
+        lease_ms: 10_000,
+        edit: Some(strange),
+        ..Plan::default()
+    };
     let mut rig = Rig::laid_out("strangers", &plan);
     (0..4).for_each(|g| rig.start(g));
     rig.begin_alone();
-    until("the other fleet's is told", || rig.log(3).contains(r#"g4 is of fleet "other""#));
-    assert!((0..3).any(|k| rig.log(k).contains("a word of another gateway is not taken")));
+    until("the other fleet's is told", || {
+        rig.log(3).contains(r#"g4 is of fleet "other""#)
+    });
+    assert!((0..3).any(|k| rig
+        .log(k)
+        .contains("a word of another gateway is not taken")));
     let names = |rig: &Rig| -> Vec<String> {
-        let members = rig.shown(0)["members"].as_array().cloned().unwrap_or_default();
-        members.iter().filter_map(|m| m["name"].as_str().map(String::from)).collect()
+        let members = rig.shown(0)["members"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        members
+            .iter()
+            .filter_map(|m| m["name"].as_str().map(String::from))
+            .collect()
     };
     until("the keepers are in", || names(&rig) == ["g1", "g2", "g3"]);
     rig.start(4);
-    until("the second of a name is told", || rig.log(4).contains("another process is"));
+    until("the second of a name is told", || {
+        rig.log(4).contains("another process is")
+    });
     assert!(!rig.fit(3) && !rig.fit(4));
     rig.kill(4);
-    let _ = std::fs::remove_dir_all(std::env::temp_dir().join(format!("strange-{}", std::process::id())));
+    let _ = std::fs::remove_dir_all(
+        std::env::temp_dir().join(format!("strange-{}", std::process::id())),
+    );
     // Not heard for ten leases is long; by its own word it is out at once.
     let second = if rig.chair() == 1 { 0 } else { 1 };
     rig.end(second);
-    assert!(rig.log(second).contains("left the fleet"), "{}", rig.log(second));
-    let out = |rig: &Rig| rig.shown(1 - second)["members"].as_array().is_some_and(|m| m.len() == 2);
+    assert!(
+        rig.log(second).contains("left the fleet"),
+        "{}",
+        rig.log(second)
+    );
+    let out = |rig: &Rig| {
+        rig.shown(1 - second)["members"]
+            .as_array()
+            .is_some_and(|m| m.len() == 2)
+    };
     until("it is out", || out(&rig));
 }
 
@@ -527,26 +733,52 @@
     let mut rig = Rig::started("sighup", &Plan::default());
     let sentence = "settings are the fleet's";
     rig.retell(4, |told| told["names"] = json!("127.0.0.1:9"));
-    rig.retell(3, |told| told["settings"]["policy_limits"]["max_attempts"] = json!(2));
+    rig.retell(3, |told| {
+        told["settings"]["policy_limits"]["max_attempts"] = json!(2)
+    });
     until("it is refused", || rig.log(3).contains(sentence));
-    until("the list moves", || rig.log(4).contains("name service has moved"));
-    assert!(!rig.log(4).contains(sentence), "where the list comes from may move");
+    until("the list moves", || {
+        rig.log(4).contains("name service has moved")
+    });
+    assert!(
+        !rig.log(4).contains(sentence),
+        "where the list comes from may move"
+    );
     assert_eq!(rig.setting(3, FORWARDS), json!(6));
     let plain = rig.cli(3, &["set", FORWARDS, "2"]);
-    assert!(plain.code == 3 && plain.err.contains("ironstair set --fleet"), "{plain:?}");
+    assert!(
+        plain.code == 3 && plain.err.contains("ironstair set --fleet"),
+        "{plain:?}"
+    );
     let chair = rig.chair();
-    let of =
-        |g: usize, leaf: &str| rig.setting(chair, &format!("/state/fleet/member[name=g{}]/{leaf}", g + 1));
-    ALL.for_each(|g| until("the chair's tree shows it", || of(g, "holds") == json!(true)));
+    let of = |g: usize, leaf: &str| {
+        rig.setting(
+            chair,
+            &format!("/state/fleet/member[name=g{}]/{leaf}", g + 1),
+        )
+    };
+    ALL.for_each(|g| {
+        until("the chair's tree shows it", || {
+            of(g, "holds") == json!(true)
+        })
+    });
     assert_eq!(of(4, "cut-off"), json!("strict"));
     let shown = rig.cli(1, &["fleet"]);
-    assert!(shown.out.contains("chair g") && shown.out.contains("lease-left-ms"), "{shown:?}");
+    assert!(
+        shown.out.contains("chair g") && shown.out.contains("lease-left-ms"),
+        "{shown:?}"
+    );
 }
 
 /// `SEEDS=200 cargo test -p ironstair-gateway --test fleet case_9` plays so many, four at a time.
 #[test]
 fn case_9_seeded_schedules_of_faults_break_no_promise() {
-    let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
+    let number = |name: &str, or: u64| {
+        std::env::var(name)
+            .ok()
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(or)
+    };
     let (seeds, first) = (number("SEEDS", 3), number("FIRST", 1));
     let next = std::sync::atomic::AtomicU64::new(first);
     let made = std::sync::atomic::AtomicUsize::new(0);
@@ -565,7 +797,9 @@
                     rig.over();
                     made
                 });
-                let Ok(played) = played else { panic!("seed {seed}: {steps:#?}") };
+                let Ok(played) = played else {
+                    panic!("seed {seed}: {steps:#?}")
+                };
                 made.fetch_add(played, std::sync::atomic::Ordering::Relaxed);
             });
         }
