--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -36,13 +36,19 @@
             self.0.retain(|p, _| !below(&at, p));
         }
         for u in &n.update {
-            self.0.insert(shown(n.prefix.as_ref(), u.path.as_ref()), u.val.clone().unwrap());
+            self.0.insert(
+                shown(n.prefix.as_ref(), u.path.as_ref()),
+                u.val.clone().unwrap(),
+            );
         }
     }
 }
 
 /// An engine that answers after a time, and takes down what it was forwarded by id.
-fn slow_engine(ms: u64, ends: impl Fn(usize) -> bool + Send + Sync + 'static) -> (SocketAddr, Seen) {
+fn slow_engine(
+    ms: u64,
+    ends: impl Fn(usize) -> bool + Send + Sync + 'static,
+) -> (SocketAddr, Seen) {
     let nth = AtomicUsize::new(0);
     engine(move |line, _| {
         if !line.starts_with("fetch") {
@@ -60,9 +66,11 @@
 fn case_1_settings_change_under_load_and_every_submission_taken_gets_one_answer_in_time() {
     let names = ["e1", "e2", "e3", "e4"];
     // Now and then two of them lose a connection with all that is open on it.
-    let engines: Vec<(SocketAddr, Seen)> =
-        (0..4).map(|e| slow_engine(4 + 3 * e, move |nth| e < 2 && nth % 23 == 22)).collect();
-    let listed: Vec<(&str, SocketAddr)> = names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
+    let engines: Vec<(SocketAddr, Seen)> = (0..4)
+        .map(|e| slow_engine(4 + 3 * e, move |nth| e < 2 && nth % 23 == 22))
+        .collect();
+    let listed: Vec<(&str, SocketAddr)> =
+        names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
     let (gateway, at) = managed("case-1", &listed);
     let over = Arc::new(AtomicBool::new(false));
     // The load lasts until so many changes were asked for: on a slow machine they are fewer a second.
@@ -106,12 +114,16 @@
     };
     let drains = {
         let (over, roster) = (over.clone(), gateway.roster.clone());
-        let listed: Vec<(String, SocketAddr)> = listed.iter().map(|(n, a)| (n.to_string(), *a)).collect();
+        let listed: Vec<(String, SocketAddr)> =
+            listed.iter().map(|(n, a)| (n.to_string(), *a)).collect();
         thread::spawn(move || {
             for serial in 2.. {
                 let state = |nth: usize| (serial % 2 == 0 && nth == 3) as u16;
-                let all: Vec<(&str, SocketAddr, u16)> =
-                    listed.iter().enumerate().map(|(i, (n, a))| (n.as_str(), *a, state(i))).collect();
+                let all: Vec<(&str, SocketAddr, u16)> = listed
+                    .iter()
+                    .enumerate()
+                    .map(|(i, (n, a))| (n.as_str(), *a, state(i)))
+                    .collect();
                 *roster.lock().unwrap() = answer(serial, &all);
                 thread::sleep(Duration::from_millis(300));
                 if over.load(Ordering::Relaxed) {
@@ -125,7 +137,8 @@
         .map(|who| {
             let (mut c, made) = (Client::of(&gateway), made.clone());
             thread::spawn(move || {
-                let (mut answers, mut open, mut worst) = (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
+                let (mut answers, mut open, mut worst) =
+                    (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
                 let mut asked = 0;
                 let more = |asked: usize| asked < per_client || made.load(Ordering::Relaxed) < 36;
                 while answers.len() < asked || more(asked) {
@@ -137,13 +150,17 @@
                     }
                     let told = c.hear();
                     let call = told["id"].as_u64().unwrap();
-                    let since = open.remove(&call).unwrap_or_else(|| panic!("a second answer: {told}"));
+                    let since = open
+                        .remove(&call)
+                        .unwrap_or_else(|| panic!("a second answer: {told}"));
                     worst = worst.max(since.elapsed());
                     let code = told["error"]["code"].as_i64();
                     answers.insert(call, code);
                 }
                 // What would come after the last answer is one too many.
-                c.0.get_mut().set_read_timeout(Some(Duration::from_millis(200))).unwrap();
+                c.0.get_mut()
+                    .set_read_timeout(Some(Duration::from_millis(200)))
+                    .unwrap();
                 let more = std::io::Read::read(&mut c.0, &mut [0; 16]);
                 assert!(more.is_err(), "more than one answer for some");
                 (answers, worst, asked)
@@ -155,12 +172,26 @@
     let (changed, refused) = changer.join().unwrap();
     drains.join().unwrap();
     let answers: Vec<(u64, Option<i64>)> = results.iter().flat_map(|r| r.0.clone()).collect();
-    let settled: BTreeSet<u64> = answers.iter().filter(|a| a.1.is_none()).map(|a| a.0).collect();
+    let settled: BTreeSet<u64> = answers
+        .iter()
+        .filter(|a| a.1.is_none())
+        .map(|a| a.0)
+        .collect();
     let asked: usize = results.iter().map(|r| r.2).sum();
     assert_eq!(answers.len(), asked, "each one answer");
-    assert!(results.iter().all(|r| r.1 < Duration::from_millis(4300)), "in time");
-    assert!(changed > 20 && refused > 3, "{changed} changes, {refused} refused");
-    assert!(settled.len() * 10 > asked * 8, "{} settled of {asked}", settled.len());
+    assert!(
+        results.iter().all(|r| r.1 < Duration::from_millis(4300)),
+        "in time"
+    );
+    assert!(
+        changed > 20 && refused > 3,
+        "{changed} changes, {refused} refused"
+    );
+    assert!(
+        settled.len() * 10 > asked * 8,
+        "{} settled of {asked}",
+        settled.len()
+    );
     // What may have run once and may not run twice was never forwarded again.
     let mut forwards: BTreeMap<String, u32> = BTreeMap::new();
     for line in engines.iter().flat_map(|e| e.1.lock().unwrap().clone()) {
@@ -182,7 +213,8 @@
     (1..=12).for_each(|call| asker.ask_in("report", call));
     // Some run, the rest wait: one engine, one answer after the other on each connection.
     thread::sleep(Duration::from_millis(60));
-    rt.block_on(delete(&mut c, "/settings/band[name=report]")).unwrap();
+    rt.block_on(delete(&mut c, "/settings/band[name=report]"))
+        .unwrap();
     let since = Instant::now();
     (101..=105).for_each(|call| asker.ask_in("report", call));
     let (mut settled, mut back) = (BTreeSet::new(), BTreeMap::new());
@@ -195,16 +227,32 @@
         }
     }
     assert_eq!(settled, (1..=12).collect(), "open ones finish");
-    assert_eq!(back.keys().copied().collect::<Vec<_>>(), [101, 102, 103, 104, 105]);
-    assert!(back.values().all(|t| *t < Duration::from_secs(1)), "turned back at once: {back:?}");
-    let state = rt.block_on(get(&mut c, "/state/band[name=report]")).unwrap();
+    assert_eq!(
+        back.keys().copied().collect::<Vec<_>>(),
+        [101, 102, 103, 104, 105]
+    );
+    assert!(
+        back.values().all(|t| *t < Duration::from_secs(1)),
+        "turned back at once: {back:?}"
+    );
+    let state = rt
+        .block_on(get(&mut c, "/state/band[name=report]"))
+        .unwrap();
     assert_eq!(state["ironstair-gateway:in-service"], json!(false));
     assert_eq!(state["ironstair-gateway:turned-back"], json!("5"));
     // Not with other terms that are fixed; then as it was.
     let band = |threads: u32| json!({"expected": 2000, "hard-limit": 5000, "payoff": "1.0", "repeat": "repeatable", "threads": threads});
-    let wrong = rt.block_on(set(&mut c, "/settings/band[name=report]", band(2))).unwrap_err();
-    assert!(wrong.message().starts_with("/settings/band[name=report]/threads: cannot"), "{wrong:?}");
-    rt.block_on(set(&mut c, "/settings/band[name=report]", band(4))).unwrap();
+    let wrong = rt
+        .block_on(set(&mut c, "/settings/band[name=report]", band(2)))
+        .unwrap_err();
+    assert!(
+        wrong
+            .message()
+            .starts_with("/settings/band[name=report]/threads: cannot"),
+        "{wrong:?}"
+    );
+    rt.block_on(set(&mut c, "/settings/band[name=report]", band(4)))
+        .unwrap();
     asker.ask_in("report", 200);
     assert_eq!(asker.rows().0, 200);
 }
@@ -264,11 +312,14 @@
         let before = resident(gateway.process.id());
         // One reads nothing, another a few bytes a second.
         let mut deaf = client(at).await;
-        let _unread = subscribe(&mut deaf, subscribing("/", SubscriptionMode::OnChange)).await.unwrap();
+        let _unread = subscribe(&mut deaf, subscribing("/", SubscriptionMode::OnChange))
+            .await
+            .unwrap();
         let slow = dripping(at);
         let mut slow = connected(Endpoint::from_shared(format!("http://{slow}")).unwrap()).await;
         let dripped = tokio::spawn(async move {
-            let stream = subscribe(&mut slow, subscribing("/state", SubscriptionMode::Sample)).await;
+            let stream =
+                subscribe(&mut slow, subscribing("/state", SubscriptionMode::Sample)).await;
             if let Ok(mut s) = stream {
                 while s.message().await.is_ok_and(|m| m.is_some()) {}
             }
@@ -280,10 +331,13 @@
             let end = end.clone();
             readers.push(tokio::spawn(async move {
                 let mut told =
-                    subscribe(&mut c, subscribing("/settings", SubscriptionMode::OnChange)).await.unwrap();
+                    subscribe(&mut c, subscribing("/settings", SubscriptionMode::OnChange))
+                        .await
+                        .unwrap();
                 let mut copy = Copy::default();
                 loop {
-                    let Sent::Update(n) = told.message().await.unwrap().unwrap().response.unwrap() else {
+                    let Sent::Update(n) = told.message().await.unwrap().unwrap().response.unwrap()
+                    else {
                         continue;
                     };
                     copy.takes(&n);
@@ -297,11 +351,21 @@
         }
         let mut c = client(at).await;
         for nth in 0..40 {
-            set(&mut c, "/settings/band[name=lookup]/payoff", json!(format!("{nth}.25")))
+            set(
+                &mut c,
+                "/settings/band[name=lookup]/payoff",
+                json!(format!("{nth}.25")),
+            )
+            .await
+            .unwrap_or_else(|e| assert_eq!(nth, 0, "{e}"));
+            let zone = if nth % 2 == 0 {
+                json!(["a"])
+            } else {
+                json!([])
+            };
+            set(&mut c, "/settings/band[name=lookup]/zone", zone)
                 .await
-                .unwrap_or_else(|e| assert_eq!(nth, 0, "{e}"));
-            let zone = if nth % 2 == 0 { json!(["a"]) } else { json!([]) };
-            set(&mut c, "/settings/band[name=lookup]/zone", zone).await.unwrap();
+                .unwrap();
             if nth % 4 == 0 {
                 delete(&mut c, "/settings/ration").await.unwrap();
             } else {
@@ -309,7 +373,9 @@
                 set(&mut c, "/settings/ration", ration).await.unwrap();
             }
         }
-        set(&mut c, "/settings/band[name=lookup]/payoff", json!("77.5")).await.unwrap();
+        set(&mut c, "/settings/band[name=lookup]/payoff", json!("77.5"))
+            .await
+            .unwrap();
         let want = leaves(&mut c, "/settings").await;
         let last = want["/settings/band[name=lookup]/payoff"].clone();
         *end.lock().unwrap() = Some(format!("{last:?}"));
@@ -317,7 +383,10 @@
         set(&mut c, "/settings/advice", json!(1)).await.unwrap();
         set(&mut c, "/settings/advice", json!(0)).await.unwrap();
         for reader in readers {
-            let copy = tokio::time::timeout(Duration::from_secs(10), reader).await.unwrap().unwrap();
+            let copy = tokio::time::timeout(Duration::from_secs(10), reader)
+                .await
+                .unwrap()
+                .unwrap();
             let rest = |all: &BTreeMap<String, TypedValue>| {
                 let mut all = all.clone();
                 all.remove("/settings/advice");
@@ -332,7 +401,10 @@
     over.store(true, Ordering::Relaxed);
     let (calls, worst) = traffic.join().unwrap();
     // Nothing is measured here: a forward that waits for a subscriber would wait for as long as that is silent.
-    assert!(calls > 50 && worst < Duration::from_secs(2), "{calls} calls, the slowest {worst:?}");
+    assert!(
+        calls > 50 && worst < Duration::from_secs(2),
+        "{calls} calls, the slowest {worst:?}"
+    );
 }
 
 #[test]
@@ -340,7 +412,8 @@
     let (mut gateway, at) = managed("case-4", &[]);
     let expected = "/settings/band[name=lookup]/expected";
     let rt = runtime();
-    let value = |rt: &Runtime| rt.block_on(async { get(&mut client(at).await, expected).await.unwrap() });
+    let value =
+        |rt: &Runtime| rt.block_on(async { get(&mut client(at).await, expected).await.unwrap() });
     rt.block_on(async {
         let mut c = client(at).await;
         set(&mut c, expected, json!(900)).await.unwrap();
@@ -362,7 +435,10 @@
             extension: commit("c1", Action::Confirm(gnmi_ext::CommitConfirm {})),
             ..Default::default()
         };
-        assert_eq!(c.set(none).await.unwrap_err().code(), Code::FailedPrecondition);
+        assert_eq!(
+            c.set(none).await.unwrap_err().code(),
+            Code::FailedPrecondition
+        );
         let request = gnmi::SetRequest {
             update: vec![update(expected, json!(700))],
             extension: commit("c2", within(600, 0)),
@@ -370,13 +446,22 @@
         };
         c.set(request).await.unwrap();
         let confirm = commit("c2", Action::Confirm(gnmi_ext::CommitConfirm {}));
-        c.set(gnmi::SetRequest { extension: confirm, ..Default::default() }).await.unwrap();
+        c.set(gnmi::SetRequest {
+            extension: confirm,
+            ..Default::default()
+        })
+        .await
+        .unwrap();
     });
     gateway.again();
     assert_eq!(value(&rt), json!(700), "confirmed, kept");
     // A journal cut in the middle of its last record runs the revision before that.
     let journal = gateway.dir.join("state/revisions.journal");
-    rt.block_on(async { set(&mut client(at).await, expected, json!(600)).await.unwrap() });
+    rt.block_on(async {
+        set(&mut client(at).await, expected, json!(600))
+            .await
+            .unwrap()
+    });
     let bytes = std::fs::read(&journal).unwrap();
     gateway.process.kill().unwrap();
     gateway.process.wait().unwrap();
@@ -392,10 +477,18 @@
             ..Default::default()
         };
         c.set(request).await.unwrap();
-        let rollback_duration = Some(prost_types::Duration { seconds: 2, nanos: 0 });
+        let rollback_duration = Some(prost_types::Duration {
+            seconds: 2,
+            nanos: 0,
+        });
         let longer = gnmi_ext::CommitSetRollbackDuration { rollback_duration };
         let extension = commit("c3", Action::SetRollbackDuration(longer));
-        c.set(gnmi::SetRequest { extension, ..Default::default() }).await.unwrap();
+        c.set(gnmi::SetRequest {
+            extension,
+            ..Default::default()
+        })
+        .await
+        .unwrap();
         tokio::time::sleep(Duration::from_millis(1300)).await;
         assert_eq!(get(&mut c, expected).await.unwrap(), json!(500));
         tokio::time::sleep(Duration::from_millis(1000)).await;
@@ -410,10 +503,21 @@
         let mut c = client(at).await;
         let mut claim = async |high: u64, low: u64, value: u32| {
             let election_id = Some(gnmi_ext::Uint128 { high, low });
-            let m = gnmi_ext::MasterArbitration { role: None, election_id };
-            let extension = vec![Extension { ext: Some(Ext::MasterArbitration(m)) }];
+            let m = gnmi_ext::MasterArbitration {
+                role: None,
+                election_id,
+            };
+            let extension = vec![Extension {
+                ext: Some(Ext::MasterArbitration(m)),
+            }];
             let update = vec![update("/settings/advice", json!(value))];
-            c.set(gnmi::SetRequest { update, extension, ..Default::default() }).await.map(drop)
+            c.set(gnmi::SetRequest {
+                update,
+                extension,
+                ..Default::default()
+            })
+            .await
+            .map(drop)
         };
         claim(0, 5, 1).await.unwrap();
         claim(1, 0, 2).await.unwrap();
@@ -432,7 +536,9 @@
     fn new(name: &str) -> Authority {
         let mut params = rcgen::CertificateParams::new(Vec::new()).unwrap();
         params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
-        params.distinguished_name.push(rcgen::DnType::CommonName, name);
+        params
+            .distinguished_name
+            .push(rcgen::DnType::CommonName, name);
         let key = rcgen::KeyPair::generate().unwrap();
         let pem = params.self_signed(&key).unwrap().pem();
         Authority(rcgen::Issuer::new(params, key), pem)
@@ -442,14 +548,21 @@
     fn signs(&self, name: &str, at: Option<std::net::IpAddr>, expired: bool) -> (String, String) {
         let mut params = rcgen::CertificateParams::new(Vec::new()).unwrap();
         params.distinguished_name = rcgen::DistinguishedName::new();
-        params.distinguished_name.push(rcgen::DnType::CommonName, name);
-        params.subject_alt_names.extend(at.map(rcgen::SanType::IpAddress));
+        params
+            .distinguished_name
+            .push(rcgen::DnType::CommonName, name);
+        params
+            .subject_alt_names
+            .extend(at.map(rcgen::SanType::IpAddress));
         if expired {
             params.not_before = rcgen::date_time_ymd(2020, 1, 1);
             params.not_after = rcgen::date_time_ymd(2020, 2, 1);
         }
         let key = rcgen::KeyPair::generate().unwrap();
-        (params.signed_by(&key, &self.0).unwrap().pem(), key.serialize_pem())
+        (
+            params.signed_by(&key, &self.0).unwrap().pem(),
+            key.serialize_pem(),
+        )
     }
 }
 
@@ -458,14 +571,19 @@
     let tls = ClientTlsConfig::new()
         .ca_certificate(Certificate::from_pem(&server.1))
         .identity(Identity::from_pem(&own.0, &own.1));
-    Endpoint::from_shared(format!("https://{at}")).unwrap().tls_config(tls).unwrap()
+    Endpoint::from_shared(format!("https://{at}"))
+        .unwrap()
+        .tls_config(tls)
+        .unwrap()
 }
 
 /// Whether somebody with that certificate can read.
 async fn let_in(at: SocketAddr, server: &Authority, own: &(String, String)) -> bool {
     match secured(at, server, own).connect().await {
         Err(_) => false,
-        Ok(channel) => get(&mut GNmiClient::new(channel), "/settings/advice").await.is_ok(),
+        Ok(channel) => get(&mut GNmiClient::new(channel), "/settings/advice")
+            .await
+            .is_ok(),
     }
 }
 
@@ -474,7 +592,11 @@
     let (old, new) = (Authority::new("old"), Authority::new("new"));
     let mut files = None;
     let (gateway, at) = managed_with("case-5", &[], |operator, dir| {
-        let at: SocketAddr = operator["management"]["listen"].as_str().unwrap().parse().unwrap();
+        let at: SocketAddr = operator["management"]["listen"]
+            .as_str()
+            .unwrap()
+            .parse()
+            .unwrap();
         let own = old.signs("gateway", Some(at.ip()), false);
         let put = move |dir: &std::path::Path, own: &(String, String), authority: &str| {
             std::fs::write(dir.join("cert.pem"), &own.0).unwrap();
@@ -492,7 +614,9 @@
         let mut c = connected(secured(at, &old, &ops)).await;
         let mut reader = connected(secured(at, &old, &old.signs("reader", None, false))).await;
         set(&mut c, "/settings/advice", json!(1)).await.unwrap();
-        let denied = set(&mut reader, "/settings/advice", json!(2)).await.unwrap_err();
+        let denied = set(&mut reader, "/settings/advice", json!(2))
+            .await
+            .unwrap_err();
         assert_eq!(
             (denied.code(), denied.message()),
             (Code::PermissionDenied, "reader may read, not change")
@@ -507,13 +631,21 @@
         // Without TLS at all nothing is heard either.
         let plain = Endpoint::from_shared(format!("http://{at}")).unwrap();
         if let Ok(channel) = plain.connect().await {
-            assert!(get(&mut GNmiClient::new(channel), "/settings").await.is_err());
+            assert!(get(&mut GNmiClient::new(channel), "/settings")
+                .await
+                .is_err());
         }
-        assert_eq!(get(&mut reader, "/settings/advice").await.unwrap(), json!(1));
+        assert_eq!(
+            get(&mut reader, "/settings/advice").await.unwrap(),
+            json!(1)
+        );
 
-        let mut told = subscribe(&mut reader, subscribing("/settings/advice", SubscriptionMode::OnChange))
-            .await
-            .unwrap();
+        let mut told = subscribe(
+            &mut reader,
+            subscribing("/settings/advice", SubscriptionMode::OnChange),
+        )
+        .await
+        .unwrap();
         let changing = tokio::spawn(async move {
             for nth in 2..60 {
                 set(&mut c, "/settings/advice", json!(nth)).await.unwrap();
@@ -528,13 +660,22 @@
             assert!(Instant::now() < late, "new keys are not taken");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert!(!let_in(at, &old, &ops).await, "the old authority lets nobody in any more");
+        assert!(
+            !let_in(at, &old, &ops).await,
+            "the old authority lets nobody in any more"
+        );
         changing.await.unwrap();
         // The stream that was open hears the last change, made on a connection of the old keys.
         let heard = tokio::time::timeout(Duration::from_secs(5), async {
             loop {
-                let Some(Sent::Update(n)) = told.message().await.unwrap().unwrap().response else { continue };
-                let last = n.update.last().and_then(|u| u.val.clone()).and_then(|v| v.value);
+                let Some(Sent::Update(n)) = told.message().await.unwrap().unwrap().response else {
+                    continue;
+                };
+                let last = n
+                    .update
+                    .last()
+                    .and_then(|u| u.val.clone())
+                    .and_then(|v| v.value);
                 if last == Some(typed_value::Value::UintVal(59)) {
                     return;
                 }
@@ -594,16 +735,23 @@
 
 async fn raw(channel: &Channel, method: &str, message: Vec<u8>) -> Result<(), Status> {
     let mut grpc = tonic::client::Grpc::new(channel.clone());
-    grpc.ready().await.map_err(|e| Status::unavailable(e.to_string()))?;
+    grpc.ready()
+        .await
+        .map_err(|e| Status::unavailable(e.to_string()))?;
     let at = format!("/gnmi.gNMI/{method}").parse().unwrap();
     let once = tokio_stream::once(message);
-    let mut told = grpc.streaming(tonic::Request::new(once), at, Bytes).await?.into_inner();
+    let mut told = grpc
+        .streaming(tonic::Request::new(once), at, Bytes)
+        .await?
+        .into_inner();
     let ends = async {
         while told.message().await?.is_some() {}
         Ok(())
     };
     // A stream that was understood goes on; that is no fault.
-    tokio::time::timeout(Duration::from_millis(20), ends).await.unwrap_or(Ok(()))
+    tokio::time::timeout(Duration::from_millis(20), ends)
+        .await
+        .unwrap_or(Ok(()))
 }
 
 #[test]
@@ -617,7 +765,11 @@
     runtime().block_on(async {
         let mut c = client(at).await;
         let before = get(&mut c, "/settings").await.unwrap();
-        let channel = Endpoint::from_shared(format!("http://{at}")).unwrap().connect().await.unwrap();
+        let channel = Endpoint::from_shared(format!("http://{at}"))
+            .unwrap()
+            .connect()
+            .await
+            .unwrap();
         let whole = gnmi::SetRequest {
             update: vec![update("/settings/band[name=lookup]/expected", json!(0))],
             delete: vec![path("/state/process")],
@@ -635,7 +787,10 @@
                 .encode_to_vec(),
             ),
             ("Set", whole.encode_to_vec()),
-            ("Subscribe", subscribing("/state/band[name=lookup]", SubscriptionMode::Sample).encode_to_vec()),
+            (
+                "Subscribe",
+                subscribing("/state/band[name=lookup]", SubscriptionMode::Sample).encode_to_vec(),
+            ),
         ];
         let mut start = 0;
         let mut refused = 0;
@@ -664,22 +819,55 @@
             assert!(raw(&channel, method, message).await.is_err(), "{method}");
         }
         let deep = |n: usize| format!("{}1{}", "[".repeat(n), "]".repeat(n));
-        for value in ["{", "nul", "1e999", &deep(5000), "\"\\ud800\"", &"9".repeat(400)] {
-            let val = Some(TypedValue { value: Some(typed_value::Value::JsonIetfVal(value.into())) });
-            let update = vec![gnmi::Update { path: Some(path("/settings/advice")), val, duplicates: 0 }];
-            let wrong = c.set(gnmi::SetRequest { update, ..Default::default() }).await.unwrap_err();
+        for value in [
+            "{",
+            "nul",
+            "1e999",
+            &deep(5000),
+            "\"\\ud800\"",
+            &"9".repeat(400),
+        ] {
+            let val = Some(TypedValue {
+                value: Some(typed_value::Value::JsonIetfVal(value.into())),
+            });
+            let update = vec![gnmi::Update {
+                path: Some(path("/settings/advice")),
+                val,
+                duplicates: 0,
+            }];
+            let wrong = c
+                .set(gnmi::SetRequest {
+                    update,
+                    ..Default::default()
+                })
+                .await
+                .unwrap_err();
             assert_eq!(wrong.code(), Code::InvalidArgument, "{value}: {wrong:?}");
             assert!(wrong.message().starts_with("/settings/advice"), "{wrong:?}");
         }
-        assert_eq!(get(&mut c, "/settings").await.unwrap(), before, "nothing has changed");
+        assert_eq!(
+            get(&mut c, "/settings").await.unwrap(),
+            before,
+            "nothing has changed"
+        );
         let grown = resident(gateway.process.id()).saturating_sub(start);
         assert!(grown < 16 << 10, "grown by {grown} KiB");
     });
-    assert!(gateway.process.try_wait().unwrap().is_none(), "it still runs");
+    assert!(
+        gateway.process.try_wait().unwrap().is_none(),
+        "it still runs"
+    );
 }
 
-fn listing(at: &[&str], mode: gnmi::subscription_list::Mode, updates_only: bool) -> gnmi::SubscribeRequest {
-    let subscription = at.iter().map(|at| gnmi::Subscription { path: Some(path(at)), ..Default::default() });
+fn listing(
+    at: &[&str],
+    mode: gnmi::subscription_list::Mode,
+    updates_only: bool,
+) -> gnmi::SubscribeRequest {
+    let subscription = at.iter().map(|at| gnmi::Subscription {
+        path: Some(path(at)),
+        ..Default::default()
+    });
     let list = gnmi::SubscriptionList {
         subscription: subscription.collect(),
         mode: mode as i32,
@@ -692,7 +880,10 @@
 
 fn asked(list: gnmi::SubscriptionList) -> gnmi::SubscribeRequest {
     let request = Some(gnmi::subscribe_request::Request::Subscribe(list));
-    gnmi::SubscribeRequest { request, extension: Vec::new() }
+    gnmi::SubscribeRequest {
+        request,
+        extension: Vec::new(),
+    }
 }
 
 /// Updates up to the word that this was all.
@@ -714,7 +905,9 @@
     runtime().block_on(async {
         let mut c = client(at).await;
         let bands = leaves(&mut c, "/settings/band").await.len();
-        let mut once = subscribe(&mut c, listing(&["/settings/band"], Once, false)).await.unwrap();
+        let mut once = subscribe(&mut c, listing(&["/settings/band"], Once, false))
+            .await
+            .unwrap();
         assert_eq!(up_to_sync(&mut once).await.unwrap(), bands);
         assert!(once.message().await.unwrap().is_none(), "and it ends");
 
@@ -724,24 +917,38 @@
         };
         for (updates_only, second) in [(false, bands), (true, 0)] {
             let (say, asked) = tokio::sync::mpsc::channel(4);
-            say.send(listing(&["/settings/band"], Poll, updates_only)).await.unwrap();
+            say.send(listing(&["/settings/band"], Poll, updates_only))
+                .await
+                .unwrap();
             let asked = tokio_stream::wrappers::ReceiverStream::new(asked);
             let mut polled = c.clone().subscribe(asked).await.unwrap().into_inner();
             say.send(poll()).await.unwrap();
-            assert_eq!(up_to_sync(&mut polled).await.unwrap(), if updates_only { 0 } else { bands });
+            assert_eq!(
+                up_to_sync(&mut polled).await.unwrap(),
+                if updates_only { 0 } else { bands }
+            );
             say.send(poll()).await.unwrap();
             assert_eq!(up_to_sync(&mut polled).await.unwrap(), second);
             let payoff = if updates_only { "3.5" } else { "2.5" };
-            set(&mut c, "/settings/band[name=lookup]/payoff", json!(payoff)).await.unwrap();
+            set(&mut c, "/settings/band[name=lookup]/payoff", json!(payoff))
+                .await
+                .unwrap();
             say.send(poll()).await.unwrap();
             // Of what has changed, the whole entry: it must not be seen half.
-            assert_eq!(up_to_sync(&mut polled).await.unwrap(), if updates_only { 9 } else { bands });
+            assert_eq!(
+                up_to_sync(&mut polled).await.unwrap(),
+                if updates_only { 9 } else { bands }
+            );
         }
         let both = ["/settings/advice", "/state/process/name"];
-        let mut stream = subscribe(&mut c, listing(&both, Stream, false)).await.unwrap();
+        let mut stream = subscribe(&mut c, listing(&both, Stream, false))
+            .await
+            .unwrap();
         assert_eq!(up_to_sync(&mut stream).await.unwrap(), 2);
         set(&mut c, "/settings/advice", json!(5)).await.unwrap();
-        let Some(Sent::Update(n)) = stream.message().await.unwrap().unwrap().response else { panic!() };
+        let Some(Sent::Update(n)) = stream.message().await.unwrap().unwrap().response else {
+            panic!()
+        };
         assert_eq!(shown(None, n.update[0].path.as_ref()), "/settings/advice");
     });
 }
@@ -753,9 +960,16 @@
     });
     runtime().block_on(async {
         let mut c = client(at).await;
-        let capable = c.capabilities(gnmi::CapabilityRequest::default()).await.unwrap().into_inner();
+        let capable = c
+            .capabilities(gnmi::CapabilityRequest::default())
+            .await
+            .unwrap()
+            .into_inner();
         assert_eq!(
-            (capable.supported_models[0].name.as_str(), capable.supported_encodings),
+            (
+                capable.supported_models[0].name.as_str(),
+                capable.supported_encodings
+            ),
             ("ironstair-gateway", vec![4, 0, 2])
         );
         let get_of = |p: gnmi::Path, encoding: i32, kind: i32| gnmi::GetRequest {
@@ -764,13 +978,22 @@
             r#type: kind,
             ..Default::default()
         };
-        let origin = gnmi::Path { origin: "openconfig".into(), ..path("/settings") };
-        let target = gnmi::Path { target: "n9".into(), ..path("/settings") };
+        let origin = gnmi::Path {
+            origin: "openconfig".into(),
+            ..path("/settings")
+        };
+        let target = gnmi::Path {
+            target: "n9".into(),
+            ..path("/settings")
+        };
         let old = gnmi::PathElem {
             name: "band".into(),
             key: [("a".into(), "b".into()), ("c".into(), "d".into())].into(),
         };
-        let two_keys = gnmi::Path { elem: vec![old], ..Default::default() };
+        let two_keys = gnmi::Path {
+            elem: vec![old],
+            ..Default::default()
+        };
         for (request, code, why) in [
             (
                 get_of(path("/settings/bands"), 4, 0),
@@ -782,22 +1005,57 @@
                 Code::NotFound,
                 "/settings/band[name=none]: there is nothing",
             ),
-            (get_of(path("/state/list"), 4, 1), Code::NotFound, "/state/list: there is nothing"),
-            (get_of(path("/settings"), 1, 0), Code::Unimplemented, "encoding BYTES"),
-            (get_of(path("/settings"), 77, 0), Code::InvalidArgument, "encoding 77"),
-            (get_of(path("/settings"), 4, 9), Code::InvalidArgument, "type 9"),
-            (get_of(origin, 4, 0), Code::InvalidArgument, "origin \"openconfig\""),
+            (
+                get_of(path("/state/list"), 4, 1),
+                Code::NotFound,
+                "/state/list: there is nothing",
+            ),
+            (
+                get_of(path("/settings"), 1, 0),
+                Code::Unimplemented,
+                "encoding BYTES",
+            ),
+            (
+                get_of(path("/settings"), 77, 0),
+                Code::InvalidArgument,
+                "encoding 77",
+            ),
+            (
+                get_of(path("/settings"), 4, 9),
+                Code::InvalidArgument,
+                "type 9",
+            ),
+            (
+                get_of(origin, 4, 0),
+                Code::InvalidArgument,
+                "origin \"openconfig\"",
+            ),
             (get_of(target, 4, 0), Code::InvalidArgument, "target \"n9\""),
-            (get_of(two_keys, 4, 0), Code::InvalidArgument, "band: a list here has one key"),
-            (get_of(path(&"/a".repeat(40)), 4, 0), Code::InvalidArgument, "a path of 40 steps"),
             (
-                gnmi::GetRequest { path: vec![path("/"); 300], encoding: 4, ..Default::default() },
+                get_of(two_keys, 4, 0),
+                Code::InvalidArgument,
+                "band: a list here has one key",
+            ),
+            (
+                get_of(path(&"/a".repeat(40)), 4, 0),
+                Code::InvalidArgument,
+                "a path of 40 steps",
+            ),
+            (
+                gnmi::GetRequest {
+                    path: vec![path("/"); 300],
+                    encoding: 4,
+                    ..Default::default()
+                },
                 Code::InvalidArgument,
                 "more than 256",
             ),
         ] {
             let e = c.get(request).await.unwrap_err();
-            assert!(e.code() == code && e.message().starts_with(why), "{why}: {e:?}");
+            assert!(
+                e.code() == code && e.message().starts_with(why),
+                "{why}: {e:?}"
+            );
         }
         let one = |at: &str| vec![update(at, json!(1))];
         let union = gnmi::SetRequest {
@@ -828,10 +1086,17 @@
             (nameless, "a commit needs an id"),
         ] {
             let e = c.set(request).await.unwrap_err();
-            assert!(e.code() == Code::InvalidArgument && e.message().starts_with(why), "{why}: {e:?}");
+            assert!(
+                e.code() == Code::InvalidArgument && e.message().starts_with(why),
+                "{why}: {e:?}"
+            );
         }
         let sub = |s: gnmi::Subscription| {
-            asked(gnmi::SubscriptionList { subscription: vec![s], encoding: 4, ..Default::default() })
+            asked(gnmi::SubscriptionList {
+                subscription: vec![s],
+                encoding: 4,
+                ..Default::default()
+            })
         };
         let quick = gnmi::Subscription {
             path: Some(path("/state")),
@@ -839,7 +1104,10 @@
             sample_interval: 5,
             ..Default::default()
         };
-        let unknown = gnmi::Subscription { path: Some(path("/nothing")), ..Default::default() };
+        let unknown = gnmi::Subscription {
+            path: Some(path("/nothing")),
+            ..Default::default()
+        };
         let poll = gnmi::SubscribeRequest {
             request: Some(gnmi::subscribe_request::Request::Poll(gnmi::Poll {})),
             extension: Vec::new(),
@@ -848,15 +1116,31 @@
             (sub(quick), "sample_interval is outside"),
             (sub(unknown), "/nothing: there is no such node"),
             (poll, "a stream begins with a subscription list"),
-            (asked(gnmi::SubscriptionList { encoding: 4, ..Default::default() }), "1 to 64 subscriptions"),
+            (
+                asked(gnmi::SubscriptionList {
+                    encoding: 4,
+                    ..Default::default()
+                }),
+                "1 to 64 subscriptions",
+            ),
         ] {
-            let e = subscribe(&mut c, first).await.unwrap().message().await.unwrap_err();
-            assert!(e.code() == Code::InvalidArgument && e.message().starts_with(why), "{why}: {e:?}");
+            let e = subscribe(&mut c, first)
+                .await
+                .unwrap()
+                .message()
+                .await
+                .unwrap_err();
+            assert!(
+                e.code() == Code::InvalidArgument && e.message().starts_with(why),
+                "{why}: {e:?}"
+            );
         }
         let mut open = Vec::new();
         for nth in 0..3 {
             let (say, asked) = tokio::sync::mpsc::channel(1);
-            say.send(subscribing("/settings", SubscriptionMode::OnChange)).await.unwrap();
+            say.send(subscribing("/settings", SubscriptionMode::OnChange))
+                .await
+                .unwrap();
             let asked = tokio_stream::wrappers::ReceiverStream::new(asked);
             let mut s = c.subscribe(asked).await.unwrap().into_inner();
             let first = s.message().await;
@@ -868,8 +1152,9 @@
         // The places are given back.
         let late = Instant::now() + Duration::from_secs(5);
         loop {
-            let mut s =
-                subscribe(&mut c, subscribing("/settings", SubscriptionMode::OnChange)).await.unwrap();
+            let mut s = subscribe(&mut c, subscribing("/settings", SubscriptionMode::OnChange))
+                .await
+                .unwrap();
             if s.message().await.is_ok() {
                 break;
             }
@@ -892,11 +1177,19 @@
             update("/settings/cold", of("cold")),
             update("/settings", json!({"gateways": 7, "forwards-most": 3})),
         ];
-        c.set(gnmi::SetRequest { union_replace, ..Default::default() }).await.unwrap();
+        c.set(gnmi::SetRequest {
+            union_replace,
+            ..Default::default()
+        })
+        .await
+        .unwrap();
         let new = get(&mut c, "/settings").await.unwrap();
         assert_eq!(new["ironstair-gateway:band"].as_array().unwrap().len(), 2);
         assert_eq!(
-            (&new["ironstair-gateway:gateways"], &new["ironstair-gateway:forwards-most"]),
+            (
+                &new["ironstair-gateway:gateways"],
+                &new["ironstair-gateway:forwards-most"]
+            ),
             (&json!(7), &json!(3))
         );
     });
@@ -924,7 +1217,11 @@
         set(&mut c, "/settings/advice", json!(10)).await.unwrap();
     });
     gateway.again();
-    let kept = rt.block_on(async { get(&mut client(at).await, "/settings/advice").await.unwrap() });
+    let kept = rt.block_on(async {
+        get(&mut client(at).await, "/settings/advice")
+            .await
+            .unwrap()
+    });
     assert_eq!(kept, json!(10));
 }
 
@@ -932,15 +1229,25 @@
 fn a_told_file_that_has_changed_comes_before_the_revisions() {
     let (mut gateway, at) = managed("told-anew", &[]);
     let rt = runtime();
-    rt.block_on(async { set(&mut client(at).await, "/settings/gateways", json!(5)).await.unwrap() });
+    rt.block_on(async {
+        set(&mut client(at).await, "/settings/gateways", json!(5))
+            .await
+            .unwrap()
+    });
     let told = gateway.dir.join("told.json");
-    let mut v: serde_json::Value = serde_json::from_str(&std::fs::read_to_string(&told).unwrap()).unwrap();
+    let mut v: serde_json::Value =
+        serde_json::from_str(&std::fs::read_to_string(&told).unwrap()).unwrap();
     v["settings"]["fleet_size"] = json!(8);
     std::fs::write(&told, v.to_string()).unwrap();
     // Not by a signal: settings are taken over at a start.
     gateway.signal("-HUP");
-    let gateways =
-        |rt: &Runtime| rt.block_on(async { get(&mut client(at).await, "/settings/gateways").await.unwrap() });
+    let gateways = |rt: &Runtime| {
+        rt.block_on(async {
+            get(&mut client(at).await, "/settings/gateways")
+                .await
+                .unwrap()
+        })
+    };
     assert_eq!(gateways(&rt), json!(5));
     gateway.again();
     assert_eq!(gateways(&rt), json!(8));
@@ -950,7 +1257,11 @@
 
 /// Threads and descriptors of a process.
 fn holds(pid: u32) -> (usize, usize) {
-    let count = |what: &str| std::fs::read_dir(format!("/proc/{pid}/{what}")).unwrap().count();
+    let count = |what: &str| {
+        std::fs::read_dir(format!("/proc/{pid}/{what}"))
+            .unwrap()
+            .count()
+    };
     (count("task"), count("fd"))
 }
 
@@ -977,13 +1288,19 @@
         .arg(gateway.dir.join("other.json"))
         .output()
         .unwrap();
-    assert!(String::from_utf8_lossy(&out.stderr).starts_with("ironstair: "), "no file, one sentence");
+    assert!(
+        String::from_utf8_lossy(&out.stderr).starts_with("ironstair: "),
+        "no file, one sentence"
+    );
     let mut v: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(gateway.dir.join("told.json")).unwrap()).unwrap();
+        serde_json::from_str(&std::fs::read_to_string(gateway.dir.join("told.json")).unwrap())
+            .unwrap();
     v["listen"] = json!(own_address().to_string());
     std::fs::write(gateway.dir.join("other.json"), v.to_string()).unwrap();
     let mut serve = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"));
-    let serve = serve.args(["serve", "--log", "json"]).arg(gateway.dir.join("other.json"));
+    let serve = serve
+        .args(["serve", "--log", "json"])
+        .arg(gateway.dir.join("other.json"));
     let mut process = serve.stderr(std::process::Stdio::piped()).spawn().unwrap();
     let mut line = String::new();
     let mut log = std::io::BufReader::new(process.stderr.take().unwrap());
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -3,7 +3,9 @@
 
 use crate::common::*;
 use ironstair_gnmi::proto::gnmi::g_nmi_client::GNmiClient;
-use ironstair_gnmi::proto::gnmi::{self, subscribe_request, typed_value, SubscriptionMode, TypedValue};
+use ironstair_gnmi::proto::gnmi::{
+    self, subscribe_request, typed_value, SubscriptionMode, TypedValue,
+};
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Extension};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -33,9 +35,18 @@
     more: impl FnOnce(&mut Value, &std::path::Path),
 ) -> (Gateway, SocketAddr) {
     let (told, roster) = told(1, classes(), engines);
-    let at = SocketAddr::new(told["listen"].as_str().unwrap().parse::<SocketAddr>().unwrap().ip(), 9339);
+    let at = SocketAddr::new(
+        told["listen"]
+            .as_str()
+            .unwrap()
+            .parse::<SocketAddr>()
+            .unwrap()
+            .ip(),
+        9339,
+    );
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
-    let mut operator = json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
+    let mut operator =
+        json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
     std::fs::create_dir_all(&dir).unwrap();
     more(&mut operator, &dir);
     (started(test, told, roster, Some(operator)), at)
@@ -46,7 +57,10 @@
 }
 
 pub fn runtime() -> Runtime {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap()
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap()
 }
 
 pub async fn connected(endpoint: Endpoint) -> Asked {
@@ -65,14 +79,26 @@
 }
 
 pub fn path(text: &str) -> gnmi::Path {
-    let steps = text.split('/').filter(|s| !s.is_empty()).map(|s| match s.split_once('[') {
-        None => gnmi::PathElem { name: s.into(), ..Default::default() },
-        Some((name, key)) => {
-            let (k, v) = key.trim_end_matches(']').split_once('=').unwrap();
-            gnmi::PathElem { name: name.into(), key: [(k.to_string(), v.to_string())].into() }
-        }
-    });
-    gnmi::Path { elem: steps.collect(), ..Default::default() }
+    let steps = text
+        .split('/')
+        .filter(|s| !s.is_empty())
+        .map(|s| match s.split_once('[') {
+            None => gnmi::PathElem {
+                name: s.into(),
+                ..Default::default()
+            },
+            Some((name, key)) => {
+                let (k, v) = key.trim_end_matches(']').split_once('=').unwrap();
+                gnmi::PathElem {
+                    name: name.into(),
+                    key: [(k.to_string(), v.to_string())].into(),
+                }
+            }
+        });
+    gnmi::Path {
+        elem: steps.collect(),
+        ..Default::default()
+    }
 }
 
 pub fn shown(prefix: Option<&gnmi::Path>, path: Option<&gnmi::Path>) -> String {
@@ -86,39 +112,69 @@
 
 pub fn update(at: &str, value: Value) -> gnmi::Update {
     let bytes = value.to_string().into_bytes();
-    let val = Some(TypedValue { value: Some(typed_value::Value::JsonIetfVal(bytes)) });
-    gnmi::Update { path: Some(path(at)), val, duplicates: 0 }
+    let val = Some(TypedValue {
+        value: Some(typed_value::Value::JsonIetfVal(bytes)),
+    });
+    gnmi::Update {
+        path: Some(path(at)),
+        val,
+        duplicates: 0,
+    }
 }
 
 pub async fn set(c: &mut Asked, at: &str, value: Value) -> Result<(), Status> {
-    let request = gnmi::SetRequest { update: vec![update(at, value)], ..Default::default() };
+    let request = gnmi::SetRequest {
+        update: vec![update(at, value)],
+        ..Default::default()
+    };
     c.set(request).await.map(drop)
 }
 
 pub async fn delete(c: &mut Asked, at: &str) -> Result<(), Status> {
-    let request = gnmi::SetRequest { delete: vec![path(at)], ..Default::default() };
+    let request = gnmi::SetRequest {
+        delete: vec![path(at)],
+        ..Default::default()
+    };
     c.set(request).await.map(drop)
 }
 
 pub async fn get(c: &mut Asked, at: &str) -> Result<Value, Status> {
     let encoding = gnmi::Encoding::JsonIetf as i32;
-    let answer = c.get(gnmi::GetRequest { path: vec![path(at)], encoding, ..Default::default() }).await?;
+    let answer = c
+        .get(gnmi::GetRequest {
+            path: vec![path(at)],
+            encoding,
+            ..Default::default()
+        })
+        .await?;
     let update = &answer.get_ref().notification[0].update[0];
-    let Some(typed_value::Value::JsonIetfVal(bytes)) = &update.val.as_ref().unwrap().value else { panic!() };
+    let Some(typed_value::Value::JsonIetfVal(bytes)) = &update.val.as_ref().unwrap().value else {
+        panic!()
+    };
     Ok(serde_json::from_slice(bytes).unwrap())
 }
 
 pub async fn leaves(c: &mut Asked, at: &str) -> BTreeMap<String, TypedValue> {
     let encoding = gnmi::Encoding::Proto as i32;
-    let request = gnmi::GetRequest { path: vec![path(at)], encoding, ..Default::default() };
+    let request = gnmi::GetRequest {
+        path: vec![path(at)],
+        encoding,
+        ..Default::default()
+    };
     let answer = c.get(request).await.unwrap().into_inner();
     let all = answer.notification.into_iter().flat_map(|n| n.update);
-    all.map(|u| (shown(None, u.path.as_ref()), u.val.unwrap())).collect()
+    all.map(|u| (shown(None, u.path.as_ref()), u.val.unwrap()))
+        .collect()
 }
 
 pub fn commit(id: &str, action: Action) -> Vec<Extension> {
-    let commit = gnmi_ext::Commit { id: id.into(), action: Some(action) };
-    vec![Extension { ext: Some(Ext::Commit(commit)) }]
+    let commit = gnmi_ext::Commit {
+        id: id.into(),
+        action: Some(action),
+    };
+    vec![Extension {
+        ext: Some(Ext::Commit(commit)),
+    }]
 }
 
 pub fn within(seconds: i64, nanos: i32) -> Action {
@@ -127,11 +183,21 @@
 }
 
 pub fn subscribing(at: &str, mode: SubscriptionMode) -> gnmi::SubscribeRequest {
-    let subscription =
-        vec![gnmi::Subscription { path: Some(path(at)), mode: mode as i32, ..Default::default() }];
+    let subscription = vec![gnmi::Subscription {
+        path: Some(path(at)),
+        mode: mode as i32,
+        ..Default::default()
+    }];
     let encoding = gnmi::Encoding::Proto as i32;
-    let list = gnmi::SubscriptionList { subscription, encoding, ..Default::default() };
-    gnmi::SubscribeRequest { request: Some(subscribe_request::Request::Subscribe(list)), extension: vec![] }
+    let list = gnmi::SubscriptionList {
+        subscription,
+        encoding,
+        ..Default::default()
+    };
+    gnmi::SubscribeRequest {
+        request: Some(subscribe_request::Request::Subscribe(list)),
+        extension: vec![],
+    }
 }
 
 pub async fn subscribe(
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -26,7 +26,9 @@
 fn all_have(rig: &Rig, value: &Value) {
     (0..rig.size()).for_each(|g| {
         rig.until_fit(g);
-        until("all have the setting", || rig.setting(g, FORWARDS) == *value);
+        until("all have the setting", || {
+            rig.setting(g, FORWARDS) == *value
+        });
     });
 }
 
@@ -48,7 +50,10 @@
     assert!((0..rig.size()).all(|g| !rig.fit(g)));
     // Not by a first beginning: one disk knows better.
     let first = rig.cli(0, &["fleet", "begin"]);
-    assert!(first.code == 3 && first.err.contains("g3 knows of a history"), "{first:?}");
+    assert!(
+        first.code == 3 && first.err.contains("g3 knows of a history"),
+        "{first:?}"
+    );
     let anew = rig.cli(2, &["fleet", "begin-anew"]);
     well(&anew);
     assert!(
@@ -56,16 +61,26 @@
         "{anew:?}"
     );
     all_have(&rig, &json!(5));
-    assert!(rig.cli(1, &["revisions", "--fleet"]).out.contains("begun anew after history"));
+    assert!(rig
+        .cli(1, &["revisions", "--fleet"])
+        .out
+        .contains("begun anew after history"));
     assert!(rig.log(2).contains("the fleet's history begins anew"));
     rig.until_answers(What::Settled, 200);
-    until("all keepers vote", || rig.shown(3)["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS));
+    until("all keepers vote", || {
+        rig.shown(3)["keepers"]
+            .as_array()
+            .is_some_and(|k| k.len() == KEEPERS)
+    });
     well(&rig.set(4, &[FORWARDS, "3"]));
     all_have(&rig, &json!(3));
     // While a chair answers, no word begins anything.
     let again = rig.cli(2, &["fleet", "begin-anew"]);
     assert!(
-        again.code == 3 && again.err.contains("is the chair: the fleet's history is not lost"),
+        again.code == 3
+            && again
+                .err
+                .contains("is the chair: the fleet's history is not lost"),
         "{again:?}"
     );
     rig.over();
@@ -89,7 +104,9 @@
     rig.heal();
     until("one history is left, and every keeper votes in it", || {
         let shown: Vec<Value> = (0..KEEPERS).map(|k| rig.shown(k)).collect();
-        shown.iter().all(|s| s["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS))
+        shown
+            .iter()
+            .all(|s| s["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS))
             && shown.iter().all(|s| s["history"] == shown[0]["history"])
     });
     (0..rig.size()).for_each(|g| rig.until_fit(g));
@@ -101,7 +118,10 @@
     rig.until_answers(What::Rejected, 50);
     let anew = rig.cli(1, &["fleet", "begin-anew"]);
     well(&anew);
-    assert!(anew.out.contains("what this gateway was told at start"), "{anew:?}");
+    assert!(
+        anew.out.contains("what this gateway was told at start"),
+        "{anew:?}"
+    );
     // As it was told at start.
     all_have(&rig, &json!(6));
     // Another gateway's disk is named, and nothing is served by it.
@@ -109,7 +129,9 @@
     let disk = rig.copy(1);
     rig.put_back(2, &disk);
     rig.start(2);
-    until("it says whose disk it is", || rig.log(2).contains("it is of gateway g2 in fleet"));
+    until("it says whose disk it is", || {
+        rig.log(2).contains("it is of gateway g2 in fleet")
+    });
     rig.until_answers_of(0, What::Settled, 100);
     rig.wipe(2);
     rig.start(2);
@@ -139,21 +161,32 @@
     let mut rig = back_after_anew("earlier", &Plan::default());
     all_have(&rig, &json!(2));
     until("they put it aside", || {
-        (0..2).all(|k| rig.log(k).contains("the fleet's history began anew without this keeper"))
+        (0..2).all(|k| {
+            rig.log(k)
+                .contains("the fleet's history began anew without this keeper")
+        })
+    });
+    until("all keepers vote", || {
+        rig.shown(3)["keepers"]
+            .as_array()
+            .is_some_and(|k| k.len() == KEEPERS)
     });
-    until("all keepers vote", || rig.shown(3)["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS));
     all_have(&rig, &json!(2));
     rig.over();
 }
 
 #[test]
 fn control_earlier_where_no_histories_are_compared_two_live_side_by_side() {
-    let plan = Plan { without: vec![(None, "compare")], ..Plan::default() };
+    let plan = Plan {
+        without: vec![(None, "compare")],
+        ..Plan::default()
+    };
     let rig = back_after_anew("control-earlier", &plan);
     let history = |g: usize| rig.shown(g)["history"].clone();
-    until("two histories live side by side, each with its chair", || {
-        history(0).is_string() && history(2).is_string() && history(0) != history(2)
-    });
+    until(
+        "two histories live side by side, each with its chair",
+        || history(0).is_string() && history(2).is_string() && history(0) != history(2),
+    );
 }
 
 /// Told of two gateways, where there are five; and they share out among those that there are.
@@ -164,9 +197,16 @@
 
 #[test]
 fn the_count_grows_at_once_and_shrinks_slowly_and_nobody_believes_to_be_alone() {
-    let plan = Plan { edit: Some(counting), ..Plan::default() };
+    let plan = Plan {
+        edit: Some(counting),
+        ..Plan::default()
+    };
     let mut rig = Rig::started("count", &plan);
-    let among = |rig: &Rig, g: usize| rig.setting(g, "/state/fleet/shares-among").as_u64().unwrap_or(0);
+    let among = |rig: &Rig, g: usize| {
+        rig.setting(g, "/state/fleet/shares-among")
+            .as_u64()
+            .unwrap_or(0)
+    };
     let takes = |rig: &Rig, g: usize| rig.setting(g, "/state/fleet/takes-share") == json!(true);
     let all = |rig: &Rig| (0..rig.size()).all(|g| among(rig, g) == 5 && takes(rig, g));
     until("all five are counted, and take their shares", || all(&rig));
@@ -183,7 +223,13 @@
 
 /// One is killed and started anew, in a fleet whose leases last longer than any test waits.
 fn killed_within_a_lease(test: &str, plan: Plan) -> Rig {
-    let mut rig = Rig::started(test, &Plan { lease_ms: 40_000, ..plan });
+    let mut rig = Rig::started(
+        test,
+        &Plan {
+            lease_ms: 40_000,
+            ..plan
+        },
+    );
     rig.kill(4);
     rig.start(4);
     rig
@@ -197,8 +243,16 @@
 
 #[test]
 fn control_without_proof_of_its_last_end_it_waits() {
-    let rig = killed_within_a_lease("no-proof", Plan { without: vec![(None, "place")], ..Plan::default() });
-    until("it is told why", || rig.log(4).contains("another process is g5 in this fleet"));
+    let rig = killed_within_a_lease(
+        "no-proof",
+        Plan {
+            without: vec![(None, "place")],
+            ..Plan::default()
+        },
+    );
+    until("it is told why", || {
+        rig.log(4).contains("another process is g5 in this fleet")
+    });
     assert!(!rig.fit(4));
 }
 
@@ -247,15 +301,18 @@
         false => (Vec::new(), false),
     };
     let ((at, _), (draining, _)) = (engine(settles), engine(settles));
-    let classes =
-        json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}]);
+    let classes = json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}]);
     let (mut told, roster) = stand::told(1, classes, &[]);
     told["known"] = json!({"rev": 0, "notices": []});
     let mut operator = json!({"management": {"listen": own_management(&told)}});
     if let Some(folder) = folder {
         operator["recovery"] = json!({"state": folder});
     }
-    (stand::started(test, told, roster, Some(operator)), at, draining)
+    (
+        stand::started(test, told, roster, Some(operator)),
+        at,
+        draining,
+    )
 }
 
 fn own_management(told: &Value) -> String {
@@ -265,8 +322,10 @@
 
 fn cli(gateway: &stand::Gateway, path: &str) -> Value {
     let management = SocketAddr::new(gateway.at.ip(), gateway.at.port() + 1).to_string();
-    let out =
-        Command::new(stand::binary()).args(["get", path, "--json", "--at", &management]).output().unwrap();
+    let out = Command::new(stand::binary())
+        .args(["get", path, "--json", "--at", &management])
+        .output()
+        .unwrap();
     serde_json::from_slice(&out.stdout).unwrap_or_default()
 }
 
@@ -286,20 +345,29 @@
         // Its state 0 is ready.
         *gateway.roster.lock().unwrap() = answer(7, &[("e1", at, 0), ("e2", draining, 1)]);
         until("it knows its engines", || settles(&gateway, 1));
-        until("it is back", || cli(&gateway, "/state/process/stage")[0]["value"] == json!("full"));
+        until("it is back", || {
+            cli(&gateway, "/state/process/stage")[0]["value"] == json!("full")
+        });
         let file = folder.path().join("gateway.kept");
         until("the list is kept", || !kept || file.exists());
         // The name service says nothing any more.
         gateway.roster.lock().unwrap().clear();
         gateway.again();
-        assert_eq!(settles(&gateway, 2), kept, "without a folder it knows no engine");
+        assert_eq!(
+            settles(&gateway, 2),
+            kept,
+            "without a folder it knows no engine"
+        );
         if kept {
             until("it says what it serves by", || {
                 cli(&gateway, "/state/process/held-back-by")[0]["value"]
                     == json!("the list of engines was not heard since the start")
             });
             let engines = cli(&gateway, "/state/engine").to_string();
-            assert!(engines.contains("e1") && !engines.contains("e2"), "{engines}");
+            assert!(
+                engines.contains("e1") && !engines.contains("e2"),
+                "{engines}"
+            );
         }
     }
 }
@@ -315,18 +383,28 @@
     }
     std::fs::write(own("slow").join("gateway.kept"), "slow").unwrap();
     for name in ["file", "corrupt", "slow", "not-there-yet"] {
-        let mut without = Plan { gateways: 3, ..Plan::default() };
+        let mut without = Plan {
+            gateways: 3,
+            ..Plan::default()
+        };
         without.without = vec![(None, "quick-disk")];
         let mut rig = Rig::laid_out(&format!("folder-{name}"), &without);
-        rig.reoperate(0, |operator| *operator = json!({"recovery": {"state": own(name)}}));
+        rig.reoperate(0, |operator| {
+            *operator = json!({"recovery": {"state": own(name)}})
+        });
         rig.start(0);
         rig.until_fit(0);
         rig.load();
         rig.until_answers(What::Settled, 30);
         let said = |what: &str| rig.log(0).matches(what).count();
         match name {
-            "file" => until("it says so once", || said("nothing is kept for the next process") == 1),
-            "corrupt" => assert_eq!(said("it is no file of a gateway's") + said("of another version"), 1),
+            "file" => until("it says so once", || {
+                said("nothing is kept for the next process") == 1
+            }),
+            "corrupt" => assert_eq!(
+                said("it is no file of a gateway's") + said("of another version"),
+                1
+            ),
             "slow" => assert_eq!(said("not read within"), 1),
             _ => until("it is kept", || own(name).join("gateway.kept").exists()),
         }
@@ -345,15 +423,24 @@
     told["settings"]["guarantees"]["settle_after_doubt_ns"] = json!(60e9);
     let (at, _) = engine(|_, _| (Vec::new(), false));
     *roster.lock().unwrap() = answer(7, &[("e1", at, 0)]);
-    let operator =
-        json!({"management": {"listen": own_management(&told)}, "recovery": {"state": folder.path()}});
+    let operator = json!({"management": {"listen": own_management(&told)}, "recovery": {"state": folder.path()}});
     let mut gateway = stand::started("keys-rest", told, roster, Some(operator));
     let rests = |gateway: &stand::Gateway| {
-        let of = |path: &str| cli(gateway, path)[0]["value"].as_str().unwrap_or_default().to_string();
-        until("it knows its engines", || of("/state/engine[name=e1]/zone") == "a");
+        let of = |path: &str| {
+            cli(gateway, path)[0]["value"]
+                .as_str()
+                .unwrap_or_default()
+                .to_string()
+        };
+        until("it knows its engines", || {
+            of("/state/engine[name=e1]/zone") == "a"
+        });
         of("/state/process/held-back-by").contains("keys rest")
     };
-    assert!(rests(&gateway), "nothing is known of a process before the first");
+    assert!(
+        rests(&gateway),
+        "nothing is known of a process before the first"
+    );
     until("it is kept", || folder.path().join("gateway.kept").exists());
     // Ended, killed, ended, and killed before it could have kept anything.
     for clean in [true, false, true] {
@@ -366,5 +453,8 @@
     }
     gateway.again();
     gateway.again();
-    assert!(rests(&gateway), "the word of the process before the last is none");
+    assert!(
+        rests(&gateway),
+        "the word of the process before the last is none"
+    );
 }
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -12,7 +12,11 @@
 
 #[test]
 fn pages_come_to_the_client_in_order_whatever_their_own() {
-    let pages = ["a\tb\tc\n".repeat(999), "d\te\tf\n".repeat(998), "g\th\ti\n".repeat(7)];
+    let pages = [
+        "a\tb\tc\n".repeat(999),
+        "d\te\tf\n".repeat(998),
+        "g\th\ti\n".repeat(7),
+    ];
     let all = pages.concat();
     let (at, seen) = engine(move |line, _| {
         let page = |n: usize| {
@@ -21,7 +25,12 @@
             } else {
                 ("MORE", format!("page={n}"))
             };
-            format!("{} {word} {fields} {}\r\n{}\r\n", id(line), pages[n].len(), pages[n])
+            format!(
+                "{} {word} {fields} {}\r\n{}\r\n",
+                id(line),
+                pages[n].len(),
+                pages[n]
+            )
         };
         let answer = match line.split(' ').next().unwrap() {
             "fetch" => page(0),
@@ -36,10 +45,18 @@
     c.ask(7);
     let (call, rows) = c.rows();
     assert_eq!(call, 7);
-    assert!(rows == all.as_bytes(), "{} bytes of {}", rows.len(), all.len());
+    assert!(
+        rows == all.as_bytes(),
+        "{} bytes of {}",
+        rows.len(),
+        all.len()
+    );
     assert!(soon(|| seen.lock().unwrap().len() == 4));
     let seen = seen.lock().unwrap();
-    assert!(seen[0].starts_with("fetch 0000000000000007 c=lookup,w="), "{seen:?}");
+    assert!(
+        seen[0].starts_with("fetch 0000000000000007 c=lookup,w="),
+        "{seen:?}"
+    );
     assert!(seen[0].ends_with(" 8select 1\r\n"), "{seen:?}");
     assert_eq!(seen[3], "done 0000000000000007");
 }
@@ -47,13 +64,27 @@
 #[test]
 fn failures_before_the_last_row_are_forwarded_again() {
     // Against answers that began and ended with their engine: nothing of them may reach the client.
-    let (half, _) =
-        engine(|line, _| (format!("{} DONE pages=2,cost=5 4\r\nx\t\t\n\r\n", id(line)).into_bytes(), true));
-    let (full, _) = engine(|line, _| (format!("{} WAIT - 0\r\n\r\n", id(line)).into_bytes(), false));
-    let (broke, _) = engine(|line, _| (format!("{} BROKE - 0\r\n\r\n", id(line)).into_bytes(), false));
-    let (spoilt, _) = engine(|line, _| (format!("{} HUH - 0\r\n\r\n", id(line)).into_bytes(), false));
+    let (half, _) = engine(|line, _| {
+        (
+            format!("{} DONE pages=2,cost=5 4\r\nx\t\t\n\r\n", id(line)).into_bytes(),
+            true,
+        )
+    });
+    let (full, _) =
+        engine(|line, _| (format!("{} WAIT - 0\r\n\r\n", id(line)).into_bytes(), false));
+    let (broke, _) = engine(|line, _| {
+        (
+            format!("{} BROKE - 0\r\n\r\n", id(line)).into_bytes(),
+            false,
+        )
+    });
+    let (spoilt, _) =
+        engine(|line, _| (format!("{} HUH - 0\r\n\r\n", id(line)).into_bytes(), false));
     let (good, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
-    for (nth, bad) in [half, full, broke, spoilt, own_address()].into_iter().enumerate() {
+    for (nth, bad) in [half, full, broke, spoilt, own_address()]
+        .into_iter()
+        .enumerate()
+    {
         let g = gateway(&format!("again-{nth}"), &[("e1", bad), ("e2", good)]);
         let mut c = Client::of(&g);
         for call in 1..6 {
@@ -98,7 +129,11 @@
         assert_eq!(c.rows().0, 2, "{spoilt}");
         assert!(started.elapsed() < Duration::from_millis(900), "{spoilt}");
         assert!(soon(|| seen.lock().unwrap().len() >= 4), "{spoilt}");
-        assert_eq!(seen.lock().unwrap().len(), 4, "those on other connections are not sent again: {spoilt}");
+        assert_eq!(
+            seen.lock().unwrap().len(),
+            4,
+            "those on other connections are not sent again: {spoilt}"
+        );
     }
 }
 
@@ -121,7 +156,14 @@
         c.ask(call);
         assert_eq!(c.rows(), (call, b"x\t\t\nx\t\t\n".to_vec()));
     }
-    assert_eq!(seen.lock().unwrap().iter().filter(|l| l.starts_with("fetch")).count(), 8);
+    assert_eq!(
+        seen.lock()
+            .unwrap()
+            .iter()
+            .filter(|l| l.starts_with("fetch"))
+            .count(),
+        8
+    );
 }
 
 #[test]
@@ -140,8 +182,16 @@
     };
     other.say(&again(5));
     assert_eq!(other.hear()["error"]["code"], -32602, "an id in use");
-    let both = [again(6).as_str(), r#"{"jsonrpc":"2.0","method":"interrupt","params":{"id":6}}"#].map(framed);
-    other.0.get_mut().write_all(both.concat().as_bytes()).unwrap();
+    let both = [
+        again(6).as_str(),
+        r#"{"jsonrpc":"2.0","method":"interrupt","params":{"id":6}}"#,
+    ]
+    .map(framed);
+    other
+        .0
+        .get_mut()
+        .write_all(both.concat().as_bytes())
+        .unwrap();
     assert_eq!(c.rows().0, 1, "it is not another's to take back");
     c.ask(1);
     assert!(soon(|| seen.lock().unwrap().len() == 2));
@@ -153,25 +203,44 @@
         "a call number in use"
     );
     assert_eq!(c.0.read(&mut [0; 1]).unwrap(), 0);
-    assert!(soon(|| seen.lock().unwrap().last().unwrap() == "abort 0000000000000001"));
+    assert!(soon(
+        || seen.lock().unwrap().last().unwrap() == "abort 0000000000000001"
+    ));
     other.ask(2);
-    other.0.get_mut().write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
+    other
+        .0
+        .get_mut()
+        .write_all(b"GET / HTTP/1.1\r\n\r\n")
+        .unwrap();
     assert_eq!(other.hear()["error"]["code"], -32700);
     assert_eq!(other.0.read(&mut [0; 1]).unwrap(), 0);
 }
 
 #[test]
 fn a_call_taken_back_is_given_up_and_never_answered() {
-    let (at, seen) =
-        engine(|line, _| (if line.ends_with("prio=9") { done(line, "") } else { vec![] }, false));
+    let (at, seen) = engine(|line, _| {
+        (
+            if line.ends_with("prio=9") {
+                done(line, "")
+            } else {
+                vec![]
+            },
+            false,
+        )
+    });
     let g = gateway("interrupt", &[("e1", at)]);
     let mut c = Client::of(&g);
     c.ask(1);
     assert!(soon(|| seen.lock().unwrap().len() == 1));
     c.say(r#"{"jsonrpc":"2.0","method":"interrupt","params":{"id":1}}"#);
-    assert!(soon(|| seen.lock().unwrap().last().unwrap() == "abort 0000000000000001"));
+    assert!(soon(
+        || seen.lock().unwrap().last().unwrap() == "abort 0000000000000001"
+    ));
     c.say(r#"{"jsonrpc":"2.0","id":2,"method":"check"}"#);
-    assert_eq!(c.hear(), json!({"jsonrpc": "2.0", "id": 2, "result": {"fit": true}}));
+    assert_eq!(
+        c.hear(),
+        json!({"jsonrpc": "2.0", "id": 2, "result": {"fit": true}})
+    );
 }
 
 #[test]
@@ -184,13 +253,20 @@
         r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"id":"00000000000000aa","wait":400,"bytes":""}}"#,
     );
     assert_eq!(c.hear()["error"]["code"], -32014);
-    assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        started.elapsed()
+    );
 }
 
 #[test]
 fn an_engine_is_asked_how_it_is_where_the_module_wants_to_know() {
     let (at, seen) = engine(|line, _| match line.split_once(' ').unwrap() {
-        ("stats", tag) => (format!("{tag} FIT load=inflight:2;util:0.4 0\r\n\r\n").into_bytes(), false),
+        ("stats", tag) => (
+            format!("{tag} FIT load=inflight:2;util:0.4 0\r\n\r\n").into_bytes(),
+            false,
+        ),
         _ => (done(line, "x\ty\tz\n"), false),
     });
     let g = gateway_among(300, "report", &[("e1", at)]);
@@ -203,7 +279,10 @@
     assert_eq!(c.rows().0, 3);
     let seen = seen.lock().unwrap();
     assert_eq!(seen[2], "stats r1");
-    assert!(seen[3].starts_with("fetch 0000000000000003 c=report,"), "{seen:?}");
+    assert!(
+        seen[3].starts_with("fetch 0000000000000003 c=report,"),
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -213,7 +292,14 @@
     let (at, _) = engine(move |line, _| {
         let own = thread::current().id();
         let silent = *first.lock().unwrap().get_or_insert(own) == own;
-        (if silent { vec![] } else { done(line, "x\ty\tz\n") }, false)
+        (
+            if silent {
+                vec![]
+            } else {
+                done(line, "x\ty\tz\n")
+            },
+            false,
+        )
     });
     let g = gateway("cut-off", &[("e1", at)]);
     let mut c = Client::of(&g);
@@ -235,7 +321,9 @@
     assert_eq!(c.hear()["error"]["code"], -32700);
     c.say(r#"{"jsonrpc":"2.0","id":1,"method":"drop"}"#);
     assert_eq!(c.hear()["error"]["code"], -32601);
-    c.say(r#"{"jsonrpc":"2.0","id":2,"method":"lookup","params":{"id":"short","wait":9,"bytes":""}}"#);
+    c.say(
+        r#"{"jsonrpc":"2.0","id":2,"method":"lookup","params":{"id":"short","wait":9,"bytes":""}}"#,
+    );
     assert_eq!(c.hear()["error"]["code"], -32602);
     let statement = "QUJD".repeat(30_000);
     c.say(&format!(
@@ -273,7 +361,10 @@
     assert!(seen.lock().unwrap().is_empty());
     let (started, mut silent) = (Instant::now(), Vec::new());
     let mut half = Client::of(&g);
-    half.0.get_mut().write_all(b"Content-Length: 90\r\n\r\n{").unwrap();
+    half.0
+        .get_mut()
+        .write_all(b"Content-Length: 90\r\n\r\n{")
+        .unwrap();
     // More than there are places for: what is accepted later must not wait for those that say nothing.
     for nth in 0..600 {
         silent.push(Client::of(&g));
@@ -287,7 +378,11 @@
         assert_eq!(c.0.read(&mut [0; 1]).unwrap_or(0), 0);
     }
     assert_eq!(half.hear()["error"]["code"], -32700);
-    assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        started.elapsed()
+    );
     // A flood is left after a few words, and its calls with it.
     let mut flood = Client::of(&g);
     for call in 1..200 {
@@ -316,7 +411,10 @@
                 c
             })
             .collect();
-        crowd.iter_mut().zip(first..).for_each(|(c, call)| assert_eq!(c.hear()["id"], call));
+        crowd
+            .iter_mut()
+            .zip(first..)
+            .for_each(|(c, call)| assert_eq!(c.hear()["id"], call));
     }
 }
 
@@ -331,7 +429,11 @@
     c.ask(1);
     c.0.get_mut().shutdown(Shutdown::Write).unwrap();
     assert_eq!(c.rows().0, 1);
-    assert_eq!(c.0.read(&mut [0; 1]).unwrap(), 0, "then the connection ends");
+    assert_eq!(
+        c.0.read(&mut [0; 1]).unwrap(),
+        0,
+        "then the connection ends"
+    );
 }
 
 #[test]
@@ -356,7 +458,11 @@
     for _ in 0..10 {
         assert!(until(&mut c, "new\t\t\n"));
     }
-    assert_eq!(old_seen.lock().unwrap().len(), before, "nothing new to a draining engine");
+    assert_eq!(
+        old_seen.lock().unwrap().len(),
+        before,
+        "nothing new to a draining engine"
+    );
     *g.roster.lock().unwrap() = b"no list at all".to_vec();
     thread::sleep(Duration::from_millis(300));
     assert!(until(&mut c, "new\t\t\n"), "the last good list stays");
@@ -383,7 +489,10 @@
     std::fs::write(g.dir.join("told.json"), "{").unwrap();
     g.signal("-HUP");
     thread::sleep(Duration::from_millis(100));
-    for (serial, (at, want)) in [(new, b"new\t\t\n"), (old, b"old\t\t\n")].into_iter().enumerate() {
+    for (serial, (at, want)) in [(new, b"new\t\t\n"), (old, b"old\t\t\n")]
+        .into_iter()
+        .enumerate()
+    {
         let (names, roster) = name_service();
         g.moves(&told, names);
         thread::sleep(Duration::from_millis(100));
@@ -410,14 +519,20 @@
             asked.push([query[0], query[1]]);
             let _ = service.send_to(&[&query[..2], &stray].concat(), from);
             if let Some(late) = asked.len().checked_sub(4) {
-                let _ = service.send_to(&[&asked[late][..], &answer(2, &[("e2", new, 0)])].concat(), from);
+                let _ = service.send_to(
+                    &[&asked[late][..], &answer(2, &[("e2", new, 0)])].concat(),
+                    from,
+                );
             }
         }
     });
     let mut c = Client::of(&g);
     c.ask(1);
     assert_eq!(c.rows().1, b"old\t\t\n");
-    g.moves(&std::fs::read_to_string(g.dir.join("told.json")).unwrap(), names);
+    g.moves(
+        &std::fs::read_to_string(g.dir.join("told.json")).unwrap(),
+        names,
+    );
     let mut call = 1;
     assert!(soon(|| {
         call += 1;
@@ -431,7 +546,14 @@
     // The second call would take longer than the gateway is left, and its client would wait: that is turned back.
     let (at, seen) = engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
-        (if id(line).ends_with('1') { done(line, "x\ty\tz\n") } else { vec![] }, false)
+        (
+            if id(line).ends_with('1') {
+                done(line, "x\ty\tz\n")
+            } else {
+                vec![]
+            },
+            false,
+        )
     });
     let mut g = gateway("drain", &[("e1", at)]);
     let (mut c, mut idle) = (Client::of(&g), Client::of(&g));
@@ -446,7 +568,11 @@
     let mut late = Client::of(&g);
     late.say(r#"{"jsonrpc":"2.0","id":1,"method":"check"}"#);
     assert_eq!(late.hear()["result"]["fit"], false);
-    assert_eq!(idle.0.read(&mut [0; 1]).unwrap(), 0, "idle connections are closed");
+    assert_eq!(
+        idle.0.read(&mut [0; 1]).unwrap(),
+        0,
+        "idle connections are closed"
+    );
     assert_eq!(c.rows().0, 1);
     assert_eq!(c.hear()["error"]["code"], -32014);
     let took = told.elapsed();
@@ -468,7 +594,13 @@
         c.ask(1);
         assert_eq!(c.rows().0, 1);
         let status = std::fs::read_to_string(format!("/proc/{}/status", g.process.id())).unwrap();
-        let size = status.lines().find_map(|l| l.strip_prefix("FDSize:")).unwrap();
-        assert!(size.trim().parse::<u32>().unwrap() >= room, "{size} for {sockets}");
+        let size = status
+            .lines()
+            .find_map(|l| l.strip_prefix("FDSize:"))
+            .unwrap();
+        assert!(
+            size.trim().parse::<u32>().unwrap() >= room,
+            "{size} for {sockets}"
+        );
     }
 }
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -19,8 +19,11 @@
         json!({"name": name, "slo_ns": 1.2e9, "give_up_ns": 4e9, "semantics": semantics, "worth": 2.0,
             "machine_types_allowed": [1], "late_worth": 0.6})
     };
-    s["classes"] =
-        json!([class("load", "side_effect"), class("report", "side_effect"), class("lookup", "pure")]);
+    s["classes"] = json!([
+        class("load", "side_effect"),
+        class("report", "side_effect"),
+        class("lookup", "pure")
+    ]);
     s["classes"][0]["by_arrival"] = json!(true);
     s["dcs"] = json!(["b", "a"]);
     s["machine_types"] = json!(["new", "m"]);
@@ -48,7 +51,10 @@
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("told.json"), told.to_string()).unwrap();
     let mut serve = Command::new(env!("CARGO_BIN_EXE_ironstair"));
-    serve.arg("serve").env("ROUTER_CONFIG", dir.join("told.json")).stderr(Stdio::piped());
+    serve
+        .arg("serve")
+        .env("ROUTER_CONFIG", dir.join("told.json"))
+        .stderr(Stdio::piped());
     if let Some(operator) = operator {
         std::fs::write(dir.join("operator.json"), operator.to_string()).unwrap();
         serve.arg("--operator").arg(dir.join("operator.json"));
@@ -57,14 +63,30 @@
     let (lines, err) = (Seen::default(), process.stderr.take().unwrap());
     let kept = lines.clone();
     thread::spawn(move || {
-        BufReader::new(err).lines().map_while(Result::ok).for_each(|l| kept.lock().unwrap().push(l))
+        BufReader::new(err)
+            .lines()
+            .map_while(Result::ok)
+            .for_each(|l| kept.lock().unwrap().push(l))
     });
     let at = told["listen"].as_str().unwrap().parse().unwrap();
-    (Gateway { process, at, roster, dir }, lines)
+    (
+        Gateway {
+            process,
+            at,
+            roster,
+            dir,
+        },
+        lines,
+    )
 }
 
 fn count(lines: &Seen, what: &str) -> usize {
-    lines.lock().unwrap().iter().filter(|l| l.contains(what)).count()
+    lines
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|l| l.contains(what))
+        .count()
 }
 
 /// Calls by id: how many final answers of each kind.
@@ -78,7 +100,12 @@
         (_, Some(_)) => "scrapped",
         _ => panic!("{a}"),
     };
-    answers.lock().unwrap().entry(a["id"].as_u64().unwrap()).or_default().push(kind);
+    answers
+        .lock()
+        .unwrap()
+        .entry(a["id"].as_u64().unwrap())
+        .or_default()
+        .push(kind);
 }
 
 #[test]
@@ -86,11 +113,22 @@
     // Against submissions that lose their band, place or answer with an index, and once-only ones that go again.
     let act = |line: &str, _: &str| {
         thread::sleep(Duration::from_millis(4));
-        (if line.starts_with("fetch") { done(line, "x\ty\tz\n") } else { vec![] }, false)
+        (
+            if line.starts_with("fetch") {
+                done(line, "x\ty\tz\n")
+            } else {
+                vec![]
+            },
+            false,
+        )
     };
     let ((a, seen_a), (b, seen_b)) = (engine(act), engine(act));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(2, json!([class("lookup"), class("report")]), &[("e1", a), ("e2", b)]);
+    let (told, roster) = told(
+        2,
+        json!([class("lookup"), class("report")]),
+        &[("e1", a), ("e2", b)],
+    );
     let (first, second) = (told["settings"].clone(), other(&told["settings"]));
     let g = started("switch", told.clone(), roster, None);
     // A band that was never told is a client's fault, of which a connection bears few: it is told once.
@@ -113,7 +151,9 @@
             thread::spawn(move || {
                 for turn in 0..100u64 {
                     let calls: Vec<u64> = (0..6).map(|i| 1 + n * 100_000 + turn * 6 + i).collect();
-                    calls.iter().for_each(|&call| c.ask_in(bands[(call % 3) as usize], call));
+                    calls
+                        .iter()
+                        .for_each(|&call| c.ask_in(bands[(call % 3) as usize], call));
                     calls.iter().for_each(|_| hear(&mut c, &answers));
                 }
             })
@@ -133,8 +173,15 @@
     assert!(answers.values().all(|a| a.len() == 1), "once");
     let answered = |kind: &str| answers.values().filter(|a| a[0] == kind).count();
     assert_eq!(answered("scrapped"), 0);
-    assert!(answered("settled") > 1200, "{} settled", answered("settled"));
-    assert!(answered("turned back") > 0, "load is out of service half of the time");
+    assert!(
+        answered("settled") > 1200,
+        "{} settled",
+        answered("settled")
+    );
+    assert!(
+        answered("turned back") > 0,
+        "load is out of service half of the time"
+    );
     let mut sent = BTreeMap::new();
     for seen in [seen_a, seen_b] {
         let seen = seen.lock().unwrap();
@@ -142,7 +189,11 @@
             .filter(|l| l.starts_with("fetch"))
             .for_each(|l| *sent.entry(id(l).to_string()).or_insert(0) += 1);
     }
-    assert_eq!(sent.len(), answered("settled") + 1, "what was settled was sent, and nothing else");
+    assert_eq!(
+        sent.len(),
+        answered("settled") + 1,
+        "what was settled was sent, and nothing else"
+    );
     assert!(sent.values().all(|&n| n == 1), "none twice");
 }
 
@@ -162,13 +213,34 @@
     };
     let no_rest = spoil("/guarantees/settle_after_doubt_ns", Value::Null);
     for (settings, field) in [
-        (spoil("/classes/0/semantics", json!("sometimes")), "classes[0]: semantics sometimes is unknown"),
-        (spoil("/classes/1/machine_types_allowed", json!([5])), "classes[1]: machine_types_allowed names 5"),
-        (spoil("/classes/2/worth", json!("much")), "classes[2]: worth is not a number"),
-        (spoil("/family_info/threads_by_class", json!([1, "x", 1])), "family_info.threads_by_class[1]"),
-        (spoil("/family_info/size_cores", json!([0, 4])), "family_info.size_cores[0]"),
-        (spoil("/family_info/class_load", json!([true])), "family_info.class_load[1]"),
-        (spoil("/family_info/when_short", json!("beg")), "family_info.when_short beg is unknown"),
+        (
+            spoil("/classes/0/semantics", json!("sometimes")),
+            "classes[0]: semantics sometimes is unknown",
+        ),
+        (
+            spoil("/classes/1/machine_types_allowed", json!([5])),
+            "classes[1]: machine_types_allowed names 5",
+        ),
+        (
+            spoil("/classes/2/worth", json!("much")),
+            "classes[2]: worth is not a number",
+        ),
+        (
+            spoil("/family_info/threads_by_class", json!([1, "x", 1])),
+            "family_info.threads_by_class[1]",
+        ),
+        (
+            spoil("/family_info/size_cores", json!([0, 4])),
+            "family_info.size_cores[0]",
+        ),
+        (
+            spoil("/family_info/class_load", json!([true])),
+            "family_info.class_load[1]",
+        ),
+        (
+            spoil("/family_info/when_short", json!("beg")),
+            "family_info.when_short beg is unknown",
+        ),
         (no_rest, "guarantees.settle_after_doubt_ns is missing"),
     ] {
         put(&g, &told, &settings);
@@ -198,8 +270,7 @@
         thread::sleep(Duration::from_millis(300));
         (done(line, "x\ty\tz\n"), false)
     });
-    let class =
-        json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
+    let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let (told, roster) = told(1, json!([class]), &[("e1", at)]);
     let (g, lines) = logged("carriage", &told, roster, None);
     let mut c = Client::of(&g);
@@ -226,9 +297,8 @@
     let (g, lines) = logged("managed-switch", &told, roster, Some(operator));
     let mut c = Client::of(&g);
     put(&g, &told, &other(&told["settings"]));
-    assert!(soon(
-        || count(&lines, "settings come by management") == 1 && count(&lines, "name service has moved") == 1
-    ));
+    assert!(soon(|| count(&lines, "settings come by management") == 1
+        && count(&lines, "name service has moved") == 1));
     c.ask_in("load", 1);
     assert_eq!(c.hear()["error"]["code"], -32601, "never told");
     c.ask_in("lookup", 2);
@@ -238,10 +308,15 @@
 
 #[test]
 fn cells_of_the_operators_file_outlive_a_switch() {
-    let engines: Vec<_> = (0..2).map(|_| engine(|line, _| (done(line, "x\ty\tz\n"), false))).collect();
-    let class =
-        json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(1, json!([class]), &[("e1", engines[0].0), ("e2", engines[1].0)]);
+    let engines: Vec<_> = (0..2)
+        .map(|_| engine(|line, _| (done(line, "x\ty\tz\n"), false)))
+        .collect();
+    let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
+    let (told, roster) = told(
+        1,
+        json!([class]),
+        &[("e1", engines[0].0), ("e2", engines[1].0)],
+    );
     let cells = json!({"cells": {"names": {"a": 1, "b": 1}, "named_by_clients": true,
         "engines": {"e1": "a", "e2": "b"}, "tenants": {"t1": ["a"], "t2": ["b"]}, "without": {"turn_back": 500}}});
     let (g, lines) = logged("cells-switch", &told, roster, Some(cells));
@@ -258,8 +333,13 @@
     for (nth, (_, seen)) in engines.iter().enumerate() {
         let seen = seen.lock().unwrap();
         let calls = seen.iter().filter(|l| l.starts_with("fetch"));
-        let calls: Vec<u64> = calls.map(|l| u64::from_str_radix(id(l), 16).unwrap()).collect();
-        assert!(!calls.is_empty() && calls.iter().all(|c| *c as usize % 2 == nth), "engine {nth}: {calls:?}");
+        let calls: Vec<u64> = calls
+            .map(|l| u64::from_str_radix(id(l), 16).unwrap())
+            .collect();
+        assert!(
+            !calls.is_empty() && calls.iter().all(|c| *c as usize % 2 == nth),
+            "engine {nth}: {calls:?}"
+        );
     }
 }
 
@@ -280,22 +360,29 @@
     moved["settings"]["family_info"]["size_cores"] = json!([4, 16]);
     moved["settings"]["classes"] = class(0);
     let mut back = told.clone();
-    for (v, rev, name, at, kind) in [(&mut moved, 2, "e9", new, "new"), (&mut back, 3, "e1", old, "m")] {
+    for (v, rev, name, at, kind) in [
+        (&mut moved, 2, "e9", new, "new"),
+        (&mut back, 3, "e1", old, "m"),
+    ] {
         v["known"] = json!({"rev": rev, "notices": [{"rev": rev, "pool": {"reset": true, "instances": [
             {"instanceId": name, "hostPort": at.to_string(), "zone": "a", "machineType": kind, "cell": 0,
                 "lifecycle": "ready", "startedAtMs": 0}]}}]});
     }
     let mut call = 0;
-    for (file, want) in [(&told, b"old\t\t\n"), (&moved, b"new\t\t\n"), (&back, b"old\t\t\n")] {
+    for (file, want) in [
+        (&told, b"old\t\t\n"),
+        (&moved, b"new\t\t\n"),
+        (&back, b"old\t\t\n"),
+    ] {
         put(&g, file, &file["settings"]);
         assert!(soon(|| {
             call += 1;
             c.ask(call);
             let answer = c.hear();
             use base64::Engine;
-            answer["result"]["bytes"]
-                .as_str()
-                .is_some_and(|t| base64::engine::general_purpose::STANDARD.decode(t).unwrap() == want)
+            answer["result"]["bytes"].as_str().is_some_and(|t| {
+                base64::engine::general_purpose::STANDARD.decode(t).unwrap() == want
+            })
         }));
     }
 }
--- a/crates/gnmi/src/follow.rs
+++ b/crates/gnmi/src/follow.rs
@@ -34,8 +34,13 @@
     /// counters never rest, samples of what has changed.
     pub fn chosen(wanted: &Pattern) -> Mode {
         match wanted.0.first() {
-            Some(Wanted::Step { name: Some(name), .. }) if **name == *"settings" => Mode::OnChange,
-            _ => Mode::Sample { every: TARGET_SAMPLES, changed_only: true },
+            Some(Wanted::Step {
+                name: Some(name), ..
+            }) if **name == *"settings" => Mode::OnChange,
+            _ => Mode::Sample {
+                every: TARGET_SAMPLES,
+                changed_only: true,
+            },
         }
     }
 }
@@ -54,12 +59,27 @@
 
 impl Subscription {
     pub fn new(wanted: Pattern, mode: Mode, heartbeat: Option<Ms>) -> Self {
-        Subscription { wanted, mode, heartbeat, seen: Leaves::new(), next: 0.0, beat: 0.0 }
+        Subscription {
+            wanted,
+            mode,
+            heartbeat,
+            seen: Leaves::new(),
+            next: 0.0,
+            beat: 0.0,
+        }
     }
 
     fn due(&self) -> Ms {
-        let sample = if matches!(self.mode, Mode::Sample { .. }) { self.next } else { Ms::INFINITY };
-        sample.min(if self.heartbeat.is_some() { self.beat } else { Ms::INFINITY })
+        let sample = if matches!(self.mode, Mode::Sample { .. }) {
+            self.next
+        } else {
+            Ms::INFINITY
+        };
+        sample.min(if self.heartbeat.is_some() {
+            self.beat
+        } else {
+            Ms::INFINITY
+        })
     }
 }
 
@@ -100,7 +120,10 @@
     let whole = match path.0.len() {
         n if n > 2 => {
             let (root, second) = (&*path.0[0].name, &*path.0[1].name);
-            matches!((root, second), ("settings", "band" | "ration") | ("state", "revision"))
+            matches!(
+                (root, second),
+                ("settings", "band" | "ration") | ("state", "revision")
+            )
         }
         _ => false,
     };
@@ -114,8 +137,17 @@
 
 impl Follow {
     /// From the tree as it is; what is there is told first, but for `updates_only`.
-    pub fn begin(subscriptions: Vec<Subscription>, now: Ms, tree: Leaves, updates_only: bool) -> Follow {
-        let mut f = Follow { subscriptions, tree, ..Follow::default() };
+    pub fn begin(
+        subscriptions: Vec<Subscription>,
+        now: Ms,
+        tree: Leaves,
+        updates_only: bool,
+    ) -> Follow {
+        let mut f = Follow {
+            subscriptions,
+            tree,
+            ..Follow::default()
+        };
         for nth in 0..f.subscriptions.len() {
             let s = &mut f.subscriptions[nth];
             s.seen = f.tree.clone();
@@ -142,7 +174,10 @@
             }
             let (changed, all) = match s.mode {
                 Mode::OnChange => (true, beats),
-                Mode::Sample { every, changed_only } if s.next <= now => {
+                Mode::Sample {
+                    every,
+                    changed_only,
+                } if s.next <= now => {
                     s.next = now + every;
                     (true, !changed_only || beats)
                 }
@@ -167,7 +202,11 @@
 
     /// When `look` is wanted next, changes of the tree apart.
     pub fn due(&self) -> Ms {
-        let due = self.subscriptions.iter().map(Subscription::due).fold(Ms::INFINITY, f64::min);
+        let due = self
+            .subscriptions
+            .iter()
+            .map(Subscription::due)
+            .fold(Ms::INFINITY, f64::min);
         due.min(self.waiting.map_or(Ms::INFINITY, |since| since + SILENCE))
     }
 
@@ -195,16 +234,29 @@
     /// What to send next, for about so many leaves.
     pub fn take(&mut self, now: Ms, most: usize) -> Vec<Told> {
         let (mut told, mut leaves) = (Vec::new(), 0);
-        while let Some(at) = if leaves < most { self.order.pop_front() } else { None } {
-            let Some(duplicates) = self.marks.remove(&at) else { continue };
+        while let Some(at) = if leaves < most {
+            self.order.pop_front()
+        } else {
+            None
+        } {
+            let Some(duplicates) = self.marks.remove(&at) else {
+                continue;
+            };
             let below = Pattern::of(&at);
-            let updates: Vec<(Path, Value)> =
-                select(&self.tree, &below).map(|(p, v)| (p.clone(), v.clone())).collect();
+            let updates: Vec<(Path, Value)> = select(&self.tree, &below)
+                .map(|(p, v)| (p.clone(), v.clone()))
+                .collect();
             leaves += updates.len().max(1);
             // An entry, not a leaf that stands as high.
             let atomic = at.0.len() == 2 && updates.first().is_some_and(|u| u.0 != at);
             let deleted = updates.is_empty();
-            told.push(Told { at, deleted, atomic, updates, duplicates });
+            told.push(Told {
+                at,
+                deleted,
+                atomic,
+                updates,
+                duplicates,
+            });
         }
         self.taken |= !told.is_empty();
         self.await_reader(now);
@@ -229,7 +281,9 @@
     /// Marks all that a subscription wants.
     fn all(&mut self, nth: usize) {
         let wanted = self.subscriptions[nth].wanted.clone();
-        let mut units: Vec<Path> = select(&self.tree, &wanted).map(|(p, _)| unit(p, &wanted).0).collect();
+        let mut units: Vec<Path> = select(&self.tree, &wanted)
+            .map(|(p, _)| unit(p, &wanted).0)
+            .collect();
         units.dedup();
         units.into_iter().for_each(|u| self.mark(u));
     }
@@ -238,7 +292,10 @@
     fn changed(&mut self, nth: usize) {
         use imbl::ordmap::DiffItem;
         let (tree, s) = (self.tree.clone(), &mut self.subscriptions[nth]);
-        let (seen, wanted) = (std::mem::replace(&mut s.seen, tree.clone()), s.wanted.clone());
+        let (seen, wanted) = (
+            std::mem::replace(&mut s.seen, tree.clone()),
+            s.wanted.clone(),
+        );
         let mut last: Option<Path> = None;
         for item in seen.diff(&tree) {
             let (DiffItem::Add(path, _)
--- a/crates/gnmi/src/keys.rs
+++ b/crates/gnmi/src/keys.rs
@@ -31,7 +31,10 @@
     let fault = |e: std::io::Error| format!("{}: {e}", path.display());
     let size = std::fs::metadata(path).map_err(fault)?.len();
     if size > FILE_MOST {
-        return Err(format!("{}: {size} bytes are no key or certificate", path.display()));
+        return Err(format!(
+            "{}: {size} bytes are no key or certificate",
+            path.display()
+        ));
     }
     std::fs::read(path).map_err(fault)
 }
@@ -52,7 +55,11 @@
             let m = std::fs::metadata(p).ok()?;
             Some((m.modified().ok()?, m.len()))
         };
-        Stamp([&self.certificate, &self.key, &self.clients].map(one).to_vec())
+        Stamp(
+            [&self.certificate, &self.key, &self.clients]
+                .map(one)
+                .to_vec(),
+        )
     }
 
     /// What connections from now on are made with.
@@ -62,11 +69,16 @@
     pub fn read(&self) -> Result<Arc<ServerConfig>, String> {
         let mut roots = RootCertStore::empty();
         for c in certificates(&self.clients)? {
-            roots.add(c).map_err(|e| format!("{}: {e}", self.clients.display()))?;
+            roots
+                .add(c)
+                .map_err(|e| format!("{}: {e}", self.clients.display()))?;
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone());
-        let verifier = verifier.build().map_err(|e| format!("{}: {e}", self.clients.display()))?;
+        let verifier =
+            WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone());
+        let verifier = verifier
+            .build()
+            .map_err(|e| format!("{}: {e}", self.clients.display()))?;
         let key = PrivateKeyDer::from_pem_slice(&file(&self.key)?);
         let key = key.map_err(|e| format!("{}: {e}", self.key.display()))?;
         let server = ServerConfig::builder_with_provider(provider)
@@ -82,12 +94,19 @@
 
 /// The subject's common names, then its alternative names.
 pub fn names(certificate: &[u8]) -> Vec<String> {
-    let Ok((_, c)) = X509Certificate::from_der(certificate) else { return Vec::new() };
-    let common = c.subject().iter_common_name().filter_map(|n| n.as_str().ok().map(String::from));
+    let Ok((_, c)) = X509Certificate::from_der(certificate) else {
+        return Vec::new();
+    };
+    let common = c
+        .subject()
+        .iter_common_name()
+        .filter_map(|n| n.as_str().ok().map(String::from));
     let mut all: Vec<String> = common.collect();
     if let Ok(Some(more)) = c.subject_alternative_name() {
         all.extend(more.value.general_names.iter().filter_map(|n| match n {
-            GeneralName::DNSName(n) | GeneralName::RFC822Name(n) | GeneralName::URI(n) => Some(n.to_string()),
+            GeneralName::DNSName(n) | GeneralName::RFC822Name(n) | GeneralName::URI(n) => {
+                Some(n.to_string())
+            }
             _ => None,
         }));
     }
--- a/crates/gnmi/src/masters.rs
+++ b/crates/gnmi/src/masters.rs
@@ -17,7 +17,9 @@
     pub fn claim(&mut self, role: &str, id: u128) -> Result<(), String> {
         if self.0.get(role).is_some_and(|&highest| id < highest) {
             let highest = self.0[role];
-            return Err(format!("election id {id} is older than {highest}, which holds the role {role:?}"));
+            return Err(format!(
+                "election id {id} is older than {highest}, which holds the role {role:?}"
+            ));
         }
         if !self.0.contains_key(role) && self.0.len() >= ROLES_MOST {
             return Err(format!("more than {ROLES_MOST} roles"));
@@ -35,7 +37,10 @@
     fn the_older_master_is_refused_in_its_role_alone() {
         let mut m = Masters::default();
         assert!(m.claim("", 5).is_ok() && m.claim("", 1 << 64).is_ok());
-        assert!(m.claim("", 5).unwrap_err().contains("older than 18446744073709551616"));
+        assert!(m
+            .claim("", 5)
+            .unwrap_err()
+            .contains("older than 18446744073709551616"));
         assert!(m.claim("", 1 << 64).is_ok() && m.claim("other", 1).is_ok());
         let mut full = (0..99).filter(|n| m.claim(&format!("r{n}"), 1).is_err());
         assert_eq!(full.next(), Some(62));
--- a/crates/gnmi/src/roles.rs
+++ b/crates/gnmi/src/roles.rs
@@ -12,10 +12,17 @@
 impl Roles {
     /// The first of the names that has a role; one that may change goes before one that may read. None may do nothing.
     pub fn who(&self, names: &[String]) -> Option<Who> {
-        let first = |roles: &[String]| names.iter().find(|n| roles.iter().any(|r| fits(r, n))).cloned();
+        let first = |roles: &[String]| {
+            names
+                .iter()
+                .find(|n| roles.iter().any(|r| fits(r, n)))
+                .cloned()
+        };
         let changer = first(&self.change);
         let may_change = changer.is_some();
-        changer.or_else(|| first(&self.read)).map(|name| Who { name, may_change })
+        changer
+            .or_else(|| first(&self.read))
+            .map(|name| Who { name, may_change })
     }
 }
 
@@ -33,7 +40,10 @@
     #[test]
     fn a_role_is_a_name_or_the_beginning_of_names_and_change_goes_before_read() {
         let all = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        let roles = Roles { change: all(&["ops-*", "root"]), read: all(&["reader", "ops"]) };
+        let roles = Roles {
+            change: all(&["ops-*", "root"]),
+            read: all(&["reader", "ops"]),
+        };
         let who = |names: &[&str]| roles.who(&all(names)).map(|w| (w.name, w.may_change));
         assert_eq!(who(&["reader", "ops-1"]), Some(("ops-1".into(), true)));
         assert_eq!(who(&["ops"]), Some(("ops".into(), false)));
--- a/crates/gnmi/src/serve.rs
+++ b/crates/gnmi/src/serve.rs
@@ -56,11 +56,19 @@
     /// # Errors
     /// The files can't be used; the sentence names the one.
     pub fn open(files: Files) -> Result<Arc<Keys>, String> {
-        Ok(Arc::new(Keys { now: Mutex::new(files.read()?), files }))
+        Ok(Arc::new(Keys {
+            now: Mutex::new(files.read()?),
+            files,
+        }))
     }
 
     fn acceptor(&self) -> TlsAcceptor {
-        TlsAcceptor::from(self.now.lock().unwrap_or_else(PoisonError::into_inner).clone())
+        TlsAcceptor::from(
+            self.now
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone(),
+        )
     }
 
     /// Takes the files as they are now; those that can't be used leave the old keys in force.
@@ -118,7 +126,11 @@
 }
 
 impl AsyncRead for Link {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, b: &mut ReadBuf) -> Poll<std::io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        b: &mut ReadBuf,
+    ) -> Poll<std::io::Result<()>> {
         match &mut self.to {
             Way::Plain(s) => Pin::new(s).poll_read(cx, b),
             Way::Tls(s) => Pin::new(s).poll_read(cx, b),
@@ -127,7 +139,11 @@
 }
 
 impl AsyncWrite for Link {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, b: &[u8]) -> Poll<std::io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        b: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
         match &mut self.to {
             Way::Plain(s) => Pin::new(s).poll_write(cx, b),
             Way::Tls(s) => Pin::new(s).poll_write(cx, b),
@@ -173,14 +189,24 @@
         .max_concurrent_streams(Some(CALLS_MOST))
         .add_service(served);
     let links = ReceiverStream::new(links).map(Ok::<Link, std::io::Error>);
-    server.serve_with_incoming(links).await.map_err(|e| e.to_string())
+    server
+        .serve_with_incoming(links)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 /// Each connection is made known in a task of its own: a slow or silent one holds up nobody.
-async fn accept(listener: TcpListener, keys: Option<Arc<Keys>>, to: mpsc::Sender<Link>, log: Logger) {
+async fn accept(
+    listener: TcpListener,
+    keys: Option<Arc<Keys>>,
+    to: mpsc::Sender<Link>,
+    log: Logger,
+) {
     let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
     loop {
-        let Ok(room) = places.clone().acquire_owned().await else { return };
+        let Ok(room) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, from)) = listener.accept().await else {
             sleep(span(NO_DESCRIPTOR)).await;
             continue;
@@ -189,12 +215,27 @@
         let (to, keys, log) = (to.clone(), keys.clone(), log.clone());
         tokio::spawn(async move {
             let known = match keys {
-                None => Ok((Way::Plain(stream), Who { name: from.to_string(), may_change: true })),
+                None => Ok((
+                    Way::Plain(stream),
+                    Who {
+                        name: from.to_string(),
+                        may_change: true,
+                    },
+                )),
                 Some(keys) => known(&keys, stream).await,
             };
             match known {
-                Ok((way, who)) => drop(to.send(Link { to: way, who, _room: room }).await),
-                Err(why) => info!(log, "a management client is not let in"; "from" => from, "why" => why),
+                Ok((way, who)) => drop(
+                    to.send(Link {
+                        to: way,
+                        who,
+                        _room: room,
+                    })
+                    .await,
+                ),
+                Err(why) => {
+                    info!(log, "a management client is not let in"; "from" => from, "why" => why)
+                }
             }
         });
     }
@@ -202,8 +243,14 @@
 
 async fn known(keys: &Keys, stream: TcpStream) -> Result<(Way, Who), String> {
     let shaken = timeout(KNOWN_WITHIN, keys.acceptor().accept(stream)).await;
-    let stream = shaken.map_err(|_| "no handshake in time")?.map_err(|e| e.to_string())?;
-    let certificate = stream.get_ref().1.peer_certificates().and_then(|c| c.first());
+    let stream = shaken
+        .map_err(|_| "no handshake in time")?
+        .map_err(|e| e.to_string())?;
+    let certificate = stream
+        .get_ref()
+        .1
+        .peer_certificates()
+        .and_then(|c| c.first());
     let who = certificate.and_then(|c| keys.files.roles.who(&names(c)));
     let who = who.ok_or("its certificate names nobody who may read or change")?;
     Ok((Way::Tls(Box::new(stream)), who))
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -42,7 +42,12 @@
     /// `streams`: how many may be open.
     pub fn new(desk: Desk, name: &str, streams: usize) -> Service {
         let streams = Arc::new(Semaphore::new(streams));
-        Service { desk, name: name.into(), masters: Arc::default(), streams }
+        Service {
+            desk,
+            name: name.into(),
+            masters: Arc::default(),
+            streams,
+        }
     }
 
     /// Room for a stream, given back when dropped.
@@ -51,9 +56,16 @@
     }
 
     /// A pattern that the schema knows.
-    pub fn resolved(&self, prefix: Option<&gnmi::Path>, path: &gnmi::Path) -> Result<Pattern, Status> {
+    pub fn resolved(
+        &self,
+        prefix: Option<&gnmi::Path>,
+        path: &gnmi::Path,
+    ) -> Result<Pattern, Status> {
         let wanted = words::pattern(prefix, path, &self.name)?;
-        self.desk.schema().resolve(&wanted).map_err(|m| Status::invalid_argument(m.to_string()))
+        self.desk
+            .schema()
+            .resolve(&wanted)
+            .map_err(|m| Status::invalid_argument(m.to_string()))
     }
 }
 
@@ -99,7 +111,8 @@
 
 fn span(d: Option<&prost_types::Duration>) -> Result<Ms, Status> {
     let asked = d.map(|d| d.seconds as f64 * 1000.0 + d.nanos as f64 / 1e6);
-    confirm_within(asked).map_err(|why| Status::invalid_argument(format!("rollback_duration {why}")))
+    confirm_within(asked)
+        .map_err(|why| Status::invalid_argument(format!("rollback_duration {why}")))
 }
 
 /// What a change is remembered by: its paths, shortened.
@@ -125,7 +138,11 @@
         &self,
         _: Request<gnmi::CapabilityRequest>,
     ) -> Result<Response<gnmi::CapabilityResponse>, Status> {
-        let encodings = [gnmi::Encoding::JsonIetf, gnmi::Encoding::Json, gnmi::Encoding::Proto];
+        let encodings = [
+            gnmi::Encoding::JsonIetf,
+            gnmi::Encoding::Json,
+            gnmi::Encoding::Proto,
+        ];
         Ok(Response::new(gnmi::CapabilityResponse {
             supported_models: vec![gnmi::ModelData {
                 name: ironstair_tree::schema::MODULE_NAME.into(),
@@ -138,25 +155,50 @@
         }))
     }
 
-    async fn get(&self, request: Request<gnmi::GetRequest>) -> Result<Response<gnmi::GetResponse>, Status> {
+    async fn get(
+        &self,
+        request: Request<gnmi::GetRequest>,
+    ) -> Result<Response<gnmi::GetResponse>, Status> {
         let r = request.into_inner();
         if words::scope(r.prefix.as_ref()) == Scope::Fleet {
             // What the chair knows, whole.
             let shown = self.desk.show().await.map_err(|why| refused(&why))?;
-            let (path, val) = (Some(gnmi::Path::default()), Some(Written::JsonIetf.json(&shown)));
-            let update = vec![gnmi::Update { path, val, duplicates: 0 }];
-            let notification = vec![gnmi::Notification { prefix: r.prefix, update, ..Default::default() }];
-            return Ok(Response::new(gnmi::GetResponse { notification, extension: Vec::new() }));
+            let (path, val) = (
+                Some(gnmi::Path::default()),
+                Some(Written::JsonIetf.json(&shown)),
+            );
+            let update = vec![gnmi::Update {
+                path,
+                val,
+                duplicates: 0,
+            }];
+            let notification = vec![gnmi::Notification {
+                prefix: r.prefix,
+                update,
+                ..Default::default()
+            }];
+            return Ok(Response::new(gnmi::GetResponse {
+                notification,
+                extension: Vec::new(),
+            }));
         }
         let written = Written::of(r.encoding)?;
         let kind = DataType::try_from(r.r#type)
             .map_err(|_| Status::invalid_argument(format!("type {} is unknown", r.r#type)))?;
         if r.path.len() > PATHS_MOST {
-            return Err(Status::invalid_argument(format!("more than {PATHS_MOST} paths")));
+            return Err(Status::invalid_argument(format!(
+                "more than {PATHS_MOST} paths"
+            )));
         }
         let all = gnmi::Path::default();
-        let paths = if r.path.is_empty() { vec![&all] } else { r.path.iter().collect() };
-        let paths = paths.into_iter().map(|p| self.resolved(r.prefix.as_ref(), p));
+        let paths = if r.path.is_empty() {
+            vec![&all]
+        } else {
+            r.path.iter().collect()
+        };
+        let paths = paths
+            .into_iter()
+            .map(|p| self.resolved(r.prefix.as_ref(), p));
         let paths = paths.collect::<Result<Vec<_>, _>>()?;
         let tree = self.desk.look().await;
         let fits = |root: &str| match kind {
@@ -182,48 +224,89 @@
                     if below.peek().is_some() {
                         let json = self.desk.schema().json(&at, below);
                         let (path, val) = (Some(words::path(&at)), Some(written.json(&json)));
-                        update.push(gnmi::Update { path, val, duplicates: 0 });
+                        update.push(gnmi::Update {
+                            path,
+                            val,
+                            duplicates: 0,
+                        });
                     }
                 }
             }
             let exact = wanted.stem().0.len() == wanted.0.len();
             if update.is_empty() && exact && !wanted.0.is_empty() {
-                return Err(Status::not_found(format!("{wanted}: there is nothing there now")));
+                return Err(Status::not_found(format!(
+                    "{wanted}: there is nothing there now"
+                )));
             }
             // Paths are whole: the prefix is told by its target alone.
-            let target = r.prefix.as_ref().map(|p| p.target.clone()).unwrap_or_default();
-            let prefix = (!target.is_empty()).then(|| gnmi::Path { target, ..Default::default() });
+            let target = r
+                .prefix
+                .as_ref()
+                .map(|p| p.target.clone())
+                .unwrap_or_default();
+            let prefix = (!target.is_empty()).then(|| gnmi::Path {
+                target,
+                ..Default::default()
+            });
             let timestamp = nanos(tree.at);
-            notification.push(gnmi::Notification { timestamp, prefix, update, ..Default::default() });
+            notification.push(gnmi::Notification {
+                timestamp,
+                prefix,
+                update,
+                ..Default::default()
+            });
         }
-        Ok(Response::new(gnmi::GetResponse { notification, extension: Vec::new() }))
+        Ok(Response::new(gnmi::GetResponse {
+            notification,
+            extension: Vec::new(),
+        }))
     }
 
-    async fn set(&self, request: Request<gnmi::SetRequest>) -> Result<Response<gnmi::SetResponse>, Status> {
+    async fn set(
+        &self,
+        request: Request<gnmi::SetRequest>,
+    ) -> Result<Response<gnmi::SetResponse>, Status> {
         let who = request.extensions().get::<Who>().cloned();
         let who = who.ok_or_else(|| Status::unauthenticated("who asks is not known"))?;
         if !who.may_change {
-            return Err(Status::permission_denied(format!("{} may read, not change", who.name)));
+            return Err(Status::permission_denied(format!(
+                "{} may read, not change",
+                who.name
+            )));
         }
         let r = request.into_inner();
         let scope = words::scope(r.prefix.as_ref());
         let prefix = r.prefix.clone().map(words::without_scope);
         let prefix = prefix.as_ref();
         let (commit, master) = extensions(&r.extension)?;
-        let begins = r.update.iter().find_map(|u| u.path.as_ref().and_then(words::begins));
+        let begins = r
+            .update
+            .iter()
+            .find_map(|u| u.path.as_ref().and_then(words::begins));
         if let Some(anew) = begins.filter(|_| scope == Scope::Fleet) {
-            self.desk.begin(anew, who.name).await.map_err(|why| refused(&why))?;
-            return Ok(Response::new(gnmi::SetResponse { prefix: r.prefix.clone(), ..Default::default() }));
+            self.desk
+                .begin(anew, who.name)
+                .await
+                .map_err(|why| refused(&why))?;
+            return Ok(Response::new(gnmi::SetResponse {
+                prefix: r.prefix.clone(),
+                ..Default::default()
+            }));
         }
         if r.delete.len() + r.replace.len() + r.update.len() + r.union_replace.len() > PATHS_MOST {
-            return Err(Status::invalid_argument(format!("more than {PATHS_MOST} paths")));
+            return Err(Status::invalid_argument(format!(
+                "more than {PATHS_MOST} paths"
+            )));
         }
         let at = |path: Option<&gnmi::Path>| {
             words::pattern(prefix, path.unwrap_or(&gnmi::Path::default()), &self.name)
         };
         let (mut edits, mut response) = (Vec::new(), Vec::new());
         let mut result = |path: Option<&gnmi::Path>, op: Operation| {
-            response.push(gnmi::UpdateResult { path: path.cloned(), op: op as i32 });
+            response.push(gnmi::UpdateResult {
+                path: path.cloned(),
+                op: op as i32,
+            });
         };
         for path in &r.delete {
             edits.push(Edit::Delete(at(Some(path))?));
@@ -243,7 +326,9 @@
         }
         if !r.union_replace.is_empty() {
             if !edits.is_empty() {
-                return Err(Status::invalid_argument("union_replace stands alone in its request"));
+                return Err(Status::invalid_argument(
+                    "union_replace stands alone in its request",
+                ));
             }
             // The union of them is all the settings there are then.
             edits.push(Edit::Delete(Pattern(vec![Wanted::of("settings", None)])));
@@ -256,12 +341,16 @@
         }
         if let Some((role, id)) = master {
             let mut masters = self.masters.lock().unwrap_or_else(PoisonError::into_inner);
-            masters.claim(&role, id).map_err(Status::permission_denied)?;
+            masters
+                .claim(&role, id)
+                .map_err(Status::permission_denied)?;
         }
-        self.change(who, scope, edits, commit).await.map_err(|e| match e {
-            Wrong::Status(s) => s,
-            Wrong::Refused(r) => refused(&r),
-        })?;
+        self.change(who, scope, edits, commit)
+            .await
+            .map_err(|e| match e {
+                Wrong::Status(s) => s,
+                Wrong::Refused(r) => refused(&r),
+            })?;
         let timestamp = nanos(self.desk.look().await.at);
         Ok(Response::new(gnmi::SetResponse {
             prefix: r.prefix.clone(),
@@ -277,7 +366,10 @@
         &self,
         request: Request<tonic::Streaming<gnmi::SubscribeRequest>>,
     ) -> Result<Response<Self::SubscribeStream>, Status> {
-        Ok(Response::new(crate::subscribe::serve(self.clone(), request.into_inner())))
+        Ok(Response::new(crate::subscribe::serve(
+            self.clone(),
+            request.into_inner(),
+        )))
     }
 }
 
@@ -301,7 +393,11 @@
                 return Ok(0);
             }
             let what = said(&edits);
-            return self.desk.set(edits, who.name, what, None, scope).await.map_err(Wrong::Refused);
+            return self
+                .desk
+                .set(edits, who.name, what, None, scope)
+                .await
+                .map_err(Wrong::Refused);
         };
         let id = commit.id.clone();
         if id.is_empty() || id.len() > ID_MOST {
@@ -315,7 +411,11 @@
                 }
                 let what = said(&edits);
                 let commit = Some((id, span));
-                return self.desk.set(edits, who.name, what, commit, scope).await.map_err(Wrong::Refused);
+                return self
+                    .desk
+                    .set(edits, who.name, what, commit, scope)
+                    .await
+                    .map_err(Wrong::Refused);
             }
             Some(Action::Confirm(_)) => Ask::Confirm { id },
             Some(Action::Cancel(_)) => Ask::Cancel { id },
@@ -326,8 +426,13 @@
             None => return Err(wrong("a commit extension that asks for nothing")),
         };
         if !edits.is_empty() {
-            return Err(wrong("a confirmation, a cancel or a new duration comes without changes"));
+            return Err(wrong(
+                "a confirmation, a cancel or a new duration comes without changes",
+            ));
         }
-        self.desk.ask(ask, who.name, scope).await.map_err(Wrong::Refused)
+        self.desk
+            .ask(ask, who.name, scope)
+            .await
+            .map_err(Wrong::Refused)
     }
 }
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -1,8 +1,12 @@
 //! Subscriptions: each stream is a task that follows the tree and hands on what its reader has room for.
 
 use crate::follow::{Cut, Follow, Mode, Subscription, Told, SAMPLE_LEAST, SAMPLE_MOST, SILENCE};
-use crate::proto::gnmi::{self, subscribe_request::Request as Asked, subscribe_response::Response as Sent};
-use crate::proto::gnmi::{subscription_list, SubscribeRequest, SubscribeResponse, SubscriptionMode};
+use crate::proto::gnmi::{
+    self, subscribe_request::Request as Asked, subscribe_response::Response as Sent,
+};
+use crate::proto::gnmi::{
+    subscription_list, SubscribeRequest, SubscribeResponse, SubscriptionMode,
+};
 use crate::service::{nanos, Service};
 use crate::words::{self, Written};
 use ironstair::Ms;
@@ -36,7 +40,12 @@
         let polled = self.messages.poll_recv(cx);
         polled.map(|m| match m {
             Some(m) => Some(Ok(m)),
-            None => self.end.lock().unwrap_or_else(PoisonError::into_inner).take().map(Err),
+            None => self
+                .end
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .take()
+                .map(Err),
         })
     }
 }
@@ -65,7 +74,9 @@
     if (SAMPLE_LEAST..=SAMPLE_MOST).contains(&ms) {
         return Ok(ms);
     }
-    Err(Status::invalid_argument(format!("{what} is outside {SAMPLE_LEAST} ms to one day")))
+    Err(Status::invalid_argument(format!(
+        "{what} is outside {SAMPLE_LEAST} ms to one day"
+    )))
 }
 
 fn subscription(s: &gnmi::Subscription, wanted: Pattern) -> Result<Subscription, Status> {
@@ -73,13 +84,21 @@
         0 => None,
         n => Some(interval(n, "heartbeat_interval")?),
     };
-    let sample = |every| Mode::Sample { every, changed_only: s.suppress_redundant };
+    let sample = |every| Mode::Sample {
+        every,
+        changed_only: s.suppress_redundant,
+    };
     let mode = match SubscriptionMode::try_from(s.mode) {
         Ok(SubscriptionMode::OnChange) => Mode::OnChange,
         Ok(SubscriptionMode::Sample) if s.sample_interval == 0 => sample(SAMPLE_LEAST),
         Ok(SubscriptionMode::Sample) => sample(interval(s.sample_interval, "sample_interval")?),
         Ok(SubscriptionMode::TargetDefined) => Mode::chosen(&wanted),
-        Err(_) => return Err(Status::invalid_argument(format!("mode {} is unknown", s.mode))),
+        Err(_) => {
+            return Err(Status::invalid_argument(format!(
+                "mode {} is unknown",
+                s.mode
+            )))
+        }
     };
     Ok(Subscription::new(wanted, mode, heartbeat))
 }
@@ -91,11 +110,15 @@
 ) -> Result<(), Status> {
     let first = asked.message().await?.and_then(|r| r.request);
     let Some(Asked::Subscribe(list)) = first else {
-        return Err(Status::invalid_argument("a stream begins with a subscription list"));
+        return Err(Status::invalid_argument(
+            "a stream begins with a subscription list",
+        ));
     };
     let written = Written::of(list.encoding)?;
     if list.subscription.is_empty() || list.subscription.len() > SUBSCRIPTIONS_MOST {
-        return Err(Status::invalid_argument(format!("1 to {SUBSCRIPTIONS_MOST} subscriptions are served")));
+        return Err(Status::invalid_argument(format!(
+            "1 to {SUBSCRIPTIONS_MOST} subscriptions are served"
+        )));
     }
     let subscriptions = list.subscription.iter().map(|s| {
         let path = s.path.clone().unwrap_or_default();
@@ -109,15 +132,24 @@
     let tree = service.desk.look().await;
     watch.trees.mark_unchanged();
     let clock = Clock::start();
-    let follow = Follow::begin(subscriptions, clock.now(), tree.leaves.clone(), list.updates_only);
+    let follow = Follow::begin(
+        subscriptions,
+        clock.now(),
+        tree.leaves.clone(),
+        list.updates_only,
+    );
     match subscription_list::Mode::try_from(list.mode) {
         Ok(subscription_list::Mode::Once) => drain(follow, tree.at, &writer, to, clock).await,
         Ok(subscription_list::Mode::Poll) => {
             let mut follow = follow;
             loop {
-                let Some(next) = asked.message().await? else { return Ok(()) };
+                let Some(next) = asked.message().await? else {
+                    return Ok(());
+                };
                 let Some(Asked::Poll(_)) = next.request else {
-                    return Err(Status::invalid_argument("a stream that polls sends polls only"));
+                    return Err(Status::invalid_argument(
+                        "a stream that polls sends polls only",
+                    ));
                 };
                 let tree = service.desk.look().await;
                 match list.updates_only {
@@ -132,7 +164,10 @@
         Ok(subscription_list::Mode::Stream) => {
             stream(follow, tree.at, watch, asked, &writer, to, clock).await
         }
-        Err(_) => Err(Status::invalid_argument(format!("mode {} is unknown", list.mode))),
+        Err(_) => Err(Status::invalid_argument(format!(
+            "mode {} is unknown",
+            list.mode
+        ))),
     }
 }
 
@@ -153,7 +188,10 @@
 }
 
 /// Hands one message on; a reader that has no room for it for too long is cut.
-async fn send(to: &mpsc::Sender<SubscribeResponse>, message: SubscribeResponse) -> Result<(), Status> {
+async fn send(
+    to: &mpsc::Sender<SubscribeResponse>,
+    message: SubscribeResponse,
+) -> Result<(), Status> {
     tokio::select! {
         sent = to.send(message) => sent.map_err(|_| Status::cancelled("the reader is gone")),
         () = sleep(span(SILENCE)) => Err(cut(Cut::Silent)),
@@ -168,7 +206,10 @@
 }
 
 fn sync() -> SubscribeResponse {
-    SubscribeResponse { response: Some(Sent::SyncResponse(true)), extension: Vec::new() }
+    SubscribeResponse {
+        response: Some(Sent::SyncResponse(true)),
+        extension: Vec::new(),
+    }
 }
 
 async fn stream(
@@ -233,22 +274,30 @@
     fn prefix(&self, at: Option<&Path>) -> Option<gnmi::Path> {
         let target = self.target.clone();
         let path = at.map(words::path);
-        (path.is_some() || !target.is_empty()).then(|| gnmi::Path { target, ..path.unwrap_or_default() })
+        (path.is_some() || !target.is_empty()).then(|| gnmi::Path {
+            target,
+            ..path.unwrap_or_default()
+        })
     }
 
     /// Atomic ones each by themselves, the others together.
     fn messages(&self, at: Ms, told: Vec<Told>) -> Vec<SubscribeResponse> {
         let (mut messages, timestamp) = (Vec::new(), nanos(at));
-        let mut rest = gnmi::Notification { timestamp, prefix: self.prefix(None), ..Default::default() };
+        let mut rest = gnmi::Notification {
+            timestamp,
+            prefix: self.prefix(None),
+            ..Default::default()
+        };
         for t in told {
             if t.deleted {
                 rest.delete.push(words::path(&t.at));
             }
-            let update = |(path, value): &(Path, ironstair_tree::Value), from: usize| gnmi::Update {
-                path: Some(words::path(&Path(path.0[from..].into()))),
-                val: Some(self.written.leaf(value)),
-                duplicates: t.duplicates,
-            };
+            let update =
+                |(path, value): &(Path, ironstair_tree::Value), from: usize| gnmi::Update {
+                    path: Some(words::path(&Path(path.0[from..].into()))),
+                    val: Some(self.written.leaf(value)),
+                    duplicates: t.duplicates,
+                };
             if t.atomic {
                 let from = t.at.0.len();
                 messages.push(gnmi::Notification {
@@ -265,7 +314,10 @@
         if !rest.update.is_empty() || !rest.delete.is_empty() {
             messages.push(rest);
         }
-        let wrap = |n| SubscribeResponse { response: Some(Sent::Update(n)), extension: Vec::new() };
+        let wrap = |n| SubscribeResponse {
+            response: Some(Sent::Update(n)),
+            extension: Vec::new(),
+        };
         messages.into_iter().map(wrap).collect()
     }
 }
--- a/crates/gnmi/src/words.rs
+++ b/crates/gnmi/src/words.rs
@@ -39,18 +39,30 @@
 }
 
 /// A path as it is asked for, behind its prefix; `target` is this gateway's name, where it is given.
-pub fn pattern(prefix: Option<&gnmi::Path>, path: &gnmi::Path, name: &str) -> Result<Pattern, Status> {
+pub fn pattern(
+    prefix: Option<&gnmi::Path>,
+    path: &gnmi::Path,
+    name: &str,
+) -> Result<Pattern, Status> {
     let wrong = Status::invalid_argument;
     for p in prefix.into_iter().chain([path]) {
         if !["", MODULE_NAME, "rfc7951"].contains(&p.origin.as_str()) {
-            return Err(wrong(format!("origin {:?} is not served; {MODULE_NAME} is", p.origin)));
+            return Err(wrong(format!(
+                "origin {:?} is not served; {MODULE_NAME} is",
+                p.origin
+            )));
         }
         if !p.target.is_empty() && p.target != name {
-            return Err(wrong(format!("target {:?} is not this gateway, which is {name:?}", p.target)));
+            return Err(wrong(format!(
+                "target {:?} is not this gateway, which is {name:?}",
+                p.target
+            )));
         }
         #[allow(deprecated)]
         if !p.element.is_empty() {
-            return Err(wrong("paths come as elem; element is of before gNMI 0.4".to_string()));
+            return Err(wrong(
+                "paths come as elem; element is of before gNMI 0.4".to_string(),
+            ));
         }
     }
     let steps = prefix.into_iter().chain([path]).flat_map(|p| &p.elem);
@@ -64,15 +76,26 @@
         let key = e.key.iter().next().map(|(k, v)| (k.as_str(), v.as_str()));
         Ok(Wanted::of(&e.name, key))
     });
-    Pattern(steps.collect::<Result<_, _>>()?).checked().map_err(wrong)
+    Pattern(steps.collect::<Result<_, _>>()?)
+        .checked()
+        .map_err(wrong)
 }
 
 pub fn path(path: &Path) -> gnmi::Path {
     let elem = path.0.iter().map(|s| {
-        let key = s.key.iter().map(|k| (key_name(&s.name).to_string(), k.to_string()));
-        gnmi::PathElem { name: s.name.to_string(), key: key.collect() }
+        let key = s
+            .key
+            .iter()
+            .map(|k| (key_name(&s.name).to_string(), k.to_string()));
+        gnmi::PathElem {
+            name: s.name.to_string(),
+            key: key.collect(),
+        }
     });
-    gnmi::Path { elem: elem.collect(), ..Default::default() }
+    gnmi::Path {
+        elem: elem.collect(),
+        ..Default::default()
+    }
 }
 
 /// A value as a client sent it, in the tree's JSON.
@@ -81,7 +104,9 @@
     let wrong = |why: &str| Status::invalid_argument(format!("{at}: {why}"));
     let text = |x: f64| {
         let number = serde_json::Number::from_f64(x);
-        number.map(Json::Number).ok_or_else(|| wrong("a number that is none"))
+        number
+            .map(Json::Number)
+            .ok_or_else(|| wrong("a number that is none"))
     };
     match value.and_then(|v| v.value.as_ref()) {
         Some(V::JsonVal(bytes) | V::JsonIetfVal(bytes)) => {
@@ -95,7 +120,9 @@
         // As written, not as the nearest double shows.
         Some(V::FloatVal(x)) => Ok(Json::String(x.to_string())),
         Some(V::DecimalVal(d)) => match d.precision {
-            0..=18 => Ok(Json::String(Value::Decimal(d.digits, d.precision as u8).to_string())),
+            0..=18 => Ok(Json::String(
+                Value::Decimal(d.digits, d.precision as u8).to_string(),
+            )),
             _ => Err(wrong("a decimal with more than 18 digits")),
         },
         Some(V::LeaflistVal(all)) if all.element.len() <= LIST_MOST => {
@@ -115,13 +142,19 @@
         Value::Uint(n) | Value::Wide(n) => V::UintVal(*n),
         Value::Decimal(units, digits) => V::DoubleVal(*units as f64 / 10f64.powi(*digits as i32)),
         Value::Text(t) => V::StringVal(t.to_string()),
-        Value::List(all) => V::LeaflistVal(gnmi::ScalarArray { element: all.iter().map(scalar).collect() }),
+        Value::List(all) => V::LeaflistVal(gnmi::ScalarArray {
+            element: all.iter().map(scalar).collect(),
+        }),
     };
     TypedValue { value: Some(value) }
 }
 
 pub fn ietf(json: &Json) -> TypedValue {
-    TypedValue { value: Some(typed_value::Value::JsonIetfVal(json.to_string().into_bytes())) }
+    TypedValue {
+        value: Some(typed_value::Value::JsonIetfVal(
+            json.to_string().into_bytes(),
+        )),
+    }
 }
 
 /// How a client wants values written.
@@ -138,18 +171,21 @@
             Ok(gnmi::Encoding::Json) => Ok(Written::Json),
             Ok(gnmi::Encoding::JsonIetf) => Ok(Written::JsonIetf),
             Ok(gnmi::Encoding::Proto) => Ok(Written::Scalars),
-            Ok(other) => {
-                Err(Status::unimplemented(format!("encoding {} is not served", other.as_str_name())))
-            }
-            Err(_) => Err(Status::invalid_argument(format!("encoding {encoding} is unknown"))),
+            Ok(other) => Err(Status::unimplemented(format!(
+                "encoding {} is not served",
+                other.as_str_name()
+            ))),
+            Err(_) => Err(Status::invalid_argument(format!(
+                "encoding {encoding} is unknown"
+            ))),
         }
     }
 
     pub fn json(self, json: &Json) -> TypedValue {
         match self {
-            Written::Json => {
-                TypedValue { value: Some(typed_value::Value::JsonVal(json.to_string().into_bytes())) }
-            }
+            Written::Json => TypedValue {
+                value: Some(typed_value::Value::JsonVal(json.to_string().into_bytes())),
+            },
             _ => ietf(json),
         }
     }
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -12,7 +12,10 @@
 }
 
 fn wanted(text: &str) -> Pattern {
-    Schema::shipped().unwrap().resolve(&Pattern::read(text).unwrap()).unwrap()
+    Schema::shipped()
+        .unwrap()
+        .resolve(&Pattern::read(text).unwrap())
+        .unwrap()
 }
 
 /// What a reader makes of what it is sent, plainly.
@@ -43,19 +46,33 @@
 
 const MODES: [Mode; 3] = [
     Mode::OnChange,
-    Mode::Sample { every: 300.0, changed_only: true },
-    Mode::Sample { every: 200.0, changed_only: false },
+    Mode::Sample {
+        every: 300.0,
+        changed_only: true,
+    },
+    Mode::Sample {
+        every: 200.0,
+        changed_only: false,
+    },
 ];
 
 /// One change of the tree: an entry comes, goes, or one of its leaves does.
 fn change(tree: &mut Leaves, what: u8, entry: u8, value: u64) {
-    let lists = ["/settings/band[name=", "/state/engine[name=", "/state/revision[number="];
+    let lists = [
+        "/settings/band[name=",
+        "/state/engine[name=",
+        "/state/revision[number=",
+    ];
     let at = format!("{}e{}]", lists[entry as usize % 3], entry / 3 % 4);
     let leaves = ["name", "payoff", "inflight", "who"];
     match what % 4 {
         0 => {
             let gone = path(&at);
-            let all: Vec<Path> = tree.keys().filter(|p| p.starts_with(&gone)).cloned().collect();
+            let all: Vec<Path> = tree
+                .keys()
+                .filter(|p| p.starts_with(&gone))
+                .cloned()
+                .collect();
             all.iter().for_each(|p| drop(tree.remove(p)));
         }
         1 => {
@@ -64,7 +81,10 @@
             }
         }
         2 => drop(tree.remove(&path(&format!("{at}/{}", leaves[value as usize % 4])))),
-        _ => drop(tree.insert(path(&format!("{at}/{}", leaves[value as usize % 4])), Value::Uint(value))),
+        _ => drop(tree.insert(
+            path(&format!("{at}/{}", leaves[value as usize % 4])),
+            Value::Uint(value),
+        )),
     }
 }
 
@@ -110,7 +130,12 @@
 }
 
 fn follows(at: &str, mode: Mode, tree: &Leaves) -> Follow {
-    Follow::begin(vec![Subscription::new(wanted(at), mode, None)], 0.0, tree.clone(), false)
+    Follow::begin(
+        vec![Subscription::new(wanted(at), mode, None)],
+        0.0,
+        tree.clone(),
+        false,
+    )
 }
 
 #[test]
@@ -125,7 +150,10 @@
         f.look(n as f64, &tree).unwrap();
     }
     let told = f.take(6.0, 9);
-    assert_eq!((told.len(), told[0].duplicates, &told[0].updates[..]), (1, 4, &[(leaf, Value::Uint(5))][..]));
+    assert_eq!(
+        (told.len(), told[0].duplicates, &told[0].updates[..]),
+        (1, 4, &[(leaf, Value::Uint(5))][..])
+    );
     assert!(f.take(7.0, 9).is_empty());
 }
 
@@ -133,14 +161,20 @@
 fn an_entry_that_must_not_be_seen_half_is_told_whole() {
     let mut tree = Leaves::new();
     for (name, value) in [("number", 1), ("who", 2), ("what", 3)] {
-        tree.insert(path(&format!("/state/revision[number=1]/{name}")), Value::Uint(value));
+        tree.insert(
+            path(&format!("/state/revision[number=1]/{name}")),
+            Value::Uint(value),
+        );
     }
     let mut f = follows("/state", Mode::OnChange, &tree);
     f.take(0.0, 99);
     tree.insert(path("/state/revision[number=1]/who"), Value::Uint(9));
     f.look(1.0, &tree).unwrap();
     let told = f.take(1.0, 99);
-    assert_eq!((told.len(), told[0].atomic, told[0].updates.len()), (1, true, 3));
+    assert_eq!(
+        (told.len(), told[0].atomic, told[0].updates.len()),
+        (1, true, 3)
+    );
 }
 
 #[test]
@@ -159,7 +193,14 @@
     tree.insert(leaf.clone(), Value::Uint(0));
     for (changed_only, at_200, at_300) in [(true, 0, 1), (false, 1, 1)] {
         let mut tree = tree.clone();
-        let mut f = follows("/state/list", Mode::Sample { every: 100.0, changed_only }, &tree);
+        let mut f = follows(
+            "/state/list",
+            Mode::Sample {
+                every: 100.0,
+                changed_only,
+            },
+            &tree,
+        );
         f.take(0.0, 9);
         f.look(50.0, &tree).unwrap();
         assert_eq!((f.take(50.0, 9).len(), f.due()), (0, 100.0));
@@ -201,7 +242,11 @@
     let mut f = follows("/state/list", Mode::OnChange, &tree);
     f.take(0.0, 9);
     f.handed_on(1.0);
-    assert_eq!(f.look(10.0 * SILENCE, &tree), Ok(()), "with nothing to read, silence is no fault");
+    assert_eq!(
+        f.look(10.0 * SILENCE, &tree),
+        Ok(()),
+        "with nothing to read, silence is no fault"
+    );
 }
 
 #[test]
@@ -209,7 +254,10 @@
     let mut f = follows("/state/engine", Mode::OnChange, &Leaves::new());
     let mut tree = Leaves::new();
     for n in 0..=MARKS_MOST {
-        tree.insert(path(&format!("/state/engine[name=e{n}]/inflight")), Value::Uint(0));
+        tree.insert(
+            path(&format!("/state/engine[name=e{n}]/inflight")),
+            Value::Uint(0),
+        );
     }
     assert_eq!(f.look(1.0, &tree), Err(Cut::Behind));
 }
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -12,7 +12,9 @@
 use ironstair_accord::chair::{Ask, Refusal};
 use ironstair_accord::{Answer, Beat, Chair, Fleet, Line, Policy, Record};
 use protobuf::Message as _;
-use raft::prelude::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType};
+use raft::prelude::{
+    ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
+};
 use raft::{Config, Progress, ProgressState, RawNode, SnapshotStatus, StateRole};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -121,11 +123,25 @@
     ///
     /// # Errors
     /// The document can't be written.
-    pub fn begin(name: &str, id: u64, history: u64, document: D, line: Option<Line>) -> Result<Image, Fault> {
+    pub fn begin(
+        name: &str,
+        id: u64,
+        history: u64,
+        document: D,
+        line: Option<Line>,
+    ) -> Result<Image, Fault> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun { history, document, line });
+        fleet.apply(Record::Begun {
+            history,
+            document,
+            line,
+        });
         let voters = BTreeMap::from([(name.to_string(), id)]);
-        let state = State { fleet, voters, joining: BTreeMap::new() };
+        let state = State {
+            fleet,
+            voters,
+            joining: BTreeMap::new(),
+        };
         let data = serde_json::to_vec(&state).map_err(|e| e.to_string())?;
         Ok(Image::first(id, data))
     }
@@ -145,8 +161,13 @@
     ) -> Result<Self, Fault> {
         let store = Store::of(image)?;
         let state = match store.whole() {
-            [] => State { fleet: Fleet::default(), voters: BTreeMap::new(), joining: BTreeMap::new() },
-            data => serde_json::from_slice(data).map_err(|e| format!("what is kept can't be read: {e}"))?,
+            [] => State {
+                fleet: Fleet::default(),
+                voters: BTreeMap::new(),
+                joining: BTreeMap::new(),
+            },
+            data => serde_json::from_slice(data)
+                .map_err(|e| format!("what is kept can't be read: {e}"))?,
         };
         let applied = store.cut();
         let election = ELECTION + LATER * place;
@@ -196,7 +217,11 @@
     /// Who is the chair, as far as this keeper knows.
     pub fn leader(&self) -> Option<&str> {
         let leader = self.node.raft.leader_id;
-        self.state.voters.iter().find(|v| *v.1 == leader).map(|v| v.0.as_str())
+        self.state
+            .voters
+            .iter()
+            .find(|v| *v.1 == leader)
+            .map(|v| v.0.as_str())
     }
 
     /// The chair, where this keeper is it and has read the whole log.
@@ -298,7 +323,14 @@
     // nothing else, until it is told.
     fn send_the_whole_again(&mut self) {
         let waits = |p: &Progress| p.state == ProgressState::Snapshot;
-        let waiting: Vec<u64> = self.node.raft.prs().iter().filter(|p| waits(p.1)).map(|p| *p.0).collect();
+        let waiting: Vec<u64> = self
+            .node
+            .raft
+            .prs()
+            .iter()
+            .filter(|p| waits(p.1))
+            .map(|p| *p.0)
+            .collect();
         self.whole_sent.retain(|id, _| waiting.contains(id));
         for id in waiting {
             let sent = *self.whole_sent.entry(id).or_insert(self.now);
@@ -332,7 +364,10 @@
         if !leads {
             let asked = self.asked.take().into_iter().flat_map(|a| a.beats);
             let lost: Vec<(u64, Beat)> = asked.chain(self.beats.drain(..)).collect();
-            self.out.extend(lost.into_iter().map(|(token, _)| Out::NotChair(token, None)));
+            self.out.extend(
+                lost.into_iter()
+                    .map(|(token, _)| Out::NotChair(token, None)),
+            );
         }
     }
 
@@ -343,7 +378,10 @@
 
     // Against a chair that was cut off or stopped: others may have another by now.
     fn ask_the_quorum(&mut self) {
-        let stale = self.asked.as_ref().is_some_and(|a| self.now >= a.since + self.lease);
+        let stale = self
+            .asked
+            .as_ref()
+            .is_some_and(|a| self.now >= a.since + self.lease);
         if self.chair.is_none() || self.beats.is_empty() || self.asked.is_some() && !stale {
             return;
         }
@@ -352,10 +390,15 @@
         }
         // Their members ask again.
         let lost = self.asked.take().into_iter().flat_map(|a| a.beats);
-        self.out.extend(lost.map(|(token, _)| Out::NotChair(token, None)));
+        self.out
+            .extend(lost.map(|(token, _)| Out::NotChair(token, None)));
         self.questions += 1;
         let beats = std::mem::take(&mut self.beats);
-        self.asked = Some(Question { nth: self.questions, since: self.now, beats });
+        self.asked = Some(Question {
+            nth: self.questions,
+            since: self.now,
+            beats,
+        });
         self.node.read_index(self.questions.to_le_bytes().to_vec());
     }
 
@@ -363,9 +406,12 @@
         if !self.has_read_all() || !std::mem::take(&mut self.look) {
             return;
         }
-        let Some((_, chair)) = self.chair.as_mut() else { return };
+        let Some((_, chair)) = self.chair.as_mut() else {
+            return;
+        };
         if let Some(record) = chair.next(self.now, &self.state.fleet) {
-            let taken = serde_json::to_vec(&record).is_ok_and(|b| self.node.propose(Vec::new(), b).is_ok());
+            let taken =
+                serde_json::to_vec(&record).is_ok_and(|b| self.node.propose(Vec::new(), b).is_ok());
             if !taken {
                 chair.applied();
             }
@@ -375,14 +421,19 @@
 
     /// One keeper at a time: first it learns the log, then it votes in place of the number it had.
     fn let_in(&mut self) {
-        let State { voters, joining, .. } = &self.state;
+        let State {
+            voters, joining, ..
+        } = &self.state;
         // Against a number given long ago: nobody bears it any more, and it would stand in everybody's way.
         let now = self.now;
-        self.knocking.retain(|name, (id, at)| voters.get(name) != Some(id) && now < *at + KNOCK_HOLDS);
+        self.knocking
+            .retain(|name, (id, at)| voters.get(name) != Some(id) && now < *at + KNOCK_HOLDS);
         if self.node.raft.has_pending_conf() {
             return;
         }
-        let Some((name, id)) = self.knocking.iter().next().map(|(n, i)| (n.clone(), i.0)) else { return };
+        let Some((name, id)) = self.knocking.iter().next().map(|(n, i)| (n.clone(), i.0)) else {
+            return;
+        };
         let known = joining.get(&name) == Some(&id);
         let matched = self.node.raft.prs().get(id).map_or(0, |p| p.matched);
         let votes = known && matched + 1 >= self.node.raft.raft_log.committed;
@@ -395,10 +446,20 @@
             c.set_change_type(what);
             c
         };
-        let kind = if votes { ConfChangeType::AddNode } else { ConfChangeType::AddLearnerNode };
-        let before = if votes { voters.get(&name) } else { joining.get(&name) };
+        let kind = if votes {
+            ConfChangeType::AddNode
+        } else {
+            ConfChangeType::AddLearnerNode
+        };
+        let before = if votes {
+            voters.get(&name)
+        } else {
+            joining.get(&name)
+        };
         let mut change = ConfChangeV2::default();
-        let changes = before.map(|b| single(*b, ConfChangeType::RemoveNode)).into_iter();
+        let changes = before
+            .map(|b| single(*b, ConfChangeType::RemoveNode))
+            .into_iter();
         change.set_changes(changes.chain([single(id, kind)]).collect::<Vec<_>>().into());
         let context = serde_json::to_vec(&Joins { name, id, votes }).unwrap_or_default();
         change.set_context(context.into());
@@ -451,12 +512,20 @@
     }
 
     fn confirmed(&mut self, context: &[u8]) {
-        if self.asked.as_ref().is_none_or(|a| a.nth.to_le_bytes() != context) {
+        if self
+            .asked
+            .as_ref()
+            .is_none_or(|a| a.nth.to_le_bytes() != context)
+        {
             return;
         }
-        let Some(Question { beats, .. }) = self.asked.take() else { return };
+        let Some(Question { beats, .. }) = self.asked.take() else {
+            return;
+        };
         let whole = self.has_read_all();
-        let Some((_, chair)) = self.chair.as_mut() else { return };
+        let Some((_, chair)) = self.chair.as_mut() else {
+            return;
+        };
         for (token, beat) in beats {
             self.out.push(match whole {
                 true => Out::Answer(token, chair.beat(self.now, &self.state.fleet, &beat)),
@@ -478,9 +547,13 @@
                     }
                 }
                 EntryType::EntryConfChangeV2 => {
-                    let Ok(change) = ConfChangeV2::parse_from_bytes(entry.get_data()) else { continue };
+                    let Ok(change) = ConfChangeV2::parse_from_bytes(entry.get_data()) else {
+                        continue;
+                    };
                     if let Ok(j) = serde_json::from_slice::<Joins>(change.get_context()) {
-                        let State { voters, joining, .. } = &mut self.state;
+                        let State {
+                            voters, joining, ..
+                        } = &mut self.state;
                         if j.votes {
                             joining.remove(&j.name);
                             voters.insert(j.name, j.id);
@@ -500,9 +573,19 @@
 
     fn send(&mut self, messages: Vec<Message>) {
         for m in messages {
-            let State { voters, joining, .. } = &self.state;
-            let to = voters.iter().chain(joining).find(|(_, id)| **id == m.to).map(|(n, _)| n.clone());
-            let teacher = self.teacher.as_ref().filter(|t| t.0 == m.to).map(|t| t.1.clone());
+            let State {
+                voters, joining, ..
+            } = &self.state;
+            let to = voters
+                .iter()
+                .chain(joining)
+                .find(|(_, id)| **id == m.to)
+                .map(|(n, _)| n.clone());
+            let teacher = self
+                .teacher
+                .as_ref()
+                .filter(|t| t.0 == m.to)
+                .map(|t| t.1.clone());
             let to = to.or(teacher);
             if let (Some(to), Ok(bytes)) = (to, m.write_to_bytes()) {
                 self.out.push(Out::Send(to, bytes));
--- a/crates/keeper/src/store.rs
+++ b/crates/keeper/src/store.rs
@@ -29,7 +29,10 @@
 impl Image {
     /// Without a history, under a number drawn anew.
     pub fn blank(id: u64) -> Image {
-        Image { id, ..Image::default() }
+        Image {
+            id,
+            ..Image::default()
+        }
     }
 
     pub(crate) fn first(id: u64, data: Vec<u8>) -> Image {
@@ -41,7 +44,12 @@
         let mut hard = HardState::default();
         (hard.term, hard.commit) = (1, 1);
         let bytes = |m: &dyn protobuf::Message| m.write_to_bytes().unwrap_or_default();
-        Image { id, hard: bytes(&hard), whole: bytes(&whole), entries: BTreeMap::new() }
+        Image {
+            id,
+            hard: bytes(&hard),
+            whole: bytes(&whole),
+            entries: BTreeMap::new(),
+        }
     }
 
     /// The one step that leads to this image.
@@ -84,15 +92,24 @@
     pub fn of(image: &Image) -> Result<Store, String> {
         let fault = |what: &str| format!("{what} of the fleet's log can't be read");
         let hard = HardState::parse_from_bytes(&image.hard).map_err(|_| fault("the vote"))?;
-        let whole = Snapshot::parse_from_bytes(&image.whole).map_err(|_| fault("the whole state"))?;
+        let whole =
+            Snapshot::parse_from_bytes(&image.whole).map_err(|_| fault("the whole state"))?;
         let entries = image.entries.values().map(|e| Entry::parse_from_bytes(e));
-        let entries = entries.collect::<Result<Vec<_>, _>>().map_err(|_| fault("an entry"))?;
+        let entries = entries
+            .collect::<Result<Vec<_>, _>>()
+            .map_err(|_| fault("an entry"))?;
         let first = whole.get_metadata().index + 1;
         if entries.iter().zip(first..).any(|(e, i)| e.index != i) {
             return Err(fault("an entry in its place"));
         }
         let conf = whole.get_metadata().get_conf_state().clone();
-        Ok(Store { hard, conf, whole, entries, dirty: Default::default() })
+        Ok(Store {
+            hard,
+            conf,
+            whole,
+            entries,
+            dirty: Default::default(),
+        })
     }
 
     pub fn whole(&self) -> &[u8] {
@@ -172,7 +189,10 @@
             return Err(StorageError::Compacted.into());
         }
         let at = |i: u64| (i - self.cut() - 1) as usize;
-        let found = self.entries.get(at(low)..at(high)).ok_or(StorageError::Unavailable)?;
+        let found = self
+            .entries
+            .get(at(low)..at(high))
+            .ok_or(StorageError::Unavailable)?;
         let mut found = found.to_vec();
         raft::util::limit_size(&mut found, most.into());
         Ok(found)
--- a/crates/keeper/tests/knock.rs
+++ b/crates/keeper/tests/knock.rs
@@ -35,5 +35,8 @@
 #[test]
 fn a_number_given_long_ago_is_not_let_in() {
     // Against a keeper that began a history, or lost its disk again: its old number stood in everybody's way for good.
-    assert_eq!((joining(0.0), joining(4000.0)), (vec!["b".to_string()], vec![]));
+    assert_eq!(
+        (joining(0.0), joining(4000.0)),
+        (vec!["b".to_string()], vec![])
+    );
 }
--- a/crates/keeper/tests/seeded.rs
+++ b/crates/keeper/tests/seeded.rs
@@ -140,7 +140,9 @@
     fn hand(&mut self, i: usize, input: Input<Pol>) {
         let (now, mut inputs) = (self.now, vec![input]);
         while let Some(input) = inputs.pop() {
-            let Some(member) = self.all[i].member.as_mut() else { return };
+            let Some(member) = self.all[i].member.as_mut() else {
+                return;
+            };
             for action in member.on(now, input) {
                 match action {
                     Action::Beat(beat) => {
@@ -154,7 +156,11 @@
                     }
                     Action::Examine { number, .. } => {
                         // One in twelve is refused, by whoever.
-                        let how = if self.below(12) == 0 { Err("no".to_string()) } else { Ok(()) };
+                        let how = if self.below(12) == 0 {
+                            Err("no".to_string())
+                        } else {
+                            Ok(())
+                        };
                         inputs.push(Input::Examined { number, how });
                     }
                     Action::Hold(..) | Action::Say(_) => {}
@@ -170,9 +176,15 @@
     /// All that is due in the next milliseconds.
     fn step(&mut self) {
         self.now += 5.0;
-        let due: Vec<(u64, u64)> = self.mail.range(..(self.now as u64, 0)).map(|m| *m.0).collect();
+        let due: Vec<(u64, u64)> = self
+            .mail
+            .range(..(self.now as u64, 0))
+            .map(|m| *m.0)
+            .collect();
         for key in due {
-            let Some((from, to, mail)) = self.mail.remove(&key) else { continue };
+            let Some((from, to, mail)) = self.mail.remove(&key) else {
+                continue;
+            };
             if self.now < self.all[to].stopped {
                 // It lies in the socket until the process goes on.
                 let at = self.all[to].stopped as u64 + 1;
@@ -192,7 +204,11 @@
                 let (_, save) = self.all[i].saving.take().unwrap();
                 self.all[i].image.take(save);
                 let now = self.now;
-                let outs = self.all[i].keeper.as_mut().map(|k| k.saved(now)).unwrap_or_default();
+                let outs = self.all[i]
+                    .keeper
+                    .as_mut()
+                    .map(|k| k.saved(now))
+                    .unwrap_or_default();
                 self.carry(i, outs);
             }
             let tick = self.now % TICK < 5.0;
@@ -206,7 +222,11 @@
                     }
                 }
             }
-            if self.all[i].member.as_ref().is_some_and(|m| m.due() <= self.now) {
+            if self.all[i]
+                .member
+                .as_ref()
+                .is_some_and(|m| m.due() <= self.now)
+            {
                 if self.now > self.all[i].heard + LEASE / 2.0 {
                     self.all[i].speaks_to = (self.all[i].speaks_to + 1) % KEEPERS;
                 }
@@ -233,14 +253,23 @@
                 }
             }
             Mail::Knock(name, id) => {
-                self.all[to].keeper.iter_mut().for_each(|k| k.knocked(name.clone(), id));
+                self.all[to]
+                    .keeper
+                    .iter_mut()
+                    .for_each(|k| k.knocked(name.clone(), id));
             }
             Mail::Library(bytes) => {
-                let outs = self.all[to].keeper.as_mut().map(|k| k.message(now, NAMES[from], &bytes));
+                let outs = self.all[to]
+                    .keeper
+                    .as_mut()
+                    .map(|k| k.message(now, NAMES[from], &bytes));
                 self.carry(to, outs.unwrap_or_default());
             }
             Mail::Beat(token, beat) => {
-                let outs = self.all[to].keeper.as_mut().map(|k| k.beat(now, token, beat));
+                let outs = self.all[to]
+                    .keeper
+                    .as_mut()
+                    .map(|k| k.beat(now, token, beat));
                 self.carry(to, outs.unwrap_or_default());
             }
         }
@@ -256,21 +285,42 @@
             }
         }
         let mut alone = None;
-        for (i, p) in self.all.iter().enumerate().skip(KEEPERS).filter(|(i, _)| self.runs(*i)) {
-            let Some(m) = p.member.as_ref().filter(|m| m.holds(self.now)) else { continue };
+        for (i, p) in self
+            .all
+            .iter()
+            .enumerate()
+            .skip(KEEPERS)
+            .filter(|(i, _)| self.runs(*i))
+        {
+            let Some(m) = p.member.as_ref().filter(|m| m.holds(self.now)) else {
+                continue;
+            };
             let pol = p.holding.expect("decides by no policy");
             let newer = self.marks.range(m.held().1 + 1..).next().map(|m| *m.1);
-            assert!(newer.is_none_or(|t| self.now < t + LEASE), "together: {i} is late");
+            assert!(
+                newer.is_none_or(|t| self.now < t + LEASE),
+                "together: {i} is late"
+            );
             if pol.0 == pol.1 {
-                assert!(self.decided.values().any(|d| *d == pol), "all or none: {pol:?} was never decided");
-                assert!(alone.is_none_or(|a| a == pol), "apart: {alone:?} and {pol:?}");
+                assert!(
+                    self.decided.values().any(|d| *d == pol),
+                    "all or none: {pol:?} was never decided"
+                );
+                assert!(
+                    alone.is_none_or(|a| a == pol),
+                    "apart: {alone:?} and {pol:?}"
+                );
                 alone = Some(pol);
             }
         }
     }
 
     fn crash(&mut self, i: usize, for_ms: f64, lost: bool) {
-        let number = if self.same_number { self.all[i].image.id } else { self.chance.next_u64() | 1 };
+        let number = if self.same_number {
+            self.all[i].image.id
+        } else {
+            self.chance.next_u64() | 1
+        };
         let p = &mut self.all[i];
         (p.keeper, p.member, p.holding, p.saving) = (None, None, None, None);
         p.down = self.now + for_ms;
@@ -280,8 +330,13 @@
     }
 
     fn chair(&self) -> Option<usize> {
-        (0..KEEPERS)
-            .find(|i| self.runs(*i) && self.all[*i].keeper.as_ref().is_some_and(|k| k.chair().is_some()))
+        (0..KEEPERS).find(|i| {
+            self.runs(*i)
+                && self.all[*i]
+                    .keeper
+                    .as_ref()
+                    .is_some_and(|k| k.chair().is_some())
+        })
     }
 
     fn ask(&mut self, commit: bool) -> bool {
@@ -290,26 +345,51 @@
         let upon = keeper.state().fleet.mark;
         self.asked += 1;
         let commit = commit.then(|| ("c".to_string(), 5000.0));
-        let (who, what, document) = ("op".to_string(), "set".to_string(), Pol(self.asked, self.asked));
-        let wish = Wish { token: self.asked, who, when: now, what, upon, document, commit };
-        let Ok(outs) = keeper.ask(now, Ask::Change(wish)) else { return false };
+        let (who, what, document) = (
+            "op".to_string(),
+            "set".to_string(),
+            Pol(self.asked, self.asked),
+        );
+        let wish = Wish {
+            token: self.asked,
+            who,
+            when: now,
+            what,
+            upon,
+            document,
+            commit,
+        };
+        let Ok(outs) = keeper.ask(now, Ask::Change(wish)) else {
+            return false;
+        };
         self.carry(i, outs);
         true
     }
 
     /// One fault or one operator's word.
     fn trouble(&mut self) {
-        let (what, i, ms) = (self.below(12), self.below(ALL as u64) as usize, self.below(6000) as f64);
+        let (what, i, ms) = (
+            self.below(12),
+            self.below(ALL as u64) as usize,
+            self.below(6000) as f64,
+        );
         match what {
             0..=2 => {
                 self.ask(what == 2);
             }
             3 => {
-                let id = if self.below(2) == 0 { Some("c".to_string()) } else { None };
+                let id = if self.below(2) == 0 {
+                    Some("c".to_string())
+                } else {
+                    None
+                };
                 if let Some(c) = self.chair() {
                     let ask = match id {
                         Some(id) => Ask::Confirm { id },
-                        None => Ask::Cancel { id: None, who: "op".into() },
+                        None => Ask::Cancel {
+                            id: None,
+                            who: "op".into(),
+                        },
                     };
                     let now = self.now;
                     let outs = self.all[c].keeper.as_mut().map(|k| k.ask(now, ask));
@@ -358,16 +438,21 @@
 
     fn whole(&self) -> bool {
         let newest = self.marks.last_key_value().map_or(0, |m| *m.0);
-        self.all[KEEPERS..]
+        self.all[KEEPERS..].iter().all(|p| {
+            p.member
+                .as_ref()
+                .is_some_and(|m| m.holds(self.now) && m.held().1 == newest)
+        }) && self.all[..KEEPERS]
             .iter()
-            .all(|p| p.member.as_ref().is_some_and(|m| m.holds(self.now) && m.held().1 == newest))
-            && self.all[..KEEPERS].iter().all(|p| p.keeper.as_ref().is_some_and(|k| !k.is_blank()))
+            .all(|p| p.keeper.as_ref().is_some_and(|k| !k.is_blank()))
     }
 
     /// Until all keepers vote and all members decide by the newest, or panics.
     fn settle(&mut self) {
         self.cut = Default::default();
-        self.all.iter_mut().for_each(|p| (p.down, p.stopped) = (p.down.min(self.now), self.now));
+        self.all
+            .iter_mut()
+            .for_each(|p| (p.down, p.stopped) = (p.down.min(self.now), self.now));
         let end = self.now + 120_000.0;
         while !self.whole() {
             assert!(self.now < end, "it does not settle: {}", self.told());
@@ -390,7 +475,10 @@
 
 #[test]
 fn seeded_days_of_faults_break_no_promise() {
-    let seeds = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(200);
+    let seeds = std::env::var("SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(200);
     let mut changes = 0;
     for seed in 1..=seeds {
         println!("seed {seed}");
@@ -437,7 +525,9 @@
     while w.now < end {
         w.step();
         // A chair without what was decided: history has been lost.
-        if w.chair().is_some_and(|c| w.all[c].keeper.as_ref().unwrap().state().fleet.mark < mark) {
+        if w.chair()
+            .is_some_and(|c| w.all[c].keeper.as_ref().unwrap().state().fleet.mark < mark)
+        {
             return true;
         }
     }
--- a/crates/mail/src/clock.rs
+++ b/crates/mail/src/clock.rs
@@ -11,8 +11,13 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     /// When it was started.
@@ -25,7 +30,11 @@
     }
 
     fn of(&self, instant: Instant) -> Ms {
-        self.unix + instant.saturating_duration_since(self.started).as_secs_f64() * 1000.0
+        self.unix
+            + instant
+                .saturating_duration_since(self.started)
+                .as_secs_f64()
+                * 1000.0
     }
 
     /// For timers: the instant of a point in time. Reckoned from the start, not from now, which would be read
--- a/crates/mail/src/lib.rs
+++ b/crates/mail/src/lib.rs
@@ -131,7 +131,9 @@
 
 /// Spreads a name over 64 bits, alike at every gateway (FNV-1a).
 pub fn number(name: &[u8]) -> u64 {
-    name.iter().fold(0xCBF2_9CE4_8422_2325, |h, b| (h ^ *b as u64).wrapping_mul(0x100_0000_01B3))
+    name.iter().fold(0xCBF2_9CE4_8422_2325, |h, b| {
+        (h ^ *b as u64).wrapping_mul(0x100_0000_01B3)
+    })
 }
 
 /// Work beyond so many longest hard limits is none that is meant.
--- a/crates/mail/src/pool.rs
+++ b/crates/mail/src/pool.rs
@@ -27,7 +27,12 @@
 impl Pool {
     pub fn of(bytes: usize) -> Rc<Self> {
         let most = (bytes / SIZE).max(2);
-        Rc::new(Pool { most, free: RefCell::default(), lent: Cell::new(0), back: Event::new() })
+        Rc::new(Pool {
+            most,
+            free: RefCell::default(),
+            lent: Cell::new(0),
+            back: Event::new(),
+        })
     }
 
     /// How many are lent, and the most that may be.
@@ -41,19 +46,30 @@
             self.lent.set(self.lent.get() + 1);
             let bytes = self.free.borrow_mut().pop();
             let bytes = bytes.unwrap_or_else(|| vec![0; SIZE].into_boxed_slice());
-            Buffer { bytes, from: 0, to: 0, pool: self.clone() }
+            Buffer {
+                bytes,
+                from: 0,
+                to: 0,
+                pool: self.clone(),
+            }
         })
     }
 
     /// A buffer for a message that needs many; none while a quarter are lent: half-sent ones must leave room
     /// to all others.
     pub fn lend_long(self: &Rc<Self>) -> Option<Buffer> {
-        (self.lent.get() < self.most / 4).then(|| self.lend()).flatten()
+        (self.lent.get() < self.most / 4)
+            .then(|| self.lend())
+            .flatten()
     }
 
     /// A buffer for new work, as soon as there is one to spare.
     pub async fn spare(self: &Rc<Self>) -> Buffer {
-        let to_spare = || (self.lent.get() < self.most - self.most / 2).then(|| self.lend()).flatten();
+        let to_spare = || {
+            (self.lent.get() < self.most - self.most / 2)
+                .then(|| self.lend())
+                .flatten()
+        };
         until(&self.back, to_spare).await
     }
 
@@ -65,7 +81,10 @@
 
 impl Drop for Buffer {
     fn drop(&mut self) {
-        self.pool.free.borrow_mut().push(std::mem::take(&mut self.bytes));
+        self.pool
+            .free
+            .borrow_mut()
+            .push(std::mem::take(&mut self.bytes));
         self.pool.lent.set(self.pool.lent.get() - 1);
         self.pool.back.notify(usize::MAX);
     }
@@ -140,7 +159,10 @@
         let mut b = Pool::of(SIZE).lend().unwrap();
         assert_eq!(b.append(&[1; SIZE + 1]), SIZE);
         b.consume(SIZE - 1);
-        assert_eq!((b.append(&[2; 9]), b.bytes()), (9, &[1, 2, 2, 2, 2, 2, 2, 2, 2, 2][..]));
+        assert_eq!(
+            (b.append(&[2; 9]), b.bytes()),
+            (9, &[1, 2, 2, 2, 2, 2, 2, 2, 2, 2][..])
+        );
         let chain = Chain(vec![b, Pool::of(SIZE).lend().unwrap()]);
         assert_eq!((chain.size(), chain.joined().len()), (10, 10));
     }
--- a/crates/mail/src/wait.rs
+++ b/crates/mail/src/wait.rs
@@ -39,7 +39,11 @@
 }
 
 /// The next thing in a mailbox; none when the time `due` comes first.
-pub async fn next<T>(clock: &Clock, mailbox: &Receiver<T>, due: Option<Ms>) -> Result<Option<T>, RecvError> {
+pub async fn next<T>(
+    clock: &Clock,
+    mailbox: &Receiver<T>,
+    due: Option<Ms>,
+) -> Result<Option<T>, RecvError> {
     let timer = async {
         time(clock, due).await;
         Ok(None)
--- a/crates/mail/tests/window.rs
+++ b/crates/mail/tests/window.rs
@@ -37,7 +37,10 @@
 impl Wait {
     fn until_rung(self) {
         let (rung, bell) = &*self.0 .0;
-        drop(bell.wait_while(rung.lock().unwrap(), |n| *n == self.1).unwrap());
+        drop(
+            bell.wait_while(rung.lock().unwrap(), |n| *n == self.1)
+                .unwrap(),
+        );
     }
 }
 
@@ -59,7 +62,13 @@
             let mut serial = 0;
             while let Ok(asked) = asked.recv() {
                 match asked {
-                    Asked::Show => show(&window, Snapshot { serial, ..Default::default() }),
+                    Asked::Show => show(
+                        &window,
+                        Snapshot {
+                            serial,
+                            ..Default::default()
+                        },
+                    ),
                     Asked::Amend(n) => {
                         serial = n;
                         done.send(()).unwrap();
--- a/crates/manage/src/desk.rs
+++ b/crates/manage/src/desk.rs
@@ -88,11 +88,25 @@
 enum Order {
     Look(oneshot::Sender<Arc<Tree>>),
     Set(Box<Set>),
-    Ask { ask: Box<Ask<Document>>, who: String, scope: Scope, answer: Answer },
-    Begin { anew: bool, who: String, answer: Answer },
+    Ask {
+        ask: Box<Ask<Document>>,
+        who: String,
+        scope: Scope,
+        answer: Answer,
+    },
+    Begin {
+        anew: bool,
+        who: String,
+        answer: Answer,
+    },
     Show(oneshot::Sender<Result<Json, Refused>>),
     Examine(Json, oneshot::Sender<Result<(), String>>),
-    Hold { mark: u64, number: u64, document: Json, answer: oneshot::Sender<Result<(), String>> },
+    Hold {
+        mark: u64,
+        number: u64,
+        document: Json,
+        answer: oneshot::Sender<Result<(), String>>,
+    },
 }
 
 struct Set {
@@ -142,7 +156,10 @@
 
     pub fn watch(&self) -> Watch {
         self.watching.fetch_add(1, Ordering::Relaxed);
-        Watch { trees: self.trees.clone(), watching: self.watching.clone() }
+        Watch {
+            trees: self.trees.clone(),
+            watching: self.watching.clone(),
+        }
     }
 
     /// Changes the settings, for good or until confirmed; the number of the revision that runs then.
@@ -157,7 +174,16 @@
         commit: Option<(String, Ms)>,
         scope: Scope,
     ) -> Result<u64, Refused> {
-        let asks = |answer| Order::Set(Box::new(Set { edits, who, what, commit, scope, answer }));
+        let asks = |answer| {
+            Order::Set(Box::new(Set {
+                edits,
+                who,
+                what,
+                commit,
+                scope,
+                answer,
+            }))
+        };
         self.told(asks).await.unwrap_or(Err(Refused::Ending))
     }
 
@@ -166,7 +192,12 @@
     /// # Errors
     /// Nothing of the kind waits, or the disk did not take it.
     pub async fn ask(&self, ask: Ask<Document>, who: String, scope: Scope) -> Result<u64, Refused> {
-        let asks = |answer| Order::Ask { ask: Box::new(ask), who, scope, answer };
+        let asks = |answer| Order::Ask {
+            ask: Box::new(ask),
+            who,
+            scope,
+            answer,
+        };
         self.told(asks).await.unwrap_or(Err(Refused::Ending))
     }
 
@@ -175,7 +206,9 @@
     /// # Errors
     /// It is in no fleet, a history has begun, or it is not lost.
     pub async fn begin(&self, anew: bool, who: String) -> Result<u64, Refused> {
-        self.told(|answer| Order::Begin { anew, who, answer }).await.unwrap_or(Err(Refused::Ending))
+        self.told(|answer| Order::Begin { anew, who, answer })
+            .await
+            .unwrap_or(Err(Refused::Ending))
     }
 
     /// What the fleet's chair knows.
@@ -191,7 +224,9 @@
     /// # Errors
     /// Why not.
     pub async fn examine(&self, document: Json) -> Result<(), String> {
-        self.told(|answer| Order::Examine(document, answer)).await.unwrap_or(Err("it ends".into()))
+        self.told(|answer| Order::Examine(document, answer))
+            .await
+            .unwrap_or(Err("it ends".into()))
     }
 
     /// Has the decisions go by a policy of the fleet; they do once this is answered.
@@ -199,7 +234,12 @@
     /// # Errors
     /// Why they can't, or don't yet.
     pub async fn hold(&self, mark: u64, number: u64, document: Json) -> Result<(), String> {
-        let hold = |answer| Order::Hold { mark, number, document, answer };
+        let hold = |answer| Order::Hold {
+            mark,
+            number,
+            document,
+            answer,
+        };
         self.told(hold).await.unwrap_or(Err("it ends".into()))
     }
 
@@ -246,16 +286,40 @@
 
 impl Manager {
     pub fn new(from: Started, name: &str, around: Around) -> (Manager, Desk) {
-        let Around { clock, window, requests, log, level, fleet } = around;
-        let Started { schema, origin, ledger, told, roll, leaves, journal, notes } = from;
+        let Around {
+            clock,
+            window,
+            requests,
+            log,
+            level,
+            fleet,
+        } = around;
+        let Started {
+            schema,
+            origin,
+            ledger,
+            told,
+            roll,
+            leaves,
+            journal,
+            notes,
+        } = from;
         notes.iter().for_each(|n| info!(log, "{}", n));
         let leaves = leaves.union(state::process(name, env!("CARGO_PKG_VERSION")));
         let leaves = state::revisions(&leaves, ledger.lines().iter());
         let (schema, watching) = (Arc::new(schema), Arc::new(AtomicUsize::new(0)));
         let (tell, orders) = mpsc::channel(MAILBOX);
-        let first = Arc::new(Tree { at: clock.now(), leaves: leaves.clone() });
+        let first = Arc::new(Tree {
+            at: clock.now(),
+            leaves: leaves.clone(),
+        });
         let (trees, seen) = watch::channel(first);
-        let desk = Desk { schema: schema.clone(), orders: tell, trees: seen, watching: watching.clone() };
+        let desk = Desk {
+            schema: schema.clone(),
+            orders: tell,
+            trees: seen,
+            watching: watching.clone(),
+        };
         let manager = Manager {
             schema,
             origin,
@@ -311,11 +375,18 @@
                     let _ = tell.send(self.trees.borrow().clone());
                 }
                 Some(Order::Set(set)) => self.set(*set).await,
-                Some(Order::Ask { ask, who, scope, answer }) => match self.meant(scope) {
+                Some(Order::Ask {
+                    ask,
+                    who,
+                    scope,
+                    answer,
+                }) => match self.meant(scope) {
                     Err(why) => drop(answer.send(Err(why))),
                     Ok(None) => drop(answer.send(self.hand(Input::Asked(*ask)).await)),
                     Ok(Some(fleet)) => match *ask {
-                        Ask::Confirm { id } => want(fleet, answer, |answer| Wanted::Confirm { id, answer }),
+                        Ask::Confirm { id } => {
+                            want(fleet, answer, |answer| Wanted::Confirm { id, answer })
+                        }
                         Ask::Cancel { id } => {
                             want(fleet, answer, |answer| Wanted::Cancel { id, who, answer })
                         }
@@ -329,7 +400,11 @@
                     Ok(Some(fleet)) => {
                         let document = serde_json::to_value(&self.told).unwrap_or_default();
                         want(fleet, answer, |answer| match anew {
-                            true => Wanted::Anew { document, who, answer },
+                            true => Wanted::Anew {
+                                document,
+                                who,
+                                answer,
+                            },
                             false => Wanted::Begin { document, answer },
                         });
                     }
@@ -339,8 +414,15 @@
                     Ok(Some(fleet)) => want(fleet, answer, Wanted::Show),
                     other => drop(answer.send(other.map(|_| Json::Null))),
                 },
-                Some(Order::Examine(document, answer)) => drop(answer.send(self.examine(document).map(drop))),
-                Some(Order::Hold { mark, number, document, answer }) => {
+                Some(Order::Examine(document, answer)) => {
+                    drop(answer.send(self.examine(document).map(drop)))
+                }
+                Some(Order::Hold {
+                    mark,
+                    number,
+                    document,
+                    answer,
+                }) => {
                     let how = self.hold(mark, number, document).await;
                     let _ = answer.send(how);
                 }
@@ -355,11 +437,23 @@
             (None, Scope::Gateway) => Ok(None),
             (Some(fleet), Scope::Fleet) => Ok(Some(fleet)),
             (None, Scope::Fleet) => no("this gateway is in no fleet"),
-            (Some(_), Scope::Gateway) => no("this gateway's settings are its fleet's: ironstair set --fleet"),
+            (Some(_), Scope::Gateway) => {
+                no("this gateway's settings are its fleet's: ironstair set --fleet")
+            }
         }
     }
 
-    async fn set(&mut self, Set { edits, who, what, commit, scope, answer }: Set) {
+    async fn set(
+        &mut self,
+        Set {
+            edits,
+            who,
+            what,
+            commit,
+            scope,
+            answer,
+        }: Set,
+    ) {
         if let Err(why) = self.meant(scope) {
             return drop(answer.send(Err(why)));
         }
@@ -376,7 +470,14 @@
             Ok(document) => document,
         };
         let Some(fleet) = &self.fleet else {
-            let how = self.hand(Input::Asked(Ask::Set { who, what, document, commit })).await;
+            let how = self
+                .hand(Input::Asked(Ask::Set {
+                    who,
+                    what,
+                    document,
+                    commit,
+                }))
+                .await;
             return drop(answer.send(how));
         };
         let Some(upon) = self.held.as_ref().map(|h| h.mark) else {
@@ -384,12 +485,21 @@
             return drop(answer.send(Err(Refused::Fleet(why))));
         };
         let document = serde_json::to_value(&document).unwrap_or_default();
-        want(fleet, answer, |answer| Wanted::Change { who, what, document, upon, commit, answer });
+        want(fleet, answer, |answer| Wanted::Change {
+            who,
+            what,
+            document,
+            upon,
+            commit,
+            answer,
+        });
     }
 
     /// What the decisions go by.
     fn running(&self) -> &Document {
-        self.held.as_ref().map_or(self.ledger.running(), |h| &h.document)
+        self.held
+            .as_ref()
+            .map_or(self.ledger.running(), |h| &h.document)
     }
 
     fn examine(&self, document: Json) -> Result<Document, String> {
@@ -398,24 +508,38 @@
         self.schema.settings(&document).map_err(|m| m.to_string())?;
         match plan(self.running(), &document, &self.roll, &self.origin.frame) {
             Ok(_) => Ok(document),
-            Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect::<Vec<_>>().join("; ")),
+            Err(faults) => Err(faults
+                .iter()
+                .map(|f| f.to_string())
+                .collect::<Vec<_>>()
+                .join("; ")),
         }
     }
 
     async fn hold(&mut self, mark: u64, number: u64, document: Json) -> Result<(), String> {
         let document = self.examine(document)?;
-        self.held = Some(Held { mark, number, document: document.clone() });
+        self.held = Some(Held {
+            mark,
+            number,
+            document: document.clone(),
+        });
         let taken = self.apply(number, document).await;
         self.publish();
         // Against telling the chair that it is held while the gateway's thread still goes by what was before.
-        taken.then_some(()).ok_or("the gateway's thread has not taken it over yet".into())
+        taken
+            .then_some(())
+            .ok_or("the gateway's thread has not taken it over yet".into())
     }
 
     /// The document that a change comes to, checked whole.
     fn candidate(&self, edits: &[Edit]) -> Result<Document, Vec<String>> {
-        let new = self.schema.edit(&self.leaves, edits).map_err(|m| vec![m.to_string()])?;
+        let new = self
+            .schema
+            .edit(&self.leaves, edits)
+            .map_err(|m| vec![m.to_string()])?;
         let document = self.schema.document(&new);
-        let document = document.map_err(|all| all.iter().map(|m| m.to_string()).collect::<Vec<_>>())?;
+        let document =
+            document.map_err(|all| all.iter().map(|m| m.to_string()).collect::<Vec<_>>())?;
         match plan(self.running(), &document, &self.roll, &self.origin.frame) {
             Ok(_) => Ok(document),
             Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect()),
@@ -424,16 +548,27 @@
 
     /// Whether each tenant whose pin changes may move to where it is pinned then.
     fn moves(&self, to: &Document) -> Result<(), Vec<String>> {
-        let (Some(cells), Some(keeper)) = (&to.cells, keeper(to)) else { return Ok(()) };
-        let engines = self.was.engines.iter().filter(|(_, e)| e.view.standing == ironstair::Standing::Ready);
-        let ready = engines.map(|(_, e)| keeper.engine(e.id)).fold(Cells::default(), Cells::with);
+        let (Some(cells), Some(keeper)) = (&to.cells, keeper(to)) else {
+            return Ok(());
+        };
+        let engines = self
+            .was
+            .engines
+            .iter()
+            .filter(|(_, e)| e.view.standing == ironstair::Standing::Ready);
+        let ready = engines
+            .map(|(_, e)| keeper.engine(e.id))
+            .fold(Cells::default(), Cells::with);
         let before = self.running().cells.iter().flat_map(|c| &c.tenant);
         let before: Vec<_> = before.collect();
         let moved = cells.tenant.iter().filter(|t| !before.contains(t));
         let refused = moved.filter_map(|t| {
             let there = keeper.tenant(number(t.name.as_bytes()));
             let why = may_move(there, ready, Cells::default()).err()?;
-            Some(format!("/settings/cells/tenant[name={}]/cell: {why}", t.name))
+            Some(format!(
+                "/settings/cells/tenant[name={}]/cell: {why}",
+                t.name
+            ))
         });
         let refused: Vec<String> = refused.collect();
         if refused.is_empty() {
@@ -468,7 +603,9 @@
 
     /// On a thread of its own: a slow disk holds up nobody who reads.
     async fn write(&mut self, record: Record<Document>) -> Result<(), String> {
-        let Some(mut journal) = self.journal.take() else { return Err("no journal".into()) };
+        let Some(mut journal) = self.journal.take() else {
+            return Err("no journal".into());
+        };
         // Not while one waits to be confirmed: what is written anew would not hold it.
         let anew = journal.wants_anew() && self.ledger.trial().is_none();
         let kept = anew.then(|| self.kept());
@@ -488,7 +625,13 @@
     fn kept(&self) -> Kept<Document> {
         let (number, running, lines) = self.ledger.firm();
         let next = self.ledger.next();
-        Kept { told: self.told.clone(), running, number, next, lines }
+        Kept {
+            told: self.told.clone(),
+            running,
+            number,
+            next,
+            lines,
+        }
     }
 
     /// Whether the gateway's thread has taken it over by the end.
@@ -508,17 +651,33 @@
         let (bands, longest) = bands(&self.roll, &document, &mandate);
         let (done, told) = async_channel::bounded(1);
         let cells = Some(keeper(&document));
-        let amendment = Amendment { mandate, bands, longest, cells, carriage: None, done };
-        let asked = self.requests.send(Request::Amend(Box::new(amendment))).await.is_ok();
+        let amendment = Amendment {
+            mandate,
+            bands,
+            longest,
+            cells,
+            carriage: None,
+            done,
+        };
+        let asked = self
+            .requests
+            .send(Request::Amend(Box::new(amendment)))
+            .await
+            .is_ok();
         let taken = asked && matches!(timeout(span(AMEND_WITHIN), told.recv()).await, Ok(Ok(())));
         if asked && !taken {
             warn!(self.log, "the gateway's thread is slow to take over the settings"; "revision" => number);
         }
         let root = Path::root().child(&"settings".into(), None);
-        let old = self.leaves.range(root.clone()..).take_while(|(p, _)| p.starts_with(&root));
+        let old = self
+            .leaves
+            .range(root.clone()..)
+            .take_while(|(p, _)| p.starts_with(&root));
         let old: Vec<Path> = old.map(|(p, _)| p.clone()).collect();
         old.iter().for_each(|p| drop(self.leaves.remove(p)));
-        settings.into_iter().for_each(|(path, value)| drop(self.leaves.insert(path, value)));
+        settings
+            .into_iter()
+            .for_each(|(path, value)| drop(self.leaves.insert(path, value)));
         // What is read after a change is of after it.
         self.looked = 0.0;
         self.set_level();
@@ -554,7 +713,11 @@
             Some(fleet) => state::fleet(&self.leaves, &fleet.shown.borrow()),
             None => self.leaves.clone(),
         };
-        let at = if self.was.at > 0.0 { self.was.at } else { self.clock.now() };
+        let at = if self.was.at > 0.0 {
+            self.was.at
+        } else {
+            self.clock.now()
+        };
         self.trees.send_replace(Arc::new(Tree { at, leaves }));
     }
 }
--- a/crates/manage/src/file.rs
+++ b/crates/manage/src/file.rs
@@ -47,8 +47,12 @@
         }
         let (records, whole, why) = decode(&bytes);
         let lost = bytes.len() - whole;
-        let note =
-            why.map(|why| format!("{}: {lost} bytes from {whole} on are left out ({why})", path.display()));
+        let note = why.map(|why| {
+            format!(
+                "{}: {lost} bytes from {whole} on are left out ({why})",
+                path.display()
+            )
+        });
         Ok((records, note))
     }
 
@@ -57,14 +61,24 @@
     /// # Errors
     /// As the disk has it.
     pub fn begin(folder: &Path, kept: &Kept<Document>) -> Result<Journal, String> {
-        let mut journal = Journal { folder: folder.to_path_buf(), file: None, whole: 0, records: 0 };
+        let mut journal = Journal {
+            folder: folder.to_path_buf(),
+            file: None,
+            whole: 0,
+            records: 0,
+        };
         journal.anew(kept)?;
         Ok(journal)
     }
 
     /// One that is not open yet: the next record needs [`Journal::anew`] first.
     pub fn closed(folder: &Path) -> Journal {
-        Journal { folder: folder.to_path_buf(), file: None, whole: 0, records: 0 }
+        Journal {
+            folder: folder.to_path_buf(),
+            file: None,
+            whole: 0,
+            records: 0,
+        }
     }
 
     pub fn wants_anew(&self) -> bool {
@@ -91,7 +105,11 @@
                 Ok(())
             }
             Err(e) => {
-                if file.set_len(self.whole).and_then(|()| file.sync_data()).is_err() {
+                if file
+                    .set_len(self.whole)
+                    .and_then(|()| file.sync_data())
+                    .is_err()
+                {
                     self.file = None;
                 }
                 Err(format!("{}: {e}", Self::path(&self.folder).display()))
--- a/crates/manage/src/start.rs
+++ b/crates/manage/src/start.rs
@@ -38,14 +38,26 @@
     folder: Option<&Path>,
 ) -> Result<Started, String> {
     let schema = Schema::shipped()?;
-    let told = Document { cells, ..Document::told(&mandate, names, limits, &frame) };
+    let told = Document {
+        cells,
+        ..Document::told(&mandate, names, limits, &frame)
+    };
     // What is read and set must be able to say what runs.
-    let leaves = schema.settings(&told).map_err(|m| format!("the settings do not fit the tree: {m}"))?;
+    let leaves = schema
+        .settings(&told)
+        .map_err(|m| format!("the settings do not fit the tree: {m}"))?;
     if let Err(faults) = plan(&told, &told, &Roll::of(&told), &frame) {
         let faults: Vec<String> = faults.iter().map(|f| f.to_string()).collect();
-        return Err(format!("the settings do not fit the tree: {}", faults.join("; ")));
+        return Err(format!(
+            "the settings do not fit the tree: {}",
+            faults.join("; ")
+        ));
     }
-    let origin = Origin { mandate, document: told.clone(), frame };
+    let origin = Origin {
+        mandate,
+        document: told.clone(),
+        frame,
+    };
     let mut notes = Vec::new();
     let (mut kept, mut roll) = (Kept::told(told.clone()), Roll::of(&told));
     let mut new_leaves = leaves;
@@ -67,7 +79,8 @@
                     }
                     Found::ToldAnew => {
                         notes.push(
-                            "the told settings have changed: they run, earlier revisions do not".into(),
+                            "the told settings have changed: they run, earlier revisions do not"
+                                .into(),
                         );
                     }
                 }
@@ -75,20 +88,36 @@
             }
             _ => {
                 let n = found.number;
-                notes.push(format!("revision {n} does not fit what is told any more: that runs"));
-                kept = Kept { next: found.next, ..kept };
+                notes.push(format!(
+                    "revision {n} does not fit what is told any more: that runs"
+                ));
+                kept = Kept {
+                    next: found.next,
+                    ..kept
+                };
             }
         }
     }
     let mut journal = None;
     if let Some(folder) = folder {
         journal = Some(Journal::begin(folder, &kept).unwrap_or_else(|why| {
-            notes.push(format!("revisions can't be kept, changes are refused: {why}"));
+            notes.push(format!(
+                "revisions can't be kept, changes are refused: {why}"
+            ));
             Journal::closed(folder)
         }));
     }
     let ledger = Ledger::new(kept, journal.is_some());
-    Ok(Started { schema, origin, ledger, told, roll, leaves: new_leaves, journal, notes })
+    Ok(Started {
+        schema,
+        origin,
+        ledger,
+        told,
+        roll,
+        leaves: new_leaves,
+        journal,
+        notes,
+    })
 }
 
 impl Started {
@@ -118,6 +147,10 @@
         expected: terms.expected,
         in_service: !terms.closed,
     });
-    let longest = document.band.iter().map(|b| b.hard_limit as f64).fold(1.0, f64::max);
+    let longest = document
+        .band
+        .iter()
+        .map(|b| b.hard_limit as f64)
+        .fold(1.0, f64::max);
     (told.collect(), longest)
 }
--- a/crates/manage/tests/journal.rs
+++ b/crates/manage/tests/journal.rs
@@ -8,11 +8,19 @@
 use std::path::Path;
 
 fn told() -> (Mandate, Vec<String>, Vec<f64>, Frame) {
-    let terms = Terms { expected: 1000.0, payoff: 1.0, threads: 1.0, ..Terms::default() };
+    let terms = Terms {
+        expected: 1000.0,
+        payoff: 1.0,
+        threads: 1.0,
+        ..Terms::default()
+    };
     let mandate = Mandate {
         gateways: 2.0,
         bands: vec![terms],
-        kinds: vec![Kind { cores: 8.0, memory_mb: 1.0 }],
+        kinds: vec![Kind {
+            cores: 8.0,
+            memory_mb: 1.0,
+        }],
         most_forwards: 4,
         cold_from: 0.3,
         warm_after: 15e3,
@@ -20,7 +28,10 @@
         fall_span: 1e3,
         ..Mandate::default()
     };
-    let frame = Frame { zones: vec!["a".into()], kinds: vec!["m".into()] };
+    let frame = Frame {
+        zones: vec!["a".into()],
+        kinds: vec!["m".into()],
+    };
     (mandate, vec!["lookup".into()], vec![5e3], frame)
 }
 
@@ -28,14 +39,31 @@
     let (mandate, names, limits, frame) = told();
     let started = open(mandate, &names, &limits, frame, None, Some(folder)).unwrap();
     // What the decision module begins with is what the ledger says runs.
-    assert_eq!(started.mandate().come_back_most, started.ledger.running().advice as f64);
+    assert_eq!(
+        started.mandate().come_back_most,
+        started.ledger.running().advice as f64
+    );
     (started.ledger.running().advice, started.notes)
 }
 
 fn set(number: u64, advice: u32, standing: Standing, base: &Document) -> Record<Document> {
     let (who, what) = ("op".to_string(), String::new());
-    let line = Line { number, who, when: 1e12, what, standing, commit: None, until: None };
-    Record::Set { line, document: Document { advice, ..base.clone() } }
+    let line = Line {
+        number,
+        who,
+        when: 1e12,
+        what,
+        standing,
+        commit: None,
+        until: None,
+    };
+    Record::Set {
+        line,
+        document: Document {
+            advice,
+            ..base.clone()
+        },
+    }
 }
 
 #[test]
@@ -57,7 +85,10 @@
     let folder = tempfile::tempdir().unwrap();
     for cut in (0..40).chain(from..=all.len()) {
         std::fs::write(folder.path().join("revisions.journal"), &all[..cut]).unwrap();
-        let whole = (0..=5).rev().find(|&n| parts[..n].concat().len() <= cut).unwrap();
+        let whole = (0..=5)
+            .rev()
+            .find(|&n| parts[..n].concat().len() <= cut)
+            .unwrap();
         let (advice, notes) = advice_after(folder.path());
         assert_eq!(advice, runs[whole], "{cut}");
         let torn = parts[..whole].concat().len() < cut;
@@ -65,7 +96,11 @@
         assert_eq!(lines, torn as usize, "one line, at {cut}: {notes:?}");
         // The start wrote it anew: the next one finds it whole and the same.
         let (again, notes) = advice_after(folder.path());
-        assert_eq!((again, notes.iter().any(|n| n.contains("left out"))), (advice, false), "{cut}");
+        assert_eq!(
+            (again, notes.iter().any(|n| n.contains("left out"))),
+            (advice, false),
+            "{cut}"
+        );
     }
 }
 
@@ -78,7 +113,9 @@
     let mut number = 0;
     while !journal.wants_anew() {
         number += 1;
-        journal.append(&set(number, number as u32, Standing::Running, &base)).unwrap();
+        journal
+            .append(&set(number, number as u32, Standing::Running, &base))
+            .unwrap();
         assert!(number < 1000, "no bound");
     }
     assert_eq!(advice_after(folder.path()).0, number as u32);
@@ -90,6 +127,11 @@
 fn what_is_told_and_does_not_fit_the_tree_is_refused_by_its_field() {
     let (mut mandate, names, limits, frame) = told();
     mandate.bands[0].payoff = 0.0;
-    let why = open(mandate, &names, &limits, frame, None, None).err().unwrap();
-    assert!(why.contains("/settings/band[name=lookup]/payoff: 0.0 is outside"), "{why}");
+    let why = open(mandate, &names, &limits, frame, None, None)
+        .err()
+        .unwrap();
+    assert!(
+        why.contains("/settings/band[name=lookup]/payoff: 0.0 is outside"),
+        "{why}"
+    );
 }
