--- a/crates/mandate/src/lib.rs
+++ b/crates/mandate/src/lib.rs
@@ -13,7 +13,10 @@
 
 fn number(v: &Value, path: &str) -> Result<f64, String> {
     let found = at(v, path).ok_or_else(|| format!("{path} is missing"))?;
-    found.as_f64().filter(|x| x.is_finite() && *x >= 0.0).ok_or_else(|| format!("{path} is not a number"))
+    found
+        .as_f64()
+        .filter(|x| x.is_finite() && *x >= 0.0)
+        .ok_or_else(|| format!("{path} is not a number"))
 }
 
 fn time(v: &Value, path: &str) -> Result<Ms, String> {
@@ -25,24 +28,35 @@
 }
 
 fn flag(v: &Value, path: &str) -> Result<bool, String> {
-    at(v, path).map_or(Ok(false), |f| f.as_bool().ok_or_else(|| format!("{path} is not true or false")))
+    at(v, path).map_or(Ok(false), |f| {
+        f.as_bool()
+            .ok_or_else(|| format!("{path} is not true or false"))
+    })
 }
 
 /// A text that must be there.
 pub fn word<'a>(v: &'a Value, path: &str) -> Result<&'a str, String> {
-    at(v, path).and_then(Value::as_str).ok_or_else(|| format!("{path} is missing or no text"))
+    at(v, path)
+        .and_then(Value::as_str)
+        .ok_or_else(|| format!("{path} is missing or no text"))
 }
 
 fn list<'a>(v: &'a Value, path: &str) -> Result<&'a Vec<Value>, String> {
-    at(v, path).and_then(Value::as_array).ok_or_else(|| format!("{path} is missing or no list"))
+    at(v, path)
+        .and_then(Value::as_array)
+        .ok_or_else(|| format!("{path} is missing or no list"))
 }
 
 fn numbers(v: &Value, path: &str) -> Result<Option<Vec<u16>>, String> {
     if at(v, path).is_none() {
         return Ok(None);
     }
-    let all = list(v, path)?.iter().map(|x| x.as_u64().and_then(|x| u16::try_from(x).ok()));
-    all.collect::<Option<_>>().map(Some).ok_or_else(|| format!("{path} holds what is no index"))
+    let all = list(v, path)?
+        .iter()
+        .map(|x| x.as_u64().and_then(|x| u16::try_from(x).ok()));
+    all.collect::<Option<_>>()
+        .map(Some)
+        .ok_or_else(|| format!("{path} holds what is no index"))
 }
 
 fn terms(c: &Value, threads: f64, holds: bool) -> Result<Terms, String> {
@@ -79,7 +93,11 @@
 
 /// One figure of a list, of 1 or more; where there is no list, or it ends before, what stands for it.
 fn one_of(v: &Value, path: &str, i: usize, absent: f64) -> Result<f64, String> {
-    match at(v, path).map(|_| list(v, path)).transpose()?.and_then(|l| l.get(i)) {
+    match at(v, path)
+        .map(|_| list(v, path))
+        .transpose()?
+        .and_then(|l| l.get(i))
+    {
         None => Ok(absent),
         Some(x) => x
             .as_f64()
@@ -127,12 +145,18 @@
 
 /// The bands' hard limits, in the order of the bands.
 pub fn limits(v: &Value) -> Result<Vec<Ms>, String> {
-    list(v, "classes")?.iter().map(|c| time(c, "give_up_ns")).collect()
+    list(v, "classes")?
+        .iter()
+        .map(|c| time(c, "give_up_ns"))
+        .collect()
 }
 
 /// The names that a protocol uses for what the decisions know by index.
 pub fn bands(v: &Value) -> Result<Vec<String>, String> {
-    list(v, "classes")?.iter().map(|c| word(c, "name").map(String::from)).collect()
+    list(v, "classes")?
+        .iter()
+        .map(|c| word(c, "name").map(String::from))
+        .collect()
 }
 
 pub fn zones(v: &Value) -> Result<Vec<String>, String> {
@@ -144,8 +168,11 @@
 }
 
 fn names(v: &Value, path: &str) -> Result<Vec<String>, String> {
-    let text =
-        |n: &Value| n.as_str().map(String::from).ok_or_else(|| format!("{path} holds what is no text"));
+    let text = |n: &Value| {
+        n.as_str()
+            .map(String::from)
+            .ok_or_else(|| format!("{path} holds what is no text"))
+    };
     list(v, path)?.iter().map(text).collect()
 }
 
@@ -166,13 +193,17 @@
             ] {
                 let known = at(v, names).and_then(Value::as_array).map_or(0, Vec::len);
                 if let Some(past) = told.iter().flatten().find(|x| **x as usize >= known) {
-                    return Err(format!("classes[{i}]: {field} names {past}, and {names} has {known}"));
+                    return Err(format!(
+                        "classes[{i}]: {field} names {past}, and {names} has {known}"
+                    ));
                 }
             }
             Ok(terms)
         })
         .collect::<Result<Vec<_>, String>>()?;
-    let kinds = at(v, "machine_types").and_then(Value::as_array).map_or(0, Vec::len);
+    let kinds = at(v, "machine_types")
+        .and_then(Value::as_array)
+        .map_or(0, Vec::len);
     let kinds = (0..kinds).map(|i| {
         Ok(Kind {
             cores: one_of(v, "family_info.size_cores", i, 1.0)?,
@@ -187,14 +218,21 @@
             span: time(v, "guarantees.budget_span_ns")?,
         }),
     };
-    let reports = at(v, "report.fields").and_then(Value::as_array).into_iter().flatten();
+    let reports = at(v, "report.fields")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten();
     let reports = reports.map(|f| match f.as_str() {
         Some("load_share" | "x0" | "x1") => Load::Share,
         Some("concurrent") => Load::Held,
         _ => Load::Other,
     });
     let ordered = bands.iter().any(|b| b.in_order);
-    let key_rest = if ordered { time(v, "guarantees.settle_after_doubt_ns")? } else { 0.0 };
+    let key_rest = if ordered {
+        time(v, "guarantees.settle_after_doubt_ns")?
+    } else {
+        0.0
+    };
     let advised = flag(v, "policy_limits.retry_after")?;
     Ok(Mandate {
         gateways: number(v, "fleet_size")?.max(1.0),
@@ -215,7 +253,11 @@
         may_withdraw: flag(v, "policy_limits.may_cancel")?,
         may_probe: flag(v, "policy_limits.probes")?,
         reports: reports.collect(),
-        come_back_most: if advised { time(v, "policy_limits.max_retry_after_ns")? } else { 0.0 },
+        come_back_most: if advised {
+            time(v, "policy_limits.max_retry_after_ns")?
+        } else {
+            0.0
+        },
         most_forwards: number(v, "policy_limits.max_attempts")?.clamp(0.0, 255.0) as u8,
         must_subscribe: word(v, "registry_mode")? == "subscribe",
         cold_from: number(v, "guarantees.cold_from")?,
--- a/crates/muster/src/actor.rs
+++ b/crates/muster/src/actor.rs
@@ -142,7 +142,10 @@
 
 /// Not 0, which stands for none.
 fn drawn() -> u64 {
-    std::collections::hash_map::RandomState::new().build_hasher().finish() | 1
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
+        | 1
 }
 
 impl Opened {
@@ -152,13 +155,28 @@
         let bound = serve::bind(charter.listen)?;
         // Held to the process's end, also where this thread ends before: the gateway's decides by its lease still, and
         // a later process that could listen here would count this one as gone.
-        std::mem::forget(bound.try_clone().map_err(|e| format!("fleet.listen: {e}"))?);
+        std::mem::forget(
+            bound
+                .try_clone()
+                .map_err(|e| format!("fleet.listen: {e}"))?,
+        );
         let archive = charter.folder.as_ref();
-        let number = if taken_out("number") { named(&charter.name) } else { drawn() };
+        let number = if taken_out("number") {
+            named(&charter.name)
+        } else {
+            drawn()
+        };
         let open = |folder| Archive::open(folder, &charter.fleet, &charter.name, number);
-        let archive = archive.map(|f| open(f).map_err(|e| format!("fleet.state: {e}"))).transpose()?;
+        let archive = archive
+            .map(|f| open(f).map_err(|e| format!("fleet.state: {e}")))
+            .transpose()?;
         let (archive, note) = archive.map_or((None, None), |a| (Some(a.archive), a.note));
-        Ok(Opened { charter, bound, archive, note })
+        Ok(Opened {
+            charter,
+            bound,
+            archive,
+            note,
+        })
     }
 }
 
@@ -214,18 +232,33 @@
         clock: Clock,
         log: Logger,
     ) -> Result<(Actor, Leave), String> {
-        let Opened { charter, bound, archive, note } = opened;
-        let own = Own { fleet: charter.fleet.clone(), name: charter.name.clone(), start: drawn() };
+        let Opened {
+            charter,
+            bound,
+            archive,
+            note,
+        } = opened;
+        let own = Own {
+            fleet: charter.fleet.clone(),
+            name: charter.name.clone(),
+            start: drawn(),
+        };
         let (post, inbox) = mpsc::channel(MAILBOX);
         if let Some(note) = note {
             warn!(log, "the fleet's log here is not what it was"; "why" => note);
         }
-        let others = charter.keepers.iter().filter(|(name, _)| **name != charter.name);
+        let others = charter
+            .keepers
+            .iter()
+            .filter(|(name, _)| **name != charter.name);
         let ways = others.map(|(name, at)| Ok((name.clone(), Way::to(*at)?)));
         let ways = ways.collect::<Result<BTreeMap<_, _>, String>>()?;
         let member = Member::new(&charter.name, own.start, charter.steady, charter.lease);
-        let member =
-            member.holding(if taken_out("place") { String::new() } else { serve::place(charter.listen) });
+        let member = member.holding(if taken_out("place") {
+            String::new()
+        } else {
+            serve::place(charter.listen)
+        });
         let serving = serve::serve(bound, own.clone(), post.clone(), log.clone());
         let said = log.clone();
         tokio::spawn(async move {
@@ -267,7 +300,12 @@
 
     /// A keeper with what its disk holds.
     fn keep(&mut self, archive: Archive) -> Result<(), String> {
-        let place = self.charter.keepers.keys().position(|k| *k == self.charter.name).unwrap_or(0);
+        let place = self
+            .charter
+            .keepers
+            .keys()
+            .position(|k| *k == self.charter.name)
+            .unwrap_or(0);
         let (name, lease, now) = (&self.charter.name, self.charter.lease, self.clock.now());
         let keeper = Keeper::open(name, place, lease, archive.image(), now, &self.log)?;
         let history = keeper.state().fleet.history;
@@ -277,8 +315,14 @@
         // Only what comes to pass from now on is news.
         self.lines.clone_from(&keeper.state().fleet.lines);
         let archive = Some(archive);
-        self.kept =
-            Some(Kept { keeper, archive, older: None, knock_at: now, compare_at: now, disk_said: false });
+        self.kept = Some(Kept {
+            keeper,
+            archive,
+            older: None,
+            knock_at: now,
+            compare_at: now,
+            disk_said: false,
+        });
         Ok(())
     }
 
@@ -313,7 +357,10 @@
                 None => drop(to.send(Err(Hint::default()))),
             },
             Mail::Agree(from, bytes) => {
-                let outs = self.kept.as_mut().map(|k| k.keeper.message(now, &from, &bytes));
+                let outs = self
+                    .kept
+                    .as_mut()
+                    .map(|k| k.keeper.message(now, &from, &bytes));
                 self.carry(outs.unwrap_or_default());
             }
             Mail::Knock(name, number, to) => {
@@ -326,7 +373,11 @@
                 }
                 // A blank one may remember what its disk knows no more.
                 let of_disk = k.keeper.state().fleet.history;
-                let _ = to.send(if of_disk == 0 { self.member.held().0 } else { of_disk });
+                let _ = to.send(if of_disk == 0 {
+                    self.member.held().0
+                } else {
+                    of_disk
+                });
             }
             Mail::Ask(asked, to) => self.asked(asked, to),
             Mail::Answered(answer) => {
@@ -360,7 +411,10 @@
             Mail::KnownAnew(how, anew) => self.begin_anew(how, anew),
             Mail::Heard(history) => {
                 self.hear_of(history);
-                let own = self.kept.as_ref().map_or(0, |k| k.keeper.state().fleet.history);
+                let own = self
+                    .kept
+                    .as_ref()
+                    .map_or(0, |k| k.keeper.state().fleet.history);
                 if own != 0 && supersedes(history, own) && !taken_out("compare") {
                     self.leave_the_older("the fleet's history began anew without this keeper");
                 }
@@ -395,9 +449,14 @@
         if held != self.held {
             self.held = held;
             match held {
-                true => info!(self.log, "the fleet's policy is held"; "revision" => self.member.held().2),
+                true => {
+                    info!(self.log, "the fleet's policy is held"; "revision" => self.member.held().2)
+                }
                 false => {
-                    warn!(self.log, "the fleet was not heard for a lease: nothing is forwarded until it is");
+                    warn!(
+                        self.log,
+                        "the fleet was not heard for a lease: nothing is forwarded until it is"
+                    );
                 }
             }
         }
@@ -411,7 +470,10 @@
             keeper: self.kept.is_some(),
             chair: self.chair().unwrap_or_default(),
             share: self.charter.counts.then(|| self.member.share()),
-            members: self.kept.as_ref().map_or(Vec::new(), |k| shown::members(&k.keeper)),
+            members: self
+                .kept
+                .as_ref()
+                .map_or(Vec::new(), |k| shown::members(&k.keeper)),
         };
         self.shown.send_if_modified(|was| {
             let other = *was != is;
@@ -442,7 +504,8 @@
         if now >= k.compare_at {
             k.compare_at = now + COMPARE_EVERY;
             for way in self.ways.values() {
-                let (way, word, post) = (way.clone(), self.own.word(b"0".to_vec()), self.post.clone());
+                let (way, word, post) =
+                    (way.clone(), self.own.word(b"0".to_vec()), self.post.clone());
                 tokio::spawn(async move {
                     let known = way.knock(word, COMPARE_EVERY).await;
                     if let Some(Ok(history)) = known.ok().map(|w| serde_json::from_slice(&w.body)) {
@@ -459,7 +522,11 @@
         for action in self.member.on(self.clock.now(), input) {
             match action {
                 Action::Beat(beat) => self.send(beat),
-                Action::Apply { mark, number, document } => {
+                Action::Apply {
+                    mark,
+                    number,
+                    document,
+                } => {
                     let (desk, post) = (self.desk.clone(), self.post.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("hold") {
@@ -480,7 +547,11 @@
                     });
                 }
                 Action::Hold(until, share) => {
-                    let until = if taken_out("tenure") { Ms::INFINITY } else { until };
+                    let until = if taken_out("tenure") {
+                        Ms::INFINITY
+                    } else {
+                        until
+                    };
                     // Against a mailbox that is full just then: a steady one is told once, and for good.
                     let share = Some(share).filter(|_| self.charter.counts);
                     if let Err(full) = self.requests.try_send(Request::Tenure(until, share)) {
@@ -503,12 +574,21 @@
     /// The gateway's own beat goes to the chair: here, or by the way to it.
     fn send(&mut self, mut beat: Beat) {
         beat.steady &= !taken_out("says-steady");
-        let here = self.kept.as_ref().is_some_and(|k| k.keeper.leader() == Some(&self.charter.name));
+        let here = self
+            .kept
+            .as_ref()
+            .is_some_and(|k| k.keeper.leader() == Some(&self.charter.name));
         if here {
             return self.beat(beat, Waits::Own);
         }
         // One search at a time: while no keeper is the chair, hundreds of members would ask for it together.
-        if self.beats >= if self.chair().is_some() { BEATS_MOST } else { 1 } {
+        if self.beats
+            >= if self.chair().is_some() {
+                BEATS_MOST
+            } else {
+                1
+            }
+        {
             return;
         }
         self.beats += 1;
@@ -566,7 +646,9 @@
     }
 
     fn save(&mut self, save: Save) {
-        let Some(mut archive) = self.kept.as_mut().and_then(|k| k.archive.take()) else { return };
+        let Some(mut archive) = self.kept.as_mut().and_then(|k| k.archive.take()) else {
+            return;
+        };
         let post = self.post.clone();
         tokio::spawn(async move {
             let work = tokio::task::spawn_blocking(move || {
@@ -593,7 +675,9 @@
                 warn!(self.log, "the fleet's log can't be kept: this keeper takes no part until it can"; "why" => why);
             }
             let post = self.post.clone();
-            let Some(mut archive) = k.archive.take() else { return };
+            let Some(mut archive) = k.archive.take() else {
+                return;
+            };
             tokio::spawn(async move {
                 sleep(span(DISK_AGAIN)).await;
                 let work = tokio::task::spawn_blocking(move || {
@@ -617,7 +701,9 @@
     fn leave_the_older(&mut self, why: &'static str) {
         let Some(k) = &mut self.kept else { return };
         k.older = Some(why);
-        let Some(mut archive) = k.archive.take() else { return };
+        let Some(mut archive) = k.archive.take() else {
+            return;
+        };
         let how = archive.put_aside(drawn());
         self.kept = None;
         match how.and_then(|aside| self.keep(archive).map(|()| aside)) {
@@ -634,31 +720,59 @@
             drop(answer.send(Err(Refused::Fleet(why.into()))));
         };
         match wanted {
-            Wanted::Change { who, what, document, upon, commit, answer } => {
+            Wanted::Change {
+                who,
+                what,
+                document,
+                upon,
+                commit,
+                answer,
+            } => {
                 let commit = commit.filter(|_| !taken_out("trial"));
                 let when = now;
-                let wish = Wish { token: drawn(), who, when, what, upon, document, commit };
+                let wish = Wish {
+                    token: drawn(),
+                    who,
+                    when,
+                    what,
+                    upon,
+                    document,
+                    commit,
+                };
                 self.ask(Ask::Change(wish), answer);
             }
             Wanted::Confirm { id, answer } => self.ask(Ask::Confirm { id }, answer),
-            Wanted::Cancel { id, who, answer } => self.ask(Ask::Cancel { id: Some(id), who }, answer),
+            Wanted::Cancel { id, who, answer } => {
+                self.ask(Ask::Cancel { id: Some(id), who }, answer)
+            }
             Wanted::Show(answer) => {
                 let (search, own) = (self.search(), self.post.clone());
                 tokio::spawn(async move {
-                    let _ = answer.send(match search.ask(own, Asked::Show, OUTCOME_LEAST / 3.0).await {
-                        Told::Shown(json) => Ok(json),
-                        Told::Refused(why) => Err(Refused::Fleet(why)),
-                        _ => Err(Refused::Fleet("no chair".into())),
-                    });
+                    let _ = answer.send(
+                        match search.ask(own, Asked::Show, OUTCOME_LEAST / 3.0).await {
+                            Told::Shown(json) => Ok(json),
+                            Told::Refused(why) => Err(Refused::Fleet(why)),
+                            _ => Err(Refused::Fleet("no chair".into())),
+                        },
+                    );
                 });
             }
-            Wanted::Anew { document, who, answer } => self.look_before_anew(document, who, answer),
+            Wanted::Anew {
+                document,
+                who,
+                answer,
+            } => self.look_before_anew(document, who, answer),
             Wanted::Begin { document, answer } => {
                 let first = self.charter.keepers.keys().next();
-                let Some(k) = &self.kept else { return fail(answer, "only a keeper begins a history") };
+                let Some(k) = &self.kept else {
+                    return fail(answer, "only a keeper begins a history");
+                };
                 if first != Some(&self.charter.name) {
                     // In one place alone, so that no two can begin.
-                    let why = format!("a history is begun at the keeper {}", first.map_or("", |f| f));
+                    let why = format!(
+                        "a history is begun at the keeper {}",
+                        first.map_or("", |f| f)
+                    );
                     return fail(answer, &why);
                 }
                 if !k.keeper.is_blank() || k.archive.is_none() {
@@ -668,7 +782,9 @@
                 tokio::spawn(async move {
                     let mut how = Ok(());
                     for (name, way) in ways {
-                        let known = way.knock(own.word(b"0".to_vec()), OUTCOME_LEAST / 3.0).await;
+                        let known = way
+                            .knock(own.word(b"0".to_vec()), OUTCOME_LEAST / 3.0)
+                            .await;
                         how = how.and(match known.as_ref().map(|w| serde_json::from_slice::<u64>(&w.body)) {
                             Ok(Ok(0)) => Ok(()),
                             Ok(Ok(_)) => Err(format!(
@@ -684,15 +800,25 @@
         }
     }
 
-    fn begin(&mut self, how: Result<(), String>, document: Json, answer: ironstair_manage::fleet::Answer) {
+    fn begin(
+        &mut self,
+        how: Result<(), String>,
+        document: Json,
+        answer: ironstair_manage::fleet::Answer,
+    ) {
         let made = how.and_then(|()| {
             let Some(k) = self.kept.as_mut().filter(|k| k.keeper.is_blank()) else {
                 return Err("the fleet has a history".into());
             };
             let mut archive = k.archive.take().ok_or("the disk is being written")?;
             // Under the number that it has given to others already.
-            let image =
-                Keeper::begin(&self.charter.name, archive.image().id, first(drawn()), document, None)?;
+            let image = Keeper::begin(
+                &self.charter.name,
+                archive.image().id,
+                first(drawn()),
+                document,
+                None,
+            )?;
             let begun = archive.begin(image);
             self.kept = None;
             self.keep(archive).and(begun)
@@ -701,13 +827,22 @@
     }
 
     /// After most keepers' disks were lost for good, with what is left here; not while a chair answers.
-    fn look_before_anew(&mut self, document: Json, who: String, answer: ironstair_manage::fleet::Answer) {
+    fn look_before_anew(
+        &mut self,
+        document: Json,
+        who: String,
+        answer: ironstair_manage::fleet::Answer,
+    ) {
         if self.kept.is_none() {
             let why = "only a keeper begins a history anew".into();
             return drop(answer.send(Err(Refused::Fleet(why))));
         }
-        let (lease, ways, own, post) =
-            (self.charter.lease, self.ways.clone(), self.own.clone(), self.post.clone());
+        let (lease, ways, own, post) = (
+            self.charter.lease,
+            self.ways.clone(),
+            self.own.clone(),
+            self.post.clone(),
+        );
         // Twice, and between them the longest lease that a chair which ended just now can have left.
         let searches = [(self.search(), grace(lease)), (self.search(), 0.0)];
         tokio::spawn(async move {
@@ -715,7 +850,9 @@
             for (search, then) in searches {
                 if let Told::Shown(shown) = search.ask(post.clone(), Asked::Show, lease).await {
                     let chair = shown["chair"].as_str().unwrap_or("one").to_string();
-                    how = Err(format!("{chair} is the chair: the fleet's history is not lost"));
+                    how = Err(format!(
+                        "{chair} is the chair: the fleet's history is not lost"
+                    ));
                     break;
                 }
                 sleep(span(then)).await;
@@ -723,14 +860,34 @@
             if let Ok(known) = &mut how {
                 for way in ways.values() {
                     let told = way.knock(own.word(b"0".to_vec()), lease).await;
-                    known.extend(told.ok().and_then(|w| serde_json::from_slice::<u64>(&w.body).ok()));
+                    known.extend(
+                        told.ok()
+                            .and_then(|w| serde_json::from_slice::<u64>(&w.body).ok()),
+                    );
                 }
             }
-            let _ = post.send(Mail::KnownAnew(how, Anew { document, who, answer })).await;
+            let _ = post
+                .send(Mail::KnownAnew(
+                    how,
+                    Anew {
+                        document,
+                        who,
+                        answer,
+                    },
+                ))
+                .await;
         });
     }
 
-    fn begin_anew(&mut self, how: Result<Vec<u64>, String>, Anew { document, who, answer }: Anew) {
+    fn begin_anew(
+        &mut self,
+        how: Result<Vec<u64>, String>,
+        Anew {
+            document,
+            who,
+            answer,
+        }: Anew,
+    ) {
         let made = how.and_then(|mut known| {
             let k = self.kept.as_mut().ok_or("this gateway is no keeper any more")?;
             if k.keeper.chair().is_some() {
@@ -787,9 +944,15 @@
     /// At this keeper: an ask is handed to the chair, and answered once it is known what became of it.
     fn asked(&mut self, asked: Asked, to: oneshot::Sender<Told>) {
         let now = self.clock.now();
-        let elsewhere = Told::Elsewhere(Hint { chair: self.chair() });
-        let Some(k) = &mut self.kept else { return drop(to.send(elsewhere)) };
-        let Some(chair) = k.keeper.chair() else { return drop(to.send(elsewhere)) };
+        let elsewhere = Told::Elsewhere(Hint {
+            chair: self.chair(),
+        });
+        let Some(k) = &mut self.kept else {
+            return drop(to.send(elsewhere));
+        };
+        let Some(chair) = k.keeper.chair() else {
+            return drop(to.send(elsewhere));
+        };
         let ask = match asked {
             Asked::Ask(ask) => ask,
             Asked::Show => {
@@ -801,9 +964,10 @@
             return drop(to.send(Told::Refused(Refusal::Busy.to_string())));
         }
         let ask = match ask {
-            Ask::Change(wish) if taken_out("upon") => {
-                Ask::Change(Wish { upon: k.keeper.state().fleet.mark, ..wish })
-            }
+            Ask::Change(wish) if taken_out("upon") => Ask::Change(Wish {
+                upon: k.keeper.state().fleet.mark,
+                ..wish
+            }),
             ask => ask,
         };
         // One that comes again by another way stands in the log already.
@@ -814,7 +978,11 @@
             }
         }
         let until = now + self.outcome_within();
-        self.pending.push(Pending { ask, until, answer: to });
+        self.pending.push(Pending {
+            ask,
+            until,
+            answer: to,
+        });
     }
 
     fn answer_the_pending(&mut self) {
@@ -825,15 +993,22 @@
         let chair = self.chair();
         let mut again = Vec::new();
         for p in std::mem::take(&mut self.pending) {
-            let found = self.kept.as_ref().and_then(|k| Some((k, k.keeper.chair()?)));
+            let found = self
+                .kept
+                .as_ref()
+                .and_then(|k| Some((k, k.keeper.chair()?)));
             let Some((k, sits)) = found else {
-                let _ = p.answer.send(Told::Elsewhere(Hint { chair: chair.clone() }));
+                let _ = p.answer.send(Told::Elsewhere(Hint {
+                    chair: chair.clone(),
+                }));
                 continue;
             };
             let fleet = &k.keeper.state().fleet;
             let told = match outcome(fleet, &p.ask) {
                 // Who hears that it is done finds it done wherever he looks next.
-                Outcome::Known(Told::Done(_)) if now < p.until && !sits.all_hold(now, fleet) => None,
+                Outcome::Known(Told::Done(_)) if now < p.until && !sits.all_hold(now, fleet) => {
+                    None
+                }
                 Outcome::Known(told) => Some(told),
                 Outcome::Unknown if !sits.waits(&p.ask) => {
                     again.push(p);
@@ -892,7 +1067,9 @@
 /// An older version is played by one that can't read a field.
 fn readable(document: &Json) -> Result<(), String> {
     let knows = !taken_out("advice") || document["advice"].as_u64().unwrap_or(0) == 0;
-    knows.then_some(()).ok_or("this version can't read it: unknown field `advice`".into())
+    knows
+        .then_some(())
+        .ok_or("this version can't read it: unknown field `advice`".into())
 }
 
 /// Also a disk that is slow or full, for tests.
@@ -901,7 +1078,11 @@
         std::thread::sleep(span(1000.0));
     }
     if taken_out("room") && archive.folder().join("full").exists() {
-        return if taken_out("kept") { Ok(()) } else { Err("No space left on device".into()) };
+        return if taken_out("kept") {
+            Ok(())
+        } else {
+            Err("No space left on device".into())
+        };
     }
     archive.save(save.clone())
 }
@@ -934,14 +1115,27 @@
 fn outcome(fleet: &ironstair_accord::Fleet<Json>, ask: &Ask<Json>) -> Outcome {
     let line = match ask {
         Ask::Change(wish) => fleet.lines.iter().find(|l| l.token == wish.token),
-        Ask::Confirm { id } => fleet.lines.iter().rev().find(|l| l.commit.as_ref() == Some(id)),
-        Ask::Cancel { id: Some(id), .. } => fleet.lines.iter().rev().find(|l| l.commit.as_ref() == Some(id)),
+        Ask::Confirm { id } => fleet
+            .lines
+            .iter()
+            .rev()
+            .find(|l| l.commit.as_ref() == Some(id)),
+        Ask::Cancel { id: Some(id), .. } => fleet
+            .lines
+            .iter()
+            .rev()
+            .find(|l| l.commit.as_ref() == Some(id)),
         Ask::Cancel { id: None, .. } => None,
     };
-    let Some(l) = line else { return Outcome::Unknown };
+    let Some(l) = line else {
+        return Outcome::Unknown;
+    };
     let refused = || {
         let (by, why) = l.refused.clone().unwrap_or_default();
-        Outcome::Known(Told::Refused(format!("revision {} was refused by {by}: {why}", l.number)))
+        Outcome::Known(Told::Refused(format!(
+            "revision {} was refused by {by}: {why}",
+            l.number
+        )))
     };
     let done = Outcome::Known(Told::Done(l.number));
     let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
@@ -988,14 +1182,23 @@
         let mut asked = JoinSet::new();
         match &self.first {
             Some(first) => drop(asked.spawn(ask(first, lease / 2.0, 0.0))),
-            None => self.ways.keys().for_each(|to| drop(asked.spawn(ask(to, lease, 0.0)))),
+            None => self
+                .ways
+                .keys()
+                .for_each(|to| drop(asked.spawn(ask(to, lease, 0.0)))),
         }
         while let Some(Ok((to, said))) = asked.join_next().await {
             // A sentence of the other side's is worth more than that nobody is there.
-            if let Some(e) = said.as_ref().err().filter(|e| e.code() == Code::FailedPrecondition) {
+            if let Some(e) = said
+                .as_ref()
+                .err()
+                .filter(|e| e.code() == Code::FailedPrecondition)
+            {
                 why = e.message().to_string();
             }
-            let read = said.ok().map(|w| serde_json::from_slice::<Result<Answer<Json>, Hint>>(&w.body));
+            let read = said
+                .ok()
+                .map(|w| serde_json::from_slice::<Result<Answer<Json>, Hint>>(&w.body));
             if let Some(Ok(Ok(answer))) = read {
                 return Ok((to, answer));
             }
@@ -1004,7 +1207,9 @@
                 break;
             }
             if asked.is_empty() && self.first.as_ref() == Some(&to) {
-                self.ways.keys().for_each(|to| drop(asked.spawn(ask(to, left, 0.0))));
+                self.ways
+                    .keys()
+                    .for_each(|to| drop(asked.spawn(ask(to, left, 0.0))));
             } else {
                 asked.spawn(ask(&to, left, lease / LOOKS));
             }
@@ -1026,7 +1231,9 @@
             match told.await {
                 Ok(Told::Elsewhere(Hint { chair })) => {
                     // Not over what was found since: this gateway may speak to one that is the chair no more.
-                    to = to.or(chair.filter(|c| self.ways.contains_key(c))).or_else(|| self.next(None));
+                    to = to
+                        .or(chair.filter(|c| self.ways.contains_key(c)))
+                        .or_else(|| self.next(None));
                 }
                 Ok(told) => return told,
                 Err(_) => {}
@@ -1041,7 +1248,9 @@
                     other.or_else(|| self.next(Some(&at)))
                 }
                 Ok(Ok(told)) => return told,
-                Ok(Err(e)) => return Told::Refused(format!("{at} answers what can't be read: {e}")),
+                Ok(Err(e)) => {
+                    return Told::Refused(format!("{at} answers what can't be read: {e}"))
+                }
                 // The same ask may be said again: the log knows it by its token.
                 Err(e) => {
                     last = format!("{at}: {}", e.message());
--- a/crates/muster/src/charter.rs
+++ b/crates/muster/src/charter.rs
@@ -37,35 +37,50 @@
     pub fn checked(self) -> Result<Self, String> {
         let named = |field: &str, name: &str| match name.len() {
             1..=NAME_MOST if !name.chars().any(char::is_control) => Ok(()),
-            _ => Err(format!("fleet.{field}: {name:?} is no name of 1 to {NAME_MOST} bytes")),
+            _ => Err(format!(
+                "fleet.{field}: {name:?} is no name of 1 to {NAME_MOST} bytes"
+            )),
         };
         named("name", &self.fleet)?;
         if self.name.is_empty() || self.name.len() > NAME_MOST {
-            return Err("fleet: the gateway's own name is empty or too long to be one of a fleet's".into());
+            return Err(
+                "fleet: the gateway's own name is empty or too long to be one of a fleet's".into(),
+            );
         }
         self.keepers.keys().try_for_each(|k| named("keepers", k))?;
         if ![3, 5].contains(&self.keepers.len()) {
-            return Err(format!("fleet.keepers: 3 or 5 are named, not {}", self.keepers.len()));
+            return Err(format!(
+                "fleet.keepers: 3 or 5 are named, not {}",
+                self.keepers.len()
+            ));
         }
         let twice = |at: &SocketAddr| self.keepers.values().filter(|a| *a == at).count() > 1;
         if let Some((name, at)) = self.keepers.iter().find(|(_, at)| twice(at)) {
-            return Err(format!("fleet.keepers.{name}: {at} is another's address too"));
+            return Err(format!(
+                "fleet.keepers.{name}: {at} is another's address too"
+            ));
         }
         if !(LEASE_LEAST..=LEASE_MOST).contains(&self.lease) {
-            return Err(format!("fleet.lease_ms: {} is outside {LEASE_LEAST} to {LEASE_MOST}", self.lease));
+            return Err(format!(
+                "fleet.lease_ms: {} is outside {LEASE_LEAST} to {LEASE_MOST}",
+                self.lease
+            ));
         }
         if self.counts && self.steady {
             return Err(
-                "fleet.count: who goes on without a lease goes by what was told, not by members".into()
+                "fleet.count: who goes on without a lease goes by what was told, not by members"
+                    .into(),
             );
         }
         match (self.is_keeper(), &self.folder) {
-            (true, None) => {
-                Err(format!("fleet.state: {} is a keeper, and needs a folder for its log", self.name))
-            }
-            (false, Some(_)) => {
-                Err(format!("fleet.state: {} is not among the keepers and keeps no log", self.name))
-            }
+            (true, None) => Err(format!(
+                "fleet.state: {} is a keeper, and needs a folder for its log",
+                self.name
+            )),
+            (false, Some(_)) => Err(format!(
+                "fleet.state: {} is not among the keepers and keeps no log",
+                self.name
+            )),
             _ => Ok(self),
         }
     }
--- a/crates/muster/src/serve.rs
+++ b/crates/muster/src/serve.rs
@@ -41,7 +41,13 @@
 
 impl Own {
     pub fn word(&self, body: Vec<u8>) -> Word {
-        Word { form: FORM, fleet: self.fleet.clone(), from: self.name.clone(), start: self.start, body }
+        Word {
+            form: FORM,
+            fleet: self.fleet.clone(),
+            from: self.name.clone(),
+            start: self.start,
+            body,
+        }
     }
 
     /// Whether a word is one for this gateway.
@@ -50,7 +56,10 @@
     /// The sentence that says why not.
     pub fn looked_over(&self, word: &Word) -> Result<(), String> {
         if word.form != FORM {
-            return Err(format!("{} speaks form {}, {} here knows {FORM}", word.from, word.form, self.name));
+            return Err(format!(
+                "{} speaks form {}, {} here knows {FORM}",
+                word.from, word.form, self.name
+            ));
         }
         if word.fleet != self.fleet {
             return Err(format!(
@@ -89,8 +98,11 @@
 
     async fn hand<T>(&self, mail: impl FnOnce(oneshot::Sender<T>) -> Mail) -> Result<T, Status> {
         let (answer, told) = oneshot::channel();
-        self.mail.try_send(mail(answer)).map_err(|_| Status::resource_exhausted("too much waits here"))?;
-        told.await.map_err(|_| Status::unavailable("not the chair any more"))
+        self.mail
+            .try_send(mail(answer))
+            .map_err(|_| Status::resource_exhausted("too much waits here"))?;
+        told.await
+            .map_err(|_| Status::unavailable("not the chair any more"))
     }
 
     fn word(&self, body: &impl serde::Serialize) -> Result<Response<Word>, Status> {
@@ -100,7 +112,8 @@
 }
 
 fn read<T: serde::de::DeserializeOwned>(word: &Word) -> Result<T, Status> {
-    serde_json::from_slice(&word.body).map_err(|e| Status::invalid_argument(format!("can't be read: {e}")))
+    serde_json::from_slice(&word.body)
+        .map_err(|e| Status::invalid_argument(format!("can't be read: {e}")))
 }
 
 #[tonic::async_trait]
@@ -148,13 +161,21 @@
 }
 
 impl AsyncRead for Link {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, b: &mut ReadBuf) -> Poll<std::io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        b: &mut ReadBuf,
+    ) -> Poll<std::io::Result<()>> {
         Pin::new(&mut self.to).poll_read(cx, b)
     }
 }
 
 impl AsyncWrite for Link {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, b: &[u8]) -> Poll<std::io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        b: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
         Pin::new(&mut self.to).poll_write(cx, b)
     }
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<std::io::Result<()>> {
@@ -168,13 +189,22 @@
 async fn accept(listener: TcpListener, to: mpsc::Sender<Link>) {
     let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
     loop {
-        let Ok(room) = places.clone().acquire_owned().await else { return };
+        let Ok(room) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(NO_DESCRIPTOR).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        if to.send(Link { to: stream, _room: room }).await.is_err() {
+        if to
+            .send(Link {
+                to: stream,
+                _room: room,
+            })
+            .await
+            .is_err()
+        {
             return;
         }
     }
@@ -184,11 +214,23 @@
 ///
 /// # Errors
 /// The listener fails.
-pub async fn serve(bound: Bound, own: Own, mail: mpsc::Sender<Mail>, log: Logger) -> Result<(), String> {
+pub async fn serve(
+    bound: Bound,
+    own: Own,
+    mail: mpsc::Sender<Mail>,
+    log: Logger,
+) -> Result<(), String> {
     let listener = TcpListener::from_std(bound).map_err(|e| e.to_string())?;
-    let service = Service { own, mail, log, said: Mutex::default() };
+    let service = Service {
+        own,
+        mail,
+        log,
+        said: Mutex::default(),
+    };
     let served = FleetServer::new(service);
-    let served = served.max_decoding_message_size(WORD_MOST).max_encoding_message_size(WORD_MOST);
+    let served = served
+        .max_decoding_message_size(WORD_MOST)
+        .max_encoding_message_size(WORD_MOST);
     let server = Server::builder()
         .http2_keepalive_interval(Some(PING_EVERY))
         .http2_keepalive_timeout(Some(PING_WITHIN))
@@ -197,7 +239,10 @@
     let (to, links) = mpsc::channel(1);
     tokio::spawn(accept(listener, to));
     let links = ReceiverStream::new(links).map(Ok::<Link, std::io::Error>);
-    server.serve_with_incoming(links).await.map_err(|e| e.to_string())
+    server
+        .serve_with_incoming(links)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 /// What this process holds for itself alone as long as it lives, its listener's address: on this machine since it
--- a/crates/muster/src/shown.rs
+++ b/crates/muster/src/shown.rs
@@ -8,7 +8,12 @@
 use ironstair_tree::state;
 use serde_json::{json, Value as Json};
 
-fn member(now: Ms, fleet: &Fleet<Json>, chair: &Chair<Json>, (name, seat): (&String, &Seat)) -> Json {
+fn member(
+    now: Ms,
+    fleet: &Fleet<Json>,
+    chair: &Chair<Json>,
+    (name, seat): (&String, &Seat),
+) -> Json {
     let seen = chair.seen(name);
     let left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
     let cut_off = if seat.steady { "steady" } else { "strict" };
@@ -24,11 +29,19 @@
 
 /// Who is in, for the tree.
 pub fn members(keeper: &Keeper<Json>) -> Vec<state::Member> {
-    let (fleet, Some(chair)) = (&keeper.state().fleet, keeper.chair()) else { return Vec::new() };
+    let (fleet, Some(chair)) = (&keeper.state().fleet, keeper.chair()) else {
+        return Vec::new();
+    };
     let one = |(name, seat): (&String, &Seat)| {
         let (heard, mark, until) = chair.seen(name).unwrap_or_default();
         let holds = mark == fleet.mark;
-        state::Member { name: name.clone(), steady: seat.steady, heard, until, holds }
+        state::Member {
+            name: name.clone(),
+            steady: seat.steady,
+            heard,
+            until,
+            holds,
+        }
     };
     fleet.members.iter().map(one).collect()
 }
--- a/crates/muster/src/variant.rs
+++ b/crates/muster/src/variant.rs
@@ -4,5 +4,6 @@
 /// Whether the variable `IRONSTAIR_TAKEN_OUT` names it, in a debug build.
 pub fn taken_out(what: &str) -> bool {
     cfg!(debug_assertions)
-        && std::env::var("IRONSTAIR_TAKEN_OUT").is_ok_and(|all| all.split(',').any(|word| word == what))
+        && std::env::var("IRONSTAIR_TAKEN_OUT")
+            .is_ok_and(|all| all.split(',').any(|word| word == what))
 }
--- a/crates/muster/src/way.rs
+++ b/crates/muster/src/way.rs
@@ -42,7 +42,9 @@
             .keep_alive_timeout(span(PING_WITHIN))
             .tcp_nodelay(true);
         let client = FleetClient::new(endpoint.connect_lazy());
-        let client = client.max_decoding_message_size(WORD_MOST).max_encoding_message_size(WORD_MOST);
+        let client = client
+            .max_decoding_message_size(WORD_MOST)
+            .max_encoding_message_size(WORD_MOST);
         let (agree, waiting) = mpsc::channel(WAITING);
         tokio::spawn(pass_on(client.clone(), waiting));
         Ok(Way { client, agree })
@@ -81,7 +83,9 @@
     let under_way = Arc::new(Semaphore::new(UNDER_WAY));
     while let Some(word) = waiting.recv().await {
         // A peer that takes nothing is sent nothing more: the library says it anew.
-        let Ok(place) = under_way.clone().try_acquire_owned() else { continue };
+        let Ok(place) = under_way.clone().try_acquire_owned() else {
+            continue;
+        };
         let mut client = client.clone();
         tokio::spawn(async move {
             let _ = timeout(span(AGREE_WITHIN), client.agree(word)).await;
--- a/crates/protocol/src/dns.rs
+++ b/crates/protocol/src/dns.rs
@@ -29,7 +29,10 @@
             let mut rest = self.message.get(r.data..r.data + r.length)?;
             while let Some((&n, after)) = rest.split_first() {
                 let (text, next) = after.split_at_checked(n as usize)?;
-                if let Some(v) = text.strip_prefix(name.as_bytes()).and_then(|v| v.strip_prefix(b"=")) {
+                if let Some(v) = text
+                    .strip_prefix(name.as_bytes())
+                    .and_then(|v| v.strip_prefix(b"="))
+                {
                     return std::str::from_utf8(v).ok();
                 }
                 rest = next;
@@ -122,7 +125,12 @@
         at = name(m, at, &mut text)?;
         let (kind, length) = (u16_at(m, at)?, u16_at(m, at + 8)? as usize);
         m.get(at + 10..at + 10 + length)?;
-        records.push(Record { owner: text.clone(), kind, data: at + 10, length });
+        records.push(Record {
+            owner: text.clone(),
+            kind,
+            data: at + 10,
+            length,
+        });
         at += 10 + length;
     }
     // What was cut off in the midst must not read as engines that are gone.
--- a/crates/protocol/src/json.rs
+++ b/crates/protocol/src/json.rs
@@ -77,7 +77,8 @@
                     b'f' => out.push(12),
                     b'u' => {
                         let mut unit = self.unit()?;
-                        if (0xD800..0xDC00).contains(&unit) && self.bytes.get(self.at..)?.starts_with(b"\\u")
+                        if (0xD800..0xDC00).contains(&unit)
+                            && self.bytes.get(self.at..)?.starts_with(b"\\u")
                         {
                             self.at += 2;
                             let low = self.unit()?;
@@ -108,14 +109,23 @@
     pub fn number(&mut self) -> Option<f64> {
         self.peek()?;
         let rest = &self.bytes[self.at..];
-        let n = rest.iter().take_while(|b| b.is_ascii_digit() || b"+-.eE".contains(b)).count();
+        let n = rest
+            .iter()
+            .take_while(|b| b.is_ascii_digit() || b"+-.eE".contains(b))
+            .count();
         self.at += n;
-        std::str::from_utf8(&rest[..n]).ok()?.parse().ok().filter(|x: &f64| x.is_finite())
+        std::str::from_utf8(&rest[..n])
+            .ok()?
+            .parse()
+            .ok()
+            .filter(|x: &f64| x.is_finite())
     }
 
     /// A whole number in plain digits.
     pub fn count(&mut self) -> Option<u64> {
-        self.number().filter(|x| *x >= 0.0 && x.fract() == 0.0 && *x < 9007199254740992.0).map(|x| x as u64)
+        self.number()
+            .filter(|x| *x >= 0.0 && x.fract() == 0.0 && *x < 9007199254740992.0)
+            .map(|x| x as u64)
     }
 
     /// The next value as it stands.
@@ -139,7 +149,9 @@
             }
             b't' | b'f' | b'n' => {
                 let rest = &self.bytes[self.at..];
-                let word = [&b"true"[..], b"false", b"null"].into_iter().find(|w| rest.starts_with(w))?;
+                let word = [&b"true"[..], b"false", b"null"]
+                    .into_iter()
+                    .find(|w| rest.starts_with(w))?;
                 self.at += word.len();
                 Some(())
             }
--- a/crates/protocol/src/lines.rs
+++ b/crates/protocol/src/lines.rs
@@ -24,7 +24,9 @@
 
 impl<'a> Fields<'a> {
     pub fn text(&self, name: &str) -> Option<&'a [u8]> {
-        self.0.split(|b| *b == b',').find_map(|f| f.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
+        self.0
+            .split(|b| *b == b',')
+            .find_map(|f| f.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
     }
     pub fn number(&self, name: &str) -> Option<f64> {
         number(self.text(name)?)
@@ -40,7 +42,11 @@
 }
 
 fn number(text: &[u8]) -> Option<f64> {
-    std::str::from_utf8(text).ok()?.parse().ok().filter(|x: &f64| x.is_finite())
+    std::str::from_utf8(text)
+        .ok()?
+        .parse()
+        .ok()
+        .filter(|x: &f64| x.is_finite())
 }
 
 /// Whether a page is what a page can be: whole rows of three text columns.
@@ -57,11 +63,19 @@
     take: impl FnOnce(&[u8], Word, Fields, &[u8]),
 ) -> Result<Option<usize>, &'static str> {
     let Some(end) = bytes.iter().take(LINE_MOST).position(|b| *b == b'\n') else {
-        return if bytes.len() >= LINE_MOST { Err("line too long") } else { Ok(None) };
+        return if bytes.len() >= LINE_MOST {
+            Err("line too long")
+        } else {
+            Ok(None)
+        };
     };
-    let line = bytes[..end].strip_suffix(b"\r").ok_or("line without its end")?;
+    let line = bytes[..end]
+        .strip_suffix(b"\r")
+        .ok_or("line without its end")?;
     let mut words = line.split(|b| *b == b' ').filter(|w| !w.is_empty());
-    let (Some(id), Some(word)) = (words.next(), words.next()) else { return Err("line without words") };
+    let (Some(id), Some(word)) = (words.next(), words.next()) else {
+        return Err("line without words");
+    };
     let word = match word {
         b"DONE" => Word::Done,
         b"WAIT" => Word::Full,
@@ -77,11 +91,16 @@
         take(id, word, Fields(fields), b"");
         return Ok(Some(end + 1));
     };
-    let length: usize = std::str::from_utf8(length).ok().and_then(|n| n.parse().ok()).ok_or("no length")?;
+    let length: usize = std::str::from_utf8(length)
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .ok_or("no length")?;
     if length > BODY_MOST {
         return Err("body too long");
     }
-    let Some(body) = bytes.get(end + 1..end + 3 + length) else { return Ok(None) };
+    let Some(body) = bytes.get(end + 1..end + 3 + length) else {
+        return Ok(None);
+    };
     let body = body.strip_suffix(b"\r\n").ok_or("body without its end")?;
     take(id, word, Fields(fields), body);
     Ok(Some(end + 3 + length))
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -58,18 +58,36 @@
     loop {
         let rest = &bytes[at..bytes.len().min(HEAD_MOST)];
         let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-            return if at + rest.len() >= HEAD_MOST { Err("head too long") } else { Ok(None) };
+            return if at + rest.len() >= HEAD_MOST {
+                Err("head too long")
+            } else {
+                Ok(None)
+            };
         };
         let line = &rest[..end];
         at += end + 2;
         if line.is_empty() {
             let n = length.ok_or("head without length")?;
-            return if n > MESSAGE_MOST { Err("message too long") } else { Ok(Some((at, n))) };
+            return if n > MESSAGE_MOST {
+                Err("message too long")
+            } else {
+                Ok(Some((at, n)))
+            };
         }
-        let colon = line.iter().position(|b| *b == b':').ok_or("head line without colon")?;
-        if line[..colon].trim_ascii().eq_ignore_ascii_case(b"content-length") {
+        let colon = line
+            .iter()
+            .position(|b| *b == b':')
+            .ok_or("head line without colon")?;
+        if line[..colon]
+            .trim_ascii()
+            .eq_ignore_ascii_case(b"content-length")
+        {
             let digits = std::str::from_utf8(line[colon + 1..].trim_ascii()).ok();
-            length = Some(digits.and_then(|d| d.parse().ok()).ok_or("length is no number")?);
+            length = Some(
+                digits
+                    .and_then(|d| d.parse().ok())
+                    .ok_or("length is no number")?,
+            );
         }
     }
 }
@@ -110,15 +128,26 @@
 pub const RESULT_END: &str = "\"}}";
 
 pub fn fit(to: &mut Vec<u8>, call: u64, fit: bool) {
-    framed(to, format!("{BEFORE_CALL}{call},\"result\":{{\"fit\":{fit}}}}}"));
+    framed(
+        to,
+        format!("{BEFORE_CALL}{call},\"result\":{{\"fit\":{fit}}}}}"),
+    );
 }
 
 /// An error, with advice on when to come back where there is any.
 pub fn error(to: &mut Vec<u8>, call: Option<u64>, code: i32, text: &str, come_back: f64) {
     let call = call.map_or("null".to_string(), |c| c.to_string());
-    let advice =
-        if come_back >= 1.0 { format!(",\"data\":{{\"after\":{come_back:.0}}}") } else { String::new() };
-    framed(to, format!("{BEFORE_CALL}{call},\"error\":{{\"code\":{code},\"message\":\"{text}\"{advice}}}}}"));
+    let advice = if come_back >= 1.0 {
+        format!(",\"data\":{{\"after\":{come_back:.0}}}")
+    } else {
+        String::new()
+    };
+    framed(
+        to,
+        format!(
+            "{BEFORE_CALL}{call},\"error\":{{\"code\":{code},\"message\":\"{text}\"{advice}}}}}"
+        ),
+    );
 }
 
 fn framed(to: &mut Vec<u8>, message: String) {
--- a/crates/protocol/src/statement.rs
+++ b/crates/protocol/src/statement.rs
@@ -48,8 +48,13 @@
 
     /// Past `$tag$ ... $tag$`; a lone dollar sign is skipped by itself.
     fn dollars(&mut self) {
-        let name = self.rest[1..].iter().take_while(|b| b.is_ascii_alphanumeric() || **b == b'_').count();
-        if self.rest.get(name + 1) != Some(&b'$') || self.rest[1..].first().is_some_and(u8::is_ascii_digit) {
+        let name = self.rest[1..]
+            .iter()
+            .take_while(|b| b.is_ascii_alphanumeric() || **b == b'_')
+            .count();
+        if self.rest.get(name + 1) != Some(&b'$')
+            || self.rest[1..].first().is_some_and(u8::is_ascii_digit)
+        {
             self.cut(1);
             return;
         }
@@ -89,7 +94,8 @@
                 }
                 [c, ..] if c.is_ascii_whitespace() => drop(self.cut(1)),
                 [c, ..] if c.is_ascii_alphanumeric() || *c == b'_' || *c >= 128 => {
-                    let word = |b: &&u8| b.is_ascii_alphanumeric() || matches!(**b, b'_' | b'$' | 128..);
+                    let word =
+                        |b: &&u8| b.is_ascii_alphanumeric() || matches!(**b, b'_' | b'$' | 128..);
                     let n = self.rest.iter().take_while(word).count();
                     return Some(Token::Name(self.cut(n)));
                 }
@@ -105,7 +111,10 @@
 fn number_of(schema: &[u8]) -> Option<u64> {
     let at = schema.iter().rposition(|b| *b == b'_')?;
     let digits = &schema[at + 1..];
-    if at == 0 || schema[..at].eq_ignore_ascii_case(b"staging") || !digits.iter().all(u8::is_ascii_digit) {
+    if at == 0
+        || schema[..at].eq_ignore_ascii_case(b"staging")
+        || !digits.iter().all(u8::is_ascii_digit)
+    {
         return None;
     }
     std::str::from_utf8(digits).ok()?.parse().ok()
@@ -119,8 +128,16 @@
     for token in (Tokens { rest: statement }) {
         match token {
             Token::Name(name) => {
-                let follow =
-                    [&b"from"[..], b"join", b"into", b"update", b"table", b"using", b"copy", b"only"];
+                let follow = [
+                    &b"from"[..],
+                    b"join",
+                    b"into",
+                    b"update",
+                    b"table",
+                    b"using",
+                    b"copy",
+                    b"only",
+                ];
                 if before != Some(Token::Dot) {
                     if follow.iter().any(|w| name.eq_ignore_ascii_case(w)) {
                         tables_follow = true;
@@ -146,5 +163,6 @@
     column
 }
 
-const ENDS: [&[u8]; 9] =
-    [b"select", b"where", b"on", b"set", b"group", b"order", b"having", b"values", b"limit"];
+const ENDS: [&[u8]; 9] = [
+    b"select", b"where", b"on", b"set", b"group", b"order", b"having", b"values", b"limit",
+];
--- a/crates/protocol/tests/parsers.rs
+++ b/crates/protocol/tests/parsers.rs
@@ -7,7 +7,15 @@
     "retry":1,"cost":820.0,"new":[{"a":[null,true,-1e3]}],"ram":96,"bytes":"U0VM\u0052\/Q=="}}"#;
 
 fn framed(message: &[u8]) -> Vec<u8> {
-    [format!("Content-Type: x\r\ncontent-length:{}\r\n\r\n", message.len()).as_bytes(), message].concat()
+    [
+        format!(
+            "Content-Type: x\r\ncontent-length:{}\r\n\r\n",
+            message.len()
+        )
+        .as_bytes(),
+        message,
+    ]
+    .concat()
 }
 
 #[test]
@@ -25,8 +33,15 @@
             (p.figure("wait", 2e3), p.figure("no", 1.0), p.number("ram")),
             (Ok(Some(1500.5)), Ok(None), Some(96.0))
         );
-        assert_eq!(p.text("bytes").as_deref(), Some(&b"U0VMR/Q=="[..]), "escapes stand for what they mean");
-        assert_eq!((p.number("bytes"), p.text("wait"), p.count("no")), (None, None, None));
+        assert_eq!(
+            p.text("bytes").as_deref(),
+            Some(&b"U0VMR/Q=="[..]),
+            "escapes stand for what they mean"
+        );
+        assert_eq!(
+            (p.number("bytes"), p.text("wait"), p.count("no")),
+            (None, None, None)
+        );
         // Against figures that are none taken for ones that are not there.
         assert!(p.figure("wait", 1e3).is_err() && p.figure("bytes", 1e9).is_err());
     })
@@ -44,11 +59,18 @@
     assert_eq!(read(b"{\"id\":3"), (Some(3), rpc::UNREADABLE));
     assert_eq!(read(b"{\"id\":3}"), (Some(3), rpc::INVALID));
     assert_eq!(read(b"{\"method\":\"a\"} x"), (None, rpc::UNREADABLE));
-    assert_eq!(read(&b"[".repeat(100_000)), (None, rpc::UNREADABLE), "no stack is spent on brackets");
+    assert_eq!(
+        read(&b"[".repeat(100_000)),
+        (None, rpc::UNREADABLE),
+        "no stack is spent on brackets"
+    );
     let deep = [&b"{\"a\":"[..], &b"[".repeat(100_000)].concat();
     assert_eq!(read(&deep), (None, rpc::UNREADABLE));
     assert!(rpc::head(b"Content-Length: 999999999\r\n\r\n").is_err());
-    assert!(rpc::head(&[b'x'; rpc::HEAD_MOST]).is_err(), "a head without end is not waited for");
+    assert!(
+        rpc::head(&[b'x'; rpc::HEAD_MOST]).is_err(),
+        "a head without end is not waited for"
+    );
     assert!(rpc::head(b"Content-Length: -1\r\n\r\n").is_err());
 }
 
@@ -65,7 +87,9 @@
     }
     let mut out = Vec::new();
     rpc::error(&mut out, Some(7), rpc::REJECTED, "turned back", 200.0);
-    assert!(out.ends_with(br#""id":7,"error":{"code":-32014,"message":"turned back","data":{"after":200}}}"#));
+    assert!(out.ends_with(
+        br#""id":7,"error":{"code":-32014,"message":"turned back","data":{"after":200}}}"#
+    ));
 }
 
 #[test]
@@ -73,21 +97,48 @@
     let all = b"9b1f03aa5c7e2d41 DONE pages=3,cost=81.5,load=inflight:7;util:0.61 5\r\na\tb\r\n\r\nr1 UNFIT - 0\r\n\r\n";
     let first = all.len() - b"r1 UNFIT - 0\r\n\r\n".len();
     for cut in 0..first {
-        assert_eq!(lines::read(&all[..cut], |_, _, _, _| panic!("cut at {cut}")), Ok(None));
+        assert_eq!(
+            lines::read(&all[..cut], |_, _, _, _| panic!("cut at {cut}")),
+            Ok(None)
+        );
     }
     let taken = lines::read(all, |id, word, fields, body| {
-        assert_eq!((id, word, body), (&b"9b1f03aa5c7e2d41"[..], lines::Word::Done, &b"a\tb\r\n"[..]));
-        assert_eq!((fields.number("pages"), fields.number("cost")), (Some(3.0), Some(81.5)));
-        assert_eq!(fields.load().collect::<Vec<_>>(), [(&b"inflight"[..], 7.0), (b"util", 0.61)]);
+        assert_eq!(
+            (id, word, body),
+            (
+                &b"9b1f03aa5c7e2d41"[..],
+                lines::Word::Done,
+                &b"a\tb\r\n"[..]
+            )
+        );
+        assert_eq!(
+            (fields.number("pages"), fields.number("cost")),
+            (Some(3.0), Some(81.5))
+        );
+        assert_eq!(
+            fields.load().collect::<Vec<_>>(),
+            [(&b"inflight"[..], 7.0), (b"util", 0.61)]
+        );
     });
     assert_eq!(taken, Ok(Some(first)));
     let mut word = None;
-    assert_eq!(lines::read(&all[first..], |_, w, _, _| word = Some(w)), Ok(Some(all.len() - first)));
+    assert_eq!(
+        lines::read(&all[first..], |_, w, _, _| word = Some(w)),
+        Ok(Some(all.len() - first))
+    );
     assert_eq!(word, Some(lines::Word::Unfit));
-    for bad in
-        [&b"x DONE - 99999\r\n"[..], b"x WHAT - 0\r\n\r\n", b"x DONE - 1\r\nabc", b"\r\n", b"x DONE - 1\n"]
-    {
-        assert!(lines::read(bad, |_, _, _, _| ()).is_err(), "{:?}", String::from_utf8_lossy(bad));
+    for bad in [
+        &b"x DONE - 99999\r\n"[..],
+        b"x WHAT - 0\r\n\r\n",
+        b"x DONE - 1\r\nabc",
+        b"\r\n",
+        b"x DONE - 1\n",
+    ] {
+        assert!(
+            lines::read(bad, |_, _, _, _| ()).is_err(),
+            "{:?}",
+            String::from_utf8_lossy(bad)
+        );
     }
     assert!(lines::read(&[b'x'; lines::LINE_MOST], |_, _, _, _| ()).is_err());
 }
@@ -96,14 +147,35 @@
 fn a_statement_names_its_table_group() {
     for (text, group) in [
         ("select * from sales_17.orders", Some(17)),
-        ("SELECT a.id, 'from lake_0.decoy', \"x_9\" FROM /* mart_1.a /* b */ */ ops_5.orders a", Some(5)),
-        ("select n -- was: from mart_1.old\nfrom mart_3.lines where t = 'it''s from a_2.b'", Some(3)),
-        ("with w as (select * from lake_7.stock) select id from w group by id", Some(7)),
-        ("select t_4.id from \"sales_17\".\"orders\" t_4 where t_4.n > 1.5", Some(17)),
-        ("insert into staging.load_3 select * from sales_8.orders", Some(8)),
-        ("insert into staging_3.load select * from sales_8.orders", Some(8)),
+        (
+            "SELECT a.id, 'from lake_0.decoy', \"x_9\" FROM /* mart_1.a /* b */ */ ops_5.orders a",
+            Some(5),
+        ),
+        (
+            "select n -- was: from mart_1.old\nfrom mart_3.lines where t = 'it''s from a_2.b'",
+            Some(3),
+        ),
+        (
+            "with w as (select * from lake_7.stock) select id from w group by id",
+            Some(7),
+        ),
+        (
+            "select t_4.id from \"sales_17\".\"orders\" t_4 where t_4.n > 1.5",
+            Some(17),
+        ),
+        (
+            "insert into staging.load_3 select * from sales_8.orders",
+            Some(8),
+        ),
+        (
+            "insert into staging_3.load select * from sales_8.orders",
+            Some(8),
+        ),
         ("update ops_6.stock set n = n + 1", Some(6)),
-        ("select $q$ from a_1.b $q$, $1 from ops_12 . lines", Some(12)),
+        (
+            "select $q$ from a_1.b $q$, $1 from ops_12 . lines",
+            Some(12),
+        ),
         ("select 1", None),
         ("select * from sales_.x, _4.y, sales_x4.z", None),
     ] {
@@ -124,7 +196,11 @@
     m.extend([0, 33, 0, 1]);
     let target = m.len() + 12 + 6;
     let host = b"\x0as-00c41f7a\x04East\x05hosts\x00";
-    m.extend(record(&[0xC0, 12], 33, &[&[0, 1, 0, 40, 0x1F, 0x90], &host[..]].concat()));
+    m.extend(record(
+        &[0xC0, 12],
+        33,
+        &[&[0, 1, 0, 40, 0x1F, 0x90], &host[..]].concat(),
+    ));
     let soa = [&[0xC0, 12, 0xC0, 12][..], &41u32.to_be_bytes(), &[0; 16]].concat();
     m.extend(record(&[0xC0, 12], 6, &soa));
     let at = (0xC000 | target as u16).to_be_bytes();
@@ -142,7 +218,10 @@
         &m,
         |n| n == 9,
         |h| {
-            assert_eq!((h.name, h.zone, h.priority, h.port), ("s-00c41f7a", "east", 1, 8080));
+            assert_eq!(
+                (h.name, h.zone, h.priority, h.port),
+                ("s-00c41f7a", "east", 1, 8080)
+            );
             assert_eq!(
                 (h.text("kind"), h.text("cell"), h.text("started")),
                 (Some("std"), Some("2"), Some("12345"))
@@ -152,20 +231,36 @@
         },
     );
     assert_eq!((serial, seen), (Some(41), 1));
-    assert_eq!(dns::read(&m, |n| n == 8, |_| ()), None, "the answer to another question");
+    assert_eq!(
+        dns::read(&m, |n| n == 8, |_| ()),
+        None,
+        "the answer to another question"
+    );
     for cut in 0..m.len() {
         assert_eq!(dns::read(&m[..cut], |n| n == 9, |_| ()), None, "{cut}");
     }
     // Against engines that read as gone, or as of no kind, because what was told of them is missing.
     let more = [&m[..], b"x"].concat();
-    assert_eq!(dns::read(&more, |n| n == 9, |_| ()), None, "more than was announced");
+    assert_eq!(
+        dns::read(&more, |n| n == 9, |_| ()),
+        None,
+        "more than was announced"
+    );
     let mut untold = m.clone();
     untold[11] = 1;
     untold.truncate(m.len() - 2 * 12 - 19 - 14);
-    assert_eq!(dns::read(&untold, |n| n == 9, |_| ()), None, "a host without its text");
+    assert_eq!(
+        dns::read(&untold, |n| n == 9, |_| ()),
+        None,
+        "a host without its text"
+    );
     let mut ring = m.clone();
     ring[12..14].copy_from_slice(&[0xC0, 12]);
-    assert_eq!(dns::read(&ring, |n| n == 9, |_| ()), None, "a name that points at itself");
+    assert_eq!(
+        dns::read(&ring, |n| n == 9, |_| ()),
+        None,
+        "a name that points at itself"
+    );
     let mut q = Vec::new();
     dns::question(&mut q, 9, "_data._tcp.farm.lan");
     assert_eq!(q[12..33], m[12..33]);
@@ -177,9 +272,18 @@
     let text = b"select $a$ '\" /* -- from sales_17.orders where x.y = `q`".to_vec();
     let mut lot = 0x2545_F491_4F6C_DD1Du64;
     for round in 0..40_000 {
-        let mut m = [framed(CALL), CALL.to_vec(), line.clone(), text.clone(), list()][round % 5].clone();
+        let mut m = [
+            framed(CALL),
+            CALL.to_vec(),
+            line.clone(),
+            text.clone(),
+            list(),
+        ][round % 5]
+            .clone();
         for _ in 0..1 + round % 4 {
-            lot = lot.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+            lot = lot
+                .wrapping_mul(6364136223846793005)
+                .wrapping_add(1442695040888963407);
             let at = (lot >> 33) as usize % m.len();
             match lot >> 62 {
                 0 => m.truncate(at + 1),
@@ -195,6 +299,10 @@
         let _ = rpc::read(&m, |_, _, p| p.text("bytes").map(|s| s.len()));
         let _ = lines::read(&m, |_, _, f, _| assert!(f.load().count() < 1000));
         let _ = statement::tables(&m);
-        let _ = dns::read(&m, |n| n == 9, |h| assert!(h.text("kind").is_none_or(|k| k.len() < 256)));
+        let _ = dns::read(
+            &m,
+            |n| n == 9,
+            |h| assert!(h.text("kind").is_none_or(|k| k.len() < 256)),
+        );
     }
 }
--- a/crates/recovery/src/kept.rs
+++ b/crates/recovery/src/kept.rs
@@ -49,13 +49,19 @@
 /// # Errors
 /// The bytes are not what was written, or another version's; a sentence.
 pub fn decode(bytes: &[u8]) -> Result<Kept, String> {
-    let Some((head, rest)) = bytes.split_at_checked(HEAD) else { return Err("it ends early".into()) };
-    let number = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let Some((head, rest)) = bytes.split_at_checked(HEAD) else {
+        return Err("it ends early".into());
+    };
+    let number =
+        |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     if head[..4] != WORD {
         return Err("it is no file of a gateway's".into());
     }
     if number(4) != FORM {
-        return Err(format!("its form {} is of another version than {FORM}", number(4)));
+        return Err(format!(
+            "its form {} is of another version than {FORM}",
+            number(4)
+        ));
     }
     if number(8) != crc32c::crc32c(rest) {
         return Err("it is not what was written".into());
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -40,10 +40,26 @@
 
 /// In order; the first that holds is the reason.
 const REASONS: [Reason; 4] = [
-    (|_, f| !f.tenure, Stage::CatchingUp, "the fleet's policy is not known"),
-    (|_, f| !f.heard, Stage::Cautious, "the list of engines was not heard since the start"),
-    (|now, f| now < f.keys_rest, Stage::Cautious, "keys rest: what the last process had out is not known"),
-    (|_, f| f.share == Some(false), Stage::Cautious, "no share of cold engines yet"),
+    (
+        |_, f| !f.tenure,
+        Stage::CatchingUp,
+        "the fleet's policy is not known",
+    ),
+    (
+        |_, f| !f.heard,
+        Stage::Cautious,
+        "the list of engines was not heard since the start",
+    ),
+    (
+        |now, f| now < f.keys_rest,
+        Stage::Cautious,
+        "keys rest: what the last process had out is not known",
+    ),
+    (
+        |_, f| f.share == Some(false),
+        Stage::Cautious,
+        "no share of cold engines yet",
+    ),
 ];
 
 /// Where it stands, and why not further; an empty reason where it is back.
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -32,7 +32,10 @@
 
 const NOT_OURS: Reason = (|f| f.kept.gateway != f.gateway, "it is another gateway's");
 const LIST_IS_NONE: [Reason; 4] = [
-    (|f| f.kept.at > f.now + SLACK, "it is of the future: a clock went back"),
+    (
+        |f| f.kept.at > f.now + SLACK,
+        "it is of the future: a clock went back",
+    ),
     (|f| f.now - f.kept.heard > OLDEST, "its list is too old"),
     (|f| f.rev > f.kept.rev, "what is told at start is newer"),
     (|f| f.kept.engines.is_empty(), "it lists no engine"),
@@ -41,21 +44,37 @@
 /// `rev` is the number of the last change that is told at start; `now` is Unix time in ms.
 pub fn begin(kept: Result<Option<Kept>, String>, gateway: &str, now: Ms, rev: u32) -> Begun {
     // Without a word of the last process it may have had anything out.
-    let blank = |note: Option<String>| Begun { roster: None, rests: true, note };
+    let blank = |note: Option<String>| Begun {
+        roster: None,
+        rests: true,
+        note,
+    };
     let kept = match kept {
         Ok(Some(kept)) => kept,
         Ok(None) => return blank(None),
         Err(why) => return blank(Some(why)),
     };
-    let found = Found { kept: &kept, gateway, now, rev };
+    let found = Found {
+        kept: &kept,
+        gateway,
+        now,
+        rev,
+    };
     if (NOT_OURS.0)(&found) {
         return blank(Some(NOT_OURS.1.into()));
     }
     let clean = kept.clean && kept.at <= now + SLACK;
     if let Some((_, why)) = LIST_IS_NONE.iter().find(|(so, _)| so(&found)) {
-        return Begun { rests: !clean, ..blank(Some(why.to_string())) };
+        return Begun {
+            rests: !clean,
+            ..blank(Some(why.to_string()))
+        };
     }
     let age = (now - kept.heard).max(0.0);
     let engines = kept.engines.into_iter().filter(|e| !e.draining).collect();
-    Begun { roster: Some((kept.rev, age, engines)), rests: !clean, note: None }
+    Begun {
+        roster: Some((kept.rev, age, engines)),
+        rests: !clean,
+        note: None,
+    }
 }
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -30,14 +30,19 @@
     fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8], String> {
         let left = self.bytes.get(self.at..).unwrap_or_default();
         let got = left.get(..n).ok_or_else(|| {
-            format!("frame ends inside {what}: {n} bytes wanted at byte {}, {} left", self.at, left.len())
+            format!(
+                "frame ends inside {what}: {n} bytes wanted at byte {}, {} left",
+                self.at,
+                left.len()
+            )
         })?;
         self.at += n;
         Ok(got)
     }
     fn fixed<const N: usize>(&mut self, what: &str) -> Result<[u8; N], String> {
         let got = self.take(N, what)?;
-        got.try_into().map_err(|_| format!("{what} has a wrong length"))
+        got.try_into()
+            .map_err(|_| format!("{what} has a wrong length"))
     }
     fn u8(&mut self, what: &str) -> Result<u8, String> {
         Ok(self.fixed::<1>(what)?[0])
@@ -149,10 +154,14 @@
         let mut f = Fields { bytes: body, at: 0 };
         for i in 0..count {
             let at = f.at;
-            self.record(&mut f, ms(clock), &mut to).map_err(|e| format!("record {i} at byte {at}: {e}"))?;
+            self.record(&mut f, ms(clock), &mut to)
+                .map_err(|e| format!("record {i} at byte {at}: {e}"))?;
         }
         if f.at != body.len() {
-            return Err(format!("{} bytes left over after {count} records", body.len() - f.at));
+            return Err(format!(
+                "{} bytes left over after {count} records",
+                body.len() - f.at
+            ));
         }
         Ok(to)
     }
@@ -179,11 +188,24 @@
                     let bands = m.bands.len();
                     let gateway = Gateway::new(m, seed);
                     let (engines, submissions) = (Door::default(), Door::default());
-                    self.instances.insert(who, Instance { gateway, bands, engines, submissions });
+                    self.instances.insert(
+                        who,
+                        Instance {
+                            gateway,
+                            bands,
+                            engines,
+                            submissions,
+                        },
+                    );
                 }
                 Err(e) => {
                     let (mut submissions, engines) = (Door::default(), Door::default());
-                    let mut pen = Pen { who, to, engines: &engines, submissions: &mut submissions };
+                    let mut pen = Pen {
+                        who,
+                        to,
+                        engines: &engines,
+                        submissions: &mut submissions,
+                    };
                     pen.record(76);
                     pen.text(&format!("start message: {e}"));
                     self.instances.remove(&who);
@@ -196,12 +218,25 @@
             return Ok(());
         }
         let inst = self.instances.get_mut(&who);
-        let Some(Instance { gateway, bands, engines, submissions }) = inst else {
-            return Err(format!("code {code} for instance {who}, which was not started"));
+        let Some(Instance {
+            gateway,
+            bands,
+            engines,
+            submissions,
+        }) = inst
+        else {
+            return Err(format!(
+                "code {code} for instance {who}, which was not started"
+            ));
         };
         macro_rules! pen {
             () => {
-                &mut Pen { who, to, engines, submissions }
+                &mut Pen {
+                    who,
+                    to,
+                    engines,
+                    submissions,
+                }
             };
         }
         match code {
@@ -232,10 +267,21 @@
                 let tables = u32::from_le_bytes(tables) as u64;
                 let work = (flags & 1 != 0 && work > 0.0).then_some(work);
                 if band >= *bands {
-                    return Err(format!("class {band} is not among those of the start message"));
+                    return Err(format!(
+                        "class {band} is not among those of the start message"
+                    ));
                 }
                 let later_try = flags & 2 != 0;
-                let of = Submission { band, key, left, work, memory_mb, tables, cells: 0, later_try };
+                let of = Submission {
+                    band,
+                    key,
+                    left,
+                    work,
+                    memory_mb,
+                    tables,
+                    cells: 0,
+                    later_try,
+                };
                 let s = submissions.admit(id);
                 gateway.take(now, s, of, pen!());
             }
@@ -247,7 +293,10 @@
                     gateway.roster_lost(now, pen!());
                     return Ok(());
                 }
-                let bytes = self.tables.get(&table).ok_or_else(|| format!("list {table} was never sent"))?;
+                let bytes = self
+                    .tables
+                    .get(&table)
+                    .ok_or_else(|| format!("list {table} was never sent"))?;
                 let mut lines = Vec::new();
                 for line in bytes.chunks_exact(25) {
                     let mut l = Fields { bytes: line, at: 0 };
@@ -263,7 +312,16 @@
                     l.f32("weight")?;
                     let since = ms(l.u64("start")?);
                     let (engine, id) = (engines.admit(address), u64::from_le_bytes(id));
-                    lines.push(Listed { engine, id, zone, kind, marks: cell, cells: 0, standing, since });
+                    lines.push(Listed {
+                        engine,
+                        id,
+                        zone,
+                        kind,
+                        marks: cell,
+                        cells: 0,
+                        standing,
+                        since,
+                    });
                 }
                 gateway.roster(now, mode != 0, &lines, pen!());
             }
@@ -300,21 +358,20 @@
                 if let Some(e) = engine.filter(|_| !values.is_empty()) {
                     gateway.report(now, e, &values, pen!());
                 }
-                let what =
-                    match status {
-                        1 => Outcome::Settled((used > 0).then(|| Cost {
-                            work: (used / 4096) as f64,
-                            memory_mb: (used % 4096 * 4) as f64,
-                        })),
-                        0 => Outcome::Error,
-                        2 => Outcome::Full,
-                        3 => Outcome::TimedOut,
-                        4 => Outcome::NoConnection,
-                        5 => Outcome::Reset,
-                        6 => Outcome::Withdrawn,
-                        7 => Outcome::Unsent,
-                        _ => return Err(format!("unknown outcome {status}")),
-                    };
+                let what = match status {
+                    1 => Outcome::Settled((used > 0).then(|| Cost {
+                        work: (used / 4096) as f64,
+                        memory_mb: (used % 4096 * 4) as f64,
+                    })),
+                    0 => Outcome::Error,
+                    2 => Outcome::Full,
+                    3 => Outcome::TimedOut,
+                    4 => Outcome::NoConnection,
+                    5 => Outcome::Reset,
+                    6 => Outcome::Withdrawn,
+                    7 => Outcome::Unsent,
+                    _ => return Err(format!("unknown outcome {status}")),
+                };
                 if let Some(s) = submissions.find(id) {
                     gateway.outcome(now, s, what, closed, pen!());
                 }
@@ -340,24 +397,34 @@
             match from.read(&mut header[got..]) {
                 Ok(0) if got == 0 => return Ok(()),
                 Ok(0) => {
-                    return Err(format!("batch {batch}: input ends inside the header, after {got} bytes"))
+                    return Err(format!(
+                        "batch {batch}: input ends inside the header, after {got} bytes"
+                    ))
                 }
                 Ok(n) => got += n,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(format!("batch {batch}: {e}")),
             }
         }
-        let mut h = Fields { bytes: &header, at: 0 };
+        let mut h = Fields {
+            bytes: &header,
+            at: 0,
+        };
         let (count, length, clock) = (h.u32("count")?, h.u32("length")? as usize, h.u64("clock")?);
-        let rest =
-            length.checked_sub(8).ok_or_else(|| format!("batch {batch}: length {length} is below 8"))?;
+        let rest = length
+            .checked_sub(8)
+            .ok_or_else(|| format!("batch {batch}: length {length} is below 8"))?;
         body.clear();
         let read = (&mut from).take(rest as u64).read_to_end(&mut body);
         let read = read.map_err(|e| format!("batch {batch}: {e}"))?;
         if read < rest {
-            return Err(format!("batch {batch}: input ends inside the frame, {read} of {rest} bytes"));
+            return Err(format!(
+                "batch {batch}: input ends inside the frame, {read} of {rest} bytes"
+            ));
         }
-        let reply = host.batch(count, clock, &body).map_err(|e| format!("batch {batch}: {e}"))?;
+        let reply = host
+            .batch(count, clock, &body)
+            .map_err(|e| format!("batch {batch}: {e}"))?;
         let write = |to: &mut dyn Write| {
             to.write_all(&(reply.len() as u32).to_le_bytes())?;
             to.write_all(&reply)?;
--- a/crates/tree/src/leaves.rs
+++ b/crates/tree/src/leaves.rs
@@ -21,7 +21,10 @@
 }
 
 /// All leaves at or below what is asked for; the pattern is one that the schema has resolved.
-pub fn select<'a>(leaves: &'a Leaves, wanted: &'a Pattern) -> impl Iterator<Item = (&'a Path, &'a Value)> {
+pub fn select<'a>(
+    leaves: &'a Leaves,
+    wanted: &'a Pattern,
+) -> impl Iterator<Item = (&'a Path, &'a Value)> {
     let stem = wanted.stem();
     let from = stem.clone();
     leaves
@@ -33,7 +36,9 @@
 /// The paths of the nodes that a pattern means and that have something in them: one for an entry of a list.
 pub fn nodes(leaves: &Leaves, wanted: &Pattern) -> Vec<Path> {
     if wanted.deep() {
-        return select(leaves, wanted).map(|(path, _)| path.clone()).collect();
+        return select(leaves, wanted)
+            .map(|(path, _)| path.clone())
+            .collect();
     }
     let mut found: Vec<Path> = Vec::new();
     for (path, _) in select(leaves, wanted) {
@@ -48,8 +53,9 @@
     /// The JSON of a node (RFC 7951), from the leaves at and below it; the names of its own members with the
     /// module's.
     pub fn json<'a>(&self, at: &Path, leaves: impl Iterator<Item = (&'a Path, &'a Value)>) -> Json {
-        let mut all: Vec<(&[Step], &Value)> =
-            leaves.map(|(path, value)| (&path.0[at.0.len()..], value)).collect();
+        let mut all: Vec<(&[Step], &Value)> = leaves
+            .map(|(path, value)| (&path.0[at.0.len()..], value))
+            .collect();
         if let [(steps, value)] = all[..] {
             if steps.is_empty() {
                 return value.json();
@@ -58,7 +64,10 @@
         all.sort_by(|a, b| a.0.cmp(b.0));
         match object(&all) {
             Json::Object(members) => Json::Object(
-                members.into_iter().map(|(name, v)| (format!("{MODULE_NAME}:{name}"), v)).collect(),
+                members
+                    .into_iter()
+                    .map(|(name, v)| (format!("{MODULE_NAME}:{name}"), v))
+                    .collect(),
             ),
             other => other,
         }
@@ -66,11 +75,15 @@
 
     /// The leaves that a JSON value at a path comes to; each is checked by its type.
     pub fn leaves(&self, at: &Path, json: &Json) -> Result<Leaves, Misfit> {
-        let node = self.at(at).ok_or_else(|| misfit(at, "there is no such node"))?;
+        let node = self
+            .at(at)
+            .ok_or_else(|| misfit(at, "there is no such node"))?;
         let mut found = Leaves::new();
         let keyed = at.0.last().is_some_and(|s| s.key.is_some());
         match (&node.kind, json) {
-            (Kind::List { key }, Json::Object(_)) if keyed => entry(node, key, at, json, &mut found)?,
+            (Kind::List { key }, Json::Object(_)) if keyed => {
+                entry(node, key, at, json, &mut found)?
+            }
             (Kind::List { .. }, _) if keyed => return Err(misfit(at, "an entry needs an object")),
             _ => fill(node, at, json, &mut found)?,
         }
@@ -120,7 +133,10 @@
             crate::path::Wanted::Any => None,
         });
         let names: Vec<Option<Arc<str>>> = names.collect();
-        if names.first().is_some_and(|n| n.as_deref() != Some("settings")) {
+        if names
+            .first()
+            .is_some_and(|n| n.as_deref() != Some("settings"))
+        {
             return Err(misfit(wanted, "only settings can be changed"));
         }
         let in_band = names.len() == 3 && names[1].as_deref() == Some("band");
@@ -134,10 +150,14 @@
     fn keys_of(&self, path: &Path, to: &mut Leaves) -> Result<(), Misfit> {
         let mut node = &self.root;
         for (nth, step) in path.0.iter().enumerate() {
-            node = node.child(&step.name).ok_or_else(|| misfit(path, "there is no such node"))?;
+            node = node
+                .child(&step.name)
+                .ok_or_else(|| misfit(path, "there is no such node"))?;
             if let (Kind::List { key }, Some(value)) = (&node.kind, &step.key) {
                 let at = path.first(nth + 1);
-                let leaf = node.child(key).ok_or_else(|| misfit(&at, "the list has no key leaf"))?;
+                let leaf = node
+                    .child(key)
+                    .ok_or_else(|| misfit(&at, "the list has no key leaf"))?;
                 let value = leaf.value(&at, &Json::String(value.to_string()))?;
                 to.insert(at.child(key, None), value);
             }
@@ -149,7 +169,12 @@
     pub fn missing(&self, leaves: &Leaves) -> Vec<Misfit> {
         let mut found = Vec::new();
         for node in self.root.inner.iter().filter(|n| n.config) {
-            lacks(node, &Path::root().child(&node.name, None), leaves, &mut found);
+            lacks(
+                node,
+                &Path::root().child(&node.name, None),
+                leaves,
+                &mut found,
+            );
         }
         found
     }
@@ -201,7 +226,11 @@
                 fill(child, &at.child(&child.name, None), value, to)?;
             }
             // A map of leaves can't say that a container is there with nothing in it, and none here may be.
-            let empty = node.presence && !to.range(at.clone()..).next().is_some_and(|l| l.0.starts_with(at));
+            let empty = node.presence
+                && !to
+                    .range(at.clone()..)
+                    .next()
+                    .is_some_and(|l| l.0.starts_with(at));
             if empty {
                 Err(misfit(at, "is there with nothing in it"))
             } else {
@@ -212,9 +241,13 @@
         (Kind::List { key }, Json::Array(entries)) => {
             let mut keys = BTreeSet::new();
             for json in entries {
-                let name = json.get(&**key).or_else(|| json.get(format!("{MODULE_NAME}:{key}")));
+                let name = json
+                    .get(&**key)
+                    .or_else(|| json.get(format!("{MODULE_NAME}:{key}")));
                 let name = name.ok_or_else(|| misfit(at, format!("an entry without its {key}")))?;
-                let leaf = node.child(key).ok_or_else(|| misfit(at, "the list has no key leaf"))?;
+                let leaf = node
+                    .child(key)
+                    .ok_or_else(|| misfit(at, "the list has no key leaf"))?;
                 let name = leaf.value(at, name)?.to_string();
                 let mut steps = at.0.to_vec();
                 if let Some(last) = steps.last_mut() {
@@ -241,17 +274,32 @@
 }
 
 /// One entry's members; a key that it names must be its own.
-fn entry(node: &Node, key: &Arc<str>, at: &Path, json: &Json, to: &mut Leaves) -> Result<(), Misfit> {
-    let own = at.0.last().and_then(|s| s.key.clone()).unwrap_or_else(|| "".into());
-    let inside = Node { kind: Kind::Container, ..node.clone() };
+fn entry(
+    node: &Node,
+    key: &Arc<str>,
+    at: &Path,
+    json: &Json,
+    to: &mut Leaves,
+) -> Result<(), Misfit> {
+    let own =
+        at.0.last()
+            .and_then(|s| s.key.clone())
+            .unwrap_or_else(|| "".into());
+    let inside = Node {
+        kind: Kind::Container,
+        ..node.clone()
+    };
     fill(&inside, at, json, to)?;
     let key_at = at.child(key, None);
     match to.get(&key_at) {
-        Some(told) if told.to_string() != *own => {
-            Err(misfit(at, format!("the entry says that its {key} is {told}")))
-        }
+        Some(told) if told.to_string() != *own => Err(misfit(
+            at,
+            format!("the entry says that its {key} is {told}"),
+        )),
         _ => {
-            let leaf = node.child(key).ok_or_else(|| misfit(at, "the list has no key leaf"))?;
+            let leaf = node
+                .child(key)
+                .ok_or_else(|| misfit(at, "the list has no key leaf"))?;
             to.insert(key_at, leaf.value(at, &Json::String(own.to_string()))?);
             Ok(())
         }
@@ -259,28 +307,41 @@
 }
 
 fn lacks(node: &Node, at: &Path, leaves: &Leaves, found: &mut Vec<Misfit>) {
-    let below =
-        |path: &Path| leaves.range(path.clone()..).next().is_some_and(|(first, _)| first.starts_with(path));
+    let below = |path: &Path| {
+        leaves
+            .range(path.clone()..)
+            .next()
+            .is_some_and(|(first, _)| first.starts_with(path))
+    };
     match &node.kind {
         Kind::Leaf(_) | Kind::Leaves(_) if node.mandatory && !leaves.contains_key(at) => {
             found.push(misfit(at, "is missing"));
         }
         Kind::Container if !node.presence || below(at) => {
-            node.inner.iter().for_each(|n| lacks(n, &at.child(&n.name, None), leaves, found));
+            node.inner
+                .iter()
+                .for_each(|n| lacks(n, &at.child(&n.name, None), leaves, found));
         }
         Kind::List { .. } => {
             let (parent, n) = (at.first(at.0.len() - 1), at.0.len());
             let mut keys = BTreeSet::new();
-            let here = leaves.range(parent.clone()..).take_while(|(p, _)| p.starts_with(&parent));
+            let here = leaves
+                .range(parent.clone()..)
+                .take_while(|(p, _)| p.starts_with(&parent));
             for (path, _) in here.filter(|(p, _)| p.0.len() > n && p.0[n - 1].name == node.name) {
                 keys.insert(path.first(n));
             }
             if keys.len() < node.entries.0 || keys.len() > node.entries.1 {
                 let (least, most) = node.entries;
-                found.push(misfit(at, format!("{} entries; {least} to {most} may be there", keys.len())));
+                found.push(misfit(
+                    at,
+                    format!("{} entries; {least} to {most} may be there", keys.len()),
+                ));
             }
             for key in keys {
-                node.inner.iter().for_each(|n| lacks(n, &key.child(&n.name, None), leaves, found));
+                node.inner
+                    .iter()
+                    .for_each(|n| lacks(n, &key.child(&n.name, None), leaves, found));
             }
         }
         _ => {}
@@ -296,16 +357,23 @@
             at += 1;
             continue;
         };
-        let same = leaves[at..].iter().take_while(|l| l.0.first() == Some(step)).count();
-        let group: Vec<(&[Step], &Value)> =
-            leaves[at..at + same].iter().map(|(steps, value)| (&steps[1..], *value)).collect();
+        let same = leaves[at..]
+            .iter()
+            .take_while(|l| l.0.first() == Some(step))
+            .count();
+        let group: Vec<(&[Step], &Value)> = leaves[at..at + same]
+            .iter()
+            .map(|(steps, value)| (&steps[1..], *value))
+            .collect();
         let inner = match group[..] {
             [([], value)] => value.json(),
             _ => object(&group),
         };
         match step.key {
             Some(_) => {
-                let entries = members.entry(step.name.to_string()).or_insert_with(|| Json::Array(Vec::new()));
+                let entries = members
+                    .entry(step.name.to_string())
+                    .or_insert_with(|| Json::Array(Vec::new()));
                 if let Json::Array(all) = entries {
                     all.push(inner);
                 }
--- a/crates/tree/src/path.rs
+++ b/crates/tree/src/path.rs
@@ -17,7 +17,11 @@
 /// A step that is asked for: `*` stands for any name, a key that is none for any, `...` for any steps or none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Wanted {
-    Step { name: Option<Arc<str>>, key: Option<Arc<str>>, key_name: Option<Arc<str>> },
+    Step {
+        name: Option<Arc<str>>,
+        key: Option<Arc<str>>,
+        key_name: Option<Arc<str>>,
+    },
     Any,
 }
 
@@ -35,7 +39,10 @@
     }
 
     pub fn child(&self, name: &Arc<str>, key: Option<Arc<str>>) -> Path {
-        let last = Step { name: name.clone(), key };
+        let last = Step {
+            name: name.clone(),
+            key,
+        };
         Path(self.0.iter().cloned().chain([last]).collect())
     }
 
@@ -49,7 +56,11 @@
 }
 
 fn escaped(f: &mut fmt::Formatter, name: &str, key: &str, value: &str) -> fmt::Result {
-    write!(f, "/{name}[{key}={}]", value.replace('\\', "\\\\").replace(']', "\\]"))
+    write!(
+        f,
+        "/{name}[{key}={}]",
+        value.replace('\\', "\\\\").replace(']', "\\]")
+    )
 }
 
 impl fmt::Display for Path {
@@ -90,8 +101,11 @@
             }
             let (mut key, mut key_name) = (None, None);
             if let Some(inside) = behind.strip_prefix('[') {
-                let (k, from) = inside.split_once('=').ok_or_else(|| format!("{text}: a key without ="))?;
-                let (value, after) = until_bracket(from).ok_or_else(|| format!("{text}: ] is missing"))?;
+                let (k, from) = inside
+                    .split_once('=')
+                    .ok_or_else(|| format!("{text}: a key without ="))?;
+                let (value, after) =
+                    until_bracket(from).ok_or_else(|| format!("{text}: ] is missing"))?;
                 (key, key_name, behind) = (Some(value), Some(k.trim().to_string()), after);
                 if behind.starts_with('[') {
                     return Err(format!("{text}: a list here has one key"));
@@ -139,8 +153,19 @@
     /// The longest path that all it matches begin with, once the schema has marked the lists in it.
     pub fn stem(&self) -> Path {
         let plain = self.0.iter().map_while(|w| match w {
-            Wanted::Step { key: None, key_name: Some(_), .. } => None,
-            Wanted::Step { name: Some(name), key, .. } => Some(Step { name: name.clone(), key: key.clone() }),
+            Wanted::Step {
+                key: None,
+                key_name: Some(_),
+                ..
+            } => None,
+            Wanted::Step {
+                name: Some(name),
+                key,
+                ..
+            } => Some(Step {
+                name: name.clone(),
+                key: key.clone(),
+            }),
             _ => None,
         });
         Path(plain.collect())
@@ -163,7 +188,9 @@
     }
 
     fn fits(&self, step: &Step) -> bool {
-        let Wanted::Step { name, key, .. } = self else { return false };
+        let Wanted::Step { name, key, .. } = self else {
+            return false;
+        };
         let same = |wanted: &Option<Arc<str>>, is: Option<&Arc<str>>| {
             wanted.as_ref().is_none_or(|w| is.is_some_and(|i| i == w))
         };
@@ -175,7 +202,9 @@
     match wanted.split_first() {
         None => true,
         Some((Wanted::Any, rest)) => (0..=steps.len()).any(|n| covers(rest, &steps[n..])),
-        Some((w, rest)) => steps.split_first().is_some_and(|(s, more)| w.fits(s) && covers(rest, more)),
+        Some((w, rest)) => steps
+            .split_first()
+            .is_some_and(|(s, more)| w.fits(s) && covers(rest, more)),
     }
 }
 
@@ -200,7 +229,11 @@
         }
         self.0.iter().try_for_each(|w| match w {
             Wanted::Any => f.write_str("/..."),
-            Wanted::Step { name, key, key_name } => {
+            Wanted::Step {
+                name,
+                key,
+                key_name,
+            } => {
                 let name = name.as_deref().unwrap_or("*");
                 match (key, key_name) {
                     (Some(value), k) => escaped(f, name, k.as_deref().unwrap_or("name"), value),
@@ -221,12 +254,19 @@
 
     #[test]
     fn paths_are_written_as_they_are_read() {
-        for text in ["/", "/settings", "/settings/band[name=a\\]b]/expected", "/state/revision[number=3]/who"]
-        {
+        for text in [
+            "/",
+            "/settings",
+            "/settings/band[name=a\\]b]/expected",
+            "/state/revision[number=3]/who",
+        ] {
             assert_eq!(path(text).to_string(), text);
             assert_eq!(Pattern::read(text).unwrap().to_string(), text);
         }
-        assert_eq!(path("ironstair-gateway:settings/gateways"), path("/settings/gateways"));
+        assert_eq!(
+            path("ironstair-gateway:settings/gateways"),
+            path("/settings/gateways")
+        );
     }
 
     #[test]
@@ -244,7 +284,11 @@
             ("/settings/band[name=lookup]/expected/more", false),
             ("/state", false),
         ] {
-            assert_eq!(Pattern::read(pattern).unwrap().covers(&leaf), covers, "{pattern}");
+            assert_eq!(
+                Pattern::read(pattern).unwrap().covers(&leaf),
+                covers,
+                "{pattern}"
+            );
         }
     }
 
@@ -252,7 +296,15 @@
     fn what_is_no_path_is_refused() {
         let deep = "/a".repeat(99);
         let long = "a".repeat(9999);
-        for text in ["/a[b]", "/a[b=c", "/a[b=c]d", "/a[b=c][d=e]", "/a//b", &deep, &long] {
+        for text in [
+            "/a[b]",
+            "/a[b=c",
+            "/a[b=c]d",
+            "/a[b=c][d=e]",
+            "/a//b",
+            &deep,
+            &long,
+        ] {
             assert!(Pattern::read(text).is_err(), "{text}");
         }
     }
--- a/crates/tree/src/schema.rs
+++ b/crates/tree/src/schema.rs
@@ -55,11 +55,16 @@
                 let (whole, part) = (units.unsigned_abs() / tens, units.unsigned_abs() % tens);
                 let part = format!("{part:0width$}", width = *digits as usize);
                 let part = part.trim_end_matches('0');
-                write!(f, "{sign}{whole}.{}", if part.is_empty() { "0" } else { part })
-            }
-            Value::List(all) => {
-                all.iter().enumerate().try_for_each(|(i, v)| write!(f, "{}{v}", if i > 0 { " " } else { "" }))
+                write!(
+                    f,
+                    "{sign}{whole}.{}",
+                    if part.is_empty() { "0" } else { part }
+                )
             }
+            Value::List(all) => all
+                .iter()
+                .enumerate()
+                .try_for_each(|(i, v)| write!(f, "{}{v}", if i > 0 { " " } else { "" })),
         }
     }
 }
@@ -67,9 +72,18 @@
 #[derive(Clone, Debug)]
 pub enum Type {
     Bool,
-    Uint { wide: bool, ranges: Vec<(u64, u64)> },
-    Decimal { digits: u8, ranges: Vec<(i64, i64)> },
-    Text { lengths: Vec<(u64, u64)>, patterns: Vec<Regex> },
+    Uint {
+        wide: bool,
+        ranges: Vec<(u64, u64)>,
+    },
+    Decimal {
+        digits: u8,
+        ranges: Vec<(i64, i64)>,
+    },
+    Text {
+        lengths: Vec<(u64, u64)>,
+        patterns: Vec<Regex>,
+    },
     Enum(Vec<Arc<str>>),
 }
 
@@ -110,7 +124,10 @@
 }
 
 pub fn misfit(path: &impl ToString, why: impl Into<String>) -> Misfit {
-    Misfit { path: path.to_string(), why: why.into() }
+    Misfit {
+        path: path.to_string(),
+        why: why.into(),
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -124,7 +141,10 @@
     /// From the text of a module, or what in it can't be used.
     pub fn read(text: &str) -> Result<Schema, String> {
         let module = yang::parse(text)?;
-        let inner = module.inner.iter().filter_map(|s| node(s, &module, true).transpose());
+        let inner = module
+            .inner
+            .iter()
+            .filter_map(|s| node(s, &module, true).transpose());
         let root = Node {
             name: module.argument.as_str().into(),
             kind: Kind::Container,
@@ -136,9 +156,19 @@
             typedef: None,
             inner: inner.collect::<Result<_, _>>()?,
         };
-        let revision = module.arg("revision").ok_or("the module has no revision")?.to_string();
-        let namespace = module.arg("namespace").ok_or("the module has no namespace")?.to_string();
-        Ok(Schema { root, revision, namespace })
+        let revision = module
+            .arg("revision")
+            .ok_or("the module has no revision")?
+            .to_string();
+        let namespace = module
+            .arg("namespace")
+            .ok_or("the module has no namespace")?
+            .to_string();
+        Ok(Schema {
+            root,
+            revision,
+            namespace,
+        })
     }
 
     /// The module that is shipped.
@@ -148,7 +178,9 @@
 
     /// The nodes along a path.
     pub fn at(&self, path: &Path) -> Option<&Node> {
-        path.0.iter().try_fold(&self.root, |node, step| node.child(&step.name))
+        path.0
+            .iter()
+            .try_fold(&self.root, |node, step| node.child(&step.name))
     }
 
     /// The pattern with the lists in it marked, or why it can match nothing.
@@ -158,7 +190,12 @@
         let mut walked = Pattern::default();
         for step in &mut found.0 {
             walked.0.push(step.clone());
-            let Wanted::Step { name, key, key_name } = step else {
+            let Wanted::Step {
+                name,
+                key,
+                key_name,
+            } = step
+            else {
                 at = at.iter().flat_map(|n| n.deep()).collect();
                 continue;
             };
@@ -171,10 +208,15 @@
             let keys: Vec<&Arc<str>> = next.iter().filter_map(|n| n.key()).collect();
             match (key_name.as_ref(), keys.first()) {
                 (Some(told), Some(k)) if !keys.contains(&told) => {
-                    return Err(misfit(&walked, format!("the list's key is {k}, not {told}")));
+                    return Err(misfit(
+                        &walked,
+                        format!("the list's key is {k}, not {told}"),
+                    ));
                 }
                 (Some(_), None) => return Err(misfit(&walked, "this is no list and has no key")),
-                (None, Some(k)) if name.is_some() && key.is_none() => *key_name = Some((*k).clone()),
+                (None, Some(k)) if name.is_some() && key.is_none() => {
+                    *key_name = Some((*k).clone())
+                }
                 _ => {}
             }
             at = next;
@@ -186,17 +228,29 @@
     pub fn single(&self, pattern: &Pattern) -> Result<Path, Misfit> {
         let found = self.resolve(pattern)?;
         let (last, stem) = (found.0.len(), found.stem());
-        let whole_list = |w: &Wanted| matches!(w, Wanted::Step { name: Some(_), key: None, .. });
+        let whole_list = |w: &Wanted| {
+            matches!(
+                w,
+                Wanted::Step {
+                    name: Some(_),
+                    key: None,
+                    ..
+                }
+            )
+        };
         if stem.0.len() == last {
             return Ok(stem);
         }
         match found.0.last() {
-            Some(Wanted::Step { name: Some(name), .. })
-                if stem.0.len() + 1 == last && found.0.last().is_some_and(whole_list) =>
-            {
+            Some(Wanted::Step {
+                name: Some(name), ..
+            }) if stem.0.len() + 1 == last && found.0.last().is_some_and(whole_list) => {
                 Ok(stem.child(name, None))
             }
-            _ => Err(misfit(pattern, "a change needs one path, without wildcards and with every key")),
+            _ => Err(misfit(
+                pattern,
+                "a change needs one path, without wildcards and with every key",
+            )),
         }
     }
 }
@@ -204,7 +258,9 @@
 fn unknown(at: &[&Node], wanted: Option<&str>) -> String {
     let names: Vec<&str> = at.iter().flat_map(|n| &n.inner).map(|n| &*n.name).collect();
     match wanted {
-        Some(_) if !names.is_empty() => format!("there is no such node; there are {}", names.join(", ")),
+        Some(_) if !names.is_empty() => {
+            format!("there is no such node; there are {}", names.join(", "))
+        }
         _ => "there is nothing below this".into(),
     }
 }
@@ -236,9 +292,15 @@
         match (&self.kind, json) {
             (Kind::Leaf(kind), _) => kind.value(json).map_err(|why| misfit(at, why)),
             (Kind::Leaves(kind), Json::Array(all)) => {
-                let values = all.iter().map(|v| kind.value(v).map_err(|why| misfit(at, why)));
+                let values = all
+                    .iter()
+                    .map(|v| kind.value(v).map_err(|why| misfit(at, why)));
                 let values = values.collect::<Result<Vec<_>, _>>()?;
-                if let Some(twice) = values.iter().enumerate().find(|(i, v)| values[..*i].contains(v)) {
+                if let Some(twice) = values
+                    .iter()
+                    .enumerate()
+                    .find(|(i, v)| values[..*i].contains(v))
+                {
                     return Err(misfit(at, format!("{} is there twice", twice.1)));
                 }
                 Ok(Value::List(values))
@@ -276,26 +338,39 @@
                 let n = text.and_then(|t| t.parse::<u64>().ok());
                 let n = n.ok_or_else(|| format!("{} is no whole number from 0 on", shown()))?;
                 within(n, ranges, |n| n.to_string())?;
-                Ok(if *wide { Value::Wide(n) } else { Value::Uint(n) })
+                Ok(if *wide {
+                    Value::Wide(n)
+                } else {
+                    Value::Uint(n)
+                })
             }
             Type::Decimal { digits, ranges } => {
                 let units = text.and_then(|t| units(&t, *digits));
                 let units = units.ok_or_else(|| {
-                    format!("{} is no decimal with {digits} digits behind the point at most", shown())
+                    format!(
+                        "{} is no decimal with {digits} digits behind the point at most",
+                        shown()
+                    )
                 })?;
                 within(units, ranges, |u| Value::Decimal(u, *digits).to_string())?;
                 Ok(Value::Decimal(units, *digits))
             }
             Type::Text { lengths, patterns } => {
-                let Json::String(s) = json else { return Err(format!("{} is no text", shown())) };
-                within(s.chars().count() as u64, lengths, |n| format!("{n} characters"))?;
+                let Json::String(s) = json else {
+                    return Err(format!("{} is no text", shown()));
+                };
+                within(s.chars().count() as u64, lengths, |n| {
+                    format!("{n} characters")
+                })?;
                 if patterns.iter().any(|p| !p.is_match(s)) {
                     return Err(format!("{} is not of the form that is asked for", shown()));
                 }
                 Ok(Value::text(s))
             }
             Type::Enum(names) => {
-                let found = json.as_str().and_then(|s| names.iter().find(|n| ***n == *s));
+                let found = json
+                    .as_str()
+                    .and_then(|s| names.iter().find(|n| ***n == *s));
                 found.map(|n| Value::Text(n.clone())).ok_or_else(|| {
                     let names: Vec<&str> = names.iter().map(|n| &**n).collect();
                     format!("{} is none of {}", shown(), names.join(", "))
@@ -324,11 +399,18 @@
     padded.parse::<i64>().ok()?.checked_mul(sign)
 }
 
-fn within<T: PartialOrd + Copy>(x: T, ranges: &[(T, T)], show: impl Fn(T) -> String) -> Result<(), String> {
+fn within<T: PartialOrd + Copy>(
+    x: T,
+    ranges: &[(T, T)],
+    show: impl Fn(T) -> String,
+) -> Result<(), String> {
     if ranges.is_empty() || ranges.iter().any(|r| r.0 <= x && x <= r.1) {
         return Ok(());
     }
-    let ranges: Vec<String> = ranges.iter().map(|r| format!("{} to {}", show(r.0), show(r.1))).collect();
+    let ranges: Vec<String> = ranges
+        .iter()
+        .map(|r| format!("{} to {}", show(r.0), show(r.1)))
+        .collect();
     Err(format!("{} is outside {}", show(x), ranges.join(" or ")))
 }
 
@@ -352,16 +434,23 @@
         _ => return Ok(None),
     };
     let count = |keyword: &str, absent: usize| {
-        s.arg(keyword).map_or(Ok(absent), |n| n.parse().map_err(|_| fault("is no number")))
+        s.arg(keyword)
+            .map_or(Ok(absent), |n| n.parse().map_err(|_| fault("is no number")))
     };
-    let inner = s.inner.iter().filter_map(|i| node(i, module, config).transpose());
+    let inner = s
+        .inner
+        .iter()
+        .filter_map(|i| node(i, module, config).transpose());
     Ok(Some(Node {
         name: s.argument.as_str().into(),
         kind,
         config,
         mandatory: s.arg("mandatory") == Some("true"),
         presence: s.one("presence").is_some(),
-        entries: (count("min-elements", 0)?, count("max-elements", usize::MAX)?),
+        entries: (
+            count("min-elements", 0)?,
+            count("max-elements", usize::MAX)?,
+        ),
         units: s.arg("units").map(String::from),
         typedef: s.arg("type").map(String::from),
         inner: inner.collect::<Result<_, _>>()?,
@@ -383,7 +472,10 @@
     let first = |keyword: &str| chain.iter().find_map(|t| t.arg(keyword));
     let uint = |most: u64, wide: bool| {
         let read = |t: &str| t.parse().ok();
-        Ok(Type::Uint { wide, ranges: ranges(first("range").unwrap_or("min .. max"), 0, most, read)? })
+        Ok(Type::Uint {
+            wide,
+            ranges: ranges(first("range").unwrap_or("min .. max"), 0, most, read)?,
+        })
     };
     match base {
         "boolean" => Ok(Type::Bool),
@@ -394,8 +486,12 @@
         "decimal64" => {
             let digits = first("fraction-digits").and_then(|d| d.parse().ok());
             let digits = digits.ok_or_else(|| fault(leaf, "a decimal64 needs its digits"))?;
-            let ranges =
-                ranges(first("range").unwrap_or("min .. max"), i64::MIN, i64::MAX, |t| units(t, digits))?;
+            let ranges = ranges(
+                first("range").unwrap_or("min .. max"),
+                i64::MIN,
+                i64::MAX,
+                |t| units(t, digits),
+            )?;
             Ok(Type::Decimal { digits, ranges })
         }
         "string" => {
@@ -404,11 +500,18 @@
                 None => Vec::new(),
             };
             let patterns = chain.iter().filter_map(|t| t.arg("pattern"));
-            let patterns = patterns.map(|p| Regex::new(&format!("^(?:{p})$")).map_err(|e| e.to_string()));
-            Ok(Type::Text { lengths, patterns: patterns.collect::<Result<_, _>>()? })
+            let patterns =
+                patterns.map(|p| Regex::new(&format!("^(?:{p})$")).map_err(|e| e.to_string()));
+            Ok(Type::Text {
+                lengths,
+                patterns: patterns.collect::<Result<_, _>>()?,
+            })
         }
         "enumeration" => {
-            let names = chain.iter().flat_map(|t| t.all("enum")).map(|e| e.argument.as_str().into());
+            let names = chain
+                .iter()
+                .flat_map(|t| t.all("enum"))
+                .map(|e| e.argument.as_str().into());
             Ok(Type::Enum(names.collect()))
         }
         other => Err(fault(leaf, &format!("the type {other} is not read here"))),
@@ -432,5 +535,7 @@
             None => bound(part).map(|b| (b, b)),
         }
     };
-    text.split('|').map(|p| one(p).ok_or_else(|| format!("{text} is no range"))).collect()
+    text.split('|')
+        .map(|p| one(p).ok_or_else(|| format!("{text} is no range")))
+        .collect()
 }
--- a/crates/tree/src/state.rs
+++ b/crates/tree/src/state.rs
@@ -105,7 +105,10 @@
     remove(&mut new, &node);
     let cut_off = |steady: bool| if steady { "steady" } else { "strict" };
     for m in &is.members {
-        let mut n = at(&mut new, [step("fleet", None), step("member", Some(&m.name))]);
+        let mut n = at(
+            &mut new,
+            [step("fleet", None), step("member", Some(&m.name))],
+        );
         n.text("name", &m.name);
         n.text("cut-off", cut_off(m.steady));
         n.set("heard", moment(m.heard));
@@ -135,7 +138,10 @@
 }
 
 fn step(name: &str, key: Option<&str>) -> Step {
-    Step { name: name.into(), key: key.map(Into::into) }
+    Step {
+        name: name.into(),
+        key: key.map(Into::into),
+    }
 }
 
 /// Leaves of one node, by name.
@@ -175,7 +181,10 @@
         use imbl::ordmap::DiffItem;
         match change {
             DiffItem::Add(name, e) => engine(&mut new, name, None, e, is.at),
-            DiffItem::Update { old: (_, old), new: (name, e) } => engine(&mut new, name, Some(old), e, is.at),
+            DiffItem::Update {
+                old: (_, old),
+                new: (name, e),
+            } => engine(&mut new, name, Some(old), e, is.at),
             DiffItem::Remove(name, _) => {
                 let entry = Path([step("state", None), step("engine", Some(name))].into());
                 remove(&mut new, &entry);
@@ -217,7 +226,9 @@
 }
 
 fn remove(leaves: &mut Leaves, entry: &Path) {
-    let gone = leaves.range(entry.clone()..).take_while(|(p, _)| p.starts_with(entry));
+    let gone = leaves
+        .range(entry.clone()..)
+        .take_while(|(p, _)| p.starts_with(entry));
     let gone: Vec<Path> = gone.map(|(p, _)| p.clone()).collect();
     gone.iter().for_each(|p| drop(leaves.remove(p)));
 }
@@ -249,7 +260,11 @@
     n.set("since", moment(e.since));
     n.count("inflight", e.inflight as u64);
     n.decimal("threads", v.threads, 3);
-    let own = if v.cores > 0.0 { v.threads / v.cores } else { 0.0 };
+    let own = if v.cores > 0.0 {
+        v.threads / v.cores
+    } else {
+        0.0
+    };
     n.decimal("util", v.report.map_or(own, |r| r.1), 3);
     n.set("util-told", moment(v.report.map_or(0.0, |r| r.0)));
     n.decimal("pace", v.stretch.min(1e9), 3);
@@ -289,7 +304,9 @@
 pub fn revisions<'a>(leaves: &Leaves, lines: impl Iterator<Item = &'a Line>) -> Leaves {
     let mut new = leaves.clone();
     let list = Path([step("state", None)].into());
-    let old = new.range(list.clone()..).take_while(|(p, _)| p.starts_with(&list));
+    let old = new
+        .range(list.clone()..)
+        .take_while(|(p, _)| p.starts_with(&list));
     let old = old.filter(|(p, _)| p.0.get(1).is_some_and(|s| &*s.name == "revision"));
     let old: Vec<Path> = old.map(|(p, _)| p.clone()).collect();
     old.iter().for_each(|p| drop(new.remove(p)));
--- a/crates/tree/src/yang.rs
+++ b/crates/tree/src/yang.rs
@@ -27,7 +27,10 @@
 
 /// The one statement that a text holds; else what is wrong, with its line.
 pub fn parse(text: &str) -> Result<Statement, String> {
-    let mut r = Reader { rest: text, line: 1 };
+    let mut r = Reader {
+        rest: text,
+        line: 1,
+    };
     let found = r.statement(0)?;
     r.blank()?;
     if r.rest.is_empty() {
@@ -62,7 +65,10 @@
                 let n = self.rest.find('\n').unwrap_or(self.rest.len());
                 self.skip(n);
             } else if self.rest.starts_with("/*") {
-                let n = self.rest.find("*/").ok_or_else(|| self.fault("a comment without end"))?;
+                let n = self
+                    .rest
+                    .find("*/")
+                    .ok_or_else(|| self.fault("a comment without end"))?;
                 self.skip(n + 2);
             } else {
                 return Ok(());
@@ -96,7 +102,10 @@
         let mut text = String::new();
         loop {
             let stops = |c: char| c == quote || quote == '"' && c == '\\';
-            let n = self.rest.find(stops).ok_or_else(|| self.fault("a string without end"))?;
+            let n = self
+                .rest
+                .find(stops)
+                .ok_or_else(|| self.fault("a string without end"))?;
             text.push_str(self.skip(n));
             if self.rest.starts_with(quote) {
                 self.skip(1);
@@ -115,9 +124,13 @@
     }
 
     fn argument(&mut self) -> Result<String, String> {
-        let Some(mut text) = self.quoted()? else { return self.word() };
+        let Some(mut text) = self.quoted()? else {
+            return self.word();
+        };
         while self.take('+')? {
-            text += &self.quoted()?.ok_or_else(|| self.fault("no string behind +"))?;
+            text += &self
+                .quoted()?
+                .ok_or_else(|| self.fault("no string behind +"))?;
         }
         Ok(text)
     }
@@ -127,7 +140,11 @@
             return Err(self.fault("too deep"));
         }
         let keyword = self.word()?;
-        let mut found = Statement { keyword, line: self.line, ..Statement::default() };
+        let mut found = Statement {
+            keyword,
+            line: self.line,
+            ..Statement::default()
+        };
         self.blank()?;
         if !self.rest.starts_with([';', '{']) {
             found.argument = self.argument()?;
@@ -155,7 +172,10 @@
         let m = parse(text).unwrap();
         let leaf = m.one("leaf").unwrap();
         assert_eq!((leaf.argument.as_str(), leaf.line), ("ab", 2));
-        assert_eq!((leaf.arg("pattern"), leaf.arg("x")), (Some("[a-z\\-]"), Some("q\"\n")));
+        assert_eq!(
+            (leaf.arg("pattern"), leaf.arg("x")),
+            (Some("[a-z\\-]"), Some("q\"\n"))
+        );
     }
 
     #[test]
--- a/crates/tree/tests/tree.rs
+++ b/crates/tree/tests/tree.rs
@@ -35,23 +35,37 @@
     let (schema, leaves) = start();
     match schema.edit(&leaves, edits) {
         Err(e) => e.to_string(),
-        Ok(new) => schema.document(&new).unwrap_err().iter().map(|m| m.to_string()).collect(),
+        Ok(new) => schema
+            .document(&new)
+            .unwrap_err()
+            .iter()
+            .map(|m| m.to_string())
+            .collect(),
     }
 }
 
 fn changed(edits: &[Edit]) -> Document {
     let (schema, leaves) = start();
-    schema.document(&schema.edit(&leaves, edits).unwrap()).unwrap()
+    schema
+        .document(&schema.edit(&leaves, edits).unwrap())
+        .unwrap()
 }
 
 #[test]
 fn a_document_is_the_same_there_and_back() {
     let (schema, leaves) = start();
     let document = schema.document(&leaves).unwrap();
-    assert_eq!((document.band[1].payoff.get(), document.band[0].threads), (6.25, 1));
+    assert_eq!(
+        (document.band[1].payoff.get(), document.band[0].threads),
+        (6.25, 1)
+    );
     let again = schema.settings(&document).unwrap();
     assert_eq!(schema.document(&again).unwrap(), document);
-    assert_eq!(again.get(&path("/settings/log/level")), Some(&Value::text("info")), "defaults are there");
+    assert_eq!(
+        again.get(&path("/settings/log/level")),
+        Some(&Value::text("info")),
+        "defaults are there"
+    );
     let json = schema.json(&path("/settings"), select(&again, &pattern("/settings")));
     assert_eq!(json["ironstair-gateway:band"][1]["zone"], json!(["a", "b"]));
     assert_eq!(schema.leaves(&path("/settings"), &json).unwrap(), again);
@@ -78,34 +92,82 @@
             update(&lookup("repeat"), json!("twice")),
             "/settings/band[name=lookup]/repeat: \"twice\" is none of repeatable",
         ),
-        (update(&lookup("in-order"), json!(1)), "/settings/band[name=lookup]/in-order: 1 is neither"),
-        (update(&lookup("zone"), json!(["a", "a"])), "/settings/band[name=lookup]/zone: a is there twice"),
-        (update(&lookup("zone"), json!(["?"])), "/settings/band[name=lookup]/zone: \"?\" is not of the form"),
+        (
+            update(&lookup("in-order"), json!(1)),
+            "/settings/band[name=lookup]/in-order: 1 is neither",
+        ),
+        (
+            update(&lookup("zone"), json!(["a", "a"])),
+            "/settings/band[name=lookup]/zone: a is there twice",
+        ),
+        (
+            update(&lookup("zone"), json!(["?"])),
+            "/settings/band[name=lookup]/zone: \"?\" is not of the form",
+        ),
         (
             update("/settings/bnd", json!({})),
             "/settings/bnd: there is no such node; there are band, gateways",
         ),
-        (update("/settings", json!({"bnd": 1})), "/settings: bnd is unknown here"),
-        (update("/settings", json!({"other:band": 1})), "/settings: other is no module"),
-        (update("/settings/gateways", json!({"a": 1})), "/settings/gateways: {\"a\":1} is no whole number"),
-        (update("/settings/band[nam=x]/payoff", json!("1")), "/settings/band[nam=x]: the list's key is name"),
-        (update("/settings/band/payoff", json!("1")), "/settings/band/payoff: a change needs one path"),
+        (
+            update("/settings", json!({"bnd": 1})),
+            "/settings: bnd is unknown here",
+        ),
+        (
+            update("/settings", json!({"other:band": 1})),
+            "/settings: other is no module",
+        ),
+        (
+            update("/settings/gateways", json!({"a": 1})),
+            "/settings/gateways: {\"a\":1} is no whole number",
+        ),
+        (
+            update("/settings/band[nam=x]/payoff", json!("1")),
+            "/settings/band[nam=x]: the list's key is name",
+        ),
+        (
+            update("/settings/band/payoff", json!("1")),
+            "/settings/band/payoff: a change needs one path",
+        ),
         (
             update("/settings/band[name=lookup]", json!({"name": "post"})),
             "/settings/band[name=lookup]: the entry says",
         ),
-        (update("/settings/band", json!([{"payoff": "1"}])), "/settings/band: an entry without its name"),
-        (update("/settings/ration", json!({})), "/settings/ration: is there with nothing in it"),
-        (update("/settings", json!({"cells": {"cell": []}})), "/settings/cells: is there with nothing in it"),
-        (update("/state/process/name", json!("x")), "/state/process/name: only settings"),
+        (
+            update("/settings/band", json!([{"payoff": "1"}])),
+            "/settings/band: an entry without its name",
+        ),
+        (
+            update("/settings/ration", json!({})),
+            "/settings/ration: is there with nothing in it",
+        ),
+        (
+            update("/settings", json!({"cells": {"cell": []}})),
+            "/settings/cells: is there with nothing in it",
+        ),
+        (
+            update("/state/process/name", json!("x")),
+            "/state/process/name: only settings",
+        ),
         (
             update("/settings/band[name=new]", json!({"payoff": "1.0"})),
             "/settings/band[name=new]/expected: is missing",
         ),
-        (vec![Edit::Delete(pattern(&lookup("name")))], "/settings/band[name=lookup]/name: a key goes"),
-        (vec![Edit::Delete(pattern("/settings/cold/span"))], "/settings/cold/span: is missing"),
-        (vec![Edit::Delete(pattern("/settings/band"))], "/settings/band: 0 entries; 1 to 64"),
-        (vec![Edit::Delete(pattern("/"))], "/settings/band: 0 entries"),
+        (
+            vec![Edit::Delete(pattern(&lookup("name")))],
+            "/settings/band[name=lookup]/name: a key goes",
+        ),
+        (
+            vec![Edit::Delete(pattern("/settings/cold/span"))],
+            "/settings/cold/span: is missing",
+        ),
+        (
+            vec![Edit::Delete(pattern("/settings/band"))],
+            "/settings/band: 0 entries; 1 to 64",
+        ),
+        (
+            vec![Edit::Delete(pattern("/"))],
+            "/settings/band: 0 entries",
+        ),
     ] {
         let told = faults(&edits);
         assert!(told.starts_with(why), "{why}: {told}");
@@ -122,12 +184,20 @@
         ),
         Edit::Delete(pattern("/settings/band")),
     ]);
-    assert_eq!((d.band.len(), d.band[0].expected, d.band[0].hard_limit), (1, 900, 4000));
-    let d =
-        changed(&[Edit::Delete(pattern("/settings/ration")), Edit::Delete(pattern("/settings/.../zone"))]);
+    assert_eq!(
+        (d.band.len(), d.band[0].expected, d.band[0].hard_limit),
+        (1, 900, 4000)
+    );
+    let d = changed(&[
+        Edit::Delete(pattern("/settings/ration")),
+        Edit::Delete(pattern("/settings/.../zone")),
+    ]);
     assert!(d.ration.is_none() && d.band.iter().all(|b| b.zone.is_empty()));
     let d = changed(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
-    assert_eq!(d.band[1].threads, 1, "what is taken out goes back to its default");
+    assert_eq!(
+        d.band[1].threads, 1,
+        "what is taken out goes back to its default"
+    );
 }
 
 #[test]
@@ -135,13 +205,22 @@
     let (schema, leaves) = start();
     let found = |text: &str| {
         let wanted = schema.resolve(&pattern(text)).unwrap();
-        nodes(&leaves, &wanted).iter().map(|p| p.to_string()).collect::<Vec<_>>()
+        nodes(&leaves, &wanted)
+            .iter()
+            .map(|p| p.to_string())
+            .collect::<Vec<_>>()
     };
-    let payoffs = ["/settings/band[name=lookup]/payoff", "/settings/band[name=post]/payoff"];
+    let payoffs = [
+        "/settings/band[name=lookup]/payoff",
+        "/settings/band[name=post]/payoff",
+    ];
     assert_eq!(found("/settings/band[name=*]/payoff"), payoffs);
     assert_eq!(found("/settings/band/payoff"), payoffs);
     assert_eq!(found("/.../payoff"), payoffs);
-    assert_eq!(found("/settings/band"), ["/settings/band[name=lookup]", "/settings/band[name=post]"]);
+    assert_eq!(
+        found("/settings/band"),
+        ["/settings/band[name=lookup]", "/settings/band[name=post]"]
+    );
     assert_eq!(found("/*"), ["/settings"]);
     assert!(schema.resolve(&pattern("/state/nothing")).is_err());
 }
--- a/crates/trial/src/clients.rs
+++ b/crates/trial/src/clients.rs
@@ -104,7 +104,10 @@
     Mandate {
         gateways,
         bands: BANDS.iter().map(band).collect(),
-        kinds: vec![Kind { cores: CORES, memory_mb: 32_768.0 }],
+        kinds: vec![Kind {
+            cores: CORES,
+            memory_mb: 32_768.0,
+        }],
         lines_up: true,
         tries_marked: true,
         may_withdraw: true,
@@ -114,7 +117,11 @@
         warm_after: WARM_AFTER,
         fall_multiple: FALL_MULTIPLE,
         fall_span: FALL_SPAN,
-        ration: Some(Ration { spare: 10.0, share: 0.1, span: 10_000.0 }),
+        ration: Some(Ration {
+            spare: 10.0,
+            share: 0.1,
+            span: 10_000.0,
+        }),
         tick: 5.0,
         ..Mandate::default()
     }
@@ -159,7 +166,12 @@
 impl Submission {
     /// When its client comes again after it was turned back with that advice, where it does.
     pub fn again(&self, now: Ms, advice: Ms) -> Option<Ms> {
-        let at = now + if self.ignores { COMES_AT_ONCE } else { advice.max(COMES_AT_ONCE) };
+        let at = now
+            + if self.ignores {
+                COMES_AT_ONCE
+            } else {
+                advice.max(COMES_AT_ONCE)
+            };
         (self.tries < TRIES && at < self.limit).then_some(at)
     }
 }
--- a/crates/trial/src/day.rs
+++ b/crates/trial/src/day.rs
@@ -98,7 +98,9 @@
             What::KillGateways { share, back_s, .. } | What::KillEngines { share, back_s } => {
                 [("share", share, 1.0), ("back_s", back_s, 3600.0)]
             }
-            What::StopGateways { share, for_s } => [("share", share, 1.0), ("for_s", for_s, 3600.0)],
+            What::StopGateways { share, for_s } => {
+                [("share", share, 1.0), ("for_s", for_s, 3600.0)]
+            }
             What::KillKeepers { back_s } => [("back_s", back_s, 3600.0); 2],
             What::NamesDown { for_s } => [("for_s", for_s, 3600.0); 2],
         }
@@ -130,7 +132,8 @@
     fn checked(self) -> Result<Day, String> {
         let within = |field: String, is: f64, least: f64, most: f64| {
             let fits = is.is_finite() && (least..=most).contains(&is);
-            fits.then_some(()).ok_or(format!("{field}: {is} is outside {least} to {most}"))
+            fits.then_some(())
+                .ok_or(format!("{field}: {is} is outside {least} to {most}"))
         };
         within("seconds".into(), self.seconds as f64, 5.0, 3600.0)?;
         within("gateways".into(), self.gateways as f64, 1.0, 1000.0)?;
@@ -142,7 +145,12 @@
             return Err(format!("fleet: it needs 3 gateways, not {}", self.gateways));
         }
         for (i, f) in self.faults.iter().enumerate() {
-            within(format!("faults[{i}].at_s"), f.at_s, 0.0, self.seconds as f64)?;
+            within(
+                format!("faults[{i}].at_s"),
+                f.at_s,
+                0.0,
+                self.seconds as f64,
+            )?;
             for (field, is, most) in f.what.figures() {
                 within(format!("faults[{i}].what.{field}"), is, 0.0, most)?;
             }
--- a/crates/trial/src/engine.rs
+++ b/crates/trial/src/engine.rs
@@ -54,7 +54,15 @@
 impl Default for Engine {
     fn default() -> Self {
         let (running, got, warm) = Default::default();
-        Engine { up: true, since: 0.0, process: 0, running, at: 0.0, got, warm }
+        Engine {
+            up: true,
+            since: 0.0,
+            process: 0,
+            running,
+            at: 0.0,
+            got,
+            warm,
+        }
     }
 }
 
@@ -74,7 +82,9 @@
 
     fn advance(&mut self, now: Ms) {
         let done = self.pace(now) * (now - self.at);
-        self.running.iter_mut().for_each(|r| r.left -= done * r.threads);
+        self.running
+            .iter_mut()
+            .for_each(|r| r.left -= done * r.threads);
         self.at = now;
     }
 
@@ -82,7 +92,12 @@
     pub fn over(&mut self, now: Ms) -> Vec<Asker> {
         self.advance(now);
         let over = |r: &Run| r.left <= 1e-6;
-        let done = self.running.iter().filter(|r| over(r)).map(|r| r.asker).collect();
+        let done = self
+            .running
+            .iter()
+            .filter(|r| over(r))
+            .map(|r| r.asker)
+            .collect();
         self.running.retain(|r| !over(r));
         done
     }
@@ -90,8 +105,16 @@
     /// When the next query is over, as things stand; looked at again at least this often while it warms up.
     pub fn next(&self, now: Ms) -> Option<Ms> {
         let pace = self.pace(now);
-        let first = self.running.iter().map(|r| r.left / r.threads / pace).fold(Ms::INFINITY, f64::min);
-        let look = if self.warmth(now) < 1.0 { first.min(WARM_AFTER / 100.0) } else { first };
+        let first = self
+            .running
+            .iter()
+            .map(|r| r.left / r.threads / pace)
+            .fold(Ms::INFINITY, f64::min);
+        let look = if self.warmth(now) < 1.0 {
+            first.min(WARM_AFTER / 100.0)
+        } else {
+            first
+        };
         look.is_finite().then_some(now + look.max(0.001))
     }
 
@@ -114,7 +137,11 @@
         warm.and_then(|at| self.warm.remove(at));
         self.warm.push_front(tables);
         self.warm.truncate(WARM_GROUPS);
-        self.running.push(Run { asker, threads, left });
+        self.running.push(Run {
+            asker,
+            threads,
+            left,
+        });
         Taken::Runs
     }
 
@@ -130,7 +157,10 @@
     pub fn end(&mut self) -> Vec<Asker> {
         self.up = false;
         (self.got, self.warm) = Default::default();
-        std::mem::take(&mut self.running).iter().map(|r| r.asker).collect()
+        std::mem::take(&mut self.running)
+            .iter()
+            .map(|r| r.asker)
+            .collect()
     }
 
     /// Another process, cold.
@@ -146,10 +176,18 @@
 
     #[test]
     fn cores_are_shared_and_a_cold_engine_is_slow_and_falls() {
-        let asker = |slot| Asker { gate: 0, process: 0, slot, nth: 0 };
+        let asker = |slot| Asker {
+            gate: 0,
+            process: 0,
+            slot,
+            nth: 0,
+        };
         let mut e = Engine::default();
         for slot in 0..32 {
-            assert!(matches!(e.take(0.0, asker(slot), 1.0, 100.0, 7), Taken::Runs));
+            assert!(matches!(
+                e.take(0.0, asker(slot), 1.0, 100.0, 7),
+                Taken::Runs
+            ));
         }
         // The first found its tables cold; 32 threads share 16 cores.
         assert_eq!(e.next(0.0), Some(200.0));
@@ -157,7 +195,13 @@
         e.end();
         e.begin(1000.0);
         let bears = FALL_MULTIPLE * COLD_FROM * CORES * FALL_SPAN;
-        assert!(matches!(e.take(1000.0, asker(0), 1.0, bears * 0.9, 7), Taken::Runs));
-        assert!(matches!(e.take(1000.0, asker(1), 1.0, bears * 0.2, 7), Taken::Falls));
+        assert!(matches!(
+            e.take(1000.0, asker(0), 1.0, bears * 0.9, 7),
+            Taken::Runs
+        ));
+        assert!(matches!(
+            e.take(1000.0, asker(1), 1.0, bears * 0.2, 7),
+            Taken::Falls
+        ));
     }
 }
--- a/crates/trial/src/figures.rs
+++ b/crates/trial/src/figures.rs
@@ -68,9 +68,16 @@
     pub fn full_after(&self) -> Option<f64> {
         let at = self.fault_s?;
         let (first, whole) = (at as usize, self.seconds.len().saturating_sub(1));
-        let before = self.seconds.get(first.min(3)..first).filter(|b| !b.is_empty())?;
+        let before = self
+            .seconds
+            .get(first.min(3)..first)
+            .filter(|b| !b.is_empty())?;
         let usual = before.iter().map(|s| s.served).sum::<f64>() / before.len() as f64;
-        let full = |s: usize| self.seconds[s..s + FULL_FOR].iter().all(|s| s.served >= FULL * usual);
+        let full = |s: usize| {
+            self.seconds[s..s + FULL_FOR]
+                .iter()
+                .all(|s| s.served >= FULL * usual)
+        };
         let found = (first..whole.saturating_sub(FULL_FOR - 1)).find(|s| full(*s))?;
         Some((found as f64 - at).max(0.0))
     }
@@ -97,9 +104,21 @@
 
     #[test]
     fn full_service_is_five_seconds_of_what_there_was() {
-        let served = [0.0, 9.0, 9.0, 10.0, 10.0, 1.0, 10.0, 9.4, 9.6, 10.0, 9.5, 9.7, 10.0, 0.0];
-        let seconds = served.iter().map(|s| Second { served: *s, ..Second::default() }).collect();
-        let f = Figures { seconds, fault_s: Some(5.0), ..Figures::default() };
+        let served = [
+            0.0, 9.0, 9.0, 10.0, 10.0, 1.0, 10.0, 9.4, 9.6, 10.0, 9.5, 9.7, 10.0, 0.0,
+        ];
+        let seconds = served
+            .iter()
+            .map(|s| Second {
+                served: *s,
+                ..Second::default()
+            })
+            .collect();
+        let f = Figures {
+            seconds,
+            fault_s: Some(5.0),
+            ..Figures::default()
+        };
         assert_eq!(f.full_after(), Some(3.0));
         assert_eq!(Figures { fault_s: None, ..f }.full_after(), None);
     }
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -36,8 +36,18 @@
 impl Log {
     pub fn new(gateways: f64, lease: Ms) -> Log {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun { history: 1 << 48, document: Told(gateways), line: None });
-        Log { fleet, lease, chair: None, quorum_since: Some(-ELECTION), writing: None }
+        fleet.apply(Record::Begun {
+            history: 1 << 48,
+            document: Told(gateways),
+            line: None,
+        });
+        Log {
+            fleet,
+            lease,
+            chair: None,
+            quorum_since: Some(-ELECTION),
+            writing: None,
+        }
     }
 
     /// Time has gone on by a tick; who of the keepers runs.
@@ -54,7 +64,9 @@
             let first = runs.iter().position(|r| *r).unwrap_or(0);
             self.chair = Some((first, Chair::new(now, self.lease)));
         }
-        let Some((_, chair)) = &mut self.chair else { return };
+        let Some((_, chair)) = &mut self.chair else {
+            return;
+        };
         if let Some((_, record)) = self.writing.take_if(|w| w.0 <= now) {
             self.fleet.apply(record);
             chair.applied();
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -11,7 +11,10 @@
 use std::sync::{Mutex, PoisonError};
 
 #[derive(Parser)]
-#[command(name = "ironstair-trial", about = "Days of faults for hundreds of gateways, in virtual time")]
+#[command(
+    name = "ironstair-trial",
+    about = "Days of faults for hundreds of gateways, in virtual time"
+)]
 struct Line {
     #[command(subcommand)]
     job: Job,
@@ -119,11 +122,16 @@
 /// The day with another value of one field.
 fn with(day: &Day, field: &str, value: &str) -> Result<Day, String> {
     let mut json = serde_json::to_value(day).map_err(|e| e.to_string())?;
-    let at = json.pointer_mut(field).ok_or(format!("{field}: a day has no such field"))?;
+    let at = json
+        .pointer_mut(field)
+        .ok_or(format!("{field}: a day has no such field"))?;
     *at = serde_json::from_str(value).unwrap_or(Value::String(value.into()));
     let text = serde_json::to_vec(&json).map_err(|e| e.to_string())?;
     let day = Day::decode(&text)?;
-    Ok(Day { name: format!("{}, {field} {value}", day.name), ..day })
+    Ok(Day {
+        name: format!("{}, {field} {value}", day.name),
+        ..day
+    })
 }
 
 fn table(rows: &[Row]) -> String {
@@ -133,7 +141,9 @@
 
 fn broken(all: &[&[Figures]]) -> Result<(), String> {
     let found = all.iter().flat_map(|d| d.iter()).find(|d| d.broken > 0);
-    found.map_or(Ok(()), |d| Err(format!("seed {}: {}", d.seed, d.breaches.join("; "))))
+    found.map_or(Ok(()), |d| {
+        Err(format!("seed {}: {}", d.seed, d.breaches.join("; ")))
+    })
 }
 
 fn run(job: Job) -> Result<(), String> {
@@ -142,37 +152,87 @@
         Job::Run { day, seeds } => {
             let day = Day::read(&day)?;
             let days = all(&day, &seeds)?;
-            print!("{}", table(&[Row { name: &day.name, days: &days }]));
+            print!(
+                "{}",
+                table(&[Row {
+                    name: &day.name,
+                    days: &days
+                }])
+            );
             broken(&[&days])?;
         }
         Job::Compare { a, b, seeds } => {
             let (a, b) = (Day::read(&a)?, Day::read(&b)?);
             let (of_a, of_b) = (all(&a, &seeds)?, all(&b, &seeds)?);
-            print!("{}", table(&[Row { name: &a.name, days: &of_a }, Row { name: &b.name, days: &of_b }]));
+            print!(
+                "{}",
+                table(&[
+                    Row {
+                        name: &a.name,
+                        days: &of_a
+                    },
+                    Row {
+                        name: &b.name,
+                        days: &of_b
+                    }
+                ])
+            );
             print!("\n{} beside {}: {}", b.name, a.name, compared(&of_a, &of_b));
             broken(&[&of_a, &of_b])?;
         }
-        Job::Sweep { day, field, values, seeds } => {
+        Job::Sweep {
+            day,
+            field,
+            values,
+            seeds,
+        } => {
             let day = Day::read(&day)?;
             // All of them before one is played.
-            let days = values.iter().map(|v| with(&day, &field, v)).collect::<Result<Vec<_>, _>>()?;
-            let played = days.iter().map(|d| all(d, &seeds)).collect::<Result<Vec<_>, _>>()?;
-            let rows: Vec<Row> =
-                days.iter().zip(&played).map(|(d, p)| Row { name: &d.name, days: p }).collect();
+            let days = values
+                .iter()
+                .map(|v| with(&day, &field, v))
+                .collect::<Result<Vec<_>, _>>()?;
+            let played = days
+                .iter()
+                .map(|d| all(d, &seeds))
+                .collect::<Result<Vec<_>, _>>()?;
+            let rows: Vec<Row> = days
+                .iter()
+                .zip(&played)
+                .map(|(d, p)| Row {
+                    name: &d.name,
+                    days: p,
+                })
+                .collect();
             print!("{}", table(&rows));
             broken(&played.iter().map(Vec::as_slice).collect::<Vec<_>>())?;
         }
         Job::Report { days, to, seeds } => {
-            let days = days.iter().map(|d| Day::read(d)).collect::<Result<Vec<_>, _>>()?;
+            let days = days
+                .iter()
+                .map(|d| Day::read(d))
+                .collect::<Result<Vec<_>, _>>()?;
             std::fs::create_dir_all(&to).map_err(|e| format!("{}: {e}", to.display()))?;
-            let played = days.iter().map(|d| all(d, &seeds)).collect::<Result<Vec<_>, _>>()?;
-            let rows: Vec<Row> =
-                days.iter().zip(&played).map(|(d, p)| Row { name: &d.name, days: p }).collect();
+            let played = days
+                .iter()
+                .map(|d| all(d, &seeds))
+                .collect::<Result<Vec<_>, _>>()?;
+            let rows: Vec<Row> = days
+                .iter()
+                .zip(&played)
+                .map(|(d, p)| Row {
+                    name: &d.name,
+                    days: p,
+                })
+                .collect();
             let file = |name: &str, text: String| {
                 let path = to.join(name);
                 std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))
             };
-            file("report.md", format!("{}\n![served](chart.svg)\n", table(&rows)))?;
+            file(
+                "report.md",
+                format!("{}\n![served](chart.svg)\n", table(&rows)),
+            )?;
             file("seconds.csv", played.iter().map(|p| csv(p)).collect())?;
             chart(&to.join("chart.svg"), &rows)?;
             print!("{}", table(&rows));
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -39,9 +39,14 @@
 
 /// B beside A, seed by seed: the mean of what B kept more, and within how much that lies in 95 of 100 such samples.
 pub fn compared(a: &[Figures], b: &[Figures]) -> String {
-    let pairs = || a.iter().filter_map(|x| b.iter().find(|y| y.seed == x.seed).map(|y| (x, y)));
+    let pairs = || {
+        a.iter()
+            .filter_map(|x| b.iter().find(|y| y.seed == x.seed).map(|y| (x, y)))
+    };
     let kept: Vec<f64> = pairs().map(|(x, y)| y.kept() - x.kept()).collect();
-    let sooner: Vec<f64> = pairs().filter_map(|(x, y)| Some(x.full_after()? - y.full_after()?)).collect();
+    let sooner: Vec<f64> = pairs()
+        .filter_map(|(x, y)| Some(x.full_after()? - y.full_after()?))
+        .collect();
     let (more, within) = mean(&kept);
     let (s, s_within) = mean(&sooner);
     format!(
@@ -53,7 +58,8 @@
 
 /// A line a second and seed.
 pub fn csv(days: &[Figures]) -> String {
-    let mut text = String::from("seed,second,asked,served,turned_back,scrapped,fell,forwards,beats\n");
+    let mut text =
+        String::from("seed,second,asked,served,turned_back,scrapped,fell,forwards,beats\n");
     for d in days {
         for (n, s) in d.seconds.iter().enumerate() {
             let _ = writeln!(
@@ -71,7 +77,12 @@
 /// # Errors
 /// The file can't be written.
 pub fn chart(path: &Path, rows: &[Row]) -> Result<(), String> {
-    let seconds = rows.iter().flat_map(|r| r.days).map(|d| d.seconds.len()).max().unwrap_or(1);
+    let seconds = rows
+        .iter()
+        .flat_map(|r| r.days)
+        .map(|d| d.seconds.len())
+        .max()
+        .unwrap_or(1);
     let share = |row: &Row, n: usize| -> Option<f64> {
         let of = |d: &Figures| d.seconds.get(n).map(|s| s.served / s.asked.max(1e-9));
         let all: Vec<f64> = row.days.iter().filter_map(of).collect();
@@ -85,17 +96,24 @@
             .margin(16)
             .x_label_area_size(36)
             .y_label_area_size(48)
-            .caption("served of what was asked, median of the seeds", ("sans-serif", 16))
+            .caption(
+                "served of what was asked, median of the seeds",
+                ("sans-serif", 16),
+            )
             .build_cartesian_2d(0.0..seconds as f64, 0.0..1.3)?;
         chart.configure_mesh().x_desc("second").draw()?;
         for (nth, row) in rows.iter().enumerate() {
             let colour = Palette99::pick(nth).to_rgba();
             let points = (0..seconds).filter_map(|n| Some((n as f64, share(row, n)?)));
             let line = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
-            line.label(row.name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
+            line.label(row.name).legend(move |(x, y)| {
+                PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2))
+            });
         }
-        chart.configure_series_labels().background_style(WHITE.mix(0.8)).draw()?;
+        chart
+            .configure_series_labels()
+            .background_style(WHITE.mix(0.8))
+            .draw()?;
         area.present()?;
         Ok(())
     };
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -170,7 +170,8 @@
     fn new(day: Day, seed: u64) -> World {
         let gateways = day.gateways as usize;
         let engines = vec![Engine::default(); day.engines as usize];
-        let log = (day.fleet != day::Fleet::None).then(|| Log::new(day.gateways as f64, day.lease_ms as f64));
+        let log = (day.fleet != day::Fleet::None)
+            .then(|| Log::new(day.gateways as f64, day.lease_ms as f64));
         let fault_s = day.faults.iter().map(|f| f.at_s).min_by(f64::total_cmp);
         let mut w = World {
             now: 0.0,
@@ -185,7 +186,11 @@
             names_down_until: 0.0,
             log,
             uses: 0,
-            figures: Figures { seed, fault_s, ..Figures::default() },
+            figures: Figures {
+                seed,
+                fault_s,
+                ..Figures::default()
+            },
             day,
         };
         for g in 0..gateways {
@@ -205,20 +210,29 @@
 
     fn after(&mut self, ms: Ms, event: Event) {
         self.order += 1;
-        self.due.push(Reverse(Due(self.now + ms, self.order, event)));
+        self.due
+            .push(Reverse(Due(self.now + ms, self.order, event)));
     }
 
     /// A gateway's process, told as at the day's start.
     fn process(&mut self, g: usize, process: u32) -> Gate {
         let mandate = clients::mandate(self.day.gateways as f64);
-        let module =
-            Gateway::new(mandate.clone(), mix(self.figures.seed ^ mix(g as u64 + 1)) ^ process as u64);
+        let module = Gateway::new(
+            mandate.clone(),
+            mix(self.figures.seed ^ mix(g as u64 + 1)) ^ process as u64,
+        );
         let start = mix(((g as u64) << 32) | (process as u64 + 1)) | 1;
         let member = self
             .log
             .is_some()
             .then(|| Member::new(&format!("g{g:04}"), start, false, self.day.lease_ms as f64))
-            .map(|m| if self.day.proves_ends { m.holding(format!("place {g}")) } else { m });
+            .map(|m| {
+                if self.day.proves_ends {
+                    m.holding(format!("place {g}"))
+                } else {
+                    m
+                }
+            });
         let (slots, free) = Default::default();
         let (stopped_until, wakes, beats) = (0.0, 0, 0);
         Gate {
@@ -259,7 +273,11 @@
             engine,
             id: mix(engine as u64 + 1),
             zone: engine as u16 % ZONES,
-            standing: if e.up { Standing::Ready } else { Standing::Gone },
+            standing: if e.up {
+                Standing::Ready
+            } else {
+                Standing::Gone
+            },
             since: e.since,
             ..Listed::default()
         };
@@ -279,17 +297,31 @@
         match act {
             Act::Forward(slot, engine) => {
                 let process = self.gates[g].process;
-                let Some(held) = self.gates[g].slots[slot].as_mut() else { return };
+                let Some(held) = self.gates[g].slots[slot].as_mut() else {
+                    return;
+                };
                 held.engine = Some(engine);
-                let asker = Asker { gate: g, process, slot, nth: held.nth };
+                let asker = Asker {
+                    gate: g,
+                    process,
+                    slot,
+                    nth: held.nth,
+                };
                 let to = self.engines[engine].process;
                 self.figures.at(self.now).forwards += 1;
                 self.after(WAY, Event::AtEngine(asker, engine, to));
             }
             Act::Withdraw(slot) => {
                 let process = self.gates[g].process;
-                let Some(held) = self.gates[g].slots[slot].as_ref() else { return };
-                let asker = Asker { gate: g, process, slot, nth: held.nth };
+                let Some(held) = self.gates[g].slots[slot].as_ref() else {
+                    return;
+                };
+                let asker = Asker {
+                    gate: g,
+                    process,
+                    slot,
+                    nth: held.nth,
+                };
                 if let Some(engine) = held.engine {
                     self.after(WAY, Event::Withdraws(asker, engine));
                 }
@@ -313,10 +345,15 @@
 
     /// The final answer of a try: given up with advice, or scrapped.
     fn answered(&mut self, g: usize, slot: usize, advice: Option<Ms>) {
-        let Some(held) = self.gates[g].slots[slot].as_mut() else { return };
+        let Some(held) = self.gates[g].slots[slot].as_mut() else {
+            return;
+        };
         let sub = held.sub;
         if std::mem::replace(&mut held.answered, true) {
-            self.figures.breach(format!("two answers for submission {sub} at {:.0} ms", self.now));
+            self.figures.breach(format!(
+                "two answers for submission {sub} at {:.0} ms",
+                self.now
+            ));
             return;
         }
         let seconds = self.figures.at(self.now);
@@ -327,7 +364,9 @@
         let s = &self.subs[sub];
         // What may have run once is not asked for again by who must not have it twice.
         let may = advice.is_some() || !clients::once_only(s.band);
-        let again = s.again(self.now, advice.unwrap_or(0.0)).filter(|_| may && !s.over);
+        let again = s
+            .again(self.now, advice.unwrap_or(0.0))
+            .filter(|_| may && !s.over);
         match again {
             Some(at) => {
                 let to = self.another(g);
@@ -339,21 +378,30 @@
 
     fn another(&mut self, but: usize) -> usize {
         let n = self.gates.len();
-        (0..8).map(|_| one_of(&mut self.chance, n)).find(|g| *g != but && self.gates[*g].up).unwrap_or(but)
+        (0..8)
+            .map(|_| one_of(&mut self.chance, n))
+            .find(|g| *g != but && self.gates[*g].up)
+            .unwrap_or(but)
     }
 
     fn happens(&mut self, event: Event) {
         let gate = match &event {
-            Event::Try(_, g) | Event::Wakes(g, ..) | Event::List(g, _) | Event::BeatDue(g, ..) => Some(*g),
+            Event::Try(_, g) | Event::Wakes(g, ..) | Event::List(g, _) | Event::BeatDue(g, ..) => {
+                Some(*g)
+            }
             Event::AnswerComes(g, ..) => Some(*g),
             Event::Ended(a, _) => Some(a.gate),
             _ => None,
         };
         // A process that is stopped finds all of it when it goes on, in its order.
-        if let Some(until) = gate.map(|g| self.gates[g].stopped_until).filter(|u| *u > self.now) {
+        if let Some(until) = gate
+            .map(|g| self.gates[g].stopped_until)
+            .filter(|u| *u > self.now)
+        {
             return self.after(until - self.now, event);
         }
-        let lives = |w: &World, g: usize, process: u32| w.gates[g].up && w.gates[g].process == process;
+        let lives =
+            |w: &World, g: usize, process: u32| w.gates[g].up && w.gates[g].process == process;
         match event {
             Event::Arrives => self.arrives(),
             Event::Try(sub, g) => self.tries(sub, g),
@@ -440,7 +488,12 @@
         };
         let gate = &mut self.gates[g];
         self.uses += 1;
-        let held = Some(Held { sub, nth: self.uses, engine: None, answered: false });
+        let held = Some(Held {
+            sub,
+            nth: self.uses,
+            engine: None,
+            answered: false,
+        });
         let slot = match gate.free.pop() {
             Some(slot) => {
                 gate.slots[slot] = held;
@@ -455,18 +508,29 @@
     }
 
     fn at_engine(&mut self, asker: Asker, engine: usize, process: u32) {
-        let held = self.gates[asker.gate].slots.get(asker.slot).and_then(Option::as_ref);
+        let held = self.gates[asker.gate]
+            .slots
+            .get(asker.slot)
+            .and_then(Option::as_ref);
         // One from a process that ended, and began anew since, is left out.
-        let Some(sub) = held.filter(|h| h.nth == asker.nth).map(|h| h.sub) else { return };
+        let Some(sub) = held.filter(|h| h.nth == asker.nth).map(|h| h.sub) else {
+            return;
+        };
         if !self.engines[engine].up || self.engines[engine].process != process {
             return self.after(WAY, Event::Ended(asker, End::Refused));
         }
-        let (band, work, tables) = (self.subs[sub].band, self.subs[sub].work, self.subs[sub].tables);
+        let (band, work, tables) = (
+            self.subs[sub].band,
+            self.subs[sub].work,
+            self.subs[sub].tables,
+        );
         match self.engines[engine].take(self.now, asker, clients::threads(band), work, tables) {
             Taken::Runs => {
                 self.subs[sub].out += 1;
                 if clients::once_only(band) && self.subs[sub].out > 1 {
-                    self.figures.breach(format!("submission {sub}, which may run once, was out twice"));
+                    self.figures.breach(format!(
+                        "submission {sub}, which may run once, was out twice"
+                    ));
                 }
                 self.engine_changes(engine);
             }
@@ -511,7 +575,9 @@
         if !gate.up || gate.process != asker.process {
             return;
         }
-        let Some(held) = gate.slots.get_mut(asker.slot).and_then(Option::as_mut) else { return };
+        let Some(held) = gate.slots.get_mut(asker.slot).and_then(Option::as_mut) else {
+            return;
+        };
         if held.nth != asker.nth {
             return;
         }
@@ -529,20 +595,26 @@
             // One that was stopped answers when it goes on, as a process does.
             if self.now > s.limit + LATE && gate.stopped_until <= s.born {
                 let late = self.now - s.limit;
-                self.figures
-                    .breach(format!("submission {sub} was answered {late:.0} ms after its hard limit"));
+                self.figures.breach(format!(
+                    "submission {sub} was answered {late:.0} ms after its hard limit"
+                ));
             }
             self.figures.see(&(sub as u64).to_le_bytes());
         }
         let outcome = match what {
-            End::Settled => Outcome::Settled(Some(Cost { work: self.subs[sub].work, memory_mb: 0.0 })),
+            End::Settled => Outcome::Settled(Some(Cost {
+                work: self.subs[sub].work,
+                memory_mb: 0.0,
+            })),
             End::Full => Outcome::Full,
             End::Refused => Outcome::NoConnection,
             End::Lost => Outcome::Reset,
             End::Withdrawn => Outcome::Withdrawn,
         };
         let (slot, closed) = (asker.slot, settled || !open);
-        self.call(asker.gate, |m, now, out| m.outcome(now, slot, outcome, closed, out));
+        self.call(asker.gate, |m, now, out| {
+            m.outcome(now, slot, outcome, closed, out)
+        });
     }
 
     fn chosen(&mut self, n: usize, share: f64) -> Vec<usize> {
@@ -558,9 +630,17 @@
 
     fn fault(&mut self, i: usize) {
         match self.day.faults[i].what.clone() {
-            What::KillGateways { share, back_s, but_keepers } => {
+            What::KillGateways {
+                share,
+                back_s,
+                but_keepers,
+            } => {
                 let spared = |g: usize| but_keepers && g < KEEPERS;
-                for g in self.chosen(self.gates.len(), share).into_iter().filter(|g| !spared(*g)) {
+                for g in self
+                    .chosen(self.gates.len(), share)
+                    .into_iter()
+                    .filter(|g| !spared(*g))
+                {
                     self.kill(g, back_s * 1000.0);
                 }
             }
@@ -588,10 +668,16 @@
         if !std::mem::replace(&mut self.gates[g].up, false) {
             return;
         }
-        let held: Vec<Held> = self.gates[g].slots.iter().flatten().filter(|h| !h.answered).cloned().collect();
+        let held: Vec<Held> = self.gates[g]
+            .slots
+            .iter()
+            .flatten()
+            .filter(|h| !h.answered)
+            .cloned()
+            .collect();
         for h in held {
-            let once =
-                clients::once_only(self.subs[h.sub].band) && (h.engine.is_some() || self.subs[h.sub].out > 0);
+            let once = clients::once_only(self.subs[h.sub].band)
+                && (h.engine.is_some() || self.subs[h.sub].out > 0);
             if once {
                 // Its client can't know whether it ran.
                 self.subs[h.sub].over = true;
@@ -613,11 +699,19 @@
             return;
         }
         // The oracle's: shares that are taken by who may decide come to no more than the whole.
-        let decides = self.gates.iter().filter(|g| g.up && g.member.as_ref().is_some_and(|m| m.holds(now)));
-        let shares = decides.filter_map(|g| g.share).filter(|s| s.taken).map(|s| 1.0 / s.among);
+        let decides = self
+            .gates
+            .iter()
+            .filter(|g| g.up && g.member.as_ref().is_some_and(|m| m.holds(now)));
+        let shares = decides
+            .filter_map(|g| g.share)
+            .filter(|s| s.taken)
+            .map(|s| 1.0 / s.among);
         let sum: f64 = shares.sum();
         if sum > 1.0 + 1e-6 {
-            self.figures.breach(format!("shares come to {sum:.3} of the whole at {now:.0} ms"));
+            self.figures.breach(format!(
+                "shares come to {sum:.3} of the whole at {now:.0} ms"
+            ));
         }
     }
 
@@ -625,7 +719,9 @@
         let (now, process) = (self.now, self.gates[g].process);
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            let Some(member) = self.gates[g].member.as_mut() else { return };
+            let Some(member) = self.gates[g].member.as_mut() else {
+                return;
+            };
             for action in member.on(now, input) {
                 match action {
                     Action::Beat(beat) => {
@@ -633,22 +729,31 @@
                         self.after(WAY, Event::BeatComes(g, process, Box::new(beat), now));
                     }
                     Action::Apply { mark, .. } => inputs.push(Input::Applied { mark }),
-                    Action::Examine { number, .. } => inputs.push(Input::Examined { number, how: Ok(()) }),
+                    Action::Examine { number, .. } => inputs.push(Input::Examined {
+                        number,
+                        how: Ok(()),
+                    }),
                     Action::Hold(until, share) => self.holds(g, until, share),
                     Action::Say(_) => {}
                 }
             }
         }
-        let Some(due) = self.gates[g].member.as_ref().map(Member::due) else { return };
+        let Some(due) = self.gates[g].member.as_ref().map(Member::due) else {
+            return;
+        };
         self.gates[g].beats += 1;
         let beat = self.gates[g].beats;
         self.after((due - now).max(0.0), Event::BeatDue(g, process, beat));
     }
 
     fn holds(&mut self, g: usize, until: Ms, share: Share) {
-        let share = Share { taken: share.taken || !self.day.shares_wait, ..share };
+        let share = Share {
+            taken: share.taken || !self.day.shares_wait,
+            ..share
+        };
         let gate = &mut self.gates[g];
-        let news = self.day.fleet == day::Fleet::Members && gate.share.is_none_or(|was| share.differs(was));
+        let news = self.day.fleet == day::Fleet::Members
+            && gate.share.is_none_or(|was| share.differs(was));
         let mandate = news.then(|| share.of(&gate.mandate));
         if news {
             gate.share = Some(share);
--- a/crates/trial/tests/days.rs
+++ b/crates/trial/tests/days.rs
@@ -5,13 +5,20 @@
 use ironstair_trial::{Day, Figures};
 
 fn day(more: &str) -> Day {
-    let text =
-        format!(r#"{{"name": "d", "seconds": 25, "gateways": 20, "engines": 6, "load": 0.5, {more}}}"#);
+    let text = format!(
+        r#"{{"name": "d", "seconds": 25, "gateways": 20, "engines": 6, "load": 0.5, {more}}}"#
+    );
     Day::decode(text.as_bytes()).unwrap()
 }
 
 fn well(figures: &Figures) {
-    assert_eq!((figures.broken, figures.fell()), (0, 0), "seed {}: {:?}", figures.seed, figures.breaches);
+    assert_eq!(
+        (figures.broken, figures.fell()),
+        (0, 0),
+        "seed {}: {:?}",
+        figures.seed,
+        figures.breaches
+    );
 }
 
 #[test]
@@ -38,10 +45,16 @@
             (stop.to_string(), true),
             (format!("{keepers}, {names}"), true),
         ] {
-            let d = day(&format!(r#""fleet": "{fleet}", "ignore_advice": 0.33, "faults": [{faults}]"#));
+            let d = day(&format!(
+                r#""fleet": "{fleet}", "ignore_advice": 0.33, "faults": [{faults}]"#
+            ));
             let figures = play(&d, 1);
             well(&figures);
-            assert!(!comes_back || figures.full_after().is_some(), "{d:?}: {:?}", figures.seconds);
+            assert!(
+                !comes_back || figures.full_after().is_some(),
+                "{d:?}: {:?}",
+                figures.seconds
+            );
         }
     }
     // Nothing happens, and nearly all is kept.
@@ -54,9 +67,18 @@
 fn control_a_share_that_is_not_waited_for_is_seen_to_break_the_whole() {
     let long = r#""faults": [{"at_s": 4, "what": {"kill_gateways": {"share": 0.7, "back_s": 15, "but_keepers": true}}}]"#;
     for (waits, broken) in [(true, false), (false, true)] {
-        let figures = play(&day(&format!(r#""fleet": "members", "shares_wait": {waits}, {long}"#)), 1);
+        let figures = play(
+            &day(&format!(
+                r#""fleet": "members", "shares_wait": {waits}, {long}"#
+            )),
+            1,
+        );
         assert_eq!(figures.broken > 0, broken, "{:?}", figures.breaches);
-        assert!(!broken || figures.breaches[0].starts_with("shares come to"), "{:?}", figures.breaches);
+        assert!(
+            !broken || figures.breaches[0].starts_with("shares come to"),
+            "{:?}",
+            figures.breaches
+        );
     }
 }
 
@@ -65,13 +87,22 @@
     for (text, why) in [
         ("", "the day: EOF"),
         (r#"{"name": "d"}"#, "the day: missing field `gateways`"),
-        (r#"{"name": "d", "gateways": 0, "engines": 1, "load": 1}"#, "gateways: 0 is outside 1 to 1000"),
+        (
+            r#"{"name": "d", "gateways": 0, "engines": 1, "load": 1}"#,
+            "gateways: 0 is outside 1 to 1000",
+        ),
         (
             r#"{"name": "d", "gateways": 2, "engines": 1, "load": 1, "fleet": "told"}"#,
             "fleet: it needs 3 gateways",
         ),
-        (r#"{"name": "d", "gateways": 2, "engines": 1, "load": 9}"#, "load: 9 is outside"),
-        (r#"{"name": "d", "gateways": 2, "engines": 1, "load": 1, "seed": 1}"#, "seed: unknown field `seed`"),
+        (
+            r#"{"name": "d", "gateways": 2, "engines": 1, "load": 9}"#,
+            "load: 9 is outside",
+        ),
+        (
+            r#"{"name": "d", "gateways": 2, "engines": 1, "load": 1, "seed": 1}"#,
+            "seed: unknown field `seed`",
+        ),
         (
             r#"{"name": "d", "gateways": 2, "engines": 1, "load": 1, "faults": [{"at_s": 1, "what": {"kill_engines": {"share": 2, "back_s": 1}}}]}"#,
             "faults[0].what.share: 2 is outside 0 to 1",
