--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -1,7 +1,7 @@
 //! What a call costs a gateway as the list of engines grows: its processor for each call between stand-ins on
 //! loopback, and the module's part alone. `cargo bench -p ironstair-gateway --bench calls`
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -3,9 +3,9 @@
 
 use ironstair_accord::member::{Action, Input};
 use ironstair_accord::Member;
-use ironstair_fleet::oracle::What;
-use ironstair_fleet::rig::{until, Plan, Rig};
 use ironstair_keeper::{Keeper, Out, TICK};
+use ironstair_test_cluster::oracle::What;
+use ironstair_test_cluster::rig::{until, Plan, Rig};
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 use std::time::{Duration, Instant};
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -1,7 +1,7 @@
 //! What management costs: a gateway between stand-ins on loopback, both sides of each comparison interleaved in one
 //! run. `cargo bench -p ironstair-gateway --bench management` prints the tables of docs/results/gnmi.md.
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 #[path = "../tests/managed/mod.rs"]
 mod managed;
 
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,6 +1,6 @@
 //! Tenants confined to cells, at the built gateway, between stand-ins on loopback.
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 mod managed;
 
 use common::{answer, done, engine, id, started, told, Client, Gateway, Seen};
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Two events that cross: the built gateway over real connections, the bad order made to happen every time. The rows of
 //! docs/design/crossings.md name these tests.
 
-use ironstair_fleet::stand::*;
+use ironstair_test_cluster::stand::*;
 use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! A fleet of real processes between links with faults: the promises of `docs/design/fleet.md`, each with a control
 //! that breaks it with its guard out.
 
-use ironstair_fleet::oracle::{Breach, What};
-use ironstair_fleet::rig::{until, Plan, Rig, Said};
-use ironstair_fleet::schedule;
+use ironstair_test_cluster::oracle::{Breach, What};
+use ironstair_test_cluster::rig::{until, Plan, Rig, Said};
+use ironstair_test_cluster::schedule;
 use serde_json::{json, Value};
 
 const ALL: std::ops::Range<usize> = 0..5;
@@ -125,7 +125,7 @@
     for (nth, step) in ["staged", "binding", "half told"].into_iter().enumerate() {
         (0..3)
             .flat_map(|k| rig.links(4, k))
-            .for_each(|(_, l)| l.delay(ironstair_fleet::link::Way::Both, 250));
+            .for_each(|(_, l)| l.delay(ironstair_test_cluster::link::Way::Both, 250));
         let value = json!(3 + nth as u64);
         let chair = rig.chair();
         let change = rig.cli_meanwhile(chair, &["set", FORWARDS, &value.to_string(), "--fleet"]);
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -1,6 +1,6 @@
 //! Management of the built gateway under traffic and faults: the hard cases, on loopback, between stand-ins.
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 mod managed;
 
 use common::*;
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -1,9 +1,9 @@
 //! A fleet of real processes that comes back after most of them, or most of what was stored, is lost: the promises of
 //! `docs/design/recovery.md`.
 
-use ironstair_fleet::oracle::What;
-use ironstair_fleet::rig::{until, Plan, Rig, Said};
-use ironstair_fleet::stand::{self, answer, engine, Client};
+use ironstair_test_cluster::oracle::What;
+use ironstair_test_cluster::rig::{until, Plan, Rig, Said};
+use ironstair_test_cluster::stand::{self, answer, engine, Client};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -1,6 +1,6 @@
 //! The built gateway between stand-ins of its own on loopback: a client, engines, a name service.
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 
 use common::*;
 use serde_json::{json, Value};
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -1,6 +1,6 @@
 //! Other settings in a running gateway, there and back, between stand-ins on loopback.
 
-use ironstair_fleet::stand as common;
+use ironstair_test_cluster::stand as common;
 
 use common::*;
 use serde_json::{json, Value};
--- a/crates/fleet/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -105,8 +105,10 @@
 
     /// Files, links and engines; no process yet.
     pub fn laid_out(test: &str, plan: &Plan) -> Rig {
-        let dir =
-            std::env::temp_dir().join(format!("ironstair-fleet-{test}-{}", std::process::id()));
+        let dir = std::env::temp_dir().join(format!(
+            "ironstair-test-cluster-{test}-{}",
+            std::process::id()
+        ));
         let _ = fs::remove_dir_all(&dir);
         let book = Book::default();
         let listens: Vec<SocketAddr> = (0..plan.gateways).map(|_| own_address()).collect();
