--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -7,7 +7,7 @@
 use ironstair_mail::clock::Clock;
 use ironstair_mail::pool::Pool;
 use ironstair_mail::window::Told;
-use ironstair_mandate::Carriage;
+use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 use std::io::Read;
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -2,7 +2,7 @@
 use async_executor::LocalExecutor;
 use ironstair_mail::clock::Clock;
 use ironstair_mail::pool::Pool;
-use ironstair_mandate::Carriage;
+use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -4,7 +4,7 @@
 use ironstair_change::renewal::File;
 use ironstair_change::Frame;
 use ironstair_mail::Place;
-use ironstair_mandate::{bands, carriage, kinds, limits, mandate, word, zones, Carriage};
+use ironstair_settings::{bands, carriage, kinds, limits, mandate, word, zones, Carriage};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/mail/src/lib.rs
+++ b/crates/mail/src/lib.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use clock::Clock;
 use ironstair::{Ms, Outcome, Standing, Submission};
-use ironstair_mandate::Carriage;
+use ironstair_settings::Carriage;
 use pool::{Buffer, Chain, Pool};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
--- a/crates/mail/src/window.rs
+++ b/crates/mail/src/window.rs
@@ -6,7 +6,7 @@
 use ironstair::{Mandate, Ms};
 use ironstair_accord::Share;
 use ironstair_cells::Keeper;
-use ironstair_mandate::Carriage;
+use ironstair_settings::Carriage;
 use ironstair_tree::state::Snapshot;
 use std::sync::Arc;
 
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-pub use ironstair_mandate::read as read_mandate;
+pub use ironstair_settings::read as read_mandate;
 
 type Address = [u8; 6];
 
