--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -4,9 +4,9 @@
 use super::*;
 use async_executor::LocalExecutor;
 use ironstair::Standing;
-use ironstair_mail::clock::Clock;
-use ironstair_mail::pool::Pool;
-use ironstair_mail::window::Told;
+use ironstair_runtime::clock::Clock;
+use ironstair_runtime::pool::Pool;
+use ironstair_runtime::window::Told;
 use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use async_executor::LocalExecutor;
-use ironstair_mail::clock::Clock;
-use ironstair_mail::pool::Pool;
+use ironstair_runtime::clock::Clock;
+use ironstair_runtime::pool::Pool;
 use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -2,8 +2,8 @@
 
 use ironstair_cells::Keeper;
 use ironstair_change::{Cell, Decimal, EnginePin, TenantPin};
-use ironstair_mail::number;
 use ironstair_muster::Charter;
+use ironstair_runtime::number;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -2,8 +2,8 @@
 
 use event_listener::Event as Bell;
 use ironstair::Ms;
-use ironstair_mail::clock::Clock;
-use ironstair_mail::wait::until;
+use ironstair_runtime::clock::Clock;
+use ironstair_runtime::wait::until;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -3,7 +3,7 @@
 use ironstair::{Mandate, Ms, Standing};
 use ironstair_change::renewal::File;
 use ironstair_change::Frame;
-use ironstair_mail::Place;
+use ironstair_runtime::Place;
 use ironstair_settings::{bands, carriage, kinds, limits, mandate, word, zones, Carriage};
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/crates/gnmi/src/serve.rs
+++ b/crates/gnmi/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::keys::{names, Files};
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::service::{Service, Who};
-use ironstair_mail::clock::span;
+use ironstair_runtime::clock::span;
 use rustls::ServerConfig;
 use slog::{info, warn, Logger};
 use std::net::{SocketAddr, TcpListener as Bound};
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -10,7 +10,7 @@
 use crate::service::{nanos, Service};
 use crate::words::{self, Written};
 use ironstair::Ms;
-use ironstair_mail::clock::{span, Clock};
+use ironstair_runtime::clock::{span, Clock};
 use ironstair_tree::{Path, Pattern};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/manage/src/start.rs
+++ b/crates/manage/src/start.rs
@@ -7,8 +7,8 @@
 use ironstair_change::plan::{plan, Origin, Roll};
 use ironstair_change::revisions::Ledger;
 use ironstair_change::{Cells, Document, Frame};
-use ironstair_mail::number;
-use ironstair_mail::window::Told;
+use ironstair_runtime::number;
+use ironstair_runtime::window::Told;
 use ironstair_tree::{Leaves, Schema};
 use std::path::Path;
 
--- a/crates/muster/src/actor.rs
+++ b/crates/muster/src/actor.rs
@@ -15,10 +15,10 @@
 use ironstair_accord::{grace, Answer, Beat, Line, Member, Standing};
 use ironstair_archive::Archive;
 use ironstair_keeper::{Keeper, Out, Save, TICK};
-use ironstair_mail::clock::{span, Clock};
-use ironstair_mail::window::Request;
 use ironstair_manage::fleet::Wanted;
 use ironstair_manage::{Desk, Refused};
+use ironstair_runtime::clock::{span, Clock};
+use ironstair_runtime::window::Request;
 use ironstair_tree::state;
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
@@ -1089,7 +1089,7 @@
 
 /// The number of a keeper that would not be drawn anew.
 fn named(name: &str) -> u64 {
-    ironstair_mail::number(name.as_bytes()) | 1
+    ironstair_runtime::number(name.as_bytes()) | 1
 }
 
 fn step(of: Standing) -> &'static str {
--- a/crates/muster/src/way.rs
+++ b/crates/muster/src/way.rs
@@ -4,7 +4,7 @@
 use crate::proto::fleet_client::FleetClient;
 use crate::proto::Word;
 use ironstair::Ms;
-use ironstair_mail::clock::span;
+use ironstair_runtime::clock::span;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Semaphore};
--- a/crates/mail/tests/window.rs
+++ b/crates/runtime/tests/window.rs
@@ -1,6 +1,6 @@
 //! The handover of views between the gateway's thread and its reader, in many orders of the two (shuttle).
 
-use ironstair_mail::window::{Bell, Slot, Window};
+use ironstair_runtime::window::{Bell, Slot, Window};
 use ironstair_tree::state::Snapshot;
 use shuttle::sync::mpsc::channel;
 use shuttle::sync::{Arc, Condvar, Mutex};
