--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -29,9 +29,9 @@
     }
 }
 
-impl Policy for ironstair_change::Document {
+impl Policy for ironstair_config_change::Document {
     fn stricter(&self, other: &Self) -> Option<Self> {
-        ironstair_change::Document::stricter(self, other)
+        ironstair_config_change::Document::stricter(self, other)
     }
 
     fn gateways(&self) -> f64 {
@@ -42,8 +42,9 @@
 /// As it crosses between gateways: a version that can't read a field of it can still say so.
 impl Policy for serde_json::Value {
     fn stricter(&self, other: &Self) -> Option<Self> {
-        let read =
-            |of: &Self| serde_json::from_value::<ironstair_change::Document>(of.clone()).ok();
+        let read = |of: &Self| {
+            serde_json::from_value::<ironstair_config_change::Document>(of.clone()).ok()
+        };
         serde_json::to_value(read(self)?.stricter(&read(other)?)?).ok()
     }
 
--- a/crates/change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -1,7 +1,7 @@
 //! Journals that are torn, spoilt or foreign at every byte.
 
-use ironstair_change::journal::{decode, encode, Found, Kept, Line, Record, RECORD_MOST};
-use ironstair_change::revisions::Standing;
+use ironstair_config_change::journal::{decode, encode, Found, Kept, Line, Record, RECORD_MOST};
+use ironstair_config_change::revisions::Standing;
 use proptest::prelude::*;
 
 fn line(number: u64, standing: Standing) -> Line {
--- a/crates/change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,9 +1,9 @@
 //! What a change does and when, and what it can't be.
 
 use ironstair::{Effect, Kind, Mandate, Ration, Terms, Within};
-use ironstair_change::document::{Document, Frame};
-use ironstair_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
-use ironstair_change::Decimal;
+use ironstair_config_change::document::{Document, Frame};
+use ironstair_config_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
+use ironstair_config_change::Decimal;
 
 fn origin() -> Origin {
     let terms = |expected: f64, repeat| Terms {
@@ -168,7 +168,7 @@
     assert_eq!(roll.find("post"), Some(1));
     back.band.insert(
         0,
-        ironstair_change::Band {
+        ironstair_config_change::Band {
             name: "audit".into(),
             ..post.clone()
         },
@@ -216,7 +216,7 @@
         move |d: &mut Document| {
             d.ration = d
                 .ration
-                .map(|r| ironstair_change::Ration { spare, span, ..r });
+                .map(|r| ironstair_config_change::Ration { spare, span, ..r });
         }
     };
     type Seen = fn(&Document) -> String;
--- a/crates/change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -1,8 +1,8 @@
 //! A replaced file, there and back, without a gateway.
 
 use ironstair::{Effect, Kind, Mandate, Terms};
-use ironstair_change::renewal::{File, Renewal};
-use ironstair_change::Frame;
+use ironstair_config_change::renewal::{File, Renewal};
+use ironstair_config_change::Frame;
 
 fn band(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> Terms {
     let (expected, payoff) = (500.0, 1.0);
--- a/crates/change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -1,8 +1,8 @@
 //! Revisions under commits, confirmations, time-outs, writes that fail, crashes and restarts in every order
 //! (model checked), and the plain cases by hand.
 
-use ironstair_change::journal::{Kept, Record};
-use ironstair_change::revisions::{Action, Ask, Input, Ledger, Refusal, Standing};
+use ironstair_config_change::journal::{Kept, Record};
+use ironstair_config_change::revisions::{Action, Ask, Input, Ledger, Refusal, Standing};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use ironstair::Standing;
-use ironstair_change::Frame;
+use ironstair_config_change::Frame;
 use ironstair_protocol::dns;
 use ironstair_runtime::clock::span;
 use ironstair_runtime::{Event, Place, Shared};
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's file: all that the platform does not give, off without it. Decoded once, at start.
 
 use ironstair_cells::Keeper;
-use ironstair_change::{Cell, Decimal, EnginePin, TenantPin};
+use ironstair_config_change::{Cell, Decimal, EnginePin, TenantPin};
 use ironstair_muster::Charter;
 use ironstair_runtime::number;
 use schemars::JsonSchema;
@@ -142,7 +142,7 @@
 }
 
 /// The cells of the file as settings.
-pub fn cells(c: &Cells) -> ironstair_change::Cells {
+pub fn cells(c: &Cells) -> ironstair_config_change::Cells {
     let pin = |(name, cell): (&String, &String)| EnginePin {
         name: name.clone(),
         cell: cell.clone(),
@@ -151,7 +151,7 @@
         Without::TurnBack(ms) => (Some(ms), None),
         Without::Lend(share) => (None, Some(Decimal::of(share))),
     };
-    ironstair_change::Cells {
+    ironstair_config_change::Cells {
         shard: c.shard,
         cell: c
             .names
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -15,7 +15,7 @@
 use futures_lite::StreamExt;
 use ironstair::logic::Gateway;
 use ironstair::Ms;
-use ironstair_change::renewal::Renewal;
+use ironstair_config_change::renewal::Renewal;
 use ironstair_muster::variant::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -1,8 +1,8 @@
 //! What a gateway is told at start, decoded once.
 
 use ironstair::{Mandate, Ms, Standing};
-use ironstair_change::renewal::File;
-use ironstair_change::Frame;
+use ironstair_config_change::renewal::File;
+use ironstair_config_change::Frame;
 use ironstair_runtime::Place;
 use ironstair_settings::{bands, carriage, kinds, limits, mandate, word, zones, Carriage};
 use serde_json::Value;
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -7,7 +7,7 @@
 use crate::proto::gnmi_ext::{commit::Action, extension::Ext, Commit, Extension};
 use crate::words::{self, Written};
 use ironstair::Ms;
-use ironstair_change::revisions::{confirm_within, Ask, Refusal};
+use ironstair_config_change::revisions::{confirm_within, Ask, Refusal};
 use ironstair_manage::{Desk, Refused, Scope};
 use ironstair_tree::leaves::{nodes, select};
 use ironstair_tree::path::Wanted;
--- a/crates/manage/src/file.rs
+++ b/crates/manage/src/file.rs
@@ -1,7 +1,7 @@
 //! The journal's file: appended to and brought to the disk before anything rests on it.
 
-use ironstair_change::journal::{decode, encode, Kept, Record};
-use ironstair_change::Document;
+use ironstair_config_change::journal::{decode, encode, Kept, Record};
+use ironstair_config_change::Document;
 use std::fs::File;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
--- a/crates/manage/src/fleet.rs
+++ b/crates/manage/src/fleet.rs
@@ -53,5 +53,5 @@
 pub struct Held {
     pub mark: u64,
     pub number: u64,
-    pub document: ironstair_change::Document,
+    pub document: ironstair_config_change::Document,
 }
--- a/crates/manage/src/lib.rs
+++ b/crates/manage/src/lib.rs
@@ -1,5 +1,5 @@
 //! The manager: an actor with one mailbox, the one owner of a gateway's revisions, of the journal they are kept in
-//! and of the tree that is read. It decides nothing: `ironstair-change` does.
+//! and of the tree that is read. It decides nothing: `ironstair-config-change` does.
 
 mod desk;
 mod file;
--- a/crates/manage/src/start.rs
+++ b/crates/manage/src/start.rs
@@ -3,10 +3,10 @@
 use crate::file::Journal;
 use ironstair::{Mandate, Ms};
 use ironstair_cells::Keeper;
-use ironstair_change::journal::{Found, Kept};
-use ironstair_change::plan::{plan, Origin, Roll};
-use ironstair_change::revisions::Ledger;
-use ironstair_change::{Cells, Document, Frame};
+use ironstair_config_change::journal::{Found, Kept};
+use ironstair_config_change::plan::{plan, Origin, Roll};
+use ironstair_config_change::revisions::Ledger;
+use ironstair_config_change::{Cells, Document, Frame};
 use ironstair_runtime::number;
 use ironstair_runtime::window::Told;
 use ironstair_tree::{Leaves, Schema};
--- a/crates/manage/tests/journal.rs
+++ b/crates/manage/tests/journal.rs
@@ -1,9 +1,9 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
 use ironstair::{Kind, Mandate, Terms};
-use ironstair_change::journal::{encode, Kept, Line, Record};
-use ironstair_change::revisions::Standing;
-use ironstair_change::{Document, Frame};
+use ironstair_config_change::journal::{encode, Kept, Line, Record};
+use ironstair_config_change::revisions::Standing;
+use ironstair_config_change::{Document, Frame};
 use ironstair_manage::{open, Journal};
 use std::path::Path;
 
--- a/crates/tree/src/leaves.rs
+++ b/crates/tree/src/leaves.rs
@@ -2,7 +2,7 @@
 
 use crate::path::{Path, Pattern, Step};
 use crate::schema::{misfit, Kind, Misfit, Node, Schema, Value, MODULE_NAME};
-use ironstair_change::Document;
+use ironstair_config_change::Document;
 use serde_json::{Map, Value as Json};
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/tree/src/state.rs
+++ b/crates/tree/src/state.rs
@@ -6,8 +6,8 @@
 use ironstair::logic::{BandView, EngineView};
 use ironstair::{Ms, Standing};
 use ironstair_accord::Share;
-use ironstair_change::journal::Line;
-use ironstair_change::revisions;
+use ironstair_config_change::journal::Line;
+use ironstair_config_change::revisions;
 use std::sync::Arc;
 
 /// One engine of the roster.
--- a/crates/tree/tests/tree.rs
+++ b/crates/tree/tests/tree.rs
@@ -1,6 +1,6 @@
 //! The tree over the shipped module: values, changes, and JSON there and back.
 
-use ironstair_change::Document;
+use ironstair_config_change::Document;
 use ironstair_tree::leaves::{nodes, select};
 use ironstair_tree::{Edit, Leaves, Path, Pattern, Schema, Value};
 use proptest::prelude::*;
