--- a/crates/tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -1,8 +1,8 @@
 //! The tree over the shipped module: values, changes, and JSON there and back.
 
 use ironstair_config_change::Document;
-use ironstair_tree::leaves::{nodes, select};
-use ironstair_tree::{Edit, Leaves, Path, Pattern, Schema, Value};
+use ironstair_data_tree::leaves::{nodes, select};
+use ironstair_data_tree::{Edit, Leaves, Path, Pattern, Schema, Value};
 use proptest::prelude::*;
 use serde_json::{json, Value as Json};
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -134,7 +134,7 @@
             Ok(())
         }
         Job::Yang => {
-            print!("{}", ironstair_tree::MODULE);
+            print!("{}", ironstair_data_tree::MODULE);
             Ok(())
         }
         Job::Version => {
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -1,14 +1,14 @@
 //! The command line's own client of management: reads, changes, watches.
 
 use humantime::Duration as Span;
+use ironstair_data_tree::path::{key_name, Wanted};
+use ironstair_data_tree::{Pattern, Schema};
 use ironstair_gnmi::proto::gnmi::g_nmi_client::GNmiClient;
 use ironstair_gnmi::proto::gnmi::{
     self, subscribe_request, subscribe_response, typed_value, TypedValue,
 };
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Commit, Extension};
 use ironstair_gnmi::FLEET;
-use ironstair_tree::path::{key_name, Wanted};
-use ironstair_tree::{Pattern, Schema};
 use serde_json::{json, Value as Json};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/gnmi/src/follow.rs
+++ b/crates/gnmi/src/follow.rs
@@ -3,9 +3,9 @@
 //! replace earlier ones, and nothing that a slow reader misses is kept for it twice.
 
 use ironstair::Ms;
-use ironstair_tree::leaves::select;
-use ironstair_tree::path::Wanted;
-use ironstair_tree::{Leaves, Path, Pattern, Value};
+use ironstair_data_tree::leaves::select;
+use ironstair_data_tree::path::Wanted;
+use ironstair_data_tree::{Leaves, Path, Pattern, Value};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Marks that may wait for one subscriber.
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -8,10 +8,10 @@
 use crate::words::{self, Written};
 use ironstair::Ms;
 use ironstair_config_change::revisions::{confirm_within, Ask, Refusal};
+use ironstair_data_tree::leaves::{nodes, select};
+use ironstair_data_tree::path::Wanted;
+use ironstair_data_tree::{Edit, Pattern};
 use ironstair_manage::{Desk, Refused, Scope};
-use ironstair_tree::leaves::{nodes, select};
-use ironstair_tree::path::Wanted;
-use ironstair_tree::{Edit, Pattern};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Request, Response, Status};
@@ -145,7 +145,7 @@
         ];
         Ok(Response::new(gnmi::CapabilityResponse {
             supported_models: vec![gnmi::ModelData {
-                name: ironstair_tree::schema::MODULE_NAME.into(),
+                name: ironstair_data_tree::schema::MODULE_NAME.into(),
                 organization: "ironstair".into(),
                 version: self.desk.schema().revision.clone(),
             }],
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -10,8 +10,8 @@
 use crate::service::{nanos, Service};
 use crate::words::{self, Written};
 use ironstair::Ms;
+use ironstair_data_tree::{Path, Pattern};
 use ironstair_runtime::clock::{span, Clock};
-use ironstair_tree::{Path, Pattern};
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
@@ -293,7 +293,7 @@
                 rest.delete.push(words::path(&t.at));
             }
             let update =
-                |(path, value): &(Path, ironstair_tree::Value), from: usize| gnmi::Update {
+                |(path, value): &(Path, ironstair_data_tree::Value), from: usize| gnmi::Update {
                     path: Some(words::path(&Path(path.0[from..].into()))),
                     val: Some(self.written.leaf(value)),
                     duplicates: t.duplicates,
--- a/crates/gnmi/src/words.rs
+++ b/crates/gnmi/src/words.rs
@@ -1,10 +1,10 @@
 //! Paths and values between gNMI's messages and the tree's.
 
 use crate::proto::gnmi::{self, typed_value, TypedValue};
+use ironstair_data_tree::path::{key_name, Wanted};
+use ironstair_data_tree::schema::MODULE_NAME;
+use ironstair_data_tree::{Path, Pattern, Value};
 use ironstair_manage::Scope;
-use ironstair_tree::path::{key_name, Wanted};
-use ironstair_tree::schema::MODULE_NAME;
-use ironstair_tree::{Path, Pattern, Value};
 use serde_json::Value as Json;
 use tonic::Status;
 
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -1,9 +1,9 @@
 //! What a subscriber has put together after it caught up equals the tree, whatever it missed meanwhile; beside a slow
 //! plain model, on generated changes.
 
+use ironstair_data_tree::leaves::select;
+use ironstair_data_tree::{Leaves, Path, Pattern, Schema, Value};
 use ironstair_gnmi::follow::{Cut, Follow, Mode, Subscription, Told, MARKS_MOST, SILENCE};
-use ironstair_tree::leaves::select;
-use ironstair_tree::{Leaves, Path, Pattern, Schema, Value};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/manage/src/fleet.rs
+++ b/crates/manage/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::desk::Refused;
 use ironstair::Ms;
-use ironstair_tree::state;
+use ironstair_data_tree::state;
 use serde_json::Value as Json;
 use tokio::sync::{mpsc, oneshot, watch};
 
--- a/crates/manage/src/start.rs
+++ b/crates/manage/src/start.rs
@@ -7,9 +7,9 @@
 use ironstair_config_change::plan::{plan, Origin, Roll};
 use ironstair_config_change::revisions::Ledger;
 use ironstair_config_change::{Cells, Document, Frame};
+use ironstair_data_tree::{Leaves, Schema};
 use ironstair_runtime::number;
 use ironstair_runtime::window::Told;
-use ironstair_tree::{Leaves, Schema};
 use std::path::Path;
 
 /// All that the manager begins with.
--- a/crates/muster/src/shown.rs
+++ b/crates/muster/src/shown.rs
@@ -4,8 +4,8 @@
 use ironstair_accord::fleet::{Change, Step};
 use ironstair_accord::record::{Line, Seat};
 use ironstair_accord::{Chair, Fleet};
+use ironstair_data_tree::state;
 use ironstair_keeper::Keeper;
-use ironstair_tree::state;
 use serde_json::{json, Value as Json};
 
 fn member(
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -6,8 +6,8 @@
 use ironstair::{Mandate, Ms};
 use ironstair_accord::Share;
 use ironstair_cells::Keeper;
+use ironstair_data_tree::state::Snapshot;
 use ironstair_settings::Carriage;
-use ironstair_tree::state::Snapshot;
 use std::sync::Arc;
 
 /// From another thread, to the module's actor.
--- a/crates/runtime/tests/window.rs
+++ b/crates/runtime/tests/window.rs
@@ -1,7 +1,7 @@
 //! The handover of views between the gateway's thread and its reader, in many orders of the two (shuttle).
 
+use ironstair_data_tree::state::Snapshot;
 use ironstair_runtime::window::{Bell, Slot, Window};
-use ironstair_tree::state::Snapshot;
 use shuttle::sync::mpsc::channel;
 use shuttle::sync::{Arc, Condvar, Mutex};
 use std::sync::Arc as Shared;
