--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -8,8 +8,8 @@
 use ironstair_gnmi::roles::Roles;
 use ironstair_gnmi::serve::{self, Keys};
 use ironstair_gnmi::Service;
-use ironstair_manage::fleet::Fleetward;
-use ironstair_manage::{Around, Manager, Started};
+use ironstair_management::fleet::Fleetward;
+use ironstair_management::{Around, Manager, Started};
 use ironstair_muster::{actor, Actor, Leave};
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::window::{Request, Told, Window};
@@ -54,7 +54,7 @@
         .as_ref()
         .map(|f| operator::charter(f, &told.name))
         .transpose()?;
-    let started = ironstair_manage::open(
+    let started = ironstair_management::open(
         mandate,
         &told.bands,
         &told.limits,
@@ -98,7 +98,7 @@
         .map(|f| operator::charter(f, &told.name))
         .transpose()?;
     let cells = of.cells.as_ref().map(operator::cells);
-    ironstair_manage::open(
+    ironstair_management::open(
         told.mandate.clone(),
         &told.bands,
         &told.limits,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -135,7 +135,8 @@
 /// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
 async fn take_over(renewal: &Renewal, carriage: Carriage, shared: &Shared) {
     let mandate = renewal.mandate();
-    let (bands, longest) = ironstair_manage::bands(renewal.roll(), renewal.document(), &mandate);
+    let (bands, longest) =
+        ironstair_management::bands(renewal.roll(), renewal.document(), &mandate);
     let (done, told) = async_channel::bounded(1);
     let to = Amendment {
         mandate,
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -11,7 +11,7 @@
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
-use ironstair_manage::{Desk, Refused, Scope};
+use ironstair_management::{Desk, Refused, Scope};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Request, Response, Status};
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -215,7 +215,7 @@
 async fn stream(
     mut follow: Follow,
     mut at: Ms,
-    mut watch: ironstair_manage::Watch,
+    mut watch: ironstair_management::Watch,
     asked: &mut Streaming<SubscribeRequest>,
     writer: &Writer,
     to: &mpsc::Sender<SubscribeResponse>,
--- a/crates/gnmi/src/words.rs
+++ b/crates/gnmi/src/words.rs
@@ -4,7 +4,7 @@
 use ironstair_data_tree::path::{key_name, Wanted};
 use ironstair_data_tree::schema::MODULE_NAME;
 use ironstair_data_tree::{Path, Pattern, Value};
-use ironstair_manage::Scope;
+use ironstair_management::Scope;
 use serde_json::Value as Json;
 use tonic::Status;
 
--- a/crates/manage/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -4,7 +4,7 @@
 use ironstair_config_change::journal::{encode, Kept, Line, Record};
 use ironstair_config_change::revisions::Standing;
 use ironstair_config_change::{Document, Frame};
-use ironstair_manage::{open, Journal};
+use ironstair_management::{open, Journal};
 use std::path::Path;
 
 fn told() -> (Mandate, Vec<String>, Vec<f64>, Frame) {
--- a/crates/muster/src/actor.rs
+++ b/crates/muster/src/actor.rs
@@ -16,8 +16,8 @@
 use ironstair_archive::Archive;
 use ironstair_data_tree::state;
 use ironstair_keeper::{Keeper, Out, Save, TICK};
-use ironstair_manage::fleet::Wanted;
-use ironstair_manage::{Desk, Refused};
+use ironstair_management::fleet::Wanted;
+use ironstair_management::{Desk, Refused};
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::window::Request;
 use serde::{Deserialize, Serialize};
@@ -86,7 +86,11 @@
     Examined(u64, Result<(), String>),
     Saved(Box<Saved>),
     /// The histories that the other keepers know, before one begins here.
-    Known(Result<(), String>, Json, ironstair_manage::fleet::Answer),
+    Known(
+        Result<(), String>,
+        Json,
+        ironstair_management::fleet::Answer,
+    ),
     /// The same before one begins anew: what was found, and by whose word with what.
     KnownAnew(Result<Vec<u64>, String>, Anew),
     /// A history that another keeper knows.
@@ -98,7 +102,7 @@
 pub struct Anew {
     document: Json,
     who: String,
-    answer: ironstair_manage::fleet::Answer,
+    answer: ironstair_management::fleet::Answer,
 }
 
 pub struct Saved {
@@ -716,7 +720,7 @@
 
     fn want(&mut self, wanted: Wanted) {
         let now = self.clock.now();
-        let fail = |answer: ironstair_manage::fleet::Answer, why: &str| {
+        let fail = |answer: ironstair_management::fleet::Answer, why: &str| {
             drop(answer.send(Err(Refused::Fleet(why.into()))));
         };
         match wanted {
@@ -804,7 +808,7 @@
         &mut self,
         how: Result<(), String>,
         document: Json,
-        answer: ironstair_manage::fleet::Answer,
+        answer: ironstair_management::fleet::Answer,
     ) {
         let made = how.and_then(|()| {
             let Some(k) = self.kept.as_mut().filter(|k| k.keeper.is_blank()) else {
@@ -831,7 +835,7 @@
         &mut self,
         document: Json,
         who: String,
-        answer: ironstair_manage::fleet::Answer,
+        answer: ironstair_management::fleet::Answer,
     ) {
         if self.kept.is_none() {
             let why = "only a keeper begins a history anew".into();
@@ -924,7 +928,7 @@
     }
 
     /// Finds the chair for what an operator asks, and hands on the outcome.
-    fn ask(&mut self, ask: Ask<Json>, answer: ironstair_manage::fleet::Answer) {
+    fn ask(&mut self, ask: Ask<Json>, answer: ironstair_management::fleet::Answer) {
         let (search, own) = (self.search(), self.post.clone());
         let within = self.outcome_within() + OUTCOME_LEAST / 3.0;
         tokio::spawn(async move {
