--- a/crates/accord/tests/chair.rs
+++ b/crates/coordination/tests/chair.rs
@@ -1,9 +1,9 @@
 //! What a chair grants and writes, case by case.
 
-use ironstair_accord::chair::{Ask, Refusal};
-use ironstair_accord::count::Count;
-use ironstair_accord::record::Wish;
-use ironstair_accord::{Answer, Beat, Chair, Fleet, Policy, Record, Standing};
+use ironstair_coordination::chair::{Ask, Refusal};
+use ironstair_coordination::count::Count;
+use ironstair_coordination::record::Wish;
+use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record, Standing};
 
 const LEASE: f64 = 3000.0;
 
--- a/crates/accord/tests/count.rs
+++ b/crates/coordination/tests/count.rs
@@ -3,8 +3,8 @@
 
 mod played;
 
-use ironstair_accord::member::Input;
-use ironstair_accord::{Chair, Fleet, Record};
+use ironstair_coordination::member::Input;
+use ironstair_coordination::{Chair, Fleet, Record};
 use played::{Gate, Pol, LEASE};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/accord/tests/keepers.rs
+++ b/crates/coordination/tests/keepers.rs
@@ -5,9 +5,9 @@
 
 mod played;
 
-use ironstair_accord::chair::Ask;
-use ironstair_accord::member::Input;
-use ironstair_accord::{Chair, Fleet, Record};
+use ironstair_coordination::chair::Ask;
+use ironstair_coordination::member::Input;
+use ironstair_coordination::{Chair, Fleet, Record};
 use played::{wish, Gate, Pol, LEASE};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/accord/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -4,10 +4,10 @@
 
 mod played;
 
-use ironstair_accord::chair::Ask;
-use ironstair_accord::fleet::Step as Stage;
-use ironstair_accord::member::Input;
-use ironstair_accord::{Chair, Fleet, Record};
+use ironstair_coordination::chair::Ask;
+use ironstair_coordination::fleet::Step as Stage;
+use ironstair_coordination::member::Input;
+use ironstair_coordination::{Chair, Fleet, Record};
 use played::{wish, Gate, Pol, LEASE, UNREAD};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -382,7 +382,7 @@
     ),
 ];
 
-/// The larger ones, by `ORDERS=all cargo test -p ironstair-accord --test orders`.
+/// The larger ones, by `ORDERS=all cargo test -p ironstair-coordination --test orders`.
 const LARGER: [(&str, usize, Budget, usize); 6] = [
     (
         "chairs lost, longer",
--- a/crates/accord/tests/played/mod.rs
+++ b/crates/coordination/tests/played/mod.rs
@@ -4,9 +4,9 @@
 // Each model plays with a part of it.
 #![allow(dead_code)]
 
-use ironstair_accord::member::{Action, Input};
-use ironstair_accord::record::Wish;
-use ironstair_accord::{Answer, Beat, Member, Policy};
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::record::Wish;
+use ironstair_coordination::{Answer, Beat, Member, Policy};
 
 /// States are told apart by all that they show: the decisions bear figures, which can't be hashed.
 macro_rules! hashed_as_shown {
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -5,9 +5,9 @@
 use crate::schema::Value;
 use ironstair::logic::{BandView, EngineView};
 use ironstair::{Ms, Standing};
-use ironstair_accord::Share;
 use ironstair_config_change::journal::Line;
 use ironstair_config_change::revisions;
+use ironstair_coordination::Share;
 use std::sync::Arc;
 
 /// One engine of the roster.
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -1,8 +1,8 @@
 //! What a fleet costs and how long its changes take, with processes of the built gateway on loopback between
 //! stand-ins: `cargo bench -p ironstair-gateway --bench fleet`. Its keepers' part alone at 100 and 300 members, too.
 
-use ironstair_accord::member::{Action, Input};
-use ironstair_accord::Member;
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::Member;
 use ironstair_keeper::{Keeper, Out, TICK};
 use ironstair_test_cluster::oracle::What;
 use ironstair_test_cluster::rig::{until, Plan, Rig};
--- a/crates/keeper/src/lib.rs
+++ b/crates/keeper/src/lib.rs
@@ -9,8 +9,8 @@
 pub use store::{Image, Save};
 
 use ironstair::Ms;
-use ironstair_accord::chair::{Ask, Refusal};
-use ironstair_accord::{Answer, Beat, Chair, Fleet, Line, Policy, Record};
+use ironstair_coordination::chair::{Ask, Refusal};
+use ironstair_coordination::{Answer, Beat, Chair, Fleet, Line, Policy, Record};
 use protobuf::Message as _;
 use raft::prelude::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
--- a/crates/keeper/tests/knock.rs
+++ b/crates/keeper/tests/knock.rs
@@ -1,6 +1,6 @@
 //! Who is let in among the keepers.
 
-use ironstair_accord::Policy;
+use ironstair_coordination::Policy;
 use ironstair_keeper::{Keeper, Out, TICK};
 use serde::{Deserialize, Serialize};
 use slog::{o, Discard, Logger};
--- a/crates/keeper/tests/seeded.rs
+++ b/crates/keeper/tests/seeded.rs
@@ -2,10 +2,10 @@
 //! ways cut one way, late, doubled and lost messages, from a seed. The sentences of `docs/design/fleet.md` are
 //! looked at after each event.
 
-use ironstair_accord::chair::Ask;
-use ironstair_accord::member::{Action, Input};
-use ironstair_accord::record::Wish;
-use ironstair_accord::{Answer, Beat, Member, Policy};
+use ironstair_coordination::chair::Ask;
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::record::Wish;
+use ironstair_coordination::{Answer, Beat, Member, Policy};
 use ironstair_keeper::{Image, Keeper, Out, Save, TICK};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
--- a/crates/muster/src/actor.rs
+++ b/crates/muster/src/actor.rs
@@ -8,12 +8,12 @@
 use crate::variant::taken_out;
 use crate::way::Way;
 use ironstair::Ms;
-use ironstair_accord::chair::{Ask, Refusal};
-use ironstair_accord::history::{anew, first, supersedes};
-use ironstair_accord::member::{Action, Input};
-use ironstair_accord::record::Wish;
-use ironstair_accord::{grace, Answer, Beat, Line, Member, Standing};
 use ironstair_archive::Archive;
+use ironstair_coordination::chair::{Ask, Refusal};
+use ironstair_coordination::history::{anew, first, supersedes};
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::record::Wish;
+use ironstair_coordination::{grace, Answer, Beat, Line, Member, Standing};
 use ironstair_data_tree::state;
 use ironstair_keeper::{Keeper, Out, Save, TICK};
 use ironstair_management::fleet::Wanted;
@@ -1116,7 +1116,7 @@
 }
 
 /// What became of an ask, by the log.
-fn outcome(fleet: &ironstair_accord::Fleet<Json>, ask: &Ask<Json>) -> Outcome {
+fn outcome(fleet: &ironstair_coordination::Fleet<Json>, ask: &Ask<Json>) -> Outcome {
     let line = match ask {
         Ask::Change(wish) => fleet.lines.iter().find(|l| l.token == wish.token),
         Ask::Confirm { id } => fleet
--- a/crates/muster/src/serve.rs
+++ b/crates/muster/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::proto::Word;
 use crate::way::WORD_MOST;
 use crate::FORM;
-use ironstair_accord::{Answer, Beat};
+use ironstair_coordination::{Answer, Beat};
 use serde_json::Value as Json;
 use slog::{warn, Logger};
 use std::net::TcpListener as Bound;
--- a/crates/muster/src/shown.rs
+++ b/crates/muster/src/shown.rs
@@ -1,9 +1,9 @@
 //! What operators see of a fleet, as its chair knows it.
 
 use ironstair::Ms;
-use ironstair_accord::fleet::{Change, Step};
-use ironstair_accord::record::{Line, Seat};
-use ironstair_accord::{Chair, Fleet};
+use ironstair_coordination::fleet::{Change, Step};
+use ironstair_coordination::record::{Line, Seat};
+use ironstair_coordination::{Chair, Fleet};
 use ironstair_data_tree::state;
 use ironstair_keeper::Keeper;
 use serde_json::{json, Value as Json};
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -4,8 +4,8 @@
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use ironstair::{Mandate, Ms};
-use ironstair_accord::Share;
 use ironstair_cells::Keeper;
+use ironstair_coordination::Share;
 use ironstair_data_tree::state::Snapshot;
 use ironstair_settings::Carriage;
 use std::sync::Arc;
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -3,7 +3,7 @@
 //! what `crates/keeper` is tested for.
 
 use ironstair::Ms;
-use ironstair_accord::{Answer, Beat, Chair, Fleet, Policy, Record};
+use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record};
 
 pub const KEEPERS: usize = 3;
 /// An election takes twelve of the library's ticks of 50 ms and a round; a record a round of two ways and disks.
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -8,8 +8,8 @@
 use ironstair::logic::Gateway;
 use ironstair::sums::{mix, Pcg};
 use ironstair::{Cost, Listed, Mandate, Ms, Outcome, Outlet, Standing, Submission as Asks};
-use ironstair_accord::member::{Action, Input};
-use ironstair_accord::{Answer, Beat, Member, Share};
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::{Answer, Beat, Member, Share};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
