--- a/crates/archive/src/lib.rs
+++ b/crates/archive/src/lib.rs
@@ -6,7 +6,7 @@
 //! process or machine ended: nobody was told of that step, and it is cut off. Any other fault means that steps which
 //! others rest on may be lost: the file is put aside, and the keeper begins blank under another voter's number.
 
-use ironstair_keeper::{Image, Save};
+use ironstair_raft_replica::{Image, Save};
 use serde::{Deserialize, Serialize};
 use std::fs::File;
 use std::io::{self, ErrorKind, Write};
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -3,7 +3,7 @@
 
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::Member;
-use ironstair_keeper::{Keeper, Out, TICK};
+use ironstair_raft_replica::{Keeper, Out, TICK};
 use ironstair_test_cluster::oracle::What;
 use ironstair_test_cluster::rig::{until, Plan, Rig};
 use serde_json::{json, Value};
--- a/crates/muster/src/lib.rs
+++ b/crates/muster/src/lib.rs
@@ -1,5 +1,5 @@
 //! The fleet's actor, on management's thread: the one owner of the links to other gateways and of a keeper's disk.
-//! It hands beats, messages, asks and the ends of writes to the decisions (`ironstair-coordination`, `ironstair-keeper`)
+//! It hands beats, messages, asks and the ends of writes to the decisions (`ironstair-coordination`, `ironstair-raft-replica`)
 //! and carries out what they want; it decides nothing itself but whom to speak to next.
 //!
 //! [`charter`] is what it is told at start, [`way`] a link to one keeper, [`serve`] the listener, [`actor`] the
--- a/crates/muster/src/shown.rs
+++ b/crates/muster/src/shown.rs
@@ -5,7 +5,7 @@
 use ironstair_coordination::record::{Line, Seat};
 use ironstair_coordination::{Chair, Fleet};
 use ironstair_data_tree::state;
-use ironstair_keeper::Keeper;
+use ironstair_raft_replica::Keeper;
 use serde_json::{json, Value as Json};
 
 fn member(
--- a/crates/keeper/tests/knock.rs
+++ b/crates/raft-replica/tests/knock.rs
@@ -1,7 +1,7 @@
 //! Who is let in among the keepers.
 
 use ironstair_coordination::Policy;
-use ironstair_keeper::{Keeper, Out, TICK};
+use ironstair_raft_replica::{Keeper, Out, TICK};
 use serde::{Deserialize, Serialize};
 use slog::{o, Discard, Logger};
 
--- a/crates/keeper/tests/seeded.rs
+++ b/crates/raft-replica/tests/seeded.rs
@@ -6,7 +6,7 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::Wish;
 use ironstair_coordination::{Answer, Beat, Member, Policy};
-use ironstair_keeper::{Image, Keeper, Out, Save, TICK};
+use ironstair_raft_replica::{Image, Keeper, Out, Save, TICK};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
--- a/crates/trial/src/fleet.rs
+++ b/crates/trial/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Gateways among themselves: the built chair and members. Agreement is played as the library gives it (a chair while
 //! two of three keepers run, another after an election's time, a record after a round); that the library does so is
-//! what `crates/keeper` is tested for.
+//! what `crates/raft-replica` is tested for.
 
 use ironstair::Ms;
 use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record};
