--- a/crates/archive/tests/disk.rs
+++ b/crates/raft-storage/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What a start finds on a keeper's disk after crashes, torn bytes, mix-ups and folders that can't be used.
 
-use ironstair_archive::{Archive, Opened};
 use ironstair_raft_replica::{Image, Save};
+use ironstair_raft_storage::{Archive, Opened};
 use std::path::Path;
 use tempfile::tempdir;
 
