--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -2,7 +2,7 @@
 
 use ironstair_cells::Keeper;
 use ironstair_config_change::{Cell, Decimal, EnginePin, TenantPin};
-use ironstair_muster::Charter;
+use ironstair_fleet_agent::Charter;
 use ironstair_runtime::number;
 use schemars::JsonSchema;
 use serde::Deserialize;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -16,7 +16,7 @@
 use ironstair::logic::Gateway;
 use ironstair::Ms;
 use ironstair_config_change::renewal::Renewal;
-use ironstair_muster::variant::taken_out;
+use ironstair_fleet_agent::variant::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::{self, Amendment, Request};
@@ -370,7 +370,7 @@
             // Who says so needs no lease to run out before its fleet goes on without it.
             let (done, told) = tokio::sync::oneshot::channel();
             let said = leave
-                .try_send(ironstair_muster::actor::Mail::Leave(done))
+                .try_send(ironstair_fleet_agent::actor::Mail::Leave(done))
                 .is_ok();
             let most = async {
                 Timer::after(span(LEAVE_WITHIN)).await;
