--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -74,7 +74,7 @@
 fn write(folder: &Path, bytes: &[u8]) -> Result<(), String> {
     disk_takes_its_time(folder);
     let made = std::fs::create_dir_all(folder);
-    let done = made.and_then(|()| ironstair_disk::replace(folder, FILE, BESIDE, bytes));
+    let done = made.and_then(|()| ironstair_atomic_file::replace(folder, FILE, BESIDE, bytes));
     done.map(drop)
         .map_err(|e| format!("{}: {e}", folder.join(FILE).display()))
 }
--- a/crates/management/src/file.rs
+++ b/crates/management/src/file.rs
@@ -87,7 +87,7 @@
 
     pub fn anew(&mut self, kept: &Kept<Document>) -> Result<(), String> {
         let bytes = encode(&Record::Whole(kept.clone()))?;
-        let file = ironstair_disk::replace(&self.folder, FILE, "revisions.new", &bytes);
+        let file = ironstair_atomic_file::replace(&self.folder, FILE, "revisions.new", &bytes);
         let file = file.map_err(|e| format!("{}: {e}", Self::path(&self.folder).display()))?;
         (self.file, self.whole, self.records) = (Some(file), bytes.len() as u64, 0);
         Ok(())
--- a/crates/raft-storage/src/lib.rs
+++ b/crates/raft-storage/src/lib.rs
@@ -264,7 +264,7 @@
             record(self.owner.id, &self.image.step())?,
         ]
         .concat();
-        let file = ironstair_disk::replace(&self.folder, FILE, BESIDE, &bytes);
+        let file = ironstair_atomic_file::replace(&self.folder, FILE, BESIDE, &bytes);
         let file = file.map_err(|e| format!("{}: {e}", self.folder.join(FILE).display()))?;
         (self.file, self.whole, self.steps) = (Some(file), bytes.len() as u64, 0);
         Ok(())
