--- a/crates/trial/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,9 +1,9 @@
-//! `ironstair-trial`: plays days of faults in virtual time, sets them side by side and shows what they come to.
+//! `ironstair-simulate`: plays days of faults in virtual time, sets them side by side and shows what they come to.
 
 use clap::{Parser, Subcommand};
-use ironstair_trial::report::{chart, compared, csv, Row, HEAD};
-use ironstair_trial::world::play;
-use ironstair_trial::{Day, Figures};
+use ironstair_simulation::report::{chart, compared, csv, Row, HEAD};
+use ironstair_simulation::world::play;
+use ironstair_simulation::{Day, Figures};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "ironstair-trial",
+    name = "ironstair-simulate",
     about = "Days of faults for hundreds of gateways, in virtual time"
 )]
 struct Line {
@@ -246,7 +246,7 @@
     match run(Line::parse().job) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("ironstair-trial: {why}");
+            eprintln!("ironstair-simulate: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/trial/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,8 +1,8 @@
 //! Days in virtual time: the same seed plays the same, no promise is broken, and what is wrong with a day is told by
 //! its field.
 
-use ironstair_trial::world::play;
-use ironstair_trial::{Day, Figures};
+use ironstair_simulation::world::play;
+use ironstair_simulation::{Day, Figures};
 
 fn day(more: &str) -> Day {
     let text = format!(
