--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter on bytes, written anew from the layout of the wire.
 
-use ironstair_simhost::{read_mandate, serve};
+use ironstair_simulator_adapter::{read_mandate, serve};
 
 const FACTS: &str = r#"{"classes": [{"slo_ns": 1000000000, "give_up_ns": 5000000000, "semantics": "pure",
     "worth": 1.0, "some_new_key": 3}], "fleet_size": 2, "machine_types": ["m"], "registry_mode": "automatic",
