--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,7 @@
 
 pub mod door;
 pub mod logic;
+mod state;
 pub mod sums;
 
 /// Milliseconds, with fractions; as a point in time, on the host's monotonic clock.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,7 +5,8 @@
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Outlet`] at once; lib.rs has that and the types that cross.
 
-use crate::sums::{mix, part, Fade, Guess, Pcg};
+use crate::state::{Attempt, Band, Engine, Taken};
+use crate::sums::{mix, part, Fade, Pcg};
 use crate::{Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Standing, Submission, Terms, Within};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -61,21 +62,6 @@
     terms.expected + terms.expected_stretch * work / terms.threads
 }
 
-#[derive(Default)]
-struct Engine {
-    listed: Listed,
-    cores: f64,
-    threads: f64,
-    record: u32,
-    seen: u32,
-    pace: Vec<Fade>,
-    fine: Vec<Ms>, // by band: when the latest sent of those settled before they were overdue was sent
-    full_until: Ms,
-    aside: Option<(Ms, Ms)>, // when set aside: when the next of the trickle may go, and the gap between
-    cold_sent: VecDeque<(Ms, f64)>,
-    report: Option<(Ms, f64)>, // when asked or last reported, and the largest share of it in use
-}
-
 impl Engine {
     fn reported(&self, now: Ms) -> Option<(Ms, f64)> {
         self.report.filter(|r| now - r.0 < FRESH)
@@ -84,12 +70,6 @@
     fn told(&self, now: Ms) -> f64 {
         self.report.map_or(0.0, |(at, share)| share * 0.5f64.powf((now - at) / HALF))
     }
-    fn in_use(&self) -> bool {
-        self.listed.standing == Standing::Ready && self.aside.is_none()
-    }
-    fn failures(&self) -> u32 {
-        self.record.count_ones()
-    }
     fn judge(&mut self, now: Ms, well: bool) {
         self.record = (self.record << 1 | !well as u32) & ((1 << RECORD) - 1);
         self.seen = (self.seen + 1).min(RECORD);
@@ -103,53 +83,6 @@
     }
 }
 
-#[derive(Clone, Copy, Default)]
-struct Attempt {
-    engine: usize,
-    sent: Ms,
-    counted: (Ms, f64), // up to when, and to which share done, the engine's pace was counted
-    overdue: bool,
-}
-
-#[derive(Default)]
-struct Taken {
-    of: Submission,
-    work: Ms,
-    open: bool,
-    aim: Ms,
-    limit: Ms,
-    attempts: u8,
-    under: Arc<Terms>, // as they were when it was taken, and the most attempts
-    most: u8,
-    out: Option<Attempt>,
-    may_have_run: Vec<(usize, Ms)>,
-    tried: Vec<usize>,
-    lot: u64,
-}
-
-impl Taken {
-    /// Drawn once for each submission and what is named: asked again, it gives no second chance.
-    fn chance(&self, of: u64) -> f64 {
-        part(mix(self.lot ^ of))
-    }
-}
-
-#[derive(Default)]
-struct Band {
-    terms: Arc<Terms>,
-    line: Vec<usize>,
-    charged: f64,
-    threads: f64,
-    started: f64,
-    work: Fade,
-    work_of: Guess,
-    memory_of: Guess,
-    fleet: BTreeMap<u64, Fade>, // by the cells of the engines that it was learnt from
-    best: f64,
-    usual_left: Ms,
-    learnt: Ms,
-}
-
 #[derive(Default)]
 pub struct Gateway {
     m: Mandate,
--- /dev/null
+++ b/src/state.rs
@@ -0,0 +1,78 @@
+//! What the policy remembers of each engine, attempt, submission and band. Containers: nothing here decides,
+//! and no tuned value is used here.
+
+use crate::sums::{mix, part, Fade, Guess};
+use crate::{Listed, Ms, Standing, Submission, Terms};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
+
+#[derive(Default)]
+pub(crate) struct Engine {
+    pub(crate) listed: Listed,
+    pub(crate) cores: f64,
+    pub(crate) threads: f64,
+    pub(crate) record: u32,
+    pub(crate) seen: u32,
+    pub(crate) pace: Vec<Fade>,
+    pub(crate) fine: Vec<Ms>, // by band: when the latest sent of those settled before they were overdue was sent
+    pub(crate) full_until: Ms,
+    pub(crate) aside: Option<(Ms, Ms)>, // when set aside: when the next of the trickle may go, and the gap between
+    pub(crate) cold_sent: VecDeque<(Ms, f64)>,
+    pub(crate) report: Option<(Ms, f64)>, // when asked or last reported, and the largest share of it in use
+}
+
+impl Engine {
+    pub(crate) fn in_use(&self) -> bool {
+        self.listed.standing == Standing::Ready && self.aside.is_none()
+    }
+    pub(crate) fn failures(&self) -> u32 {
+        self.record.count_ones()
+    }
+}
+
+#[derive(Clone, Copy, Default)]
+pub(crate) struct Attempt {
+    pub(crate) engine: usize,
+    pub(crate) sent: Ms,
+    pub(crate) counted: (Ms, f64), // up to when, and to which share done, the engine's pace was counted
+    pub(crate) overdue: bool,
+}
+
+#[derive(Default)]
+pub(crate) struct Taken {
+    pub(crate) of: Submission,
+    pub(crate) work: Ms,
+    pub(crate) open: bool,
+    pub(crate) aim: Ms,
+    pub(crate) limit: Ms,
+    pub(crate) attempts: u8,
+    pub(crate) under: Arc<Terms>, // as they were when it was taken, and the most attempts
+    pub(crate) most: u8,
+    pub(crate) out: Option<Attempt>,
+    pub(crate) may_have_run: Vec<(usize, Ms)>,
+    pub(crate) tried: Vec<usize>,
+    pub(crate) lot: u64,
+}
+
+impl Taken {
+    /// Drawn once for each submission and what is named: asked again, it gives no second chance.
+    pub(crate) fn chance(&self, of: u64) -> f64 {
+        part(mix(self.lot ^ of))
+    }
+}
+
+#[derive(Default)]
+pub(crate) struct Band {
+    pub(crate) terms: Arc<Terms>,
+    pub(crate) line: Vec<usize>,
+    pub(crate) charged: f64,
+    pub(crate) threads: f64,
+    pub(crate) started: f64,
+    pub(crate) work: Fade,
+    pub(crate) work_of: Guess,
+    pub(crate) memory_of: Guess,
+    pub(crate) fleet: BTreeMap<u64, Fade>, // by the cells of the engines that it was learnt from
+    pub(crate) best: f64,
+    pub(crate) usual_left: Ms,
+    pub(crate) learnt: Ms,
+}
