--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -79,7 +79,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Band {
+pub struct Class {
     pub name: String,
     pub expected: u32,
     #[serde(default)]
@@ -227,7 +227,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Document {
-    pub band: Vec<Band>,
+    #[serde(rename = "band")]
+    pub class: Vec<Class>,
     pub gateways: u32,
     pub forwards_most: u8,
     #[serde(default)]
@@ -285,13 +286,13 @@
     }
 }
 
-pub(crate) fn band_path(name: &str, field: &str) -> String {
+pub(crate) fn class_path(name: &str, field: &str) -> String {
     format!("/settings/band[name={name}]/{field}")
 }
 
 impl Document {
     /// The document of what a gateway was told; figures with more digits than the tree has are rounded.
-    /// `limits` are the bands' hard limits, in ms.
+    /// `limits` are the classes' hard limits, in ms.
     pub fn told(m: &Mandate, names: &[String], limits: &[Ms], frame: &Frame) -> Document {
         let whole = |x: Ms| x.round().clamp(0.0, u32::MAX as f64) as u32;
         let named = |of: &Option<Vec<u16>>, names: &[String]| -> Vec<String> {
@@ -304,12 +305,12 @@
             })
             .collect()
         };
-        let band = m
-            .bands
+        let class = m
+            .classes
             .iter()
             .zip(names)
             .zip(limits)
-            .map(|((t, name), &limit)| Band {
+            .map(|((t, name), &limit)| Class {
                 name: name.clone(),
                 expected: whole(t.expected),
                 expected_stretch: Decimal::of(t.expected_stretch),
@@ -332,7 +333,7 @@
                 kind: named(&t.kinds, &frame.kinds),
             });
         Document {
-            band: band.collect(),
+            class: class.collect(),
             gateways: m.gateways as u32,
             forwards_most: m.most_forwards,
             advice: whole(m.come_back_most),
@@ -362,13 +363,13 @@
             }
         };
         check(
-            !self.band.is_empty(),
+            !self.class.is_empty(),
             "/settings/band".into(),
             "there must be a band",
         );
         let mut names = BTreeSet::new();
-        for b in &self.band {
-            let at = |field: &str| band_path(&b.name, field);
+        for b in &self.class {
+            let at = |field: &str| class_path(&b.name, field);
             check(names.insert(&b.name), at("name"), "the name is there twice");
             check(
                 b.hard_limit >= b.expected,
--- a/crates/config-change/src/lib.rs
+++ b/crates/config-change/src/lib.rs
@@ -11,5 +11,5 @@
 mod stricter;
 
 pub use document::{
-    Band, Cell, Cells, Cold, Decimal, Document, EnginePin, Fault, Frame, Log, Ration, TenantPin,
+    Cell, Cells, Class, Cold, Decimal, Document, EnginePin, Fault, Frame, Log, Ration, TenantPin,
 };
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -1,11 +1,11 @@
 //! What a change of the settings does, and when. It is checked whole; then the mandate that it makes is taken
 //! over whole, between two events of the decision module, or none of it is.
 
-use crate::document::{band_path, fault, Again, Band, Document, Fault, Frame, Group};
-use ironstair::{Effect, Mandate, Ms, Ration, Terms, Within};
+use crate::document::{class_path, fault, Again, Class, Document, Fault, Frame, Group};
+use ironstair::{ClassPolicy, Effect, Mandate, Ms, Ration, Within};
 use std::collections::BTreeMap;
 
-/// Bands that may ever have been in a gateway's life: their indices are never used again, since submissions,
+/// Classes that may ever have been in a gateway's life: their indices are never used again, since submissions,
 /// charges and paces hold on to them.
 pub const ROLL_MOST: usize = 256;
 
@@ -27,7 +27,7 @@
     pub when: When,
 }
 
-/// What of a band is fixed for the gateway's life; its place is the band's index.
+/// What of a class is fixed for the gateway's life; its place is the class's index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slot {
     pub name: String,
@@ -38,7 +38,7 @@
 }
 
 impl Slot {
-    pub(crate) fn of(b: &Band) -> Slot {
+    pub(crate) fn of(b: &Class) -> Slot {
         Slot {
             name: b.name.clone(),
             repeat: b.repeat,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Every band that ever was, in the order of their indices.
+/// Every class that ever was, in the order of their indices.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Roll(pub Vec<Slot>);
 
@@ -60,11 +60,11 @@
     pub roll: Roll,
 }
 
-type Shown = fn(&Band) -> String;
+type Shown = fn(&Class) -> String;
 
-/// The fields of a band that may change, and when each takes effect. What tightens a rule binds at once even for
+/// The fields of a class that may change, and when each takes effect. What tightens a rule binds at once even for
 /// those taken before: the decision module holds each to the stricter of its own terms and the new ones.
-const BAND: [(&str, When, Shown); 7] = [
+const CLASS_FIELDS: [(&str, When, Shown); 7] = [
     ("expected", When::NewOnly, |b| b.expected.to_string()),
     ("expected-stretch", When::NewOnly, |b| {
         b.expected_stretch.to_string()
@@ -90,7 +90,7 @@
 
 type Told = fn(&Document) -> Option<String>;
 
-/// The fields beside the bands; all of them at once but for the most forwards, of which fewer bind at once.
+/// The fields beside the classes; all of them at once but for the most forwards, of which fewer bind at once.
 const REST: [(&str, When, Told); 10] = [
     ("gateways", When::AtOnce, |d| Some(d.gateways.to_string())),
     ("forwards-most", When::AtOnce, |d| {
@@ -118,7 +118,7 @@
 
 impl Roll {
     pub fn of(document: &Document) -> Roll {
-        Roll(document.band.iter().map(Slot::of).collect())
+        Roll(document.class.iter().map(Slot::of).collect())
     }
 
     pub fn find(&self, name: &str) -> Option<usize> {
@@ -135,7 +135,7 @@
 ) -> Result<Plan, Vec<Fault>> {
     let mut faults = to.faults(frame);
     let (mut steps, mut roll) = (Vec::new(), roll.clone());
-    let was: BTreeMap<&str, &Band> = from.band.iter().map(|b| (b.name.as_str(), b)).collect();
+    let was: BTreeMap<&str, &Class> = from.class.iter().map(|b| (b.name.as_str(), b)).collect();
     let step = |path: String, from: Option<String>, to: Option<String>, when: When| {
         (from != to).then_some(Step {
             path,
@@ -144,33 +144,33 @@
             when,
         })
     };
-    for band in &to.band {
-        let name = band.name.as_str();
+    for class in &to.class {
+        let name = class.name.as_str();
         match roll.find(name) {
             Some(i) => {
-                let (old, new) = (&roll.0[i], Slot::of(band));
+                let (old, new) = (&roll.0[i], Slot::of(class));
                 for (field, show) in FIXED {
                     if show(old) != show(&new) {
                         let why =
                             "cannot change in service: take the band out and use another name";
-                        faults.push(fault(band_path(name, field), why));
+                        faults.push(fault(class_path(name, field), why));
                     }
                 }
             }
             None if roll.0.len() >= ROLL_MOST => {
                 let why =
                     format!("more than {ROLL_MOST} bands since the start: it takes a restart");
-                faults.push(fault(band_path(name, "name"), why));
+                faults.push(fault(class_path(name, "name"), why));
             }
-            None => roll.0.push(Slot::of(band)),
+            None => roll.0.push(Slot::of(class)),
         }
         match was.get(name) {
             Some(old) => {
-                for (field, when, show) in BAND {
+                for (field, when, show) in CLASS_FIELDS {
                     steps.extend(step(
-                        band_path(name, field),
+                        class_path(name, field),
                         Some(show(old)),
-                        Some(show(band)),
+                        Some(show(class)),
                         when,
                     ));
                 }
@@ -183,7 +183,7 @@
     }
     for name in was
         .keys()
-        .filter(|n| !to.band.iter().any(|b| b.name == **n))
+        .filter(|n| !to.class.iter().any(|b| b.name == **n))
     {
         let path = format!("/settings/band[name={name}]");
         steps.extend(step(path, Some("in service".into()), None, When::OpenFirst));
@@ -244,7 +244,7 @@
         let (cold, old) = (&to.cold, &was.cold);
         Mandate {
             gateways: changed(to.gateways != was.gateways, to.gateways as f64, m.gateways),
-            bands: roll.0.iter().map(|slot| self.terms(slot, to)).collect(),
+            classes: roll.0.iter().map(|slot| self.terms(slot, to)).collect(),
             come_back_most: changed(to.advice != was.advice, to.advice as f64, m.come_back_most),
             most_forwards: to.forwards_most,
             cold_from: changed(cold.from != old.from, cold.from.get(), m.cold_from),
@@ -264,13 +264,17 @@
         }
     }
 
-    fn terms(&self, slot: &Slot, to: &Document) -> Terms {
-        let told = self.document.band.iter().position(|b| Slot::of(b) == *slot);
-        let told = told.map(|i| (&self.mandate.bands[i], &self.document.band[i]));
-        let Some(band) = to.band.iter().find(|b| Slot::of(b) == *slot) else {
+    fn terms(&self, slot: &Slot, to: &Document) -> ClassPolicy {
+        let told = self
+            .document
+            .class
+            .iter()
+            .position(|b| Slot::of(b) == *slot);
+        let told = told.map(|i| (&self.mandate.classes[i], &self.document.class[i]));
+        let Some(class) = to.class.iter().find(|b| Slot::of(b) == *slot) else {
             // Out of service. What it was matters no more to new ones; open ones go by their own terms.
             let was = told.map(|t| t.0.clone()).unwrap_or_default();
-            return Terms {
+            return ClassPolicy {
                 closed: true,
                 threads: slot.threads as f64,
                 repeat: repeat(slot),
@@ -290,16 +294,16 @@
                 .collect();
             (!names.is_empty()).then_some(found)
         };
-        let mut terms = Terms {
-            expected: band.expected as f64,
-            expected_stretch: band.expected_stretch.get(),
-            payoff: band.payoff.get(),
+        let mut terms = ClassPolicy {
+            expected: class.expected as f64,
+            expected_stretch: class.expected_stretch.get(),
+            payoff: class.payoff.get(),
             threads: slot.threads as f64,
             repeat: repeat(slot),
-            window: band.window.unwrap_or(0) as f64,
+            window: class.window.unwrap_or(0) as f64,
             in_order: slot.in_order,
-            zones: indices(&band.zone, &self.frame.zones),
-            kinds: indices(&band.kind, &self.frame.kinds),
+            zones: indices(&class.zone, &self.frame.zones),
+            kinds: indices(&class.kind, &self.frame.kinds),
             holds: false,
             closed: false,
         };
@@ -311,21 +315,21 @@
                 }
             };
             keep(
-                was.expected == band.expected,
+                was.expected == class.expected,
                 &mut terms.expected,
                 told.expected,
             );
             keep(
-                was.expected_stretch == band.expected_stretch,
+                was.expected_stretch == class.expected_stretch,
                 &mut terms.expected_stretch,
                 told.expected_stretch,
             );
-            keep(was.payoff == band.payoff, &mut terms.payoff, told.payoff);
-            keep(was.window == band.window, &mut terms.window, told.window);
-            if was.zone == band.zone {
+            keep(was.payoff == class.payoff, &mut terms.payoff, told.payoff);
+            keep(was.window == class.window, &mut terms.window, told.window);
+            if was.zone == class.zone {
                 terms.zones = told.zones.clone();
             }
-            if was.kind == band.kind {
+            if was.kind == class.kind {
                 terms.kinds = told.kinds.clone();
             }
         }
--- a/crates/config-change/src/renewal.rs
+++ b/crates/config-change/src/renewal.rs
@@ -1,7 +1,7 @@
 //! What becomes of the settings that run when the file behind them is replaced: one step, there and back.
 //!
-//! Submissions, charges and paces hold on to the index of their band, engines to those of their zone and kind.
-//! So whatever had an index keeps it: a band that the file no longer names, or names with other threads, order
+//! Submissions, charges and paces hold on to the index of their class, engines to those of their zone and kind.
+//! So whatever had an index keeps it: a class that the file no longer names, or names with other threads, order
 //! or repeats, is closed rather than forgotten, and is opened again under its index when a file brings it back.
 
 use crate::document::{Document, Frame};
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct File {
     pub mandate: Mandate,
-    /// The bands' names and hard limits, in ms, in their order.
+    /// The classes' names and hard limits, in ms, in their order.
     pub names: Vec<String>,
     pub limits: Vec<Ms>,
     pub frame: Frame,
@@ -62,7 +62,7 @@
             name.map(|n| Frame::index(known, n).unwrap_or(u16::MAX))
         };
         let mut mandate = file.mandate;
-        for (terms, name) in mandate.bands.iter_mut().zip(&file.names) {
+        for (terms, name) in mandate.classes.iter_mut().zip(&file.names) {
             for (field, at, known, names) in [
                 (
                     "dcs_allowed",
@@ -100,8 +100,8 @@
         mandate.kinds = all
             .map(|(i, name)| told(name).unwrap_or_else(|| kept(i)))
             .collect();
-        if !mandate.bands.iter().any(|b| b.in_order) {
-            // Those still open in a band that is closed keep their order, and its rest after doubt.
+        if !mandate.classes.iter().any(|b| b.in_order) {
+            // Those still open in a class that is closed keep their order, and its rest after doubt.
             mandate.key_rest = was.mandate.key_rest;
         }
         let document = Document::told(&mandate, &file.names, &file.limits, &frame);
@@ -118,7 +118,7 @@
             return Err(faults.join("; "));
         }
         let mut roll = self.roll.clone();
-        for slot in document.band.iter().map(Slot::of) {
+        for slot in document.class.iter().map(Slot::of) {
             if !roll.0.contains(&slot) {
                 roll.0.push(slot);
             }
@@ -141,7 +141,7 @@
         self.origin.mandate(&self.origin.document, &self.roll)
     }
 
-    /// All bands by index; which are in service, the mandate says.
+    /// All classes by index; which are in service, the mandate says.
     pub fn roll(&self) -> &Roll {
         &self.roll
     }
--- a/crates/config-change/src/stricter.rs
+++ b/crates/config-change/src/stricter.rs
@@ -1,7 +1,7 @@
 //! What is safe beside two policies at once: while a change goes through a fleet, some gateways hold the one and
 //! some the other, and what they do in sum must break no rule by either.
 
-use crate::document::{Band, Cold, Decimal, Document, Ration};
+use crate::document::{Class, Cold, Decimal, Document, Ration};
 use crate::plan::Slot;
 
 /// Names, none of them for any: those in both, or none where there is no such.
@@ -44,10 +44,10 @@
     })
 }
 
-fn band(a: &Band, b: &Band) -> Option<Band> {
+fn class(a: &Class, b: &Class) -> Option<Class> {
     let (zone, kind) = (in_both(&a.zone, &b.zone)?, in_both(&a.kind, &b.kind)?);
     let window = a.window.zip(b.window).map(|(a, b)| a.min(b)).or(a.window);
-    (Slot::of(a) == Slot::of(b)).then(|| Band {
+    (Slot::of(a) == Slot::of(b)).then(|| Class {
         zone,
         kind,
         window,
@@ -57,19 +57,19 @@
 
 impl Document {
     /// The stricter of both, field by field where gateways' sums are bounded; the rest is as here. None where no
-    /// band is left that both have.
+    /// class is left that both have.
     pub fn stricter(&self, other: &Document) -> Option<Document> {
-        let same = |a: &Band| {
+        let same = |a: &Class| {
             other
-                .band
+                .class
                 .iter()
                 .find(|b| b.name == a.name)
-                .and_then(|b| band(a, b))
+                .and_then(|b| class(a, b))
         };
         let (a, b) = (&self.cold, &other.cold);
-        let left: Vec<Band> = self.band.iter().filter_map(same).collect();
+        let left: Vec<Class> = self.class.iter().filter_map(same).collect();
         (!left.is_empty()).then(|| Document {
-            band: left,
+            class: left,
             gateways: self.gateways.max(other.gateways),
             forwards_most: self.forwards_most.min(other.forwards_most),
             ration: ration(self.ration, other.ration),
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,22 +1,22 @@
 //! What a change does and when, and what it can't be.
 
-use ironstair::{Effect, Kind, Mandate, Ration, Terms, Within};
+use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ration, Within};
 use ironstair_config_change::document::{Document, Frame};
 use ironstair_config_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
 use ironstair_config_change::Decimal;
 
 fn origin() -> Origin {
-    let terms = |expected: f64, repeat| Terms {
+    let terms = |expected: f64, repeat| ClassPolicy {
         expected,
         payoff: 1.0 / 3.0,
         threads: 2.0,
         repeat,
         window: 900.4,
-        ..Terms::default()
+        ..ClassPolicy::default()
     };
     let mandate = Mandate {
         gateways: 3.0,
-        bands: vec![
+        classes: vec![
             terms(1000.25, Effect::Idempotent),
             terms(5000.0, Effect::Deduplicated(Within::MarkGroup)),
         ],
@@ -70,7 +70,7 @@
     let told = origin().mandate;
     let (steps, same) = tried(|_| {}).unwrap();
     assert_eq!((steps.len(), format!("{same:?}")), (0, format!("{told:?}")));
-    let (steps, new) = tried(|d| d.band[0].payoff = Decimal::of(2.0)).unwrap();
+    let (steps, new) = tried(|d| d.class[0].payoff = Decimal::of(2.0)).unwrap();
     assert_eq!(
         steps,
         [(
@@ -79,18 +79,22 @@
         )]
     );
     assert_eq!(
-        (new.bands[0].expected, new.bands[1].payoff, new.cold_from),
+        (
+            new.classes[0].expected,
+            new.classes[1].payoff,
+            new.cold_from
+        ),
         (1000.25, 1.0 / 3.0, 0.123456)
     );
-    assert_eq!(new.bands[0].payoff, 2.0);
+    assert_eq!(new.classes[0].payoff, 2.0);
 }
 
 #[test]
 fn each_field_says_when_it_takes_effect() {
     let (steps, new) = tried(|d| {
-        d.band[0].expected = 700;
-        d.band[0].zone = vec!["b".into()];
-        d.band.remove(1);
+        d.class[0].expected = 700;
+        d.class[0].zone = vec!["b".into()];
+        d.class.remove(1);
         d.ration = None;
         d.gateways = 4;
     })
@@ -104,13 +108,13 @@
         (Some(When::AtOnce), Some(When::AtOnce))
     );
     assert_eq!(
-        (new.bands[0].zones.clone(), new.gateways),
+        (new.classes[0].zones.clone(), new.gateways),
         (Some(vec![1]), 4.0)
     );
-    assert!(new.ration.is_none() && new.bands[1].closed && !new.bands[0].closed);
+    assert!(new.ration.is_none() && new.classes[1].closed && !new.classes[0].closed);
     // Out of service it still tells apart what it takes and what may run again.
     assert_eq!(
-        (new.bands[1].repeat, new.bands[1].threads),
+        (new.classes[1].repeat, new.classes[1].threads),
         (Effect::Deduplicated(Within::MarkGroup), 2.0)
     );
 }
@@ -119,34 +123,34 @@
 fn what_cannot_change_in_service_is_refused_by_its_path() {
     let cases: [(Change, &str); 8] = [
         (
-            &|d| d.band[0].threads = 3,
+            &|d| d.class[0].threads = 3,
             "/settings/band[name=lookup]/threads: cannot change in service",
         ),
         (
-            &|d| d.band[0].in_order = true,
+            &|d| d.class[0].in_order = true,
             "/settings/band[name=lookup]/in-order: cannot",
         ),
         (
-            &|d| d.band[0].hard_limit = 10,
+            &|d| d.class[0].hard_limit = 10,
             "/settings/band[name=lookup]/hard-limit: the hard limit is shorter",
         ),
         (
-            &|d| d.band[1].window = None,
+            &|d| d.class[1].window = None,
             "/settings/band[name=post]/window: a tagged band needs",
         ),
         (
-            &|d| d.band[0].window = Some(1),
+            &|d| d.class[0].window = Some(1),
             "/settings/band[name=lookup]/window: window is for tagged",
         ),
         (
-            &|d| d.band[0].zone = vec!["c".into()],
+            &|d| d.class[0].zone = vec!["c".into()],
             "/settings/band[name=lookup]/zone: c is not among",
         ),
         (
-            &|d| d.band[1].name = "lookup".into(),
+            &|d| d.class[1].name = "lookup".into(),
             "/settings/band[name=lookup]/name: the name is there twice",
         ),
-        (&|d| d.band.clear(), "/settings/band: there must be a band"),
+        (&|d| d.class.clear(), "/settings/band: there must be a band"),
     ];
     for (change, why) in cases {
         let faults = tried(change).unwrap_err();
@@ -161,14 +165,14 @@
 fn a_band_comes_back_to_its_place_only_as_it_was_and_new_ones_get_new_places() {
     let o = origin();
     let (mut out, mut back) = (o.document.clone(), o.document.clone());
-    let post = out.band.remove(1);
+    let post = out.class.remove(1);
     let roll = plan(&o.document, &out, &Roll::of(&o.document), &o.frame)
         .unwrap()
         .roll;
     assert_eq!(roll.find("post"), Some(1));
-    back.band.insert(
+    back.class.insert(
         0,
-        ironstair_config_change::Band {
+        ironstair_config_change::Class {
             name: "audit".into(),
             ..post.clone()
         },
@@ -180,10 +184,10 @@
     );
     let m = o.mandate(&back, &p.roll);
     assert_eq!(
-        (m.bands.len(), m.bands[1].window, m.bands[2].window),
+        (m.classes.len(), m.classes[1].window, m.classes[2].window),
         (3, 900.4, 900.0)
     );
-    back.band[2].threads = 9;
+    back.class[2].threads = 9;
     assert!(plan(&out, &back, &p.roll, &o.frame).is_err());
 }
 
@@ -193,7 +197,7 @@
     let (mut from, mut roll) = (o.document.clone(), Roll::of(&o.document));
     for nth in 2..=ROLL_MOST {
         let mut to = o.document.clone();
-        to.band[1].name = format!("b{nth}");
+        to.class[1].name = format!("b{nth}");
         match plan(&from, &to, &roll, &o.frame) {
             Ok(p) => (from, roll) = (to, p.roll),
             Err(faults) => {
@@ -209,7 +213,7 @@
 fn the_stricter_of_two_is_bound_by_both_whichever_came_first() {
     let zones = |zones: &'static [&'static str]| {
         move |d: &mut Document| {
-            d.band[0].zone = zones.iter().map(|z| z.to_string()).collect();
+            d.class[0].zone = zones.iter().map(|z| z.to_string()).collect();
         }
     };
     let ration = |spare: u32, span: u32| {
@@ -246,21 +250,21 @@
             "15000",
         ),
         (
-            &|d| d.band[1].window = Some(7),
+            &|d| d.class[1].window = Some(7),
             &|_| {},
-            |d| format!("{:?}", d.band[1].window),
+            |d| format!("{:?}", d.class[1].window),
             "Some(7)",
         ),
         (
             &zones(&["a", "b"]),
             &zones(&["B"]),
-            |d| d.band[0].zone.join(" ").to_lowercase(),
+            |d| d.class[0].zone.join(" ").to_lowercase(),
             "b",
         ),
         (
             &zones(&["a"]),
             &zones(&["b"]),
-            |d| d.band[0].name.clone(),
+            |d| d.class[0].name.clone(),
             "post",
         ),
         (
@@ -288,8 +292,8 @@
         assert_eq!(seen(&b.stricter(&a).unwrap()), want, "the other way round");
     }
     let (a, b) = (
-        changed(&|d| drop(d.band.pop())),
-        changed(&|d| drop(d.band.remove(0))),
+        changed(&|d| drop(d.class.pop())),
+        changed(&|d| drop(d.class.remove(0))),
     );
     assert!(
         a.stricter(&b).is_none() && b.stricter(&a).is_none(),
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -1,12 +1,12 @@
 //! A replaced file, there and back, without a gateway.
 
-use ironstair::{Effect, Kind, Mandate, Terms};
+use ironstair::{ClassPolicy, Effect, Kind, Mandate};
 use ironstair_config_change::renewal::{File, Renewal};
 use ironstair_config_change::Frame;
 
-fn band(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> Terms {
+fn class(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> ClassPolicy {
     let (expected, payoff) = (500.0, 1.0);
-    Terms {
+    ClassPolicy {
         expected,
         payoff,
         threads,
@@ -16,17 +16,17 @@
     }
 }
 
-fn file(bands: Vec<(&str, Terms)>, kinds: &[(&str, f64)]) -> File {
-    let (names, bands): (Vec<_>, Vec<_>) =
-        bands.into_iter().map(|(n, t)| (n.to_string(), t)).unzip();
-    let limits = vec![2000.0; bands.len()];
+fn file(classes: Vec<(&str, ClassPolicy)>, kinds: &[(&str, f64)]) -> File {
+    let (names, classes): (Vec<_>, Vec<_>) =
+        classes.into_iter().map(|(n, t)| (n.to_string(), t)).unzip();
+    let limits = vec![2000.0; classes.len()];
     let cores = kinds.iter().map(|k| Kind {
         cores: k.1,
         memory_mb: 1024.0,
     });
     let mandate = Mandate {
         gateways: 2.0,
-        bands,
+        classes,
         kinds: cores.collect(),
         most_forwards: 3,
         ..Default::default()
@@ -47,20 +47,20 @@
     let safe = Effect::Idempotent;
     file(
         vec![
-            ("lookup", band(1.0, safe, None)),
-            ("report", band(4.0, safe, Some(vec![1]))),
+            ("lookup", class(1.0, safe, None)),
+            ("report", class(4.0, safe, Some(vec![1]))),
         ],
         &[("s", 8.0), ("l", 16.0)],
     )
 }
 
 fn second() -> File {
-    let load = Terms {
+    let load = ClassPolicy {
         in_order: true,
-        ..band(2.0, Effect::NonIdempotent, None)
+        ..class(2.0, Effect::NonIdempotent, None)
     };
-    let report = band(2.0, Effect::Idempotent, Some(vec![0]));
-    let lookup = band(1.0, Effect::Idempotent, None);
+    let report = class(2.0, Effect::Idempotent, Some(vec![0]));
+    let lookup = class(1.0, Effect::Idempotent, None);
     let mut f = file(
         vec![("load", load), ("report", report), ("lookup", lookup)],
         &[("l", 12.0), ("new", 4.0)],
@@ -80,27 +80,27 @@
         ["lookup", "report", "load", "report"]
     );
     let m = there.mandate();
-    let closed: Vec<bool> = m.bands.iter().map(|b| b.closed).collect();
+    let closed: Vec<bool> = m.classes.iter().map(|b| b.closed).collect();
     assert_eq!(
         closed,
         [false, true, false, false],
         "the report of four threads is closed, one of two is open"
     );
-    assert_eq!((m.bands[1].threads, m.bands[3].threads), (4.0, 2.0));
+    assert_eq!((m.classes[1].threads, m.classes[3].threads), (4.0, 2.0));
     assert_eq!(there.frame().kinds, ["s", "l", "new"]);
     assert_eq!(
         m.kinds.iter().map(|k| k.cores).collect::<Vec<_>>(),
         [8.0, 12.0, 4.0]
     );
     assert_eq!(
-        m.bands[3].kinds,
+        m.classes[3].kinds,
         Some(vec![1]),
         "kind l under its old index"
     );
     let back = there.renew(first()).unwrap().expect("other settings");
     let (m, was) = (back.mandate(), start.mandate());
-    assert_eq!(m.bands[..2], was.bands[..]);
-    assert!(m.bands[2].closed && m.bands[3].closed && m.bands[2].in_order);
+    assert_eq!(m.classes[..2], was.classes[..]);
+    assert!(m.classes[2].closed && m.classes[3].closed && m.classes[2].in_order);
     assert_eq!(
         m.key_rest, 300.0,
         "what is open in order still rests after doubt"
@@ -115,7 +115,7 @@
     let start = Renewal::new(first());
     assert!(start.renew(first()).unwrap().is_none());
     let mut bad = second();
-    bad.mandate.bands[1].kinds = Some(vec![7]);
+    bad.mandate.classes[1].kinds = Some(vec![7]);
     let why = start.renew(bad).err().unwrap();
     assert!(
         why.contains("report: machine_types_allowed: index 7"),
@@ -133,7 +133,7 @@
     let mut now = Renewal::new(first());
     let many = |n: usize| {
         file(
-            vec![(&*format!("b{n}"), band(1.0, Effect::Idempotent, None))],
+            vec![(&*format!("b{n}"), class(1.0, Effect::Idempotent, None))],
             &[("s", 8.0)],
         )
     };
--- a/crates/data-tree/src/leaves.rs
+++ b/crates/data-tree/src/leaves.rs
@@ -139,8 +139,8 @@
         {
             return Err(misfit(wanted, "only settings can be changed"));
         }
-        let in_band = names.len() == 3 && names[1].as_deref() == Some("band");
-        if gone && in_band && names[2].as_deref() == Some("name") {
+        let in_class = names.len() == 3 && names[1].as_deref() == Some("band");
+        if gone && in_class && names[2].as_deref() == Some("name") {
             return Err(misfit(wanted, "a key goes with its entry only"));
         }
         Ok(())
--- a/crates/data-tree/src/path.rs
+++ b/crates/data-tree/src/path.rs
@@ -64,7 +64,7 @@
 }
 
 impl fmt::Display for Path {
-    /// As `/settings/band[name=lookup]/expected`. The keys of this tree are called `name`, but for revisions.
+    /// As `/settings/class[name=lookup]/expected`. The keys of this tree are called `name`, but for revisions.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         if self.0.is_empty() {
             return f.write_str("/");
@@ -86,7 +86,7 @@
 }
 
 impl Pattern {
-    /// Reads `/settings/band[name=*]/expected`; a leading slash may be missing.
+    /// Reads `/settings/class[name=*]/expected`; a leading slash may be missing.
     pub fn read(text: &str) -> Result<Pattern, String> {
         if text.len() > TEXT_MOST {
             return Err(format!("a path of {} bytes is too long", text.len()));
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -3,7 +3,7 @@
 use crate::leaves::Leaves;
 use crate::path::{Path, Step};
 use crate::schema::Value;
-use ironstair::logic::{BandView, EngineView};
+use ironstair::logic::{ClassView, EngineView};
 use ironstair::{Ms, Standing};
 use ironstair_config_change::journal::Line;
 use ironstair_config_change::revisions;
@@ -26,13 +26,13 @@
     pub view: EngineView,
 }
 
-/// One band, and what became of its submissions since the start.
+/// One class, and what became of its submissions since the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Band {
+pub struct Class {
     pub name: String,
     pub in_service: bool,
     pub counts: Counts,
-    pub view: BandView,
+    pub view: ClassView,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     /// Unix time in ms.
     pub at: Ms,
     pub engines: imbl::OrdMap<Arc<str>, Engine>,
-    pub bands: Vec<Band>,
+    pub classes: Vec<Class>,
     pub source: String,
     pub serial: u32,
     pub heard: Ms,
@@ -191,9 +191,9 @@
             }
         }
     }
-    for (nth, b) in is.bands.iter().enumerate() {
-        if was.bands.get(nth) != Some(b) {
-            band(&mut new, b);
+    for (nth, b) in is.classes.iter().enumerate() {
+        if was.classes.get(nth) != Some(b) {
+            class(&mut new, b);
         }
     }
     let mut n = at(&mut new, [step("list", None)]);
@@ -281,7 +281,7 @@
     n.count("connections", e.connections as u64);
 }
 
-fn band(to: &mut Leaves, b: &Band) {
+fn class(to: &mut Leaves, b: &Class) {
     let mut n = at(to, [step("band", Some(&b.name))]);
     let (c, v) = (&b.counts, &b.view);
     n.text("name", &b.name);
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -56,7 +56,7 @@
     let (schema, leaves) = start();
     let document = schema.document(&leaves).unwrap();
     assert_eq!(
-        (document.band[1].payoff.get(), document.band[0].threads),
+        (document.class[1].payoff.get(), document.class[0].threads),
         (6.25, 1)
     );
     let again = schema.settings(&document).unwrap();
@@ -185,17 +185,17 @@
         Edit::Delete(pattern("/settings/band")),
     ]);
     assert_eq!(
-        (d.band.len(), d.band[0].expected, d.band[0].hard_limit),
+        (d.class.len(), d.class[0].expected, d.class[0].hard_limit),
         (1, 900, 4000)
     );
     let d = changed(&[
         Edit::Delete(pattern("/settings/ration")),
         Edit::Delete(pattern("/settings/.../zone")),
     ]);
-    assert!(d.ration.is_none() && d.band.iter().all(|b| b.zone.is_empty()));
+    assert!(d.ration.is_none() && d.class.iter().all(|b| b.zone.is_empty()));
     let d = changed(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
     assert_eq!(
-        d.band[1].threads, 1,
+        d.class[1].threads, 1,
         "what is taken out goes back to its default"
     );
 }
@@ -258,7 +258,7 @@
         match schema.document(&new) {
             Ok(d) => {
                 prop_assert!(whole);
-                let got: Vec<_> = d.band.iter().map(|b| (b.name.as_str(), Some(b.expected))).collect();
+                let got: Vec<_> = d.class.iter().map(|b| (b.name.as_str(), Some(b.expected))).collect();
                 let want: Vec<_> = model.iter().map(|(n, b)| (*n, b.0)).collect();
                 prop_assert_eq!(got, want);
             }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -406,15 +406,15 @@
             self.no_room(Some(call));
             return Ok(None);
         }
-        let bands = self.shared.bands();
+        let classes = self.shared.classes();
         let named = |service: bool| {
-            bands
+            classes
                 .iter()
                 .position(|b| b.name.as_bytes() == method && (b.in_service || !service))
         };
         // One of the name may be closed behind which another is open, under other terms.
-        let band = named(true).or_else(|| named(false));
-        let band = band.ok_or((Some(call), rpc::UNKNOWN_METHOD))?;
+        let class = named(true).or_else(|| named(false));
+        let class = class.ok_or((Some(call), rpc::UNKNOWN_METHOD))?;
         if self.open.borrow().contains_key(&call) {
             // Which of the two an answer is for could not be told: neither gets one.
             self.faults.set(FAULTS_MOST);
@@ -452,7 +452,7 @@
             }
         };
         let of = Submission {
-            band,
+            class,
             left,
             work: work.filter(|w| *w > 0.0),
             memory_mb: memory.unwrap_or(0.0),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -242,7 +242,9 @@
             .get(&f.link)
             .filter(|l| l.stream.is_some())
             .map(|l| l.heard.max(f.sent));
-        heard.is_some_and(|h| self.shared.clock.now() - h > self.shared.bands()[f.of.band].expected)
+        heard.is_some_and(|h| {
+            self.shared.clock.now() - h > self.shared.classes()[f.of.class].expected
+        })
     }
 
     fn attempt(&mut self, of: Rc<Attempt>) {
@@ -306,14 +308,14 @@
                     return self.drop_link(link, Outcome::Reset);
                 }
                 if first.bytes.is_empty() {
-                    let (left, bands) = ((of.limit - now).max(1.0), shared.bands());
-                    let (band, size) = (&bands[of.band].name, of.statement.size());
+                    let (left, classes) = ((of.limit - now).max(1.0), shared.classes());
+                    let (class, size) = (&classes[of.class].name, of.statement.size());
                     let once = of.once.as_deref();
                     let priority = of.priority.get();
                     lines::attempt(
                         &mut first.bytes,
                         text(&of.id),
-                        band,
+                        class,
                         once,
                         left as u64,
                         priority,
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -37,7 +37,7 @@
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         pool: Pool::of(1 << 20),
-        bands: RefCell::new(Rc::new(vec![Told {
+        classes: RefCell::new(Rc::new(vec![Told {
             name: "lookup".into(),
             expected: 1000.0,
             in_service: true,
@@ -78,7 +78,7 @@
         let limit = self.shared.clock.now() + 4000.0;
         Rc::new(Attempt {
             id: format!("{nth:016x}").into_bytes().try_into().unwrap(),
-            band: 0,
+            class: 0,
             statement: Rc::new(statement),
             once: None,
             priority: Cell::new(None),
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -95,9 +95,9 @@
 
 fn check(from: &Source, operator: Option<operator::Operator>) -> Result<(), String> {
     let t = told::read(&from.told)?;
-    let (bands, engines) = (t.bands.len(), t.known.len());
+    let (classes, engines) = (t.classes.len(), t.known.len());
     println!(
-        "{}: {bands} bands, {engines} engines, listens on {}",
+        "{}: {classes} bands, {engines} engines, listens on {}",
         t.name, t.listen
     );
     let Some(o) = operator else { return Ok(()) };
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -56,7 +56,7 @@
         .transpose()?;
     let started = ironstair_management::open(
         mandate,
-        &told.bands,
+        &told.classes,
         &told.limits,
         told.index.clone(),
         cells,
@@ -100,7 +100,7 @@
     let cells = of.cells.as_ref().map(operator::cells);
     ironstair_management::open(
         told.mandate.clone(),
-        &told.bands,
+        &told.classes,
         &told.limits,
         told.index.clone(),
         cells,
@@ -118,8 +118,8 @@
         self.started.cells()
     }
 
-    pub fn bands(&self) -> (Vec<Told>, Ms) {
-        self.started.bands()
+    pub fn classes(&self) -> (Vec<Told>, Ms) {
+        self.started.classes()
     }
 
     /// Whether nothing may be decided before a fleet has said so.
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -25,7 +25,7 @@
 
 struct Held {
     call: u64,
-    band: usize,
+    class: usize,
     at: Ms,
     tenant: u64,
     limit: Ms,
@@ -73,7 +73,7 @@
     engines: Vec<Option<Known>>,
     wake: Option<Ms>,
     ends: Ms,
-    /// By band, since the start.
+    /// By class, since the start.
     counts: Vec<Counts>,
     /// Which cells engines and tenants are in, where there are any.
     cells: Option<Keeper>,
@@ -120,11 +120,11 @@
         true
     }
 
-    fn count(&mut self, band: usize) -> &mut Counts {
-        if self.counts.len() <= band {
-            self.counts.resize(band + 1, Counts::default());
+    fn count(&mut self, class: usize) -> &mut Counts {
+        if self.counts.len() <= class {
+            self.counts.resize(class + 1, Counts::default());
         }
-        &mut self.counts[band]
+        &mut self.counts[class]
     }
 
     /// Counts what becomes of a submission whose client still waits.
@@ -132,9 +132,9 @@
         let waited = self
             .held(submission)
             .filter(|h| h.client.is_some())
-            .map(|h| h.band);
-        if let Some(band) = waited {
-            add(self.count(band));
+            .map(|h| h.class);
+        if let Some(class) = waited {
+            add(self.count(class));
         }
     }
 
@@ -171,12 +171,12 @@
 
     /// Settled, in time or not, its client still there.
     fn settled(&mut self, submission: usize) {
-        let (now, bands) = (self.now, self.shared.bands());
-        let Some((band, at)) = self.held(submission).map(|h| (h.band, h.at)) else {
+        let (now, classes) = (self.now, self.shared.classes());
+        let Some((class, at)) = self.held(submission).map(|h| (h.class, h.at)) else {
             return;
         };
-        let late = bands.get(band).is_some_and(|b| now - at > b.expected);
-        let counts = self.count(band);
+        let late = classes.get(class).is_some_and(|b| now - at > b.expected);
+        let counts = self.count(class);
         counts.settled += 1;
         counts.late += late as u64;
     }
@@ -196,12 +196,16 @@
         };
         (h.engine, h.cells) = (Some(engine), cells);
         h.met.push(engine);
-        let (band, statement, once, waits) =
-            (h.band, h.statement.clone(), h.once.clone(), h.waits.clone());
+        let (class, statement, once, waits) = (
+            h.class,
+            h.statement.clone(),
+            h.once.clone(),
+            h.waits.clone(),
+        );
         let (priority, begun, by) = (Cell::new(h.priority), Cell::new(false), Cell::new(by));
         let of = Attempt {
             id,
-            band,
+            class,
             statement,
             once,
             priority,
@@ -213,7 +217,7 @@
         };
         let of = Rc::new(of);
         h.out = Some(of.clone());
-        self.count(band).released += 1;
+        self.count(class).released += 1;
         if !self.order(engine, Order::Attempt(of)) {
             // Nobody is there to tell how it ended.
             let ended = Event::Ended {
@@ -329,8 +333,8 @@
                     |h: &&mut Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
                 if let Some(h) = hands.held[s].as_mut().filter(own) {
                     h.client = None;
-                    let band = h.band;
-                    hands.count(band).left += 1;
+                    let class = h.class;
+                    hands.count(class).left += 1;
                     gateway.left(now, s, &mut hands);
                 }
             }
@@ -389,9 +393,9 @@
     }
 }
 
-/// Other terms: what is open was taken under the old ones and is counted under its band's index.
+/// Other terms: what is open was taken under the old ones and is counted under its class's index.
 fn amend(gateway: &mut Gateway, hands: &mut Hands, to: Amendment) {
-    hands.shared.bands.replace(Rc::new(to.bands));
+    hands.shared.classes.replace(Rc::new(to.classes));
     hands.shared.longest.set(to.longest);
     if let Some(carriage) = to.carriage {
         hands.shared.carriage.replace(Rc::new(carriage));
@@ -527,14 +531,14 @@
             engines.insert(name.into(), is);
         }
     }
-    let told = shared.bands();
-    let bands = told.iter().enumerate().map(|(b, t)| state::Band {
+    let told = shared.classes();
+    let classes = told.iter().enumerate().map(|(b, t)| state::Class {
         name: t.name.clone(),
         in_service: t.in_service,
         counts: *hands.count(b),
-        view: gateway.band_view(b).unwrap_or_default(),
+        view: gateway.class_view(b).unwrap_or_default(),
     });
-    let bands = bands.collect();
+    let classes = classes.collect();
     let (lent, most) = shared.pool.lent();
     let facts = Facts {
         tenure: shared.in_tenure(),
@@ -546,7 +550,7 @@
     let view = Snapshot {
         at: hands.now,
         engines,
-        bands,
+        classes,
         source: shared.gauges.source.borrow().clone(),
         serial: shared.gauges.serial.get(),
         heard: shared.gauges.heard.get(),
@@ -590,10 +594,10 @@
         hands.held.resize_with(s + 1, || None);
     }
     let limit = (t.at + t.of.left).min(hands.ends);
-    hands.count(t.of.band).taken += 1;
+    hands.count(t.of.class).taken += 1;
     hands.held[s] = Some(Held {
         call: t.call,
-        band: t.of.band,
+        class: t.of.class,
         at: t.at,
         tenant,
         limit,
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -12,7 +12,7 @@
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         pool: Pool::of(1 << 16),
-        bands: Default::default(),
+        classes: Default::default(),
         longest: Cell::new(5000.0),
         gauges: Default::default(),
         tenants: false,
@@ -70,7 +70,7 @@
     let submission = hands.subs.admit(*b"0000000000000001");
     hands.held.push(Some(Held {
         call: 1,
-        band: 0,
+        class: 0,
         at: 0.0,
         tenant: 0,
         limit: 5000.0,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -135,12 +135,12 @@
 /// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
 async fn take_over(renewal: &Renewal, carriage: Carriage, shared: &Shared) {
     let mandate = renewal.mandate();
-    let (bands, longest) =
-        ironstair_management::bands(renewal.roll(), renewal.document(), &mandate);
+    let (classes, longest) =
+        ironstair_management::classes(renewal.roll(), renewal.document(), &mandate);
     let (done, told) = async_channel::bounded(1);
     let to = Amendment {
         mandate,
-        bands,
+        classes,
         longest,
         cells: None,
         carriage: Some(carriage),
@@ -151,7 +151,7 @@
         .send(Event::Asked(Request::Amend(Box::new(to))))
         .await;
     if told.recv().await.is_ok() {
-        let open = shared.bands().iter().filter(|b| b.in_service).count();
+        let open = shared.classes().iter().filter(|b| b.in_service).count();
         info!(shared.log, "new settings hold"; "bands" => open);
     }
 }
@@ -195,17 +195,17 @@
     let executor = Rc::new(LocalExecutor::new());
     let (module, events) = async_channel::bounded(MAILBOX);
     // What was set before the last end comes before what is told.
-    let (mandate, (bands, longest)) = match &management {
-        Some(m) => (m.mandate(), m.bands()),
+    let (mandate, (classes, longest)) = match &management {
+        Some(m) => (m.mandate(), m.classes()),
         None => {
-            let bands = told.bands.iter().cloned().zip(&told.mandate.bands);
-            let bands = bands.map(|(name, b)| window::Told {
+            let classes = told.classes.iter().cloned().zip(&told.mandate.classes);
+            let classes = classes.map(|(name, b)| window::Told {
                 name,
                 expected: b.expected,
                 in_service: true,
             });
-            let bands = bands.collect();
-            (told.mandate, (bands, told.carriage.longest))
+            let classes = classes.collect();
+            (told.mandate, (classes, told.carriage.longest))
         }
     };
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
@@ -224,7 +224,7 @@
         } else {
             f64::INFINITY
         }),
-        bands: RefCell::new(Rc::new(bands)),
+        classes: RefCell::new(Rc::new(classes)),
         longest: Cell::new(longest),
         gauges: Gauges::default(),
         tenants: operator
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -4,7 +4,7 @@
 use ironstair_config_change::renewal::File;
 use ironstair_config_change::Frame;
 use ironstair_runtime::Place;
-use ironstair_settings::{bands, carriage, kinds, limits, mandate, word, zones, Carriage};
+use ironstair_settings::{carriage, classes, kinds, limits, mandate, word, zones, Carriage};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
     pub descriptors: usize,
     pub mandate: Mandate,
     pub carriage: Carriage,
-    pub bands: Vec<String>,
-    /// The bands' hard limits.
+    pub classes: Vec<String>,
+    /// The classes' hard limits.
     pub limits: Vec<Ms>,
     pub index: Frame,
     /// The roster up to now, and the number of its last change.
@@ -35,7 +35,7 @@
 
 impl Told {
     pub fn file(&self) -> File {
-        let (mandate, names) = (self.mandate.clone(), self.bands.clone());
+        let (mandate, names) = (self.mandate.clone(), self.classes.clone());
         File {
             mandate,
             names,
@@ -90,7 +90,7 @@
         descriptors: v["limits"]["sockets"].as_f64().unwrap_or(DESCRIPTORS) as usize,
         mandate: mandate(settings).map_err(|e| format!("settings: {e}"))?,
         carriage: carriage(settings).map_err(|e| format!("settings: {e}"))?,
-        bands: bands(settings).map_err(|e| format!("settings: {e}"))?,
+        classes: classes(settings).map_err(|e| format!("settings: {e}"))?,
         limits: limits(settings).map_err(|e| format!("settings: {e}"))?,
         index,
         known,
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -176,10 +176,10 @@
                 while over < 200 {
                     while asked < 200 && open.len() < 16 {
                         asked += 1;
-                        let (call, band) = (who * 1000 + asked, ["lookup", "post"][asked as usize % 2]);
+                        let (call, class) = (who * 1000 + asked, ["lookup", "post"][asked as usize % 2]);
                         let tenant = if who < 4 { "t1" } else { "t2" };
                         c.say(&format!(
-                            r#"{{"jsonrpc":"2.0","id":{call},"method":"{band}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
+                            r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
                         ));
                         open.insert(call);
                     }
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -41,11 +41,11 @@
     started(test, told, roster, None)
 }
 
-fn ask(c: &mut Client, band: &str, call: u64) {
+fn ask(c: &mut Client, class: &str, call: u64) {
     let fields =
         format!(r#""id":"{call:016x}","wait":7000,"bytes":"c2VsZWN0IDE=","once":"o{call}""#);
     c.say(&format!(
-        r#"{{"jsonrpc":"2.0","id":{call},"method":"{band}","params":{{{fields}}}}}"#
+        r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{{fields}}}}}"#
     ));
 }
 
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -174,9 +174,9 @@
 /// Cut off one way over a change each, and back.
 fn cut_off_one_way(test: &str, plan: Plan) -> Rig {
     let rig = loaded(test, plan);
-    for (sends, hears, band) in [(true, false, "lookup"), (false, true, "post")] {
+    for (sends, hears, class) in [(true, false, "lookup"), (false, true, "post")] {
         rig.cut_off(4, sends, hears);
-        well(rig.bar(0, band));
+        well(rig.bar(0, class));
         rig.until_answers(What::Settled, 100);
         rig.heal();
         rig.until_fit(4);
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -241,9 +241,9 @@
     assert_eq!(state["ironstair-gateway:in-service"], json!(false));
     assert_eq!(state["ironstair-gateway:turned-back"], json!("5"));
     // Not with other terms that are fixed; then as it was.
-    let band = |threads: u32| json!({"expected": 2000, "hard-limit": 5000, "payoff": "1.0", "repeat": "repeatable", "threads": threads});
+    let class = |threads: u32| json!({"expected": 2000, "hard-limit": 5000, "payoff": "1.0", "repeat": "repeatable", "threads": threads});
     let wrong = rt
-        .block_on(set(&mut c, "/settings/band[name=report]", band(2)))
+        .block_on(set(&mut c, "/settings/band[name=report]", class(2)))
         .unwrap_err();
     assert!(
         wrong
@@ -251,7 +251,7 @@
             .starts_with("/settings/band[name=report]/threads: cannot"),
         "{wrong:?}"
     );
-    rt.block_on(set(&mut c, "/settings/band[name=report]", band(4)))
+    rt.block_on(set(&mut c, "/settings/band[name=report]", class(4)))
         .unwrap();
     asker.ask_in("report", 200);
     assert_eq!(asker.rows().0, 200);
@@ -904,18 +904,18 @@
     let (_gateway, at) = managed("modes", &[("e1", "127.0.0.1:9".parse().unwrap())]);
     runtime().block_on(async {
         let mut c = client(at).await;
-        let bands = leaves(&mut c, "/settings/band").await.len();
+        let classes = leaves(&mut c, "/settings/band").await.len();
         let mut once = subscribe(&mut c, listing(&["/settings/band"], Once, false))
             .await
             .unwrap();
-        assert_eq!(up_to_sync(&mut once).await.unwrap(), bands);
+        assert_eq!(up_to_sync(&mut once).await.unwrap(), classes);
         assert!(once.message().await.unwrap().is_none(), "and it ends");
 
         let poll = || gnmi::SubscribeRequest {
             request: Some(gnmi::subscribe_request::Request::Poll(gnmi::Poll {})),
             extension: Vec::new(),
         };
-        for (updates_only, second) in [(false, bands), (true, 0)] {
+        for (updates_only, second) in [(false, classes), (true, 0)] {
             let (say, asked) = tokio::sync::mpsc::channel(4);
             say.send(listing(&["/settings/band"], Poll, updates_only))
                 .await
@@ -925,7 +925,7 @@
             say.send(poll()).await.unwrap();
             assert_eq!(
                 up_to_sync(&mut polled).await.unwrap(),
-                if updates_only { 0 } else { bands }
+                if updates_only { 0 } else { classes }
             );
             say.send(poll()).await.unwrap();
             assert_eq!(up_to_sync(&mut polled).await.unwrap(), second);
@@ -937,7 +937,7 @@
             // Of what has changed, the whole entry: it must not be seen half.
             assert_eq!(
                 up_to_sync(&mut polled).await.unwrap(),
-                if updates_only { 9 } else { bands }
+                if updates_only { 9 } else { classes }
             );
         }
         let both = ["/settings/advice", "/state/process/name"];
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bands that come and go, one of the same name under other threads and stricter repeats, zones and kinds in
+/// Classes that come and go, one of the same name under other threads and stricter repeats, zones and kinds in
 /// another order, figures that the decisions did not read before.
 fn other(settings: &Value) -> Value {
     let mut s = settings.clone();
@@ -110,7 +110,7 @@
 
 #[test]
 fn settings_change_under_load_and_back_with_nothing_lost_or_sent_twice() {
-    // Against submissions that lose their band, place or answer with an index, and once-only ones that go again.
+    // Against submissions that lose their class, place or answer with an index, and once-only ones that go again.
     let act = |line: &str, _: &str| {
         thread::sleep(Duration::from_millis(4));
         (
@@ -131,7 +131,7 @@
     );
     let (first, second) = (told["settings"].clone(), other(&told["settings"]));
     let g = started("switch", told.clone(), roster, None);
-    // A band that was never told is a client's fault, of which a connection bears few: it is told once.
+    // A class that was never told is a client's fault, of which a connection bears few: it is told once.
     // Before it serves, the signal would end it.
     drop(Client::of(&g));
     put(&g, &told, &second);
@@ -144,7 +144,7 @@
     }));
     put(&g, &told, &first);
     let answers = Answers::default();
-    let bands = ["lookup", "report", "load"];
+    let classes = ["lookup", "report", "load"];
     let load: Vec<_> = (0..3u64)
         .map(|n| {
             let (mut c, answers) = (Client::of(&g), answers.clone());
@@ -153,7 +153,7 @@
                     let calls: Vec<u64> = (0..6).map(|i| 1 + n * 100_000 + turn * 6 + i).collect();
                     calls
                         .iter()
-                        .for_each(|&call| c.ask_in(bands[(call % 3) as usize], call));
+                        .for_each(|&call| c.ask_in(classes[(call % 3) as usize], call));
                     calls.iter().for_each(|_| hear(&mut c, &answers));
                 }
             })
@@ -345,7 +345,7 @@
 
 #[test]
 fn an_engine_list_that_changes_with_the_settings_is_read_under_their_names() {
-    // Against engines of the new list known by the old file's numbers: bands would find no place, or a wrong one.
+    // Against engines of the new list known by the old file's numbers: classes would find no place, or a wrong one.
     let answers = |row: &'static str| engine(move |line, _| (done(line, row), false));
     let ((old, _), (new, _)) = (answers("old\t\t\n"), answers("new\t\t\n"));
     let class = |kind: u16| {
--- a/crates/management/src/desk.rs
+++ b/crates/management/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::file::Journal;
 use crate::fleet::{Answer, Fleetward, Held, Wanted};
-use crate::start::{bands, keeper, Started};
+use crate::start::{classes, keeper, Started};
 use async_channel::Sender as Requests;
 use ironstair::Ms;
 use ironstair_cells::moves::may_move;
@@ -648,12 +648,12 @@
             self.roll = p.roll;
         }
         let mandate = self.origin.mandate(&document, &self.roll);
-        let (bands, longest) = bands(&self.roll, &document, &mandate);
+        let (classes, longest) = classes(&self.roll, &document, &mandate);
         let (done, told) = async_channel::bounded(1);
         let cells = Some(keeper(&document));
         let amendment = Amendment {
             mandate,
-            bands,
+            classes,
             longest,
             cells,
             carriage: None,
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -8,4 +8,4 @@
 
 pub use desk::{Around, Desk, Manager, Refused, Scope, Tree, Watch};
 pub use file::Journal;
-pub use start::{bands, open, Started};
+pub use start::{classes, open, Started};
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -130,8 +130,8 @@
         keeper(self.ledger.running())
     }
 
-    pub fn bands(&self) -> (Vec<Told>, Ms) {
-        bands(&self.roll, self.ledger.running(), &self.mandate())
+    pub fn classes(&self) -> (Vec<Told>, Ms) {
+        classes(&self.roll, self.ledger.running(), &self.mandate())
     }
 }
 
@@ -140,15 +140,19 @@
     document.cells.as_ref().and_then(|c| c.keeper(number).ok())
 }
 
-/// The bands by index, and the longest hard limit.
-pub fn bands(roll: &Roll, document: &Document, mandate: &Mandate) -> (Vec<Told>, Ms) {
-    let told = roll.0.iter().zip(&mandate.bands).map(|(slot, terms)| Told {
-        name: slot.name.clone(),
-        expected: terms.expected,
-        in_service: !terms.closed,
-    });
+/// The classes by index, and the longest hard limit.
+pub fn classes(roll: &Roll, document: &Document, mandate: &Mandate) -> (Vec<Told>, Ms) {
+    let told = roll
+        .0
+        .iter()
+        .zip(&mandate.classes)
+        .map(|(slot, terms)| Told {
+            name: slot.name.clone(),
+            expected: terms.expected,
+            in_service: !terms.closed,
+        });
     let longest = document
-        .band
+        .class
         .iter()
         .map(|b| b.hard_limit as f64)
         .fold(1.0, f64::max);
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,6 +1,6 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
-use ironstair::{Kind, Mandate, Terms};
+use ironstair::{ClassPolicy, Kind, Mandate};
 use ironstair_config_change::journal::{encode, Kept, Line, Record};
 use ironstair_config_change::revisions::Standing;
 use ironstair_config_change::{Document, Frame};
@@ -8,15 +8,15 @@
 use std::path::Path;
 
 fn told() -> (Mandate, Vec<String>, Vec<f64>, Frame) {
-    let terms = Terms {
+    let terms = ClassPolicy {
         expected: 1000.0,
         payoff: 1.0,
         threads: 1.0,
-        ..Terms::default()
+        ..ClassPolicy::default()
     };
     let mandate = Mandate {
         gateways: 2.0,
-        bands: vec![terms],
+        classes: vec![terms],
         kinds: vec![Kind {
             cores: 8.0,
             memory_mb: 1.0,
@@ -126,7 +126,7 @@
 #[test]
 fn what_is_told_and_does_not_fit_the_tree_is_refused_by_its_field() {
     let (mut mandate, names, limits, frame) = told();
-    mandate.bands[0].payoff = 0.0;
+    mandate.classes[0].payoff = 0.0;
     let why = open(mandate, &names, &limits, frame, None, None)
         .err()
         .unwrap();
--- a/crates/protocol/src/lines.rs
+++ b/crates/protocol/src/lines.rs
@@ -115,13 +115,13 @@
 pub fn attempt(
     to: &mut Vec<u8>,
     id: &str,
-    band: &str,
+    class: &str,
     once: Option<&str>,
     left: u64,
     priority: Option<u8>,
     length: usize,
 ) {
-    put!(to, "fetch {id} c={band},w={left}");
+    put!(to, "fetch {id} c={class},w={left}");
     if let Some(once) = once {
         put!(to, ",i={once}");
     }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -91,7 +91,7 @@
 /// it may still begin travel with it, and the owner of the connection looks at them right before the write.
 pub struct Attempt {
     pub id: Id,
-    pub band: usize,
+    pub class: usize,
     pub statement: Rc<Chain>,
     /// By which engines know a deduplicated one again; as the client gave it.
     pub once: Option<Rc<str>>,
@@ -143,8 +143,8 @@
 pub struct Shared {
     pub clock: Clock,
     pub pool: Rc<Pool>,
-    /// The bands by the module's index; replaced whole when they are amended.
-    pub bands: RefCell<Rc<Vec<Told>>>,
+    /// The classes by the module's index; replaced whole when they are amended.
+    pub classes: RefCell<Rc<Vec<Told>>>,
     /// The longest hard limit.
     pub longest: Cell<Ms>,
     /// Replaced whole when a file brings other figures.
@@ -178,8 +178,8 @@
 }
 
 impl Shared {
-    pub fn bands(&self) -> Rc<Vec<Told>> {
-        self.bands.borrow().clone()
+    pub fn classes(&self) -> Rc<Vec<Told>> {
+        self.classes.borrow().clone()
     }
 
     pub fn carriage(&self) -> Rc<Carriage> {
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -24,7 +24,7 @@
 pub struct Amendment {
     pub mandate: Mandate,
     /// By the module's index; those out of service too.
-    pub bands: Vec<Told>,
+    pub classes: Vec<Told>,
     /// The longest hard limit.
     pub longest: Ms,
     /// None leaves them as they are.
@@ -35,7 +35,7 @@
     pub done: Sender<()>,
 }
 
-/// What the carrying needs of a band.
+/// What the carrying needs of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
     pub name: String,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that every host of the decisions is given. A figure that a rule rests on is
 //! never guessed: without it, no start.
 
-use ironstair::{Effect, Kind, Load, Mandate, Ms, Ration, Terms, Within};
+use ironstair::{ClassPolicy, Effect, Kind, Load, Mandate, Ms, Ration, Within};
 use serde_json::Value;
 
 const NS: f64 = 1e6;
@@ -59,7 +59,7 @@
         .ok_or_else(|| format!("{path} holds what is no index"))
 }
 
-fn terms(c: &Value, threads: f64, holds: bool) -> Result<Terms, String> {
+fn terms(c: &Value, threads: f64, holds: bool) -> Result<ClassPolicy, String> {
     let within = match at(c, "group").and_then(Value::as_str) {
         None | Some("all") => Within::All,
         Some("zone") => Within::Zone,
@@ -76,7 +76,7 @@
         Effect::Deduplicated(_) => time(c, "window_ns")?,
         _ => 0.0,
     };
-    Ok(Terms {
+    Ok(ClassPolicy {
         expected: time(c, "slo_ns")?,
         expected_stretch: number_or(c, "aim_stretch", 0.0)?,
         payoff: number(c, "worth")?,
@@ -106,15 +106,15 @@
     }
 }
 
-/// What `family_info` says of one band; no where it says nothing.
-fn by_band(v: &Value, key: &str, band: usize) -> Result<bool, String> {
+/// What `family_info` says of one class; no where it says nothing.
+fn by_class(v: &Value, key: &str, class: usize) -> Result<bool, String> {
     let path = format!("family_info.{key}");
     match at(v, &path) {
         None => Ok(false),
         Some(all) => all
-            .get(band)
+            .get(class)
             .and_then(Value::as_bool)
-            .ok_or_else(|| format!("{path}[{band}] is missing or not true or false")),
+            .ok_or_else(|| format!("{path}[{class}] is missing or not true or false")),
     }
 }
 
@@ -143,7 +143,7 @@
     })
 }
 
-/// The bands' hard limits, in the order of the bands.
+/// The classes' hard limits, in the order of the classes.
 pub fn limits(v: &Value) -> Result<Vec<Ms>, String> {
     list(v, "classes")?
         .iter()
@@ -152,7 +152,7 @@
 }
 
 /// The names that a protocol uses for what the decisions know by index.
-pub fn bands(v: &Value) -> Result<Vec<String>, String> {
+pub fn classes(v: &Value) -> Result<Vec<String>, String> {
     list(v, "classes")?
         .iter()
         .map(|c| word(c, "name").map(String::from))
@@ -181,10 +181,10 @@
 }
 
 pub fn mandate(v: &Value) -> Result<Mandate, String> {
-    let bands = list(v, "classes")?.iter().enumerate();
-    let bands = bands
+    let classes = list(v, "classes")?.iter().enumerate();
+    let classes = classes
         .map(|(i, c)| {
-            let holds = by_band(v, "class_load", i);
+            let holds = by_class(v, "class_load", i);
             let threads = one_of(v, "family_info.threads_by_class", i, 1.0)?;
             let terms = terms(c, threads, holds?).map_err(|e| format!("classes[{i}]: {e}"))?;
             for (field, told, names) in [
@@ -227,7 +227,7 @@
         Some("concurrent") => Load::Held,
         _ => Load::Other,
     });
-    let ordered = bands.iter().any(|b| b.in_order);
+    let ordered = classes.iter().any(|b| b.in_order);
     let key_rest = if ordered {
         time(v, "guarantees.settle_after_doubt_ns")?
     } else {
@@ -236,7 +236,7 @@
     let advised = flag(v, "policy_limits.retry_after")?;
     Ok(Mandate {
         gateways: number(v, "fleet_size")?.max(1.0),
-        bands,
+        classes,
         kinds: kinds.collect::<Result<_, String>>()?,
         most_grant: number_or(v, "family_info.largest_share", 1.0)?,
         grants_heeded: flag(v, "family_info.takes_grants")?,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,9 +1,9 @@
 //! Who asks: submissions that come by chance, and come again when they are turned back. All figures are assumed.
 
 use ironstair::sums::{mix, Pcg};
-use ironstair::{Effect, Kind, Mandate, Ms, Ration, Terms};
+use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, Ration};
 
-/// One band: how often it is asked for, and what that takes.
+/// One class: how often it is asked for, and what that takes.
 struct Asked {
     share: f64,
     threads: f64,
@@ -14,7 +14,7 @@
     repeat: Effect,
 }
 
-const BANDS: [Asked; 3] = [
+const CLASSES: [Asked; 3] = [
     Asked {
         share: 0.8,
         threads: 1.0,
@@ -53,7 +53,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Submission {
-    pub band: usize,
+    pub class: usize,
     pub work: f64,
     pub tables: u64,
     pub born: Ms,
@@ -75,35 +75,35 @@
     (share(chance) * n as f64) as usize % n.max(1)
 }
 
-pub fn once_only(band: usize) -> bool {
-    BANDS[band].repeat == Effect::NonIdempotent
+pub fn once_only(class: usize) -> bool {
+    CLASSES[class].repeat == Effect::NonIdempotent
 }
 
-pub fn payoff(band: usize) -> f64 {
-    BANDS[band].payoff
+pub fn payoff(class: usize) -> f64 {
+    CLASSES[class].payoff
 }
 
-pub fn threads(band: usize) -> f64 {
-    BANDS[band].threads
+pub fn threads(class: usize) -> f64 {
+    CLASSES[class].threads
 }
 
 pub fn in_time(s: &Submission, at: Ms) -> bool {
-    at - s.born <= BANDS[s.band].expected
+    at - s.born <= CLASSES[s.class].expected
 }
 
 /// What a gateway is told.
 pub fn mandate(gateways: f64) -> Mandate {
     use crate::engine::{COLD_FROM, CORES, FALL_MULTIPLE, FALL_SPAN, WARM_AFTER};
-    let band = |a: &Asked| Terms {
+    let class = |a: &Asked| ClassPolicy {
         expected: a.expected,
         payoff: a.payoff,
         threads: a.threads,
         repeat: a.repeat,
-        ..Terms::default()
+        ..ClassPolicy::default()
     };
     Mandate {
         gateways,
-        bands: BANDS.iter().map(band).collect(),
+        classes: CLASSES.iter().map(class).collect(),
         kinds: vec![Kind {
             cores: CORES,
             memory_mb: 32_768.0,
@@ -129,7 +129,7 @@
 
 /// Submissions a ms that so many engines would do with that share of their cores.
 pub fn rate(engines: u32, load: f64) -> f64 {
-    let mean: f64 = BANDS.iter().map(|a| a.share * a.work).sum();
+    let mean: f64 = CLASSES.iter().map(|a| a.share * a.work).sum();
     load * engines as f64 * crate::engine::CORES / mean
 }
 
@@ -138,20 +138,20 @@
     (0.5 + share(chance)) / rate
 }
 
-/// The nth; bands come in turn, by their shares.
+/// The nth; classes come in turn, by their shares.
 pub fn drawn(chance: &mut Pcg, nth: usize, now: Ms, ignore: f64) -> Submission {
-    let (lot, mut band) = ((nth as f64 * GOLDEN).fract(), 0);
-    let mut sum = BANDS[0].share;
-    while lot > sum && band + 1 < BANDS.len() {
-        band += 1;
-        sum += BANDS[band].share;
+    let (lot, mut class) = ((nth as f64 * GOLDEN).fract(), 0);
+    let mut sum = CLASSES[0].share;
+    while lot > sum && class + 1 < CLASSES.len() {
+        class += 1;
+        sum += CLASSES[class].share;
     }
     // Few table groups get most of the work.
     let group = (TABLE_GROUPS * share(chance) * share(chance)) as u64;
-    let work = BANDS[band].work * (0.4 + 1.2 * share(chance));
-    let (ignores, limit) = (share(chance) < ignore, now + BANDS[band].limit);
+    let work = CLASSES[class].work * (0.4 + 1.2 * share(chance));
+    let (ignores, limit) = (share(chance) < ignore, now + CLASSES[class].limit);
     Submission {
-        band,
+        class,
         work,
         tables: mix(group + 1),
         born: now,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -363,7 +363,7 @@
         }
         let s = &self.subs[sub];
         // What may have run once is not asked for again by who must not have it twice.
-        let may = advice.is_some() || !clients::once_only(s.band);
+        let may = advice.is_some() || !clients::once_only(s.class);
         let again = s
             .again(self.now, advice.unwrap_or(0.0))
             .filter(|_| may && !s.over);
@@ -460,7 +460,7 @@
         self.after(next, Event::Arrives);
         let nth = self.subs.len();
         let s = drawn(&mut self.chance, nth, self.now, self.day.ignore_advice);
-        self.figures.at(self.now).asked += clients::payoff(s.band);
+        self.figures.at(self.now).asked += clients::payoff(s.class);
         let (sub, n) = (self.subs.len(), self.gates.len());
         self.subs.push(s);
         let first = one_of(&mut self.chance, n);
@@ -479,7 +479,7 @@
         let later_try = s.tries > 0;
         s.tries += 1;
         let of = Asks {
-            band: s.band,
+            class: s.class,
             left: s.limit - self.now,
             work: Some(s.work),
             tables: s.tables,
@@ -519,15 +519,15 @@
         if !self.engines[engine].up || self.engines[engine].process != process {
             return self.after(WAY, Event::Ended(asker, End::Refused));
         }
-        let (band, work, tables) = (
-            self.subs[sub].band,
+        let (class, work, tables) = (
+            self.subs[sub].class,
             self.subs[sub].work,
             self.subs[sub].tables,
         );
-        match self.engines[engine].take(self.now, asker, clients::threads(band), work, tables) {
+        match self.engines[engine].take(self.now, asker, clients::threads(class), work, tables) {
             Taken::Runs => {
                 self.subs[sub].out += 1;
-                if clients::once_only(band) && self.subs[sub].out > 1 {
+                if clients::once_only(class) && self.subs[sub].out > 1 {
                     self.figures.breach(format!(
                         "submission {sub}, which may run once, was out twice"
                     ));
@@ -589,7 +589,7 @@
             held.answered = true;
             s.over = true;
             if clients::in_time(s, self.now) {
-                let payoff = clients::payoff(s.band);
+                let payoff = clients::payoff(s.class);
                 self.figures.at(self.now).served += payoff;
             }
             // One that was stopped answers when it goes on, as a process does.
@@ -676,7 +676,7 @@
             .cloned()
             .collect();
         for h in held {
-            let once = clients::once_only(self.subs[h.sub].band)
+            let once = clients::once_only(self.subs[h.sub].class)
                 && (h.engine.is_some() || self.subs[h.sub].out > 0);
             if once {
                 // Its client can't know whether it ran.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -67,7 +67,7 @@
 
 struct Instance {
     gateway: Gateway,
-    bands: usize,
+    classes: usize,
     engines: Door<Address>,
     submissions: Door<u64>,
 }
@@ -185,14 +185,14 @@
             let text = f.take(n, "start message")?;
             match read_mandate(text) {
                 Ok(m) => {
-                    let bands = m.bands.len();
+                    let classes = m.classes.len();
                     let gateway = Gateway::new(m, seed);
                     let (engines, submissions) = (Door::default(), Door::default());
                     self.instances.insert(
                         who,
                         Instance {
                             gateway,
-                            bands,
+                            classes,
                             engines,
                             submissions,
                         },
@@ -220,7 +220,7 @@
         let inst = self.instances.get_mut(&who);
         let Some(Instance {
             gateway,
-            bands,
+            classes,
             engines,
             submissions,
         }) = inst
@@ -256,7 +256,7 @@
             }
             3 => {
                 let id = f.u64("id")?;
-                let band = f.u8("class")? as usize;
+                let class = f.u8("class")? as usize;
                 f.u16("tenant")?;
                 let key = f.u64("key")?;
                 let left = ms(f.u64("time left")?);
@@ -266,14 +266,14 @@
                 let flags = f.u8("flags")?;
                 let tables = u32::from_le_bytes(tables) as u64;
                 let work = (flags & 1 != 0 && work > 0.0).then_some(work);
-                if band >= *bands {
+                if class >= *classes {
                     return Err(format!(
-                        "class {band} is not among those of the start message"
+                        "class {class} is not among those of the start message"
                     ));
                 }
                 let later_try = flags & 2 != 0;
                 let of = Submission {
-                    band,
+                    class,
                     key,
                     left,
                     work,
--- a/crates/test-cluster/src/oracle.rs
+++ b/crates/test-cluster/src/oracle.rs
@@ -14,7 +14,7 @@
         client: usize,
         connection: usize,
         call: u64,
-        band: &'static str,
+        class: &'static str,
     },
     Answered {
         client: usize,
@@ -31,12 +31,12 @@
         gateway: usize,
         engine: usize,
         id: String,
-        band: String,
+        class: String,
     },
-    /// From now on no gateway that decides may send that band to the engine, by a policy that holds.
-    Barred { engine: usize, band: &'static str },
+    /// From now on no gateway that decides may send that class to the engine, by a policy that holds.
+    Barred { engine: usize, class: &'static str },
     /// It may again.
-    Free { engine: usize, band: &'static str },
+    Free { engine: usize, class: &'static str },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -182,7 +182,7 @@
 /// A connection that was opened this shortly after a kill may still have been the old process's.
 const KILLED_WITHIN: f64 = 500.0;
 
-/// All that the run breaks. `once` are the bands whose submissions may run once.
+/// All that the run breaks. `once` are the classes whose submissions may run once.
 pub fn breaches(lines: &[(f64, Seen)], once: &[&str]) -> Vec<Breach> {
     let mut found = Vec::new();
     let mut asked = BTreeMap::new();
@@ -216,16 +216,16 @@
                 gateway,
                 engine,
                 id,
-                band,
+                class,
             } => {
-                if let Some(after) = barred.get(&(*engine, band.as_str())) {
+                if let Some(after) = barred.get(&(*engine, class.as_str())) {
                     found.push(Breach::Left {
                         gateway: *gateway,
                         at: *at,
                         after: *after,
                     });
                 }
-                if once.contains(&band.as_str()) {
+                if once.contains(&class.as_str()) {
                     let times = out.entry(id).or_default();
                     *times += 1;
                     if *times == 2 {
@@ -233,11 +233,11 @@
                     }
                 }
             }
-            Seen::Barred { engine, band } => {
-                barred.entry((*engine, band)).or_insert(*at);
+            Seen::Barred { engine, class } => {
+                barred.entry((*engine, class)).or_insert(*at);
             }
-            Seen::Free { engine, band } => {
-                barred.remove(&(*engine, *band));
+            Seen::Free { engine, class } => {
+                barred.remove(&(*engine, *class));
             }
         }
     }
@@ -258,7 +258,7 @@
             client: 0,
             connection: 1,
             call,
-            band: "post",
+            class: "post",
         };
         let answer = |call| Seen::Answered {
             client: 0,
@@ -270,16 +270,16 @@
             gateway: 2,
             engine,
             id: id.into(),
-            band: "post".into(),
+            class: "post".into(),
         };
         let (bar, free) = (
             Seen::Barred {
                 engine: 1,
-                band: "post",
+                class: "post",
             },
             Seen::Free {
                 engine: 1,
-                band: "post",
+                class: "post",
             },
         );
         let closed = Seen::Closed {
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -17,8 +17,8 @@
 
 /// How long a condition may take on a busy machine.
 const WITHIN: Duration = Duration::from_secs(40);
-/// Bands: what may run again, and what may run once.
-pub const BANDS: [&str; 2] = ["lookup", "post"];
+/// Classes: what may run again, and what may run once.
+pub const CLASSES: [&str; 2] = ["lookup", "post"];
 pub const ONCE: [&str; 1] = ["post"];
 const KEEPERS: usize = 3;
 
@@ -121,7 +121,7 @@
             let class = |name: &str, semantics: &str| {
                 json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
             };
-            let classes = json!([class(BANDS[0], "pure"), class(BANDS[1], "side_effect")]);
+            let classes = json!([class(CLASSES[0], "pure"), class(CLASSES[1], "side_effect")]);
             let (mut told, _) = stand::told(plan.gateways as u32, classes, &listed);
             told["name"] = json!(name(g));
             told["listen"] = json!(listens[g].to_string());
@@ -316,30 +316,30 @@
         told[0]["value"].clone()
     }
 
-    /// Has the fleet bar the engine of zone b to the band, asked at that gateway: from the answer on, nobody that
+    /// Has the fleet bar the engine of zone b to the class, asked at that gateway: from the answer on, nobody that
     /// decides may send it there.
-    pub fn bar_meanwhile(&self, g: usize, band: &'static str) -> JoinHandle<Said> {
-        let path = format!("/settings/band[name={band}]/zone");
+    pub fn bar_meanwhile(&self, g: usize, class: &'static str) -> JoinHandle<Said> {
+        let path = format!("/settings/band[name={class}]/zone");
         let asked = self.cli_meanwhile(g, &["set", &path, r#"["a"]"#, "--fleet"]);
         let book = self.book.clone();
         thread::spawn(move || {
             let said = asked.join().expect("a command");
             if said.code == 0 {
-                book.note(Seen::Barred { engine: 1, band });
+                book.note(Seen::Barred { engine: 1, class });
             }
             said
         })
     }
 
-    pub fn bar(&self, g: usize, band: &'static str) -> Said {
-        self.bar_meanwhile(g, band).join().expect("a command")
+    pub fn bar(&self, g: usize, class: &'static str) -> Said {
+        self.bar_meanwhile(g, class).join().expect("a command")
     }
 
     /// Takes that back.
-    pub fn free_meanwhile(&self, g: usize, band: &'static str) -> JoinHandle<Said> {
-        let path = format!("/settings/band[name={band}]/zone");
+    pub fn free_meanwhile(&self, g: usize, class: &'static str) -> JoinHandle<Said> {
+        let path = format!("/settings/band[name={class}]/zone");
         // From when it is asked for: any gateway may hold it before the last has answered.
-        self.book.note(Seen::Free { engine: 1, band });
+        self.book.note(Seen::Free { engine: 1, class });
         self.cli_meanwhile(g, &["set", &path, "--delete", "--fleet"])
     }
 
@@ -596,7 +596,7 @@
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
-        let band = line
+        let class = line
             .split("c=")
             .nth(1)
             .and_then(|r| r.split([',', ' ']).next())
@@ -606,7 +606,7 @@
             gateway,
             engine: nth,
             id,
-            band: band.to_string(),
+            class: class.to_string(),
         });
         thread::sleep(Duration::from_millis(takes_ms));
         (done(line, "a\tb\tc\n"), false)
@@ -675,7 +675,7 @@
         let ends = over.load(Relaxed);
         if !ends && !paused.load(Relaxed) && open.load(Relaxed) < OPEN {
             asked += 1;
-            let band = BANDS[asked as usize % 2];
+            let class = CLASSES[asked as usize % 2];
             // Ids differ among clients and connections.
             let call = (client as u64 + 1) << 48 | (connection as u64) << 32 | asked;
             open.fetch_add(1, Relaxed);
@@ -683,11 +683,11 @@
                 client,
                 connection,
                 call,
-                band,
+                class,
             });
             // Of many table groups: each engine is the home of some.
             if !c.try_ask_of(
-                band,
+                class,
                 call,
                 &format!("select a from s_{}.t", asked / 2 % TABLES),
             ) {
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -1,6 +1,6 @@
 //! A run of faults drawn from a seed: the same seed plays the same schedule.
 
-use crate::rig::{name, until, Rig, Said, BANDS};
+use crate::rig::{name, until, Rig, Said, CLASSES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -61,11 +61,11 @@
             _ => Fault::KillKeepers,
         };
         let lasts = LASTS.start + below(LASTS.end - LASTS.start);
-        let band = BANDS[below(2) as usize];
+        let class = CLASSES[below(2) as usize];
         let ask = [
-            Ask::Bar(band),
-            Ask::Bar(band),
-            Ask::Free(band),
+            Ask::Bar(class),
+            Ask::Bar(class),
+            Ask::Free(class),
             Ask::Forwards(2 + below(5)),
             Ask::Nothing,
         ];
@@ -83,8 +83,8 @@
 fn ask(rig: &Rig, at: usize, ask: Ask) -> Option<JoinHandle<Said>> {
     match ask {
         Ask::Nothing => None,
-        Ask::Bar(band) => Some(rig.bar_meanwhile(at, band)),
-        Ask::Free(band) => Some(rig.free_meanwhile(at, band)),
+        Ask::Bar(class) => Some(rig.bar_meanwhile(at, class)),
+        Ask::Free(class) => Some(rig.free_meanwhile(at, class)),
         Ask::Forwards(n) => Some(rig.cli_meanwhile(
             at,
             &["set", "/settings/forwards-most", &n.to_string(), "--fleet"],
--- a/crates/test-cluster/src/stand.rs
+++ b/crates/test-cluster/src/stand.rs
@@ -378,17 +378,17 @@
     pub fn ask(&mut self, call: u64) {
         self.ask_in("lookup", call);
     }
-    pub fn ask_in(&mut self, band: &str, call: u64) {
-        assert!(self.try_ask_in(band, call), "the connection has ended");
+    pub fn ask_in(&mut self, class: &str, call: u64) {
+        assert!(self.try_ask_in(class, call), "the connection has ended");
     }
-    pub fn try_ask_in(&mut self, band: &str, call: u64) -> bool {
-        self.try_ask_of(band, call, "select 1")
+    pub fn try_ask_in(&mut self, class: &str, call: u64) -> bool {
+        self.try_ask_of(class, call, "select 1")
     }
-    pub fn try_ask_of(&mut self, band: &str, call: u64, statement: &str) -> bool {
+    pub fn try_ask_of(&mut self, class: &str, call: u64, statement: &str) -> bool {
         use base64::Engine;
         let bytes = base64::engine::general_purpose::STANDARD.encode(statement);
         self.try_say(&format!(
-            r#"{{"jsonrpc":"2.0","id":{call},"method":"{band}","params":{{"id":"{call:016x}","wait":4000,"bytes":"{bytes}"}}}}"#
+            r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"{bytes}"}}}}"#
         ))
     }
     pub fn hear(&mut self) -> Value {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -46,9 +46,9 @@
     MarkGroup,
 }
 
-/// What a band's submissions share.
+/// What a class's submissions share.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct ClassPolicy {
     pub expected: Ms,
     pub expected_stretch: f64,
     pub payoff: f64,
@@ -64,8 +64,8 @@
     pub closed: bool,
 }
 
-impl Terms {
-    /// Whether an engine's place is among those that the band may go to.
+impl ClassPolicy {
+    /// Whether an engine's place is among those that the class may go to.
     pub fn fits(&self, line: &Listed) -> bool {
         self.zones.as_ref().is_none_or(|z| z.contains(&line.zone))
             && self.kinds.as_ref().is_none_or(|k| k.contains(&line.kind))
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Mandate {
     pub gateways: f64,
-    pub bands: Vec<Terms>,
+    pub classes: Vec<ClassPolicy>,
     pub kinds: Vec<Kind>,
     pub most_grant: f64,
     pub grants_heeded: bool,
@@ -152,7 +152,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Submission {
-    pub band: usize,
+    pub class: usize,
     pub key: u64,
     pub left: Ms,
     pub work: Option<Ms>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,15 +5,15 @@
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Outlet`] at once; lib.rs has that and the types that cross.
 
-use crate::state::{Attempt, Band, Engine, Taken};
+use crate::state::{Attempt, ClassState, Engine, Taken};
 use crate::sums::{mix, part, Fade, Pcg};
-use crate::{Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Standing, Submission, Terms, Within};
+use crate::{ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Standing, Submission, Within};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
 mod view;
-pub use view::{BandView, EngineView};
+pub use view::{ClassView, EngineView};
 
 /// Threads a core that all gateways may keep busy on an engine under pressure: not all are busy at once.
 const FACTOR: f64 = 2.5;
@@ -58,7 +58,7 @@
 /// Outcomes' worth of deviation that a guess starts with.
 const LITTLE: f64 = 3.0;
 
-fn within(terms: &Terms, work: Ms) -> Ms {
+fn within(terms: &ClassPolicy, work: Ms) -> Ms {
     terms.expected + terms.expected_stretch * work / terms.threads
 }
 
@@ -92,7 +92,7 @@
     engines: Vec<Engine>,
     subs: Vec<Taken>,
     flying: Vec<usize>,
-    bands: Vec<Band>,
+    classes: Vec<ClassState>,
     orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the roster changes
     asked: HashMap<u64, Fade>,               // work by table group
     keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
@@ -131,29 +131,30 @@
     }
 
     fn adopt(&mut self, mut m: Mandate) {
-        self.bands.resize_with(m.bands.len(), || Band { best: f64::INFINITY, ..Default::default() });
-        self.bands.iter_mut().zip(&m.bands).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
+        self.classes
+            .resize_with(m.classes.len(), || ClassState { best: f64::INFINITY, ..Default::default() });
+        self.classes.iter_mut().zip(&m.classes).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
         m.may_probe &= m.reports.iter().any(|r| *r != Load::Other);
-        let widest = m.bands.iter().map(|b| b.threads).fold(0.0, f64::max);
+        let widest = m.classes.iter().map(|b| b.threads).fold(0.0, f64::max);
         let crowded = m.kinds.iter().all(|k| k.cores * FACTOR / m.gateways < widest);
         (self.crowded, self.asks) = (crowded, crowded && m.may_probe);
         self.m = m;
     }
 
-    /// Other terms for the same bands, and maybe further bands behind them. What was taken before keeps its
+    /// Other terms for the same classes, and maybe further classes behind them. What was taken before keeps its
     /// hard limit, its expected time and its order, and of the old terms and the new the stricter. What was
     /// counted stays counted.
     pub fn amend(&mut self, now: Ms, m: Mandate, out: &mut dyn Outlet) {
-        let before = self.bands.len();
+        let before = self.classes.len();
         self.adopt(m);
         for e in &mut self.engines {
             e.cores = self.m.kinds.get(e.listed.kind as usize).map_or(1.0, |k| k.cores);
-            e.pace.resize(self.bands.len(), Fade::default());
-            e.fine.resize(self.bands.len(), 0.0);
+            e.pace.resize(self.classes.len(), Fade::default());
+            e.fine.resize(self.classes.len(), 0.0);
         }
-        // Against a band of which nothing came yet: while one's work is unknown, weights leave out all work.
-        for (band, terms) in self.bands.iter_mut().zip(&self.m.bands).skip(before) {
-            band.work.add(now, LONG_HALF, terms.expected * terms.threads * NEARLY_NONE, NEARLY_NONE);
+        // Against a class of which nothing came yet: while one's work is unknown, weights leave out all work.
+        for (class, terms) in self.classes.iter_mut().zip(&self.m.classes).skip(before) {
+            class.work.add(now, LONG_HALF, terms.expected * terms.threads * NEARLY_NONE, NEARLY_NONE);
         }
         self.due(now, out);
     }
@@ -171,7 +172,8 @@
             // A new start, or another engine under an index given back, leaves nothing worth judging it by.
             if e.pace.is_empty() || e.listed.since != line.since || e.listed.id != line.id {
                 let cores = self.m.kinds.get(line.kind as usize).map_or(1.0, |k| k.cores);
-                let (pace, fine) = (vec![Fade::default(); self.m.bands.len()], vec![0.0; self.m.bands.len()]);
+                let (pace, fine) =
+                    (vec![Fade::default(); self.m.classes.len()], vec![0.0; self.m.classes.len()]);
                 *e = Engine { cores, pace, fine, threads: e.threads, ..Default::default() };
             }
             e.listed = *line;
@@ -188,22 +190,22 @@
 
     pub fn take(&mut self, now: Ms, sub: usize, of: Submission, out: &mut dyn Outlet) {
         self.now = now;
-        // Idle time is not banked: a band that comes back starts level with the lowest active one.
-        let active = |b: usize| !self.bands[b].line.is_empty() || self.bands[b].threads > 0.5;
-        let others = (0..self.bands.len()).filter(|&b| active(b)).map(|b| self.charge(b));
-        if let Some(level) = others.reduce(f64::min).filter(|_| !active(of.band)) {
-            self.bands[of.band].charged = level.max(self.bands[of.band].charged);
+        // Idle time is not banked: a class that comes back starts level with the lowest active one.
+        let active = |b: usize| !self.classes[b].line.is_empty() || self.classes[b].threads > 0.5;
+        let others = (0..self.classes.len()).filter(|&b| active(b)).map(|b| self.charge(b));
+        if let Some(level) = others.reduce(f64::min).filter(|_| !active(of.class)) {
+            self.classes[of.class].charged = level.max(self.classes[of.class].charged);
         }
-        let (terms, band) = (&self.m.bands[of.band], &mut self.bands[of.band]);
+        let (terms, class) = (&self.m.classes[of.class], &mut self.classes[of.class]);
         // The mean of what scatters evenly by its logarithm.
-        let guess = of.work.map(|h| band.work_of.of(h, LITTLE, |spread| spread * spread / 2.0));
+        let guess = of.work.map(|h| class.work_of.of(h, LITTLE, |spread| spread * spread / 2.0));
         if let Some(work) = guess {
-            band.work.add(now, LONG_HALF, work, 1.0);
+            class.work.add(now, LONG_HALF, work, 1.0);
         }
-        let work = guess.or(band.work.mean()).unwrap_or(terms.expected * terms.threads / 4.0).max(1.0);
+        let work = guess.or(class.work.mean()).unwrap_or(terms.expected * terms.threads / 4.0).max(1.0);
         // What it lacks of the time that others come with was spent in a gateway that stood still or on earlier
         // tries; where less is left than it is wanted within, and no later try is marked, its client lacks patience.
-        let (time, usual) = (within(terms, work), &mut band.usual_left);
+        let (time, usual) = (within(terms, work), &mut class.usual_left);
         *usual += match *usual {
             0.0 => of.left,
             usual if of.left > usual => 0.1 * (of.left - usual),
@@ -212,13 +214,13 @@
         let spent = of.later_try || !self.m.tries_marked && of.left > time;
         let lacks = if spent { (*usual - of.left).max(0.0) } else { 0.0 };
         let (aim, limit) = (now + time - lacks, now + of.left);
-        band.line.push(sub);
+        class.line.push(sub);
         if self.subs.len() <= sub {
             self.subs.resize_with(sub + 1, Taken::default);
         }
         self.subs[sub] =
             Taken { of, work, open: true, aim, limit, lot: self.chance.lot(), ..Default::default() };
-        (self.subs[sub].under, self.subs[sub].most) = (band.terms.clone(), self.m.most_forwards);
+        (self.subs[sub].under, self.subs[sub].most) = (class.terms.clone(), self.m.most_forwards);
         if self.keyed(sub) {
             self.keys.entry(of.key).or_default().0.push_back(sub);
         }
@@ -228,7 +230,7 @@
         self.asked.entry(of.tables).or_default().add(now, LONG_HALF, work, 0.0);
         self.taken_at.push_back(now);
         self.probes = (self.probes + PROBES).min(AT_ONCE);
-        if self.m.bands[of.band].closed {
+        if self.m.classes[of.class].closed {
             self.end(sub, self.m.come_back_most, out);
         }
         self.due(now, out);
@@ -243,12 +245,12 @@
         self.now = now;
         let Some(fwd) = self.subs.get_mut(sub).and_then(|s| s.out.take()) else { return };
         self.flying.retain(|&f| f != sub);
-        let (keyed, weight) = (self.keyed(sub), self.weight(self.subs[sub].of.band));
+        let (keyed, weight) = (self.keyed(sub), self.weight(self.subs[sub].of.class));
         let s = &mut self.subs[sub];
-        let (b, elapsed, threads) = (s.of.band, now - fwd.sent, self.m.bands[s.of.band].threads);
-        let band = &mut self.bands[b];
-        (band.threads, band.started) = (band.threads - threads, band.started - threads * fwd.sent);
-        band.charged += threads * elapsed / weight;
+        let (b, elapsed, threads) = (s.of.class, now - fwd.sent, self.m.classes[s.of.class].threads);
+        let class = &mut self.classes[b];
+        (class.threads, class.started) = (class.threads - threads, class.started - threads * fwd.sent);
+        class.charged += threads * elapsed / weight;
         self.held.add(now, LONG_HALF, threads * elapsed, elapsed);
         s.tried.push(fwd.engine);
         if matches!(what, Outcome::Full | Outcome::NoConnection | Outcome::Unsent) {
@@ -263,10 +265,10 @@
         }
         if let Outcome::Settled(Some(cost)) = what {
             match s.of.work {
-                Some(hint) => band.work_of.add(now, LONG_HALF, hint, cost.work),
-                None => band.work.add(now, LONG_HALF, cost.work, 1.0),
+                Some(hint) => class.work_of.add(now, LONG_HALF, hint, cost.work),
+                None => class.work.add(now, LONG_HALF, cost.work, 1.0),
             }
-            band.memory_of.add(now, LONG_HALF, s.of.memory_mb, cost.memory_mb);
+            class.memory_of.add(now, LONG_HALF, s.of.memory_mb, cost.memory_mb);
             s.work = cost.work.max(1.0);
         }
         let (work, open, in_time, cells) = (s.work, s.open, now <= s.aim, s.of.cells);
@@ -289,7 +291,7 @@
         }
         match closed || !open {
             true => self.close(sub, out),
-            false => self.bands[b].line.push(sub),
+            false => self.classes[b].line.push(sub),
         }
         self.due(now, out);
     }
@@ -300,13 +302,13 @@
         if let Some(f) = s.out.as_mut() {
             let (done, (then, before)) = (share.max(f.counted.1).min(1.0), f.counted);
             f.counted = (now, done);
-            let (f, b, part) = (*f, s.of.band, (done - before) * s.work);
+            let (f, b, part) = (*f, s.of.class, (done - before) * s.work);
             // Against a bad plan, drawn anew with the next attempt: by its notes it would take so long.
             let (s, whole) = (&self.subs[sub], (now - f.sent) / done.max(NEARLY_NONE));
             if whole > 2.0 * SLOW * self.service(b, s.of.cells, s.work) && self.may_begin_anew(s) {
                 out.withdraw(sub, s.attempts - 1);
             } else {
-                self.learn(f.engine, b, (now - then) * self.m.bands[b].threads, part);
+                self.learn(f.engine, b, (now - then) * self.m.classes[b].threads, part);
             }
         }
         self.due(now, out);
@@ -362,7 +364,7 @@
 
     // Against terms that others have left behind: what waits is answered at once, what runs goes on.
     fn give_up_without_tenure(&mut self, out: &mut dyn Outlet) -> bool {
-        let waits = self.bands.iter().flat_map(|b| &b.line).next().copied();
+        let waits = self.classes.iter().flat_map(|b| &b.line).next().copied();
         // Not all that wait at all gateways together are to come back together.
         let Some(s) = waits.filter(|_| self.now >= self.until) else { return false };
         self.end(s, self.m.come_back_most * (1.0 + self.subs[s].chance(0)) / 2.0, out)
@@ -370,7 +372,7 @@
 
     // Against a last outcome that never comes, and answers that cross the client's leaving.
     fn answer_at_the_hard_limit(&mut self, out: &mut dyn Outlet) -> bool {
-        let mut held = self.bands.iter().flat_map(|b| &b.line).chain(&self.flying).copied();
+        let mut held = self.classes.iter().flat_map(|b| &b.line).chain(&self.flying).copied();
         let late = |s: &Taken| s.open && self.now >= s.limit - 2.0 * self.m.tick;
         held.find(|&s| late(&self.subs[s])).is_some_and(|s| self.end(s, 0.0, out))
     }
@@ -381,7 +383,7 @@
     fn count_the_overdue(&mut self, out: &mut dyn Outlet) -> bool {
         for n in 0..self.flying.len() {
             let (sub, now, s) = (self.flying[n], self.now, &self.subs[self.flying[n]]);
-            let (b, terms) = (s.of.band, &self.m.bands[s.of.band]);
+            let (b, terms) = (s.of.class, &self.m.classes[s.of.class]);
             let Some(f) = s.out.filter(|f| !f.overdue) else { continue };
             let elapsed = now - f.sent;
             let overtaken = self.engines[f.engine].fine[b] > (f.sent + now) / 2.0;
@@ -424,7 +426,7 @@
     // Against wide queries that hundreds of gateways send where the others' already run: engines are asked
     // in the order until one has room. Silence counts as full, so that a hung engine is passed over.
     fn probe(&mut self, out: &mut dyn Outlet) -> bool {
-        for b in (0..self.bands.len()).filter(|&b| self.probes >= 1.0 && self.asks && self.heavy(b)) {
+        for b in (0..self.classes.len()).filter(|&b| self.probes >= 1.0 && self.asks && self.heavy(b)) {
             let Some(&sub) = self.firsts_in(b).first() else { continue };
             let (s, known) = (&self.subs[sub], |i: &usize| self.engines[*i].reported(self.now));
             let full = |i: &usize| known(i).is_none_or(|r| !self.enters(s, &self.engines[*i], r));
@@ -438,11 +440,11 @@
         false
     }
 
-    // Lowest charged work over weight first; if that fits nowhere, the next cell's, then the next band's.
+    // Lowest charged work over weight first; if that fits nowhere, the next cell's, then the next class's.
     fn release(&mut self, out: &mut dyn Outlet) -> bool {
         let cores: f64 = self.engines.iter().filter(|e| e.in_use()).map(|e| e.cores).sum();
         self.share = (cores * FACTOR / self.m.gateways).max(4.0);
-        let mut order: Vec<usize> = (0..self.bands.len()).collect();
+        let mut order: Vec<usize> = (0..self.classes.len()).collect();
         order.sort_by(|&a, &b| self.charge(a).total_cmp(&self.charge(b)));
         for b in order {
             for sub in self.firsts_in(b) {
@@ -456,8 +458,8 @@
     }
 
     fn reject(&mut self, out: &mut dyn Outlet) -> bool {
-        for b in 0..self.bands.len() {
-            let line = &self.bands[b].line;
+        for b in 0..self.classes.len() {
+            let line = &self.classes[b].line;
             let hopeless = |i: &usize| {
                 let s = &self.subs[*i];
                 !self.may_forward_again(s)
@@ -477,7 +479,7 @@
     }
 
     fn wake(&mut self, out: &mut dyn Outlet) -> bool {
-        let waiting = self.bands.iter().any(|b| !b.line.is_empty()) || self.subscribe_at.is_some();
+        let waiting = self.classes.iter().any(|b| !b.line.is_empty()) || self.subscribe_at.is_some();
         if self.wake_at <= self.now && (waiting || !self.flying.is_empty()) {
             self.wake_at = self.now + 2.0 * self.m.tick;
             out.wake(2.0 * self.m.tick);
@@ -487,23 +489,23 @@
 
     /// Payoff for the work it takes; until that is known, payoff.
     fn weight(&self, b: usize) -> f64 {
-        let mut bands = self.bands.iter().zip(&self.m.bands);
-        let known = bands.all(|(band, terms)| terms.closed || band.work.mean().is_some());
-        self.m.bands[b].payoff / if known { self.usual_work(b) } else { 1.0 }
+        let mut classes = self.classes.iter().zip(&self.m.classes);
+        let known = classes.all(|(class, terms)| terms.closed || class.work.mean().is_some());
+        self.m.classes[b].payoff / if known { self.usual_work(b) } else { 1.0 }
     }
 
     fn charge(&self, b: usize) -> f64 {
-        let band = &self.bands[b];
-        band.charged + (band.threads * self.now - band.started) / self.weight(b)
+        let class = &self.classes[b];
+        class.charged + (class.threads * self.now - class.started) / self.weight(b)
     }
 
     fn usual_work(&self, b: usize) -> f64 {
-        self.bands[b].work.mean().unwrap_or(self.m.bands[b].expected * self.m.bands[b].threads)
+        self.classes[b].work.mean().unwrap_or(self.m.classes[b].expected * self.m.classes[b].threads)
     }
 
     fn keyed(&self, sub: usize) -> bool {
         let of = &self.subs[sub].of;
-        of.key != 0 && self.m.bands[of.band].in_order
+        of.key != 0 && self.m.classes[of.class].in_order
     }
 
     /// Smallest work first among those that can still make their expected time; the first for each set of
@@ -513,7 +515,7 @@
         let rank = |i: usize| (late(&self.subs[i]), self.subs[i].work);
         let less = |x: usize, y: usize| rank(x).partial_cmp(&rank(y)).unwrap_or(std::cmp::Ordering::Equal);
         let mut firsts: Vec<usize> = Vec::new();
-        for i in self.bands[b].line.iter().copied().filter(|&i| self.may_go(i)) {
+        for i in self.classes[b].line.iter().copied().filter(|&i| self.may_go(i)) {
             match firsts.iter_mut().find(|f| self.subs[**f].of.cells == self.subs[i].of.cells) {
                 Some(first) if less(i, *first).is_lt() => *first = i,
                 Some(_) => {}
@@ -535,7 +537,7 @@
     }
 
     fn may_forward_again(&self, s: &Taken) -> bool {
-        let terms = &self.m.bands[s.of.band];
+        let terms = &self.m.classes[s.of.class];
         s.attempts < self.m.most_forwards.min(s.most)
             && match terms.repeat {
                 Effect::NonIdempotent => s.may_have_run.is_empty(),
@@ -550,7 +552,7 @@
 
     /// Until when engines know a further attempt for one of those that may have run.
     fn window_ends(&self, s: &Taken) -> Ms {
-        let terms = &self.m.bands[s.of.band];
+        let terms = &self.m.classes[s.of.class];
         let ran = s.may_have_run.iter().filter(|_| matches!(terms.repeat, Effect::Deduplicated(_)));
         ran.map(|r| r.1 + s.under.window.min(terms.window)).fold(f64::INFINITY, f64::min)
     }
@@ -565,17 +567,17 @@
 
     fn learn(&mut self, engine: usize, b: usize, spent: Ms, done: Ms) {
         let (now, usual) = (self.now, self.usual_work(b));
-        let (e, band) = (&mut self.engines[engine], &mut self.bands[b]);
+        let (e, class) = (&mut self.engines[engine], &mut self.classes[b]);
         let pace = &mut e.pace[b];
         pace.add(now, HALF, spent, done);
-        band.fleet.entry(e.listed.cells).or_default().add(now, HALF, spent, done);
+        class.fleet.entry(e.listed.cells).or_default().add(now, HALF, spent, done);
         // A lucky second, or a guess of work since corrected, must not mean pressure for good.
-        let forgotten = band.best * 2f64.powf((now - band.learnt) / FORGOTTEN);
+        let forgotten = class.best * 2f64.powf((now - class.learnt) / FORGOTTEN);
         let best = pace.mean().filter(|_| pace.weight > ENOUGH * usual);
-        (band.best, band.learnt) = (best.map_or(forgotten, |p| p.min(forgotten)), now);
+        (class.best, class.learnt) = (best.map_or(forgotten, |p| p.min(forgotten)), now);
     }
 
-    /// The pace of an engine in a band: time on its threads over work. It leans to the fleet's where little
+    /// The pace of an engine in a class: time on its threads over work. It leans to the fleet's where little
     /// is known, and that to the best: one heavy query is no jam, and a jam not heard of may be over.
     fn pace(&self, e: &Engine, b: usize) -> f64 {
         self.leaning(e.pace[b].now(self.now, HALF), b, self.fleet_pace(b, e.listed.cells))
@@ -583,8 +585,8 @@
 
     /// Of the engines in those cells: against a slow cell that makes the waits of others seem hopeless.
     fn fleet_pace(&self, b: usize, cells: u64) -> f64 {
-        let best = Some(self.bands[b].best).filter(|p| p.is_finite()).unwrap_or(1.0);
-        let all = self.bands[b].fleet.iter().filter(|f| cells == 0 || f.0 & cells != 0);
+        let best = Some(self.classes[b].best).filter(|p| p.is_finite()).unwrap_or(1.0);
+        let all = self.classes[b].fleet.iter().filter(|f| cells == 0 || f.0 & cells != 0);
         let fleet = all.map(|f| f.1.now(self.now, HALF)).fold((0.0, 0.0), |a, f| (a.0 + f.0, a.1 + f.1));
         self.leaning(fleet, b, best)
     }
@@ -596,10 +598,10 @@
 
     /// Times the best pace at which this engine answers now; 1 when nothing is known.
     fn stretch(&self, e: &Engine) -> f64 {
-        let known = self.bands.iter().enumerate().filter(|b| b.1.best.is_finite());
-        let (sum, weight) = known.fold((0.0, 0.0), |(sum, weight), (b, band)| {
+        let known = self.classes.iter().enumerate().filter(|b| b.1.best.is_finite());
+        let (sum, weight) = known.fold((0.0, 0.0), |(sum, weight), (b, class)| {
             let w = e.pace[b].now(self.now, HALF).1 / self.usual_work(b) + LEAN;
-            (sum + w * self.pace(e, b) / band.best, weight + w)
+            (sum + w * self.pace(e, b) / class.best, weight + w)
         });
         // Without a measure the sum is no number, and `max` drops it.
         (sum / weight).max(1.0)
@@ -607,12 +609,12 @@
 
     /// How long a submission would take now at the fleet's pace.
     fn service(&self, b: usize, cells: u64, work: Ms) -> Ms {
-        work / self.m.bands[b].threads * self.fleet_pace(b, cells)
+        work / self.m.classes[b].threads * self.fleet_pace(b, cells)
     }
 
     /// A line longer than this gateway's share of the fleet can work off in the expected time is full.
     fn room(&self, b: usize, cells: u64) -> usize {
-        let (terms, usual) = (&self.m.bands[b], self.usual_work(b));
+        let (terms, usual) = (&self.m.classes[b], self.usual_work(b));
         let here = |e: &&Engine| e.in_use() && (cells == 0 || e.listed.cells & cells != 0);
         let cores: f64 = self.engines.iter().filter(here).map(|e| e.cores).sum();
         (2.0 * cores * within(terms, usual) / usual / self.m.gateways).max(4.0) as usize
@@ -620,12 +622,12 @@
 
     /// How long until this gateway would meet one engine again by its usual traffic.
     fn seldom(&self) -> Ms {
-        let taken: f64 = self.bands.iter().map(|b| b.work.now(self.now, LONG_HALF).1).sum();
+        let taken: f64 = self.classes.iter().map(|b| b.work.now(self.now, LONG_HALF).1).sum();
         (self.engines.len() as f64 * LONG_HALF / taken).clamp(TRICKLE, LONG_HALF)
     }
 
     fn heavy(&self, b: usize) -> bool {
-        (0..self.bands.len()).any(|o| self.usual_work(o) < self.usual_work(b))
+        (0..self.classes.len()).any(|o| self.usual_work(o) < self.usual_work(b))
     }
 
     // By lot, the fuller the less: all gateways see the same report, and would all come or all stay away.
@@ -635,20 +637,20 @@
 
     // Against a crowd in which each sends one query where none of its own run, to every engine.
     fn fits_in_sum(&self, b: usize) -> bool {
-        let threads: f64 = self.bands.iter().map(|b| b.threads).sum();
-        let most = (0..self.bands.len()).map(|b| self.weight(b)).fold(0.0, f64::max);
+        let threads: f64 = self.classes.iter().map(|b| b.threads).sum();
+        let most = (0..self.classes.len()).map(|b| self.weight(b)).fold(0.0, f64::max);
         threads < self.share * (LEAST + (MOST - LEAST) * self.weight(b) / most)
     }
 
     // The bound is asked before the submission's own threads: an even share may be less than one wide query.
     fn open(&self, engine: usize, s: &Taken) -> bool {
-        let (e, b) = (&self.engines[engine], s.of.band);
+        let (e, b) = (&self.engines[engine], s.of.class);
         let stretch = self.stretch(e);
         let strain = ((stretch - PRESSED) / (STRAINED - PRESSED)).clamp(0.0, 1.0);
         let fits = e.threads == 0.0 || e.threads < e.cores * FACTOR / self.m.gateways.powf(strain);
         let fits = fits && (self.m.lines_up || self.fits_in_sum(b));
         // Against a jam that feeds itself: under pressure nothing goes where it would miss its expected time.
-        let in_time = self.now + s.work / self.m.bands[b].threads * self.pace(e, b) <= s.aim;
+        let in_time = self.now + s.work / self.m.classes[b].threads * self.pace(e, b) <= s.aim;
         let asks = self.asks && self.heavy(b);
         let told = if asks { e.reported(self.now) } else { e.report.map(|r| (r.0, e.told(self.now))) };
         let enters = told.map_or(!asks, |r| self.enters(s, e, r));
@@ -670,14 +672,14 @@
     // all send what they may in the mean at most, stray by its root, and save up nothing for a burst.
     fn cold_room(&self, s: &Taken, e: &Engine) -> bool {
         let Some((share, recent)) = self.cold(e) else { return true };
-        let (usual, own) = (self.usual_work(s.of.band), mix(self.lot ^ e.listed.id));
+        let (usual, own) = (self.usual_work(s.of.class), mix(self.lot ^ e.listed.id));
         let span = (self.now / self.m.fall_span + part(own)) as u64;
         let drawn = self.crowded && part(mix(own ^ span)) < (share / usual).fract() / 2.0;
         recent + usual <= share || drawn && recent <= share
     }
 
     fn allowed(&self, s: &Taken, e: &Engine) -> bool {
-        let (terms, line) = (&self.m.bands[s.of.band], &e.listed);
+        let (terms, line) = (&self.m.classes[s.of.class], &e.listed);
         let same = |other: &Listed| match terms.repeat {
             Effect::Deduplicated(Within::Zone) => other.zone == line.zone,
             Effect::Deduplicated(Within::MarkGroup) => other.marks == line.marks,
@@ -698,14 +700,14 @@
         });
         let mut able: Vec<usize> = order.iter().map(|&i| i as usize).collect();
         able.retain(|&i| self.allowed(s, &self.engines[i]));
-        if self.m.bands[s.of.band].holds {
+        if self.m.classes[s.of.class].holds {
             able.reverse();
             able.truncate(able.len().max(2 * HOMES) - HOMES);
         }
-        // Engines that another band must have come last, against a place taken that is its only one.
-        if self.heavy(s.of.band) {
-            let bound = |t: &&Terms| t.zones.is_some() || t.kinds.is_some();
-            let others = self.m.bands.iter().filter(bound).filter(|t| **t != self.m.bands[s.of.band]);
+        // Engines that another class must have come last, against a place taken that is its only one.
+        if self.heavy(s.of.class) {
+            let bound = |t: &&ClassPolicy| t.zones.is_some() || t.kinds.is_some();
+            let others = self.m.classes.iter().filter(bound).filter(|t| **t != self.m.classes[s.of.class]);
             able.sort_by_key(|&i| others.clone().any(|t| t.fits(&self.engines[i].listed)));
         }
         able.retain(|&i| self.cold_room(s, &self.engines[i]));
@@ -715,7 +717,7 @@
     /// Of all engines twice the group's share of the work: few groups would fill two each and leave the rest.
     fn homes(&self, tables: u64) -> usize {
         let ready = self.engines.iter().filter(|e| e.in_use()).count();
-        let all: f64 = self.bands.iter().map(|b| b.work.now(self.now, LONG_HALF).0).sum();
+        let all: f64 = self.classes.iter().map(|b| b.work.now(self.now, LONG_HALF).0).sum();
         let share = self.asked.get(&tables).map_or(0.0, |f| f.now(self.now, LONG_HALF).0) / all;
         ((HOMES * ready) as f64 * share).round().max(HOMES as f64) as usize
     }
@@ -725,7 +727,7 @@
         let s = &self.subs[sub];
         let mut order = self.order(s);
         let due = |i: &usize| self.engines[*i].aside.is_some_and(|a| a.0 <= self.now);
-        if let Some(i) = order.iter().find(|i| due(i) && s.attempts == 0 && !self.heavy(s.of.band)) {
+        if let Some(i) = order.iter().find(|i| due(i) && s.attempts == 0 && !self.heavy(s.of.class)) {
             return Some(*i);
         }
         // What was tried already comes last but for what is set aside.
@@ -743,20 +745,20 @@
         let (now, s) = (self.now, &self.subs[sub]);
         let by = self.window_ends(s).min(s.limit).min(self.until);
         let s = &mut self.subs[sub];
-        let (b, memory, again) = (s.of.band, s.of.memory_mb, s.attempts > 0);
+        let (b, memory, again) = (s.of.class, s.of.memory_mb, s.attempts > 0);
         s.attempts += 1;
         s.may_have_run.push((engine, now));
         s.out = Some(Attempt { engine, sent: now, counted: (now, 0.0), ..Default::default() });
         self.flying.push(sub);
-        let threads = self.m.bands[b].threads;
-        let band = &mut self.bands[b];
-        band.line.retain(|&i| i != sub);
-        (band.threads, band.started) = (band.threads + threads, band.started + threads * now);
+        let threads = self.m.classes[b].threads;
+        let class = &mut self.classes[b];
+        class.line.retain(|&i| i != sub);
+        (class.threads, class.started) = (class.threads + threads, class.started + threads * now);
         self.further.extend(again.then_some(now));
         let span = self.m.ration.map_or(0.0, |r| r.span);
         self.further.retain(|&t| t >= now - span);
         self.taken_at.retain(|&t| t >= now - span);
-        let (usual, band, e) = (self.usual_work(b), &self.bands[b], &mut self.engines[engine]);
+        let (usual, class, e) = (self.usual_work(b), &self.classes[b], &mut self.engines[engine]);
         e.threads += threads;
         e.cold_sent.push_back((now, usual));
         e.cold_sent.retain(|c| c.0 >= now - self.m.fall_span);
@@ -764,7 +766,7 @@
         if !again && (self.m.priorities_heeded || self.m.grants_heeded) {
             let least = self.m.kinds.iter().map(|k| k.memory_mb).fold(f64::INFINITY, f64::min);
             let known = self.m.grants_heeded && memory > 0.0;
-            let grant = if known { band.memory_of.of(memory, LITTLE, |spread| GRANT * spread) } else { 0.0 };
+            let grant = if known { class.memory_of.of(memory, LITTLE, |spread| GRANT * spread) } else { 0.0 };
             out.terms(sub, self.priority(b), grant.min(least * self.m.most_grant));
         }
         out.attempt(sub, engine, by);
@@ -772,7 +774,7 @@
 
     /// Weights travel as priority: shares of scarce cores stand as 1 : 4 : 8 : 16.
     fn priority(&self, b: usize) -> u8 {
-        let most = (0..self.bands.len()).map(|b| self.weight(b)).fold(0.0, f64::max);
+        let most = (0..self.classes.len()).map(|b| self.weight(b)).fold(0.0, f64::max);
         let share = 16.0 * self.weight(b) / most;
         [2.0, 6.0, 12.0].iter().filter(|&&t| share >= t).count() as u8
     }
@@ -780,7 +782,7 @@
     /// The final answer for what is given up: turned back where that claim is allowed, else scrapped.
     fn end(&mut self, sub: usize, come_back: Ms, out: &mut dyn Outlet) -> bool {
         let s = &self.subs[sub];
-        let harmless = match self.m.bands[s.of.band].repeat {
+        let harmless = match self.m.classes[s.of.class].repeat {
             Effect::Idempotent | Effect::Deduplicated(Within::All) => self.now <= self.window_ends(s),
             _ => s.may_have_run.is_empty(),
         };
@@ -796,7 +798,7 @@
     fn close(&mut self, sub: usize, out: &mut dyn Outlet) {
         let s = &mut self.subs[sub];
         s.open = false;
-        self.bands[s.of.band].line.retain(|&i| i != sub);
+        self.classes[s.of.class].line.retain(|&i| i != sub);
         if s.out.is_some() {
             if self.m.may_withdraw {
                 out.withdraw(sub, s.attempts - 1);
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -24,9 +24,9 @@
     pub cold_left: Option<Ms>,
 }
 
-/// One band.
+/// One class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct BandView {
+pub struct ClassView {
     pub waiting: usize,
     pub threads: f64,
     pub charged: f64,
@@ -52,11 +52,11 @@
         })
     }
 
-    pub fn band_view(&self, b: usize) -> Option<BandView> {
-        let band = self.bands.get(b)?;
-        Some(BandView {
-            waiting: band.line.len(),
-            threads: band.threads,
+    pub fn class_view(&self, b: usize) -> Option<ClassView> {
+        let class = self.classes.get(b)?;
+        Some(ClassView {
+            waiting: class.line.len(),
+            threads: class.threads,
             charged: self.charge(b),
             weight: self.weight(b),
             usual: self.usual_work(b),
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
-//! What the policy remembers of each engine, attempt, submission and band. Containers: nothing here decides,
+//! What the policy remembers of each engine, attempt, submission and class. Containers: nothing here decides,
 //! and no tuned value is used here.
 
 use crate::sums::{mix, part, Fade, Guess};
-use crate::{Listed, Ms, Standing, Submission, Terms};
+use crate::{ClassPolicy, Listed, Ms, Standing, Submission};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     pub(crate) record: u32,
     pub(crate) seen: u32,
     pub(crate) pace: Vec<Fade>,
-    pub(crate) fine: Vec<Ms>, // by band: when the latest sent of those settled before they were overdue was sent
+    pub(crate) fine: Vec<Ms>, // by class: when the latest sent of those settled before they were overdue was sent
     pub(crate) full_until: Ms,
     pub(crate) aside: Option<(Ms, Ms)>, // when set aside: when the next of the trickle may go, and the gap between
     pub(crate) cold_sent: VecDeque<(Ms, f64)>,
@@ -46,7 +46,7 @@
     pub(crate) aim: Ms,
     pub(crate) limit: Ms,
     pub(crate) attempts: u8,
-    pub(crate) under: Arc<Terms>, // as they were when it was taken, and the most attempts
+    pub(crate) under: Arc<ClassPolicy>, // as they were when it was taken, and the most attempts
     pub(crate) most: u8,
     pub(crate) out: Option<Attempt>,
     pub(crate) may_have_run: Vec<(usize, Ms)>,
@@ -62,8 +62,8 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Band {
-    pub(crate) terms: Arc<Terms>,
+pub(crate) struct ClassState {
+    pub(crate) terms: Arc<ClassPolicy>,
     pub(crate) line: Vec<usize>,
     pub(crate) charged: f64,
     pub(crate) threads: f64,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use ironstair::{
-    Effect, Kind, Listed, Mandate, Ms, Outcome, Outlet, Ration, Standing, Submission, Terms, Within,
+    ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Outlet, Ration, Standing, Submission, Within,
 };
 use std::collections::BTreeMap;
 
@@ -62,8 +62,8 @@
     };
 }
 
-pub fn band(payoff: f64, threads: f64, repeat: Effect) -> Terms {
-    Terms {
+pub fn class(payoff: f64, threads: f64, repeat: Effect) -> ClassPolicy {
+    ClassPolicy {
         expected: 500.0,
         expected_stretch: 2.0,
         payoff,
@@ -78,10 +78,10 @@
     }
 }
 
-pub fn mandate(bands: Vec<Terms>) -> Mandate {
+pub fn mandate(classes: Vec<ClassPolicy>) -> Mandate {
     Mandate {
         gateways: 2.0,
-        bands,
+        classes,
         kinds: vec![Kind { cores: 8.0, memory_mb: 8192.0 }; 2],
         most_grant: 0.5,
         priorities_heeded: true,
@@ -99,18 +99,18 @@
 }
 
 pub fn motley() -> Mandate {
-    let tagged = |within| band(2.0, 1.0, Effect::Deduplicated(within));
+    let tagged = |within| class(2.0, 1.0, Effect::Deduplicated(within));
     let mut m = mandate(vec![
-        band(1.0, 1.0, Effect::Idempotent),
-        band(6.0, 4.0, Effect::NonIdempotent),
+        class(1.0, 1.0, Effect::Idempotent),
+        class(6.0, 4.0, Effect::NonIdempotent),
         tagged(Within::All),
         tagged(Within::Zone),
         tagged(Within::MarkGroup),
     ]);
-    m.bands[0].in_order = true;
-    m.bands[2].in_order = true;
-    m.bands[1].zones = Some(vec![0]);
-    m.bands[3].kinds = Some(vec![1]);
+    m.classes[0].in_order = true;
+    m.classes[2].in_order = true;
+    m.classes[1].zones = Some(vec![0]);
+    m.classes[3].kinds = Some(vec![1]);
     m.ration = Some(Ration { spare: 2.0, share: 0.1, span: 2000.0 });
     m.may_withdraw = true;
     m
@@ -123,9 +123,9 @@
     Listed { engine, id, zone, kind, marks, cells, standing: Standing::Ready, since: 0.0 }
 }
 
-pub fn ask(band: usize, work: Ms) -> Submission {
+pub fn ask(class: usize, work: Ms) -> Submission {
     Submission {
-        band,
+        class,
         key: 0,
         left: 3000.0,
         work: Some(work),
@@ -152,7 +152,7 @@
 
 pub struct Held {
     /// The terms under which it was taken, and the most attempts.
-    pub under: Terms,
+    pub under: ClassPolicy,
     pub most: u8,
     pub of: Submission,
     pub taken: Ms,
@@ -183,7 +183,7 @@
 
     pub fn took(&mut self, now: Ms, slot: usize, of: Submission) {
         self.at.insert(slot, self.held.len());
-        let (under, most) = (self.m.bands[of.band].clone(), self.m.most_forwards);
+        let (under, most) = (self.m.classes[of.class].clone(), self.m.most_forwards);
         self.held.push(Held { under, most, of, taken: now, over: false, tries: Vec::new() });
     }
 
@@ -200,7 +200,7 @@
             Act::Reject(slot, _) | Act::Scrap(slot) => {
                 let h = &self.held[self.at[slot]];
                 let again = [Effect::Idempotent, Effect::Deduplicated(Within::All)];
-                let ok = again.contains(&self.m.bands[h.of.band].repeat)
+                let ok = again.contains(&self.m.classes[h.of.class].repeat)
                     || !h.tries.iter().any(|t| t.may_have_run());
                 breaks!(h.over, "1: two final answers");
                 breaks!(now > h.taken + h.of.left, "1: answer after the hard limit");
@@ -218,7 +218,7 @@
 
     fn attempt(&mut self, now: Ms, i: usize, engine: usize) -> Result<(), String> {
         let (h, line) = (&self.held[i], self.roster[&engine]);
-        let (terms, under) = (&self.m.bands[h.of.band], &h.under);
+        let (terms, under) = (&self.m.classes[h.of.class], &h.under);
         breaks!(h.of.cells != 0 && h.of.cells & line.cells == 0, "6: outside its cells");
         breaks!(under.closed, "a band out of service is forwarded");
         breaks!(h.tries.len() >= h.most.min(self.m.most_forwards) as usize, "7: more attempts than allowed");
@@ -250,7 +250,7 @@
             breaks!(self.m.gateways < 100.0 && sent > all / self.m.gateways, "4: over a cold share");
         }
         if terms.in_order && h.of.key != 0 {
-            let same = |o: &&Held| self.m.bands[o.of.band].in_order && o.of.key == h.of.key;
+            let same = |o: &&Held| self.m.classes[o.of.class].in_order && o.of.key == h.of.key;
             for o in self.held[..i].iter().filter(same) {
                 let doubt = |t: &Try| match t.end {
                     None => true,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -13,8 +13,8 @@
     g
 }
 
-fn two_bands() -> Mandate {
-    mandate(vec![band(1.0, 1.0, Effect::Idempotent), band(6.0, 4.0, Effect::Idempotent)])
+fn two_classes() -> Mandate {
+    mandate(vec![class(1.0, 1.0, Effect::Idempotent), class(6.0, 4.0, Effect::Idempotent)])
 }
 
 /// Settles quickly at first, then slowly, so that the only engines are under pressure at the time returned.
@@ -38,7 +38,7 @@
 #[test]
 fn bound_binds_only_under_pressure() {
     for (pressed, most) in [(false, 20), (true, 10)] {
-        let mut g = start(two_bands(), 1);
+        let mut g = start(two_classes(), 1);
         let now = if pressed { press(&mut g, 0..8) } else { 1.0 };
         let sent: usize = (0..20).map(|i| send(&mut g, now, i, ask(0, 100.0)).len()).sum();
         assert_eq!(sent, most, "under pressure 8 cores x 2.5 / 2 gateways");
@@ -47,7 +47,7 @@
 
 #[test]
 fn under_pressure_other_ready_engines_come_first_and_one_may_always_run() {
-    let mut g = start(two_bands(), 1);
+    let mut g = start(two_classes(), 1);
     let now = press(&mut g, 0..8);
     let wide = Submission { left: 20_000.0, ..ask(1, 4000.0) };
     assert_eq!(send(&mut g, now, 10, wide).len(), 1, "none of its own runs there");
@@ -60,8 +60,8 @@
 
 #[test]
 fn least_charged_work_over_weight_goes_first_and_the_next_band_that_fits_after() {
-    let mut m = two_bands();
-    m.bands[1].zones = Some(vec![1]);
+    let mut m = two_classes();
+    m.classes[1].zones = Some(vec![1]);
     let mut g = start(m, 1);
     let now = press(&mut g, 0..8);
     for i in 10..20 {
@@ -76,7 +76,7 @@
 
 #[test]
 fn idle_time_is_not_banked() {
-    let mut g = start(mandate(vec![band(1.0, 1.0, Effect::Idempotent); 2]), 1);
+    let mut g = start(mandate(vec![class(1.0, 1.0, Effect::Idempotent); 2]), 1);
     let now = press(&mut g, 0..8);
     for i in 10..26 {
         send(&mut g, now, i, ask(i % 2, 100.0));
@@ -88,14 +88,14 @@
     for (slot, _) in sheet.attempts() {
         first[slot % 2] += 1;
     }
-    // Band 0 ran alone before, band 1 was idle: were that banked, band 1 would get every place.
+    // Class 0 ran alone before, class 1 was idle: were that banked, class 1 would get every place.
     assert!(first[0] >= 3 && first[1] >= 3, "{first:?}");
 }
 
 #[test]
 fn every_gateway_hashes_the_same_order_whatever_its_indices() {
     let homes = |lines: Vec<Listed>, tables| {
-        let mut g = Gateway::new(two_bands(), 5);
+        let mut g = Gateway::new(two_classes(), 5);
         g.roster(0.0, true, &lines, &mut Sheet::default());
         let sent = send(&mut g, 1.0, 0, Submission { tables, ..ask(0, 100.0) });
         lines.iter().find(|l| l.engine == sent[0].1).map(|l| l.id)
@@ -109,7 +109,7 @@
 
 #[test]
 fn turned_back_at_once_when_hopeless_and_with_advice() {
-    let mut m = two_bands();
+    let mut m = two_classes();
     m.come_back_most = 700.0;
     let mut g = Gateway::new(m, 1);
     let mut sheet = Sheet::default();
@@ -136,7 +136,7 @@
 
 #[test]
 fn failing_engine_is_set_aside_and_comes_back_by_a_trickle() {
-    let (mut g, mut now, mut to_bad, mut back) = (start(two_bands(), 3), 1.0, 0, 0);
+    let (mut g, mut now, mut to_bad, mut back) = (start(two_classes(), 3), 1.0, 0, 0);
     let notes = serve(&mut g, &mut now, 430, |i, engine| {
         back += (engine == 1 && i >= 400) as u32;
         if engine != 1 || i >= 200 {
@@ -152,7 +152,7 @@
 
 #[test]
 fn what_went_with_a_connection_and_what_another_engine_left_behind_set_nobody_aside() {
-    let (mut g, mut now) = (start(two_bands(), 3), 1.0);
+    let (mut g, mut now) = (start(two_classes(), 3), 1.0);
     let end = |what| move |_, engine| (10.0, if engine == 1 { what } else { Outcome::Settled(None) });
     let swept = serve(&mut g, &mut now, 200, end(Outcome::Swept));
     assert!(!swept.contains("set aside"), "{swept}");
@@ -170,7 +170,7 @@
 fn a_forward_that_later_ones_overtook_slows_nobody_and_goes_again_where_it_may() {
     // Against answers that get lost: waited for, they make every engine look jammed, and their clients wait in vain.
     for repeat in [Effect::Idempotent, Effect::NonIdempotent] {
-        let m = Mandate { may_withdraw: true, ..mandate(vec![band(1.0, 1.0, repeat)]) };
+        let m = Mandate { may_withdraw: true, ..mandate(vec![class(1.0, 1.0, repeat)]) };
         let (mut g, mut sheet, mut now) = (start(m, 1), Sheet::default(), 1.0);
         let of = Submission { left: 20_000.0, ..ask(0, 100.0) };
         assert_eq!(send(&mut g, now, 0, of).len(), 1);
@@ -197,7 +197,7 @@
 
 #[test]
 fn half_the_engines_out_of_reach_are_all_set_aside() {
-    let (mut g, mut now, mut late) = (start(two_bands(), 4), 1.0, 0);
+    let (mut g, mut now, mut late) = (start(two_classes(), 4), 1.0, 0);
     serve(&mut g, &mut now, 200, |i, engine| {
         late += (engine % 2 == 0 && i >= 100) as u32;
         [(250.0, Outcome::NoConnection), (100.0, Outcome::Settled(None))][engine % 2]
@@ -207,7 +207,7 @@
 
 #[test]
 fn what_cannot_make_its_expected_time_under_pressure_is_given_up_at_once() {
-    let mut g = start(two_bands(), 1);
+    let mut g = start(two_classes(), 1);
     let (now, mut sheet) = (press(&mut g, 0..8), Sheet::default());
     g.take(now, 9, Submission { left: 600.0, ..ask(0, 2000.0) }, &mut sheet);
     assert_eq!(sheet.attempts(), [], "it would keep a jammed engine jammed");
@@ -224,7 +224,7 @@
 // engines new at once, and nobody told of the others.
 #[test]
 fn hundreds_of_gateways_do_not_push_over_new_engines() {
-    let m = Mandate { gateways: 300.0, ..two_bands() };
+    let m = Mandate { gateways: 300.0, ..two_classes() };
     let limit = m.fall_multiple * m.cold_from * 0.85 * 8.0 * m.fall_span;
     let mut fleet: Vec<Gateway> = (0..300).map(|seed| Gateway::new(m.clone(), seed)).collect();
     let since = |e| if e < 58 { 1000.0 } else { 0.0 };
@@ -244,7 +244,7 @@
 #[test]
 fn heavy_queries_ask_engines_first_where_own_paces_tell_too_little() {
     let reports = vec![Load::Share, Load::Held];
-    let mut g = start(Mandate { gateways: 300.0, may_probe: true, reports, ..two_bands() }, 4);
+    let mut g = start(Mandate { gateways: 300.0, may_probe: true, reports, ..two_classes() }, 4);
     (0..4).for_each(|i| drop(send(&mut g, 1.0, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
     g.take(2.0, 9, Submission { left: 20_000.0, ..ask(1, 4000.0) }, &mut sheet);
@@ -260,7 +260,7 @@
 
 #[test]
 fn what_is_open_is_answered_before_the_gateway_ends() {
-    let mut g = start(two_bands(), 2);
+    let mut g = start(two_classes(), 2);
     assert_eq!(send(&mut g, 1.0, 0, Submission { left: 20_000.0, ..ask(1, 4000.0) }).len(), 1);
     let mut sheet = Sheet::default();
     g.ending(2.0, 3000.0, &mut sheet);
@@ -271,7 +271,7 @@
 
 #[test]
 fn what_waits_is_answered_at_once_when_the_terms_hold_no_longer_and_what_runs_goes_on() {
-    let mut g = start(Mandate { come_back_most: 700.0, may_withdraw: true, ..two_bands() }, 1);
+    let mut g = start(Mandate { come_back_most: 700.0, may_withdraw: true, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     // Against deciding by terms that others have left behind while this process stood still: no timer has rung.
     g.tenure(now, now + 100.0, &mut Sheet::default());
@@ -297,8 +297,8 @@
 
 #[test]
 fn after_a_start_that_does_not_know_what_was_out_keys_rest_and_nothing_else_does() {
-    let mut m = two_bands();
-    m.bands[0].in_order = true;
+    let mut m = two_classes();
+    m.classes[0].in_order = true;
     let mut g = start(m, 1);
     g.rest_keys(500.0);
     let keyed = Submission { key: 7, ..ask(0, 100.0) };
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_tighter_figure_of_a_rule_binds_at_once_and_a_looser_one_sets_free_nothing_counted_before() {
-    let mut m = two_bands();
+    let mut m = two_classes();
     m.ration = Some(Ration { spare: 2.0, share: 0.0, span: 2000.0 });
     m.most_forwards = 9;
     let mut g = start(m.clone(), 4);
@@ -338,12 +338,12 @@
 
 #[test]
 fn a_band_out_of_service_turns_back_what_is_new_and_keeps_what_it_has() {
-    let mut m = two_bands();
+    let mut m = two_classes();
     let mut g = start(m.clone(), 1);
     let now = press(&mut g, 0..8);
     let sent: usize = (0..12).map(|i| send(&mut g, now, i, ask(0, 100.0)).len()).sum();
     assert_eq!(sent, 10, "two wait");
-    m.bands[0].closed = true;
+    m.classes[0].closed = true;
     let mut sheet = Sheet::default();
     g.amend(now, m.clone(), &mut sheet);
     g.take(now, 12, ask(0, 100.0), &mut sheet);
@@ -351,7 +351,7 @@
     assert_eq!((backs(&sheet), sheet.0.contains(&Act::Reject(12, 0.0))), (1, true));
     g.outcome(now + 1.0, 0, Outcome::Settled(None), true, &mut sheet);
     assert_eq!(sheet.attempts().len(), 1, "what waits goes on");
-    m.bands[0].closed = false;
+    m.classes[0].closed = false;
     g.amend(now + 2.0, m, &mut sheet);
     g.take(now + 2.0, 12, ask(0, 100.0), &mut sheet);
     assert_eq!(backs(&sheet), 1, "put back it takes again");
@@ -359,23 +359,23 @@
 
 #[test]
 fn a_band_of_which_nothing_came_yet_leaves_the_weights_of_the_others_as_they_are() {
-    // Against weights that leave out all work while that of one band is unknown.
-    let mut m = two_bands();
+    // Against weights that leave out all work while that of one class is unknown.
+    let mut m = two_classes();
     let mut g = start(m.clone(), 2);
     send(&mut g, 1.0, 0, ask(0, 100.0));
     send(&mut g, 1.0, 1, ask(1, 4000.0));
-    let weights = |g: &Gateway| (0..2).map(|b| g.band_view(b).unwrap().weight).collect::<Vec<_>>();
+    let weights = |g: &Gateway| (0..2).map(|b| g.class_view(b).unwrap().weight).collect::<Vec<_>>();
     let before = weights(&g);
-    m.bands.push(band(1.0, 1.0, Effect::Idempotent));
+    m.classes.push(class(1.0, 1.0, Effect::Idempotent));
     g.amend(2.0, m, &mut Sheet::default());
     assert_eq!((weights(&g), before[0]), (before, 0.01));
     send(&mut g, 3.0, 2, ask(2, 300.0));
-    assert!((g.band_view(2).unwrap().usual - 300.0).abs() < 0.1, "its first word counts for all");
+    assert!((g.class_view(2).unwrap().usual - 300.0).abs() < 0.1, "its first word counts for all");
 }
 
 #[test]
 fn more_gateways_narrow_the_share_of_a_cold_engine_at_once() {
-    let mut m = two_bands();
+    let mut m = two_classes();
     let mut g = Gateway::new(m.clone(), 1);
     g.roster(1000.0, true, &[Listed { since: 1000.0, ..line(0) }], &mut Sheet::default());
     let sent: usize = (0..4).map(|i| send(&mut g, 1001.0, i, ask(0, 100.0)).len()).sum();
@@ -390,11 +390,11 @@
 #[test]
 fn of_the_window_in_which_a_tagged_one_may_run_again_the_shorter_holds() {
     for (then, now, again) in [(1000.0, 1000.0, 1), (1000.0, 100.0, 0), (100.0, 1000.0, 0)] {
-        let mut m = mandate(vec![band(1.0, 1.0, Effect::Deduplicated(Within::All))]);
-        m.bands[0].window = then;
+        let mut m = mandate(vec![class(1.0, 1.0, Effect::Deduplicated(Within::All))]);
+        m.classes[0].window = then;
         let mut g = start(m.clone(), 2);
         send(&mut g, 1.0, 0, ask(0, 100.0));
-        m.bands[0].window = now;
+        m.classes[0].window = now;
         let mut sheet = Sheet::default();
         g.amend(2.0, m, &mut sheet);
         g.outcome(500.0, 0, Outcome::Error, false, &mut sheet);
@@ -404,13 +404,13 @@
 
 #[test]
 fn a_band_out_of_service_from_the_start_does_not_keep_the_weights_from_heeding_work() {
-    // Against a restart with a band that was taken out before: nothing ever comes of it.
-    let mut m = two_bands();
-    m.bands.push(Terms { closed: true, ..band(1.0, 1.0, Effect::Idempotent) });
+    // Against a restart with a class that was taken out before: nothing ever comes of it.
+    let mut m = two_classes();
+    m.classes.push(ClassPolicy { closed: true, ..class(1.0, 1.0, Effect::Idempotent) });
     let mut g = start(m, 2);
     send(&mut g, 1.0, 0, ask(0, 100.0));
     send(&mut g, 1.0, 1, ask(1, 4000.0));
-    assert_eq!((0..2).map(|b| g.band_view(b).unwrap().weight).collect::<Vec<_>>(), [0.01, 0.0015]);
+    assert_eq!((0..2).map(|b| g.class_view(b).unwrap().weight).collect::<Vec<_>>(), [0.01, 0.0015]);
 }
 
 /// Two engines, each in a cell of its own.
@@ -441,7 +441,7 @@
 
 #[test]
 fn submissions_go_to_engines_of_their_cells_and_nowhere_else() {
-    let mut g = two_cells(two_bands());
+    let mut g = two_cells(two_classes());
     for nth in 0..2 {
         let sent: Vec<_> =
             (0..6).flat_map(|i| send(&mut g, 1.0, 8 * nth + i, within_cell(nth as u64, 10.0))).collect();
@@ -454,9 +454,9 @@
 
 #[test]
 fn one_that_waits_for_its_cell_holds_up_no_other_cells() {
-    let mut g = two_cells(two_bands());
+    let mut g = two_cells(two_classes());
     let now = press_one(&mut g);
-    // The first cell is full under pressure; its smallest submission is the band's first.
+    // The first cell is full under pressure; its smallest submission is the class's first.
     let sent: usize = (0..14).map(|i| send(&mut g, now, i, within_cell(0, 20.0)).len()).sum();
     assert!(sent < 14, "some wait");
     assert_eq!(send(&mut g, now, 20, within_cell(1, 100.0)), [(20, 1)]);
@@ -464,8 +464,8 @@
 
 #[test]
 fn a_slow_cell_makes_no_waits_of_another_hopeless_and_fills_no_line_but_its_own() {
-    let mut m = two_bands();
-    m.bands[0].expected_stretch = 0.5;
+    let mut m = two_classes();
+    m.classes[0].expected_stretch = 0.5;
     let mut g = two_cells(m);
     let now = press_one(&mut g);
     let backs = |s: &Sheet| s.0.iter().filter(|a| matches!(a, Act::Reject(..))).count();
@@ -484,7 +484,7 @@
 
 #[test]
 fn a_submission_that_is_confined_anew_goes_to_its_new_cells_with_its_next_forward() {
-    let mut g = two_cells(two_bands());
+    let mut g = two_cells(two_classes());
     assert_eq!(send(&mut g, 1.0, 0, within_cell(0, 10.0)), [(0, 0)]);
     g.confine(0, 2);
     let mut sheet = Sheet::default();
@@ -508,8 +508,8 @@
 
 #[test]
 fn estimates_of_work_and_memory_are_corrected_by_what_answers_tell() {
-    // Against queries that spill, or starve others, by estimates too low by band and too high where they are large.
-    let mut g = start(Mandate { grants_heeded: true, lines_up: true, ..two_bands() }, 2);
+    // Against queries that spill, or starve others, by estimates too low by class and too high where they are large.
+    let mut g = start(Mandate { grants_heeded: true, lines_up: true, ..two_classes() }, 2);
     let grant = |g: &mut Gateway, now: Ms, memory_mb: f64| {
         let mut sheet = Sheet::default();
         g.take(now, 1, Submission { memory_mb, ..ask(0, 100.0) }, &mut sheet);
@@ -527,7 +527,7 @@
         let granted = grant(&mut g, now, estimate);
         assert!((granted / want - 1.0).abs() < 0.1, "{granted} for {estimate}, {want} needed");
     }
-    let usual = g.band_view(0).unwrap().usual;
+    let usual = g.class_view(0).unwrap().usual;
     assert!((300.0..500.0).contains(&usual), "{usual}");
     // Answers that tell nothing, or nonsense, change nothing.
     let before = grant(&mut g, now, 100.0);
@@ -542,16 +542,16 @@
 #[test]
 fn what_holds_its_tables_goes_elsewhere_than_what_reads_them() {
     // Against lookups that stand still behind a load on the same engine.
-    let mut m = two_bands();
-    m.bands[1].holds = true;
+    let mut m = two_classes();
+    m.classes[1].holds = true;
     m.reports = vec![Load::Held];
     for tables in 0..20 {
         let mut g = start(m.clone(), 8);
         // Other groups are asked for too: this one has its two homes.
         let others = |i: usize| Submission { tables: 100 + i as u64, ..ask(0, 100.0) };
         let now = learn(&mut g, 60, others, |_| Cost { work: 100.0, memory_mb: 0.0 });
-        let at = |g: &mut Gateway, slot, band| {
-            send(g, now, slot, Submission { tables, left: 20_000.0, ..ask(band, 100.0) })[0].1
+        let at = |g: &mut Gateway, slot, class| {
+            send(g, now, slot, Submission { tables, left: 20_000.0, ..ask(class, 100.0) })[0].1
         };
         let reads: Vec<usize> = (1..9).map(|i| at(&mut g, i, 0)).collect();
         assert!((9..17).all(|i| !reads.contains(&at(&mut g, i, 1))), "group {tables}");
@@ -568,7 +568,7 @@
 fn engines_that_do_not_line_up_bear_an_even_share_of_own_threads_in_sum() {
     // Against a crowd in which each sends one query where none of its own run, to every engine.
     for (lines_up, most) in [(true, 10), (false, 5)] {
-        let mut g = start(Mandate { gateways: 40.0, lines_up, ..two_bands() }, 10);
+        let mut g = start(Mandate { gateways: 40.0, lines_up, ..two_classes() }, 10);
         let (mut now, mut sheet) = (1.0, Sheet::default());
         for took in [100.0, 100.0, 100.0, 400.0, 400.0] {
             (0..30)
@@ -594,7 +594,7 @@
     for (may_withdraw, repeat) in
         [(true, Effect::Idempotent), (true, Effect::NonIdempotent), (false, Effect::Idempotent)]
     {
-        let m = Mandate { may_withdraw, ..mandate(vec![band(1.0, 1.0, repeat)]) };
+        let m = Mandate { may_withdraw, ..mandate(vec![class(1.0, 1.0, repeat)]) };
         let mut g = start(m, 2);
         let now = learn(&mut g, 30, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
         let of = Submission { left: 20_000.0, ..ask(0, 1000.0) };
@@ -625,7 +625,7 @@
 fn where_clients_mark_no_tries_the_time_they_lack_is_spent() {
     // Against what came while the gateway stood still: served late, it takes the place of what is in time. Clients
     // that lack patience come with less than they want it within, and are served.
-    let mut g = start(Mandate { tries_marked: false, ..two_bands() }, 1);
+    let mut g = start(Mandate { tries_marked: false, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     (10..20).for_each(|i| drop(send(&mut g, now, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
@@ -640,7 +640,7 @@
 fn what_an_engine_told_outlasts_its_silence_and_fades() {
     // Against a jammed engine that answers seldom: its last word forgotten, all go there again at once.
     let reports = vec![Load::Other, Load::Held];
-    let mut g = start(Mandate { reports, ..two_bands() }, 2);
+    let mut g = start(Mandate { reports, ..two_classes() }, 2);
     let home = send(&mut g, 1.0, 0, ask(0, 100.0))[0].1;
     g.outcome(10.0, 0, Outcome::Settled(None), true, &mut Sheet::default());
     g.report(10.0, home, &[0.0, 100.0], &mut Sheet::default());
@@ -660,7 +660,7 @@
 fn a_table_group_that_most_ask_for_has_more_homes() {
     // Against few groups that fill two engines each and leave the others idle.
     let spread = |groups: u64| {
-        let mut g = start(mandate(vec![band(1.0, 1.0, Effect::Idempotent)]), 12);
+        let mut g = start(mandate(vec![class(1.0, 1.0, Effect::Idempotent)]), 12);
         let sent: Vec<usize> = (0..120)
             .map(|i| send(&mut g, 1.0, i, Submission { tables: i as u64 % groups, ..ask(0, 100.0) })[0].1)
             .collect();
@@ -675,12 +675,12 @@
 #[test]
 fn heavy_bands_leave_engines_that_another_band_must_have_to_the_last() {
     // Against a kind that is full of what could run elsewhere.
-    let mut m = mandate(vec![band(1.0, 1.0, Effect::Idempotent); 3]);
-    m.bands[1].kinds = Some(vec![1]);
+    let mut m = mandate(vec![class(1.0, 1.0, Effect::Idempotent); 3]);
+    m.classes[1].kinds = Some(vec![1]);
     let mut g = start(m, 8);
     let now = learn(&mut g, 20, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
     for i in 1..20 {
-        let of = |band| Submission { tables: i as u64, left: 20_000.0, ..ask(band, 400.0) };
+        let of = |class| Submission { tables: i as u64, left: 20_000.0, ..ask(class, 400.0) };
         let (must, free) = (send(&mut g, now, 2 * i, of(1))[0].1, send(&mut g, now, 2 * i + 1, of(2))[0].1);
         assert_eq!((line(must).kind, line(free).kind), (1, 0));
     }
@@ -696,7 +696,7 @@
         (Effect::Idempotent, 700.0, 700.0),
         (Effect::Deduplicated(Within::All), 700.0, 700.0),
     ] {
-        let mut g = start(mandate(vec![band(1.0, 1.0, repeat)]), 2);
+        let mut g = start(mandate(vec![class(1.0, 1.0, repeat)]), 2);
         let mut sheet = Sheet::default();
         g.take(1.0, 0, ask(0, 100.0), &mut sheet);
         assert_eq!(by(&sheet), Some(3001.0), "first attempts have the whole time");
@@ -710,7 +710,7 @@
 #[test]
 fn for_a_client_that_has_closed_its_way_nothing_more_begins() {
     for (out, ends) in [(false, Act::Reject(0, 0.0)), (true, Act::Scrap(0))] {
-        let mut g = start(mandate(vec![band(1.0, 1.0, Effect::NonIdempotent)]), 2);
+        let mut g = start(mandate(vec![class(1.0, 1.0, Effect::NonIdempotent)]), 2);
         if !out {
             // Full everywhere: what comes waits.
             (0..8).for_each(|i| drop(send(&mut g, 1.0, 10 + i, ask(0, 100.0))));
@@ -727,7 +727,7 @@
 
 #[test]
 fn what_an_earlier_process_of_an_engine_left_behind_speaks_not_against_the_new_one() {
-    let mut g = start(two_bands(), 2);
+    let mut g = start(two_classes(), 2);
     let sent: Vec<(usize, usize)> = (0..40).flat_map(|i| send(&mut g, 1.0, i, ask(0, 100.0))).collect();
     let lines: Vec<Listed> = (0..2).map(|e| Listed { since: 5.0, ..line(e) }).collect();
     g.roster(6.0, true, &lines, &mut Sheet::default());
@@ -744,7 +744,7 @@
 /// Traffic is uneven (every tenth has ten times the others'), silent at first and then a burst far beyond what the
 /// fleet has engines for; a quarter of what was sent comes back at once and goes again.
 fn spans_over(gateways: u64, seed: u64, steady: bool) -> (usize, usize) {
-    let m = Mandate { gateways: gateways as f64, ..two_bands() };
+    let m = Mandate { gateways: gateways as f64, ..two_classes() };
     let work = 100.0;
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|g| Gateway::new(m.clone(), mix(seed * 1000 + g))).collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -45,11 +45,11 @@
         self.check(sheet)
     }
 
-    /// Other terms between two events: tighter or looser, a band out of service and back, a further band.
+    /// Other terms between two events: tighter or looser, a class out of service and back, a further class.
     fn amend(&mut self, a: u8, b: u8) -> Result<(), String> {
         let (mut sheet, mut m) = (Sheet::default(), self.referee.m.clone());
-        let n = m.bands.len();
-        let terms = &mut m.bands[a as usize % n];
+        let n = m.classes.len();
+        let terms = &mut m.classes[a as usize % n];
         match b % 8 {
             0 => terms.closed = !terms.closed,
             1 => terms.window = [100.0, 1000.0, 5000.0][a as usize % 3],
@@ -65,7 +65,7 @@
                 m.ration =
                     m.ration.map(|r| Ration { spare: (a % 4) as f64, share: 0.05 * (a % 3) as f64, ..r })
             }
-            _ if n < 8 => m.bands.push(band(1.0 + a as f64, 1.0, Effect::NonIdempotent)),
+            _ if n < 8 => m.classes.push(class(1.0 + a as f64, 1.0, Effect::NonIdempotent)),
             _ => m.cold_from = 0.3 + (a % 7) as f64 / 10.0,
         }
         self.referee.m = m.clone();
@@ -105,11 +105,11 @@
                     self.next += 1;
                     self.next - 1
                 });
-                let band = a as usize % self.referee.m.bands.len();
+                let class = a as usize % self.referee.m.classes.len();
                 let key = (b % 4) as u64;
                 let left = 400.0 + 10.0 * b as f64;
                 let cells = [0, 0, 1, 2, 5][b as usize % 5];
-                let of = Submission { key, left, cells, tables: b as u64 / 8, ..ask(band, 100.0) };
+                let of = Submission { key, left, cells, tables: b as u64 / 8, ..ask(class, 100.0) };
                 self.referee.took(self.now, slot, of);
                 self.gateway.take(self.now, slot, of, &mut sheet);
             }
@@ -160,13 +160,13 @@
 }
 
 /// The shapes of deployments: few gateways or hundreds; attempts that can't be withdrawn, before engines that do
-/// not line up, with a once-only band in order by key and bound to a kind, which holds its tables.
+/// not line up, with a once-only class in order by key and bound to a kind, which holds its tables.
 fn shape(kind: u8) -> Mandate {
     let mut m = motley();
     m.gateways = if kind & 1 == 0 { 2.0 } else { 300.0 };
     if kind & 2 != 0 {
         (m.may_withdraw, m.lines_up, m.tries_marked, m.grants_heeded) = (false, false, false, true);
-        let load = &mut m.bands[1];
+        let load = &mut m.classes[1];
         (load.in_order, load.holds, load.zones, load.kinds) = (true, true, None, Some(vec![1]));
         (m.may_probe, m.reports) = (true, vec![Load::Held]);
     }
@@ -212,8 +212,8 @@
                     referee.told(now, &[Listed { since: 0.5, ..line(0) }]);
                     referee.took(now, 0, ask(0, 1e6));
                 }
-                band if i == 0 || rule == "5" => {
-                    referee.took(now, i, Submission { key: 1, ..ask(*band as usize, 100.0) })
+                class if i == 0 || rule == "5" => {
+                    referee.took(now, i, Submission { key: 1, ..ask(*class as usize, 100.0) })
                 }
                 _ => {}
             }
