--- a/crates/cells/src/assign.rs
+++ b/crates/cells/src/assign.rs
@@ -6,7 +6,7 @@
 /// As many as a word has bits.
 pub const CELLS_MOST: usize = 64;
 
-/// A set of cells, a bit for each. None at all stands for anywhere, where a submission carries it.
+/// A set of cells, a bit for each. None at all stands for anywhere, where a request carries it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Cells(pub u64);
 
@@ -58,7 +58,7 @@
 }
 
 /// One revision: the cells with their weights, how many a tenant has, and who is pinned where. Pins are persistent
-/// maps: a submission keeps the revision under which it was taken at the price of a pointer.
+/// maps: a request keeps the revision under which it was taken at the price of a pointer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assignment {
     pub number: u64,
--- a/crates/cells/src/keeper.rs
+++ b/crates/cells/src/keeper.rs
@@ -101,7 +101,7 @@
         over
     }
 
-    /// Where a submission of the tenant goes. Only tenants in trouble have an account: elsewhere nothing is lent.
+    /// Where a request of the tenant goes. Only tenants in trouble have an account: elsewhere nothing is lent.
     pub fn goes(&mut self, now: Ms, tenant: u64) -> Goes {
         let own = self.assignment.tenant(tenant);
         if own.meets(self.ready) {
--- a/crates/cells/src/trouble.rs
+++ b/crates/cells/src/trouble.rs
@@ -13,7 +13,7 @@
     Lend { share: f64 },
 }
 
-/// What becomes of a submission.
+/// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Goes {
     /// To engines of these cells.
@@ -35,7 +35,7 @@
 const HALF: Ms = 10_000.0;
 
 impl Lent {
-    /// Where a submission of the tenant goes, from what is ready.
+    /// Where a request of the tenant goes, from what is ready.
     pub fn goes(&mut self, now: Ms, own: Cells, ready: Cells, all: Cells, choice: Choice) -> Goes {
         let keep = 0.5f64.powf((now - self.at).max(0.0) / HALF);
         (self.sent, self.lent, self.at) = (self.sent * keep + 1.0, self.lent * keep, now);
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -5,14 +5,14 @@
 use ironstair::{ClassPolicy, Effect, Mandate, Ms, Ration, Within};
 use std::collections::BTreeMap;
 
-/// Classes that may ever have been in a gateway's life: their indices are never used again, since submissions,
+/// Classes that may ever have been in a gateway's life: their indices are never used again, since requests,
 /// charges and paces hold on to them.
 pub const ROLL_MOST: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum When {
     AtOnce,
-    /// Only for submissions taken from then on.
+    /// Only for requests taken from then on.
     NewOnly,
     /// New ones are turned back at once; it is over when those open are.
     OpenFirst,
@@ -80,7 +80,7 @@
 
 type Kept = fn(&Slot) -> String;
 
-/// Those that may not: what was promised of a submission's repeats, order and size rests on them.
+/// Those that may not: what was promised of a request's repeats, order and size rests on them.
 const FIXED: [(&str, Kept); 4] = [
     ("repeat", |s| format!("{:?}", s.repeat)),
     ("within", |s| format!("{:?}", s.within)),
--- a/crates/config-change/src/renewal.rs
+++ b/crates/config-change/src/renewal.rs
@@ -1,6 +1,6 @@
 //! What becomes of the settings that run when the file behind them is replaced: one step, there and back.
 //!
-//! Submissions, charges and paces hold on to the index of their class, engines to those of their zone and kind.
+//! Requests, charges and paces hold on to the index of their class, engines to those of their zone and kind.
 //! So whatever had an index keeps it: a class that the file no longer names, or names with other threads, order
 //! or repeats, is closed rather than forgotten, and is opened again under its index when a file brings it back.
 
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -71,7 +71,7 @@
 
 #[test]
 fn what_had_an_index_keeps_it_and_the_way_back_ends_where_it_began() {
-    // Against charges, order and places of open submissions that change hands with an index.
+    // Against charges, order and places of open requests that change hands with an index.
     let start = Renewal::new(first());
     assert_eq!(start.mandate(), first().mandate, "to the last digit");
     let there = start.renew(second()).unwrap().expect("other settings");
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -26,7 +26,7 @@
     pub view: EngineView,
 }
 
-/// One class, and what became of its submissions since the start.
+/// One class, and what became of its requests since the start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
     pub name: String,
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -19,7 +19,7 @@
 use ironstair_raft_replica::{Keeper, Out, Save, TICK};
 use ironstair_raft_storage::Archive;
 use ironstair_runtime::clock::{span, Clock};
-use ironstair_runtime::window::Request;
+use ironstair_runtime::window::ManagementCommand;
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
 use slog::{info, warn, Logger};
@@ -192,7 +192,7 @@
     member: Member,
     kept: Option<Kept>,
     desk: Desk,
-    requests: async_channel::Sender<Request>,
+    requests: async_channel::Sender<ManagementCommand>,
     ways: BTreeMap<String, Way>,
     /// The keeper that last answered a beat.
     speaks_to: Option<String>,
@@ -232,7 +232,7 @@
         opened: Opened,
         ends: Ends,
         desk: Desk,
-        requests: async_channel::Sender<Request>,
+        requests: async_channel::Sender<ManagementCommand>,
         clock: Clock,
         log: Logger,
     ) -> Result<(Actor, Leave), String> {
@@ -558,7 +558,10 @@
                     };
                     // Against a mailbox that is full just then: a steady one is told once, and for good.
                     let share = Some(share).filter(|_| self.charter.counts);
-                    if let Err(full) = self.requests.try_send(Request::Tenure(until, share)) {
+                    if let Err(full) = self
+                        .requests
+                        .try_send(ManagementCommand::Tenure(until, share))
+                    {
                         let requests = self.requests.clone();
                         tokio::spawn(async move { drop(requests.send(full.into_inner()).await) });
                     }
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -7,7 +7,7 @@
 use base64::Engine as _;
 use common::*;
 use ironstair::logic::Gateway as Module;
-use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Standing, Submission};
+use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Request, Standing};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::thread;
@@ -42,8 +42,8 @@
 struct Hands(Option<usize>);
 
 impl Outlet for Hands {
-    fn attempt(&mut self, submission: usize, _engine: usize, _by: Ms) {
-        self.0 = Some(submission);
+    fn attempt(&mut self, request: usize, _engine: usize, _by: Ms) {
+        self.0 = Some(request);
     }
     fn withdraw(&mut self, _: usize, _: u8) {}
     fn terms(&mut self, _: usize, _: u8, _: f64) {}
@@ -89,11 +89,11 @@
             for call in 0..calls {
                 let now = 2.0 + call as f64 / 10.0;
                 let cells = if cells { 1 << (call % 8) } else { 0 };
-                let of = Submission {
+                let of = Request {
                     left: 5000.0,
                     tables: call % 40,
                     cells,
-                    ..Submission::default()
+                    ..Request::default()
                 };
                 module.take(now, call as usize % 64, of, &mut hands);
                 if let Some(s) = hands.0.take() {
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! A client connection's actor: reads submissions, writes answers, each way by itself.
+//! A client connection's actor: reads requests, writes answers, each way by itself.
 
 use crate::places::Place;
 use async_channel::{Receiver, Sender};
@@ -7,11 +7,11 @@
 use base64::Engine as _;
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ironstair::{Ms, Submission};
+use ironstair::{Ms, Request};
 use ironstair_protocol::{rpc, statement};
 use ironstair_runtime::pool::{Buffer, Chain, SIZE};
 use ironstair_runtime::wait::{time, until, within};
-use ironstair_runtime::{number, Event, Id, Reply, Shared, Taken};
+use ironstair_runtime::{number, Event, Id, NewRequest, Reply, Shared};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -451,7 +451,7 @@
                 return Ok(None);
             }
         };
-        let of = Submission {
+        let of = Request {
             class,
             left,
             work: work.filter(|w| *w > 0.0),
@@ -468,7 +468,7 @@
         let waits = Rc::new(Cell::new(true));
         self.open.borrow_mut().insert(call, (id, waits.clone()));
         self.place.busy();
-        Ok(Some(Event::Taken(Box::new(Taken {
+        Ok(Some(Event::NewRequest(Box::new(NewRequest {
             id,
             call,
             of,
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -12,7 +12,7 @@
 use ironstair_management::fleet::Fleetward;
 use ironstair_management::{Around, Manager, Started};
 use ironstair_runtime::clock::Clock;
-use ironstair_runtime::window::{Request, Told, Window};
+use ironstair_runtime::window::{ManagementCommand, Told, Window};
 use ironstair_runtime::Event;
 use slog::{error, info, Logger};
 use std::net::TcpListener;
@@ -26,7 +26,7 @@
 
 /// The ends that the gateway's thread holds.
 pub struct Running {
-    pub asked: Receiver<Request>,
+    pub asked: Receiver<ManagementCommand>,
     pub renew: Renew,
     /// In a fleet: by which it is told that this process ends.
     pub leave: Option<Leave>,
@@ -200,7 +200,7 @@
 }
 
 /// Carries what the management's thread asks to the module's mailbox.
-pub async fn carry(asked: Receiver<Request>, module: Sender<Event>) {
+pub async fn carry(asked: Receiver<ManagementCommand>, module: Sender<Event>) {
     while let Ok(request) = asked.recv().await {
         if module.send(Event::Asked(request)).await.is_err() {
             return;
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -1,19 +1,19 @@
 //! The module's actor: the only caller of the decisions. It carries out what they ask for, owns their timer
-//! and what is known of each submission, and never waits on a peer.
+//! and what is known of each request, and never waits on a peer.
 
 use crate::engine::Engine;
 use async_channel::{Receiver, Sender};
 use ironstair::door::Door;
 use ironstair::logic::Gateway;
-use ironstair::{Listed, Mandate, Ms, Outcome, Outlet, Standing, Submission};
+use ironstair::{Listed, Mandate, Ms, Outcome, Outlet, Request, Standing};
 use ironstair_cells::{Cells, Goes, Keeper};
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::{self, Counts, Snapshot};
 use ironstair_recovery::stage::{stage, Facts};
 use ironstair_runtime::pool::Chain;
 use ironstair_runtime::wait::next;
-use ironstair_runtime::window::{Amendment, Request, Window};
-use ironstair_runtime::{number, Attempt, Event, Id, Order, Place, Reply, Shared, Taken};
+use ironstair_runtime::window::{Amendment, ManagementCommand, Window};
+use ironstair_runtime::{number, Attempt, Event, Id, NewRequest, Order, Place, Reply, Shared};
 use slog::info;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -101,13 +101,13 @@
         }
     }
 
-    fn held(&mut self, submission: usize) -> Option<&mut Held> {
-        self.held.get_mut(submission).and_then(Option::as_mut)
+    fn held(&mut self, request: usize) -> Option<&mut Held> {
+        self.held.get_mut(request).and_then(Option::as_mut)
     }
 
     /// The one final answer: whoever asks for a second finds no client any more.
-    fn answer(&mut self, submission: usize, reply: impl FnOnce(u64) -> Reply) -> bool {
-        let Some(h) = self.held(submission) else {
+    fn answer(&mut self, request: usize, reply: impl FnOnce(u64) -> Reply) -> bool {
+        let Some(h) = self.held(request) else {
             return false;
         };
         let Some(client) = h.client.take() else {
@@ -127,10 +127,10 @@
         &mut self.counts[class]
     }
 
-    /// Counts what becomes of a submission whose client still waits.
-    fn counted(&mut self, submission: usize, add: impl FnOnce(&mut Counts)) {
+    /// Counts what becomes of a request whose client still waits.
+    fn counted(&mut self, request: usize, add: impl FnOnce(&mut Counts)) {
         let waited = self
-            .held(submission)
+            .held(request)
             .filter(|h| h.client.is_some())
             .map(|h| h.class);
         if let Some(class) = waited {
@@ -155,8 +155,8 @@
 
 impl Hands {
     /// An attempt has ended; its tenant's move may be over with it.
-    fn left_its_cell(&mut self, submission: usize) {
-        let (now, Some(h)) = (self.now, self.held.get(submission).and_then(Option::as_ref)) else {
+    fn left_its_cell(&mut self, request: usize) {
+        let (now, Some(h)) = (self.now, self.held.get(request).and_then(Option::as_ref)) else {
             return;
         };
         let (tenant, cells) = (h.tenant, Cells(h.cells));
@@ -170,9 +170,9 @@
     }
 
     /// Settled, in time or not, its client still there.
-    fn settled(&mut self, submission: usize) {
+    fn settled(&mut self, request: usize) {
         let (now, classes) = (self.now, self.shared.classes());
-        let Some((class, at)) = self.held(submission).map(|h| (h.class, h.at)) else {
+        let Some((class, at)) = self.held(request).map(|h| (h.class, h.at)) else {
             return;
         };
         let late = classes.get(class).is_some_and(|b| now - at > b.expected);
@@ -183,15 +183,15 @@
 }
 
 impl Outlet for Hands {
-    fn attempt(&mut self, submission: usize, engine: usize, by: Ms) {
-        let id = self.subs.id(submission);
+    fn attempt(&mut self, request: usize, engine: usize, by: Ms) {
+        let id = self.subs.id(request);
         let cells = self
             .cells
             .as_ref()
             .map_or(0, |k| k.engine(self.names.id(engine)).0);
         let known = self.engines.get(engine).and_then(Option::as_ref);
         let standing = known.map_or_else(Rc::default, |e| e.standing.clone());
-        let Some(h) = self.held(submission) else {
+        let Some(h) = self.held(request) else {
             return;
         };
         (h.engine, h.cells) = (Some(engine), cells);
@@ -232,8 +232,8 @@
                 .detach();
         }
     }
-    fn withdraw(&mut self, submission: usize, _nth: u8) {
-        let Some(h) = self.held(submission) else {
+    fn withdraw(&mut self, request: usize, _nth: u8) {
+        let Some(h) = self.held(request) else {
             return;
         };
         let (Some(engine), Some(of)) = (h.engine, h.out.clone()) else {
@@ -249,10 +249,10 @@
             }
         }
     }
-    fn terms(&mut self, submission: usize, priority: u8, _grant_mb: f64) {
+    fn terms(&mut self, request: usize, priority: u8, _grant_mb: f64) {
         // The engines' lines have no word for memory.
-        let id = self.subs.id(submission);
-        let Some(h) = self.held(submission) else {
+        let id = self.subs.id(request);
+        let Some(h) = self.held(request) else {
             return;
         };
         h.priority = Some(priority);
@@ -260,13 +260,13 @@
             self.order(engine, Order::Priority(id, priority));
         }
     }
-    fn reject(&mut self, submission: usize, come_back: Ms) {
-        self.counted(submission, |c| c.turned_back += 1);
-        self.answer(submission, |call| Reply::Rejected(call, come_back));
+    fn reject(&mut self, request: usize, come_back: Ms) {
+        self.counted(request, |c| c.turned_back += 1);
+        self.answer(request, |call| Reply::Rejected(call, come_back));
     }
-    fn scrap(&mut self, submission: usize) {
-        self.counted(submission, |c| c.scrapped += 1);
-        self.answer(submission, Reply::Scrapped);
+    fn scrap(&mut self, request: usize) {
+        self.counted(request, |c| c.scrapped += 1);
+        self.answer(request, Reply::Scrapped);
     }
     fn subscribe(&mut self) {
         // The list's actor always follows.
@@ -281,16 +281,16 @@
     fn note(&mut self, text: &str) {
         info!(self.shared.log, "{}", text);
     }
-    fn forget(&mut self, submission: usize) {
+    fn forget(&mut self, request: usize) {
         if self
             .held
-            .get_mut(submission)
+            .get_mut(request)
             .is_some_and(|held| held.take().is_some())
         {
             self.open -= 1;
             self.shared.gauges.open.set(self.open);
         }
-        self.subs.release(submission);
+        self.subs.release(request);
     }
 }
 
@@ -323,7 +323,7 @@
                 hands.wake = None;
                 gateway.due(now, &mut hands);
             }
-            Some(Event::Taken(t)) => take(&mut gateway, &mut hands, *t),
+            Some(Event::NewRequest(t)) => take(&mut gateway, &mut hands, *t),
             Some(Event::Left(id, client)) => {
                 let Some(s) = hands.subs.find(id) else {
                     continue;
@@ -372,9 +372,9 @@
             }
             Some(Event::Roster(lines)) => roster(&mut gateway, &mut hands, lines),
             Some(Event::Asked(request)) => match (request, &shown) {
-                (Request::Show, Some(shown)) => show(&gateway, &mut hands, shown),
-                (Request::Amend(to), _) => amend(&mut gateway, &mut hands, *to),
-                (Request::Tenure(until, share), _) => {
+                (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut hands, shown),
+                (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut hands, *to),
+                (ManagementCommand::Tenure(until, share), _) => {
                     hands.shared.tenure.set(until);
                     if let Some(share) =
                         share.filter(|s| hands.share.is_none_or(|was| s.differs(was)))
@@ -387,7 +387,7 @@
                     }
                     gateway.tenure(now, until, &mut hands);
                 }
-                (Request::Show, None) => {}
+                (ManagementCommand::Show, None) => {}
             },
         }
     }
@@ -566,14 +566,14 @@
     window.show(view);
 }
 
-fn take(gateway: &mut Gateway, hands: &mut Hands, t: Taken) {
+fn take(gateway: &mut Gateway, hands: &mut Hands, t: NewRequest) {
     if hands.subs.find(t.id).is_some() {
         // An id in use: its first bearer keeps it.
         let _ = t.client.try_send(Reply::Unusable(t.call));
         return;
     }
     if hands.open >= hands.shared.carriage().most_open {
-        // The bound on open submissions that the settings name: at the door, before it is the module's.
+        // The bound on open requests that the settings name: at the door, before it is the module's.
         let _ = t.client.try_send(Reply::Rejected(t.call, 0.0));
         return;
     }
@@ -614,7 +614,7 @@
     gateway.take(
         hands.now,
         s,
-        Submission {
+        Request {
             left: limit - hands.now,
             cells,
             ..t.of
@@ -629,7 +629,7 @@
             e.close();
         }
     }
-    // The one place where an engine's index is given back: once it is gone and no submission held met it.
+    // The one place where an engine's index is given back: once it is gone and no request held met it.
     for at in 0..hands.engines.len() {
         if hands.engines[at].is_none() && !hands.held.iter().flatten().any(|h| h.met.contains(&at))
         {
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -67,7 +67,7 @@
         standing,
     };
     hands.engines.push(Some(known));
-    let submission = hands.subs.admit(*b"0000000000000001");
+    let request = hands.subs.admit(*b"0000000000000001");
     hands.held.push(Some(Held {
         call: 1,
         class: 0,
@@ -84,9 +84,9 @@
         cells: 0,
         met: Vec::new(),
     }));
-    hands.attempt(submission, 0, 5000.0);
+    hands.attempt(request, 0, 5000.0);
     orders.try_send(Order::Report).map_err(|_| "full").unwrap();
-    hands.withdraw(submission, 0);
+    hands.withdraw(request, 0);
     let Ok(Order::Attempt(of)) = mailbox.try_recv() else {
         panic!("the attempt is there")
     };
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -19,7 +19,7 @@
 use ironstair_fleet_agent::variant::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
-use ironstair_runtime::window::{self, Amendment, Request};
+use ironstair_runtime::window::{self, Amendment, ManagementCommand};
 use ironstair_runtime::{Event, Gauges, Shared};
 use ironstair_settings::Carriage;
 use slog::{info, warn};
@@ -44,7 +44,7 @@
 /// Without a free descriptor: how long until the next try.
 const NO_DESCRIPTOR: f64 = 20.0;
 
-/// How long after the word to end every submission is to have its answer.
+/// How long after the word to end every request is to have its answer.
 fn left(shared: &Shared) -> f64 {
     shared.longest.get().min(AT_MOST) + KILLED_AFTER - LAST_WORDS
 }
@@ -148,7 +148,7 @@
     };
     let _ = shared
         .module
-        .send(Event::Asked(Request::Amend(Box::new(to))))
+        .send(Event::Asked(ManagementCommand::Amend(Box::new(to))))
         .await;
     if told.recv().await.is_ok() {
         let open = shared.classes().iter().filter(|b| b.in_service).count();
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -111,7 +111,7 @@
 #[derive(clap::Args)]
 pub struct Move {
     tenant: String,
-    /// Where its submissions go from now on
+    /// Where its requests go from now on
     #[arg(required = true)]
     cells: Vec<String>,
     /// Takes the move back by itself unless confirmed in time, as 2m
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -110,7 +110,7 @@
 
 #[test]
 fn settings_change_under_load_and_back_with_nothing_lost_or_sent_twice() {
-    // Against submissions that lose their class, place or answer with an index, and once-only ones that go again.
+    // Against requests that lose their class, place or answer with an index, and once-only ones that go again.
     let act = |line: &str, _: &str| {
         thread::sleep(Duration::from_millis(4));
         (
--- a/crates/management/src/desk.rs
+++ b/crates/management/src/desk.rs
@@ -16,7 +16,7 @@
 use ironstair_data_tree::{Edit, Leaves, Path, Schema};
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::number;
-use ironstair_runtime::window::{Amendment, Request, Window};
+use ironstair_runtime::window::{Amendment, ManagementCommand, Window};
 use serde_json::Value as Json;
 use slog::{info, warn, Logger};
 use std::fmt;
@@ -263,7 +263,7 @@
     looked: Ms,
     clock: Clock,
     window: Arc<Window>,
-    requests: Requests<Request>,
+    requests: Requests<ManagementCommand>,
     log: Logger,
     level: Arc<AtomicUsize>,
     orders: mpsc::Receiver<Order>,
@@ -277,7 +277,7 @@
 pub struct Around {
     pub clock: Clock,
     pub window: Arc<Window>,
-    pub requests: Requests<Request>,
+    pub requests: Requests<ManagementCommand>,
     pub log: Logger,
     /// The log's, by slog's numbers.
     pub level: Arc<AtomicUsize>,
@@ -661,7 +661,7 @@
         };
         let asked = self
             .requests
-            .send(Request::Amend(Box::new(amendment)))
+            .send(ManagementCommand::Amend(Box::new(amendment)))
             .await
             .is_ok();
         let taken = asked && matches!(timeout(span(AMEND_WITHIN), told.recv()).await, Ok(Ok(())));
@@ -698,7 +698,7 @@
     async fn look(&mut self) {
         self.looked = self.clock.now();
         let waiting = self.window.waiting();
-        let asked = self.requests.send(Request::Show).await.is_ok();
+        let asked = self.requests.send(ManagementCommand::Show).await.is_ok();
         if !asked || timeout(span(LOOK_WITHIN), waiting).await.is_err() {
             warn!(self.log, "the gateway's thread shows nothing");
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use clock::Clock;
-use ironstair::{Ms, Outcome, Standing, Submission};
+use ironstair::{Ms, Outcome, Request, Standing};
 use ironstair_settings::Carriage;
 use pool::{Buffer, Chain, Pool};
 use slog::Logger;
@@ -18,14 +18,14 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use window::{Request, Told};
+use window::{ManagementCommand, Told};
 
-/// A submission's id as its client wrote it.
+/// A request's id as its client wrote it.
 pub type Id = [u8; 16];
 
 /// To the module's actor.
 pub enum Event {
-    Taken(Box<Taken>),
+    NewRequest(Box<NewRequest>),
     Left(Id, Sender<Reply>),
     /// Its client has closed, maybe its own way alone: nothing more begins for it.
     Closed(Id, Sender<Reply>),
@@ -42,14 +42,14 @@
     /// By then the process is to have ended.
     Ending(Ms),
     /// From outside the gateway's thread.
-    Asked(Request),
+    Asked(ManagementCommand),
 }
 
-/// A submission from a front.
-pub struct Taken {
+/// A request from a front.
+pub struct NewRequest {
     pub id: Id,
     pub call: u64,
-    pub of: Submission,
+    pub of: Request,
     /// Where tenants are told apart: by the name that its client gave, else by its table group.
     pub tenant: Option<u64>,
     pub at: Ms,
@@ -123,7 +123,7 @@
     pub address: SocketAddr,
     pub zone: u16,
     pub kind: u16,
-    /// The group within which marks of tagged submissions are known.
+    /// The group within which marks of tagged requests are known.
     pub marks: u16,
     pub standing: Standing,
     pub since: Ms,
@@ -172,7 +172,7 @@
     pub source: RefCell<String>,
     pub serial: Cell<u32>,
     pub heard: Cell<Ms>,
-    /// Submissions that the module still knows, and until when keys rest after the start.
+    /// Requests that the module still knows, and until when keys rest after the start.
     pub open: Cell<usize>,
     pub keys_rest: Cell<Ms>,
 }
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// From another thread, to the module's actor.
-pub enum Request {
+pub enum ManagementCommand {
     /// The window is wanted as it is now.
     Show,
     Amend(Box<Amendment>),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -119,7 +119,7 @@
 }
 
 /// What the carrying goes by: how long to connect, how long an idle connection lives, how many forwards share
-/// one, how many submissions may be open, the longest hard limit, and what an engine's report names.
+/// one, how many requests may be open, the longest hard limit, and what an engine's report names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Carriage {
     pub connect_within: Ms,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Who asks: submissions that come by chance, and come again when they are turned back. All figures are assumed.
+//! Who asks: requests that come by chance, and come again when they are turned back. All figures are assumed.
 
 use ironstair::sums::{mix, Pcg};
 use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, Ration};
@@ -52,7 +52,7 @@
 const TRIES: u8 = 6;
 
 #[derive(Clone, Debug)]
-pub struct Submission {
+pub struct Request {
     pub class: usize,
     pub work: f64,
     pub tables: u64,
@@ -87,7 +87,7 @@
     CLASSES[class].threads
 }
 
-pub fn in_time(s: &Submission, at: Ms) -> bool {
+pub fn in_time(s: &Request, at: Ms) -> bool {
     at - s.born <= CLASSES[s.class].expected
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// Submissions a ms that so many engines would do with that share of their cores.
+/// Requests a ms that so many engines would do with that share of their cores.
 pub fn rate(engines: u32, load: f64) -> f64 {
     let mean: f64 = CLASSES.iter().map(|a| a.share * a.work).sum();
     load * engines as f64 * crate::engine::CORES / mean
@@ -139,7 +139,7 @@
 }
 
 /// The nth; classes come in turn, by their shares.
-pub fn drawn(chance: &mut Pcg, nth: usize, now: Ms, ignore: f64) -> Submission {
+pub fn drawn(chance: &mut Pcg, nth: usize, now: Ms, ignore: f64) -> Request {
     let (lot, mut class) = ((nth as f64 * GOLDEN).fract(), 0);
     let mut sum = CLASSES[0].share;
     while lot > sum && class + 1 < CLASSES.len() {
@@ -150,7 +150,7 @@
     let group = (TABLE_GROUPS * share(chance) * share(chance)) as u64;
     let work = CLASSES[class].work * (0.4 + 1.2 * share(chance));
     let (ignores, limit) = (share(chance) < ignore, now + CLASSES[class].limit);
-    Submission {
+    Request {
         class,
         work,
         tables: mix(group + 1),
@@ -163,7 +163,7 @@
     }
 }
 
-impl Submission {
+impl Request {
     /// When its client comes again after it was turned back with that advice, where it does.
     pub fn again(&self, now: Ms, advice: Ms) -> Option<Ms> {
         let at = now
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -44,7 +44,7 @@
     warm: VecDeque<u64>,
 }
 
-pub enum Taken {
+pub enum Admission {
     Runs,
     Full,
     /// More cold work came than it bears: it falls, and what ran there is lost.
@@ -118,10 +118,17 @@
         look.is_finite().then_some(now + look.max(0.001))
     }
 
-    pub fn take(&mut self, now: Ms, asker: Asker, threads: f64, work: f64, tables: u64) -> Taken {
+    pub fn take(
+        &mut self,
+        now: Ms,
+        asker: Asker,
+        threads: f64,
+        work: f64,
+        tables: u64,
+    ) -> Admission {
         self.advance(now);
         if self.running.len() >= SESSIONS {
-            return Taken::Full;
+            return Admission::Full;
         }
         self.got.push_back((now, work));
         while self.got.front().is_some_and(|g| g.0 < now - FALL_SPAN) {
@@ -130,7 +137,7 @@
         let got: f64 = self.got.iter().map(|g| g.1).sum();
         let warmth = self.warmth(now);
         if warmth < 1.0 && got > FALL_MULTIPLE * warmth * CORES * FALL_SPAN {
-            return Taken::Falls;
+            return Admission::Falls;
         }
         let warm = self.warm.iter().position(|t| *t == tables);
         let left = if warm.is_some() { work } else { work * UNWARM };
@@ -142,7 +149,7 @@
             threads,
             left,
         });
-        Taken::Runs
+        Admission::Runs
     }
 
     /// Whether it ran there.
@@ -186,7 +193,7 @@
         for slot in 0..32 {
             assert!(matches!(
                 e.take(0.0, asker(slot), 1.0, 100.0, 7),
-                Taken::Runs
+                Admission::Runs
             ));
         }
         // The first found its tables cold; 32 threads share 16 cores.
@@ -197,11 +204,11 @@
         let bears = FALL_MULTIPLE * COLD_FROM * CORES * FALL_SPAN;
         assert!(matches!(
             e.take(1000.0, asker(0), 1.0, bears * 0.9, 7),
-            Taken::Runs
+            Admission::Runs
         ));
         assert!(matches!(
             e.take(1000.0, asker(1), 1.0, bears * 0.2, 7),
-            Taken::Falls
+            Admission::Falls
         ));
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,13 +1,13 @@
 //! One day in virtual time: what happens, in the order of its time. Nothing here decides.
 
-use crate::clients::{self, drawn, one_of, pause, rate, Submission};
+use crate::clients::{self, drawn, one_of, pause, rate, Request};
 use crate::day::{self, Day, What};
-use crate::engine::{Asker, Engine, Taken};
+use crate::engine::{Admission, Asker, Engine};
 use crate::fleet::{Log, Told, KEEPERS, TICK};
 use crate::Figures;
 use ironstair::logic::Gateway;
 use ironstair::sums::{mix, Pcg};
-use ironstair::{Cost, Listed, Mandate, Ms, Outcome, Outlet, Standing, Submission as Asks};
+use ironstair::{Cost, Listed, Mandate, Ms, Outcome, Outlet, Request as Asks, Standing};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Answer, Beat, Member, Share};
 use std::cmp::Reverse;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 enum Event {
     Arrives,
-    /// A submission at a gateway.
+    /// A request at a gateway.
     Try(usize, usize),
     AtEngine(Asker, usize, u32),
     Withdraws(Asker, usize),
@@ -89,18 +89,18 @@
 struct Hands(Vec<Act>);
 
 impl Outlet for Hands {
-    fn attempt(&mut self, submission: usize, engine: usize, _by: Ms) {
-        self.0.push(Act::Forward(submission, engine));
+    fn attempt(&mut self, request: usize, engine: usize, _by: Ms) {
+        self.0.push(Act::Forward(request, engine));
     }
-    fn withdraw(&mut self, submission: usize, _nth: u8) {
-        self.0.push(Act::Withdraw(submission));
+    fn withdraw(&mut self, request: usize, _nth: u8) {
+        self.0.push(Act::Withdraw(request));
     }
-    fn terms(&mut self, _submission: usize, _priority: u8, _grant_mb: f64) {}
-    fn reject(&mut self, submission: usize, come_back: Ms) {
-        self.0.push(Act::Reject(submission, come_back));
+    fn terms(&mut self, _request: usize, _priority: u8, _grant_mb: f64) {}
+    fn reject(&mut self, request: usize, come_back: Ms) {
+        self.0.push(Act::Reject(request, come_back));
     }
-    fn scrap(&mut self, submission: usize) {
-        self.0.push(Act::Scrap(submission));
+    fn scrap(&mut self, request: usize) {
+        self.0.push(Act::Scrap(request));
     }
     fn subscribe(&mut self) {}
     fn probe(&mut self, _engine: usize) {}
@@ -108,8 +108,8 @@
         self.0.push(Act::Wake(after));
     }
     fn note(&mut self, _text: &str) {}
-    fn forget(&mut self, submission: usize) {
-        self.0.push(Act::Forget(submission));
+    fn forget(&mut self, request: usize) {
+        self.0.push(Act::Forget(request));
     }
 }
 
@@ -145,7 +145,7 @@
     due: BinaryHeap<Reverse<Due>>,
     engines: Vec<Engine>,
     gates: Vec<Gate>,
-    subs: Vec<Submission>,
+    subs: Vec<Request>,
     names_down_until: Ms,
     log: Option<Log>,
     looks: Vec<u64>,
@@ -525,7 +525,7 @@
             self.subs[sub].tables,
         );
         match self.engines[engine].take(self.now, asker, clients::threads(class), work, tables) {
-            Taken::Runs => {
+            Admission::Runs => {
                 self.subs[sub].out += 1;
                 if clients::once_only(class) && self.subs[sub].out > 1 {
                     self.figures.breach(format!(
@@ -534,8 +534,8 @@
                 }
                 self.engine_changes(engine);
             }
-            Taken::Full => self.after(WAY, Event::Ended(asker, End::Full)),
-            Taken::Falls => {
+            Admission::Full => self.after(WAY, Event::Ended(asker, End::Full)),
+            Admission::Falls => {
                 self.figures.at(self.now).fell += 1;
                 self.after(WAY, Event::Ended(asker, End::Lost));
                 self.engine_ends(engine, 3000.0);
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -2,7 +2,7 @@
 
 use ironstair::door::Door;
 use ironstair::logic::Gateway;
-use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Standing, Submission};
+use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Request, Standing};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
@@ -69,7 +69,7 @@
     gateway: Gateway,
     classes: usize,
     engines: Door<Address>,
-    submissions: Door<u64>,
+    requests: Door<u64>,
 }
 
 /// Writes the module's actions as records.
@@ -77,7 +77,7 @@
     who: u16,
     to: &'a mut Vec<u8>,
     engines: &'a Door<Address>,
-    submissions: &'a mut Door<u64>,
+    requests: &'a mut Door<u64>,
 }
 
 impl Pen<'_> {
@@ -85,9 +85,9 @@
         self.to.extend(code.to_le_bytes());
         self.to.extend(self.who.to_le_bytes());
     }
-    fn about(&mut self, code: u16, submission: usize) {
+    fn about(&mut self, code: u16, request: usize) {
         self.record(code);
-        let id = self.submissions.id(submission);
+        let id = self.requests.id(request);
         self.to.extend(id.to_le_bytes());
     }
     fn text(&mut self, text: &str) {
@@ -98,26 +98,26 @@
 }
 
 impl Outlet for Pen<'_> {
-    fn attempt(&mut self, submission: usize, engine: usize, _by: Ms) {
-        self.about(67, submission);
+    fn attempt(&mut self, request: usize, engine: usize, _by: Ms) {
+        self.about(67, request);
         self.to.extend(self.engines.id(engine));
         self.to.extend(0u64.to_le_bytes());
     }
-    fn withdraw(&mut self, submission: usize, nth: u8) {
-        self.about(71, submission);
+    fn withdraw(&mut self, request: usize, nth: u8) {
+        self.about(71, request);
         self.to.push(nth);
     }
-    fn terms(&mut self, submission: usize, priority: u8, grant_mb: f64) {
-        self.about(65, submission);
+    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64) {
+        self.about(65, request);
         self.to.push(priority);
         self.to.extend((grant_mb as f32).to_le_bytes());
     }
-    fn reject(&mut self, submission: usize, come_back: Ms) {
-        self.about(77, submission);
+    fn reject(&mut self, request: usize, come_back: Ms) {
+        self.about(77, request);
         self.to.extend(ns(come_back).to_le_bytes());
     }
-    fn scrap(&mut self, submission: usize) {
-        self.about(70, submission);
+    fn scrap(&mut self, request: usize) {
+        self.about(70, request);
     }
     fn subscribe(&mut self) {
         self.record(66);
@@ -136,8 +136,8 @@
         self.record(75);
         self.text(text);
     }
-    fn forget(&mut self, submission: usize) {
-        self.submissions.release(submission);
+    fn forget(&mut self, request: usize) {
+        self.requests.release(request);
     }
 }
 
@@ -187,24 +187,24 @@
                 Ok(m) => {
                     let classes = m.classes.len();
                     let gateway = Gateway::new(m, seed);
-                    let (engines, submissions) = (Door::default(), Door::default());
+                    let (engines, requests) = (Door::default(), Door::default());
                     self.instances.insert(
                         who,
                         Instance {
                             gateway,
                             classes,
                             engines,
-                            submissions,
+                            requests,
                         },
                     );
                 }
                 Err(e) => {
-                    let (mut submissions, engines) = (Door::default(), Door::default());
+                    let (mut requests, engines) = (Door::default(), Door::default());
                     let mut pen = Pen {
                         who,
                         to,
                         engines: &engines,
-                        submissions: &mut submissions,
+                        requests: &mut requests,
                     };
                     pen.record(76);
                     pen.text(&format!("start message: {e}"));
@@ -222,7 +222,7 @@
             gateway,
             classes,
             engines,
-            submissions,
+            requests,
         }) = inst
         else {
             return Err(format!(
@@ -235,7 +235,7 @@
                     who,
                     to,
                     engines,
-                    submissions,
+                    requests,
                 }
             };
         }
@@ -250,7 +250,7 @@
                 let topic = f.u8("topic")?;
                 f.u8("attempt")?;
                 f.fixed::<6>("engine")?;
-                if let Some(s) = submissions.find(id).filter(|_| topic == 1) {
+                if let Some(s) = requests.find(id).filter(|_| topic == 1) {
                     gateway.progress(now, s, value, pen!());
                 }
             }
@@ -272,7 +272,7 @@
                     ));
                 }
                 let later_try = flags & 2 != 0;
-                let of = Submission {
+                let of = Request {
                     class,
                     key,
                     left,
@@ -282,7 +282,7 @@
                     cells: 0,
                     later_try,
                 };
-                let s = submissions.admit(id);
+                let s = requests.admit(id);
                 gateway.take(now, s, of, pen!());
             }
             4 => {
@@ -327,7 +327,7 @@
             }
             5 => {
                 let id = f.u64("id")?;
-                if let Some(s) = submissions.find(id) {
+                if let Some(s) = requests.find(id) {
                     gateway.left(now, s, pen!());
                 }
             }
@@ -372,7 +372,7 @@
                     7 => Outcome::Unsent,
                     _ => return Err(format!("unknown outcome {status}")),
                 };
-                if let Some(s) = submissions.find(id) {
+                if let Some(s) = requests.find(id) {
                     gateway.outcome(now, s, what, closed, pen!());
                 }
             }
--- a/crates/test-cluster/src/oracle.rs
+++ b/crates/test-cluster/src/oracle.rs
@@ -9,7 +9,7 @@
 /// One thing seen; times in ms since the run began.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A client sent a submission: under which call, on which of its connections.
+    /// A client sent a request: under which call, on which of its connections.
     Asked {
         client: usize,
         connection: usize,
@@ -182,7 +182,7 @@
 /// A connection that was opened this shortly after a kill may still have been the old process's.
 const KILLED_WITHIN: f64 = 500.0;
 
-/// All that the run breaks. `once` are the classes whose submissions may run once.
+/// All that the run breaks. `once` are the classes whose requests may run once.
 pub fn breaches(lines: &[(f64, Seen)], once: &[&str]) -> Vec<Breach> {
     let mut found = Vec::new();
     let mut asked = BTreeMap::new();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,18 +16,18 @@
 pub trait Outlet {
     /// An attempt, whose first byte is written by the time `by` at the latest; an attempt that has not begun by
     /// then never begins, and its outcome is `Unsent`.
-    fn attempt(&mut self, submission: usize, engine: usize, by: Ms);
-    fn withdraw(&mut self, submission: usize, nth: u8);
-    fn terms(&mut self, submission: usize, priority: u8, grant_mb: f64);
-    fn reject(&mut self, submission: usize, come_back: Ms);
-    fn scrap(&mut self, submission: usize);
+    fn attempt(&mut self, request: usize, engine: usize, by: Ms);
+    fn withdraw(&mut self, request: usize, nth: u8);
+    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64);
+    fn reject(&mut self, request: usize, come_back: Ms);
+    fn scrap(&mut self, request: usize);
     fn subscribe(&mut self);
     /// Asks an engine how it is; what it reports comes by `Gateway::report`.
     fn probe(&mut self, engine: usize);
     fn wake(&mut self, after: Ms);
     fn note(&mut self, text: &str);
-    /// Nothing more is expected about this submission: its index may be used again.
-    fn forget(&mut self, submission: usize);
+    /// Nothing more is expected about this request: its index may be used again.
+    fn forget(&mut self, request: usize);
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -46,7 +46,7 @@
     MarkGroup,
 }
 
-/// What a class's submissions share.
+/// What a class's requests share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassPolicy {
     pub expected: Ms,
@@ -78,7 +78,7 @@
     pub memory_mb: f64,
 }
 
-/// Further attempts: a few, and a share of the submissions taken in the span.
+/// Further attempts: a few, and a share of the requests taken in the span.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ration {
     pub spare: f64,
@@ -141,7 +141,7 @@
     pub id: u64,
     pub zone: u16,
     pub kind: u16,
-    /// The group within which marks of tagged submissions are known.
+    /// The group within which marks of tagged requests are known.
     pub marks: u16,
     /// Cells that it is in, a bit for each.
     pub cells: u64,
@@ -151,7 +151,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Submission {
+pub struct Request {
     pub class: usize,
     pub key: u64,
     pub left: Ms,
@@ -164,7 +164,7 @@
     pub later_try: bool,
 }
 
-/// What a submission needed: the work of all its threads, and memory; zero where that is not told.
+/// What a request needed: the work of all its threads, and memory; zero where that is not told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     pub work: Ms,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,9 +5,9 @@
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Outlet`] at once; lib.rs has that and the types that cross.
 
-use crate::state::{Attempt, ClassState, Engine, Taken};
+use crate::state::{Attempt, ClassState, Engine, PendingRequest};
 use crate::sums::{mix, part, Fade, Pcg};
-use crate::{ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Standing, Submission, Within};
+use crate::{ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Request, Standing, Within};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 /// Half-lives of paces, long against looks and short against troubles, and of what hardly changes.
 const HALF: Ms = 2000.0;
 const LONG_HALF: Ms = 20_000.0;
-/// Usual submissions from which on a pace can be the best, and that stand beside it at the best.
+/// Usual requests from which on a pace can be the best, and that stand beside it at the best.
 const ENOUGH: f64 = 2.0;
 const LEAN: f64 = 0.3;
 /// The best pace is held for twice as long after this time.
@@ -40,11 +40,11 @@
 const BAD: u32 = 5;
 /// This many times its peers' pace is a fault of the engine, not of its load; of one attempt, maybe a loss.
 const SLOW: f64 = 2.5;
-/// A set-aside engine first gets one small submission this often; each that goes well halves it.
+/// A set-aside engine first gets one small request this often; each that goes well halves it.
 const TRICKLE: Ms = 1000.0;
 /// An engine's report holds this long.
 const FRESH: Ms = 400.0;
-/// Probes for each submission taken, and the most at once: each costs engines work.
+/// Probes for each request taken, and the most at once: each costs engines work.
 const PROBES: f64 = 0.7;
 const AT_ONCE: f64 = 10.0;
 /// Wide queries enter by lot from this reported share of an engine up to all of it, where none does.
@@ -90,7 +90,7 @@
     lot: u64, // drawn once
     now: Ms,
     engines: Vec<Engine>,
-    subs: Vec<Taken>,
+    subs: Vec<PendingRequest>,
     flying: Vec<usize>,
     classes: Vec<ClassState>,
     orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the roster changes
@@ -188,7 +188,7 @@
         self.due(now, out);
     }
 
-    pub fn take(&mut self, now: Ms, sub: usize, of: Submission, out: &mut dyn Outlet) {
+    pub fn take(&mut self, now: Ms, sub: usize, of: Request, out: &mut dyn Outlet) {
         self.now = now;
         // Idle time is not banked: a class that comes back starts level with the lowest active one.
         let active = |b: usize| !self.classes[b].line.is_empty() || self.classes[b].threads > 0.5;
@@ -216,10 +216,10 @@
         let (aim, limit) = (now + time - lacks, now + of.left);
         class.line.push(sub);
         if self.subs.len() <= sub {
-            self.subs.resize_with(sub + 1, Taken::default);
+            self.subs.resize_with(sub + 1, PendingRequest::default);
         }
         self.subs[sub] =
-            Taken { of, work, open: true, aim, limit, lot: self.chance.lot(), ..Default::default() };
+            PendingRequest { of, work, open: true, aim, limit, lot: self.chance.lot(), ..Default::default() };
         (self.subs[sub].under, self.subs[sub].most) = (class.terms.clone(), self.m.most_forwards);
         if self.keyed(sub) {
             self.keys.entry(of.key).or_default().0.push_back(sub);
@@ -236,7 +236,7 @@
         self.due(now, out);
     }
 
-    /// From its next attempt on, the submission goes to engines of these cells.
+    /// From its next attempt on, the request goes to engines of these cells.
     pub fn confine(&mut self, sub: usize, cells: u64) {
         self.subs.iter_mut().skip(sub).take(1).for_each(|s| s.of.cells = cells);
     }
@@ -373,7 +373,7 @@
     // Against a last outcome that never comes, and answers that cross the client's leaving.
     fn answer_at_the_hard_limit(&mut self, out: &mut dyn Outlet) -> bool {
         let mut held = self.classes.iter().flat_map(|b| &b.line).chain(&self.flying).copied();
-        let late = |s: &Taken| s.open && self.now >= s.limit - 2.0 * self.m.tick;
+        let late = |s: &PendingRequest| s.open && self.now >= s.limit - 2.0 * self.m.tick;
         held.find(|&s| late(&self.subs[s])).is_some_and(|s| self.end(s, 0.0, out))
     }
 
@@ -511,7 +511,7 @@
     /// Smallest work first among those that can still make their expected time; the first for each set of
     /// cells, in that order, against one that waits for its cell and holds up all others.
     fn firsts_in(&self, b: usize) -> Vec<usize> {
-        let late = |s: &Taken| self.now + self.service(b, s.of.cells, s.work) > s.aim;
+        let late = |s: &PendingRequest| self.now + self.service(b, s.of.cells, s.work) > s.aim;
         let rank = |i: usize| (late(&self.subs[i]), self.subs[i].work);
         let less = |x: usize, y: usize| rank(x).partial_cmp(&rank(y)).unwrap_or(std::cmp::Ordering::Equal);
         let mut firsts: Vec<usize> = Vec::new();
@@ -536,7 +536,7 @@
             && (!self.keyed(sub) || self.now >= self.keys_from && self.keys.get(&s.of.key).is_none_or(turn))
     }
 
-    fn may_forward_again(&self, s: &Taken) -> bool {
+    fn may_forward_again(&self, s: &PendingRequest) -> bool {
         let terms = &self.m.classes[s.of.class];
         s.attempts < self.m.most_forwards.min(s.most)
             && match terms.repeat {
@@ -545,13 +545,13 @@
             }
     }
 
-    fn may_begin_anew(&self, s: &Taken) -> bool {
+    fn may_begin_anew(&self, s: &PendingRequest) -> bool {
         let may = self.m.may_withdraw && s.open && self.now < self.until;
         may && self.may_forward_again(s) && self.rationed()
     }
 
     /// Until when engines know a further attempt for one of those that may have run.
-    fn window_ends(&self, s: &Taken) -> Ms {
+    fn window_ends(&self, s: &PendingRequest) -> Ms {
         let terms = &self.m.classes[s.of.class];
         let ran = s.may_have_run.iter().filter(|_| matches!(terms.repeat, Effect::Deduplicated(_)));
         ran.map(|r| r.1 + s.under.window.min(terms.window)).fold(f64::INFINITY, f64::min)
@@ -607,7 +607,7 @@
         (sum / weight).max(1.0)
     }
 
-    /// How long a submission would take now at the fleet's pace.
+    /// How long a request would take now at the fleet's pace.
     fn service(&self, b: usize, cells: u64, work: Ms) -> Ms {
         work / self.m.classes[b].threads * self.fleet_pace(b, cells)
     }
@@ -631,7 +631,7 @@
     }
 
     // By lot, the fuller the less: all gateways see the same report, and would all come or all stay away.
-    fn enters(&self, s: &Taken, e: &Engine, (at, share): (Ms, f64)) -> bool {
+    fn enters(&self, s: &PendingRequest, e: &Engine, (at, share): (Ms, f64)) -> bool {
         s.chance(e.listed.id ^ at.to_bits()) < (1.0 - share) / (1.0 - EASY)
     }
 
@@ -642,8 +642,8 @@
         threads < self.share * (LEAST + (MOST - LEAST) * self.weight(b) / most)
     }
 
-    // The bound is asked before the submission's own threads: an even share may be less than one wide query.
-    fn open(&self, engine: usize, s: &Taken) -> bool {
+    // The bound is asked before the request's own threads: an even share may be less than one wide query.
+    fn open(&self, engine: usize, s: &PendingRequest) -> bool {
         let (e, b) = (&self.engines[engine], s.of.class);
         let stretch = self.stretch(e);
         let strain = ((stretch - PRESSED) / (STRAINED - PRESSED)).clamp(0.0, 1.0);
@@ -670,7 +670,7 @@
     // Against pushing over a cold engine: an even share of what all may send in any span. Among hundreds half
     // of its part below one is a lot, drawn once for each span of a gateway's own. Any span meets two such:
     // all send what they may in the mean at most, stray by its root, and save up nothing for a burst.
-    fn cold_room(&self, s: &Taken, e: &Engine) -> bool {
+    fn cold_room(&self, s: &PendingRequest, e: &Engine) -> bool {
         let Some((share, recent)) = self.cold(e) else { return true };
         let (usual, own) = (self.usual_work(s.of.class), mix(self.lot ^ e.listed.id));
         let span = (self.now / self.m.fall_span + part(own)) as u64;
@@ -678,7 +678,7 @@
         recent + usual <= share || drawn && recent <= share
     }
 
-    fn allowed(&self, s: &Taken, e: &Engine) -> bool {
+    fn allowed(&self, s: &PendingRequest, e: &Engine) -> bool {
         let (terms, line) = (&self.m.classes[s.of.class], &e.listed);
         let same = |other: &Listed| match terms.repeat {
             Effect::Deduplicated(Within::Zone) => other.zone == line.zone,
@@ -691,7 +691,7 @@
             && line.standing == Standing::Ready
     }
 
-    fn order(&self, s: &Taken) -> Vec<usize> {
+    fn order(&self, s: &PendingRequest) -> Vec<usize> {
         let mut orders = self.orders.borrow_mut();
         let order = orders.entry(s.of.tables).or_insert_with(|| {
             let mut order: Vec<u32> = (0..self.engines.len() as u32).collect();
@@ -794,7 +794,7 @@
         true
     }
 
-    /// The submission is over for its client; its index is free again once no attempt is out.
+    /// The request is over for its client; its index is free again once no attempt is out.
     fn close(&mut self, sub: usize, out: &mut dyn Outlet) {
         let s = &mut self.subs[sub];
         s.open = false;
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -31,7 +31,7 @@
     pub threads: f64,
     pub charged: f64,
     pub weight: f64,
-    /// The work of a usual submission, in ms on a thread.
+    /// The work of a usual request, in ms on a thread.
     pub usual: Ms,
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,8 +1,8 @@
-//! What the policy remembers of each engine, attempt, submission and class. Containers: nothing here decides,
+//! What the policy remembers of each engine, attempt, request and class. Containers: nothing here decides,
 //! and no tuned value is used here.
 
 use crate::sums::{mix, part, Fade, Guess};
-use crate::{ClassPolicy, Listed, Ms, Standing, Submission};
+use crate::{ClassPolicy, Listed, Ms, Request, Standing};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -39,8 +39,8 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Taken {
-    pub(crate) of: Submission,
+pub(crate) struct PendingRequest {
+    pub(crate) of: Request,
     pub(crate) work: Ms,
     pub(crate) open: bool,
     pub(crate) aim: Ms,
@@ -54,8 +54,8 @@
     pub(crate) lot: u64,
 }
 
-impl Taken {
-    /// Drawn once for each submission and what is named: asked again, it gives no second chance.
+impl PendingRequest {
+    /// Drawn once for each request and what is named: asked again, it gives no second chance.
     pub(crate) fn chance(&self, of: u64) -> f64 {
         part(mix(self.lot ^ of))
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use ironstair::{
-    ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Outlet, Ration, Standing, Submission, Within,
+    ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Outlet, Ration, Request, Standing, Within,
 };
 use std::collections::BTreeMap;
 
@@ -38,19 +38,19 @@
 }
 
 impl Outlet for Sheet {
-    fn attempt(&mut self, submission: usize, engine: usize, by: Ms) {
-        self.0.extend([Act::By(by), Act::Attempt(submission, engine)]);
+    fn attempt(&mut self, request: usize, engine: usize, by: Ms) {
+        self.0.extend([Act::By(by), Act::Attempt(request, engine)]);
     }
     takes_down! {
-        withdraw(_submission: usize, _nth: u8) Act::Other("withdraw");
-        terms(_submission: usize, _priority: u8, grant_mb: f64) Act::Grant(grant_mb);
-        reject(submission: usize, come_back: Ms) Act::Reject(submission, come_back);
-        scrap(submission: usize) Act::Scrap(submission);
+        withdraw(_request: usize, _nth: u8) Act::Other("withdraw");
+        terms(_request: usize, _priority: u8, grant_mb: f64) Act::Grant(grant_mb);
+        reject(request: usize, come_back: Ms) Act::Reject(request, come_back);
+        scrap(request: usize) Act::Scrap(request);
         subscribe() Act::Other("subscribe");
         probe(engine: usize) Act::Probe(engine);
         wake(_after: Ms) Act::Other("wake");
         note(text: &str) Act::Note(text.into());
-        forget(submission: usize) Act::Forget(submission);
+        forget(request: usize) Act::Forget(request);
     }
 }
 
@@ -123,8 +123,8 @@
     Listed { engine, id, zone, kind, marks, cells, standing: Standing::Ready, since: 0.0 }
 }
 
-pub fn ask(class: usize, work: Ms) -> Submission {
-    Submission {
+pub fn ask(class: usize, work: Ms) -> Request {
+    Request {
         class,
         key: 0,
         left: 3000.0,
@@ -154,7 +154,7 @@
     /// The terms under which it was taken, and the most attempts.
     pub under: ClassPolicy,
     pub most: u8,
-    pub of: Submission,
+    pub of: Request,
     pub taken: Ms,
     pub over: bool,
     pub tries: Vec<Try>,
@@ -181,7 +181,7 @@
         }
     }
 
-    pub fn took(&mut self, now: Ms, slot: usize, of: Submission) {
+    pub fn took(&mut self, now: Ms, slot: usize, of: Request) {
         self.at.insert(slot, self.held.len());
         let (under, most) = (self.m.classes[of.class].clone(), self.m.most_forwards);
         self.held.push(Held { under, most, of, taken: now, over: false, tries: Vec::new() });
@@ -246,7 +246,7 @@
             let sent = recent.map(|(h, _)| usual(h)).sum::<f64>() + usual(h);
             let cores = self.m.kinds[line.kind as usize].cores;
             let all = self.m.fall_multiple * self.m.cold_from * cores * self.m.fall_span;
-            // Among hundreds the share is less than one submission: a test of its own adds them up.
+            // Among hundreds the share is less than one request: a test of its own adds them up.
             breaks!(self.m.gateways < 100.0 && sent > all / self.m.gateways, "4: over a cold share");
         }
         if terms.in_order && h.of.key != 0 {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -29,7 +29,7 @@
     now
 }
 
-fn send(g: &mut Gateway, now: Ms, slot: usize, of: Submission) -> Vec<(usize, usize)> {
+fn send(g: &mut Gateway, now: Ms, slot: usize, of: Request) -> Vec<(usize, usize)> {
     let mut sheet = Sheet::default();
     g.take(now, slot, of, &mut sheet);
     sheet.attempts()
@@ -49,7 +49,7 @@
 fn under_pressure_other_ready_engines_come_first_and_one_may_always_run() {
     let mut g = start(two_classes(), 1);
     let now = press(&mut g, 0..8);
-    let wide = Submission { left: 20_000.0, ..ask(1, 4000.0) };
+    let wide = Request { left: 20_000.0, ..ask(1, 4000.0) };
     assert_eq!(send(&mut g, now, 10, wide).len(), 1, "none of its own runs there");
     assert_eq!(send(&mut g, now, 11, wide).len(), 1, "4 of 10 threads run");
     assert_eq!(send(&mut g, now, 12, wide).len(), 1, "8 of 10 threads run");
@@ -97,7 +97,7 @@
     let homes = |lines: Vec<Listed>, tables| {
         let mut g = Gateway::new(two_classes(), 5);
         g.roster(0.0, true, &lines, &mut Sheet::default());
-        let sent = send(&mut g, 1.0, 0, Submission { tables, ..ask(0, 100.0) });
+        let sent = send(&mut g, 1.0, 0, Request { tables, ..ask(0, 100.0) });
         lines.iter().find(|l| l.engine == sent[0].1).map(|l| l.id)
     };
     for tables in 0..20 {
@@ -118,12 +118,12 @@
     assert!(sheet.0.contains(&Act::Reject(0, 700.0)), "{:?}", sheet.0);
 }
 
-/// One submission after another until each is settled; `fate` says how long an attempt takes and how it ends.
+/// One request after another until each is settled; `fate` says how long an attempt takes and how it ends.
 fn serve(g: &mut Gateway, now: &mut Ms, n: u64, mut fate: impl FnMut(u64, usize) -> (Ms, Outcome)) -> String {
     let mut notes = String::new();
     for i in 0..n {
         let mut sheet = Sheet::default();
-        g.take(*now, 0, Submission { tables: i % 9, ..ask(0, 100.0) }, &mut sheet);
+        g.take(*now, 0, Request { tables: i % 9, ..ask(0, 100.0) }, &mut sheet);
         while let Some((slot, engine)) = sheet.attempts().last().copied() {
             notes += &format!("{:?}", std::mem::take(&mut sheet.0));
             let (took, what) = fate(i, engine);
@@ -172,7 +172,7 @@
     for repeat in [Effect::Idempotent, Effect::NonIdempotent] {
         let m = Mandate { may_withdraw: true, ..mandate(vec![class(1.0, 1.0, repeat)]) };
         let (mut g, mut sheet, mut now) = (start(m, 1), Sheet::default(), 1.0);
-        let of = Submission { left: 20_000.0, ..ask(0, 100.0) };
+        let of = Request { left: 20_000.0, ..ask(0, 100.0) };
         assert_eq!(send(&mut g, now, 0, of).len(), 1);
         while now < 900.0 && !sheet.0.contains(&Act::Other("withdraw")) {
             g.take(now, 1, of, &mut sheet);
@@ -209,18 +209,18 @@
 fn what_cannot_make_its_expected_time_under_pressure_is_given_up_at_once() {
     let mut g = start(two_classes(), 1);
     let (now, mut sheet) = (press(&mut g, 0..8), Sheet::default());
-    g.take(now, 9, Submission { left: 600.0, ..ask(0, 2000.0) }, &mut sheet);
+    g.take(now, 9, Request { left: 600.0, ..ask(0, 2000.0) }, &mut sheet);
     assert_eq!(sheet.attempts(), [], "it would keep a jammed engine jammed");
     assert!(sheet.0.contains(&Act::Reject(9, 0.0)), "given up at once");
     (10..20).for_each(|i| drop(send(&mut g, now, i, ask(0, 100.0))));
-    let short = Submission { left: 1000.0, ..ask(0, 100.0) };
+    let short = Request { left: 1000.0, ..ask(0, 100.0) };
     g.take(now, 20, short, &mut sheet);
-    g.take(now + 5.0, 21, Submission { later_try: true, ..short }, &mut sheet);
+    g.take(now + 5.0, 21, Request { later_try: true, ..short }, &mut sheet);
     assert!(!sheet.0.contains(&Act::Reject(20, 0.0)), "a first try with little time waits");
     assert!(sheet.0.contains(&Act::Reject(21, 0.0)), "a later try has had its expected time");
 }
 
-// Rule 4 among hundreds: shares of less than one submission, traffic ten times as heavy at some, nearly all
+// Rule 4 among hundreds: shares of less than one request, traffic ten times as heavy at some, nearly all
 // engines new at once, and nobody told of the others.
 #[test]
 fn hundreds_of_gateways_do_not_push_over_new_engines() {
@@ -233,7 +233,7 @@
     for (n, g) in fleet.iter_mut().enumerate() {
         g.roster(1000.0, true, &lines, &mut Sheet::default());
         for i in 0..if n % 10 == 0 { 50 } else { 5 } {
-            let of = Submission { tables: (n + i) as u64 % 120, ..ask(0, 100.0) };
+            let of = Request { tables: (n + i) as u64 % 120, ..ask(0, 100.0) };
             send(g, 1000.0 + i as f64, i, of).iter().for_each(|(_, e)| sent[*e] += 100.0);
         }
     }
@@ -247,7 +247,7 @@
     let mut g = start(Mandate { gateways: 300.0, may_probe: true, reports, ..two_classes() }, 4);
     (0..4).for_each(|i| drop(send(&mut g, 1.0, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
-    g.take(2.0, 9, Submission { left: 20_000.0, ..ask(1, 4000.0) }, &mut sheet);
+    g.take(2.0, 9, Request { left: 20_000.0, ..ask(1, 4000.0) }, &mut sheet);
     let asked = |s: &Sheet| s.0.iter().find_map(|a| if let Act::Probe(e) = a { Some(*e) } else { None });
     let first = asked(&sheet).expect("an engine is asked");
     assert_eq!(sheet.attempts(), [], "nothing goes before one told of room");
@@ -261,7 +261,7 @@
 #[test]
 fn what_is_open_is_answered_before_the_gateway_ends() {
     let mut g = start(two_classes(), 2);
-    assert_eq!(send(&mut g, 1.0, 0, Submission { left: 20_000.0, ..ask(1, 4000.0) }).len(), 1);
+    assert_eq!(send(&mut g, 1.0, 0, Request { left: 20_000.0, ..ask(1, 4000.0) }).len(), 1);
     let mut sheet = Sheet::default();
     g.ending(2.0, 3000.0, &mut sheet);
     assert_eq!(sheet.0.iter().filter(|a| matches!(a, Act::Reject(..))).count(), 0, "not before it must");
@@ -301,7 +301,7 @@
     m.classes[0].in_order = true;
     let mut g = start(m, 1);
     g.rest_keys(500.0);
-    let keyed = Submission { key: 7, ..ask(0, 100.0) };
+    let keyed = Request { key: 7, ..ask(0, 100.0) };
     assert_eq!(send(&mut g, 10.0, 0, keyed), [], "its last process may have left one out");
     assert_eq!(send(&mut g, 11.0, 1, ask(0, 100.0)).len(), 1);
     let mut sheet = Sheet::default();
@@ -421,8 +421,8 @@
     g
 }
 
-fn within_cell(nth: u64, work: Ms) -> Submission {
-    Submission { cells: 1 << nth, ..ask(0, work) }
+fn within_cell(nth: u64, work: Ms) -> Request {
+    Request { cells: 1 << nth, ..ask(0, work) }
 }
 
 /// Both cells settle quickly at first, then the first one slowly.
@@ -447,7 +447,7 @@
             (0..6).flat_map(|i| send(&mut g, 1.0, 8 * nth + i, within_cell(nth as u64, 10.0))).collect();
         assert!(sent.len() == 6 && sent.iter().all(|s| s.1 == nth), "{sent:?}");
     }
-    let nowhere = send(&mut g, 1.0, 40, Submission { cells: 4, ..ask(0, 10.0) });
+    let nowhere = send(&mut g, 1.0, 40, Request { cells: 4, ..ask(0, 10.0) });
     assert!(nowhere.is_empty());
     assert_eq!(send(&mut g, 1.0, 41, ask(0, 10.0)).len(), 1, "without cells anywhere");
 }
@@ -456,7 +456,7 @@
 fn one_that_waits_for_its_cell_holds_up_no_other_cells() {
     let mut g = two_cells(two_classes());
     let now = press_one(&mut g);
-    // The first cell is full under pressure; its smallest submission is the class's first.
+    // The first cell is full under pressure; its smallest request is the class's first.
     let sent: usize = (0..14).map(|i| send(&mut g, now, i, within_cell(0, 20.0)).len()).sum();
     assert!(sent < 14, "some wait");
     assert_eq!(send(&mut g, now, 20, within_cell(1, 100.0)), [(20, 1)]);
@@ -496,7 +496,7 @@
 }
 
 /// Runs `n` small ones to their end, so that paces, work and memory are known.
-fn learn(g: &mut Gateway, n: usize, of: impl Fn(usize) -> Submission, cost: impl Fn(usize) -> Cost) -> Ms {
+fn learn(g: &mut Gateway, n: usize, of: impl Fn(usize) -> Request, cost: impl Fn(usize) -> Cost) -> Ms {
     let (mut now, mut sheet) = (1.0, Sheet::default());
     for i in 0..n {
         g.take(now, 0, of(i), &mut sheet);
@@ -512,7 +512,7 @@
     let mut g = start(Mandate { grants_heeded: true, lines_up: true, ..two_classes() }, 2);
     let grant = |g: &mut Gateway, now: Ms, memory_mb: f64| {
         let mut sheet = Sheet::default();
-        g.take(now, 1, Submission { memory_mb, ..ask(0, 100.0) }, &mut sheet);
+        g.take(now, 1, Request { memory_mb, ..ask(0, 100.0) }, &mut sheet);
         let granted = sheet.0.iter().find_map(|a| if let Act::Grant(mb) = a { Some(*mb) } else { None });
         g.outcome(now + 1.0, 1, Outcome::Unsent, true, &mut sheet);
         granted.expect("a grant")
@@ -520,7 +520,7 @@
     assert_eq!(grant(&mut g, 0.5, 100.0), 100.0, "the estimate itself while nothing is known");
     // Needs 200 in the middle; an estimate four times as large means twice as much.
     let scale = |i: usize| 4f64.powi(i as i32 % 3 - 1);
-    let of = |i| Submission { memory_mb: 100.0 * scale(i), ..ask(0, 100.0 * scale(i)) };
+    let of = |i| Request { memory_mb: 100.0 * scale(i), ..ask(0, 100.0 * scale(i)) };
     let cost = |i| Cost { work: 300.0 * scale(i).sqrt(), memory_mb: 200.0 * scale(i).sqrt() };
     let now = learn(&mut g, 300, of, cost);
     for (estimate, want) in [(25.0, 100.0), (100.0, 200.0), (400.0, 400.0)] {
@@ -548,10 +548,10 @@
     for tables in 0..20 {
         let mut g = start(m.clone(), 8);
         // Other groups are asked for too: this one has its two homes.
-        let others = |i: usize| Submission { tables: 100 + i as u64, ..ask(0, 100.0) };
+        let others = |i: usize| Request { tables: 100 + i as u64, ..ask(0, 100.0) };
         let now = learn(&mut g, 60, others, |_| Cost { work: 100.0, memory_mb: 0.0 });
         let at = |g: &mut Gateway, slot, class| {
-            send(g, now, slot, Submission { tables, left: 20_000.0, ..ask(class, 100.0) })[0].1
+            send(g, now, slot, Request { tables, left: 20_000.0, ..ask(class, 100.0) })[0].1
         };
         let reads: Vec<usize> = (1..9).map(|i| at(&mut g, i, 0)).collect();
         assert!((9..17).all(|i| !reads.contains(&at(&mut g, i, 1))), "group {tables}");
@@ -559,7 +559,7 @@
         for e in (0..8).filter(|e| !reads.contains(e)) {
             g.report(now, e, &[100.0], &mut Sheet::default());
         }
-        let load = Submission { tables, left: 20_000.0, ..ask(1, 100.0) };
+        let load = Request { tables, left: 20_000.0, ..ask(1, 100.0) };
         assert_eq!(send(&mut g, now, 17, load), [], "group {tables}");
     }
 }
@@ -571,13 +571,12 @@
         let mut g = start(Mandate { gateways: 40.0, lines_up, ..two_classes() }, 10);
         let (mut now, mut sheet) = (1.0, Sheet::default());
         for took in [100.0, 100.0, 100.0, 400.0, 400.0] {
-            (0..30)
-                .for_each(|i| g.take(now, i, Submission { tables: i as u64, ..ask(0, 100.0) }, &mut sheet));
+            (0..30).for_each(|i| g.take(now, i, Request { tables: i as u64, ..ask(0, 100.0) }, &mut sheet));
             now += took;
             (0..30).for_each(|i| g.outcome(now, i, Outcome::Settled(None), true, &mut sheet));
             now += 1.0;
         }
-        let of = |i: usize| Submission { tables: i as u64, ..ask(0, 100.0) };
+        let of = |i: usize| Request { tables: i as u64, ..ask(0, 100.0) };
         let sent: usize = (0..60).map(|i| send(&mut g, now, i, of(i)).len()).sum();
         assert!(sent <= most + 1 && sent >= most - 1, "{sent} sent, {most} by 80 cores x 2.5 / 40 gateways");
         if !lines_up {
@@ -597,7 +596,7 @@
         let m = Mandate { may_withdraw, ..mandate(vec![class(1.0, 1.0, repeat)]) };
         let mut g = start(m, 2);
         let now = learn(&mut g, 30, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
-        let of = Submission { left: 20_000.0, ..ask(0, 1000.0) };
+        let of = Request { left: 20_000.0, ..ask(0, 1000.0) };
         assert_eq!(send(&mut g, now, 1, of).len(), 1);
         let mut sheet = Sheet::default();
         g.progress(now + 300.0, 1, 0.3, &mut sheet);
@@ -629,10 +628,10 @@
     let now = press(&mut g, 0..8);
     (10..20).for_each(|i| drop(send(&mut g, now, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
-    g.take(now, 20, Submission { left: 1500.0, ..ask(0, 100.0) }, &mut sheet);
+    g.take(now, 20, Request { left: 1500.0, ..ask(0, 100.0) }, &mut sheet);
     assert!(sheet.0.contains(&Act::Reject(20, 0.0)), "1.5 s of 3 are gone, wanted within 0.7");
-    g.take(now, 21, Submission { left: 2900.0, ..ask(0, 100.0) }, &mut sheet);
-    g.take(now, 22, Submission { left: 600.0, ..ask(0, 100.0) }, &mut sheet);
+    g.take(now, 21, Request { left: 2900.0, ..ask(0, 100.0) }, &mut sheet);
+    g.take(now, 22, Request { left: 600.0, ..ask(0, 100.0) }, &mut sheet);
     assert!(!sheet.0.contains(&Act::Reject(21, 0.0)) && !sheet.0.contains(&Act::Reject(22, 0.0)));
 }
 
@@ -662,7 +661,7 @@
     let spread = |groups: u64| {
         let mut g = start(mandate(vec![class(1.0, 1.0, Effect::Idempotent)]), 12);
         let sent: Vec<usize> = (0..120)
-            .map(|i| send(&mut g, 1.0, i, Submission { tables: i as u64 % groups, ..ask(0, 100.0) })[0].1)
+            .map(|i| send(&mut g, 1.0, i, Request { tables: i as u64 % groups, ..ask(0, 100.0) })[0].1)
             .collect();
         let mut of_first: Vec<usize> = sent.iter().step_by(groups as usize).copied().collect();
         of_first.sort();
@@ -680,7 +679,7 @@
     let mut g = start(m, 8);
     let now = learn(&mut g, 20, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
     for i in 1..20 {
-        let of = |class| Submission { tables: i as u64, left: 20_000.0, ..ask(class, 400.0) };
+        let of = |class| Request { tables: i as u64, left: 20_000.0, ..ask(class, 400.0) };
         let (must, free) = (send(&mut g, now, 2 * i, of(1))[0].1, send(&mut g, now, 2 * i + 1, of(2))[0].1);
         assert_eq!((line(must).kind, line(free).kind), (1, 0));
     }
@@ -763,7 +762,7 @@
             .collect();
         at.sort_by(f64::total_cmp);
         for (i, at) in at.into_iter().enumerate() {
-            let of = Submission { tables: chance.lot() % 60, ..ask(0, work) };
+            let of = Request { tables: chance.lot() % 60, ..ask(0, work) };
             let mut out = send(g, at, i, of);
             while let Some((slot, e)) = out.pop() {
                 sent[e].push(at);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -109,7 +109,7 @@
                 let key = (b % 4) as u64;
                 let left = 400.0 + 10.0 * b as f64;
                 let cells = [0, 0, 1, 2, 5][b as usize % 5];
-                let of = Submission { key, left, cells, tables: b as u64 / 8, ..ask(class, 100.0) };
+                let of = Request { key, left, cells, tables: b as u64 / 8, ..ask(class, 100.0) };
                 self.referee.took(self.now, slot, of);
                 self.gateway.take(self.now, slot, of, &mut sheet);
             }
@@ -213,7 +213,7 @@
                     referee.took(now, 0, ask(0, 1e6));
                 }
                 class if i == 0 || rule == "5" => {
-                    referee.took(now, i, Submission { key: 1, ..ask(*class as usize, 100.0) })
+                    referee.took(now, i, Request { key: 1, ..ask(*class as usize, 100.0) })
                 }
                 _ => {}
             }
