--- a/crates/cells/src/keeper.rs
+++ b/crates/cells/src/keeper.rs
@@ -89,7 +89,7 @@
         self.moving.len()
     }
 
-    /// A forward of the tenant has ended, in those cells; whether its move is over with it.
+    /// An attempt of the tenant has ended, in those cells; whether its move is over with it.
     pub fn ended(&mut self, now: Ms, tenant: u64, cells: Cells) -> bool {
         let Some(t) = self.moving.get_mut(&tenant) else {
             return false;
--- a/crates/cells/src/moves.rs
+++ b/crates/cells/src/moves.rs
@@ -8,7 +8,7 @@
 /// What a move ended as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Over {
-    /// The last forward in the old cells has ended.
+    /// The last attempt in the old cells has ended.
     Emptied,
     /// None can still run there: the longest hard limit and the rest after doubt have passed.
     Outlived,
@@ -22,7 +22,7 @@
         number: u64,
         cells: Cells,
     },
-    /// A forward of the tenant went out, or its last outcome came; to an engine of that cell.
+    /// An attempt of the tenant went out, or its last outcome came; to an engine of that cell.
     Out(Cells),
     Ended(Cells),
     /// Time has gone on.
--- a/crates/cells/tests/moves.rs
+++ b/crates/cells/tests/moves.rs
@@ -14,7 +14,7 @@
 /// Nothing of before a move runs for longer than so many ticks.
 const OUTLIVED: f64 = 2.0;
 const TICKS: u32 = 5;
-const FORWARDS: u32 = 4;
+const ATTEMPTS: u32 = 4;
 
 #[derive(Clone, Debug, PartialEq)]
 struct Gateway {
@@ -30,7 +30,7 @@
     gateways: Vec<Gateway>,
     made: usize,
     now: u32,
-    forwards: u32,
+    attempts: u32,
     crashes: u32,
     broken: Option<&'static str>,
 }
@@ -48,7 +48,7 @@
     Make,
     /// Gateway, revision; in any order, and twice.
     Learn(usize, usize),
-    Forward(usize),
+    Attempt(usize),
     End(usize, usize),
     /// All that runs in a cell ends.
     Drain(Cells),
@@ -85,7 +85,7 @@
             gateways: vec![gateway; 2],
             made: 0,
             now: 0,
-            forwards: FORWARDS,
+            attempts: ATTEMPTS,
             crashes: 1,
             broken: None,
         }]
@@ -97,8 +97,8 @@
         }
         for (g, gateway) in w.gateways.iter().enumerate() {
             steps.extend((1..=w.made).map(|r| Step::Learn(g, r)));
-            if w.forwards > 0 {
-                steps.push(Step::Forward(g));
+            if w.attempts > 0 {
+                steps.push(Step::Attempt(g));
             }
             steps.extend((0..gateway.out.len()).map(|o| Step::End(g, o)));
             if w.crashes > 0 {
@@ -127,8 +127,8 @@
                     },
                 );
             }
-            Step::Forward(g) => {
-                w.forwards -= 1;
+            Step::Attempt(g) => {
+                w.attempts -= 1;
                 let cells = w.gateways[g].tenant.cells();
                 if cells != REVISIONS[w.gateways[g].knows] {
                     w.broken = Some("a new forward outside the newest cells known");
--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -230,7 +230,8 @@
     #[serde(rename = "band")]
     pub class: Vec<Class>,
     pub gateways: u32,
-    pub forwards_most: u8,
+    #[serde(rename = "forwards-most")]
+    pub max_attempts: u8,
     #[serde(default)]
     pub advice: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -335,7 +336,7 @@
         Document {
             class: class.collect(),
             gateways: m.gateways as u32,
-            forwards_most: m.most_forwards,
+            max_attempts: m.max_attempts,
             advice: whole(m.come_back_most),
             ration: m.ration.map(|r| Ration {
                 spare: r.spare.round() as u32,
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -90,11 +90,11 @@
 
 type Told = fn(&Document) -> Option<String>;
 
-/// The fields beside the classes; all of them at once but for the most forwards, of which fewer bind at once.
+/// The fields beside the classes; all of them at once but for the most attempts, of which fewer bind at once.
 const REST: [(&str, When, Told); 10] = [
     ("gateways", When::AtOnce, |d| Some(d.gateways.to_string())),
     ("forwards-most", When::AtOnce, |d| {
-        Some(d.forwards_most.to_string())
+        Some(d.max_attempts.to_string())
     }),
     ("advice", When::AtOnce, |d| Some(d.advice.to_string())),
     ("ration/spare", When::AtOnce, |d| {
@@ -246,7 +246,7 @@
             gateways: changed(to.gateways != was.gateways, to.gateways as f64, m.gateways),
             classes: roll.0.iter().map(|slot| self.terms(slot, to)).collect(),
             come_back_most: changed(to.advice != was.advice, to.advice as f64, m.come_back_most),
-            most_forwards: to.forwards_most,
+            max_attempts: to.max_attempts,
             cold_from: changed(cold.from != old.from, cold.from.get(), m.cold_from),
             warm_after: changed(
                 cold.warm_after != old.warm_after,
--- a/crates/config-change/src/stricter.rs
+++ b/crates/config-change/src/stricter.rs
@@ -71,7 +71,7 @@
         (!left.is_empty()).then(|| Document {
             class: left,
             gateways: self.gateways.max(other.gateways),
-            forwards_most: self.forwards_most.min(other.forwards_most),
+            max_attempts: self.max_attempts.min(other.max_attempts),
             ration: ration(self.ration, other.ration),
             cold: Cold {
                 from: least(a.from, b.from),
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -24,7 +24,7 @@
             cores: 16.0,
             memory_mb: 1.0,
         }],
-        most_forwards: 6,
+        max_attempts: 6,
         cold_from: 0.123456,
         warm_after: 15e3,
         fall_multiple: 4.0,
@@ -232,9 +232,9 @@
             "5",
         ),
         (
-            &|d| d.forwards_most = 3,
+            &|d| d.max_attempts = 3,
             &|_| {},
-            |d| d.forwards_most.to_string(),
+            |d| d.max_attempts.to_string(),
             "3",
         ),
         (
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -28,7 +28,7 @@
         gateways: 2.0,
         classes,
         kinds: cores.collect(),
-        most_forwards: 3,
+        max_attempts: 3,
         ..Default::default()
     };
     let frame = Frame {
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -37,7 +37,7 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) * 1e4
 }
 
-/// Takes what the module asks for, and remembers the forward.
+/// Takes what the module asks for, and remembers the attempt.
 #[derive(Default)]
 struct Hands(Option<usize>);
 
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -10,7 +10,7 @@
 use slog::{o, Discard, Logger};
 use std::time::{Duration, Instant};
 
-const FORWARDS: &str = "/settings/forwards-most";
+const ATTEMPTS: &str = "/settings/forwards-most";
 const CHANGES: usize = 12;
 const LEASE: u32 = 3000;
 
@@ -23,7 +23,7 @@
     let one = |nth: usize| {
         let value = (2 + nth % 5).to_string();
         let since = Instant::now();
-        let said = rig.set(at, &[FORWARDS, &value]);
+        let said = rig.set(at, &[ATTEMPTS, &value]);
         assert_eq!(said.code, 0, "{said:?}");
         since.elapsed().as_secs_f64() * 1000.0
     };
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -206,7 +206,7 @@
     }
 }
 
-/// An engine that tells when each forward reached it.
+/// An engine that tells when each attempt reached it.
 fn telling() -> (SocketAddr, Receiver<Instant>) {
     let (tell, told) = channel();
     let tell = Mutex::new(tell);
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -30,7 +30,7 @@
 /// Given up on one connection, so many at most are remembered: their answers may still come.
 const GIVEN_UP_MOST: usize = 32;
 
-struct Flight {
+struct InFlightAttempt {
     of: Rc<Attempt>,
     link: u64,
     sent: Ms,
@@ -72,7 +72,7 @@
     pub address: SocketAddr,
     pub shared: Rc<Shared>,
     pub own: Sender<Order>,
-    flights: BTreeMap<Id, Flight>,
+    in_flight: BTreeMap<Id, InFlightAttempt>,
     links: BTreeMap<u64, Link>,
     opened: u64,
     asked: u64,
@@ -96,14 +96,14 @@
         own: Sender<Order>,
         connections: Rc<Cell<u32>>,
     ) -> Self {
-        let (flights, links, events, said) =
+        let (in_flight, links, events, said) =
             (BTreeMap::new(), BTreeMap::new(), Vec::new(), Vec::new());
         Engine {
             index,
             address,
             shared,
             own,
-            flights,
+            in_flight,
             links,
             opened: 0,
             asked: 0,
@@ -152,7 +152,7 @@
             Order::Attempt(of) => self.attempt(of),
             Order::Withdraw(of) => self.withdraw(&of),
             Order::Priority(id, n) => {
-                if let Some(f) = self.flights.get(&id) {
+                if let Some(f) = self.in_flight.get(&id) {
                     f.of.priority.set(Some(n));
                     self.tell(&id, |_, line| lines::priority(line, text(&id), n));
                 }
@@ -183,7 +183,7 @@
     fn link(&mut self, of: Option<&Id>) -> u64 {
         // Against a machine cut off, whose connections stay open and silent, maybe for good: a new one tells.
         let silent: Vec<u64> = self
-            .flights
+            .in_flight
             .values()
             .filter(|f| self.unheard(f))
             .map(|f| f.link)
@@ -236,7 +236,7 @@
     }
 
     /// Whether its connection has been silent for longer than the attempt was expected to take.
-    fn unheard(&self, f: &Flight) -> bool {
+    fn unheard(&self, f: &InFlightAttempt) -> bool {
         let heard = self
             .links
             .get(&f.link)
@@ -258,9 +258,9 @@
             return;
         }
         let link = self.link(Some(&id));
-        self.flights.insert(
+        self.in_flight.insert(
             id,
-            Flight {
+            InFlightAttempt {
                 of: of.clone(),
                 link,
                 sent,
@@ -337,7 +337,7 @@
                     }
                     let withdraws = l.out.pop_front().and_then(|p| p.withdraws);
                     let own = |of: &Rc<Attempt>| {
-                        self.flights
+                        self.in_flight
                             .get(&of.id)
                             .is_some_and(|f| Rc::ptr_eq(&f.of, of))
                     };
@@ -360,7 +360,7 @@
     fn withdraw(&mut self, of: &Rc<Attempt>) {
         let id = &of.id;
         // Another of the same request may be here by now.
-        let Some(f) = self.flights.get(id).filter(|f| Rc::ptr_eq(&f.of, of)) else {
+        let Some(f) = self.in_flight.get(id).filter(|f| Rc::ptr_eq(&f.of, of)) else {
             return;
         };
         let Some(l) = self.links.get_mut(&f.link) else {
@@ -394,8 +394,8 @@
     }
 
     /// Says something about an attempt, unless it has not begun and the engine never heard of it.
-    fn tell(&mut self, id: &Id, write: impl FnOnce(&Flight, &mut Vec<u8>)) {
-        let Some(f) = self.flights.get(id).filter(|f| f.of.begun.get()) else {
+    fn tell(&mut self, id: &Id, write: impl FnOnce(&InFlightAttempt, &mut Vec<u8>)) {
+        let Some(f) = self.in_flight.get(id).filter(|f| f.of.begun.get()) else {
             return;
         };
         let (link, mut line) = (f.link, Vec::new());
@@ -482,7 +482,7 @@
         }
         let Ok(id) = Id::try_from(id) else { return };
         // What was withdrawn or has timed out is answered in vain.
-        let Some(f) = self.flights.get_mut(&id).filter(|f| f.link == link) else {
+        let Some(f) = self.in_flight.get_mut(&id).filter(|f| f.link == link) else {
             return;
         };
         let page = match word {
@@ -520,7 +520,7 @@
             Word::Past => return self.end(&id, Outcome::TimedOut, None),
             _ => return self.end(&id, Outcome::Error, None),
         };
-        let Some(f) = self.flights.get_mut(&id) else {
+        let Some(f) = self.in_flight.get_mut(&id) else {
             return;
         };
         let before: usize = f.pages.iter().flatten().map(|b| b.bytes().len()).sum();
@@ -551,7 +551,7 @@
 
     /// The one place where an attempt's room on its connection is given back.
     fn end(&mut self, id: &Id, what: Outcome, rows: Option<Chain>) {
-        let Some(f) = self.flights.remove(id) else {
+        let Some(f) = self.in_flight.remove(id) else {
             return;
         };
         let silent = matches!(what, Outcome::Withdrawn | Outcome::TimedOut) && self.unheard(&f);
@@ -580,11 +580,11 @@
         l.stream
             .iter()
             .for_each(|s| drop(s.get_ref().shutdown(Shutdown::Both)));
-        let on = self.flights.iter().filter(|f| f.1.link == link);
+        let on = self.in_flight.iter().filter(|f| f.1.link == link);
         let mut on: Vec<(Ms, Id)> = on.map(|f| (f.1.sent, *f.0)).collect();
         on.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (nth, (_, id)) in on.iter().enumerate() {
-            let unsent = self.flights.get(id).is_some_and(|f| !f.of.begun.get());
+            let unsent = self.in_flight.get(id).is_some_and(|f| !f.of.begun.get());
             let how = match (unsent, nth, how) {
                 (true, 0, Outcome::NoConnection) | (false, 0, _) => how,
                 (true, ..) => Outcome::Unsent,
@@ -615,14 +615,14 @@
             .values()
             .flat_map(|l| [self.idle_until(l), self.part_until(l)])
             .flatten();
-        let begins = |f: &Flight| {
+        let begins = |f: &InFlightAttempt| {
             if f.of.begun.get() {
                 f.of.limit
             } else {
                 f.of.by.get().min(f.of.limit)
             }
         };
-        self.flights
+        self.in_flight
             .values()
             .map(begins)
             .chain(links)
@@ -633,7 +633,7 @@
     fn refuse(&mut self) {
         let now = self.shared.clock.now();
         let barred = self
-            .flights
+            .in_flight
             .values()
             .filter(|f| !f.of.begun.get() && !f.of.may_begin(now));
         let barred: Vec<Id> = barred.map(|f| f.of.id).collect();
@@ -645,7 +645,7 @@
     fn expire(&mut self) {
         self.refuse();
         let now = self.shared.clock.now();
-        let late = self.flights.iter().filter(|f| f.1.of.limit <= now);
+        let late = self.in_flight.iter().filter(|f| f.1.of.limit <= now);
         let late: Vec<Id> = late.map(|f| *f.0).collect();
         late.iter()
             .for_each(|id| self.end(id, Outcome::TimedOut, None));
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -120,7 +120,7 @@
 /// Lines, and when they came.
 type Reached = Arc<Mutex<Vec<(String, Instant)>>>;
 
-/// An engine that now and then loses a connection, and when each forward reached it.
+/// An engine that now and then loses a connection, and when each attempt reached it.
 fn failing(every: usize) -> (SocketAddr, Reached) {
     let (nth, reached) = (AtomicUsize::new(0), Reached::default());
     let told = reached.clone();
@@ -245,7 +245,7 @@
         "the other tenant is settled throughout: {settled:?}"
     );
     assert!(settled.iter().sum::<u32>() > 1000, "{settled:?}");
-    let mut forwards: BTreeMap<String, u32> = BTreeMap::new();
+    let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
     let mut last_in_old = None;
     for (nth, (_, reached)) in engines.iter().enumerate() {
         for (line, when) in reached.lock().unwrap().iter() {
@@ -253,7 +253,7 @@
             let first = call < 4000;
             assert_eq!(first, nth < 4, "{line} at {}", names[nth]);
             if line.contains(" c=post,") {
-                *forwards.entry(id(line).into()).or_default() += 1;
+                *attempts.entry(id(line).into()).or_default() += 1;
             }
             if nth < 2 {
                 last_in_old = last_in_old.max(Some(*when));
@@ -262,7 +262,7 @@
         }
     }
     assert!(
-        forwards.values().all(|n| *n == 1),
+        attempts.values().all(|n| *n == 1),
         "once-only ones are forwarded once"
     );
     if let (Some(moved), Some(last)) = (moved, last_in_old) {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 const ALL: std::ops::Range<usize> = 0..5;
 const ADVICE: &str = "/settings/advice";
-const FORWARDS: &str = "/settings/forwards-most";
+const ATTEMPTS: &str = "/settings/forwards-most";
 
 fn well(said: Said) {
     assert_eq!(said.code, 0, "{said:?}");
@@ -67,7 +67,7 @@
     let mut rig = loaded(test, plan);
     rig.kill(3);
     rig.kill(4);
-    let change = rig.cli_meanwhile(0, &["set", FORWARDS, "5", "--fleet"]);
+    let change = rig.cli_meanwhile(0, &["set", ATTEMPTS, "5", "--fleet"]);
     rig.start(3);
     well(change.join().unwrap());
     well(rig.bar(1, "lookup"));
@@ -87,7 +87,7 @@
     rig.heal();
     all_hold(&rig, 2);
     rig.until_answers(What::Settled, 300);
-    all_have(&rig, FORWARDS, &json!(5));
+    all_have(&rig, ATTEMPTS, &json!(5));
     rig.over();
 }
 
@@ -128,7 +128,7 @@
             .for_each(|(_, l)| l.delay(ironstair_test_cluster::link::Way::Both, 250));
         let value = json!(3 + nth as u64);
         let chair = rig.chair();
-        let change = rig.cli_meanwhile(chair, &["set", FORWARDS, &value.to_string(), "--fleet"]);
+        let change = rig.cli_meanwhile(chair, &["set", ATTEMPTS, &value.to_string(), "--fleet"]);
         until(step, || {
             assert!(
                 !change.is_finished(),
@@ -163,8 +163,8 @@
         );
         let runs = rig.shown(chair)["revision"].as_u64().unwrap();
         all_hold(&rig, runs);
-        let held = rig.setting(0, FORWARDS);
-        all_have(&rig, FORWARDS, &held);
+        let held = rig.setting(0, ATTEMPTS);
+        all_have(&rig, ATTEMPTS, &held);
         assert_eq!(held == value, outcome == json!("running"), "{step}: {held}");
     }
     rig.until_answers(What::Settled, 100);
@@ -291,7 +291,7 @@
 #[test]
 fn case_6_two_operators_at_once_a_take_back_and_a_late_confirmation() {
     let mut rig = loaded("case-6", Plan::default());
-    let ask = |g, value| rig.cli(g, &["set", FORWARDS, value, "--fleet"]);
+    let ask = |g, value| rig.cli(g, &["set", ATTEMPTS, value, "--fleet"]);
     let both = std::thread::scope(|scope| {
         let first = scope.spawn(|| ask(0, "3"));
         [ask(1, "4"), first.join().unwrap()]
@@ -303,21 +303,21 @@
         refused.err.contains("is under way") || refused.err.contains("runs by now"),
         "{refused:?}"
     );
-    let held = rig.setting(0, FORWARDS);
-    all_have(&rig, FORWARDS, &held);
+    let held = rig.setting(0, ATTEMPTS);
+    all_have(&rig, ATTEMPTS, &held);
     // Taken back while it waits to be confirmed.
     let asks = |value: &'static str, id: &'static str, within: &'static str| {
-        [FORWARDS, value, "--confirm-within", within, "--id", id]
+        [ATTEMPTS, value, "--confirm-within", within, "--id", id]
     };
     well(rig.set(2, &asks("2", "a", "1h")));
-    all_have(&rig, FORWARDS, &json!(2));
-    let second = rig.set(1, &[FORWARDS, "6"]);
+    all_have(&rig, ATTEMPTS, &json!(2));
+    let second = rig.set(1, &[ATTEMPTS, "6"]);
     assert!(
         second.code == 3 && second.err.contains("waits to be confirmed"),
         "{second:?}"
     );
     well(rig.cli(3, &["cancel", "a", "--fleet"]));
-    all_have(&rig, FORWARDS, &held);
+    all_have(&rig, ATTEMPTS, &held);
     // And while it is under way, by who waits for a gateway that is stopped.
     rig.quiet(4);
     rig.stop(4);
@@ -346,11 +346,11 @@
         late.code == 3 && late.err.contains("taken back"),
         "{late:?}"
     );
-    all_have(&rig, FORWARDS, &held);
+    all_have(&rig, ATTEMPTS, &held);
     // In time.
     well(rig.set(0, &asks("5", "d", "1h")));
     well(rig.cli(4, &["confirm", "--fleet"]));
-    all_have(&rig, FORWARDS, &json!(5));
+    all_have(&rig, ATTEMPTS, &json!(5));
     rig.over();
 }
 
@@ -359,7 +359,7 @@
     // One operator's change is made while a gateway hears nothing; another's there, of what that still knows.
     let rig = Rig::started("control-6", &without("upon"));
     rig.cut_off(4, false, true);
-    well(rig.set(0, &[FORWARDS, "3"]));
+    well(rig.set(0, &[ATTEMPTS, "3"]));
     let args = [
         "set",
         "/settings/band[name=lookup]/expected",
@@ -376,7 +376,7 @@
         asked.join().unwrap()
     });
     well(second);
-    all_have(&rig, FORWARDS, &json!(6));
+    all_have(&rig, ATTEMPTS, &json!(6));
 }
 
 /// All keepers are killed at once; two come back, one wiped and one with a disk from before the changes.
@@ -412,7 +412,7 @@
     });
     rig.kill(0);
     rig.until_answers(What::Settled, 200);
-    well(rig.set(1, &[FORWARDS, "5"]));
+    well(rig.set(1, &[ATTEMPTS, "5"]));
     rig.over();
 }
 
@@ -482,11 +482,11 @@
         },
     );
     std::fs::write(rig.state_folder(1).join("slow"), "").unwrap();
-    well(rig.set(0, &[FORWARDS, "3"]));
+    well(rig.set(0, &[ATTEMPTS, "3"]));
     std::fs::remove_file(rig.state_folder(1).join("slow")).unwrap();
     // Each alone: with both, two of three have no disk that serves, and that is no minority.
     std::fs::write(rig.state_folder(2).join("full"), "").unwrap();
-    well(rig.set(3, &[FORWARDS, "4"]));
+    well(rig.set(3, &[ATTEMPTS, "4"]));
     until("it says so", || {
         rig.log(2).contains("the fleet's log can't be kept")
     });
@@ -494,7 +494,7 @@
     until("it has room again", || {
         rig.log(2).contains("the fleet's log is kept again")
     });
-    well(rig.set(2, &[FORWARDS, "5"]));
+    well(rig.set(2, &[ATTEMPTS, "5"]));
     all_hold(&rig, 3);
     rig.over();
 }
@@ -504,7 +504,7 @@
     let mut rig = Rig::started(test, &plan);
     let full = |rig: &Rig, k: usize| rig.state_folder(k).join("full");
     (1..3).for_each(|k| std::fs::write(full(&rig, k), "").unwrap());
-    let change = rig.cli_meanwhile(3, &["set", FORWARDS, "3", "--fleet"]);
+    let change = rig.cli_meanwhile(3, &["set", ATTEMPTS, "3", "--fleet"]);
     until("it is made, or two say that they keep nothing", || {
         change.is_finished() || (1..3).all(|k| rig.log(k).contains("the fleet's log can't be kept"))
     });
@@ -533,9 +533,9 @@
     let value = if said.code == 0 {
         json!(3)
     } else {
-        rig.setting(0, FORWARDS)
+        rig.setting(0, ATTEMPTS)
     };
-    all_have(&rig, FORWARDS, &value);
+    all_have(&rig, ATTEMPTS, &value);
 }
 
 #[test]
@@ -549,7 +549,7 @@
         },
     );
     well(said);
-    (1..3).for_each(|g| assert_eq!(rig.setting(g, FORWARDS), json!(6)));
+    (1..3).for_each(|g| assert_eq!(rig.setting(g, ATTEMPTS), json!(6)));
     // Who held it holds to it, and decides nothing beside them.
     (3..5).for_each(|g| until("it decides nothing", || !rig.fit(g)));
 }
@@ -568,7 +568,7 @@
     (2..4).for_each(|g| rig.until_answers_of(g, What::Rejected, 20));
     rig.until_answers_of(4, What::Settled, 100);
     assert!(rig.fit(4) && !rig.fit(3));
-    let said = rig.set(3, &[FORWARDS, "5"]);
+    let said = rig.set(3, &[ATTEMPTS, "5"]);
     assert!(said.code == 3 && said.err.contains("no chair"), "{said:?}");
     rig.start(0);
     rig.start(1);
@@ -631,7 +631,7 @@
 #[test]
 fn control_without_its_time_a_trial_stays_unconfirmed_for_good() {
     let rig = Rig::started("control-trial", &without("trial"));
-    well(rig.set(0, &[FORWARDS, "2", "--confirm-within", "1s"]));
+    well(rig.set(0, &[ATTEMPTS, "2", "--confirm-within", "1s"]));
     assert_eq!(
         last(&rig, 0)["outcome"],
         json!("running"),
@@ -654,7 +654,7 @@
     rig.kill(chair);
     rig.until_answers(What::Settled, 500);
     assert_ne!(rig.chair(), chair);
-    well(rig.set(3, &[FORWARDS, "5"]));
+    well(rig.set(3, &[ATTEMPTS, "5"]));
     let answers = rig.over();
     assert_eq!(
         answers.keys().collect::<Vec<_>>(),
@@ -744,8 +744,8 @@
         !rig.log(4).contains(sentence),
         "where the list comes from may move"
     );
-    assert_eq!(rig.setting(3, FORWARDS), json!(6));
-    let plain = rig.cli(3, &["set", FORWARDS, "2"]);
+    assert_eq!(rig.setting(3, ATTEMPTS), json!(6));
+    let plain = rig.cli(3, &["set", ATTEMPTS, "2"]);
     assert!(
         plain.code == 3 && plain.err.contains("ironstair set --fleet"),
         "{plain:?}"
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -193,14 +193,14 @@
         settled.len()
     );
     // What may have run once and may not run twice was never forwarded again.
-    let mut forwards: BTreeMap<String, u32> = BTreeMap::new();
+    let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
     for line in engines.iter().flat_map(|e| e.1.lock().unwrap().clone()) {
         if line.starts_with("fetch") && line.contains(" c=post,") {
-            *forwards.entry(id(&line).to_string()).or_default() += 1;
+            *attempts.entry(id(&line).to_string()).or_default() += 1;
         }
     }
-    assert!(forwards.len() > 200, "{}", forwards.len());
-    assert!(forwards.values().all(|n| *n == 1), "{forwards:?}");
+    assert!(attempts.len() > 200, "{}", attempts.len());
+    assert!(attempts.values().all(|n| *n == 1), "{attempts:?}");
 }
 
 #[test]
@@ -400,7 +400,7 @@
     });
     over.store(true, Ordering::Relaxed);
     let (calls, worst) = traffic.join().unwrap();
-    // Nothing is measured here: a forward that waits for a subscriber would wait for as long as that is silent.
+    // Nothing is measured here: an attempt that waits for a subscriber would wait for as long as that is silent.
     assert!(
         calls > 50 && worst < Duration::from_secs(2),
         "{calls} calls, the slowest {worst:?}"
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::Command;
 
-const FORWARDS: &str = "/settings/forwards-most";
+const ATTEMPTS: &str = "/settings/forwards-most";
 const KEEPERS: usize = 3;
 
 fn well(said: &Said) {
@@ -27,7 +27,7 @@
     (0..rig.size()).for_each(|g| {
         rig.until_fit(g);
         until("all have the setting", || {
-            rig.setting(g, FORWARDS) == *value
+            rig.setting(g, ATTEMPTS) == *value
         });
     });
 }
@@ -35,7 +35,7 @@
 /// Whose disk is lost for good while all are down, and what is said of beginning anew at gateway 2.
 fn disks_lost(test: &str, lost: &[usize]) -> Rig {
     let mut rig = loaded(test, &Plan::default());
-    well(&rig.set(0, &[FORWARDS, "5"]));
+    well(&rig.set(0, &[ATTEMPTS, "5"]));
     (0..rig.size()).for_each(|g| rig.kill(g));
     lost.iter().for_each(|k| rig.wipe(*k));
     (0..rig.size()).for_each(|g| rig.start(g));
@@ -72,7 +72,7 @@
             .as_array()
             .is_some_and(|k| k.len() == KEEPERS)
     });
-    well(&rig.set(4, &[FORWARDS, "3"]));
+    well(&rig.set(4, &[ATTEMPTS, "3"]));
     all_have(&rig, &json!(3));
     // While a chair answers, no word begins anything.
     let again = rig.cli(2, &["fleet", "begin-anew"]);
@@ -142,7 +142,7 @@
 /// Most keepers, believed lost, come back after a history was begun anew without them.
 fn back_after_anew(test: &str, plan: &Plan) -> Rig {
     let mut rig = loaded(test, plan);
-    well(&rig.set(0, &[FORWARDS, "5"]));
+    well(&rig.set(0, &[ATTEMPTS, "5"]));
     // For good, as their operator believes.
     rig.kill(0);
     rig.kill(1);
@@ -150,7 +150,7 @@
     well(&anew);
     assert!(anew.out.contains("2 keepers did not answer"), "{anew:?}");
     (2..rig.size()).for_each(|g| rig.until_fit(g));
-    well(&rig.set(3, &[FORWARDS, "2"]));
+    well(&rig.set(3, &[ATTEMPTS, "2"]));
     rig.start(0);
     rig.start(1);
     rig
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -21,7 +21,7 @@
             cores: 8.0,
             memory_mb: 1.0,
         }],
-        most_forwards: 4,
+        max_attempts: 4,
         cold_from: 0.3,
         warm_after: 15e3,
         fall_multiple: 4.0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -118,7 +118,7 @@
     }
 }
 
-/// What the carrying goes by: how long to connect, how long an idle connection lives, how many forwards share
+/// What the carrying goes by: how long to connect, how long an idle connection lives, how many attempts share
 /// one, how many requests may be open, the longest hard limit, and what an engine's report names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Carriage {
@@ -258,7 +258,7 @@
         } else {
             0.0
         },
-        most_forwards: number(v, "policy_limits.max_attempts")?.clamp(0.0, 255.0) as u8,
+        max_attempts: number(v, "policy_limits.max_attempts")?.clamp(0.0, 255.0) as u8,
         must_subscribe: word(v, "registry_mode")? == "subscribe",
         cold_from: number(v, "guarantees.cold_from")?,
         warm_after: time(v, "guarantees.warm_after_ns")?,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -112,7 +112,7 @@
         tries_marked: true,
         may_withdraw: true,
         come_back_most: COME_BACK_MOST,
-        most_forwards: 6,
+        max_attempts: 6,
         cold_from: COLD_FROM,
         warm_after: WARM_AFTER,
         fall_multiple: FALL_MULTIPLE,
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -16,7 +16,8 @@
     pub scrapped: u32,
     /// Engines that were pushed over while cold.
     pub fell: u32,
-    pub forwards: u32,
+    #[serde(rename = "forwards")]
+    pub attempts: u32,
     pub beats: u32,
 }
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -24,7 +24,7 @@
 const LATE: Ms = 20.0;
 const ZONES: u16 = 3;
 
-/// How a forward ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum End {
     Withdrawn,
@@ -77,7 +77,7 @@
 
 #[derive(Debug)]
 enum Act {
-    Forward(usize, usize),
+    Attempt(usize, usize),
     Withdraw(usize),
     Reject(usize, Ms),
     Scrap(usize),
@@ -90,7 +90,7 @@
 
 impl Outlet for Hands {
     fn attempt(&mut self, request: usize, engine: usize, _by: Ms) {
-        self.0.push(Act::Forward(request, engine));
+        self.0.push(Act::Attempt(request, engine));
     }
     fn withdraw(&mut self, request: usize, _nth: u8) {
         self.0.push(Act::Withdraw(request));
@@ -295,7 +295,7 @@
 
     fn act(&mut self, g: usize, act: Act) {
         match act {
-            Act::Forward(slot, engine) => {
+            Act::Attempt(slot, engine) => {
                 let process = self.gates[g].process;
                 let Some(held) = self.gates[g].slots[slot].as_mut() else {
                     return;
@@ -308,7 +308,7 @@
                     nth: held.nth,
                 };
                 let to = self.engines[engine].process;
-                self.figures.at(self.now).forwards += 1;
+                self.figures.at(self.now).attempts += 1;
                 self.after(WAY, Event::AtEngine(asker, engine, to));
             }
             Act::Withdraw(slot) => {
--- a/crates/test-cluster/src/oracle.rs
+++ b/crates/test-cluster/src/oracle.rs
@@ -26,8 +26,8 @@
     Closed { client: usize, connection: usize },
     /// A gateway's process was killed outright, and owes its client (of the same number) nothing on what was open.
     Killed { gateway: usize },
-    /// An engine got a forward.
-    Forward {
+    /// An engine got an attempt.
+    Attempt {
         gateway: usize,
         engine: usize,
         id: String,
@@ -212,7 +212,7 @@
                 }
             }
             Seen::Closed { .. } | Seen::Killed { .. } => {}
-            Seen::Forward {
+            Seen::Attempt {
                 gateway,
                 engine,
                 id,
@@ -266,7 +266,7 @@
             call,
             what: What::Settled,
         };
-        let forward = |id: &str, engine| Seen::Forward {
+        let attempt = |id: &str, engine| Seen::Attempt {
             gateway: 2,
             engine,
             id: id.into(),
@@ -292,7 +292,7 @@
             after: 1.0,
         };
         for (seen, want) in [
-            (vec![ask(1), forward("x", 1), answer(1)], vec![]),
+            (vec![ask(1), attempt("x", 1), answer(1)], vec![]),
             (
                 vec![ask(1), answer(1), answer(1)],
                 vec![Breach::TwoAnswers { client: 0, call: 1 }],
@@ -314,19 +314,19 @@
                 vec![Breach::NoAnswer { client: 0, call: 1 }],
             ),
             (
-                vec![forward("x", 0), forward("x", 1)],
+                vec![attempt("x", 0), attempt("x", 1)],
                 vec![Breach::TwiceOut { id: "x".into() }],
             ),
             (
                 vec![
-                    forward("x", 0),
+                    attempt("x", 0),
                     bar.clone(),
-                    forward("y", 0),
-                    forward("z", 1),
+                    attempt("y", 0),
+                    attempt("z", 1),
                 ],
                 vec![left],
             ),
-            (vec![bar, free, forward("z", 1)], vec![]),
+            (vec![bar, free, attempt("z", 1)], vec![]),
         ] {
             let lines: Vec<(f64, Seen)> = seen
                 .into_iter()
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -1,5 +1,5 @@
 //! Gateways of one fleet as processes: each with its files, its links to the keepers and its engines' addresses, so
-//! that an engine knows from which gateway a forward came.
+//! that an engine knows from which gateway an attempt came.
 
 use crate::link::{Link, Way};
 use crate::oracle::{breaches, Book, Breach, Seen, What};
@@ -602,7 +602,7 @@
             .and_then(|r| r.split([',', ' ']).next())
             .unwrap_or_default();
         let id = stand::id(line).to_string();
-        book.note(Seen::Forward {
+        book.note(Seen::Attempt {
             gateway,
             engine: nth,
             id,
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -32,7 +32,7 @@
 pub enum Ask {
     Bar(&'static str),
     Free(&'static str),
-    Forwards(u64),
+    MaxAttempts(u64),
     Nothing,
 }
 
@@ -66,7 +66,7 @@
             Ask::Bar(class),
             Ask::Bar(class),
             Ask::Free(class),
-            Ask::Forwards(2 + below(5)),
+            Ask::MaxAttempts(2 + below(5)),
             Ask::Nothing,
         ];
         let ask = ask[below(5) as usize];
@@ -85,7 +85,7 @@
         Ask::Nothing => None,
         Ask::Bar(class) => Some(rig.bar_meanwhile(at, class)),
         Ask::Free(class) => Some(rig.free_meanwhile(at, class)),
-        Ask::Forwards(n) => Some(rig.cli_meanwhile(
+        Ask::MaxAttempts(n) => Some(rig.cli_meanwhile(
             at,
             &["set", "/settings/forwards-most", &n.to_string(), "--fleet"],
         )),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -104,7 +104,7 @@
     /// What the values of an engine's report tell, in their order.
     pub reports: Vec<Load>,
     pub come_back_most: Ms,
-    pub most_forwards: u8,
+    pub max_attempts: u8,
     pub must_subscribe: bool,
     pub cold_from: f64,
     pub warm_after: Ms,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -91,7 +91,7 @@
     now: Ms,
     engines: Vec<Engine>,
     subs: Vec<PendingRequest>,
-    flying: Vec<usize>,
+    in_flight: Vec<usize>,
     classes: Vec<ClassState>,
     orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the roster changes
     asked: HashMap<u64, Fade>,               // work by table group
@@ -220,7 +220,7 @@
         }
         self.subs[sub] =
             PendingRequest { of, work, open: true, aim, limit, lot: self.chance.lot(), ..Default::default() };
-        (self.subs[sub].under, self.subs[sub].most) = (class.terms.clone(), self.m.most_forwards);
+        (self.subs[sub].under, self.subs[sub].most) = (class.terms.clone(), self.m.max_attempts);
         if self.keyed(sub) {
             self.keys.entry(of.key).or_default().0.push_back(sub);
         }
@@ -244,7 +244,7 @@
     pub fn outcome(&mut self, now: Ms, sub: usize, what: Outcome, closed: bool, out: &mut dyn Outlet) {
         self.now = now;
         let Some(fwd) = self.subs.get_mut(sub).and_then(|s| s.out.take()) else { return };
-        self.flying.retain(|&f| f != sub);
+        self.in_flight.retain(|&f| f != sub);
         let (keyed, weight) = (self.keyed(sub), self.weight(self.subs[sub].of.class));
         let s = &mut self.subs[sub];
         let (b, elapsed, threads) = (s.of.class, now - fwd.sent, self.m.classes[s.of.class].threads);
@@ -372,7 +372,7 @@
 
     // Against a last outcome that never comes, and answers that cross the client's leaving.
     fn answer_at_the_hard_limit(&mut self, out: &mut dyn Outlet) -> bool {
-        let mut held = self.classes.iter().flat_map(|b| &b.line).chain(&self.flying).copied();
+        let mut held = self.classes.iter().flat_map(|b| &b.line).chain(&self.in_flight).copied();
         let late = |s: &PendingRequest| s.open && self.now >= s.limit - 2.0 * self.m.tick;
         held.find(|&s| late(&self.subs[s])).is_some_and(|s| self.end(s, 0.0, out))
     }
@@ -381,8 +381,8 @@
     // expected time counts as one. Against answers that get lost: one that was sent in the later half of its
     // time is settled, so this says nothing of the pace, and from five times its usual time on goes again.
     fn count_the_overdue(&mut self, out: &mut dyn Outlet) -> bool {
-        for n in 0..self.flying.len() {
-            let (sub, now, s) = (self.flying[n], self.now, &self.subs[self.flying[n]]);
+        for n in 0..self.in_flight.len() {
+            let (sub, now, s) = (self.in_flight[n], self.now, &self.subs[self.in_flight[n]]);
             let (b, terms) = (s.of.class, &self.m.classes[s.of.class]);
             let Some(f) = s.out.filter(|f| !f.overdue) else { continue };
             let elapsed = now - f.sent;
@@ -462,7 +462,7 @@
             let line = &self.classes[b].line;
             let hopeless = |i: &usize| {
                 let s = &self.subs[*i];
-                !self.may_forward_again(s)
+                !self.may_attempt_again(s)
                     || self.now + self.service(b, s.of.cells, s.work) > s.aim.min(s.limit)
             };
             // Against a cell whose line would turn back what others could still take.
@@ -480,7 +480,7 @@
 
     fn wake(&mut self, out: &mut dyn Outlet) -> bool {
         let waiting = self.classes.iter().any(|b| !b.line.is_empty()) || self.subscribe_at.is_some();
-        if self.wake_at <= self.now && (waiting || !self.flying.is_empty()) {
+        if self.wake_at <= self.now && (waiting || !self.in_flight.is_empty()) {
             self.wake_at = self.now + 2.0 * self.m.tick;
             out.wake(2.0 * self.m.tick);
         }
@@ -531,14 +531,14 @@
         // Order per key, and rest after an outcome that leaves an engine perhaps still at it.
         let turn =
             |k: &(VecDeque<usize>, Ms)| k.0.front() == Some(&sub) && (s.attempts > 0 || self.now >= k.1);
-        self.may_forward_again(s)
+        self.may_attempt_again(s)
             && (s.attempts == 0 || self.rationed())
             && (!self.keyed(sub) || self.now >= self.keys_from && self.keys.get(&s.of.key).is_none_or(turn))
     }
 
-    fn may_forward_again(&self, s: &PendingRequest) -> bool {
+    fn may_attempt_again(&self, s: &PendingRequest) -> bool {
         let terms = &self.m.classes[s.of.class];
-        s.attempts < self.m.most_forwards.min(s.most)
+        s.attempts < self.m.max_attempts.min(s.most)
             && match terms.repeat {
                 Effect::NonIdempotent => s.may_have_run.is_empty(),
                 _ => self.now <= self.window_ends(s),
@@ -547,7 +547,7 @@
 
     fn may_begin_anew(&self, s: &PendingRequest) -> bool {
         let may = self.m.may_withdraw && s.open && self.now < self.until;
-        may && self.may_forward_again(s) && self.rationed()
+        may && self.may_attempt_again(s) && self.rationed()
     }
 
     /// Until when engines know a further attempt for one of those that may have run.
@@ -749,7 +749,7 @@
         s.attempts += 1;
         s.may_have_run.push((engine, now));
         s.out = Some(Attempt { engine, sent: now, counted: (now, 0.0), ..Default::default() });
-        self.flying.push(sub);
+        self.in_flight.push(sub);
         let threads = self.m.classes[b].threads;
         let class = &mut self.classes[b];
         class.line.retain(|&i| i != sub);
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -8,7 +8,7 @@
 pub struct EngineView {
     pub standing: Standing,
     pub cores: f64,
-    /// Threads of this gateway's own running forwards there.
+    /// Threads of this gateway's own running attempts there.
     pub threads: f64,
     /// The largest share of it in use that it told last, and when; or when it was asked.
     pub report: Option<(Ms, f64)>,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -87,7 +87,7 @@
         priorities_heeded: true,
         lines_up: true,
         tries_marked: true,
-        most_forwards: 4,
+        max_attempts: 4,
         cold_from: 0.3,
         warm_after: 10_000.0,
         fall_multiple: 3.0,
@@ -183,7 +183,7 @@
 
     pub fn took(&mut self, now: Ms, slot: usize, of: Request) {
         self.at.insert(slot, self.held.len());
-        let (under, most) = (self.m.classes[of.class].clone(), self.m.most_forwards);
+        let (under, most) = (self.m.classes[of.class].clone(), self.m.max_attempts);
         self.held.push(Held { under, most, of, taken: now, over: false, tries: Vec::new() });
     }
 
@@ -221,7 +221,7 @@
         let (terms, under) = (&self.m.classes[h.of.class], &h.under);
         breaks!(h.of.cells != 0 && h.of.cells & line.cells == 0, "6: outside its cells");
         breaks!(under.closed, "a band out of service is forwarded");
-        breaks!(h.tries.len() >= h.most.min(self.m.most_forwards) as usize, "7: more attempts than allowed");
+        breaks!(h.tries.len() >= h.most.min(self.m.max_attempts) as usize, "7: more attempts than allowed");
         breaks!(h.over || now > h.taken + h.of.left, "1: sent after the end");
         breaks!(h.tries.iter().any(|t| t.end.is_none()), "2: two attempts out");
         for ran in h.tries.iter().filter(|t| t.may_have_run()) {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -315,7 +315,7 @@
 fn a_tighter_figure_of_a_rule_binds_at_once_and_a_looser_one_sets_free_nothing_counted_before() {
     let mut m = two_classes();
     m.ration = Some(Ration { spare: 2.0, share: 0.0, span: 2000.0 });
-    m.most_forwards = 9;
+    m.max_attempts = 9;
     let mut g = start(m.clone(), 4);
     let mut sheet = Sheet::default();
     let mut fails = |g: &mut Gateway, now: Ms| {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -59,7 +59,7 @@
             5 => {
                 // A crowd stays one: the referee adds up cold shares of few gateways only, and knows no ramp.
                 let others = if m.gateways < 100.0 { (a % 2) as f64 } else { 199.0 + a as f64 };
-                (m.most_forwards, m.gateways) = (1 + a % 5, 1.0 + others);
+                (m.max_attempts, m.gateways) = (1 + a % 5, 1.0 + others);
             }
             6 => {
                 m.ration =
