--- a/crates/cells/src/keeper.rs
+++ b/crates/cells/src/keeper.rs
@@ -126,7 +126,7 @@
             .unwrap()
             .pin_tenant(7, Some(&["a"]))
             .unwrap();
-        let keeper = |a: &Assignment| Keeper::new(a.clone(), Choice::Reject { come_back: 0.0 });
+        let keeper = |a: &Assignment| Keeper::new(a.clone(), Choice::Reject { retry_after: 0.0 });
         let (a, b, c) = (Cells::one(0), Cells::one(1), Cells::one(2));
         let second = first.pin_tenant(7, Some(&["b"])).unwrap();
         let mut k = keeper(&second);
--- a/crates/cells/src/trouble.rs
+++ b/crates/cells/src/trouble.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Choice {
     /// Turned back at once, with the advice to come back after that time.
-    Reject { come_back: Ms },
+    Reject { retry_after: Ms },
     /// Places elsewhere, for this share of what it sends.
     Lend { share: f64 },
 }
@@ -19,7 +19,7 @@
     /// To engines of these cells.
     To(Cells),
     Rejected {
-        come_back: Ms,
+        retry_after: Ms,
     },
 }
 
@@ -50,8 +50,8 @@
                 self.lent += 1.0;
                 Goes::To(elsewhere)
             }
-            Choice::Lend { .. } => Goes::Rejected { come_back: 0.0 },
-            Choice::Reject { come_back } => Goes::Rejected { come_back },
+            Choice::Lend { .. } => Goes::Rejected { retry_after: 0.0 },
+            Choice::Reject { retry_after } => Goes::Rejected { retry_after },
         }
     }
 }
--- a/crates/cells/tests/assign.rs
+++ b/crates/cells/tests/assign.rs
@@ -126,12 +126,12 @@
     );
     assert_eq!(
         lent.goes(400.0, own, Cells::default(), all, lend),
-        Goes::Rejected { come_back: 0.0 }
+        Goes::Rejected { retry_after: 0.0 }
     );
-    let back = Choice::Reject { come_back: 500.0 };
+    let back = Choice::Reject { retry_after: 500.0 };
     assert_eq!(
         lent.goes(400.0, own, rest, all, back),
-        Goes::Rejected { come_back: 500.0 }
+        Goes::Rejected { retry_after: 500.0 }
     );
 }
 
--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -134,7 +134,8 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tenant: Vec<TenantPin>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub turn_back: Option<u32>,
+    #[serde(rename = "turn-back")]
+    pub retry_after: Option<u32>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lend: Option<Decimal<4>>,
 }
@@ -206,11 +207,11 @@
             let pinned = a.pin_tenant(number(pin.name.as_bytes()), Some(&names));
             a = pinned.map_err(|e| at(&format!("tenant[name={}]/cell", pin.name), &e))?;
         }
-        let choice = match (self.turn_back, self.lend) {
+        let choice = match (self.retry_after, self.lend) {
             (Some(_), Some(_)) => return Err(at("lend", &"either turn-back or lend")),
             (_, Some(share)) => Choice::Lend { share: share.get() },
             (ms, None) => Choice::Reject {
-                come_back: ms.unwrap_or(0) as f64,
+                retry_after: ms.unwrap_or(0) as f64,
             },
         };
         Ok(Keeper::new(a, choice))
@@ -337,7 +338,7 @@
             class: class.collect(),
             gateways: m.gateways as u32,
             max_attempts: m.max_attempts,
-            advice: whole(m.come_back_most),
+            advice: whole(m.max_retry_after),
             ration: m.ration.map(|r| Ration {
                 spare: r.spare.round() as u32,
                 share: Decimal::of(r.share),
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -14,7 +14,7 @@
     AtOnce,
     /// Only for requests taken from then on.
     NewOnly,
-    /// New ones are turned back at once; it is over when those open are.
+    /// New ones are rejected at once; it is over when those open are.
     OpenFirst,
 }
 
@@ -245,7 +245,7 @@
         Mandate {
             gateways: changed(to.gateways != was.gateways, to.gateways as f64, m.gateways),
             classes: roll.0.iter().map(|slot| self.terms(slot, to)).collect(),
-            come_back_most: changed(to.advice != was.advice, to.advice as f64, m.come_back_most),
+            max_retry_after: changed(to.advice != was.advice, to.advice as f64, m.max_retry_after),
             max_attempts: to.max_attempts,
             cold_from: changed(cold.from != old.from, cold.from.get(), m.cold_from),
             warm_after: changed(
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -40,8 +40,8 @@
     pub taken: u64,
     pub released: u64,
     pub settled: u64,
-    pub turned_back: u64,
-    pub scrapped: u64,
+    pub rejected: u64,
+    pub failed: u64,
     pub left: u64,
     pub late: u64,
 }
@@ -291,8 +291,8 @@
     n.wide("taken", c.taken);
     n.wide("released", c.released);
     n.wide("settled", c.settled);
-    n.wide("turned-back", c.turned_back);
-    n.wide("scrapped", c.scrapped);
+    n.wide("turned-back", c.rejected);
+    n.wide("scrapped", c.failed);
     n.wide("left", c.left);
     n.wide("late", c.late);
     n.decimal("charged", v.charged.min(1e15), 3);
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -7,7 +7,7 @@
 use base64::Engine as _;
 use common::*;
 use ironstair::logic::Gateway as Module;
-use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Request, Standing};
+use ironstair::{Actions, Cost, Listed, Ms, Outcome, Request, Standing};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::thread;
@@ -39,16 +39,16 @@
 
 /// Takes what the module asks for, and remembers the attempt.
 #[derive(Default)]
-struct Hands(Option<usize>);
+struct ActionExecutor(Option<usize>);
 
-impl Outlet for Hands {
+impl Actions for ActionExecutor {
     fn attempt(&mut self, request: usize, _engine: usize, _by: Ms) {
         self.0 = Some(request);
     }
     fn withdraw(&mut self, _: usize, _: u8) {}
-    fn terms(&mut self, _: usize, _: u8, _: f64) {}
+    fn set_priority(&mut self, _: usize, _: u8, _: f64) {}
     fn reject(&mut self, _: usize, _: Ms) {}
-    fn scrap(&mut self, _: usize) {}
+    fn fail(&mut self, _: usize) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: usize) {}
     fn wake(&mut self, _: Ms) {}
@@ -73,7 +73,7 @@
                 .as_bytes(),
             );
             let mut module = Module::new(mandate.unwrap(), 7);
-            let mut hands = Hands::default();
+            let mut executor = ActionExecutor::default();
             let lines: Vec<Listed> = (0..n)
                 .map(|engine| Listed {
                     engine,
@@ -83,7 +83,7 @@
                     ..Listed::default()
                 })
                 .collect();
-            module.roster(1.0, true, &lines, &mut hands);
+            module.roster(1.0, true, &lines, &mut executor);
             let calls = 20_000;
             let since = Instant::now();
             for call in 0..calls {
@@ -95,8 +95,8 @@
                     cells,
                     ..Request::default()
                 };
-                module.take(now, call as usize % 64, of, &mut hands);
-                if let Some(s) = hands.0.take() {
+                module.take(now, call as usize % 64, of, &mut executor);
+                if let Some(s) = executor.0.take() {
                     module.outcome(
                         now + 0.05,
                         s,
@@ -105,7 +105,7 @@
                             memory_mb: 0.0,
                         })),
                         true,
-                        &mut hands,
+                        &mut executor,
                     );
                 }
             }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -503,7 +503,7 @@
             let call = match &reply {
                 Reply::Settled(c, _)
                 | Reply::Rejected(c, _)
-                | Reply::Scrapped(c)
+                | Reply::Failed(c)
                 | Reply::Unusable(c) => {
                     // Not for one that its client has taken back meanwhile.
                     if !self.open.borrow().contains_key(c) {
@@ -523,9 +523,7 @@
                     Reply::Rejected(_, after) => {
                         rpc::error(&mut out, call, rpc::REJECTED, "turned back", after)
                     }
-                    Reply::Scrapped(_) => {
-                        rpc::error(&mut out, call, rpc::SCRAPPED, "scrapped", 0.0)
-                    }
+                    Reply::Failed(_) => rpc::error(&mut out, call, rpc::FAILED, "scrapped", 0.0),
                     Reply::Unusable(_) => {
                         rpc::error(&mut out, call, rpc::INVALID_FIELDS, "id in use", 0.0)
                     }
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use ironstair::door::Door;
 use ironstair::logic::Gateway;
-use ironstair::{Listed, Mandate, Ms, Outcome, Outlet, Request, Standing};
+use ironstair::{Actions, Listed, Mandate, Ms, Outcome, Request, Standing};
 use ironstair_cells::{Cells, Goes, Keeper};
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::{self, Counts, Snapshot};
@@ -63,7 +63,7 @@
     }
 }
 
-struct Hands {
+struct ActionExecutor {
     shared: Rc<Shared>,
     now: Ms,
     subs: Door<Id>,
@@ -82,9 +82,9 @@
     share: Option<Share>,
 }
 
-impl Hands {
+impl ActionExecutor {
     fn new(shared: Rc<Shared>, cells: Option<Keeper>) -> Self {
-        Hands {
+        ActionExecutor {
             now: shared.clock.now(),
             shared,
             subs: Door::default(),
@@ -153,7 +153,7 @@
     }
 }
 
-impl Hands {
+impl ActionExecutor {
     /// An attempt has ended; its tenant's move may be over with it.
     fn left_its_cell(&mut self, request: usize) {
         let (now, Some(h)) = (self.now, self.held.get(request).and_then(Option::as_ref)) else {
@@ -182,7 +182,7 @@
     }
 }
 
-impl Outlet for Hands {
+impl Actions for ActionExecutor {
     fn attempt(&mut self, request: usize, engine: usize, by: Ms) {
         let id = self.subs.id(request);
         let cells = self
@@ -249,7 +249,7 @@
             }
         }
     }
-    fn terms(&mut self, request: usize, priority: u8, _grant_mb: f64) {
+    fn set_priority(&mut self, request: usize, priority: u8, _grant_mb: f64) {
         // The engines' lines have no word for memory.
         let id = self.subs.id(request);
         let Some(h) = self.held(request) else {
@@ -260,13 +260,13 @@
             self.order(engine, Order::Priority(id, priority));
         }
     }
-    fn reject(&mut self, request: usize, come_back: Ms) {
-        self.counted(request, |c| c.turned_back += 1);
-        self.answer(request, |call| Reply::Rejected(call, come_back));
+    fn reject(&mut self, request: usize, retry_after: Ms) {
+        self.counted(request, |c| c.rejected += 1);
+        self.answer(request, |call| Reply::Rejected(call, retry_after));
     }
-    fn scrap(&mut self, request: usize) {
-        self.counted(request, |c| c.scrapped += 1);
-        self.answer(request, Reply::Scrapped);
+    fn fail(&mut self, request: usize) {
+        self.counted(request, |c| c.failed += 1);
+        self.answer(request, Reply::Failed);
     }
     fn subscribe(&mut self) {
         // The list's actor always follows.
@@ -308,84 +308,84 @@
     shown: Option<Shown>,
     cells: Option<Keeper>,
 ) {
-    let mut hands = Hands::new(shared, cells);
+    let mut executor = ActionExecutor::new(shared, cells);
     // In a fleet nothing is decided before it has said until when.
-    gateway.tenure(hands.now, hands.shared.tenure.get(), &mut hands);
-    gateway.rest_keys(hands.shared.gauges.keys_rest.get());
+    gateway.tenure(executor.now, executor.shared.tenure.get(), &mut executor);
+    gateway.rest_keys(executor.shared.gauges.keys_rest.get());
     loop {
-        let Ok(event) = next(&hands.shared.clock, &events, hands.wake).await else {
+        let Ok(event) = next(&executor.shared.clock, &events, executor.wake).await else {
             return;
         };
-        let now = hands.shared.clock.now();
-        hands.now = now;
+        let now = executor.shared.clock.now();
+        executor.now = now;
         match event {
             None => {
-                hands.wake = None;
-                gateway.due(now, &mut hands);
+                executor.wake = None;
+                gateway.due(now, &mut executor);
             }
-            Some(Event::NewRequest(t)) => take(&mut gateway, &mut hands, *t),
+            Some(Event::NewRequest(t)) => take(&mut gateway, &mut executor, *t),
             Some(Event::Left(id, client)) => {
-                let Some(s) = hands.subs.find(id) else {
+                let Some(s) = executor.subs.find(id) else {
                     continue;
                 };
                 // Only its own client takes it back, not who sent another under the same id.
                 let own =
                     |h: &&mut Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
-                if let Some(h) = hands.held[s].as_mut().filter(own) {
+                if let Some(h) = executor.held[s].as_mut().filter(own) {
                     h.client = None;
                     let class = h.class;
-                    hands.count(class).left += 1;
-                    gateway.left(now, s, &mut hands);
+                    executor.count(class).left += 1;
+                    gateway.left(now, s, &mut executor);
                 }
             }
             Some(Event::Closed(id, client)) => {
-                let Some(s) = hands.subs.find(id) else {
+                let Some(s) = executor.subs.find(id) else {
                     continue;
                 };
                 let own = |h: &Held| h.client.as_ref().is_some_and(|c| c.same_channel(&client));
-                if hands.held[s].as_ref().is_some_and(own) {
-                    gateway.closed(now, s, &mut hands);
+                if executor.held[s].as_ref().is_some_and(own) {
+                    gateway.closed(now, s, &mut executor);
                 }
             }
             Some(Event::Ended { id, what, rows }) => {
-                let Some(s) = hands.subs.find(id) else {
+                let Some(s) = executor.subs.find(id) else {
                     continue;
                 };
-                hands.left_its_cell(s);
-                let open = hands.held[s].as_mut().is_some_and(|h| {
+                executor.left_its_cell(s);
+                let open = executor.held[s].as_mut().is_some_and(|h| {
                     (h.engine, h.out) = (None, None);
                     h.client.is_some()
                 });
                 if open && rows.is_some() {
-                    hands.settled(s);
+                    executor.settled(s);
                 }
                 let settled =
-                    rows.is_some_and(|rows| hands.answer(s, |call| Reply::Settled(call, rows)));
-                gateway.outcome(now, s, what, settled || !open, &mut hands);
+                    rows.is_some_and(|rows| executor.answer(s, |call| Reply::Settled(call, rows)));
+                gateway.outcome(now, s, what, settled || !open, &mut executor);
             }
             Some(Event::Report { engine, values }) => {
-                gateway.report(now, engine, &values, &mut hands)
+                gateway.report(now, engine, &values, &mut executor)
             }
             Some(Event::Ending(at)) => {
-                hands.ends = at;
-                gateway.ending(now, at, &mut hands);
+                executor.ends = at;
+                gateway.ending(now, at, &mut executor);
             }
-            Some(Event::Roster(lines)) => roster(&mut gateway, &mut hands, lines),
+            Some(Event::Roster(lines)) => roster(&mut gateway, &mut executor, lines),
             Some(Event::Asked(request)) => match (request, &shown) {
-                (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut hands, shown),
-                (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut hands, *to),
+                (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut executor, shown),
+                (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut executor, *to),
                 (ManagementCommand::Tenure(until, share), _) => {
-                    hands.shared.tenure.set(until);
+                    executor.shared.tenure.set(until);
                     if let Some(share) =
-                        share.filter(|s| hands.share.is_none_or(|was| s.differs(was)))
+                        share.filter(|s| executor.share.is_none_or(|was| s.differs(was)))
                     {
-                        hands.share = Some(share);
-                        let mandate = hands.mandate.as_ref().map(|m| share.of(m));
+                        executor.share = Some(share);
+                        let mandate = executor.mandate.as_ref().map(|m| share.of(m));
                         mandate
                             .into_iter()
-                            .for_each(|m| gateway.amend(now, m, &mut hands));
+                            .for_each(|m| gateway.amend(now, m, &mut executor));
                     }
-                    gateway.tenure(now, until, &mut hands);
+                    gateway.tenure(now, until, &mut executor);
                 }
                 (ManagementCommand::Show, None) => {}
             },
@@ -394,57 +394,61 @@
 }
 
 /// Other terms: what is open was taken under the old ones and is counted under its class's index.
-fn amend(gateway: &mut Gateway, hands: &mut Hands, to: Amendment) {
-    hands.shared.classes.replace(Rc::new(to.classes));
-    hands.shared.longest.set(to.longest);
+fn amend(gateway: &mut Gateway, executor: &mut ActionExecutor, to: Amendment) {
+    executor.shared.classes.replace(Rc::new(to.classes));
+    executor.shared.longest.set(to.longest);
     if let Some(carriage) = to.carriage {
-        hands.shared.carriage.replace(Rc::new(carriage));
+        executor.shared.carriage.replace(Rc::new(carriage));
     }
     if let Some(cells) = to
         .cells
-        .filter(|cells| hands.cells.is_some() || cells.is_some())
+        .filter(|cells| executor.cells.is_some() || cells.is_some())
     {
-        let was = std::mem::replace(&mut hands.cells, cells);
-        if let (Some(is), Some(was)) = (&mut hands.cells, &was) {
-            let out = hands.held.iter().flatten().filter(|h| h.engine.is_some());
-            is.succeeds(hands.now, was, out.map(|h| (h.tenant, Cells(h.cells))));
+        let was = std::mem::replace(&mut executor.cells, cells);
+        if let (Some(is), Some(was)) = (&mut executor.cells, &was) {
+            let out = executor
+                .held
+                .iter()
+                .flatten()
+                .filter(|h| h.engine.is_some());
+            is.succeeds(executor.now, was, out.map(|h| (h.tenant, Cells(h.cells))));
             if is.moving() > 0 {
-                info!(hands.shared.log, "tenants move to other cells"; "tenants" => is.moving());
+                info!(executor.shared.log, "tenants move to other cells"; "tenants" => is.moving());
             }
         }
-        move_tenants(gateway, hands);
+        move_tenants(gateway, executor);
     }
-    let shared = hands.share.map(|s| s.of(&to.mandate));
+    let shared = executor.share.map(|s| s.of(&to.mandate));
     // In a fleet the share changes while the terms stay.
-    if hands.shared.tenure.get().is_finite() {
-        hands.mandate = Some(to.mandate.clone());
+    if executor.shared.tenure.get().is_finite() {
+        executor.mandate = Some(to.mandate.clone());
     }
-    gateway.amend(hands.now, shared.unwrap_or(to.mandate), hands);
+    gateway.amend(executor.now, shared.unwrap_or(to.mandate), executor);
     let _ = to.done.try_send(());
 }
 
 /// Engines and tenants go by other cells from now on. New attempts of what is open go where its tenant is now; what
 /// runs finishes where it is.
-fn move_tenants(gateway: &mut Gateway, hands: &mut Hands) {
-    let Some(keeper) = &mut hands.cells else {
-        (0..hands.held.len()).for_each(|s| gateway.confine(s, 0));
+fn move_tenants(gateway: &mut Gateway, executor: &mut ActionExecutor) {
+    let Some(keeper) = &mut executor.cells else {
+        (0..executor.held.len()).for_each(|s| gateway.confine(s, 0));
         let cells = |_: u64| 0;
-        let lines = lines(&hands.engines, &hands.names, cells);
-        return gateway.roster(hands.now, true, &lines, hands);
+        let lines = lines(&executor.engines, &executor.names, cells);
+        return gateway.roster(executor.now, true, &lines, executor);
     };
-    let lines = lines(&hands.engines, &hands.names, |id| keeper.engine(id).0);
+    let lines = lines(&executor.engines, &executor.names, |id| keeper.engine(id).0);
     keeper.roster(
         lines
             .iter()
             .filter(|l| l.standing == Standing::Ready)
             .map(|l| l.id),
     );
-    for (s, held) in hands.held.iter().enumerate() {
+    for (s, held) in executor.held.iter().enumerate() {
         if let Some(h) = held {
             gateway.confine(s, keeper.tenant(h.tenant).0);
         }
     }
-    gateway.roster(hands.now, true, &lines, hands);
+    gateway.roster(executor.now, true, &lines, executor);
 }
 
 /// The roster as it stands, for the module.
@@ -480,11 +484,11 @@
 }
 
 /// Engines whose figures are as they were keep their entry, so that who reads finds quickly what has changed.
-fn show(gateway: &Gateway, hands: &mut Hands, shown: &Shown) {
-    let (window, shared) = (&shown.window, hands.shared.clone());
+fn show(gateway: &Gateway, executor: &mut ActionExecutor, shown: &Shown) {
+    let (window, shared) = (&shown.window, executor.shared.clone());
     let was = window.latest();
-    let mut inflight = vec![0u32; hands.engines.len()];
-    hands
+    let mut inflight = vec![0u32; executor.engines.len()];
+    executor
         .held
         .iter()
         .flatten()
@@ -497,7 +501,7 @@
             .unwrap_or_else(|| "unknown".into())
     };
     let mut engines = was.engines.clone();
-    let listed: BTreeMap<&str, usize> = hands
+    let listed: BTreeMap<&str, usize> = executor
         .engines
         .iter()
         .enumerate()
@@ -509,19 +513,18 @@
         .filter(|name| !listed.contains_key(&***name));
     gone.for_each(|name| drop(engines.remove(name)));
     for (name, i) in listed {
-        let (Some(e), Some(view)) = (&hands.engines[i], gateway.engine_view(i)) else {
+        let (Some(e), Some(view)) = (&executor.engines[i], gateway.engine_view(i)) else {
             continue;
         };
         let is = state::Engine {
-            id: hands.names.id(i),
+            id: executor.names.id(i),
             address: e.place.address.to_string(),
             zone: named(&shown.zones, e.place.zone),
             kind: named(&shown.kinds, e.place.kind),
             marks: e.place.marks,
-            cells: hands
-                .cells
-                .as_ref()
-                .map_or("".into(), |k| k.names(k.engine(hands.names.id(i))).into()),
+            cells: executor.cells.as_ref().map_or("".into(), |k| {
+                k.names(k.engine(executor.names.id(i))).into()
+            }),
             since: e.place.since,
             inflight: inflight[i],
             connections: e.connections.get(),
@@ -535,7 +538,7 @@
     let classes = told.iter().enumerate().map(|(b, t)| state::Class {
         name: t.name.clone(),
         in_service: t.in_service,
-        counts: *hands.count(b),
+        counts: *executor.count(b),
         view: gateway.class_view(b).unwrap_or_default(),
     });
     let classes = classes.collect();
@@ -544,11 +547,11 @@
         tenure: shared.in_tenure(),
         heard: shared.gauges.heard.get() > 0.0,
         keys_rest: shared.gauges.keys_rest.get(),
-        share: hands.share.map(|s| s.taken),
+        share: executor.share.map(|s| s.taken),
     };
-    let (stage, why) = stage(hands.now, &facts);
+    let (stage, why) = stage(executor.now, &facts);
     let view = Snapshot {
-        at: hands.now,
+        at: executor.now,
         engines,
         classes,
         source: shared.gauges.source.borrow().clone(),
@@ -556,46 +559,46 @@
         heard: shared.gauges.heard.get(),
         connections: shared.gauges.connections.get(),
         connections_most: shared.gauges.connections_most.get(),
-        open: hands.open as u32,
+        open: executor.open as u32,
         lent: lent as u32,
         buffers_most: most as u32,
         started: shared.clock.started(),
-        ending: hands.ends.is_finite(),
+        ending: executor.ends.is_finite(),
         stage: (stage.word(), why),
     };
     window.show(view);
 }
 
-fn take(gateway: &mut Gateway, hands: &mut Hands, t: NewRequest) {
-    if hands.subs.find(t.id).is_some() {
+fn take(gateway: &mut Gateway, executor: &mut ActionExecutor, t: NewRequest) {
+    if executor.subs.find(t.id).is_some() {
         // An id in use: its first bearer keeps it.
         let _ = t.client.try_send(Reply::Unusable(t.call));
         return;
     }
-    if hands.open >= hands.shared.carriage().most_open {
+    if executor.open >= executor.shared.carriage().most_open {
         // The bound on open requests that the settings name: at the door, before it is the module's.
         let _ = t.client.try_send(Reply::Rejected(t.call, 0.0));
         return;
     }
-    let (now, tenant) = (hands.now, t.tenant.unwrap_or(t.of.tables));
-    let cells = match hands.cells.as_mut().map(|k| k.goes(now, tenant)) {
+    let (now, tenant) = (executor.now, t.tenant.unwrap_or(t.of.tables));
+    let cells = match executor.cells.as_mut().map(|k| k.goes(now, tenant)) {
         None => 0,
         Some(Goes::To(cells)) => cells.0,
-        Some(Goes::Rejected { come_back }) => {
+        Some(Goes::Rejected { retry_after }) => {
             // Its cells have no ready engine: at the door, as the operator chose.
-            let _ = t.client.try_send(Reply::Rejected(t.call, come_back));
+            let _ = t.client.try_send(Reply::Rejected(t.call, retry_after));
             return;
         }
     };
-    hands.open += 1;
-    hands.shared.gauges.open.set(hands.open);
-    let s = hands.subs.admit(t.id);
-    if hands.held.len() <= s {
-        hands.held.resize_with(s + 1, || None);
-    }
-    let limit = (t.at + t.of.left).min(hands.ends);
-    hands.count(t.of.class).taken += 1;
-    hands.held[s] = Some(Held {
+    executor.open += 1;
+    executor.shared.gauges.open.set(executor.open);
+    let s = executor.subs.admit(t.id);
+    if executor.held.len() <= s {
+        executor.held.resize_with(s + 1, || None);
+    }
+    let limit = (t.at + t.of.left).min(executor.ends);
+    executor.count(t.of.class).taken += 1;
+    executor.held[s] = Some(Held {
         call: t.call,
         class: t.of.class,
         at: t.at,
@@ -612,39 +615,40 @@
         met: Vec::new(),
     });
     gateway.take(
-        hands.now,
+        executor.now,
         s,
         Request {
-            left: limit - hands.now,
+            left: limit - executor.now,
             cells,
             ..t.of
         },
-        hands,
+        executor,
     );
 }
 
-fn roster(gateway: &mut Gateway, hands: &mut Hands, lines: BTreeMap<String, Place>) {
-    for at in 0..hands.engines.len() {
-        if let Some(e) = hands.engines[at].take_if(|e| !lines.contains_key(&e.name)) {
+fn roster(gateway: &mut Gateway, executor: &mut ActionExecutor, lines: BTreeMap<String, Place>) {
+    for at in 0..executor.engines.len() {
+        if let Some(e) = executor.engines[at].take_if(|e| !lines.contains_key(&e.name)) {
             e.close();
         }
     }
     // The one place where an engine's index is given back: once it is gone and no request held met it.
-    for at in 0..hands.engines.len() {
-        if hands.engines[at].is_none() && !hands.held.iter().flatten().any(|h| h.met.contains(&at))
+    for at in 0..executor.engines.len() {
+        if executor.engines[at].is_none()
+            && !executor.held.iter().flatten().any(|h| h.met.contains(&at))
         {
-            hands.names.release(at);
+            executor.names.release(at);
         }
     }
-    hands.shared.listed.set(lines.len());
+    executor.shared.listed.set(lines.len());
     let mut listed = Vec::new();
     for (name, place) in lines {
         let id = number(name.as_bytes());
-        let engine = hands.names.admit(id);
-        if hands.engines.len() <= engine {
-            hands.engines.resize_with(engine + 1, || None);
+        let engine = executor.names.admit(id);
+        if executor.engines.len() <= engine {
+            executor.engines.resize_with(engine + 1, || None);
         }
-        let cells = hands.cells.as_ref().map_or(0, |k| k.engine(id).0);
+        let cells = executor.cells.as_ref().map_or(0, |k| k.engine(id).0);
         let Place {
             zone,
             kind,
@@ -663,7 +667,7 @@
             standing,
             since,
         });
-        let known = &mut hands.engines[engine];
+        let known = &mut executor.engines[engine];
         // Another process by now, maybe elsewhere.
         let anew = |e: &Known| e.place.address != address || (e.place.since - since).abs() >= 1.0;
         if let Some(e) = known.take_if(|e| anew(e)) {
@@ -679,7 +683,7 @@
             }
             continue;
         }
-        info!(hands.shared.log, "engine {:012x} is {}", id, name; "zone" => zone, "kind" => kind);
+        info!(executor.shared.log, "engine {:012x} is {}", id, name; "zone" => zone, "kind" => kind);
         let standing = Rc::new(Cell::new(standing));
         *known = Some(Known {
             name,
@@ -689,7 +693,7 @@
             standing,
         });
     }
-    if let Some(keeper) = &mut hands.cells {
+    if let Some(keeper) = &mut executor.cells {
         keeper.roster(
             listed
                 .iter()
@@ -697,7 +701,7 @@
                 .map(|l| l.id),
         );
     }
-    gateway.roster(hands.now, true, &listed, hands);
+    gateway.roster(executor.now, true, &listed, executor);
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -6,7 +6,7 @@
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 
-fn hands() -> Hands {
+fn executor() -> ActionExecutor {
     let reports = Vec::new();
     let (connect_within, idle, streams, most_open, longest) = (250.0, 3e4, 32, 100, 5000.0);
     let shared = Rc::new(Shared {
@@ -31,24 +31,24 @@
         module: async_channel::bounded(1).0,
         executor: Rc::new(LocalExecutor::new()),
     });
-    Hands::new(shared, None)
+    ActionExecutor::new(shared, None)
 }
 
 #[test]
 fn an_event_that_overtakes_a_wake_up_does_not_leave_the_next_one_out() {
     // Against a quiet gateway that sleeps past the hard limits: a wake-up that is due already finds nothing
     // due yet, and the module, which has asked for a later one, asks for no more.
-    let mut hands = hands();
-    hands.now = 10.0;
-    hands.wake(5.0);
-    hands.now = 16.0;
-    hands.wake(5.0);
-    assert_eq!(hands.wake, Some(21.0));
+    let mut executor = executor();
+    executor.now = 10.0;
+    executor.wake(5.0);
+    executor.now = 16.0;
+    executor.wake(5.0);
+    assert_eq!(executor.wake, Some(21.0));
 }
 
 #[test]
 fn a_full_mailbox_swallows_no_withdrawal() {
-    let mut hands = hands();
+    let mut executor = executor();
     let (orders, mailbox) = async_channel::bounded(2);
     let place = Place {
         address: ([127, 0, 0, 1], 9).into(),
@@ -66,9 +66,9 @@
         connections,
         standing,
     };
-    hands.engines.push(Some(known));
-    let request = hands.subs.admit(*b"0000000000000001");
-    hands.held.push(Some(Held {
+    executor.engines.push(Some(known));
+    let request = executor.subs.admit(*b"0000000000000001");
+    executor.held.push(Some(Held {
         call: 1,
         class: 0,
         at: 0.0,
@@ -84,9 +84,9 @@
         cells: 0,
         met: Vec::new(),
     }));
-    hands.attempt(request, 0, 5000.0);
+    executor.attempt(request, 0, 5000.0);
     orders.try_send(Order::Report).map_err(|_| "full").unwrap();
-    hands.withdraw(request, 0);
+    executor.withdraw(request, 0);
     let Ok(Order::Attempt(of)) = mailbox.try_recv() else {
         panic!("the attempt is there")
     };
@@ -95,6 +95,6 @@
         "withdrawn where it lies, ahead of the order"
     );
     assert!(matches!(mailbox.try_recv(), Ok(Order::Report)));
-    while hands.shared.executor.try_tick() {}
+    while executor.shared.executor.try_tick() {}
     assert!(matches!(mailbox.try_recv(), Ok(Order::Withdraw(w)) if Rc::ptr_eq(&w, &of)));
 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum CutOff {
-    /// It turns back all that is new or waits until it is heard again.
+    /// It rejects all that is new or waits until it is heard again.
     #[default]
     Strict,
     /// It goes on by what it holds, and no change of the fleet's policy is decided without it.
@@ -147,7 +147,7 @@
         name: name.clone(),
         cell: cell.clone(),
     };
-    let (turn_back, lend) = match c.without {
+    let (retry_after, lend) = match c.without {
         Without::TurnBack(ms) => (Some(ms), None),
         Without::Lend(share) => (None, Some(Decimal::of(share))),
     };
@@ -170,7 +170,7 @@
                 cell: c.clone(),
             })
             .collect(),
-        turn_back,
+        retry_after,
         lend,
     }
 }
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -134,12 +134,9 @@
         before.iter().all(|id| !after.contains(id)),
         "again behind the window: {before:?}, {after:?}"
     );
-    let scrapped = ends
-        .iter()
-        .filter(|e| e["error"]["code"] == SCRAPPED)
-        .count();
+    let failed = ends.iter().filter(|e| e["error"]["code"] == FAILED).count();
     assert_eq!(
-        scrapped,
+        failed,
         before.len(),
         "it may have run, and may not run again: {ends:?}"
     );
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -543,7 +543,7 @@
 
 #[test]
 fn told_to_end_it_answers_what_it_has_and_ends_well() {
-    // The second call would take longer than the gateway is left, and its client would wait: that is turned back.
+    // The second call would take longer than the gateway is left, and its client would wait: that is rejected.
     let (at, seen) = engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
         (
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -40,7 +40,7 @@
     let started = open(mandate, &names, &limits, frame, None, Some(folder)).unwrap();
     // What the decision module begins with is what the ledger says runs.
     assert_eq!(
-        started.mandate().come_back_most,
+        started.mandate().max_retry_after,
         started.ledger.running().advice as f64
     );
     (started.ledger.running().advice, started.notes)
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -10,7 +10,7 @@
 pub const MESSAGE_MOST: usize = 256 * 1024;
 
 pub const REJECTED: i32 = -32014;
-pub const SCRAPPED: i32 = -32002;
+pub const FAILED: i32 = -32002;
 pub const UNREADABLE: i32 = -32700;
 pub const INVALID: i32 = -32600;
 pub const UNKNOWN_METHOD: i32 = -32601;
@@ -135,10 +135,10 @@
 }
 
 /// An error, with advice on when to come back where there is any.
-pub fn error(to: &mut Vec<u8>, call: Option<u64>, code: i32, text: &str, come_back: f64) {
+pub fn error(to: &mut Vec<u8>, call: Option<u64>, code: i32, text: &str, retry_after: f64) {
     let call = call.map_or("null".to_string(), |c| c.to_string());
-    let advice = if come_back >= 1.0 {
-        format!(",\"data\":{{\"after\":{come_back:.0}}}")
+    let advice = if retry_after >= 1.0 {
+        format!(",\"data\":{{\"after\":{retry_after:.0}}}")
     } else {
         String::new()
     };
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -4,7 +4,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// It may not decide: turned back with advice.
+    /// It may not decide: rejected with advice.
     #[default]
     CatchingUp,
     /// It decides, and holds something back.
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -64,7 +64,7 @@
 pub enum Reply {
     Settled(u64, Chain),
     Rejected(u64, Ms),
-    Scrapped(u64),
+    Failed(u64),
     /// Taken under an id that is in use.
     Unusable(u64),
     /// What is answered without the module: a whole message.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -253,7 +253,7 @@
         may_withdraw: flag(v, "policy_limits.may_cancel")?,
         may_probe: flag(v, "policy_limits.probes")?,
         reports: reports.collect(),
-        come_back_most: if advised {
+        max_retry_after: if advised {
             time(v, "policy_limits.max_retry_after_ns")?
         } else {
             0.0
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,4 +1,4 @@
-//! Who asks: requests that come by chance, and come again when they are turned back. All figures are assumed.
+//! Who asks: requests that come by chance, and come again when they are rejected. All figures are assumed.
 
 use ironstair::sums::{mix, Pcg};
 use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, Ration};
@@ -111,7 +111,7 @@
         lines_up: true,
         tries_marked: true,
         may_withdraw: true,
-        come_back_most: COME_BACK_MOST,
+        max_retry_after: COME_BACK_MOST,
         max_attempts: 6,
         cold_from: COLD_FROM,
         warm_after: WARM_AFTER,
@@ -164,7 +164,7 @@
 }
 
 impl Request {
-    /// When its client comes again after it was turned back with that advice, where it does.
+    /// When its client comes again after it was rejected with that advice, where it does.
     pub fn again(&self, now: Ms, advice: Ms) -> Option<Ms> {
         let at = now
             + if self.ignores {
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -12,8 +12,10 @@
     /// Payoff that came, by when it first came; and that was settled within its expected time.
     pub asked: f64,
     pub served: f64,
-    pub turned_back: u32,
-    pub scrapped: u32,
+    #[serde(rename = "turned_back")]
+    pub rejected: u32,
+    #[serde(rename = "scrapped")]
+    pub failed: u32,
     /// Engines that were pushed over while cold.
     pub fell: u32,
     #[serde(rename = "forwards")]
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -7,7 +7,7 @@
 use crate::Figures;
 use ironstair::logic::Gateway;
 use ironstair::sums::{mix, Pcg};
-use ironstair::{Cost, Listed, Mandate, Ms, Outcome, Outlet, Request as Asks, Standing};
+use ironstair::{Actions, Cost, Listed, Mandate, Ms, Outcome, Request as Asks, Standing};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Answer, Beat, Member, Share};
 use std::cmp::Reverse;
@@ -80,27 +80,27 @@
     Attempt(usize, usize),
     Withdraw(usize),
     Reject(usize, Ms),
-    Scrap(usize),
+    Fail(usize),
     Wake(Ms),
     Forget(usize),
 }
 
 #[derive(Default)]
-struct Hands(Vec<Act>);
+struct ActionExecutor(Vec<Act>);
 
-impl Outlet for Hands {
+impl Actions for ActionExecutor {
     fn attempt(&mut self, request: usize, engine: usize, _by: Ms) {
         self.0.push(Act::Attempt(request, engine));
     }
     fn withdraw(&mut self, request: usize, _nth: u8) {
         self.0.push(Act::Withdraw(request));
     }
-    fn terms(&mut self, _request: usize, _priority: u8, _grant_mb: f64) {}
-    fn reject(&mut self, request: usize, come_back: Ms) {
-        self.0.push(Act::Reject(request, come_back));
+    fn set_priority(&mut self, _request: usize, _priority: u8, _grant_mb: f64) {}
+    fn reject(&mut self, request: usize, retry_after: Ms) {
+        self.0.push(Act::Reject(request, retry_after));
     }
-    fn scrap(&mut self, request: usize) {
-        self.0.push(Act::Scrap(request));
+    fn fail(&mut self, request: usize) {
+        self.0.push(Act::Fail(request));
     }
     fn subscribe(&mut self) {}
     fn probe(&mut self, _engine: usize) {}
@@ -285,10 +285,10 @@
     }
 
     /// Hands something to a gateway's decisions, and carries out what they ask for.
-    fn call(&mut self, g: usize, what: impl FnOnce(&mut Gateway, Ms, &mut Hands)) {
-        let mut hands = Hands::default();
-        what(&mut self.gates[g].module, self.now, &mut hands);
-        for act in hands.0 {
+    fn call(&mut self, g: usize, what: impl FnOnce(&mut Gateway, Ms, &mut ActionExecutor)) {
+        let mut executor = ActionExecutor::default();
+        what(&mut self.gates[g].module, self.now, &mut executor);
+        for act in executor.0 {
             self.act(g, act);
         }
     }
@@ -327,7 +327,7 @@
                 }
             }
             Act::Reject(slot, advice) => self.answered(g, slot, Some(advice)),
-            Act::Scrap(slot) => self.answered(g, slot, None),
+            Act::Fail(slot) => self.answered(g, slot, None),
             Act::Wake(ms) => {
                 let gate = &mut self.gates[g];
                 gate.wakes += 1;
@@ -343,7 +343,7 @@
         }
     }
 
-    /// The final answer of a try: given up with advice, or scrapped.
+    /// The final answer of a try: given up with advice, or failed.
     fn answered(&mut self, g: usize, slot: usize, advice: Option<Ms>) {
         let Some(held) = self.gates[g].slots[slot].as_mut() else {
             return;
@@ -358,8 +358,8 @@
         }
         let seconds = self.figures.at(self.now);
         match advice {
-            Some(_) => seconds.turned_back += 1,
-            None => seconds.scrapped += 1,
+            Some(_) => seconds.rejected += 1,
+            None => seconds.failed += 1,
         }
         let s = &self.subs[sub];
         // What may have run once is not asked for again by who must not have it twice.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -2,7 +2,7 @@
 
 use ironstair::door::Door;
 use ironstair::logic::Gateway;
-use ironstair::{Cost, Listed, Ms, Outcome, Outlet, Request, Standing};
+use ironstair::{Actions, Cost, Listed, Ms, Outcome, Request, Standing};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
@@ -97,7 +97,7 @@
     }
 }
 
-impl Outlet for Pen<'_> {
+impl Actions for Pen<'_> {
     fn attempt(&mut self, request: usize, engine: usize, _by: Ms) {
         self.about(67, request);
         self.to.extend(self.engines.id(engine));
@@ -107,16 +107,16 @@
         self.about(71, request);
         self.to.push(nth);
     }
-    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64) {
+    fn set_priority(&mut self, request: usize, priority: u8, grant_mb: f64) {
         self.about(65, request);
         self.to.push(priority);
         self.to.extend((grant_mb as f32).to_le_bytes());
     }
-    fn reject(&mut self, request: usize, come_back: Ms) {
+    fn reject(&mut self, request: usize, retry_after: Ms) {
         self.about(77, request);
-        self.to.extend(ns(come_back).to_le_bytes());
+        self.to.extend(ns(retry_after).to_le_bytes());
     }
-    fn scrap(&mut self, request: usize) {
+    fn fail(&mut self, request: usize) {
         self.about(70, request);
     }
     fn subscribe(&mut self) {
--- a/crates/test-cluster/src/oracle.rs
+++ b/crates/test-cluster/src/oracle.rs
@@ -43,7 +43,7 @@
 pub enum What {
     Settled,
     Rejected,
-    Scrapped,
+    Failed,
     Refused,
 }
 
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -709,7 +709,7 @@
         let what = match told["error"]["code"].as_i64() {
             None => What::Settled,
             Some(code) if code == stand::REJECTED => What::Rejected,
-            Some(code) if code == stand::SCRAPPED => What::Scrapped,
+            Some(code) if code == stand::FAILED => What::Failed,
             Some(_) => What::Refused,
         };
         let call = told["id"].as_u64().unwrap_or(0);
--- a/crates/test-cluster/src/stand.rs
+++ b/crates/test-cluster/src/stand.rs
@@ -348,7 +348,7 @@
 
 /// What a call that was given up comes back with.
 pub const REJECTED: i64 = -32014;
-pub const SCRAPPED: i64 = -32002;
+pub const FAILED: i64 = -32002;
 
 impl Client {
     pub fn of(gateway: &Gateway) -> Client {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`logic`] holds every decision and does no input or output. A host (a wire adapter, later a
 //! socket server) turns ids into indices with [`door`], calls the module and carries out what it
-//! asks for through [`Outlet`].
+//! asks for through [`Actions`].
 
 pub mod door;
 pub mod logic;
@@ -13,14 +13,14 @@
 pub type Ms = f64;
 
 /// What the module asks its host to do, in the order of the calls.
-pub trait Outlet {
+pub trait Actions {
     /// An attempt, whose first byte is written by the time `by` at the latest; an attempt that has not begun by
     /// then never begins, and its outcome is `Unsent`.
     fn attempt(&mut self, request: usize, engine: usize, by: Ms);
     fn withdraw(&mut self, request: usize, nth: u8);
-    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64);
-    fn reject(&mut self, request: usize, come_back: Ms);
-    fn scrap(&mut self, request: usize);
+    fn set_priority(&mut self, request: usize, priority: u8, grant_mb: f64);
+    fn reject(&mut self, request: usize, retry_after: Ms);
+    fn fail(&mut self, request: usize);
     fn subscribe(&mut self);
     /// Asks an engine how it is; what it reports comes by `Gateway::report`.
     fn probe(&mut self, engine: usize);
@@ -60,7 +60,7 @@
     pub holds: bool,
     pub zones: Option<Vec<u16>>,
     pub kinds: Option<Vec<u16>>,
-    /// Taken out of service: new ones are turned back, those taken before go on.
+    /// Taken out of service: new ones are rejected, those taken before go on.
     pub closed: bool,
 }
 
@@ -103,7 +103,7 @@
     pub may_probe: bool,
     /// What the values of an engine's report tell, in their order.
     pub reports: Vec<Load>,
-    pub come_back_most: Ms,
+    pub max_retry_after: Ms,
     pub max_attempts: u8,
     pub must_subscribe: bool,
     pub cold_from: f64,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,11 +3,11 @@
 //! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its terms change, by `tenure` when it is
 //! known how long they hold, by `ending` when it will end. Each call notes what is new and goes through
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
-//! [`Outlet`] at once; lib.rs has that and the types that cross.
+//! [`Actions`] at once; lib.rs has that and the types that cross.
 
 use crate::state::{Attempt, ClassState, Engine, PendingRequest};
 use crate::sums::{mix, part, Fade, Pcg};
-use crate::{ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Outlet, Request, Standing, Within};
+use crate::{Actions, ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Request, Standing, Within};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -110,7 +110,7 @@
     subscribe_at: Option<Ms>,
 }
 
-const RULES: [fn(&mut Gateway, &mut dyn Outlet) -> bool; 9] = [
+const RULES: [fn(&mut Gateway, &mut dyn Actions) -> bool; 9] = [
     Gateway::ask_for_the_roster,
     Gateway::give_up_without_tenure,
     Gateway::answer_at_the_hard_limit,
@@ -144,7 +144,7 @@
     /// Other terms for the same classes, and maybe further classes behind them. What was taken before keeps its
     /// hard limit, its expected time and its order, and of the old terms and the new the stricter. What was
     /// counted stays counted.
-    pub fn amend(&mut self, now: Ms, m: Mandate, out: &mut dyn Outlet) {
+    pub fn amend(&mut self, now: Ms, m: Mandate, out: &mut dyn Actions) {
         let before = self.classes.len();
         self.adopt(m);
         for e in &mut self.engines {
@@ -159,7 +159,7 @@
         self.due(now, out);
     }
 
-    pub fn roster(&mut self, now: Ms, full: bool, lines: &[Listed], out: &mut dyn Outlet) {
+    pub fn roster(&mut self, now: Ms, full: bool, lines: &[Listed], out: &mut dyn Actions) {
         self.orders.get_mut().clear();
         if full {
             self.engines.iter_mut().for_each(|e| e.listed.standing = Standing::Gone);
@@ -181,14 +181,14 @@
         self.due(now, out);
     }
 
-    pub fn roster_lost(&mut self, now: Ms, out: &mut dyn Outlet) {
+    pub fn roster_lost(&mut self, now: Ms, out: &mut dyn Actions) {
         // Not at once: all gateways lose the list together and would ask together.
         let later = now + 500.0 + (self.chance.lot() % 1000) as f64;
         self.subscribe_at = self.m.must_subscribe.then_some(later);
         self.due(now, out);
     }
 
-    pub fn take(&mut self, now: Ms, sub: usize, of: Request, out: &mut dyn Outlet) {
+    pub fn take(&mut self, now: Ms, sub: usize, of: Request, out: &mut dyn Actions) {
         self.now = now;
         // Idle time is not banked: a class that comes back starts level with the lowest active one.
         let active = |b: usize| !self.classes[b].line.is_empty() || self.classes[b].threads > 0.5;
@@ -231,7 +231,7 @@
         self.taken_at.push_back(now);
         self.probes = (self.probes + PROBES).min(AT_ONCE);
         if self.m.classes[of.class].closed {
-            self.end(sub, self.m.come_back_most, out);
+            self.end(sub, self.m.max_retry_after, out);
         }
         self.due(now, out);
     }
@@ -241,7 +241,7 @@
         self.subs.iter_mut().skip(sub).take(1).for_each(|s| s.of.cells = cells);
     }
 
-    pub fn outcome(&mut self, now: Ms, sub: usize, what: Outcome, closed: bool, out: &mut dyn Outlet) {
+    pub fn outcome(&mut self, now: Ms, sub: usize, what: Outcome, closed: bool, out: &mut dyn Actions) {
         self.now = now;
         let Some(fwd) = self.subs.get_mut(sub).and_then(|s| s.out.take()) else { return };
         self.in_flight.retain(|&f| f != sub);
@@ -296,7 +296,7 @@
         self.due(now, out);
     }
 
-    pub fn progress(&mut self, now: Ms, sub: usize, share: f64, out: &mut dyn Outlet) {
+    pub fn progress(&mut self, now: Ms, sub: usize, share: f64, out: &mut dyn Actions) {
         self.now = now;
         let s = &mut self.subs[sub];
         if let Some(f) = s.out.as_mut() {
@@ -315,7 +315,7 @@
     }
 
     /// What an engine tells of itself, in the order that the mandate names; nothing when it does not answer.
-    pub fn report(&mut self, now: Ms, engine: usize, values: &[f64], out: &mut dyn Outlet) {
+    pub fn report(&mut self, now: Ms, engine: usize, values: &[f64], out: &mut dyn Actions) {
         let cores = self.engines[engine].cores;
         let shares = self.m.reports.iter().zip(values).filter(|r| *r.0 != Load::Other);
         // A query held stands for the threads of a usual one; so many a core do the most work.
@@ -327,23 +327,23 @@
         self.due(now, out);
     }
 
-    pub fn left(&mut self, now: Ms, sub: usize, out: &mut dyn Outlet) {
+    pub fn left(&mut self, now: Ms, sub: usize, out: &mut dyn Actions) {
         self.close(sub, out);
         self.due(now, out);
     }
 
     /// Its client has closed, or its own way alone: what is out may still be answered, nothing more begins.
-    pub fn closed(&mut self, now: Ms, sub: usize, out: &mut dyn Outlet) {
+    pub fn closed(&mut self, now: Ms, sub: usize, out: &mut dyn Actions) {
         self.subs[sub].most = self.subs[sub].attempts;
         self.due(now, out);
     }
 
-    pub fn ending(&mut self, now: Ms, at: Ms, out: &mut dyn Outlet) {
+    pub fn ending(&mut self, now: Ms, at: Ms, out: &mut dyn Actions) {
         self.subs.iter_mut().for_each(|s| s.limit = s.limit.min(at));
         self.due(now, out);
     }
 
-    pub fn tenure(&mut self, now: Ms, until: Ms, out: &mut dyn Outlet) {
+    pub fn tenure(&mut self, now: Ms, until: Ms, out: &mut dyn Actions) {
         self.until = until;
         self.due(now, out);
     }
@@ -353,25 +353,25 @@
         self.keys_from = until;
     }
 
-    pub fn due(&mut self, now: Ms, out: &mut dyn Outlet) {
+    pub fn due(&mut self, now: Ms, out: &mut dyn Actions) {
         self.now = now;
         while RULES.iter().any(|rule| rule(self, out)) {}
     }
 
-    fn ask_for_the_roster(&mut self, out: &mut dyn Outlet) -> bool {
+    fn ask_for_the_roster(&mut self, out: &mut dyn Actions) -> bool {
         self.subscribe_at.take_if(|t| *t <= self.now).map(|_| out.subscribe()).is_some()
     }
 
     // Against terms that others have left behind: what waits is answered at once, what runs goes on.
-    fn give_up_without_tenure(&mut self, out: &mut dyn Outlet) -> bool {
+    fn give_up_without_tenure(&mut self, out: &mut dyn Actions) -> bool {
         let waits = self.classes.iter().flat_map(|b| &b.line).next().copied();
         // Not all that wait at all gateways together are to come back together.
         let Some(s) = waits.filter(|_| self.now >= self.until) else { return false };
-        self.end(s, self.m.come_back_most * (1.0 + self.subs[s].chance(0)) / 2.0, out)
+        self.end(s, self.m.max_retry_after * (1.0 + self.subs[s].chance(0)) / 2.0, out)
     }
 
     // Against a last outcome that never comes, and answers that cross the client's leaving.
-    fn answer_at_the_hard_limit(&mut self, out: &mut dyn Outlet) -> bool {
+    fn answer_at_the_hard_limit(&mut self, out: &mut dyn Actions) -> bool {
         let mut held = self.classes.iter().flat_map(|b| &b.line).chain(&self.in_flight).copied();
         let late = |s: &PendingRequest| s.open && self.now >= s.limit - 2.0 * self.m.tick;
         held.find(|&s| late(&self.subs[s])).is_some_and(|s| self.end(s, 0.0, out))
@@ -380,7 +380,7 @@
     // Against engines that take work and keep it: no outcome ever comes to judge them by, so passing the
     // expected time counts as one. Against answers that get lost: one that was sent in the later half of its
     // time is settled, so this says nothing of the pace, and from five times its usual time on goes again.
-    fn count_the_overdue(&mut self, out: &mut dyn Outlet) -> bool {
+    fn count_the_overdue(&mut self, out: &mut dyn Actions) -> bool {
         for n in 0..self.in_flight.len() {
             let (sub, now, s) = (self.in_flight[n], self.now, &self.subs[self.in_flight[n]]);
             let (b, terms) = (s.of.class, &self.m.classes[s.of.class]);
@@ -404,7 +404,7 @@
 
     // Against fast failures, silence, slowness and failed connects alike: an engine much worse than its
     // peers by its last outcomes. When all worsen together, that would only move the load: half may be aside.
-    fn set_aside(&mut self, out: &mut dyn Outlet) -> bool {
+    fn set_aside(&mut self, out: &mut dyn Actions) -> bool {
         let ready = || self.engines.iter().filter(|e| e.listed.standing == Standing::Ready);
         let (n, aside) = (ready().count(), ready().filter(|e| e.aside.is_some()).count());
         let (bad, seen) = ready().fold((0, 0), |a, e| (a.0 + e.failures(), a.1 + e.seen));
@@ -425,7 +425,7 @@
 
     // Against wide queries that hundreds of gateways send where the others' already run: engines are asked
     // in the order until one has room. Silence counts as full, so that a hung engine is passed over.
-    fn probe(&mut self, out: &mut dyn Outlet) -> bool {
+    fn probe(&mut self, out: &mut dyn Actions) -> bool {
         for b in (0..self.classes.len()).filter(|&b| self.probes >= 1.0 && self.asks && self.heavy(b)) {
             let Some(&sub) = self.firsts_in(b).first() else { continue };
             let (s, known) = (&self.subs[sub], |i: &usize| self.engines[*i].reported(self.now));
@@ -441,7 +441,7 @@
     }
 
     // Lowest charged work over weight first; if that fits nowhere, the next cell's, then the next class's.
-    fn release(&mut self, out: &mut dyn Outlet) -> bool {
+    fn release(&mut self, out: &mut dyn Actions) -> bool {
         let cores: f64 = self.engines.iter().filter(|e| e.in_use()).map(|e| e.cores).sum();
         self.share = (cores * FACTOR / self.m.gateways).max(4.0);
         let mut order: Vec<usize> = (0..self.classes.len()).collect();
@@ -457,7 +457,7 @@
         false
     }
 
-    fn reject(&mut self, out: &mut dyn Outlet) -> bool {
+    fn reject(&mut self, out: &mut dyn Actions) -> bool {
         for b in 0..self.classes.len() {
             let line = &self.classes[b].line;
             let hopeless = |i: &usize| {
@@ -465,20 +465,20 @@
                 !self.may_attempt_again(s)
                     || self.now + self.service(b, s.of.cells, s.work) > s.aim.min(s.limit)
             };
-            // Against a cell whose line would turn back what others could still take.
+            // Against a cell whose line would reject what others could still take.
             let full = line.last().filter(|&&i| {
                 let cells = self.subs[i].of.cells;
                 let same = |i: &&usize| self.subs[**i].of.cells == cells;
                 line.iter().filter(same).count() > self.room(b, cells)
             });
             if let Some(i) = full.or(line.iter().find(|i| hopeless(i))).copied() {
-                return self.end(i, self.m.come_back_most, out);
+                return self.end(i, self.m.max_retry_after, out);
             }
         }
         false
     }
 
-    fn wake(&mut self, out: &mut dyn Outlet) -> bool {
+    fn wake(&mut self, out: &mut dyn Actions) -> bool {
         let waiting = self.classes.iter().any(|b| !b.line.is_empty()) || self.subscribe_at.is_some();
         if self.wake_at <= self.now && (waiting || !self.in_flight.is_empty()) {
             self.wake_at = self.now + 2.0 * self.m.tick;
@@ -741,7 +741,7 @@
             .or_else(|| rest.iter().copied().find(|&i| self.open(i, s)))
     }
 
-    fn attempt(&mut self, sub: usize, engine: usize, out: &mut dyn Outlet) {
+    fn attempt(&mut self, sub: usize, engine: usize, out: &mut dyn Actions) {
         let (now, s) = (self.now, &self.subs[sub]);
         let by = self.window_ends(s).min(s.limit).min(self.until);
         let s = &mut self.subs[sub];
@@ -767,7 +767,7 @@
             let least = self.m.kinds.iter().map(|k| k.memory_mb).fold(f64::INFINITY, f64::min);
             let known = self.m.grants_heeded && memory > 0.0;
             let grant = if known { class.memory_of.of(memory, LITTLE, |spread| GRANT * spread) } else { 0.0 };
-            out.terms(sub, self.priority(b), grant.min(least * self.m.most_grant));
+            out.set_priority(sub, self.priority(b), grant.min(least * self.m.most_grant));
         }
         out.attempt(sub, engine, by);
     }
@@ -779,23 +779,23 @@
         [2.0, 6.0, 12.0].iter().filter(|&&t| share >= t).count() as u8
     }
 
-    /// The final answer for what is given up: turned back where that claim is allowed, else scrapped.
-    fn end(&mut self, sub: usize, come_back: Ms, out: &mut dyn Outlet) -> bool {
+    /// The final answer for what is given up: rejected where that claim is allowed, else failed.
+    fn end(&mut self, sub: usize, retry_after: Ms, out: &mut dyn Actions) -> bool {
         let s = &self.subs[sub];
         let harmless = match self.m.classes[s.of.class].repeat {
             Effect::Idempotent | Effect::Deduplicated(Within::All) => self.now <= self.window_ends(s),
             _ => s.may_have_run.is_empty(),
         };
         match harmless {
-            true => out.reject(sub, come_back),
-            false => out.scrap(sub),
+            true => out.reject(sub, retry_after),
+            false => out.fail(sub),
         }
         self.close(sub, out);
         true
     }
 
     /// The request is over for its client; its index is free again once no attempt is out.
-    fn close(&mut self, sub: usize, out: &mut dyn Outlet) {
+    fn close(&mut self, sub: usize, out: &mut dyn Actions) {
         let s = &mut self.subs[sub];
         s.open = false;
         self.classes[s.of.class].line.retain(|&i| i != sub);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use ironstair::{
-    ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Outlet, Ration, Request, Standing, Within,
+    Actions, ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Ration, Request, Standing, Within,
 };
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 pub enum Act {
     Attempt(usize, usize),
     Reject(usize, Ms),
-    Scrap(usize),
+    Fail(usize),
     Probe(usize),
     Grant(f64),
     Note(String),
@@ -37,15 +37,15 @@
     };
 }
 
-impl Outlet for Sheet {
+impl Actions for Sheet {
     fn attempt(&mut self, request: usize, engine: usize, by: Ms) {
         self.0.extend([Act::By(by), Act::Attempt(request, engine)]);
     }
     takes_down! {
         withdraw(_request: usize, _nth: u8) Act::Other("withdraw");
-        terms(_request: usize, _priority: u8, grant_mb: f64) Act::Grant(grant_mb);
-        reject(request: usize, come_back: Ms) Act::Reject(request, come_back);
-        scrap(request: usize) Act::Scrap(request);
+        set_priority(_request: usize, _priority: u8, grant_mb: f64) Act::Grant(grant_mb);
+        reject(request: usize, retry_after: Ms) Act::Reject(request, retry_after);
+        fail(request: usize) Act::Fail(request);
         subscribe() Act::Other("subscribe");
         probe(engine: usize) Act::Probe(engine);
         wake(_after: Ms) Act::Other("wake");
@@ -197,7 +197,7 @@
     pub fn sees(&mut self, now: Ms, act: &Act) -> Result<(), String> {
         match act {
             Act::Attempt(slot, engine) => self.attempt(now, self.at[slot], *engine),
-            Act::Reject(slot, _) | Act::Scrap(slot) => {
+            Act::Reject(slot, _) | Act::Fail(slot) => {
                 let h = &self.held[self.at[slot]];
                 let again = [Effect::Idempotent, Effect::Deduplicated(Within::All)];
                 let ok = again.contains(&self.m.classes[h.of.class].repeat)
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -110,7 +110,7 @@
 #[test]
 fn turned_back_at_once_when_hopeless_and_with_advice() {
     let mut m = two_classes();
-    m.come_back_most = 700.0;
+    m.max_retry_after = 700.0;
     let mut g = Gateway::new(m, 1);
     let mut sheet = Sheet::default();
     g.take(0.0, 0, ask(0, 100.0), &mut sheet);
@@ -271,7 +271,7 @@
 
 #[test]
 fn what_waits_is_answered_at_once_when_the_terms_hold_no_longer_and_what_runs_goes_on() {
-    let mut g = start(Mandate { come_back_most: 700.0, may_withdraw: true, ..two_classes() }, 1);
+    let mut g = start(Mandate { max_retry_after: 700.0, may_withdraw: true, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     // Against deciding by terms that others have left behind while this process stood still: no timer has rung.
     g.tenure(now, now + 100.0, &mut Sheet::default());
@@ -708,7 +708,7 @@
 
 #[test]
 fn for_a_client_that_has_closed_its_way_nothing_more_begins() {
-    for (out, ends) in [(false, Act::Reject(0, 0.0)), (true, Act::Scrap(0))] {
+    for (out, ends) in [(false, Act::Reject(0, 0.0)), (true, Act::Fail(0))] {
         let mut g = start(mandate(vec![class(1.0, 1.0, Effect::NonIdempotent)]), 2);
         if !out {
             // Full everywhere: what comes waits.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -191,7 +191,7 @@
     let fwd = |engine| Act::Attempt(0, engine);
     type Script<'a> = &'a [(u8, Act)];
     let cases: [(&str, Script); 7] = [
-        ("1", &[(0, Act::Scrap(0)), (0, Act::Scrap(0))]),
+        ("1", &[(0, Act::Fail(0)), (0, Act::Fail(0))]),
         ("2", &[(1, Act::Attempt(0, 0)), (3, Act::Attempt(0, 2))]),
         ("3", &[(0, Act::Other("")), (6, Act::Attempt(0, 0))]),
         ("4", &[(9, Act::Attempt(0, 0))]),
