--- a/crates/cells/src/assign.rs
+++ b/crates/cells/src/assign.rs
@@ -1,4 +1,4 @@
-//! Who is where: the same at every gateway that has the same revision, whatever its roster.
+//! Who is where: the same at every gateway that has the same revision, whatever its endpoint list.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/cells/src/keeper.rs
+++ b/crates/cells/src/directory.rs
@@ -10,7 +10,7 @@
 const ACCOUNTS_MOST: usize = 4096;
 
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct CellDirectory {
     assignment: Assignment,
     choice: Choice,
     ready: Cells,
@@ -20,12 +20,12 @@
     moving: BTreeMap<u64, Tenant>,
 }
 
-impl Keeper {
-    pub fn new(assignment: Assignment, choice: Choice) -> Keeper {
+impl CellDirectory {
+    pub fn new(assignment: Assignment, choice: Choice) -> CellDirectory {
         let all = (0..assignment.names().len())
             .map(Cells::one)
             .fold(Cells::default(), Cells::with);
-        Keeper {
+        CellDirectory {
             assignment,
             choice,
             ready: Cells::default(),
@@ -49,8 +49,8 @@
         names.map(String::as_str).collect::<Vec<_>>().join(" ")
     }
 
-    /// The roster has changed; `ready` are the ready engines.
-    pub fn roster(&mut self, ready: impl Iterator<Item = u64>) {
+    /// The endpoint list has changed; `ready` are the ready engines.
+    pub fn update_endpoints(&mut self, ready: impl Iterator<Item = u64>) {
         self.ready = ready
             .map(|id| self.assignment.engine(id))
             .fold(Cells::default(), Cells::with);
@@ -61,7 +61,12 @@
 
     /// Takes over from an earlier one: `out` are the forwards that are out, each with its tenant and the cells of its
     /// engine when it went. Who has nothing out where it was is not moving.
-    pub fn succeeds(&mut self, now: Ms, was: &Keeper, out: impl Iterator<Item = (u64, Cells)>) {
+    pub fn succeeds(
+        &mut self,
+        now: Ms,
+        was: &CellDirectory,
+        out: impl Iterator<Item = (u64, Cells)>,
+    ) {
         let mut tenants: BTreeMap<u64, Tenant> = BTreeMap::new();
         for (tenant, cells) in out {
             let new = || Tenant::settled(0, was.tenant(tenant));
@@ -126,14 +131,19 @@
             .unwrap()
             .pin_tenant(7, Some(&["a"]))
             .unwrap();
-        let keeper = |a: &Assignment| Keeper::new(a.clone(), Choice::Reject { retry_after: 0.0 });
+        let directory =
+            |a: &Assignment| CellDirectory::new(a.clone(), Choice::Reject { retry_after: 0.0 });
         let (a, b, c) = (Cells::one(0), Cells::one(1), Cells::one(2));
         let second = first.pin_tenant(7, Some(&["b"])).unwrap();
-        let mut k = keeper(&second);
-        k.succeeds(1.0, &keeper(&first), [(7, a), (7, a), (8, c)].into_iter());
+        let mut k = directory(&second);
+        k.succeeds(
+            1.0,
+            &directory(&first),
+            [(7, a), (7, a), (8, c)].into_iter(),
+        );
         assert_eq!((k.moving(), k.ended(2.0, 7, a)), (1, false));
         // On to the third before the first is empty: what runs in either holds it up, in the new one nothing does.
-        let mut next = keeper(&second.pin_tenant(7, Some(&["c"])).unwrap());
+        let mut next = directory(&second.pin_tenant(7, Some(&["c"])).unwrap());
         next.succeeds(3.0, &k, [(7, a), (7, b), (7, c)].into_iter());
         assert_eq!(
             (next.ended(4.0, 7, c), next.ended(4.0, 7, a)),
@@ -157,21 +167,21 @@
             .unwrap()
             .pin_tenant(8, Some(&["b"]))
             .unwrap();
-        let mut k = Keeper::new(a, Choice::Lend { share: 0.5 });
-        k.roster([1, 2].into_iter());
+        let mut k = CellDirectory::new(a, Choice::Lend { share: 0.5 });
+        k.update_endpoints([1, 2].into_iter());
         assert_eq!(
             (k.goes(0.0, 7), k.goes(0.0, 8)),
             (Goes::To(Cells::one(0)), Goes::To(Cells::one(1)))
         );
         assert_eq!(k.names(Cells::one(0).with(Cells::one(1))), "a b");
-        k.roster([2].into_iter());
+        k.update_endpoints([2].into_iter());
         let lent = (0..20)
             .filter(|_| k.goes(1.0, 7) == Goes::To(Cells::one(1)))
             .count();
         assert_eq!((lent, k.goes(1.0, 8)), (10, Goes::To(Cells::one(1))));
-        k.roster([1, 2].into_iter());
+        k.update_endpoints([1, 2].into_iter());
         assert!(k.lent.is_empty() && k.goes(2.0, 7) == Goes::To(Cells::one(0)));
-        k.roster([2].into_iter());
+        k.update_endpoints([2].into_iter());
         for t in 0..3 * ACCOUNTS_MOST as u64 {
             k.goes(3.0, t);
         }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -2,10 +2,10 @@
 //! trouble. Decided without input, output, clock or thread; see docs/design/cells.md.
 
 pub mod assign;
-pub mod keeper;
+pub mod directory;
 pub mod moves;
 pub mod trouble;
 
 pub use assign::{Assignment, Cells};
-pub use keeper::Keeper;
+pub use directory::CellDirectory;
 pub use trouble::{Choice, Goes};
--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -3,7 +3,7 @@
 
 use ironstair::{Effect, Mandate, Ms, Within};
 use ironstair_cells::assign::Wrong;
-use ironstair_cells::{Assignment, Choice, Keeper};
+use ironstair_cells::{Assignment, CellDirectory, Choice};
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeSet;
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     /// A cell that is not there, too many, or a shard that can't be; by its path.
-    pub fn keeper(&self, number: fn(&[u8]) -> u64) -> Result<Keeper, Fault> {
+    pub fn cell_directory(&self, number: fn(&[u8]) -> u64) -> Result<CellDirectory, Fault> {
         let at = |field: &str, why: &dyn fmt::Display| {
             fault(format!("/settings/cells/{field}"), why.to_string())
         };
@@ -214,7 +214,7 @@
                 retry_after: ms.unwrap_or(0) as f64,
             },
         };
-        Ok(Keeper::new(a, choice))
+        Ok(CellDirectory::new(a, choice))
     }
 }
 
@@ -412,7 +412,7 @@
         found.extend(
             self.cells
                 .iter()
-                .filter_map(|c| c.keeper(|name| name.len() as u64).err()),
+                .filter_map(|c| c.cell_directory(|name| name.len() as u64).err()),
         );
         found
     }
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -4,7 +4,7 @@
 //! A record is its length (4 bytes, little end first), the CRC-32C of those 4 bytes and of what follows, and JSON.
 //! A journal begins with a [`Record::Whole`].
 
-use crate::revisions::{Standing, REMEMBERED};
+use crate::revisions::{RevisionState, REMEMBERED};
 use ironstair::Ms;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,8 @@
     /// Unix time in ms.
     pub when: Ms,
     pub what: String,
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: RevisionState,
     pub commit: Option<String>,
     pub until: Option<Ms>,
 }
@@ -93,8 +94,8 @@
                         kept.take_back(before);
                     }
                     let number = line.number;
-                    let unconfirmed = line.standing == Standing::Unconfirmed;
-                    kept.mark(Standing::Replaced);
+                    let unconfirmed = line.state == RevisionState::Unconfirmed;
+                    kept.mark(RevisionState::Replaced);
                     kept.lines.push_back(line);
                     if kept.lines.len() > REMEMBERED {
                         kept.lines.pop_front();
@@ -106,7 +107,7 @@
                 }
                 (Record::Confirmed { number }, Some(kept)) => {
                     if trial.take_if(|t| t.0 == number).is_some() {
-                        kept.mark(Standing::Running);
+                        kept.mark(RevisionState::Running);
                     }
                 }
                 (Record::TakenBack { number }, Some(kept)) => {
@@ -127,26 +128,26 @@
             found = Found::TakenBack(number);
         }
         if kept.told != told {
-            kept.mark(Standing::Replaced);
+            kept.mark(RevisionState::Replaced);
             (kept.told, kept.running, kept.number) = (told.clone(), told, 0);
             found = Found::ToldAnew;
         }
         (kept, found)
     }
 
-    /// Gives the revision that runs another standing.
-    fn mark(&mut self, standing: Standing) {
+    /// Gives the revision that runs another state.
+    fn mark(&mut self, state: RevisionState) {
         let number = self.number;
         self.lines
             .iter_mut()
             .filter(|l| l.number == number)
-            .for_each(|l| l.standing = standing);
+            .for_each(|l| l.state = state);
     }
 
     fn take_back(&mut self, before: (u64, D)) {
-        self.mark(Standing::TakenBack);
+        self.mark(RevisionState::TakenBack);
         (self.number, self.running) = before;
-        self.mark(Standing::Running);
+        self.mark(RevisionState::Running);
     }
 }
 
--- a/crates/config-change/src/revisions.rs
+++ b/crates/config-change/src/revisions.rs
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum RevisionState {
     Running,
     Unconfirmed,
     Replaced,
@@ -191,9 +191,9 @@
         };
         let mut after = self.clone();
         let (number, running) = trial.before.clone();
-        after.mark(Standing::TakenBack);
+        after.mark(RevisionState::TakenBack);
         after.number = number;
-        after.mark(Standing::Running);
+        after.mark(RevisionState::Running);
         (number, running, after.lines)
     }
 
@@ -225,10 +225,10 @@
         actions
     }
 
-    /// Gives the revision that runs another standing.
-    fn mark(&mut self, standing: Standing) {
+    /// Gives the revision that runs another state.
+    fn mark(&mut self, state: RevisionState) {
         if let Some(l) = self.lines.iter_mut().find(|l| l.number == self.number) {
-            (l.standing, l.until) = (standing, None);
+            (l.state, l.until) = (state, None);
         }
     }
 
@@ -259,7 +259,7 @@
                 document,
                 commit,
             }) => {
-                self.mark(Standing::Replaced);
+                self.mark(RevisionState::Replaced);
                 let number = line.number;
                 // The time runs from here, where the settings begin to: a slow disk does not eat it up.
                 let until = commit.as_ref().map(|c| self.now + c.1);
@@ -280,7 +280,7 @@
             }
             Some(Write::Confirm) => {
                 self.trial = None;
-                self.mark(Standing::Running);
+                self.mark(RevisionState::Running);
                 actions.push(Action::Answer(Ok(self.number)));
             }
             None => {}
@@ -300,9 +300,9 @@
             return false;
         };
         let number = self.number;
-        self.mark(Standing::TakenBack);
+        self.mark(RevisionState::TakenBack);
         (self.number, self.running) = trial.before;
-        self.mark(Standing::Running);
+        self.mark(RevisionState::Running);
         actions.push(Action::Apply {
             number: self.number,
             document: self.running.clone(),
@@ -362,10 +362,10 @@
             who,
             when: self.now,
             what,
-            standing: if commit.is_some() {
-                Standing::Unconfirmed
+            state: if commit.is_some() {
+                RevisionState::Unconfirmed
             } else {
-                Standing::Running
+                RevisionState::Running
             },
             commit: commit.as_ref().map(|c| c.0.clone()),
             until: None,
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -1,35 +1,35 @@
 //! Journals that are torn, spoilt or foreign at every byte.
 
 use ironstair_config_change::journal::{decode, encode, Found, Kept, Line, Record, RECORD_MOST};
-use ironstair_config_change::revisions::Standing;
+use ironstair_config_change::revisions::RevisionState;
 use proptest::prelude::*;
 
-fn line(number: u64, standing: Standing) -> Line {
+fn line(number: u64, state: RevisionState) -> Line {
     let (who, what) = ("op".to_string(), format!("change {number}"));
     Line {
         number,
         who,
         when: 1e12,
         what,
-        standing,
+        state,
         commit: None,
         until: None,
     }
 }
 
 fn day() -> Vec<Record<u8>> {
-    let set = |n, standing| Record::Set {
-        line: line(n, standing),
+    let set = |n, state| Record::Set {
+        line: line(n, state),
         document: n as u8,
     };
     vec![
         Record::Whole(Kept::told(0)),
-        set(1, Standing::Running),
-        set(2, Standing::Unconfirmed),
+        set(1, RevisionState::Running),
+        set(2, RevisionState::Unconfirmed),
         Record::Confirmed { number: 2 },
-        set(3, Standing::Unconfirmed),
+        set(3, RevisionState::Unconfirmed),
         Record::TakenBack { number: 3 },
-        set(4, Standing::Running),
+        set(4, RevisionState::Running),
     ]
 }
 
@@ -94,7 +94,7 @@
         (9, 9, 0, 5)
     );
     assert_eq!(found, Found::ToldAnew);
-    assert!(kept.lines.iter().all(|l| l.standing != Standing::Running));
+    assert!(kept.lines.iter().all(|l| l.state != RevisionState::Running));
     // And so it stays once that is written down.
     assert_eq!(
         Kept::open(vec![Record::Whole(kept)], 9).1,
@@ -105,7 +105,7 @@
 #[test]
 fn a_trial_upon_one_whose_taking_back_was_never_written_goes_back_before_both() {
     let set = |n| Record::Set {
-        line: line(n, Standing::Unconfirmed),
+        line: line(n, RevisionState::Unconfirmed),
         document: n as u8,
     };
     let (kept, _) = Kept::open(vec![Record::Whole(Kept::told(0)), set(1), set(2)], 0);
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -2,7 +2,7 @@
 //! (model checked), and the plain cases by hand.
 
 use ironstair_config_change::journal::{Kept, Record};
-use ironstair_config_change::revisions::{Action, Ask, Input, Ledger, Refusal, Standing};
+use ironstair_config_change::revisions::{Action, Ask, Input, Ledger, Refusal, RevisionState};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -175,7 +175,7 @@
                 let tried = w.ledger.take()?.trial().is_some();
                 if let Some(record) = w.writing.take().filter(|_| kept && w.notes.is_empty()) {
                     w.maybe = match &record {
-                        Record::Set { line, document } if line.standing == Standing::Running => {
+                        Record::Set { line, document } if line.state == RevisionState::Running => {
                             Some(*document)
                         }
                         Record::Confirmed { .. } if tried => Some(was.applied),
@@ -206,8 +206,10 @@
                 |_, w: &World| w.ledger.as_ref().is_none_or(|l| *l.running() == w.applied),
             ),
             Property::always("at most one line runs or waits", |_, w: &World| {
-                let open = |s: &Standing| matches!(s, Standing::Running | Standing::Unconfirmed);
-                let lines = |l: &Ledger<u8>| l.lines().iter().filter(|l| open(&l.standing)).count();
+                let open = |s: &RevisionState| {
+                    matches!(s, RevisionState::Running | RevisionState::Unconfirmed)
+                };
+                let lines = |l: &Ledger<u8>| l.lines().iter().filter(|l| open(&l.state)).count();
                 w.ledger.as_ref().is_none_or(|l| lines(l) <= 1)
             }),
             Property::always(
@@ -277,8 +279,8 @@
         }]
     );
     assert_eq!(
-        (l.number(), l.lines()[0].standing),
-        (0, Standing::TakenBack)
+        (l.number(), l.lines()[0].state),
+        (0, RevisionState::TakenBack)
     );
     let none = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -1,6 +1,6 @@
 //! What the fleet's log says up to here: the same at every keeper that has read as far.
 
-use crate::record::{Line, Record, Seat, Standing, Wish};
+use crate::record::{Line, Record, RevisionState, Seat, Wish};
 use crate::Policy;
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -84,11 +84,11 @@
             .filter(|c| c.number == number && c.step == step)
     }
 
-    fn mark(&mut self, number: u64, standing: Standing) {
+    fn mark(&mut self, number: u64, state: RevisionState) {
         self.lines
             .iter_mut()
             .filter(|l| l.number == number)
-            .for_each(|l| l.standing = standing);
+            .for_each(|l| l.state = state);
     }
 
     /// Takes one more record; whether it had an effect.
@@ -110,7 +110,7 @@
                 };
                 // What is held already is the stricter of both: who holds that goes back.
                 self.mark += (change.step == Step::Binding) as u64;
-                self.mark(number, Standing::Refused);
+                self.mark(number, RevisionState::Refused);
                 let line = self.lines.iter_mut().find(|l| l.number == number);
                 line.into_iter()
                     .for_each(|l| l.refused = Some((by.clone(), why.clone())));
@@ -118,12 +118,12 @@
             Record::Binding { number } if self.at(number, Step::Staged).is_some() => {
                 self.change.iter_mut().for_each(|c| c.step = Step::Binding);
                 self.mark += 1;
-                self.mark(number, Standing::Binding);
+                self.mark(number, RevisionState::Binding);
             }
             Record::Decided { number } if self.at(number, Step::Binding).is_some() => self.decide(),
             Record::Confirmed { number } if self.tried(number) => {
                 self.trial = None;
-                self.mark(number, Standing::Running);
+                self.mark(number, RevisionState::Running);
             }
             Record::TakenBack { number } if self.tried(number) => {
                 let Some(Trial {
@@ -141,7 +141,7 @@
                     back: true,
                 });
                 self.mark += 1;
-                self.mark(number, Standing::TakenBack);
+                self.mark(number, RevisionState::TakenBack);
             }
             _ => return false,
         }
@@ -185,14 +185,14 @@
         ) = (self.next, wish);
         self.next += 1;
         let id = commit.as_ref().map(|c| c.0.clone());
-        let standing = Standing::Staged;
+        let state = RevisionState::Staged;
         self.lines.push_back(Line {
             number,
             token,
             who,
             when,
             what,
-            standing,
+            state,
             commit: id,
             refused: None,
         });
@@ -216,7 +216,7 @@
         let was = self.running.replace((change.number, change.document));
         self.mark += 1;
         if let Some((number, _)) = was.as_ref().filter(|_| !change.back) {
-            self.mark(*number, Standing::Replaced);
+            self.mark(*number, RevisionState::Replaced);
         }
         let tried = change.commit.is_some();
         self.trial = was
@@ -225,9 +225,9 @@
         self.mark(
             change.number,
             if tried {
-                Standing::Unconfirmed
+                RevisionState::Unconfirmed
             } else {
-                Standing::Running
+                RevisionState::Running
             },
         );
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -13,7 +13,7 @@
 pub use count::Share;
 pub use fleet::Fleet;
 pub use member::Member;
-pub use record::{Line, Record, Standing};
+pub use record::{Line, Record, RevisionState};
 
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum RevisionState {
     Staged,
     Binding,
     Running,
@@ -91,7 +91,8 @@
     pub who: String,
     pub when: Ms,
     pub what: String,
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: RevisionState,
     pub commit: Option<String>,
     /// Who said no, and why.
     pub refused: Option<(String, String)>,
--- a/crates/coordination/tests/chair.rs
+++ b/crates/coordination/tests/chair.rs
@@ -3,7 +3,7 @@
 use ironstair_coordination::chair::{Ask, Refusal};
 use ironstair_coordination::count::Count;
 use ironstair_coordination::record::Wish;
-use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record, Standing};
+use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record, RevisionState};
 
 const LEASE: f64 = 3000.0;
 
@@ -122,13 +122,13 @@
         self.say(&beat);
     }
 
-    fn standing(&self, number: u64) -> Standing {
+    fn state(&self, number: u64) -> RevisionState {
         self.fleet
             .lines
             .iter()
             .find(|l| l.number == number)
             .unwrap()
-            .standing
+            .state
     }
 }
 
@@ -244,8 +244,8 @@
         Some(("a".to_string(), "it lacks a kind".to_string()))
     );
     assert_eq!(
-        (d.standing(1), d.fleet.held()),
-        (Standing::Refused, Some((0, Pol(1))))
+        (d.state(1), d.fleet.held()),
+        (RevisionState::Refused, Some((0, Pol(1))))
     );
     assert_eq!(d.ask(3, None), Ok(()));
     d.through("a");
@@ -258,8 +258,8 @@
     d.ask(2, Some(5000.0)).unwrap();
     d.through("a");
     assert_eq!(
-        (d.standing(1), d.fleet.held()),
-        (Standing::Unconfirmed, Some((1, Pol(2))))
+        (d.state(1), d.fleet.held()),
+        (RevisionState::Unconfirmed, Some((1, Pol(2))))
     );
     d.now += 2500.0;
     d.hold("a");
@@ -274,8 +274,8 @@
     assert_eq!(d.chair.ask(&d.fleet, late), Err(Refusal::Nothing));
     d.hold("a");
     assert_eq!(
-        (d.standing(1), d.fleet.held()),
-        (Standing::TakenBack, Some((0, Pol(1))))
+        (d.state(1), d.fleet.held()),
+        (RevisionState::TakenBack, Some((0, Pol(1))))
     );
 }
 
@@ -300,7 +300,7 @@
         d.say(&holds);
         d.write();
         assert_eq!(
-            d.standing(1) == Standing::Running,
+            d.state(1) == RevisionState::Running,
             decided,
             "steady: {steady}"
         );
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -4,13 +4,13 @@
 use crate::path::{Path, Step};
 use crate::schema::Value;
 use ironstair::logic::{ClassView, EngineView};
-use ironstair::{Ms, Standing};
+use ironstair::{EndpointState, Ms};
 use ironstair_config_change::journal::Line;
 use ironstair_config_change::revisions;
 use ironstair_coordination::Share;
 use std::sync::Arc;
 
-/// One engine of the roster.
+/// One engine of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
     pub id: u64,
@@ -174,7 +174,7 @@
 }
 
 /// The leaves of the state: those of the last snapshot with what has changed since. Engines that have not
-/// changed keep theirs, so that a big roster costs only what moves in it.
+/// changed keep theirs, so that a big endpoint list costs only what moves in it.
 pub fn update(leaves: &Leaves, was: &Snapshot, is: &Snapshot) -> Leaves {
     let mut new = leaves.clone();
     for change in was.engines.diff(&is.engines) {
@@ -245,12 +245,12 @@
     n.text("name", name);
     n.text("id", &format!("{:012x}", e.id));
     n.text("address", &e.address);
-    let standing = match v.standing {
-        Standing::Ready => "ready",
-        Standing::Draining => "draining",
-        Standing::Gone => "gone",
+    let state = match v.state {
+        EndpointState::Ready => "ready",
+        EndpointState::Draining => "draining",
+        EndpointState::Gone => "gone",
     };
-    n.text("standing", standing);
+    n.text("standing", state);
     n.text("zone", &e.zone);
     n.text("kind", &e.kind);
     n.count("mark-group", e.marks as u64);
@@ -317,11 +317,11 @@
         n.text("who", &l.who);
         n.set("when", moment(l.when));
         n.text("what", &l.what);
-        let outcome = match l.standing {
-            revisions::Standing::Running => "running",
-            revisions::Standing::Unconfirmed => "unconfirmed",
-            revisions::Standing::Replaced => "replaced",
-            revisions::Standing::TakenBack => "taken-back",
+        let outcome = match l.state {
+            revisions::RevisionState::Running => "running",
+            revisions::RevisionState::Unconfirmed => "unconfirmed",
+            revisions::RevisionState::Replaced => "replaced",
+            revisions::RevisionState::TakenBack => "taken-back",
         };
         n.text("outcome", outcome);
         if let Some(until) = l.until {
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -12,7 +12,7 @@
 use ironstair_coordination::history::{anew, first, supersedes};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::Wish;
-use ironstair_coordination::{grace, Answer, Beat, Line, Member, Standing};
+use ironstair_coordination::{grace, Answer, Beat, Line, Member, RevisionState};
 use ironstair_data_tree::state;
 use ironstair_management::fleet::Wanted;
 use ironstair_management::{Desk, Refused};
@@ -913,10 +913,10 @@
             let what = format!(
                 "begun anew after history {lost:016x} with {with}: what was decided after that is lost; {silent} keepers did not answer"
             );
-            let (who, when, standing) = (who, self.clock.now(), Standing::Running);
+            let (who, when, state) = (who, self.clock.now(), RevisionState::Running);
             let (number, token, commit, refused) = (0, 0, None, None);
             let said = (who.clone(), what.clone());
-            let line = Line { number, token, who, when, what, standing, commit, refused };
+            let line = Line { number, token, who, when, what, state, commit, refused };
             let id = drawn();
             let image = Keeper::begin(&self.charter.name, id, history, document, Some(line))?;
             let mut archive = k.archive.take().ok_or("the disk is being written")?;
@@ -1058,7 +1058,7 @@
         let known = |l: &&Line| !self.lines.iter().any(|was| was == *l);
         for l in lines.iter().filter(known) {
             let (by, why) = l.refused.clone().unwrap_or_default();
-            info!(self.log, "a change of the fleet's policy"; "step" => step(l.standing), "revision" => l.number,
+            info!(self.log, "a change of the fleet's policy"; "step" => step(l.state), "revision" => l.number,
                 "who" => &l.who, "what" => &l.what, "refused_by" => by, "why" => why);
         }
         self.lines = lines.clone();
@@ -1099,15 +1099,15 @@
     ironstair_runtime::number(name.as_bytes()) | 1
 }
 
-fn step(of: Standing) -> &'static str {
+fn step(of: RevisionState) -> &'static str {
     match of {
-        Standing::Staged => "staged",
-        Standing::Binding => "binding",
-        Standing::Running => "running",
-        Standing::Unconfirmed => "unconfirmed",
-        Standing::Replaced => "replaced",
-        Standing::TakenBack => "taken back",
-        Standing::Refused => "refused",
+        RevisionState::Staged => "staged",
+        RevisionState::Binding => "binding",
+        RevisionState::Running => "running",
+        RevisionState::Unconfirmed => "unconfirmed",
+        RevisionState::Replaced => "replaced",
+        RevisionState::TakenBack => "taken back",
+        RevisionState::Refused => "refused",
     }
 }
 
@@ -1146,14 +1146,14 @@
     };
     let done = Outcome::Known(Told::Done(l.number));
     let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
-    match (ask, l.standing) {
-        (Ask::Change(_), Standing::Staged | Standing::Binding) => Outcome::UnderWay,
-        (Ask::Change(_), Standing::Refused) => refused(),
+    match (ask, l.state) {
+        (Ask::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
+        (Ask::Change(_), RevisionState::Refused) => refused(),
         (Ask::Change(_), _) => done,
-        (Ask::Confirm { .. }, Standing::Running) => done,
-        (Ask::Cancel { .. }, Standing::TakenBack) if back_over => done,
-        (Ask::Cancel { .. }, Standing::TakenBack) => Outcome::UnderWay,
-        (Ask::Cancel { .. }, Standing::Refused) => done,
+        (Ask::Confirm { .. }, RevisionState::Running) => done,
+        (Ask::Cancel { .. }, RevisionState::TakenBack) if back_over => done,
+        (Ask::Cancel { .. }, RevisionState::TakenBack) => Outcome::UnderWay,
+        (Ask::Cancel { .. }, RevisionState::Refused) => done,
         _ => Outcome::Unknown,
     }
 }
--- a/crates/fleet-agent/src/shown.rs
+++ b/crates/fleet-agent/src/shown.rs
@@ -47,7 +47,7 @@
 }
 
 fn line(l: &Line) -> Json {
-    let mut shown = json!({"number": l.number, "who": l.who, "when": l.when.round(), "what": l.what, "outcome": l.standing});
+    let mut shown = json!({"number": l.number, "who": l.who, "when": l.when.round(), "what": l.what, "outcome": l.state});
     if let Some(commit) = &l.commit {
         shown["commit"] = json!(commit);
     }
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -7,7 +7,7 @@
 use base64::Engine as _;
 use common::*;
 use ironstair::logic::Gateway as Module;
-use ironstair::{Actions, Cost, Listed, Ms, Outcome, Request, Standing};
+use ironstair::{Actions, Cost, Endpoint, EndpointState, Ms, Outcome, Request};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::thread;
@@ -74,16 +74,16 @@
             );
             let mut module = Module::new(mandate.unwrap(), 7);
             let mut executor = ActionExecutor::default();
-            let lines: Vec<Listed> = (0..n)
-                .map(|engine| Listed {
+            let lines: Vec<Endpoint> = (0..n)
+                .map(|engine| Endpoint {
                     engine,
                     id: 0x9E37_79B9_7F4A_7C15u64.wrapping_mul(engine as u64 + 1),
                     cells: 1 << (engine % 8),
-                    standing: Standing::Ready,
-                    ..Listed::default()
+                    state: EndpointState::Ready,
+                    ..Endpoint::default()
                 })
                 .collect();
-            module.roster(1.0, true, &lines, &mut executor);
+            module.update_endpoints(1.0, true, &lines, &mut executor);
             let calls = 20_000;
             let since = Instant::now();
             for call in 0..calls {
@@ -139,9 +139,9 @@
             .map(|(i, n)| (n.as_str(), real[i % 8]))
             .collect();
         let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-        let (mut told, roster) = told(1, json!([class]), &listed);
+        let (mut told, endpoints) = told(1, json!([class]), &listed);
         told["limits"] = json!({"memory_mb": 512, "sockets": 8192});
-        let gateway = started(&format!("bench-calls-{groups}-{n}"), told, roster, None);
+        let gateway = started(&format!("bench-calls-{groups}-{n}"), told, endpoints, None);
         let (mut costs, mut rates) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS as u64 {
             let (before, since) = (processor_us(gateway.process.id()), Instant::now());
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -157,7 +157,7 @@
                     self.tell(&id, |_, line| lines::priority(line, text(&id), n));
                 }
             }
-            Order::Standing => self.refuse(),
+            Order::EndpointStateChanged => self.refuse(),
             Order::Report => {
                 self.asked += 1;
                 let mut line = Vec::new();
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use async_executor::LocalExecutor;
-use ironstair::Standing;
+use ironstair::EndpointState;
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::Told;
@@ -19,7 +19,7 @@
     events: Receiver<Event>,
     orders: Sender<Order>,
     listener: TcpListener,
-    standing: Rc<Cell<Standing>>,
+    state: Rc<Cell<EndpointState>>,
     waits: Rc<Cell<bool>>,
 }
 
@@ -58,13 +58,13 @@
     let at = listener.local_addr().unwrap();
     let engine = Engine::new(0, at, shared.clone(), orders.clone(), Rc::default());
     shared.executor.spawn(engine.run(mailbox)).detach();
-    let standing = Rc::new(Cell::new(Standing::Ready));
+    let state = Rc::new(Cell::new(EndpointState::Ready));
     Bench {
         shared,
         events,
         orders,
         listener,
-        standing,
+        state,
         waits: Rc::new(Cell::new(true)),
     }
 }
@@ -85,7 +85,7 @@
             limit,
             by: Cell::new(limit),
             waits: self.waits.clone(),
-            standing: self.standing.clone(),
+            state: self.state.clone(),
             begun: Cell::new(false),
         })
     }
@@ -170,10 +170,10 @@
         }),
         ("its client has left", |b, _| b.waits.set(false)),
         ("its engine drains", |b, _| {
-            b.standing.set(Standing::Draining)
+            b.state.set(EndpointState::Draining)
         }),
         ("its engine is gone, the mailbox closed", |b, _| {
-            b.standing.set(Standing::Gone);
+            b.state.set(EndpointState::Gone);
             b.orders.close();
         }),
         ("its window or its time is over", |b, of| {
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -4,11 +4,11 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use ironstair::Standing;
+use ironstair::EndpointState;
 use ironstair_config_change::Frame;
 use ironstair_protocol::dns;
 use ironstair_runtime::clock::span;
-use ironstair_runtime::{Event, Place, Shared};
+use ironstair_runtime::{DiscoveredEndpoint, Event, Shared};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr, UdpSocket};
@@ -28,10 +28,10 @@
 /// one alone. Longer than any answer that still counts takes.
 const ANOTHER_SOCKET: u32 = 2 * WAITING as u32;
 
-/// What a new configuration says of the roster: where to ask, and the changes up to then.
+/// What a new configuration says of the endpoint list: where to ask, and the changes up to then.
 pub struct Moved {
     pub names: SocketAddr,
-    pub known: BTreeMap<String, Place>,
+    pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
     /// The names of zones and kinds, in the order that the decisions know.
     pub index: Frame,
@@ -72,13 +72,13 @@
 
     /// Older news than what is known are none; the number is kept last, so that none is taken for told when
     /// this is dropped while the module is busy.
-    async fn heard(&mut self, rev: u32, lines: BTreeMap<String, Place>) {
+    async fn heard(&mut self, rev: u32, lines: BTreeMap<String, DiscoveredEndpoint>) {
         if rev > self.rev {
             self.memory
                 .iter()
                 .for_each(|m| m.keep(rev, &lines, &self.index));
         }
-        if rev > self.rev && self.module.send(Event::Roster(lines)).await.is_ok() {
+        if rev > self.rev && self.module.send(Event::Endpoints(lines)).await.is_ok() {
             self.rev = rev;
             self.shared.gauges.serial.set(rev);
         }
@@ -138,21 +138,21 @@
     }
 }
 
-fn place(h: &dns::Host, index: &Frame) -> Place {
+fn place(h: &dns::Host, index: &Frame) -> DiscoveredEndpoint {
     let number = |name: &str| {
         h.text(name)
             .and_then(|t| t.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    Place {
+    DiscoveredEndpoint {
         address: (h.address, h.port).into(),
         zone: index.zone(h.zone),
         kind: index.kind(h.text("kind").unwrap_or_default()),
         marks: number("cell") as u16,
-        standing: if h.priority == 0 {
-            Standing::Ready
+        state: if h.priority == 0 {
+            EndpointState::Ready
         } else {
-            Standing::Draining
+            EndpointState::Draining
         },
         since: number("started"),
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -51,7 +51,7 @@
     /// Shows changes as they come
     Watch(user::Watch),
     /// Shows the cells, and who is kept to which
-    Cells(user::Listed),
+    Cells(user::Endpoint),
     /// Moves a tenant to other cells under traffic
     Move(user::Move),
     /// Shows the last changes of the settings, who made them and what became of them
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -114,7 +114,7 @@
         self.started.mandate()
     }
 
-    pub fn cells(&self) -> Option<ironstair_cells::Keeper> {
+    pub fn cells(&self) -> Option<ironstair_cells::CellDirectory> {
         self.started.cells()
     }
 
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -5,13 +5,13 @@
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
-use ironstair::{Ms, Standing};
+use ironstair::{EndpointState, Ms};
 use ironstair_config_change::Frame;
 use ironstair_fleet_agent::variant::taken_out;
 use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
 use ironstair_recovery::{begin as found, Engine, Kept};
 use ironstair_runtime::clock::span;
-use ironstair_runtime::{Place, Shared};
+use ironstair_runtime::{DiscoveredEndpoint, Shared};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -29,7 +29,7 @@
 const KEEP_EVERY: Ms = 10_000.0;
 
 enum Mail {
-    Roster(u32, Vec<Engine>),
+    Endpoints(u32, Vec<Engine>),
     End(Sender<()>),
 }
 
@@ -120,7 +120,7 @@
         gateway: told.name.clone(),
         ..Kept::default()
     };
-    if let Some((rev, age, engines)) = begun.roster {
+    if let Some((rev, age, engines)) = begun.endpoints {
         (kept.rev, kept.heard, kept.engines) =
             (rev, unix.as_secs_f64() * 1000.0 - age, engines.clone());
         notes.push(format!(
@@ -132,12 +132,12 @@
             let (address, marks, since) = (e.address, e.marks, e.since);
             (
                 e.name,
-                Place {
+                DiscoveredEndpoint {
                     address,
                     zone,
                     kind,
                     marks,
-                    standing: Standing::Ready,
+                    state: EndpointState::Ready,
                     since,
                 },
             )
@@ -164,20 +164,20 @@
     }
 
     /// The list as it is from now on. Where it can't be taken just now it comes with the next change.
-    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, Place>, index: &Frame) {
+    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, DiscoveredEndpoint>, index: &Frame) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
-        let line = |(name, p): (&String, &Place)| Engine {
+        let line = |(name, p): (&String, &DiscoveredEndpoint)| Engine {
             name: name.clone(),
             address: p.address,
             zone: named(&index.zones, p.zone),
             kind: named(&index.kinds, p.kind),
             marks: p.marks,
-            draining: p.standing != Standing::Ready,
+            draining: p.state != EndpointState::Ready,
             since: p.since,
         };
         let _ = self
             .mail
-            .try_send(Mail::Roster(rev, lines.iter().map(line).collect()));
+            .try_send(Mail::Endpoints(rev, lines.iter().map(line).collect()));
     }
 
     /// The process ends: kept is whether anything is out. Waits for the disk for so long, in ms, at most.
@@ -215,7 +215,7 @@
         };
         let mut done = None;
         match or(mail, again).await {
-            Some(Mail::Roster(rev, engines)) => (kept.rev, kept.engines) = (rev, engines),
+            Some(Mail::Endpoints(rev, engines)) => (kept.rev, kept.engines) = (rev, engines),
             Some(Mail::End(tell)) => {
                 (kept.clean, done) = (shared.gauges.open.get() == 0, Some(tell))
             }
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -3,17 +3,19 @@
 
 use crate::engine::Engine;
 use async_channel::{Receiver, Sender};
-use ironstair::door::Door;
+use ironstair::interner::Interner;
 use ironstair::logic::Gateway;
-use ironstair::{Actions, Listed, Mandate, Ms, Outcome, Request, Standing};
-use ironstair_cells::{Cells, Goes, Keeper};
+use ironstair::{Actions, Endpoint, EndpointState, Mandate, Ms, Outcome, Request};
+use ironstair_cells::{CellDirectory, Cells, Goes};
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::{self, Counts, Snapshot};
 use ironstair_recovery::stage::{stage, Facts};
 use ironstair_runtime::pool::Chain;
 use ironstair_runtime::wait::next;
 use ironstair_runtime::window::{Amendment, ManagementCommand, Window};
-use ironstair_runtime::{number, Attempt, Event, Id, NewRequest, Order, Place, Reply, Shared};
+use ironstair_runtime::{
+    number, Attempt, DiscoveredEndpoint, Event, Id, NewRequest, Order, Reply, Shared,
+};
 use slog::info;
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -45,18 +47,18 @@
 
 struct Known {
     name: String,
-    place: Place,
+    place: DiscoveredEndpoint,
     /// Its actor's mailbox, once it was asked for something: one that never is costs no more than its line.
     orders: Option<Sender<Order>>,
     connections: Rc<Cell<u32>>,
-    standing: Rc<Cell<Standing>>,
+    state: Rc<Cell<EndpointState>>,
 }
 
 impl Known {
     /// This process of the engine is over: its actor ends with what it holds. What still lies in its mailbox must not
     /// begin on the way there.
     fn close(&self) {
-        self.standing.set(Standing::Gone);
+        self.state.set(EndpointState::Gone);
         if let Some(orders) = &self.orders {
             orders.close();
         }
@@ -66,31 +68,31 @@
 struct ActionExecutor {
     shared: Rc<Shared>,
     now: Ms,
-    subs: Door<Id>,
+    subs: Interner<Id>,
     held: Vec<Option<Held>>,
     open: usize,
-    names: Door<u64>,
+    names: Interner<u64>,
     engines: Vec<Option<Known>>,
     wake: Option<Ms>,
     ends: Ms,
     /// By class, since the start.
     counts: Vec<Counts>,
     /// Which cells engines and tenants are in, where there are any.
-    cells: Option<Keeper>,
+    cells: Option<CellDirectory>,
     /// In a fleet that counts its members: the terms, and the share that goes before what they say of all gateways.
     mandate: Option<Mandate>,
     share: Option<Share>,
 }
 
 impl ActionExecutor {
-    fn new(shared: Rc<Shared>, cells: Option<Keeper>) -> Self {
+    fn new(shared: Rc<Shared>, cells: Option<CellDirectory>) -> Self {
         ActionExecutor {
             now: shared.clock.now(),
             shared,
-            subs: Door::default(),
+            subs: Interner::default(),
             held: Vec::new(),
             open: 0,
-            names: Door::default(),
+            names: Interner::default(),
             engines: Vec::new(),
             wake: None,
             ends: Ms::INFINITY,
@@ -190,7 +192,7 @@
             .as_ref()
             .map_or(0, |k| k.engine(self.names.id(engine)).0);
         let known = self.engines.get(engine).and_then(Option::as_ref);
-        let standing = known.map_or_else(Rc::default, |e| e.standing.clone());
+        let state = known.map_or_else(Rc::default, |e| e.state.clone());
         let Some(h) = self.held(request) else {
             return;
         };
@@ -212,7 +214,7 @@
             limit: h.limit,
             by,
             waits,
-            standing,
+            state,
             begun,
         };
         let of = Rc::new(of);
@@ -306,7 +308,7 @@
     shared: Rc<Shared>,
     events: Receiver<Event>,
     shown: Option<Shown>,
-    cells: Option<Keeper>,
+    cells: Option<CellDirectory>,
 ) {
     let mut executor = ActionExecutor::new(shared, cells);
     // In a fleet nothing is decided before it has said until when.
@@ -370,7 +372,7 @@
                 executor.ends = at;
                 gateway.ending(now, at, &mut executor);
             }
-            Some(Event::Roster(lines)) => roster(&mut gateway, &mut executor, lines),
+            Some(Event::Endpoints(lines)) => update_endpoints(&mut gateway, &mut executor, lines),
             Some(Event::Asked(request)) => match (request, &shown) {
                 (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut executor, shown),
                 (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut executor, *to),
@@ -430,53 +432,59 @@
 /// Engines and tenants go by other cells from now on. New attempts of what is open go where its tenant is now; what
 /// runs finishes where it is.
 fn move_tenants(gateway: &mut Gateway, executor: &mut ActionExecutor) {
-    let Some(keeper) = &mut executor.cells else {
+    let Some(cell_directory) = &mut executor.cells else {
         (0..executor.held.len()).for_each(|s| gateway.confine(s, 0));
         let cells = |_: u64| 0;
         let lines = lines(&executor.engines, &executor.names, cells);
-        return gateway.roster(executor.now, true, &lines, executor);
+        return gateway.update_endpoints(executor.now, true, &lines, executor);
     };
-    let lines = lines(&executor.engines, &executor.names, |id| keeper.engine(id).0);
-    keeper.roster(
+    let lines = lines(&executor.engines, &executor.names, |id| {
+        cell_directory.engine(id).0
+    });
+    cell_directory.update_endpoints(
         lines
             .iter()
-            .filter(|l| l.standing == Standing::Ready)
+            .filter(|l| l.state == EndpointState::Ready)
             .map(|l| l.id),
     );
     for (s, held) in executor.held.iter().enumerate() {
         if let Some(h) = held {
-            gateway.confine(s, keeper.tenant(h.tenant).0);
+            gateway.confine(s, cell_directory.tenant(h.tenant).0);
         }
     }
-    gateway.roster(executor.now, true, &lines, executor);
+    gateway.update_endpoints(executor.now, true, &lines, executor);
 }
 
-/// The roster as it stands, for the module.
-fn lines(engines: &[Option<Known>], names: &Door<u64>, cells: impl Fn(u64) -> u64) -> Vec<Listed> {
+/// The endpoint list as it stands, for the module.
+fn lines(
+    engines: &[Option<Known>],
+    names: &Interner<u64>,
+    cells: impl Fn(u64) -> u64,
+) -> Vec<Endpoint> {
     let known = engines
         .iter()
         .enumerate()
         .filter_map(|(i, e)| e.as_ref().map(|e| (i, &e.place)));
-    let line = |(engine, p): (usize, &Place)| {
+    let line = |(engine, p): (usize, &DiscoveredEndpoint)| {
         let (
             id,
-            Place {
+            DiscoveredEndpoint {
                 zone,
                 kind,
                 marks,
-                standing,
+                state,
                 since,
                 ..
             },
         ) = (names.id(engine), p.clone());
-        Listed {
+        Endpoint {
             engine,
             id,
             zone,
             kind,
             marks,
             cells: cells(id),
-            standing,
+            state,
             since,
         }
     };
@@ -626,7 +634,11 @@
     );
 }
 
-fn roster(gateway: &mut Gateway, executor: &mut ActionExecutor, lines: BTreeMap<String, Place>) {
+fn update_endpoints(
+    gateway: &mut Gateway,
+    executor: &mut ActionExecutor,
+    lines: BTreeMap<String, DiscoveredEndpoint>,
+) {
     for at in 0..executor.engines.len() {
         if let Some(e) = executor.engines[at].take_if(|e| !lines.contains_key(&e.name)) {
             e.close();
@@ -649,22 +661,22 @@
             executor.engines.resize_with(engine + 1, || None);
         }
         let cells = executor.cells.as_ref().map_or(0, |k| k.engine(id).0);
-        let Place {
+        let DiscoveredEndpoint {
             zone,
             kind,
             marks,
-            standing,
+            state,
             since,
             address,
         } = place;
-        listed.push(Listed {
+        listed.push(Endpoint {
             engine,
             id,
             zone,
             kind,
             marks,
             cells,
-            standing,
+            state,
             since,
         });
         let known = &mut executor.engines[engine];
@@ -675,33 +687,33 @@
         }
         if let Some(e) = known {
             e.place = place;
-            if e.standing.replace(standing) != standing && standing != Standing::Ready {
+            if e.state.replace(state) != state && state != EndpointState::Ready {
                 // Where the mailbox is full, what lies in it is looked at before its write all the same.
                 e.orders
                     .iter()
-                    .for_each(|orders| drop(orders.try_send(Order::Standing)));
+                    .for_each(|orders| drop(orders.try_send(Order::EndpointStateChanged)));
             }
             continue;
         }
         info!(executor.shared.log, "engine {:012x} is {}", id, name; "zone" => zone, "kind" => kind);
-        let standing = Rc::new(Cell::new(standing));
+        let state = Rc::new(Cell::new(state));
         *known = Some(Known {
             name,
             place,
             orders: None,
             connections: Rc::default(),
-            standing,
+            state,
         });
     }
-    if let Some(keeper) = &mut executor.cells {
-        keeper.roster(
+    if let Some(cell_directory) = &mut executor.cells {
+        cell_directory.update_endpoints(
             listed
                 .iter()
-                .filter(|l| l.standing == Standing::Ready)
+                .filter(|l| l.state == EndpointState::Ready)
                 .map(|l| l.id),
         );
     }
-    gateway.roster(executor.now, true, &listed, executor);
+    gateway.update_endpoints(executor.now, true, &listed, executor);
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -50,21 +50,21 @@
 fn a_full_mailbox_swallows_no_withdrawal() {
     let mut executor = executor();
     let (orders, mailbox) = async_channel::bounded(2);
-    let place = Place {
+    let place = DiscoveredEndpoint {
         address: ([127, 0, 0, 1], 9).into(),
         zone: 0,
         kind: 0,
         marks: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         since: 0.0,
     };
-    let (connections, standing) = (Rc::default(), Rc::new(Cell::new(Standing::Ready)));
+    let (connections, state) = (Rc::default(), Rc::new(Cell::new(EndpointState::Ready)));
     let known = Known {
         name: "e1".into(),
         place,
         orders: Some(orders.clone()),
         connections,
-        standing,
+        state,
     };
     executor.engines.push(Some(known));
     let request = executor.subs.admit(*b"0000000000000001");
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's file: all that the platform does not give, off without it. Decoded once, at start.
 
-use ironstair_cells::Keeper;
+use ironstair_cells::CellDirectory;
 use ironstair_config_change::{Cell, Decimal, EnginePin, TenantPin};
 use ironstair_fleet_agent::Charter;
 use ironstair_runtime::number;
@@ -179,14 +179,16 @@
 ///
 /// # Errors
 /// A name, a pin or the shard can't be; the sentence names the field.
-pub fn keeper(c: &Cells) -> Result<Keeper, String> {
+pub fn cell_directory(c: &Cells) -> Result<CellDirectory, String> {
     if let Some((name, _)) = c.names.iter().find(|(_, w)| !(w.is_finite() && **w >= 0.0)) {
         return Err(format!("cells.names.{name}: is no share"));
     }
     if matches!(c.without, Without::Lend(share) if !(0.0..=1.0).contains(&share)) {
         return Err("cells.without: is no share from 0 to 1".into());
     }
-    cells(c).keeper(number).map_err(|f| format!("cells: {f}"))
+    cells(c)
+        .cell_directory(number)
+        .map_err(|f| format!("cells: {f}"))
 }
 
 /// Where and for whom settings and state are served.
@@ -245,7 +247,7 @@
     })?;
     reader.end().map_err(|e| e.to_string())?;
     if let Some(c) = &found.cells {
-        keeper(c)?;
+        cell_directory(c)?;
     }
     match (&found.fleet, &found.management) {
         (Some(_), None) => {
@@ -316,9 +318,9 @@
                 .fleet
                 .unwrap()
         };
-        let keeper = charter(&read(r#""state": "s""#), "a").unwrap();
+        let voter = charter(&read(r#""state": "s""#), "a").unwrap();
         assert_eq!(
-            (keeper.lease, keeper.steady, keeper.is_keeper()),
+            (voter.lease, voter.steady, voter.is_keeper()),
             (3000.0, false, true)
         );
         assert!(!charter(&read(r#""cut_off": "steady""#), "d")
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -159,7 +159,7 @@
 /// Has the kernel make room for so many descriptors, or for as many as it allows; tells how many it refused
 /// and for how many there is room then.
 ///
-/// Against standing still for seconds under load: the table grows by doubling, and once several threads share
+/// Against state still for seconds under load: the table grows by doubling, and once several threads share
 /// it, each time a connection is opened that no longer fits waits until all cores have come round
 /// (`synchronize_rcu` in Linux). To be called while the process has one thread.
 fn make_room(descriptors: usize) -> Option<(usize, usize)> {
@@ -186,7 +186,7 @@
     };
     let cells = match &management {
         Some(m) => m.cells(),
-        None => cells.map(operator::keeper).transpose()?,
+        None => cells.map(operator::cell_directory).transpose()?,
     };
     let (log, _guard, level) = log::open(&told.name, form);
     if let Some((wanted, made)) = refused {
@@ -252,7 +252,7 @@
         let signals = signals.map_err(|e| fault("signals", e))?;
         let listener = Async::<TcpListener>::bind(told.listen).map_err(|e| fault("listen", e))?;
         module
-            .try_send(Event::Roster(told.known))
+            .try_send(Event::Endpoints(told.known))
             .map_err(|e| e.to_string())?;
         let shown = management.as_ref().map(|m| Shown {
             window: m.window.clone(),
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -1,9 +1,9 @@
 //! What a gateway is told at start, decoded once.
 
-use ironstair::{Mandate, Ms, Standing};
+use ironstair::{EndpointState, Mandate, Ms};
 use ironstair_config_change::renewal::File;
 use ironstair_config_change::Frame;
-use ironstair_runtime::Place;
+use ironstair_runtime::DiscoveredEndpoint;
 use ironstair_settings::{carriage, classes, kinds, limits, mandate, word, zones, Carriage};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -28,8 +28,8 @@
     /// The classes' hard limits.
     pub limits: Vec<Ms>,
     pub index: Frame,
-    /// The roster up to now, and the number of its last change.
-    pub known: BTreeMap<String, Place>,
+    /// The endpoint list up to now, and the number of its last change.
+    pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The roster with its zones and kinds under other indices.
+    /// The endpoint list with its zones and kinds under other indices.
     pub fn under(&mut self, index: &Frame) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
         for place in self.known.values_mut() {
@@ -98,28 +98,32 @@
     })
 }
 
-/// One change of the roster, upon those before it.
-fn follow(known: &mut BTreeMap<String, Place>, pool: &Value, index: &Frame) -> Result<(), String> {
+/// One change of the endpoint list, upon those before it.
+fn follow(
+    known: &mut BTreeMap<String, DiscoveredEndpoint>,
+    pool: &Value,
+    index: &Frame,
+) -> Result<(), String> {
     if pool["reset"].as_bool().unwrap_or(false) {
         known.clear();
     }
     for e in pool["instances"].as_array().into_iter().flatten() {
         // In lower case, like the names that DNS brings.
         let name = word(e, "instanceId")?.to_ascii_lowercase();
-        let standing = match word(e, "lifecycle")? {
-            "ready" => Standing::Ready,
-            "draining" => Standing::Draining,
+        let state = match word(e, "lifecycle")? {
+            "ready" => EndpointState::Ready,
+            "draining" => EndpointState::Draining,
             _ => {
                 known.remove(&name);
                 continue;
             }
         };
-        let place = Place {
+        let place = DiscoveredEndpoint {
             address: address(e, "hostPort")?,
             zone: index.zone(e["zone"].as_str().unwrap_or_default()),
             kind: index.kind(e["machineType"].as_str().unwrap_or_default()),
             marks: e["cell"].as_u64().unwrap_or(0) as u16,
-            standing,
+            state,
             since: e["startedAtMs"].as_f64().unwrap_or(0.0),
         };
         known.insert(name, place);
@@ -144,12 +148,12 @@
         };
         let mut known = BTreeMap::from([(
             "left-over".to_string(),
-            Place {
+            DiscoveredEndpoint {
                 address: ([10, 1, 0, 1], 1).into(),
                 zone: 0,
                 kind: 0,
                 marks: 0,
-                standing: Standing::Ready,
+                state: EndpointState::Ready,
                 since: 0.0,
             },
         )]);
@@ -157,12 +161,12 @@
         let then = json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
         follow(&mut known, &first, &index).unwrap();
         follow(&mut known, &then, &index).unwrap();
-        let place = Place {
+        let place = DiscoveredEndpoint {
             address: ([10, 1, 0, 9], 3).into(),
             zone: 1,
             kind: u16::MAX,
             marks: 2,
-            standing: Standing::Draining,
+            state: EndpointState::Draining,
             since: 5.0,
         };
         assert_eq!(known, BTreeMap::from([("s-1".to_string(), place)]));
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -155,7 +155,7 @@
 }
 
 #[derive(clap::Args)]
-pub struct Listed {
+pub struct Endpoint {
     #[command(flatten)]
     at: At,
 }
@@ -514,7 +514,7 @@
     })
 }
 
-pub async fn cells(l: Listed) -> Done {
+pub async fn cells(l: Endpoint) -> Done {
     match get(Get {
         path: "/settings/cells".into(),
         at: l.at,
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -29,8 +29,8 @@
         .collect();
     let listed = [("e1", engines[0].0), ("e2", engines[1].0)];
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(1, json!([class]), &listed);
-    (started(test, told, roster, operator), engines)
+    let (told, name_answer) = told(1, json!([class]), &listed);
+    (started(test, told, name_answer, operator), engines)
 }
 
 /// The calls that reached an engine.
@@ -86,7 +86,7 @@
     ] {
         let (gateway, engines) = fleet(test, Some(cells(without)));
         let drained = [("e1", engines[0].0, 1), ("e2", engines[1].0, 0)];
-        *gateway.roster.lock().unwrap() = answer(2, &drained);
+        *gateway.name_answer.lock().unwrap() = answer(2, &drained);
         let mut c = Client::of(&gateway);
         // Until the list is heard.
         let late = Instant::now() + Duration::from_secs(5);
@@ -147,7 +147,7 @@
     let listed: Vec<(&str, SocketAddr)> =
         names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
     let class = |name: &str, semantics: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0});
-    let (told, roster) = told(
+    let (told, name_answer) = told(
         1,
         json!([class("lookup", "pure"), class("post", "side_effect")]),
         &listed,
@@ -167,7 +167,7 @@
         .collect();
     let operator = json!({"management": {"listen": at.to_string()}, "cells": {"names": {"a": 1, "b": 1, "c": 1},
         "named_by_clients": true, "engines": pins, "tenants": {"t1": ["a"], "t2": ["c"]}}});
-    let gateway = started(test, told, roster, Some(operator));
+    let gateway = started(test, told, name_answer, Some(operator));
     let clients: Vec<_> = (0..6u64)
         .map(|who| {
             let mut c = Client::of(&gateway);
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -35,10 +35,10 @@
 
 /// A gateway that waits up to 6 s for a connection to come up.
 fn patient(test: &str, engines: &[(&str, SocketAddr)], edit: impl Fn(&mut Value)) -> Gateway {
-    let (mut told, roster) = told(2, classes(), engines);
+    let (mut told, name_answer) = told(2, classes(), engines);
     told["settings"]["policy_limits"]["connect_timeout_ns"] = json!(6e9);
     edit(&mut told);
-    started(test, told, roster, None)
+    started(test, told, name_answer, None)
 }
 
 fn ask(c: &mut Client, class: &str, call: u64) {
@@ -150,7 +150,7 @@
     let mut c = Client::of(&g);
     (1..=8).for_each(|call| ask(&mut c, "post", call));
     gate.until_kept_back(8);
-    *g.roster.lock().unwrap() = answer(2, &[("e1", late, 1), ("e2", other, 0)]);
+    *g.name_answer.lock().unwrap() = answer(2, &[("e1", late, 1), ("e2", other, 0)]);
     // The list is known once something is answered.
     let mut told = Client::of(&g);
     ask(&mut told, "lookup", 77);
@@ -366,8 +366,8 @@
     let rest: Vec<TcpStream> = (0..300)
         .filter_map(|_| TcpStream::connect(g.at).ok())
         .collect();
-    let (names, roster) = name_service();
-    *roster.lock().unwrap() = answer(2, &[("e2", new, 0)]);
+    let (names, name_answer) = name_service();
+    *name_answer.lock().unwrap() = answer(2, &[("e2", new, 0)]);
     g.moves(
         &std::fs::read_to_string(g.dir.join("told.json")).unwrap(),
         names,
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -113,7 +113,7 @@
         })
     };
     let drains = {
-        let (over, roster) = (over.clone(), gateway.roster.clone());
+        let (over, name_answer) = (over.clone(), gateway.name_answer.clone());
         let listed: Vec<(String, SocketAddr)> =
             listed.iter().map(|(n, a)| (n.to_string(), *a)).collect();
         thread::spawn(move || {
@@ -124,7 +124,7 @@
                     .enumerate()
                     .map(|(i, (n, a))| (n.as_str(), *a, state(i)))
                     .collect();
-                *roster.lock().unwrap() = answer(serial, &all);
+                *name_answer.lock().unwrap() = answer(serial, &all);
                 thread::sleep(Duration::from_millis(300));
                 if over.load(Ordering::Relaxed) {
                     return;
@@ -1268,8 +1268,8 @@
 #[test]
 fn without_the_operators_file_nothing_of_management_runs() {
     let with = managed("holds-with", &[]);
-    let (told, roster) = told(1, classes(), &[]);
-    let without = started("holds-without", told, roster, None);
+    let (told, name_answer) = told(1, classes(), &[]);
+    let without = started("holds-without", told, name_answer, None);
     Client::of(&with.0).ask(1);
     Client::of(&without).ask(1);
     runtime().block_on(async { get(&mut client(with.1).await, "/settings").await.unwrap() });
@@ -1281,8 +1281,8 @@
 
 #[test]
 fn the_log_as_json_lines_has_stable_keys() {
-    let (told, roster) = told(1, classes(), &[]);
-    let gateway = started("log-json", told, roster, None);
+    let (told, name_answer) = told(1, classes(), &[]);
+    let gateway = started("log-json", told, name_answer, None);
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"))
         .args(["serve", "--log", "json"])
         .arg(gateway.dir.join("other.json"))
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -34,7 +34,7 @@
     engines: &[(&str, SocketAddr)],
     more: impl FnOnce(&mut Value, &std::path::Path),
 ) -> (Gateway, SocketAddr) {
-    let (told, roster) = told(1, classes(), engines);
+    let (told, name_answer) = told(1, classes(), engines);
     let at = SocketAddr::new(
         told["listen"]
             .as_str()
@@ -49,7 +49,7 @@
         json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
     std::fs::create_dir_all(&dir).unwrap();
     more(&mut operator, &dir);
-    (started(test, told, roster, Some(operator)), at)
+    (started(test, told, name_answer, Some(operator)), at)
 }
 
 pub fn managed(test: &str, engines: &[(&str, SocketAddr)]) -> (Gateway, SocketAddr) {
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -302,14 +302,14 @@
     };
     let ((at, _), (draining, _)) = (engine(settles), engine(settles));
     let classes = json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}]);
-    let (mut told, roster) = stand::told(1, classes, &[]);
+    let (mut told, name_answer) = stand::told(1, classes, &[]);
     told["known"] = json!({"rev": 0, "notices": []});
     let mut operator = json!({"management": {"listen": own_management(&told)}});
     if let Some(folder) = folder {
         operator["recovery"] = json!({"state": folder});
     }
     (
-        stand::started(test, told, roster, Some(operator)),
+        stand::started(test, told, name_answer, Some(operator)),
         at,
         draining,
     )
@@ -343,7 +343,7 @@
         let test = format!("remembers-{kept}");
         let (mut gateway, at, draining) = remembering(&test, kept.then_some(folder.path()));
         // Its state 0 is ready.
-        *gateway.roster.lock().unwrap() = answer(7, &[("e1", at, 0), ("e2", draining, 1)]);
+        *gateway.name_answer.lock().unwrap() = answer(7, &[("e1", at, 0), ("e2", draining, 1)]);
         until("it knows its engines", || settles(&gateway, 1));
         until("it is back", || {
             cli(&gateway, "/state/process/stage")[0]["value"] == json!("full")
@@ -351,7 +351,7 @@
         let file = folder.path().join("gateway.kept");
         until("the list is kept", || !kept || file.exists());
         // The name service says nothing any more.
-        gateway.roster.lock().unwrap().clear();
+        gateway.name_answer.lock().unwrap().clear();
         gateway.again();
         assert_eq!(
             settles(&gateway, 2),
@@ -415,16 +415,16 @@
 #[test]
 fn case_6_keys_rest_after_a_kill_and_not_after_an_end_with_nothing_out() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut told, roster) = stand::told(1, json!([]), &[]);
+    let (mut told, name_answer) = stand::told(1, json!([]), &[]);
     let class = json!({"name": "post", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "side_effect", "worth": 1.0,
         "by_arrival": true});
     told["settings"]["classes"] = json!([class]);
     told["settings"]["family_info"]["threads_by_class"] = json!([1]);
     told["settings"]["guarantees"]["settle_after_doubt_ns"] = json!(60e9);
     let (at, _) = engine(|_, _| (Vec::new(), false));
-    *roster.lock().unwrap() = answer(7, &[("e1", at, 0)]);
+    *name_answer.lock().unwrap() = answer(7, &[("e1", at, 0)]);
     let operator = json!({"management": {"listen": own_management(&told)}, "recovery": {"state": folder.path()}});
-    let mut gateway = stand::started("keys-rest", told, roster, Some(operator));
+    let mut gateway = stand::started("keys-rest", told, name_answer, Some(operator));
     let rests = |gateway: &stand::Gateway| {
         let of = |path: &str| {
             cli(gateway, path)[0]["value"]
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -444,7 +444,7 @@
     let mut c = Client::of(&g);
     c.ask(1);
     assert_eq!(c.rows(), (1, b"old\t\t\n".to_vec()));
-    *g.roster.lock().unwrap() = answer(2, &[("e1", old, 1), ("e2", new, 0)]);
+    *g.name_answer.lock().unwrap() = answer(2, &[("e1", old, 1), ("e2", new, 0)]);
     let mut call = 1;
     let mut until = |c: &mut Client, row: &str| {
         soon(|| {
@@ -463,11 +463,11 @@
         before,
         "nothing new to a draining engine"
     );
-    *g.roster.lock().unwrap() = b"no list at all".to_vec();
+    *g.name_answer.lock().unwrap() = b"no list at all".to_vec();
     thread::sleep(Duration::from_millis(300));
     assert!(until(&mut c, "new\t\t\n"), "the last good list stays");
     // Gone, and its address is another's now: what was open with the old one is sent anew.
-    *g.roster.lock().unwrap() = answer(3, &[("e3", old, 0)]);
+    *g.name_answer.lock().unwrap() = answer(3, &[("e3", old, 0)]);
     assert!(until(&mut c, "old\t\t\n"));
 }
 
@@ -493,12 +493,12 @@
         .into_iter()
         .enumerate()
     {
-        let (names, roster) = name_service();
+        let (names, name_answer) = name_service();
         g.moves(&told, names);
         thread::sleep(Duration::from_millis(100));
         let serial = 2 + serial as u32;
-        *g.roster.lock().unwrap() = answer(serial + 5, &[("e9", own_address(), 0)]);
-        *roster.lock().unwrap() = answer(serial, &[(&format!("e{serial}"), at, 0)]);
+        *g.name_answer.lock().unwrap() = answer(serial + 5, &[("e9", own_address(), 0)]);
+        *name_answer.lock().unwrap() = answer(serial, &[(&format!("e{serial}"), at, 0)]);
         assert!(soon(|| row(&mut c) == want));
     }
     assert!(g.process.try_wait().unwrap().is_none());
@@ -587,9 +587,10 @@
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     for (sockets, room) in [(json!(384), 384), (json!(1e9), 512)] {
-        let (mut told, roster) = told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
+        let (mut told, name_answer) =
+            told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
         told["limits"] = json!({"memory_mb": 192, "sockets": sockets});
-        let g = started(&format!("room-{room}"), told, roster, None);
+        let g = started(&format!("room-{room}"), told, name_answer, None);
         let mut c = Client::of(&g);
         c.ask(1);
         assert_eq!(c.rows().0, 1);
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -46,7 +46,12 @@
 }
 
 /// A gateway whose log lines are kept.
-fn logged(test: &str, told: &Value, roster: Roster, operator: Option<Value>) -> (Gateway, Seen) {
+fn logged(
+    test: &str,
+    told: &Value,
+    name_answer: NameServiceAnswer,
+    operator: Option<Value>,
+) -> (Gateway, Seen) {
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("told.json"), told.to_string()).unwrap();
@@ -73,7 +78,7 @@
         Gateway {
             process,
             at,
-            roster,
+            name_answer,
             dir,
         },
         lines,
@@ -124,13 +129,13 @@
     };
     let ((a, seen_a), (b, seen_b)) = (engine(act), engine(act));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(
+    let (told, name_answer) = told(
         2,
         json!([class("lookup"), class("report")]),
         &[("e1", a), ("e2", b)],
     );
     let (first, second) = (told["settings"].clone(), other(&told["settings"]));
-    let g = started("switch", told.clone(), roster, None);
+    let g = started("switch", told.clone(), name_answer, None);
     // A class that was never told is a client's fault, of which a connection bears few: it is told once.
     // Before it serves, the signal would end it.
     drop(Client::of(&g));
@@ -201,8 +206,8 @@
 fn a_bad_file_leaves_the_old_settings_whole_and_says_which_field() {
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
-    let (g, lines) = logged("bad", &told, roster, None);
+    let (told, name_answer) = told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
+    let (g, lines) = logged("bad", &told, name_answer, None);
     let mut c = Client::of(&g);
     let said = |what: &str| soon(|| lines.lock().unwrap().iter().any(|l| l.contains(what)));
     let good = other(&told["settings"]);
@@ -271,8 +276,8 @@
         (done(line, "x\ty\tz\n"), false)
     });
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(1, json!([class]), &[("e1", at)]);
-    let (g, lines) = logged("carriage", &told, roster, None);
+    let (told, name_answer) = told(1, json!([class]), &[("e1", at)]);
+    let (g, lines) = logged("carriage", &told, name_answer, None);
     let mut c = Client::of(&g);
     let mut s = told["settings"].clone();
     s["policy_limits"]["max_open"] = json!(1);
@@ -292,9 +297,9 @@
     // Against a commit and a file that contradict each other.
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(1, json!([class("lookup"), class("report")]), &[("e1", at)]);
+    let (told, name_answer) = told(1, json!([class("lookup"), class("report")]), &[("e1", at)]);
     let operator = json!({"management": {"listen": own_address().to_string()}});
-    let (g, lines) = logged("managed-switch", &told, roster, Some(operator));
+    let (g, lines) = logged("managed-switch", &told, name_answer, Some(operator));
     let mut c = Client::of(&g);
     put(&g, &told, &other(&told["settings"]));
     assert!(soon(|| count(&lines, "settings come by management") == 1
@@ -312,14 +317,14 @@
         .map(|_| engine(|line, _| (done(line, "x\ty\tz\n"), false)))
         .collect();
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, roster) = told(
+    let (told, name_answer) = told(
         1,
         json!([class]),
         &[("e1", engines[0].0), ("e2", engines[1].0)],
     );
     let cells = json!({"cells": {"names": {"a": 1, "b": 1}, "named_by_clients": true,
         "engines": {"e1": "a", "e2": "b"}, "tenants": {"t1": ["a"], "t2": ["b"]}, "without": {"turn_back": 500}}});
-    let (g, lines) = logged("cells-switch", &told, roster, Some(cells));
+    let (g, lines) = logged("cells-switch", &told, name_answer, Some(cells));
     let mut c = Client::of(&g);
     put(&g, &told, &other(&told["settings"]));
     assert!(soon(|| count(&lines, "new settings hold") == 1));
@@ -352,8 +357,8 @@
         json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0,
             "machine_types_allowed": [kind]}])
     };
-    let (told, roster) = told(1, class(0), &[("e1", old)]);
-    let (g, _lines) = logged("list-switch", &told, roster, None);
+    let (told, name_answer) = told(1, class(0), &[("e1", old)]);
+    let (g, _lines) = logged("list-switch", &told, name_answer, None);
     let mut c = Client::of(&g);
     let mut moved = told.clone();
     moved["settings"]["machine_types"] = json!(["new", "m"]);
--- a/crates/management/src/desk.rs
+++ b/crates/management/src/desk.rs
@@ -2,7 +2,7 @@
 
 use crate::file::Journal;
 use crate::fleet::{Answer, Fleetward, Held, Wanted};
-use crate::start::{classes, keeper, Started};
+use crate::start::{cell_directory, classes, Started};
 use async_channel::Sender as Requests;
 use ironstair::Ms;
 use ironstair_cells::moves::may_move;
@@ -548,22 +548,22 @@
 
     /// Whether each tenant whose pin changes may move to where it is pinned then.
     fn moves(&self, to: &Document) -> Result<(), Vec<String>> {
-        let (Some(cells), Some(keeper)) = (&to.cells, keeper(to)) else {
+        let (Some(cells), Some(cell_directory)) = (&to.cells, cell_directory(to)) else {
             return Ok(());
         };
         let engines = self
             .was
             .engines
             .iter()
-            .filter(|(_, e)| e.view.standing == ironstair::Standing::Ready);
+            .filter(|(_, e)| e.view.state == ironstair::EndpointState::Ready);
         let ready = engines
-            .map(|(_, e)| keeper.engine(e.id))
+            .map(|(_, e)| cell_directory.engine(e.id))
             .fold(Cells::default(), Cells::with);
         let before = self.running().cells.iter().flat_map(|c| &c.tenant);
         let before: Vec<_> = before.collect();
         let moved = cells.tenant.iter().filter(|t| !before.contains(t));
         let refused = moved.filter_map(|t| {
-            let there = keeper.tenant(number(t.name.as_bytes()));
+            let there = cell_directory.tenant(number(t.name.as_bytes()));
             let why = may_move(there, ready, Cells::default()).err()?;
             Some(format!(
                 "/settings/cells/tenant[name={}]/cell: {why}",
@@ -650,7 +650,7 @@
         let mandate = self.origin.mandate(&document, &self.roll);
         let (classes, longest) = classes(&self.roll, &document, &mandate);
         let (done, told) = async_channel::bounded(1);
-        let cells = Some(keeper(&document));
+        let cells = Some(cell_directory(&document));
         let amendment = Amendment {
             mandate,
             classes,
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -2,7 +2,7 @@
 
 use crate::file::Journal;
 use ironstair::{Mandate, Ms};
-use ironstair_cells::Keeper;
+use ironstair_cells::CellDirectory;
 use ironstair_config_change::journal::{Found, Kept};
 use ironstair_config_change::plan::{plan, Origin, Roll};
 use ironstair_config_change::revisions::Ledger;
@@ -126,8 +126,8 @@
         self.origin.mandate(self.ledger.running(), &self.roll)
     }
 
-    pub fn cells(&self) -> Option<Keeper> {
-        keeper(self.ledger.running())
+    pub fn cells(&self) -> Option<CellDirectory> {
+        cell_directory(self.ledger.running())
     }
 
     pub fn classes(&self) -> (Vec<Told>, Ms) {
@@ -136,8 +136,11 @@
 }
 
 /// What is kept of a document's cells; one that was let through can be kept.
-pub fn keeper(document: &Document) -> Option<Keeper> {
-    document.cells.as_ref().and_then(|c| c.keeper(number).ok())
+pub fn cell_directory(document: &Document) -> Option<CellDirectory> {
+    document
+        .cells
+        .as_ref()
+        .and_then(|c| c.cell_directory(number).ok())
 }
 
 /// The classes by index, and the longest hard limit.
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -2,7 +2,7 @@
 
 use ironstair::{ClassPolicy, Kind, Mandate};
 use ironstair_config_change::journal::{encode, Kept, Line, Record};
-use ironstair_config_change::revisions::Standing;
+use ironstair_config_change::revisions::RevisionState;
 use ironstair_config_change::{Document, Frame};
 use ironstair_management::{open, Journal};
 use std::path::Path;
@@ -46,14 +46,14 @@
     (started.ledger.running().advice, started.notes)
 }
 
-fn set(number: u64, advice: u32, standing: Standing, base: &Document) -> Record<Document> {
+fn set(number: u64, advice: u32, state: RevisionState, base: &Document) -> Record<Document> {
     let (who, what) = ("op".to_string(), String::new());
     let line = Line {
         number,
         who,
         when: 1e12,
         what,
-        standing,
+        state,
         commit: None,
         until: None,
     };
@@ -72,10 +72,10 @@
     let base = Document::told(&mandate, &names, &limits, &frame);
     let records = [
         Record::Whole(Kept::told(base.clone())),
-        set(1, 10, Standing::Running, &base),
-        set(2, 20, Standing::Unconfirmed, &base),
+        set(1, 10, RevisionState::Running, &base),
+        set(2, 20, RevisionState::Unconfirmed, &base),
         Record::Confirmed { number: 2 },
-        set(3, 30, Standing::Unconfirmed, &base),
+        set(3, 30, RevisionState::Unconfirmed, &base),
     ];
     // What runs once so many of them are whole: an unconfirmed one never does.
     let runs = [0, 0, 10, 10, 20, 20];
@@ -114,7 +114,7 @@
     while !journal.wants_anew() {
         number += 1;
         journal
-            .append(&set(number, number as u32, Standing::Running, &base))
+            .append(&set(number, number as u32, RevisionState::Running, &base))
             .unwrap();
         assert!(number < 1000, "no bound");
     }
--- a/crates/recovery/src/start.rs
+++ b/crates/recovery/src/start.rs
@@ -12,7 +12,7 @@
 pub struct Begun {
     /// The list that holds until the name service answers: the number of its last change, its age, its engines
     /// without those that were draining.
-    pub roster: Option<(u32, Ms, Vec<Engine>)>,
+    pub endpoints: Option<(u32, Ms, Vec<Engine>)>,
     /// What the last process had out is not known: keys rest.
     pub rests: bool,
     /// Worth a line in the log: why something was not used.
@@ -45,7 +45,7 @@
 pub fn begin(kept: Result<Option<Kept>, String>, gateway: &str, now: Ms, rev: u32) -> Begun {
     // Without a word of the last process it may have had anything out.
     let blank = |note: Option<String>| Begun {
-        roster: None,
+        endpoints: None,
         rests: true,
         note,
     };
@@ -73,7 +73,7 @@
     let age = (now - kept.heard).max(0.0);
     let engines = kept.engines.into_iter().filter(|e| !e.draining).collect();
     Begun {
-        roster: Some((kept.rev, age, engines)),
+        endpoints: Some((kept.rev, age, engines)),
         rests: !clean,
         note: None,
     }
--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -44,7 +44,7 @@
         clean: true,
         ..kept()
     };
-    for (found, rev, roster, rests, note) in [
+    for (found, rev, endpoints, rests, note) in [
         (Ok(Some(kept())), 7, true, true, None),
         (
             Ok(Some(Kept {
@@ -117,12 +117,12 @@
     ] {
         let begun = begin(found.clone(), "g1", NOW, rev);
         assert_eq!(
-            (begun.roster.is_some(), begun.rests),
-            (roster, rests),
+            (begun.endpoints.is_some(), begun.rests),
+            (endpoints, rests),
             "{found:?}"
         );
         assert_eq!(begun.note.as_deref(), note, "{found:?}");
-        if let Some((rev, age, engines)) = begun.roster {
+        if let Some((rev, age, engines)) = begun.endpoints {
             assert_eq!(
                 (rev, age, engines),
                 (7, 1000.0, vec![engine("e1", false)]),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -10,7 +10,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use clock::Clock;
-use ironstair::{Ms, Outcome, Request, Standing};
+use ironstair::{EndpointState, Ms, Outcome, Request};
 use ironstair_settings::Carriage;
 use pool::{Buffer, Chain, Pool};
 use slog::Logger;
@@ -38,7 +38,7 @@
         engine: usize,
         values: Vec<f64>,
     },
-    Roster(BTreeMap<String, Place>),
+    Endpoints(BTreeMap<String, DiscoveredEndpoint>),
     /// By then the process is to have ended.
     Ending(Ms),
     /// From outside the gateway's thread.
@@ -77,8 +77,8 @@
     Withdraw(Rc<Attempt>),
     Priority(Id, u8),
     Report,
-    /// The engine's standing has changed: what has not begun may not begin any more.
-    Standing,
+    /// The engine's state has changed: what has not begun may not begin any more.
+    EndpointStateChanged,
     Up(u64, Rc<Async<TcpStream>>),
     /// A connection that could take no more takes more.
     Writable(u64),
@@ -101,14 +101,14 @@
     pub by: Cell<Ms>,
     pub waits: Rc<Cell<bool>>,
     /// The engine's, by the list.
-    pub standing: Rc<Cell<Standing>>,
+    pub state: Rc<Cell<EndpointState>>,
     /// Set with its first byte.
     pub begun: Cell<bool>,
 }
 
 impl Attempt {
     pub fn may_begin(&self, now: Ms) -> bool {
-        now < self.by.get() && self.waits.get() && self.standing.get() == Standing::Ready
+        now < self.by.get() && self.waits.get() && self.state.get() == EndpointState::Ready
     }
 
     /// Overtakes it wherever it lies; what has begun is withdrawn by an order of its own.
@@ -117,15 +117,15 @@
     }
 }
 
-/// One engine of the roster.
+/// One engine of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct DiscoveredEndpoint {
     pub address: SocketAddr,
     pub zone: u16,
     pub kind: u16,
     /// The group within which marks of tagged requests are known.
     pub marks: u16,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub since: Ms,
 }
 
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -4,7 +4,7 @@
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use ironstair::{Mandate, Ms};
-use ironstair_cells::Keeper;
+use ironstair_cells::CellDirectory;
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::Snapshot;
 use ironstair_settings::Carriage;
@@ -28,7 +28,7 @@
     /// The longest hard limit.
     pub longest: Ms,
     /// None leaves them as they are.
-    pub cells: Option<Option<Keeper>>,
+    pub cells: Option<Option<CellDirectory>>,
     /// Other figures of the carrying, where a file brings some.
     pub carriage: Option<Carriage>,
     /// Told once it is done.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -7,7 +7,7 @@
 use crate::Figures;
 use ironstair::logic::Gateway;
 use ironstair::sums::{mix, Pcg};
-use ironstair::{Actions, Cost, Listed, Mandate, Ms, Outcome, Request as Asks, Standing};
+use ironstair::{Actions, Cost, Endpoint, EndpointState, Mandate, Ms, Outcome, Request as Asks};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Answer, Beat, Member, Share};
 use std::cmp::Reverse;
@@ -258,7 +258,7 @@
             if in_fleet {
                 m.tenure(now, 0.0, out);
             }
-            m.roster(now, true, &lines, out);
+            m.update_endpoints(now, true, &lines, out);
         });
         if in_fleet {
             // Not all at once: their processes came up one after the other.
@@ -268,18 +268,18 @@
         }
     }
 
-    fn lines(&self) -> Vec<Listed> {
-        let line = |(engine, e): (usize, &Engine)| Listed {
+    fn lines(&self) -> Vec<Endpoint> {
+        let line = |(engine, e): (usize, &Engine)| Endpoint {
             engine,
             id: mix(engine as u64 + 1),
             zone: engine as u16 % ZONES,
-            standing: if e.up {
-                Standing::Ready
+            state: if e.up {
+                EndpointState::Ready
             } else {
-                Standing::Gone
+                EndpointState::Gone
             },
             since: e.since,
-            ..Listed::default()
+            ..Endpoint::default()
         };
         self.engines.iter().enumerate().map(line).collect()
     }
@@ -427,7 +427,7 @@
             }
             Event::List(g, process) if lives(self, g, process) => {
                 let lines = self.lines();
-                self.call(g, |m, now, out| m.roster(now, true, &lines, out));
+                self.call(g, |m, now, out| m.update_endpoints(now, true, &lines, out));
             }
             Event::List(..) => {}
             Event::Fault(i) => self.fault(i),
@@ -438,7 +438,7 @@
             }
             Event::EngineBack(e) => {
                 self.engines[e].begin(self.now);
-                self.listed();
+                self.endpoint();
             }
             Event::FleetTick => self.fleet_ticks(),
             Event::BeatDue(g, process, beat) => {
@@ -557,11 +557,11 @@
         }
         self.looks[engine] += 1;
         self.after(back, Event::EngineBack(engine));
-        self.listed();
+        self.endpoint();
     }
 
     /// The list has changed: each gateway hears of it by itself, late.
-    fn listed(&mut self) {
+    fn endpoint(&mut self) {
         let from = (self.names_down_until - self.now).max(0.0);
         for g in 0..self.gates.len() {
             let late = from + one_of(&mut self.chance, LIST_LATE as usize) as f64;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,8 +1,8 @@
 //! The simulator's wire around the decisions: frames in, calls, frames out. Nothing is decided here.
 
-use ironstair::door::Door;
+use ironstair::interner::Interner;
 use ironstair::logic::Gateway;
-use ironstair::{Actions, Cost, Listed, Ms, Outcome, Request, Standing};
+use ironstair::{Actions, Cost, Endpoint, EndpointState, Ms, Outcome, Request};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
@@ -68,16 +68,16 @@
 struct Instance {
     gateway: Gateway,
     classes: usize,
-    engines: Door<Address>,
-    requests: Door<u64>,
+    engines: Interner<Address>,
+    requests: Interner<u64>,
 }
 
 /// Writes the module's actions as records.
 struct Pen<'a> {
     who: u16,
     to: &'a mut Vec<u8>,
-    engines: &'a Door<Address>,
-    requests: &'a mut Door<u64>,
+    engines: &'a Interner<Address>,
+    requests: &'a mut Interner<u64>,
 }
 
 impl Pen<'_> {
@@ -187,7 +187,7 @@
                 Ok(m) => {
                     let classes = m.classes.len();
                     let gateway = Gateway::new(m, seed);
-                    let (engines, requests) = (Door::default(), Door::default());
+                    let (engines, requests) = (Interner::default(), Interner::default());
                     self.instances.insert(
                         who,
                         Instance {
@@ -199,7 +199,7 @@
                     );
                 }
                 Err(e) => {
-                    let (mut requests, engines) = (Door::default(), Door::default());
+                    let (mut requests, engines) = (Interner::default(), Interner::default());
                     let mut pen = Pen {
                         who,
                         to,
@@ -290,7 +290,7 @@
                 f.u64("version")?;
                 let table = f.u8("list number")?;
                 if mode == 3 {
-                    gateway.roster_lost(now, pen!());
+                    gateway.endpoint_watch_lost(now, pen!());
                     return Ok(());
                 }
                 let bytes = self
@@ -304,26 +304,26 @@
                     let mut id = [0; 8];
                     id[..6].copy_from_slice(&address);
                     let (zone, kind, cell) = (l.u16("zone")?, l.u16("kind")?, l.u16("cell")?);
-                    let standing = match l.u8("state")? {
-                        1 => Standing::Ready,
-                        2 => Standing::Draining,
-                        _ => Standing::Gone,
+                    let state = match l.u8("state")? {
+                        1 => EndpointState::Ready,
+                        2 => EndpointState::Draining,
+                        _ => EndpointState::Gone,
                     };
                     l.f32("weight")?;
                     let since = ms(l.u64("start")?);
                     let (engine, id) = (engines.admit(address), u64::from_le_bytes(id));
-                    lines.push(Listed {
+                    lines.push(Endpoint {
                         engine,
                         id,
                         zone,
                         kind,
                         marks: cell,
                         cells: 0,
-                        standing,
+                        state,
                         since,
                     });
                 }
-                gateway.roster(now, mode != 0, &lines, pen!());
+                gateway.update_endpoints(now, mode != 0, &lines, pen!());
             }
             5 => {
                 let id = f.u64("id")?;
--- a/crates/test-cluster/src/stand.rs
+++ b/crates/test-cluster/src/stand.rs
@@ -142,7 +142,7 @@
 pub struct Gateway {
     pub process: Child,
     pub at: SocketAddr,
-    pub roster: Arc<Mutex<Vec<u8>>>,
+    pub name_answer: Arc<Mutex<Vec<u8>>>,
     pub dir: std::path::PathBuf,
 }
 
@@ -210,11 +210,11 @@
 /// A name service that answers each question with the list set, as soon as there is one.
 pub fn name_service() -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let service = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let (at, roster) = (
+    let (at, name_answer) = (
         service.local_addr().unwrap(),
         Arc::new(Mutex::new(Vec::new())),
     );
-    let list = roster.clone();
+    let list = name_answer.clone();
     thread::spawn(move || {
         let mut query = [0; 512];
         while let Ok((_, from)) = service.recv_from(&mut query) {
@@ -222,7 +222,7 @@
             let _ = service.send_to(&[&query[..2], &list].concat(), from);
         }
     });
-    (at, roster)
+    (at, name_answer)
 }
 
 /// Addresses of this test run alone: a port that is free now may be another's a moment later.
@@ -249,13 +249,17 @@
 pub fn gateway_among(gateways: u32, test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let classes = json!([class("lookup"), class("report")]);
-    let (told, roster) = told(gateways, classes, engines);
-    started(test, told, roster, None)
+    let (told, name_answer) = told(gateways, classes, engines);
+    started(test, told, name_answer, None)
 }
 
 /// What a gateway is told, and the list that its name service tells.
-pub fn told(gateways: u32, classes: Value, engines: &[(&str, SocketAddr)]) -> (Value, Roster) {
-    let (names, roster) = name_service();
+pub fn told(
+    gateways: u32,
+    classes: Value,
+    engines: &[(&str, SocketAddr)],
+) -> (Value, NameServiceAnswer) {
+    let (names, name_answer) = name_service();
     let known = engines.iter().map(|(name, at)| {
         json!({"instanceId": name, "hostPort": at.to_string(), "zone": "a", "machineType": "m", "cell": 0,
             "lifecycle": "ready", "weight": 4, "startedAtMs": 0})
@@ -274,13 +278,18 @@
         "report": {"fields": ["concurrent", "load_share"]},
         "policy_limits": {"max_attempts": 6, "may_cancel": true, "probes": true, "connect_timeout_ns": 250e6,
             "keepalive_ns": 30e9, "multiplex": 32}}});
-    (told, roster)
+    (told, name_answer)
 }
 
-pub type Roster = Arc<Mutex<Vec<u8>>>;
+pub type NameServiceAnswer = Arc<Mutex<Vec<u8>>>;
 
 /// A gateway told that, with an operator's file or without.
-pub fn started(test: &str, told: Value, roster: Roster, operator: Option<Value>) -> Gateway {
+pub fn started(
+    test: &str,
+    told: Value,
+    name_answer: NameServiceAnswer,
+    operator: Option<Value>,
+) -> Gateway {
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     std::fs::write(dir.join("told.json"), told.to_string()).unwrap();
@@ -292,7 +301,7 @@
     Gateway {
         process,
         at,
-        roster,
+        name_answer,
         dir,
     }
 }
--- a/src/door.rs
+++ b/src/interner.rs
@@ -3,19 +3,19 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-pub struct Door<K> {
+pub struct Interner<K> {
     index: HashMap<K, usize>,
     ids: Vec<K>,
     free: Vec<usize>,
 }
 
-impl<K: Copy + Eq + Hash> Default for Door<K> {
+impl<K: Copy + Eq + Hash> Default for Interner<K> {
     fn default() -> Self {
-        Door { index: HashMap::new(), ids: Vec::new(), free: Vec::new() }
+        Interner { index: HashMap::new(), ids: Vec::new(), free: Vec::new() }
     }
 }
 
-impl<K: Copy + Eq + Hash> Door<K> {
+impl<K: Copy + Eq + Hash> Interner<K> {
     pub fn admit(&mut self, id: K) -> usize {
         if let Some(&i) = self.index.get(&id) {
             return i;
@@ -57,12 +57,12 @@
 
     #[test]
     fn an_index_given_back_twice_is_not_taken_from_an_id_that_came_back() {
-        let mut door = Door::default();
-        assert_eq!((door.admit('a'), door.admit('b')), (0, 1));
-        door.release(0);
-        door.release(1);
-        assert_eq!(door.admit('a'), 1);
-        door.release(0);
-        assert_eq!((door.find('a'), door.admit('c'), door.id(0)), (Some(1), 0, 'c'));
+        let mut interner = Interner::default();
+        assert_eq!((interner.admit('a'), interner.admit('b')), (0, 1));
+        interner.release(0);
+        interner.release(1);
+        assert_eq!(interner.admit('a'), 1);
+        interner.release(0);
+        assert_eq!((interner.find('a'), interner.admit('c'), interner.id(0)), (Some(1), 0, 'c'));
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! Keeps short and long queries apart on shared engines.
 //!
 //! [`logic`] holds every decision and does no input or output. A host (a wire adapter, later a
-//! socket server) turns ids into indices with [`door`], calls the module and carries out what it
+//! socket server) turns ids into indices with [`interner`], calls the module and carries out what it
 //! asks for through [`Actions`].
 
-pub mod door;
+pub mod interner;
 pub mod logic;
 mod state;
 pub mod sums;
@@ -66,7 +66,7 @@
 
 impl ClassPolicy {
     /// Whether an engine's place is among those that the class may go to.
-    pub fn fits(&self, line: &Listed) -> bool {
+    pub fn fits(&self, line: &Endpoint) -> bool {
         self.zones.as_ref().is_none_or(|z| z.contains(&line.zone))
             && self.kinds.as_ref().is_none_or(|k| k.contains(&line.kind))
     }
@@ -126,16 +126,16 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
     Gone,
 }
 
-/// One line of the roster.
+/// One line of the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listed {
+pub struct Endpoint {
     pub engine: usize,
     /// The engine's id as every gateway knows it.
     pub id: u64,
@@ -145,7 +145,7 @@
     pub marks: u16,
     /// Cells that it is in, a bit for each.
     pub cells: u64,
-    pub standing: Standing,
+    pub state: EndpointState,
     /// Latest start; zero when long past.
     pub since: Ms,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
 //! Every decision of one gateway, without input or output. How it is called: a host builds a [`Gateway`] from
-//! what it was told at start, then hands over each event by `roster`, `roster_lost`, `take`, `outcome`,
+//! what it was told at start, then hands over each event by `endpoints`, `endpoint_watch_lost`, `take`, `outcome`,
 //! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its terms change, by `tenure` when it is
 //! known how long they hold, by `ending` when it will end. Each call notes what is new and goes through
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
@@ -7,7 +7,9 @@
 
 use crate::state::{Attempt, ClassState, Engine, PendingRequest};
 use crate::sums::{mix, part, Fade, Pcg};
-use crate::{Actions, ClassPolicy, Effect, Listed, Load, Mandate, Ms, Outcome, Request, Standing, Within};
+use crate::{
+    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Load, Mandate, Ms, Outcome, Request, Within,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -25,7 +27,7 @@
 /// Pressure: this many times the best pace; up to the second the bound narrows to the even share.
 const PRESSED: f64 = 1.2;
 const STRAINED: f64 = 1.6;
-/// Table groups of which is kept what share they have, and their order while the roster does not change.
+/// Table groups of which is kept what share they have, and their order while the endpoint list does not change.
 const ORDERS: usize = 256;
 /// Half-lives of paces, long against looks and short against troubles, and of what hardly changes.
 const HALF: Ms = 2000.0;
@@ -40,7 +42,7 @@
 const BAD: u32 = 5;
 /// This many times its peers' pace is a fault of the engine, not of its load; of one attempt, maybe a loss.
 const SLOW: f64 = 2.5;
-/// A set-aside engine first gets one small request this often; each that goes well halves it.
+/// A ejected engine first gets one small request this often; each that goes well halves it.
 const TRICKLE: Ms = 1000.0;
 /// An engine's report holds this long.
 const FRESH: Ms = 400.0;
@@ -93,7 +95,7 @@
     subs: Vec<PendingRequest>,
     in_flight: Vec<usize>,
     classes: Vec<ClassState>,
-    orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the roster changes
+    orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the endpoint list changes
     asked: HashMap<u64, Fade>,               // work by table group
     keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
     taken_at: VecDeque<Ms>,
@@ -111,7 +113,7 @@
 }
 
 const RULES: [fn(&mut Gateway, &mut dyn Actions) -> bool; 9] = [
-    Gateway::ask_for_the_roster,
+    Gateway::subscribe_to_endpoints,
     Gateway::give_up_without_tenure,
     Gateway::answer_at_the_hard_limit,
     Gateway::count_the_overdue,
@@ -148,7 +150,7 @@
         let before = self.classes.len();
         self.adopt(m);
         for e in &mut self.engines {
-            e.cores = self.m.kinds.get(e.listed.kind as usize).map_or(1.0, |k| k.cores);
+            e.cores = self.m.kinds.get(e.endpoint.kind as usize).map_or(1.0, |k| k.cores);
             e.pace.resize(self.classes.len(), Fade::default());
             e.fine.resize(self.classes.len(), 0.0);
         }
@@ -159,10 +161,10 @@
         self.due(now, out);
     }
 
-    pub fn roster(&mut self, now: Ms, full: bool, lines: &[Listed], out: &mut dyn Actions) {
+    pub fn update_endpoints(&mut self, now: Ms, full: bool, lines: &[Endpoint], out: &mut dyn Actions) {
         self.orders.get_mut().clear();
         if full {
-            self.engines.iter_mut().for_each(|e| e.listed.standing = Standing::Gone);
+            self.engines.iter_mut().for_each(|e| e.endpoint.state = EndpointState::Gone);
         }
         for line in lines {
             if self.engines.len() <= line.engine {
@@ -170,18 +172,18 @@
             }
             let e = &mut self.engines[line.engine];
             // A new start, or another engine under an index given back, leaves nothing worth judging it by.
-            if e.pace.is_empty() || e.listed.since != line.since || e.listed.id != line.id {
+            if e.pace.is_empty() || e.endpoint.since != line.since || e.endpoint.id != line.id {
                 let cores = self.m.kinds.get(line.kind as usize).map_or(1.0, |k| k.cores);
                 let (pace, fine) =
                     (vec![Fade::default(); self.m.classes.len()], vec![0.0; self.m.classes.len()]);
                 *e = Engine { cores, pace, fine, threads: e.threads, ..Default::default() };
             }
-            e.listed = *line;
+            e.endpoint = *line;
         }
         self.due(now, out);
     }
 
-    pub fn roster_lost(&mut self, now: Ms, out: &mut dyn Actions) {
+    pub fn endpoint_watch_lost(&mut self, now: Ms, out: &mut dyn Actions) {
         // Not at once: all gateways lose the list together and would ask together.
         let later = now + 500.0 + (self.chance.lot() % 1000) as f64;
         self.subscribe_at = self.m.must_subscribe.then_some(later);
@@ -276,7 +278,7 @@
         let e = &mut self.engines[fwd.engine];
         e.threads -= threads;
         match what {
-            _ if fwd.sent < e.listed.since => {} // of the process before: no word on this one
+            _ if fwd.sent < e.endpoint.since => {} // of the process before: no word on this one
             Outcome::Settled(_) => {
                 if !fwd.overdue {
                     e.fine[b] = e.fine[b].max(fwd.sent);
@@ -358,7 +360,7 @@
         while RULES.iter().any(|rule| rule(self, out)) {}
     }
 
-    fn ask_for_the_roster(&mut self, out: &mut dyn Actions) -> bool {
+    fn subscribe_to_endpoints(&mut self, out: &mut dyn Actions) -> bool {
         self.subscribe_at.take_if(|t| *t <= self.now).map(|_| out.subscribe()).is_some()
     }
 
@@ -405,7 +407,7 @@
     // Against fast failures, silence, slowness and failed connects alike: an engine much worse than its
     // peers by its last outcomes. When all worsen together, that would only move the load: half may be aside.
     fn set_aside(&mut self, out: &mut dyn Actions) -> bool {
-        let ready = || self.engines.iter().filter(|e| e.listed.standing == Standing::Ready);
+        let ready = || self.engines.iter().filter(|e| e.endpoint.state == EndpointState::Ready);
         let (n, aside) = (ready().count(), ready().filter(|e| e.aside.is_some()).count());
         let (bad, seen) = ready().fold((0, 0), |a, e| (a.0 + e.failures(), a.1 + e.seen));
         let share = |bad: u32, seen: u32| bad as f64 / seen.max(1) as f64;
@@ -419,7 +421,7 @@
         let Some(i) = found.max_by_key(|&i| self.engines[i].failures()) else { return false };
         let e = &mut self.engines[i];
         e.aside = Some((self.now + TRICKLE, TRICKLE));
-        out.note(&format!("engine {:012x} set aside: {} of {} failed", e.listed.id, e.failures(), e.seen));
+        out.note(&format!("engine {:012x} set aside: {} of {} failed", e.endpoint.id, e.failures(), e.seen));
         true
     }
 
@@ -570,7 +572,7 @@
         let (e, class) = (&mut self.engines[engine], &mut self.classes[b]);
         let pace = &mut e.pace[b];
         pace.add(now, HALF, spent, done);
-        class.fleet.entry(e.listed.cells).or_default().add(now, HALF, spent, done);
+        class.fleet.entry(e.endpoint.cells).or_default().add(now, HALF, spent, done);
         // A lucky second, or a guess of work since corrected, must not mean pressure for good.
         let forgotten = class.best * 2f64.powf((now - class.learnt) / FORGOTTEN);
         let best = pace.mean().filter(|_| pace.weight > ENOUGH * usual);
@@ -580,7 +582,7 @@
     /// The pace of an engine in a class: time on its threads over work. It leans to the fleet's where little
     /// is known, and that to the best: one heavy query is no jam, and a jam not heard of may be over.
     fn pace(&self, e: &Engine, b: usize) -> f64 {
-        self.leaning(e.pace[b].now(self.now, HALF), b, self.fleet_pace(b, e.listed.cells))
+        self.leaning(e.pace[b].now(self.now, HALF), b, self.fleet_pace(b, e.endpoint.cells))
     }
 
     /// Of the engines in those cells: against a slow cell that makes the waits of others seem hopeless.
@@ -615,7 +617,7 @@
     /// A line longer than this gateway's share of the fleet can work off in the expected time is full.
     fn room(&self, b: usize, cells: u64) -> usize {
         let (terms, usual) = (&self.m.classes[b], self.usual_work(b));
-        let here = |e: &&Engine| e.in_use() && (cells == 0 || e.listed.cells & cells != 0);
+        let here = |e: &&Engine| e.in_use() && (cells == 0 || e.endpoint.cells & cells != 0);
         let cores: f64 = self.engines.iter().filter(here).map(|e| e.cores).sum();
         (2.0 * cores * within(terms, usual) / usual / self.m.gateways).max(4.0) as usize
     }
@@ -632,7 +634,7 @@
 
     // By lot, the fuller the less: all gateways see the same report, and would all come or all stay away.
     fn enters(&self, s: &PendingRequest, e: &Engine, (at, share): (Ms, f64)) -> bool {
-        s.chance(e.listed.id ^ at.to_bits()) < (1.0 - share) / (1.0 - EASY)
+        s.chance(e.endpoint.id ^ at.to_bits()) < (1.0 - share) / (1.0 - EASY)
     }
 
     // Against a crowd in which each sends one query where none of its own run, to every engine.
@@ -659,12 +661,12 @@
 
     /// Of a cold engine: this gateway's even share of what all may send in a span, and its use.
     fn cold(&self, e: &Engine) -> Option<(Ms, Ms)> {
-        let (m, age) = (&self.m, self.now - e.listed.since);
+        let (m, age) = (&self.m, self.now - e.endpoint.since);
         // Half of an even ramp is counted on: how an engine warms up is not told.
         let warm = m.cold_from + (1.0 - m.cold_from) * (age / m.warm_after).clamp(0.0, 1.0) / 2.0;
         let share = COLD_SHARE * m.fall_multiple * warm * 0.85 * e.cores * m.fall_span / m.gateways;
         let recent = e.cold_sent.iter().filter(|s| s.0 >= self.now - m.fall_span);
-        (e.listed.since > 0.0 && age < m.warm_after).then(|| (share, recent.map(|s| s.1).sum()))
+        (e.endpoint.since > 0.0 && age < m.warm_after).then(|| (share, recent.map(|s| s.1).sum()))
     }
 
     // Against pushing over a cold engine: an even share of what all may send in any span. Among hundreds half
@@ -672,30 +674,30 @@
     // all send what they may in the mean at most, stray by its root, and save up nothing for a burst.
     fn cold_room(&self, s: &PendingRequest, e: &Engine) -> bool {
         let Some((share, recent)) = self.cold(e) else { return true };
-        let (usual, own) = (self.usual_work(s.of.class), mix(self.lot ^ e.listed.id));
+        let (usual, own) = (self.usual_work(s.of.class), mix(self.lot ^ e.endpoint.id));
         let span = (self.now / self.m.fall_span + part(own)) as u64;
         let drawn = self.crowded && part(mix(own ^ span)) < (share / usual).fract() / 2.0;
         recent + usual <= share || drawn && recent <= share
     }
 
     fn allowed(&self, s: &PendingRequest, e: &Engine) -> bool {
-        let (terms, line) = (&self.m.classes[s.of.class], &e.listed);
-        let same = |other: &Listed| match terms.repeat {
+        let (terms, line) = (&self.m.classes[s.of.class], &e.endpoint);
+        let same = |other: &Endpoint| match terms.repeat {
             Effect::Deduplicated(Within::Zone) => other.zone == line.zone,
             Effect::Deduplicated(Within::MarkGroup) => other.marks == line.marks,
             _ => true,
         };
         (terms.fits(line) && s.under.fits(line))
             && (s.of.cells == 0 || s.of.cells & line.cells != 0)
-            && s.may_have_run.iter().all(|r| same(&self.engines[r.0].listed))
-            && line.standing == Standing::Ready
+            && s.may_have_run.iter().all(|r| same(&self.engines[r.0].endpoint))
+            && line.state == EndpointState::Ready
     }
 
     fn order(&self, s: &PendingRequest) -> Vec<usize> {
         let mut orders = self.orders.borrow_mut();
         let order = orders.entry(s.of.tables).or_insert_with(|| {
             let mut order: Vec<u32> = (0..self.engines.len() as u32).collect();
-            order.sort_by_cached_key(|&i| mix(mix(s.of.tables) ^ self.engines[i as usize].listed.id));
+            order.sort_by_cached_key(|&i| mix(mix(s.of.tables) ^ self.engines[i as usize].endpoint.id));
             order
         });
         let mut able: Vec<usize> = order.iter().map(|&i| i as usize).collect();
@@ -708,7 +710,7 @@
         if self.heavy(s.of.class) {
             let bound = |t: &&ClassPolicy| t.zones.is_some() || t.kinds.is_some();
             let others = self.m.classes.iter().filter(bound).filter(|t| **t != self.m.classes[s.of.class]);
-            able.sort_by_key(|&i| others.clone().any(|t| t.fits(&self.engines[i].listed)));
+            able.sort_by_key(|&i| others.clone().any(|t| t.fits(&self.engines[i].endpoint)));
         }
         able.retain(|&i| self.cold_room(s, &self.engines[i]));
         able
@@ -730,7 +732,7 @@
         if let Some(i) = order.iter().find(|i| due(i) && s.attempts == 0 && !self.heavy(s.of.class)) {
             return Some(*i);
         }
-        // What was tried already comes last but for what is set aside.
+        // What was tried already comes last but for what is ejected.
         let last = |i: usize| 2 * self.engines[i].aside.is_some() as u8 + s.tried.contains(&i) as u8;
         let best = order.iter().map(|&i| last(i)).min()?;
         order.retain(|&i| last(i) == best || best == 3);
--- a/src/logic/view.rs
+++ b/src/logic/view.rs
@@ -1,12 +1,12 @@
 //! What the decisions know, for people and programs that look on: nothing here decides.
 
 use super::Gateway;
-use crate::{Ms, Standing};
+use crate::{EndpointState, Ms};
 
 /// One engine as this gateway sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineView {
-    pub standing: Standing,
+    pub state: EndpointState,
     pub cores: f64,
     /// Threads of this gateway's own running attempts there.
     pub threads: f64,
@@ -17,7 +17,7 @@
     /// Of how many of its last outcomes were failures.
     pub failures: u32,
     pub seen: u32,
-    /// When set aside: when the next of the trickle may go.
+    /// When ejected: when the next of the trickle may go.
     pub aside: Option<Ms>,
     pub full_until: Ms,
     /// While it is cold: work, in ms on a thread, that this gateway may still send within the span.
@@ -39,7 +39,7 @@
     pub fn engine_view(&self, engine: usize) -> Option<EngineView> {
         let e = self.engines.get(engine)?;
         Some(EngineView {
-            standing: e.listed.standing,
+            state: e.endpoint.state,
             cores: e.cores,
             threads: e.threads,
             report: e.report,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,8 @@
 #![allow(dead_code)]
 
 use ironstair::{
-    Actions, ClassPolicy, Effect, Kind, Listed, Mandate, Ms, Outcome, Ration, Request, Standing, Within,
+    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Kind, Mandate, Ms, Outcome, Ration, Request,
+    Within,
 };
 use std::collections::BTreeMap;
 
@@ -116,11 +117,11 @@
     m
 }
 
-pub fn line(engine: usize) -> Listed {
+pub fn line(engine: usize) -> Endpoint {
     let id = 1000 + 7 * engine as u64;
     let (zone, kind, marks) = (engine as u16 % 2, engine as u16 / 2 % 2, engine as u16 / 2);
     let cells = 1 << (engine % 3);
-    Listed { engine, id, zone, kind, marks, cells, standing: Standing::Ready, since: 0.0 }
+    Endpoint { engine, id, zone, kind, marks, cells, state: EndpointState::Ready, since: 0.0 }
 }
 
 pub fn ask(class: usize, work: Ms) -> Request {
@@ -166,16 +167,16 @@
     pub m: Mandate,
     pub held: Vec<Held>,
     pub at: BTreeMap<usize, usize>,
-    pub roster: BTreeMap<usize, Listed>,
+    pub endpoints: BTreeMap<usize, Endpoint>,
     pub off_since: BTreeMap<usize, Ms>,
 }
 
 impl Referee {
-    pub fn told(&mut self, now: Ms, lines: &[Listed]) {
+    pub fn told(&mut self, now: Ms, lines: &[Endpoint]) {
         for l in lines {
-            self.roster.insert(l.engine, *l);
-            match l.standing {
-                Standing::Ready => self.off_since.remove(&l.engine),
+            self.endpoints.insert(l.engine, *l);
+            match l.state {
+                EndpointState::Ready => self.off_since.remove(&l.engine),
                 _ => self.off_since.insert(l.engine, now),
             };
         }
@@ -217,7 +218,7 @@
     }
 
     fn attempt(&mut self, now: Ms, i: usize, engine: usize) -> Result<(), String> {
-        let (h, line) = (&self.held[i], self.roster[&engine]);
+        let (h, line) = (&self.held[i], self.endpoints[&engine]);
         let (terms, under) = (&self.m.classes[h.of.class], &h.under);
         breaks!(h.of.cells != 0 && h.of.cells & line.cells == 0, "6: outside its cells");
         breaks!(under.closed, "a band out of service is forwarded");
@@ -225,7 +226,7 @@
         breaks!(h.over || now > h.taken + h.of.left, "1: sent after the end");
         breaks!(h.tries.iter().any(|t| t.end.is_none()), "2: two attempts out");
         for ran in h.tries.iter().filter(|t| t.may_have_run()) {
-            let other = self.roster[&ran.engine];
+            let other = self.endpoints[&ran.engine];
             let same = match terms.repeat {
                 Effect::Idempotent => continue,
                 Effect::NonIdempotent => return Err("2: once-only again".into()),
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -9,7 +9,7 @@
 
 fn start(m: Mandate, engines: usize) -> Gateway {
     let mut g = Gateway::new(m, 1);
-    g.roster(0.0, true, &(0..engines).map(line).collect::<Vec<_>>(), &mut Sheet::default());
+    g.update_endpoints(0.0, true, &(0..engines).map(line).collect::<Vec<_>>(), &mut Sheet::default());
     g
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(send(&mut g, now, 11, wide).len(), 1, "4 of 10 threads run");
     assert_eq!(send(&mut g, now, 12, wide).len(), 1, "8 of 10 threads run");
     assert_eq!(send(&mut g, now, 14, wide).len(), 0, "the bound holds");
-    g.roster(now, false, &[line(1)], &mut Sheet::default());
+    g.update_endpoints(now, false, &[line(1)], &mut Sheet::default());
     assert_eq!(send(&mut g, now, 13, wide).first().map(|s| s.1), Some(1), "another engine is ready");
 }
 
@@ -94,15 +94,15 @@
 
 #[test]
 fn every_gateway_hashes_the_same_order_whatever_its_indices() {
-    let homes = |lines: Vec<Listed>, tables| {
+    let homes = |lines: Vec<Endpoint>, tables| {
         let mut g = Gateway::new(two_classes(), 5);
-        g.roster(0.0, true, &lines, &mut Sheet::default());
+        g.update_endpoints(0.0, true, &lines, &mut Sheet::default());
         let sent = send(&mut g, 1.0, 0, Request { tables, ..ask(0, 100.0) });
         lines.iter().find(|l| l.engine == sent[0].1).map(|l| l.id)
     };
     for tables in 0..20 {
-        let here: Vec<Listed> = (0..6).map(line).collect();
-        let there: Vec<Listed> = (0..6).map(|i| Listed { engine: i, ..line(5 - i) }).collect();
+        let here: Vec<Endpoint> = (0..6).map(line).collect();
+        let there: Vec<Endpoint> = (0..6).map(|i| Endpoint { engine: i, ..line(5 - i) }).collect();
         assert_eq!(homes(here, tables), homes(there, tables));
     }
 }
@@ -157,7 +157,7 @@
     let swept = serve(&mut g, &mut now, 200, end(Outcome::Swept));
     assert!(!swept.contains("set aside"), "{swept}");
     assert!(serve(&mut g, &mut now, 60, end(Outcome::Reset)).contains("set aside"));
-    g.roster(now, false, &[Listed { id: 99, ..line(1) }], &mut Sheet::default());
+    g.update_endpoints(now, false, &[Endpoint { id: 99, ..line(1) }], &mut Sheet::default());
     let mut met = 0;
     serve(&mut g, &mut now, 9, |_, engine| {
         met += (engine == 1) as u32;
@@ -228,10 +228,10 @@
     let limit = m.fall_multiple * m.cold_from * 0.85 * 8.0 * m.fall_span;
     let mut fleet: Vec<Gateway> = (0..300).map(|seed| Gateway::new(m.clone(), seed)).collect();
     let since = |e| if e < 58 { 1000.0 } else { 0.0 };
-    let lines: Vec<Listed> = (0..60).map(|e| Listed { since: since(e), ..line(e) }).collect();
+    let lines: Vec<Endpoint> = (0..60).map(|e| Endpoint { since: since(e), ..line(e) }).collect();
     let mut sent = vec![0.0; 60];
     for (n, g) in fleet.iter_mut().enumerate() {
-        g.roster(1000.0, true, &lines, &mut Sheet::default());
+        g.update_endpoints(1000.0, true, &lines, &mut Sheet::default());
         for i in 0..if n % 10 == 0 { 50 } else { 5 } {
             let of = Request { tables: (n + i) as u64 % 120, ..ask(0, 100.0) };
             send(g, 1000.0 + i as f64, i, of).iter().for_each(|(_, e)| sent[*e] += 100.0);
@@ -377,7 +377,7 @@
 fn more_gateways_narrow_the_share_of_a_cold_engine_at_once() {
     let mut m = two_classes();
     let mut g = Gateway::new(m.clone(), 1);
-    g.roster(1000.0, true, &[Listed { since: 1000.0, ..line(0) }], &mut Sheet::default());
+    g.update_endpoints(1000.0, true, &[Endpoint { since: 1000.0, ..line(0) }], &mut Sheet::default());
     let sent: usize = (0..4).map(|i| send(&mut g, 1001.0, i, ask(0, 100.0)).len()).sum();
     let left = g.engine_view(0).unwrap().cold_left.unwrap();
     assert_eq!((sent, left > 1000.0), (4, true));
@@ -416,8 +416,8 @@
 /// Two engines, each in a cell of its own.
 fn two_cells(m: Mandate) -> Gateway {
     let mut g = Gateway::new(m, 1);
-    let lines: Vec<Listed> = (0..2).map(|e| Listed { cells: 1 << e, ..line(e) }).collect();
-    g.roster(0.0, true, &lines, &mut Sheet::default());
+    let lines: Vec<Endpoint> = (0..2).map(|e| Endpoint { cells: 1 << e, ..line(e) }).collect();
+    g.update_endpoints(0.0, true, &lines, &mut Sheet::default());
     g
 }
 
@@ -473,12 +473,12 @@
     (0..200).for_each(|i| g.take(now, i, within_cell(0, 100.0), &mut sheet));
     assert!(backs(&sheet) > 50, "a line of its own is full");
     // Its engine away for a moment, one of the other cell waits: at its own cell's pace it can make it.
-    let away = Listed { cells: 2, standing: Standing::Draining, ..line(1) };
-    g.roster(now, false, &[away], &mut Sheet::default());
+    let away = Endpoint { cells: 2, state: EndpointState::Draining, ..line(1) };
+    g.update_endpoints(now, false, &[away], &mut Sheet::default());
     let mut sheet = Sheet::default();
     g.take(now, 200, within_cell(1, 900.0), &mut sheet);
     assert_eq!((backs(&sheet), sheet.attempts().len()), (0, 0));
-    g.roster(now + 1.0, false, &[Listed { standing: Standing::Ready, ..away }], &mut sheet);
+    g.update_endpoints(now + 1.0, false, &[Endpoint { state: EndpointState::Ready, ..away }], &mut sheet);
     assert_eq!(sheet.attempts(), [(200, 1)]);
 }
 
@@ -728,8 +728,8 @@
 fn what_an_earlier_process_of_an_engine_left_behind_speaks_not_against_the_new_one() {
     let mut g = start(two_classes(), 2);
     let sent: Vec<(usize, usize)> = (0..40).flat_map(|i| send(&mut g, 1.0, i, ask(0, 100.0))).collect();
-    let lines: Vec<Listed> = (0..2).map(|e| Listed { since: 5.0, ..line(e) }).collect();
-    g.roster(6.0, true, &lines, &mut Sheet::default());
+    let lines: Vec<Endpoint> = (0..2).map(|e| Endpoint { since: 5.0, ..line(e) }).collect();
+    g.update_endpoints(6.0, true, &lines, &mut Sheet::default());
     for (slot, _) in sent {
         g.outcome(7.0, slot, Outcome::Reset, true, &mut Sheet::default());
     }
@@ -748,10 +748,10 @@
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|g| Gateway::new(m.clone(), mix(seed * 1000 + g))).collect();
     let since = |e| if e % 2 == 0 { 1000.0 } else { 0.0 };
-    let lines: Vec<Listed> = (0..12).map(|e| Listed { since: since(e), ..line(e) }).collect();
+    let lines: Vec<Endpoint> = (0..12).map(|e| Endpoint { since: since(e), ..line(e) }).collect();
     let mut sent: Vec<Vec<Ms>> = vec![Vec::new(); 12];
     for (n, g) in fleet.iter_mut().enumerate() {
-        g.roster(1000.0, true, &lines, &mut Sheet::default());
+        g.update_endpoints(1000.0, true, &lines, &mut Sheet::default());
         let each = (if n % 10 == 0 { 40 } else { 4 }) * 300 / gateways as usize;
         let each = if gateways < 10 { each / 3 } else { each };
         let mut chance = Pcg(mix(seed ^ (n as u64) << 32));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -33,15 +33,15 @@
         let gateway = Gateway::new(m.clone(), 7);
         let referee = Referee { m, ..Default::default() };
         let mut play = Play { now: 1000.0, gateway, referee, out: vec![], free: vec![], next: 0 };
-        let lines: Vec<Listed> = (0..6).map(line).collect();
-        play.roster(&lines).expect("a roster asks for nothing");
+        let lines: Vec<Endpoint> = (0..6).map(line).collect();
+        play.update_endpoints(&lines).expect("a roster asks for nothing");
         play
     }
 
-    fn roster(&mut self, lines: &[Listed]) -> Result<(), String> {
+    fn update_endpoints(&mut self, lines: &[Endpoint]) -> Result<(), String> {
         let mut sheet = Sheet::default();
         self.referee.told(self.now, lines);
-        self.gateway.roster(self.now, false, lines, &mut sheet);
+        self.gateway.update_endpoints(self.now, false, lines, &mut sheet);
         self.check(sheet)
     }
 
@@ -122,8 +122,8 @@
             }
             6 if b >= 224 => {
                 // All engines but one start anew at once.
-                let lines: Vec<Listed> = (1..6).map(|e| Listed { since: self.now, ..line(e) }).collect();
-                return self.roster(&lines);
+                let lines: Vec<Endpoint> = (1..6).map(|e| Endpoint { since: self.now, ..line(e) }).collect();
+                return self.update_endpoints(&lines);
             }
             7 if b >= 192 => {
                 // The gateway stands still; what ended meanwhile is answered late, but once.
@@ -133,9 +133,10 @@
             }
             6 => {
                 let mut l = line(a as usize % 6);
-                l.standing = [Standing::Ready, Standing::Draining, Standing::Gone][b as usize % 3];
+                l.state =
+                    [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][b as usize % 3];
                 l.since = if b >= 128 { self.now } else { 0.0 };
-                return self.roster(&[l]);
+                return self.update_endpoints(&[l]);
             }
             _ => {
                 // The host wakes the module as it asked, however long the pause.
@@ -207,9 +208,9 @@
             let now = 1.0 + i as f64;
             match event {
                 3 => referee.ended(now, 0, Outcome::Error),
-                6 => referee.told(now - 0.5, &[Listed { standing: Standing::Draining, ..line(0) }]),
+                6 => referee.told(now - 0.5, &[Endpoint { state: EndpointState::Draining, ..line(0) }]),
                 9 => {
-                    referee.told(now, &[Listed { since: 0.5, ..line(0) }]);
+                    referee.told(now, &[Endpoint { since: 0.5, ..line(0) }]);
                     referee.took(now, 0, ask(0, 1e6));
                 }
                 class if i == 0 || rule == "5" => {
