--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -85,7 +85,8 @@
     #[serde(default)]
     pub expected_stretch: Decimal<3>,
     pub hard_limit: u32,
-    pub payoff: Decimal<6>,
+    #[serde(rename = "payoff")]
+    pub value: Decimal<6>,
     #[serde(default = "one")]
     pub threads: u16,
     pub repeat: Again,
@@ -107,7 +108,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Ration {
+pub struct RetryBudget {
     pub spare: u32,
     pub share: Decimal<4>,
     pub span: u32,
@@ -236,7 +237,8 @@
     #[serde(default)]
     pub advice: u32,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ration: Option<Ration>,
+    #[serde(rename = "ration")]
+    pub retry_budget: Option<RetryBudget>,
     pub cold: Cold,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<Cells>,
@@ -317,7 +319,7 @@
                 expected: whole(t.expected),
                 expected_stretch: Decimal::of(t.expected_stretch),
                 hard_limit: whole(limit),
-                payoff: Decimal::of(t.payoff),
+                value: Decimal::of(t.value),
                 threads: t.threads as u16,
                 repeat: match t.repeat {
                     Effect::Idempotent => Again::Repeatable,
@@ -339,7 +341,7 @@
             gateways: m.gateways as u32,
             max_attempts: m.max_attempts,
             advice: whole(m.max_retry_after),
-            ration: m.ration.map(|r| Ration {
+            retry_budget: m.retry_budget.map(|r| RetryBudget {
                 spare: r.spare.round() as u32,
                 share: Decimal::of(r.share),
                 span: whole(r.span),
--- a/crates/config-change/src/lib.rs
+++ b/crates/config-change/src/lib.rs
@@ -11,5 +11,6 @@
 mod stricter;
 
 pub use document::{
-    Cell, Cells, Class, Cold, Decimal, Document, EnginePin, Fault, Frame, Log, Ration, TenantPin,
+    Cell, Cells, Class, Cold, Decimal, Document, EnginePin, Fault, Frame, Log, RetryBudget,
+    TenantPin,
 };
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -2,7 +2,7 @@
 //! over whole, between two events of the decision module, or none of it is.
 
 use crate::document::{class_path, fault, Again, Class, Document, Fault, Frame, Group};
-use ironstair::{ClassPolicy, Effect, Mandate, Ms, Ration, Within};
+use ironstair::{ClassPolicy, Effect, Mandate, Ms, RetryBudget, Within};
 use std::collections::BTreeMap;
 
 /// Classes that may ever have been in a gateway's life: their indices are never used again, since requests,
@@ -70,7 +70,7 @@
         b.expected_stretch.to_string()
     }),
     ("hard-limit", When::NewOnly, |b| b.hard_limit.to_string()),
-    ("payoff", When::AtOnce, |b| b.payoff.to_string()),
+    ("payoff", When::AtOnce, |b| b.value.to_string()),
     ("window", When::AtOnce, |b| {
         b.window.map_or(String::new(), |w| w.to_string())
     }),
@@ -98,13 +98,13 @@
     }),
     ("advice", When::AtOnce, |d| Some(d.advice.to_string())),
     ("ration/spare", When::AtOnce, |d| {
-        d.ration.map(|r| r.spare.to_string())
+        d.retry_budget.map(|r| r.spare.to_string())
     }),
     ("ration/share", When::AtOnce, |d| {
-        d.ration.map(|r| r.share.to_string())
+        d.retry_budget.map(|r| r.share.to_string())
     }),
     ("ration/span", When::AtOnce, |d| {
-        d.ration.map(|r| r.span.to_string())
+        d.retry_budget.map(|r| r.span.to_string())
     }),
     ("cold/from", When::AtOnce, |d| Some(d.cold.from.to_string())),
     ("cold/warm-after", When::AtOnce, |d| {
@@ -232,10 +232,10 @@
     pub fn mandate(&self, to: &Document, roll: &Roll) -> Mandate {
         let (m, was) = (&self.mandate, &self.document);
         let changed = |at: bool, new: f64, old: f64| if at { new } else { old };
-        let ration = match (to.ration, was.ration == to.ration) {
-            (_, true) => m.ration,
+        let retry_budget = match (to.retry_budget, was.retry_budget == to.retry_budget) {
+            (_, true) => m.retry_budget,
             (None, _) => None,
-            (Some(r), _) => Some(Ration {
+            (Some(r), _) => Some(RetryBudget {
                 spare: r.spare as f64,
                 share: r.share.get(),
                 span: r.span as f64,
@@ -259,7 +259,7 @@
                 m.fall_multiple,
             ),
             fall_span: changed(cold.span != old.span, cold.span as f64, m.fall_span),
-            ration,
+            retry_budget,
             ..m.clone()
         }
     }
@@ -282,7 +282,7 @@
                 zones: None,
                 kinds: None,
                 expected: was.expected.max(1.0),
-                payoff: if was.payoff > 0.0 { was.payoff } else { 1.0 },
+                value: if was.value > 0.0 { was.value } else { 1.0 },
                 in_order: slot.in_order,
                 ..was
             };
@@ -297,7 +297,7 @@
         let mut terms = ClassPolicy {
             expected: class.expected as f64,
             expected_stretch: class.expected_stretch.get(),
-            payoff: class.payoff.get(),
+            value: class.value.get(),
             threads: slot.threads as f64,
             repeat: repeat(slot),
             window: class.window.unwrap_or(0) as f64,
@@ -324,7 +324,7 @@
                 &mut terms.expected_stretch,
                 told.expected_stretch,
             );
-            keep(was.payoff == class.payoff, &mut terms.payoff, told.payoff);
+            keep(was.value == class.value, &mut terms.value, told.value);
             keep(was.window == class.window, &mut terms.window, told.window);
             if was.zone == class.zone {
                 terms.zones = told.zones.clone();
--- a/crates/config-change/src/renewal.rs
+++ b/crates/config-change/src/renewal.rs
@@ -102,7 +102,7 @@
             .collect();
         if !mandate.classes.iter().any(|b| b.in_order) {
             // Those still open in a class that is closed keep their order, and its rest after doubt.
-            mandate.key_rest = was.mandate.key_rest;
+            mandate.key_quarantine = was.mandate.key_quarantine;
         }
         let document = Document::told(&mandate, &file.names, &file.limits, &frame);
         // Before the checks: a file that only moves the list does what it did at the start.
--- a/crates/config-change/src/stricter.rs
+++ b/crates/config-change/src/stricter.rs
@@ -1,7 +1,7 @@
 //! What is safe beside two policies at once: while a change goes through a fleet, some gateways hold the one and
 //! some the other, and what they do in sum must break no rule by either.
 
-use crate::document::{Class, Cold, Decimal, Document, Ration};
+use crate::document::{Class, Cold, Decimal, Document, RetryBudget};
 use crate::plan::Slot;
 
 /// Names, none of them for any: those in both, or none where there is no such.
@@ -25,8 +25,8 @@
     }
 }
 
-// No ration is no bound. Counts over spans of different length do not bound one another: then none at all.
-fn ration(a: Option<Ration>, b: Option<Ration>) -> Option<Ration> {
+// No retry budget is no bound. Counts over spans of different length do not bound one another: then none at all.
+fn retry_budget(a: Option<RetryBudget>, b: Option<RetryBudget>) -> Option<RetryBudget> {
     let (Some(a), Some(b)) = (a, b) else {
         return a.or(b);
     };
@@ -37,7 +37,7 @@
     } else {
         Decimal::default()
     };
-    Some(Ration {
+    Some(RetryBudget {
         spare,
         share,
         span: a.span.max(b.span),
@@ -72,7 +72,7 @@
             class: left,
             gateways: self.gateways.max(other.gateways),
             max_attempts: self.max_attempts.min(other.max_attempts),
-            ration: ration(self.ration, other.ration),
+            retry_budget: retry_budget(self.retry_budget, other.retry_budget),
             cold: Cold {
                 from: least(a.from, b.from),
                 warm_after: a.warm_after.max(b.warm_after),
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,6 +1,6 @@
 //! What a change does and when, and what it can't be.
 
-use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ration, Within};
+use ironstair::{ClassPolicy, Effect, Kind, Mandate, RetryBudget, Within};
 use ironstair_config_change::document::{Document, Frame};
 use ironstair_config_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
 use ironstair_config_change::Decimal;
@@ -8,7 +8,7 @@
 fn origin() -> Origin {
     let terms = |expected: f64, repeat| ClassPolicy {
         expected,
-        payoff: 1.0 / 3.0,
+        value: 1.0 / 3.0,
         threads: 2.0,
         repeat,
         window: 900.4,
@@ -29,7 +29,7 @@
         warm_after: 15e3,
         fall_multiple: 4.0,
         fall_span: 1e3,
-        ration: Some(Ration {
+        retry_budget: Some(RetryBudget {
             spare: 10.0,
             share: 0.1,
             span: 10e3,
@@ -70,7 +70,7 @@
     let told = origin().mandate;
     let (steps, same) = tried(|_| {}).unwrap();
     assert_eq!((steps.len(), format!("{same:?}")), (0, format!("{told:?}")));
-    let (steps, new) = tried(|d| d.class[0].payoff = Decimal::of(2.0)).unwrap();
+    let (steps, new) = tried(|d| d.class[0].value = Decimal::of(2.0)).unwrap();
     assert_eq!(
         steps,
         [(
@@ -79,14 +79,10 @@
         )]
     );
     assert_eq!(
-        (
-            new.classes[0].expected,
-            new.classes[1].payoff,
-            new.cold_from
-        ),
+        (new.classes[0].expected, new.classes[1].value, new.cold_from),
         (1000.25, 1.0 / 3.0, 0.123456)
     );
-    assert_eq!(new.classes[0].payoff, 2.0);
+    assert_eq!(new.classes[0].value, 2.0);
 }
 
 #[test]
@@ -95,7 +91,7 @@
         d.class[0].expected = 700;
         d.class[0].zone = vec!["b".into()];
         d.class.remove(1);
-        d.ration = None;
+        d.retry_budget = None;
         d.gateways = 4;
     })
     .unwrap();
@@ -111,7 +107,7 @@
         (new.classes[0].zones.clone(), new.gateways),
         (Some(vec![1]), 4.0)
     );
-    assert!(new.ration.is_none() && new.classes[1].closed && !new.classes[0].closed);
+    assert!(new.retry_budget.is_none() && new.classes[1].closed && !new.classes[0].closed);
     // Out of service it still tells apart what it takes and what may run again.
     assert_eq!(
         (new.classes[1].repeat, new.classes[1].threads),
@@ -216,11 +212,11 @@
             d.class[0].zone = zones.iter().map(|z| z.to_string()).collect();
         }
     };
-    let ration = |spare: u32, span: u32| {
+    let retry_budget = |spare: u32, span: u32| {
         move |d: &mut Document| {
-            d.ration = d
-                .ration
-                .map(|r| ironstair_config_change::Ration { spare, span, ..r });
+            d.retry_budget = d
+                .retry_budget
+                .map(|r| ironstair_config_change::RetryBudget { spare, span, ..r });
         }
     };
     type Seen = fn(&Document) -> String;
@@ -268,16 +264,16 @@
             "post",
         ),
         (
-            &ration(3, 10_000),
-            &ration(5, 10_000),
-            |d| d.ration.unwrap().spare.to_string(),
+            &retry_budget(3, 10_000),
+            &retry_budget(5, 10_000),
+            |d| d.retry_budget.unwrap().spare.to_string(),
             "3",
         ),
         // Counts over spans of different length bound nothing of one another.
         (
-            &ration(3, 100),
-            &ration(5, 10_000),
-            |d| format!("{:?}", d.ration.map(|r| (r.spare, r.share.get()))),
+            &retry_budget(3, 100),
+            &retry_budget(5, 10_000),
+            |d| format!("{:?}", d.retry_budget.map(|r| (r.spare, r.share.get()))),
             "Some((0, 0.0))",
         ),
     ];
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -5,10 +5,10 @@
 use ironstair_config_change::Frame;
 
 fn class(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> ClassPolicy {
-    let (expected, payoff) = (500.0, 1.0);
+    let (expected, value) = (500.0, 1.0);
     ClassPolicy {
         expected,
-        payoff,
+        value,
         threads,
         repeat,
         kinds,
@@ -65,7 +65,7 @@
         vec![("load", load), ("report", report), ("lookup", lookup)],
         &[("l", 12.0), ("new", 4.0)],
     );
-    f.mandate.key_rest = 300.0;
+    f.mandate.key_quarantine = 300.0;
     f
 }
 
@@ -102,7 +102,7 @@
     assert_eq!(m.classes[..2], was.classes[..]);
     assert!(m.classes[2].closed && m.classes[3].closed && m.classes[2].in_order);
     assert_eq!(
-        m.key_rest, 300.0,
+        m.key_quarantine, 300.0,
         "what is open in order still rests after doubt"
     );
     assert_eq!((m.kinds[0], m.kinds[1]), (was.kinds[0], was.kinds[1]));
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -56,7 +56,7 @@
     let (schema, leaves) = start();
     let document = schema.document(&leaves).unwrap();
     assert_eq!(
-        (document.class[1].payoff.get(), document.class[0].threads),
+        (document.class[1].value.get(), document.class[0].threads),
         (6.25, 1)
     );
     let again = schema.settings(&document).unwrap();
@@ -192,7 +192,7 @@
         Edit::Delete(pattern("/settings/ration")),
         Edit::Delete(pattern("/settings/.../zone")),
     ]);
-    assert!(d.ration.is_none() && d.class.iter().all(|b| b.zone.is_empty()));
+    assert!(d.retry_budget.is_none() && d.class.iter().all(|b| b.zone.is_empty()));
     let d = changed(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
     assert_eq!(
         d.class[1].threads, 1,
@@ -210,13 +210,13 @@
             .map(|p| p.to_string())
             .collect::<Vec<_>>()
     };
-    let payoffs = [
+    let values = [
         "/settings/band[name=lookup]/payoff",
         "/settings/band[name=post]/payoff",
     ];
-    assert_eq!(found("/settings/band[name=*]/payoff"), payoffs);
-    assert_eq!(found("/settings/band/payoff"), payoffs);
-    assert_eq!(found("/.../payoff"), payoffs);
+    assert_eq!(found("/settings/band[name=*]/payoff"), values);
+    assert_eq!(found("/settings/band/payoff"), values);
+    assert_eq!(found("/.../payoff"), values);
     assert_eq!(
         found("/settings/band"),
         ["/settings/band[name=lookup]", "/settings/band[name=post]"]
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -560,7 +560,7 @@
                     let share = Some(share).filter(|_| self.charter.counts);
                     if let Err(full) = self
                         .requests
-                        .try_send(ManagementCommand::Tenure(until, share))
+                        .try_send(ManagementCommand::Lease(until, share))
                     {
                         let requests = self.requests.clone();
                         tokio::spawn(async move { drop(requests.send(full.into_inner()).await) });
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -393,7 +393,7 @@
         }
         let call = call.filter(|c| *c > 0).ok_or((None, rpc::INVALID))?;
         if method == b"check" {
-            self.plain(|m| rpc::fit(m, call, !self.place.of.begun() && self.shared.in_tenure()));
+            self.plain(|m| rpc::fit(m, call, !self.place.of.begun() && self.shared.holds_lease()));
             return Ok(None);
         }
         if self.place.of.closing()
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -48,7 +48,7 @@
         carriage: RefCell::new(Rc::new(carriage)),
         links_most: 2,
         listed: Cell::new(1),
-        tenure: Cell::new(Ms::INFINITY),
+        lease_until: Cell::new(Ms::INFINITY),
         log: Logger::root(Discard, o!()),
         module,
         executor: Rc::new(LocalExecutor::new()),
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -312,8 +312,12 @@
 ) {
     let mut executor = ActionExecutor::new(shared, cells);
     // In a fleet nothing is decided before it has said until when.
-    gateway.tenure(executor.now, executor.shared.tenure.get(), &mut executor);
-    gateway.rest_keys(executor.shared.gauges.keys_rest.get());
+    gateway.renew_lease(
+        executor.now,
+        executor.shared.lease_until.get(),
+        &mut executor,
+    );
+    gateway.quarantine_keys(executor.shared.gauges.key_quarantine.get());
     loop {
         let Ok(event) = next(&executor.shared.clock, &events, executor.wake).await else {
             return;
@@ -376,8 +380,8 @@
             Some(Event::Asked(request)) => match (request, &shown) {
                 (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut executor, shown),
                 (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut executor, *to),
-                (ManagementCommand::Tenure(until, share), _) => {
-                    executor.shared.tenure.set(until);
+                (ManagementCommand::Lease(until, share), _) => {
+                    executor.shared.lease_until.set(until);
                     if let Some(share) =
                         share.filter(|s| executor.share.is_none_or(|was| s.differs(was)))
                     {
@@ -387,7 +391,7 @@
                             .into_iter()
                             .for_each(|m| gateway.amend(now, m, &mut executor));
                     }
-                    gateway.tenure(now, until, &mut executor);
+                    gateway.renew_lease(now, until, &mut executor);
                 }
                 (ManagementCommand::Show, None) => {}
             },
@@ -422,7 +426,7 @@
     }
     let shared = executor.share.map(|s| s.of(&to.mandate));
     // In a fleet the share changes while the terms stay.
-    if executor.shared.tenure.get().is_finite() {
+    if executor.shared.lease_until.get().is_finite() {
         executor.mandate = Some(to.mandate.clone());
     }
     gateway.amend(executor.now, shared.unwrap_or(to.mandate), executor);
@@ -552,9 +556,9 @@
     let classes = classes.collect();
     let (lent, most) = shared.pool.lent();
     let facts = Facts {
-        tenure: shared.in_tenure(),
+        lease_until: shared.holds_lease(),
         heard: shared.gauges.heard.get() > 0.0,
-        keys_rest: shared.gauges.keys_rest.get(),
+        key_quarantine: shared.gauges.key_quarantine.get(),
         share: executor.share.map(|s| s.taken),
     };
     let (stage, why) = stage(executor.now, &facts);
--- a/crates/gateway/src/module_tests.rs
+++ b/crates/gateway/src/module_tests.rs
@@ -26,7 +26,7 @@
         })),
         links_most: 8,
         listed: Cell::new(0),
-        tenure: Cell::new(Ms::INFINITY),
+        lease_until: Cell::new(Ms::INFINITY),
         log: Logger::root(Discard, o!()),
         module: async_channel::bounded(1).0,
         executor: Rc::new(LocalExecutor::new()),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -209,7 +209,7 @@
         }
     };
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
-    let key_rest = mandate.key_rest;
+    let key_quarantine = mandate.key_quarantine;
     let gateway = Gateway::new(mandate, told.seed);
     let renewal = Renewal::new(file);
     let shared = Rc::new(Shared {
@@ -219,7 +219,7 @@
         links_most: told.descriptors / 4,
         listed: Cell::new(0),
         // In a fleet nothing is decided before that has said until when.
-        tenure: Cell::new(if in_fleet && !taken_out("start") {
+        lease_until: Cell::new(if in_fleet && !taken_out("start") {
             0.0
         } else {
             f64::INFINITY
@@ -241,7 +241,10 @@
             .iter()
             .for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
         if *rests {
-            shared.gauges.keys_rest.set(shared.clock.now() + key_rest);
+            shared
+                .gauges
+                .key_quarantine
+                .set(shared.clock.now() + key_quarantine);
         }
     }
     let memory = begun.map(|begun| Memory::start(begun, shared.clone()));
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -96,9 +96,9 @@
                         }
                         1 => set(&mut c, "/settings/band[name=report]/expected", json!(500 + n % 900)).await,
                         2 => {
-                            let ration =
+                            let retry_budget =
                                 json!({"spare": 5 + n % 50, "share": "0.5", "span": 1000 + n % 5000});
-                            set(&mut c, "/settings/ration", ration).await
+                            set(&mut c, "/settings/ration", retry_budget).await
                         }
                         3 => set(&mut c, "/settings/gateways", json!(1 + n % 3)).await,
                         4 => set(&mut c, "/settings/forwards-most", json!(2 + n % 5)).await,
@@ -369,8 +369,8 @@
             if nth % 4 == 0 {
                 delete(&mut c, "/settings/ration").await.unwrap();
             } else {
-                let ration = json!({"spare": nth, "share": "0.5", "span": 1000});
-                set(&mut c, "/settings/ration", ration).await.unwrap();
+                let retry_budget = json!({"spare": nth, "share": "0.5", "span": 1000});
+                set(&mut c, "/settings/ration", retry_budget).await.unwrap();
             }
         }
         set(&mut c, "/settings/band[name=lookup]/payoff", json!("77.5"))
@@ -929,8 +929,8 @@
             );
             say.send(poll()).await.unwrap();
             assert_eq!(up_to_sync(&mut polled).await.unwrap(), second);
-            let payoff = if updates_only { "3.5" } else { "2.5" };
-            set(&mut c, "/settings/band[name=lookup]/payoff", json!(payoff))
+            let value = if updates_only { "3.5" } else { "2.5" };
+            set(&mut c, "/settings/band[name=lookup]/payoff", json!(value))
                 .await
                 .unwrap();
             say.send(poll()).await.unwrap();
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -10,7 +10,7 @@
 fn told() -> (Mandate, Vec<String>, Vec<f64>, Frame) {
     let terms = ClassPolicy {
         expected: 1000.0,
-        payoff: 1.0,
+        value: 1.0,
         threads: 1.0,
         ..ClassPolicy::default()
     };
@@ -126,7 +126,7 @@
 #[test]
 fn what_is_told_and_does_not_fit_the_tree_is_refused_by_its_field() {
     let (mut mandate, names, limits, frame) = told();
-    mandate.classes[0].payoff = 0.0;
+    mandate.classes[0].value = 0.0;
     let why = open(mandate, &names, &limits, frame, None, None)
         .err()
         .unwrap();
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -26,11 +26,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Facts {
     /// Whether the terms hold.
-    pub tenure: bool,
+    pub lease_until: bool,
     /// Whether the list was heard since the start.
     pub heard: bool,
     /// Until when keys rest.
-    pub keys_rest: Ms,
+    pub key_quarantine: Ms,
     /// Whether it takes its share of cold engines, where the fleet counts.
     pub share: Option<bool>,
 }
@@ -41,7 +41,7 @@
 /// In order; the first that holds is the reason.
 const REASONS: [Reason; 4] = [
     (
-        |_, f| !f.tenure,
+        |_, f| !f.lease_until,
         Stage::CatchingUp,
         "the fleet's policy is not known",
     ),
@@ -51,7 +51,7 @@
         "the list of engines was not heard since the start",
     ),
     (
-        |now, f| now < f.keys_rest,
+        |now, f| now < f.key_quarantine,
         Stage::Cautious,
         "keys rest: what the last process had out is not known",
     ),
--- a/crates/recovery/tests/start.rs
+++ b/crates/recovery/tests/start.rs
@@ -149,9 +149,9 @@
 #[test]
 fn a_stage_has_its_first_reason() {
     let back = Facts {
-        tenure: true,
+        lease_until: true,
         heard: true,
-        keys_rest: 0.0,
+        key_quarantine: 0.0,
         share: Some(true),
     };
     for (facts, want) in [
@@ -165,7 +165,7 @@
         ),
         (
             Facts {
-                tenure: false,
+                lease_until: false,
                 heard: false,
                 ..back
             },
@@ -180,7 +180,7 @@
         ),
         (
             Facts {
-                keys_rest: 2.0,
+                key_quarantine: 2.0,
                 ..back
             },
             Stage::Cautious,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -155,7 +155,7 @@
     pub links_most: usize,
     pub listed: Cell<usize>,
     /// Until when the terms hold; infinite but in a fleet.
-    pub tenure: Cell<Ms>,
+    pub lease_until: Cell<Ms>,
     pub gauges: Gauges,
     pub log: Logger,
     pub module: Sender<Event>,
@@ -174,7 +174,7 @@
     pub heard: Cell<Ms>,
     /// Requests that the module still knows, and until when keys rest after the start.
     pub open: Cell<usize>,
-    pub keys_rest: Cell<Ms>,
+    pub key_quarantine: Cell<Ms>,
 }
 
 impl Shared {
@@ -187,8 +187,8 @@
     }
 
     /// Whether the terms hold now.
-    pub fn in_tenure(&self) -> bool {
-        self.clock.now() < self.tenure.get()
+    pub fn holds_lease(&self) -> bool {
+        self.clock.now() < self.lease_until.get()
     }
 
     /// More work than any client or engine means to tell.
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -17,7 +17,7 @@
     Amend(Box<Amendment>),
     /// Until when the terms hold, by the gateway's clock, and which share of what all gateways share out, where that is
     /// not as the terms say: after an amendment that it rests on.
-    Tenure(Ms, Option<Share>),
+    Lease(Ms, Option<Share>),
 }
 
 /// Other terms, taken over whole between two events of the module.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that every host of the decisions is given. A figure that a rule rests on is
 //! never guessed: without it, no start.
 
-use ironstair::{ClassPolicy, Effect, Kind, Load, Mandate, Ms, Ration, Within};
+use ironstair::{ClassPolicy, Effect, Kind, Load, Mandate, Ms, RetryBudget, Within};
 use serde_json::Value;
 
 const NS: f64 = 1e6;
@@ -79,7 +79,7 @@
     Ok(ClassPolicy {
         expected: time(c, "slo_ns")?,
         expected_stretch: number_or(c, "aim_stretch", 0.0)?,
-        payoff: number(c, "worth")?,
+        value: number(c, "worth")?,
         threads,
         repeat,
         window,
@@ -210,9 +210,9 @@
             memory_mb: one_of(v, "family_info.ram_of_kind_mb", i, 0.0)?,
         })
     });
-    let ration = match at(v, "guarantees.budget_span_ns") {
+    let retry_budget = match at(v, "guarantees.budget_span_ns") {
         None => None,
-        Some(_) => Some(Ration {
+        Some(_) => Some(RetryBudget {
             spare: number(v, "guarantees.spare_attempts")?,
             share: number(v, "guarantees.repeat_ratio")?,
             span: time(v, "guarantees.budget_span_ns")?,
@@ -228,7 +228,7 @@
         _ => Load::Other,
     });
     let ordered = classes.iter().any(|b| b.in_order);
-    let key_rest = if ordered {
+    let key_quarantine = if ordered {
         time(v, "guarantees.settle_after_doubt_ns")?
     } else {
         0.0
@@ -264,8 +264,8 @@
         warm_after: time(v, "guarantees.warm_after_ns")?,
         fall_multiple: number(v, "guarantees.overload_factor")?,
         fall_span: time(v, "guarantees.fall_ns")?,
-        ration,
-        key_rest,
+        retry_budget,
+        key_quarantine,
         tick: time(v, "resolution_ns")?,
     })
 }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,7 +1,7 @@
 //! Who asks: requests that come by chance, and come again when they are rejected. All figures are assumed.
 
-use ironstair::sums::{mix, Pcg};
-use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, Ration};
+use ironstair::stats::{mix, Pcg};
+use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, RetryBudget};
 
 /// One class: how often it is asked for, and what that takes.
 struct Asked {
@@ -10,7 +10,7 @@
     work: f64,
     expected: Ms,
     limit: Ms,
-    payoff: f64,
+    value: f64,
     repeat: Effect,
 }
 
@@ -21,7 +21,7 @@
         work: 120.0,
         expected: 600.0,
         limit: 2500.0,
-        payoff: 1.0,
+        value: 1.0,
         repeat: Effect::Idempotent,
     },
     Asked {
@@ -30,7 +30,7 @@
         work: 2400.0,
         expected: 5000.0,
         limit: 12_000.0,
-        payoff: 3.0,
+        value: 3.0,
         repeat: Effect::Idempotent,
     },
     Asked {
@@ -39,7 +39,7 @@
         work: 80.0,
         expected: 600.0,
         limit: 2500.0,
-        payoff: 2.0,
+        value: 2.0,
         repeat: Effect::NonIdempotent,
     },
 ];
@@ -79,8 +79,8 @@
     CLASSES[class].repeat == Effect::NonIdempotent
 }
 
-pub fn payoff(class: usize) -> f64 {
-    CLASSES[class].payoff
+pub fn value(class: usize) -> f64 {
+    CLASSES[class].value
 }
 
 pub fn threads(class: usize) -> f64 {
@@ -96,7 +96,7 @@
     use crate::engine::{COLD_FROM, CORES, FALL_MULTIPLE, FALL_SPAN, WARM_AFTER};
     let class = |a: &Asked| ClassPolicy {
         expected: a.expected,
-        payoff: a.payoff,
+        value: a.value,
         threads: a.threads,
         repeat: a.repeat,
         ..ClassPolicy::default()
@@ -117,7 +117,7 @@
         warm_after: WARM_AFTER,
         fall_multiple: FALL_MULTIPLE,
         fall_span: FALL_SPAN,
-        ration: Some(Ration {
+        retry_budget: Some(RetryBudget {
             spare: 10.0,
             share: 0.1,
             span: 10_000.0,
@@ -133,7 +133,7 @@
     load * engines as f64 * crate::engine::CORES / mean
 }
 
-/// Until the next one, in ms: even, so that a second's payoff tells of the service and not of who came in it.
+/// Until the next one, in ms: even, so that a second's value tells of the service and not of who came in it.
 pub fn pause(chance: &mut Pcg, rate: f64) -> Ms {
     (0.5 + share(chance)) / rate
 }
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Payoff that came, by when it first came; and that was settled within its expected time.
+    /// Value that came, by when it first came; and that was settled within its expected time.
     pub asked: f64,
     pub served: f64,
     #[serde(rename = "turned_back")]
@@ -56,7 +56,7 @@
         self.digest = crc32c::crc32c_append(self.digest, bytes);
     }
 
-    /// Of the payoff that came, the share that was served.
+    /// Of the value that came, the share that was served.
     pub fn kept(&self) -> f64 {
         let sum = |of: fn(&Second) -> f64| self.seconds.iter().map(of).sum::<f64>();
         sum(|s| s.served) / sum(|s| s.asked).max(1e-9)
@@ -66,7 +66,7 @@
         self.seconds.iter().map(|s| s.fell).sum()
     }
 
-    /// Seconds from the first fault until every second's served payoff was 95% of that before it for five seconds.
+    /// Seconds from the first fault until every second's served value was 95% of that before it for five seconds.
     /// Of what is served before, the first seconds are left out: nothing is known yet.
     pub fn full_after(&self) -> Option<f64> {
         let at = self.fault_s?;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{Log, Told, KEEPERS, TICK};
 use crate::Figures;
 use ironstair::logic::Gateway;
-use ironstair::sums::{mix, Pcg};
+use ironstair::stats::{mix, Pcg};
 use ironstair::{Actions, Cost, Endpoint, EndpointState, Mandate, Ms, Outcome, Request as Asks};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Answer, Beat, Member, Share};
@@ -256,7 +256,7 @@
         let in_fleet = self.log.is_some();
         self.call(g, |m, now, out| {
             if in_fleet {
-                m.tenure(now, 0.0, out);
+                m.renew_lease(now, 0.0, out);
             }
             m.update_endpoints(now, true, &lines, out);
         });
@@ -460,7 +460,7 @@
         self.after(next, Event::Arrives);
         let nth = self.subs.len();
         let s = drawn(&mut self.chance, nth, self.now, self.day.ignore_advice);
-        self.figures.at(self.now).asked += clients::payoff(s.class);
+        self.figures.at(self.now).asked += clients::value(s.class);
         let (sub, n) = (self.subs.len(), self.gates.len());
         self.subs.push(s);
         let first = one_of(&mut self.chance, n);
@@ -589,8 +589,8 @@
             held.answered = true;
             s.over = true;
             if clients::in_time(s, self.now) {
-                let payoff = clients::payoff(s.class);
-                self.figures.at(self.now).served += payoff;
+                let value = clients::value(s.class);
+                self.figures.at(self.now).served += value;
             }
             // One that was stopped answers when it goes on, as a process does.
             if self.now > s.limit + LATE && gate.stopped_until <= s.born {
@@ -760,7 +760,7 @@
         }
         self.call(g, |m, now, out| {
             mandate.into_iter().for_each(|to| m.amend(now, to, out));
-            m.tenure(now, until, out);
+            m.renew_lease(now, until, out);
         });
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod interner;
 pub mod logic;
 mod state;
-pub mod sums;
+pub mod stats;
 
 /// Milliseconds, with fractions; as a point in time, on the host's monotonic clock.
 pub type Ms = f64;
@@ -51,7 +51,7 @@
 pub struct ClassPolicy {
     pub expected: Ms,
     pub expected_stretch: f64,
-    pub payoff: f64,
+    pub value: f64,
     pub threads: f64,
     pub repeat: Effect,
     pub window: Ms,
@@ -80,7 +80,7 @@
 
 /// Further attempts: a few, and a share of the requests taken in the span.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ration {
+pub struct RetryBudget {
     pub spare: f64,
     pub share: f64,
     pub span: Ms,
@@ -110,8 +110,8 @@
     pub warm_after: Ms,
     pub fall_multiple: f64,
     pub fall_span: Ms,
-    pub ration: Option<Ration>,
-    pub key_rest: Ms,
+    pub retry_budget: Option<RetryBudget>,
+    pub key_quarantine: Ms,
     pub tick: Ms,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,12 +1,12 @@
 //! Every decision of one gateway, without input or output. How it is called: a host builds a [`Gateway`] from
 //! what it was told at start, then hands over each event by `endpoints`, `endpoint_watch_lost`, `take`, `outcome`,
-//! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its terms change, by `tenure` when it is
+//! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its terms change, by `lease_until` when it is
 //! known how long they hold, by `ending` when it will end. Each call notes what is new and goes through
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Actions`] at once; lib.rs has that and the types that cross.
 
 use crate::state::{Attempt, ClassState, Engine, PendingRequest};
-use crate::sums::{mix, part, Fade, Pcg};
+use crate::stats::{mix, part, DecayingMean, Pcg};
 use crate::{
     Actions, ClassPolicy, Effect, Endpoint, EndpointState, Load, Mandate, Ms, Outcome, Request, Within,
 };
@@ -96,25 +96,25 @@
     in_flight: Vec<usize>,
     classes: Vec<ClassState>,
     orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the endpoint list changes
-    asked: HashMap<u64, Fade>,               // work by table group
+    asked: HashMap<u64, DecayingMean>,       // work by table group
     keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
     taken_at: VecDeque<Ms>,
     further: VecDeque<Ms>,
     probes: f64,
-    held: Fade, // threads of a query that an engine holds
+    held: DecayingMean, // threads of a query that an engine holds
     /// Crowded, the even share of an engine being less than a wide query: engines that may be probed are asked.
     crowded: bool,
     asks: bool,
     share: f64, // of all engines in use: own threads, for as many gateways
     wake_at: Ms,
-    until: Ms,     // the terms hold; infinite where nobody else may change them
-    keys_from: Ms, // nothing of a key goes before: an earlier process of this gateway may have left it out
+    until: Ms,                  // the terms hold; infinite where nobody else may change them
+    keys_quarantined_until: Ms, // nothing of a key goes before: an earlier process of this gateway may have left it out
     subscribe_at: Option<Ms>,
 }
 
 const RULES: [fn(&mut Gateway, &mut dyn Actions) -> bool; 9] = [
     Gateway::subscribe_to_endpoints,
-    Gateway::give_up_without_tenure,
+    Gateway::reject_without_lease,
     Gateway::answer_at_the_hard_limit,
     Gateway::count_the_overdue,
     Gateway::set_aside,
@@ -151,7 +151,7 @@
         self.adopt(m);
         for e in &mut self.engines {
             e.cores = self.m.kinds.get(e.endpoint.kind as usize).map_or(1.0, |k| k.cores);
-            e.pace.resize(self.classes.len(), Fade::default());
+            e.pace.resize(self.classes.len(), DecayingMean::default());
             e.fine.resize(self.classes.len(), 0.0);
         }
         // Against a class of which nothing came yet: while one's work is unknown, weights leave out all work.
@@ -175,7 +175,7 @@
             if e.pace.is_empty() || e.endpoint.since != line.since || e.endpoint.id != line.id {
                 let cores = self.m.kinds.get(line.kind as usize).map_or(1.0, |k| k.cores);
                 let (pace, fine) =
-                    (vec![Fade::default(); self.m.classes.len()], vec![0.0; self.m.classes.len()]);
+                    (vec![DecayingMean::default(); self.m.classes.len()], vec![0.0; self.m.classes.len()]);
                 *e = Engine { cores, pace, fine, threads: e.threads, ..Default::default() };
             }
             e.endpoint = *line;
@@ -263,7 +263,7 @@
         let unsent = self.further.iter().rposition(|&t| t == fwd.sent).filter(|_| what == Outcome::Unsent);
         unsent.filter(|_| s.attempts > 1).map(|i| self.further.remove(i));
         if matches!(what, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn) && keyed {
-            self.keys.entry(s.of.key).or_default().1 = now + self.m.key_rest;
+            self.keys.entry(s.of.key).or_default().1 = now + self.m.key_quarantine;
         }
         if let Outcome::Settled(Some(cost)) = what {
             match s.of.work {
@@ -345,14 +345,14 @@
         self.due(now, out);
     }
 
-    pub fn tenure(&mut self, now: Ms, until: Ms, out: &mut dyn Actions) {
+    pub fn renew_lease(&mut self, now: Ms, until: Ms, out: &mut dyn Actions) {
         self.until = until;
         self.due(now, out);
     }
 
     /// Until that time, in ms, nothing of a key goes out.
-    pub fn rest_keys(&mut self, until: Ms) {
-        self.keys_from = until;
+    pub fn quarantine_keys(&mut self, until: Ms) {
+        self.keys_quarantined_until = until;
     }
 
     pub fn due(&mut self, now: Ms, out: &mut dyn Actions) {
@@ -365,7 +365,7 @@
     }
 
     // Against terms that others have left behind: what waits is answered at once, what runs goes on.
-    fn give_up_without_tenure(&mut self, out: &mut dyn Actions) -> bool {
+    fn reject_without_lease(&mut self, out: &mut dyn Actions) -> bool {
         let waits = self.classes.iter().flat_map(|b| &b.line).next().copied();
         // Not all that wait at all gateways together are to come back together.
         let Some(s) = waits.filter(|_| self.now >= self.until) else { return false };
@@ -489,11 +489,11 @@
         false
     }
 
-    /// Payoff for the work it takes; until that is known, payoff.
+    /// Value for the work it takes; until that is known, value.
     fn weight(&self, b: usize) -> f64 {
         let mut classes = self.classes.iter().zip(&self.m.classes);
         let known = classes.all(|(class, terms)| terms.closed || class.work.mean().is_some());
-        self.m.classes[b].payoff / if known { self.usual_work(b) } else { 1.0 }
+        self.m.classes[b].value / if known { self.usual_work(b) } else { 1.0 }
     }
 
     fn charge(&self, b: usize) -> f64 {
@@ -535,7 +535,8 @@
             |k: &(VecDeque<usize>, Ms)| k.0.front() == Some(&sub) && (s.attempts > 0 || self.now >= k.1);
         self.may_attempt_again(s)
             && (s.attempts == 0 || self.rationed())
-            && (!self.keyed(sub) || self.now >= self.keys_from && self.keys.get(&s.of.key).is_none_or(turn))
+            && (!self.keyed(sub)
+                || self.now >= self.keys_quarantined_until && self.keys.get(&s.of.key).is_none_or(turn))
     }
 
     fn may_attempt_again(&self, s: &PendingRequest) -> bool {
@@ -561,7 +562,7 @@
 
     /// Whether the budget has one more further attempt, counted exactly over the window.
     fn rationed(&self) -> bool {
-        let Some(r) = self.m.ration else { return true };
+        let Some(r) = self.m.retry_budget else { return true };
         let further = self.further.iter().filter(|&&t| t >= self.now - r.span).count() as f64;
         let taken = self.taken_at.iter().filter(|&&t| t > self.now - r.span).count() as f64;
         further + 1.0 <= r.spare + r.share * taken
@@ -757,7 +758,7 @@
         class.line.retain(|&i| i != sub);
         (class.threads, class.started) = (class.threads + threads, class.started + threads * now);
         self.further.extend(again.then_some(now));
-        let span = self.m.ration.map_or(0.0, |r| r.span);
+        let span = self.m.retry_budget.map_or(0.0, |r| r.span);
         self.further.retain(|&t| t >= now - span);
         self.taken_at.retain(|&t| t >= now - span);
         let (usual, class, e) = (self.usual_work(b), &self.classes[b], &mut self.engines[engine]);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the policy remembers of each engine, attempt, request and class. Containers: nothing here decides,
 //! and no tuned value is used here.
 
-use crate::sums::{mix, part, Fade, Guess};
+use crate::stats::{mix, part, DecayingMean, Estimator};
 use crate::{ClassPolicy, Endpoint, EndpointState, Ms, Request};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     pub(crate) threads: f64,
     pub(crate) record: u32,
     pub(crate) seen: u32,
-    pub(crate) pace: Vec<Fade>,
+    pub(crate) pace: Vec<DecayingMean>,
     pub(crate) fine: Vec<Ms>, // by class: when the latest sent of those settled before they were overdue was sent
     pub(crate) full_until: Ms,
     pub(crate) aside: Option<(Ms, Ms)>, // when ejected: when the next of the trickle may go, and the gap between
@@ -68,10 +68,10 @@
     pub(crate) charged: f64,
     pub(crate) threads: f64,
     pub(crate) started: f64,
-    pub(crate) work: Fade,
-    pub(crate) work_of: Guess,
-    pub(crate) memory_of: Guess,
-    pub(crate) fleet: BTreeMap<u64, Fade>, // by the cells of the engines that it was learnt from
+    pub(crate) work: DecayingMean,
+    pub(crate) work_of: Estimator,
+    pub(crate) memory_of: Estimator,
+    pub(crate) fleet: BTreeMap<u64, DecayingMean>, // by the cells of the engines that it was learnt from
     pub(crate) best: f64,
     pub(crate) usual_left: Ms,
     pub(crate) learnt: Ms,
--- a/src/sums.rs
+++ b/src/stats.rs
@@ -5,16 +5,16 @@
 
 /// A sum and its weight, both fading; brought up to date when touched.
 #[derive(Clone, Copy, Default)]
-pub struct Fade {
+pub struct DecayingMean {
     sum: f64,
     pub weight: f64,
     at: Ms,
 }
 
-impl Fade {
+impl DecayingMean {
     pub fn add(&mut self, now: Ms, half: Ms, sum: f64, weight: f64) {
         let keep = 0.5f64.powf((now - self.at) / half);
-        *self = Fade { sum: self.sum * keep + sum, weight: self.weight * keep + weight, at: now };
+        *self = DecayingMean { sum: self.sum * keep + sum, weight: self.weight * keep + weight, at: now };
     }
     /// Sum and weight as they stand by now.
     pub fn now(&self, now: Ms, half: Ms) -> (f64, f64) {
@@ -29,12 +29,12 @@
 /// What an estimate stands for, learnt from what answers tell: a line through the logarithms of both. They
 /// scatter, so that a large one is more often too large; a slope of one and no shift while little is known.
 #[derive(Clone, Copy, Default)]
-pub struct Guess {
+pub struct Estimator {
     sums: [f64; 6], // weight, x, y, xx, xy, yy
     at: Ms,
 }
 
-impl Guess {
+impl Estimator {
     pub fn add(&mut self, now: Ms, half: Ms, estimate: f64, is: f64) {
         if estimate > 0.0 && is > 0.0 {
             let (keep, x, y) = (0.5f64.powf((now - self.at) / half), estimate.ln(), is.ln());
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use ironstair::{
-    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Kind, Mandate, Ms, Outcome, Ration, Request,
+    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Kind, Mandate, Ms, Outcome, Request, RetryBudget,
     Within,
 };
 use std::collections::BTreeMap;
@@ -63,11 +63,11 @@
     };
 }
 
-pub fn class(payoff: f64, threads: f64, repeat: Effect) -> ClassPolicy {
+pub fn class(value: f64, threads: f64, repeat: Effect) -> ClassPolicy {
     ClassPolicy {
         expected: 500.0,
         expected_stretch: 2.0,
-        payoff,
+        value,
         threads,
         repeat,
         window: 1000.0,
@@ -93,7 +93,7 @@
         warm_after: 10_000.0,
         fall_multiple: 3.0,
         fall_span: 1000.0,
-        key_rest: 300.0,
+        key_quarantine: 300.0,
         tick: 5.0,
         ..Default::default()
     }
@@ -112,7 +112,7 @@
     m.classes[2].in_order = true;
     m.classes[1].zones = Some(vec![0]);
     m.classes[3].kinds = Some(vec![1]);
-    m.ration = Some(Ration { spare: 2.0, share: 0.1, span: 2000.0 });
+    m.retry_budget = Some(RetryBudget { spare: 2.0, share: 0.1, span: 2000.0 });
     m.may_withdraw = true;
     m
 }
@@ -256,7 +256,7 @@
                 let doubt = |t: &Try| match t.end {
                     None => true,
                     Some((at, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn)) => {
-                        now < at + self.m.key_rest
+                        now < at + self.m.key_quarantine
                     }
                     _ => false,
                 };
@@ -268,7 +268,7 @@
             let kind = terms.kinds.as_ref().is_none_or(|k| k.contains(&line.kind));
             breaks!(!zone || !kind, "6: out of place");
         }
-        if let (Some(r), false) = (self.m.ration, h.tries.is_empty()) {
+        if let (Some(r), false) = (self.m.retry_budget, h.tries.is_empty()) {
             let counts = |t: &Try| t.end.is_none_or(|e| e.1 != Outcome::Unsent) && t.sent >= now - r.span;
             let further = self.held.iter().flat_map(|h| h.tries.iter().skip(1)).filter(|t| counts(t)).count();
             let taken = self.held.iter().filter(|h| h.taken > now - r.span).count();
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use ironstair::logic::Gateway;
-use ironstair::sums::{mix, Pcg};
+use ironstair::stats::{mix, Pcg};
 use ironstair::*;
 
 fn start(m: Mandate, engines: usize) -> Gateway {
@@ -274,7 +274,7 @@
     let mut g = start(Mandate { max_retry_after: 700.0, may_withdraw: true, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     // Against deciding by terms that others have left behind while this process stood still: no timer has rung.
-    g.tenure(now, now + 100.0, &mut Sheet::default());
+    g.renew_lease(now, now + 100.0, &mut Sheet::default());
     let sent: Vec<usize> = (0..20).flat_map(|i| send(&mut g, now, i, ask(0, 100.0))).map(|f| f.0).collect();
     assert!((1..20).contains(&sent.len()), "{sent:?} run, the rest wait");
     let mut sheet = Sheet::default();
@@ -291,7 +291,7 @@
     let mut sheet = Sheet::default();
     g.outcome(now + 101.0, sent[0], Outcome::Error, false, &mut sheet);
     assert_eq!((sheet.attempts().len(), back(&sheet)), (0, 1), "{:?}", sheet.0);
-    g.tenure(now + 102.0, now + 200.0, &mut Sheet::default());
+    g.renew_lease(now + 102.0, now + 200.0, &mut Sheet::default());
     assert_eq!(send(&mut g, now + 103.0, 30, ask(0, 100.0)).len(), 1, "it goes on with new tenure");
 }
 
@@ -300,7 +300,7 @@
     let mut m = two_classes();
     m.classes[0].in_order = true;
     let mut g = start(m, 1);
-    g.rest_keys(500.0);
+    g.quarantine_keys(500.0);
     let keyed = Request { key: 7, ..ask(0, 100.0) };
     assert_eq!(send(&mut g, 10.0, 0, keyed), [], "its last process may have left one out");
     assert_eq!(send(&mut g, 11.0, 1, ask(0, 100.0)).len(), 1);
@@ -314,7 +314,7 @@
 #[test]
 fn a_tighter_figure_of_a_rule_binds_at_once_and_a_looser_one_sets_free_nothing_counted_before() {
     let mut m = two_classes();
-    m.ration = Some(Ration { spare: 2.0, share: 0.0, span: 2000.0 });
+    m.retry_budget = Some(RetryBudget { spare: 2.0, share: 0.0, span: 2000.0 });
     m.max_attempts = 9;
     let mut g = start(m.clone(), 4);
     let mut sheet = Sheet::default();
@@ -325,10 +325,10 @@
     };
     send(&mut g, 1.0, 0, ask(0, 100.0));
     assert_eq!(fails(&mut g, 2.0), 1);
-    m.ration = Some(Ration { spare: 1.0, share: 0.0, span: 2000.0 });
+    m.retry_budget = Some(RetryBudget { spare: 1.0, share: 0.0, span: 2000.0 });
     g.amend(3.0, m.clone(), &mut Sheet::default());
     assert_eq!(fails(&mut g, 4.0), 0, "one further attempt is out of the span's one");
-    m.ration = Some(Ration { spare: 2.0, share: 0.0, span: 2000.0 });
+    m.retry_budget = Some(RetryBudget { spare: 2.0, share: 0.0, span: 2000.0 });
     let mut sheet = Sheet::default();
     g.amend(5.0, m, &mut sheet);
     assert_eq!(sheet.attempts().len(), 1, "of the two the first one still counts");
@@ -699,7 +699,7 @@
         let mut sheet = Sheet::default();
         g.take(1.0, 0, ask(0, 100.0), &mut sheet);
         assert_eq!(by(&sheet), Some(3001.0), "first attempts have the whole time");
-        g.tenure(2.0, until, &mut Sheet::default());
+        g.renew_lease(2.0, until, &mut Sheet::default());
         let mut sheet = Sheet::default();
         g.outcome(100.0, 0, Outcome::Error, false, &mut sheet);
         assert_eq!(by(&sheet), Some(want), "{repeat:?} until {until}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,15 +55,18 @@
             1 => terms.window = [100.0, 1000.0, 5000.0][a as usize % 3],
             2 => terms.zones = [None, Some(vec![0]), Some(vec![1])][a as usize % 3].clone(),
             3 => terms.kinds = [None, Some(vec![0]), Some(vec![1])][a as usize / 8 % 3].clone(),
-            4 => (terms.payoff, terms.expected) = (1.0 + a as f64, 100.0 + 10.0 * a as f64),
+            4 => (terms.value, terms.expected) = (1.0 + a as f64, 100.0 + 10.0 * a as f64),
             5 => {
                 // A crowd stays one: the referee adds up cold shares of few gateways only, and knows no ramp.
                 let others = if m.gateways < 100.0 { (a % 2) as f64 } else { 199.0 + a as f64 };
                 (m.max_attempts, m.gateways) = (1 + a % 5, 1.0 + others);
             }
             6 => {
-                m.ration =
-                    m.ration.map(|r| Ration { spare: (a % 4) as f64, share: 0.05 * (a % 3) as f64, ..r })
+                m.retry_budget = m.retry_budget.map(|r| RetryBudget {
+                    spare: (a % 4) as f64,
+                    share: 0.05 * (a % 3) as f64,
+                    ..r
+                })
             }
             _ if n < 8 => m.classes.push(class(1.0 + a as f64, 1.0, Effect::NonIdempotent)),
             _ => m.cold_from = 0.3 + (a % 7) as f64 / 10.0,
