--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -1,7 +1,7 @@
-//! The settings document: what of a gateway's mandate may be read and set. Its JSON is that of the YANG module
+//! The settings document: what of a gateway's policy config may be read and set. Its JSON is that of the YANG module
 //! (RFC 7951), so that neither has to be mapped to the other.
 
-use ironstair::{Effect, Mandate, Ms, Within};
+use ironstair::{Effect, Ms, PolicyConfig, Within};
 use ironstair_cells::assign::Wrong;
 use ironstair_cells::{Assignment, CellDirectory, Choice};
 use serde::de::Error;
@@ -118,7 +118,8 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Cold {
     pub from: Decimal<4>,
-    pub warm_after: u32,
+    #[serde(rename = "warm-after")]
+    pub slow_start_duration: u32,
     pub multiple: Decimal<3>,
     pub span: u32,
 }
@@ -297,7 +298,7 @@
 impl Document {
     /// The document of what a gateway was told; figures with more digits than the tree has are rounded.
     /// `limits` are the classes' hard limits, in ms.
-    pub fn told(m: &Mandate, names: &[String], limits: &[Ms], frame: &Frame) -> Document {
+    pub fn told(m: &PolicyConfig, names: &[String], limits: &[Ms], frame: &Frame) -> Document {
         let whole = |x: Ms| x.round().clamp(0.0, u32::MAX as f64) as u32;
         let named = |of: &Option<Vec<u16>>, names: &[String]| -> Vec<String> {
             let of = of.iter().flatten();
@@ -347,8 +348,8 @@
                 span: whole(r.span),
             }),
             cold: Cold {
-                from: Decimal::of(m.cold_from),
-                warm_after: whole(m.warm_after),
+                from: Decimal::of(m.slow_start_from),
+                slow_start_duration: whole(m.slow_start_duration),
                 multiple: Decimal::of(m.fall_multiple),
                 span: whole(m.fall_span),
             },
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
-    /// All that is known: what the told file said, what runs, and the revisions remembered.
+    /// All that is known: what the configuration file said, what runs, and the revisions remembered.
     Whole(Kept<D>),
     Set {
         line: Line,
@@ -48,7 +48,7 @@
 /// What a start goes by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kept<D> {
-    /// The settings of the told file, when this was written.
+    /// The settings of the configuration file, when this was written.
     pub told: D,
     pub running: D,
     /// The number of the revision that runs, 0 for what was told, and of the next.
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What a journal's records come to, beside what the told file says now.
+    /// What a journal's records come to, beside what the configuration file says now.
     pub fn open(records: Vec<Record<D>>, told: D) -> (Kept<D>, Found) {
         let mut kept: Option<Kept<D>> = None;
         let mut trial: Option<(u64, (u64, D))> = None;
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -1,8 +1,8 @@
-//! What a change of the settings does, and when. It is checked whole; then the mandate that it makes is taken
+//! What a change of the settings does, and when. It is checked whole; then the policy config that it makes is taken
 //! over whole, between two events of the decision module, or none of it is.
 
 use crate::document::{class_path, fault, Again, Class, Document, Fault, Frame, Group};
-use ironstair::{ClassPolicy, Effect, Mandate, Ms, RetryBudget, Within};
+use ironstair::{ClassPolicy, Effect, Ms, PolicyConfig, RetryBudget, Within};
 use std::collections::BTreeMap;
 
 /// Classes that may ever have been in a gateway's life: their indices are never used again, since requests,
@@ -108,7 +108,7 @@
     }),
     ("cold/from", When::AtOnce, |d| Some(d.cold.from.to_string())),
     ("cold/warm-after", When::AtOnce, |d| {
-        Some(d.cold.warm_after.to_string())
+        Some(d.cold.slow_start_duration.to_string())
     }),
     ("cold/multiple", When::AtOnce, |d| {
         Some(d.cold.multiple.to_string())
@@ -218,19 +218,19 @@
     }
 }
 
-/// What the gateway was told and the document made of that; every mandate is made from both, so that what was
+/// What the gateway was told and the document made of that; every policy config is made from both, so that what was
 /// not changed keeps its figure to the last digit, also after a change was taken back.
 #[derive(Clone)]
 pub struct Origin {
-    pub mandate: Mandate,
+    pub policy_config: PolicyConfig,
     pub document: Document,
     pub frame: Frame,
 }
 
 impl Origin {
-    /// The mandate of a document that `plan` let through, in the order of the roll.
-    pub fn mandate(&self, to: &Document, roll: &Roll) -> Mandate {
-        let (m, was) = (&self.mandate, &self.document);
+    /// The policy config of a document that `plan` let through, in the order of the roll.
+    pub fn policy_config(&self, to: &Document, roll: &Roll) -> PolicyConfig {
+        let (m, was) = (&self.policy_config, &self.document);
         let changed = |at: bool, new: f64, old: f64| if at { new } else { old };
         let retry_budget = match (to.retry_budget, was.retry_budget == to.retry_budget) {
             (_, true) => m.retry_budget,
@@ -242,16 +242,16 @@
             }),
         };
         let (cold, old) = (&to.cold, &was.cold);
-        Mandate {
+        PolicyConfig {
             gateways: changed(to.gateways != was.gateways, to.gateways as f64, m.gateways),
             classes: roll.0.iter().map(|slot| self.terms(slot, to)).collect(),
             max_retry_after: changed(to.advice != was.advice, to.advice as f64, m.max_retry_after),
             max_attempts: to.max_attempts,
-            cold_from: changed(cold.from != old.from, cold.from.get(), m.cold_from),
-            warm_after: changed(
-                cold.warm_after != old.warm_after,
-                cold.warm_after as f64,
-                m.warm_after,
+            slow_start_from: changed(cold.from != old.from, cold.from.get(), m.slow_start_from),
+            slow_start_duration: changed(
+                cold.slow_start_duration != old.slow_start_duration,
+                cold.slow_start_duration as f64,
+                m.slow_start_duration,
             ),
             fall_multiple: changed(
                 cold.multiple != old.multiple,
@@ -270,7 +270,7 @@
             .class
             .iter()
             .position(|b| Slot::of(b) == *slot);
-        let told = told.map(|i| (&self.mandate.classes[i], &self.document.class[i]));
+        let told = told.map(|i| (&self.policy_config.classes[i], &self.document.class[i]));
         let Some(class) = to.class.iter().find(|b| Slot::of(b) == *slot) else {
             // Out of service. What it was matters no more to new ones; open ones go by their own terms.
             let was = told.map(|t| t.0.clone()).unwrap_or_default();
--- a/crates/config-change/src/renewal.rs
+++ b/crates/config-change/src/renewal.rs
@@ -6,12 +6,12 @@
 
 use crate::document::{Document, Frame};
 use crate::plan::{Origin, Roll, Slot, ROLL_MOST};
-use ironstair::{Kind, Mandate, Ms};
+use ironstair::{Kind, Ms, PolicyConfig};
 
 /// What one file says, decoded.
 #[derive(Clone, Debug)]
 pub struct File {
-    pub mandate: Mandate,
+    pub policy_config: PolicyConfig,
     /// The classes' names and hard limits, in ms, in their order.
     pub names: Vec<String>,
     pub limits: Vec<Ms>,
@@ -29,16 +29,16 @@
     /// The first file's order is that of the indices.
     pub fn new(file: File) -> Renewal {
         let File {
-            mandate,
+            policy_config,
             names,
             limits,
             frame,
         } = file;
-        let document = Document::told(&mandate, &names, &limits, &frame);
+        let document = Document::told(&policy_config, &names, &limits, &frame);
         let roll = Roll::of(&document);
         Renewal {
             origin: Origin {
-                mandate,
+                policy_config,
                 document,
                 frame,
             },
@@ -61,8 +61,8 @@
                 .ok_or_else(|| format!("index {i} is past the {} told", names.len()));
             name.map(|n| Frame::index(known, n).unwrap_or(u16::MAX))
         };
-        let mut mandate = file.mandate;
-        for (terms, name) in mandate.classes.iter_mut().zip(&file.names) {
+        let mut policy_config = file.policy_config;
+        for (terms, name) in policy_config.classes.iter_mut().zip(&file.names) {
             for (field, at, known, names) in [
                 (
                     "dcs_allowed",
@@ -88,25 +88,25 @@
             }
         }
         let told = |name: &String| {
-            Frame::index(&file.frame.kinds, name).map(|i| mandate.kinds[i as usize])
+            Frame::index(&file.frame.kinds, name).map(|i| policy_config.kinds[i as usize])
         };
         let kept = |i: usize| {
-            was.mandate.kinds.get(i).copied().unwrap_or(Kind {
+            was.policy_config.kinds.get(i).copied().unwrap_or(Kind {
                 cores: 1.0,
                 memory_mb: 0.0,
             })
         };
         let all = frame.kinds.iter().enumerate();
-        mandate.kinds = all
+        policy_config.kinds = all
             .map(|(i, name)| told(name).unwrap_or_else(|| kept(i)))
             .collect();
-        if !mandate.classes.iter().any(|b| b.in_order) {
+        if !policy_config.classes.iter().any(|b| b.in_order) {
             // Those still open in a class that is closed keep their order, and its rest after doubt.
-            mandate.key_quarantine = was.mandate.key_quarantine;
+            policy_config.key_quarantine = was.policy_config.key_quarantine;
         }
-        let document = Document::told(&mandate, &file.names, &file.limits, &frame);
+        let document = Document::told(&policy_config, &file.names, &file.limits, &frame);
         // Before the checks: a file that only moves the list does what it did at the start.
-        if mandate == was.mandate && document == was.document {
+        if policy_config == was.policy_config && document == was.document {
             return Ok(None);
         }
         let faults: Vec<String> = document
@@ -129,7 +129,7 @@
             ));
         }
         let origin = Origin {
-            mandate,
+            policy_config,
             document,
             frame,
         };
@@ -137,11 +137,11 @@
     }
 
     /// For the decisions, by the indices kept.
-    pub fn mandate(&self) -> Mandate {
-        self.origin.mandate(&self.origin.document, &self.roll)
+    pub fn policy_config(&self) -> PolicyConfig {
+        self.origin.policy_config(&self.origin.document, &self.roll)
     }
 
-    /// All classes by index; which are in service, the mandate says.
+    /// All classes by index; which are in service, the policy config says.
     pub fn roll(&self) -> &Roll {
         &self.roll
     }
--- a/crates/config-change/src/stricter.rs
+++ b/crates/config-change/src/stricter.rs
@@ -75,7 +75,7 @@
             retry_budget: retry_budget(self.retry_budget, other.retry_budget),
             cold: Cold {
                 from: least(a.from, b.from),
-                warm_after: a.warm_after.max(b.warm_after),
+                slow_start_duration: a.slow_start_duration.max(b.slow_start_duration),
                 multiple: least(a.multiple, b.multiple),
                 span: a.span.min(b.span),
             },
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,6 +1,6 @@
 //! What a change does and when, and what it can't be.
 
-use ironstair::{ClassPolicy, Effect, Kind, Mandate, RetryBudget, Within};
+use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig, RetryBudget, Within};
 use ironstair_config_change::document::{Document, Frame};
 use ironstair_config_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
 use ironstair_config_change::Decimal;
@@ -14,7 +14,7 @@
         window: 900.4,
         ..ClassPolicy::default()
     };
-    let mandate = Mandate {
+    let policy_config = PolicyConfig {
         gateways: 3.0,
         classes: vec![
             terms(1000.25, Effect::Idempotent),
@@ -25,8 +25,8 @@
             memory_mb: 1.0,
         }],
         max_attempts: 6,
-        cold_from: 0.123456,
-        warm_after: 15e3,
+        slow_start_from: 0.123456,
+        slow_start_duration: 15e3,
         fall_multiple: 4.0,
         fall_span: 1e3,
         retry_budget: Some(RetryBudget {
@@ -34,22 +34,22 @@
             share: 0.1,
             span: 10e3,
         }),
-        ..Mandate::default()
+        ..PolicyConfig::default()
     };
     let frame = Frame {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
     };
     let names = ["lookup".to_string(), "post".to_string()];
-    let document = Document::told(&mandate, &names, &[5e3, 20e3], &frame);
+    let document = Document::told(&policy_config, &names, &[5e3, 20e3], &frame);
     Origin {
-        mandate,
+        policy_config,
         document,
         frame,
     }
 }
 
-type Tried = Result<(Vec<(String, When)>, Mandate), Vec<String>>;
+type Tried = Result<(Vec<(String, When)>, PolicyConfig), Vec<String>>;
 type Change<'a> = &'a dyn Fn(&mut Document);
 
 fn tried(change: impl Fn(&mut Document)) -> Tried {
@@ -59,7 +59,7 @@
     match plan(&o.document, &to, &Roll::of(&o.document), &o.frame) {
         Ok(p) => Ok((
             p.steps.into_iter().map(|s| (s.path, s.when)).collect(),
-            o.mandate(&to, &p.roll),
+            o.policy_config(&to, &p.roll),
         )),
         Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect()),
     }
@@ -67,7 +67,7 @@
 
 #[test]
 fn what_is_not_changed_keeps_its_figure_to_the_last_digit() {
-    let told = origin().mandate;
+    let told = origin().policy_config;
     let (steps, same) = tried(|_| {}).unwrap();
     assert_eq!((steps.len(), format!("{same:?}")), (0, format!("{told:?}")));
     let (steps, new) = tried(|d| d.class[0].value = Decimal::of(2.0)).unwrap();
@@ -79,7 +79,11 @@
         )]
     );
     assert_eq!(
-        (new.classes[0].expected, new.classes[1].value, new.cold_from),
+        (
+            new.classes[0].expected,
+            new.classes[1].value,
+            new.slow_start_from
+        ),
         (1000.25, 1.0 / 3.0, 0.123456)
     );
     assert_eq!(new.classes[0].value, 2.0);
@@ -178,7 +182,7 @@
         (p.roll.find("post"), p.roll.find("audit")),
         (Some(1), Some(2))
     );
-    let m = o.mandate(&back, &p.roll);
+    let m = o.policy_config(&back, &p.roll);
     assert_eq!(
         (m.classes.len(), m.classes[1].window, m.classes[2].window),
         (3, 900.4, 900.0)
@@ -240,9 +244,9 @@
             "0.1",
         ),
         (
-            &|d| d.cold.warm_after = 9,
+            &|d| d.cold.slow_start_duration = 9,
             &|_| {},
-            |d| d.cold.warm_after.to_string(),
+            |d| d.cold.slow_start_duration.to_string(),
             "15000",
         ),
         (
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -1,6 +1,6 @@
 //! A replaced file, there and back, without a gateway.
 
-use ironstair::{ClassPolicy, Effect, Kind, Mandate};
+use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig};
 use ironstair_config_change::renewal::{File, Renewal};
 use ironstair_config_change::Frame;
 
@@ -24,7 +24,7 @@
         cores: k.1,
         memory_mb: 1024.0,
     });
-    let mandate = Mandate {
+    let policy_config = PolicyConfig {
         gateways: 2.0,
         classes,
         kinds: cores.collect(),
@@ -36,7 +36,7 @@
         kinds: kinds.iter().map(|k| k.0.to_string()).collect(),
     };
     File {
-        mandate,
+        policy_config,
         names,
         limits,
         frame,
@@ -65,7 +65,7 @@
         vec![("load", load), ("report", report), ("lookup", lookup)],
         &[("l", 12.0), ("new", 4.0)],
     );
-    f.mandate.key_quarantine = 300.0;
+    f.policy_config.key_quarantine = 300.0;
     f
 }
 
@@ -73,13 +73,17 @@
 fn what_had_an_index_keeps_it_and_the_way_back_ends_where_it_began() {
     // Against charges, order and places of open requests that change hands with an index.
     let start = Renewal::new(first());
-    assert_eq!(start.mandate(), first().mandate, "to the last digit");
+    assert_eq!(
+        start.policy_config(),
+        first().policy_config,
+        "to the last digit"
+    );
     let there = start.renew(second()).unwrap().expect("other settings");
     assert_eq!(
         there.roll().0.iter().map(|s| &*s.name).collect::<Vec<_>>(),
         ["lookup", "report", "load", "report"]
     );
-    let m = there.mandate();
+    let m = there.policy_config();
     let closed: Vec<bool> = m.classes.iter().map(|b| b.closed).collect();
     assert_eq!(
         closed,
@@ -98,7 +102,7 @@
         "kind l under its old index"
     );
     let back = there.renew(first()).unwrap().expect("other settings");
-    let (m, was) = (back.mandate(), start.mandate());
+    let (m, was) = (back.policy_config(), start.policy_config());
     assert_eq!(m.classes[..2], was.classes[..]);
     assert!(m.classes[2].closed && m.classes[3].closed && m.classes[2].in_order);
     assert_eq!(
@@ -106,8 +110,8 @@
         "what is open in order still rests after doubt"
     );
     assert_eq!((m.kinds[0], m.kinds[1]), (was.kinds[0], was.kinds[1]));
-    let again = back.renew(second()).unwrap().unwrap().mandate();
-    assert_eq!(again, there.mandate(), "the same step once more");
+    let again = back.renew(second()).unwrap().unwrap().policy_config();
+    assert_eq!(again, there.policy_config(), "the same step once more");
 }
 
 #[test]
@@ -115,7 +119,7 @@
     let start = Renewal::new(first());
     assert!(start.renew(first()).unwrap().is_none());
     let mut bad = second();
-    bad.mandate.classes[1].kinds = Some(vec![7]);
+    bad.policy_config.classes[1].kinds = Some(vec![7]);
     let why = start.renew(bad).err().unwrap();
     assert!(
         why.contains("report: machine_types_allowed: index 7"),
--- a/crates/coordination/src/count.rs
+++ b/crates/coordination/src/count.rs
@@ -1,7 +1,7 @@
 //! How many gateways share out what a cold engine bears from all of them, and who of them takes a share: so that the
 //! shares never come to more than the whole (`docs/design/recovery.md`, promise 2).
 
-use ironstair::{Mandate, Ms};
+use ironstair::{Ms, PolicyConfig};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -26,16 +26,16 @@
     }
 
     /// What the decisions go by: of all gateways this many share, and who takes no share sends no cold engine anything.
-    pub fn of(self, mandate: &Mandate) -> Mandate {
+    pub fn of(self, policy_config: &PolicyConfig) -> PolicyConfig {
         let bears = if self.taken {
-            mandate.fall_multiple
+            policy_config.fall_multiple
         } else {
             0.0
         };
-        Mandate {
+        PolicyConfig {
             gateways: self.among,
             fall_multiple: bears,
-            ..mandate.clone()
+            ..policy_config.clone()
         }
     }
 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -48,14 +48,14 @@
 /// The settings do not fit the tree, a folder can't be read, or an address is not free.
 pub fn open(m: &Management, told: &crate::told::Told, of: &Operator) -> Result<Opened, String> {
     let cells = of.cells.as_ref().map(operator::cells);
-    let (mandate, state) = (told.mandate.clone(), m.state.as_deref());
+    let (policy_config, state) = (told.policy_config.clone(), m.state.as_deref());
     let charter = of
         .fleet
         .as_ref()
         .map(|f| operator::charter(f, &told.name))
         .transpose()?;
     let started = ironstair_management::open(
-        mandate,
+        policy_config,
         &told.classes,
         &told.limits,
         told.index.clone(),
@@ -99,7 +99,7 @@
         .transpose()?;
     let cells = of.cells.as_ref().map(operator::cells);
     ironstair_management::open(
-        told.mandate.clone(),
+        told.policy_config.clone(),
         &told.classes,
         &told.limits,
         told.index.clone(),
@@ -110,8 +110,8 @@
 }
 
 impl Opened {
-    pub fn mandate(&self) -> ironstair::Mandate {
-        self.started.mandate()
+    pub fn policy_config(&self) -> ironstair::PolicyConfig {
+        self.started.policy_config()
     }
 
     pub fn cells(&self) -> Option<ironstair_cells::CellDirectory> {
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use ironstair::interner::Interner;
 use ironstair::logic::Gateway;
-use ironstair::{Actions, Endpoint, EndpointState, Mandate, Ms, Outcome, Request};
+use ironstair::{Actions, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request};
 use ironstair_cells::{CellDirectory, Cells, Goes};
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::{self, Counts, Snapshot};
@@ -80,7 +80,7 @@
     /// Which cells engines and tenants are in, where there are any.
     cells: Option<CellDirectory>,
     /// In a fleet that counts its members: the terms, and the share that goes before what they say of all gateways.
-    mandate: Option<Mandate>,
+    policy_config: Option<PolicyConfig>,
     share: Option<Share>,
 }
 
@@ -98,7 +98,7 @@
             ends: Ms::INFINITY,
             counts: Vec::new(),
             cells,
-            mandate: None,
+            policy_config: None,
             share: None,
         }
     }
@@ -386,8 +386,8 @@
                         share.filter(|s| executor.share.is_none_or(|was| s.differs(was)))
                     {
                         executor.share = Some(share);
-                        let mandate = executor.mandate.as_ref().map(|m| share.of(m));
-                        mandate
+                        let policy_config = executor.policy_config.as_ref().map(|m| share.of(m));
+                        policy_config
                             .into_iter()
                             .for_each(|m| gateway.amend(now, m, &mut executor));
                     }
@@ -424,12 +424,12 @@
         }
         move_tenants(gateway, executor);
     }
-    let shared = executor.share.map(|s| s.of(&to.mandate));
+    let shared = executor.share.map(|s| s.of(&to.policy_config));
     // In a fleet the share changes while the terms stay.
     if executor.shared.lease_until.get().is_finite() {
-        executor.mandate = Some(to.mandate.clone());
+        executor.policy_config = Some(to.policy_config.clone());
     }
-    gateway.amend(executor.now, shared.unwrap_or(to.mandate), executor);
+    gateway.amend(executor.now, shared.unwrap_or(to.policy_config), executor);
     let _ = to.done.try_send(());
 }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -134,12 +134,12 @@
 
 /// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
 async fn take_over(renewal: &Renewal, carriage: Carriage, shared: &Shared) {
-    let mandate = renewal.mandate();
+    let policy_config = renewal.policy_config();
     let (classes, longest) =
-        ironstair_management::classes(renewal.roll(), renewal.document(), &mandate);
+        ironstair_management::classes(renewal.roll(), renewal.document(), &policy_config);
     let (done, told) = async_channel::bounded(1);
     let to = Amendment {
-        mandate,
+        policy_config,
         classes,
         longest,
         cells: None,
@@ -195,22 +195,26 @@
     let executor = Rc::new(LocalExecutor::new());
     let (module, events) = async_channel::bounded(MAILBOX);
     // What was set before the last end comes before what is told.
-    let (mandate, (classes, longest)) = match &management {
-        Some(m) => (m.mandate(), m.classes()),
+    let (policy_config, (classes, longest)) = match &management {
+        Some(m) => (m.policy_config(), m.classes()),
         None => {
-            let classes = told.classes.iter().cloned().zip(&told.mandate.classes);
+            let classes = told
+                .classes
+                .iter()
+                .cloned()
+                .zip(&told.policy_config.classes);
             let classes = classes.map(|(name, b)| window::Told {
                 name,
                 expected: b.expected,
                 in_service: true,
             });
             let classes = classes.collect();
-            (told.mandate, (classes, told.carriage.longest))
+            (told.policy_config, (classes, told.carriage.longest))
         }
     };
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
-    let key_quarantine = mandate.key_quarantine;
-    let gateway = Gateway::new(mandate, told.seed);
+    let key_quarantine = policy_config.key_quarantine;
+    let gateway = Gateway::new(policy_config, told.seed);
     let renewal = Renewal::new(file);
     let shared = Rc::new(Shared {
         clock: Clock::start(),
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -1,10 +1,10 @@
 //! What a gateway is told at start, decoded once.
 
-use ironstair::{EndpointState, Mandate, Ms};
+use ironstair::{EndpointState, Ms, PolicyConfig};
 use ironstair_config_change::renewal::File;
 use ironstair_config_change::Frame;
 use ironstair_runtime::DiscoveredEndpoint;
-use ironstair_settings::{carriage, classes, kinds, limits, mandate, word, zones, Carriage};
+use ironstair_settings::{carriage, classes, kinds, limits, policy_config, word, zones, Carriage};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     /// Memory in MB and file descriptors that this process may hold.
     pub memory_mb: f64,
     pub descriptors: usize,
-    pub mandate: Mandate,
+    pub policy_config: PolicyConfig,
     pub carriage: Carriage,
     pub classes: Vec<String>,
     /// The classes' hard limits.
@@ -35,9 +35,9 @@
 
 impl Told {
     pub fn file(&self) -> File {
-        let (mandate, names) = (self.mandate.clone(), self.classes.clone());
+        let (policy_config, names) = (self.policy_config.clone(), self.classes.clone());
         File {
-            mandate,
+            policy_config,
             names,
             limits: self.limits.clone(),
             frame: self.index.clone(),
@@ -88,7 +88,7 @@
             .map_err(|_| format!("seed is no hexadecimal number: {seed}"))?,
         memory_mb: v["limits"]["memory_mb"].as_f64().unwrap_or(MEMORY_MB),
         descriptors: v["limits"]["sockets"].as_f64().unwrap_or(DESCRIPTORS) as usize,
-        mandate: mandate(settings).map_err(|e| format!("settings: {e}"))?,
+        policy_config: policy_config(settings).map_err(|e| format!("settings: {e}"))?,
         carriage: carriage(settings).map_err(|e| format!("settings: {e}"))?,
         classes: classes(settings).map_err(|e| format!("settings: {e}"))?,
         limits: limits(settings).map_err(|e| format!("settings: {e}"))?,
--- a/crates/management/src/desk.rs
+++ b/crates/management/src/desk.rs
@@ -647,12 +647,12 @@
         if let Ok(p) = plan(&document, &document, &self.roll, &self.origin.frame) {
             self.roll = p.roll;
         }
-        let mandate = self.origin.mandate(&document, &self.roll);
-        let (classes, longest) = classes(&self.roll, &document, &mandate);
+        let policy_config = self.origin.policy_config(&document, &self.roll);
+        let (classes, longest) = classes(&self.roll, &document, &policy_config);
         let (done, told) = async_channel::bounded(1);
         let cells = Some(cell_directory(&document));
         let amendment = Amendment {
-            mandate,
+            policy_config,
             classes,
             longest,
             cells,
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -1,7 +1,7 @@
 //! What a start makes of what is told and what was kept.
 
 use crate::file::Journal;
-use ironstair::{Mandate, Ms};
+use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
 use ironstair_config_change::journal::{Found, Kept};
 use ironstair_config_change::plan::{plan, Origin, Roll};
@@ -30,7 +30,7 @@
 /// # Errors
 /// What was told does not fit the tree, or the folder can't be read.
 pub fn open(
-    mandate: Mandate,
+    policy_config: PolicyConfig,
     names: &[String],
     limits: &[Ms],
     frame: Frame,
@@ -40,7 +40,7 @@
     let schema = Schema::shipped()?;
     let told = Document {
         cells,
-        ..Document::told(&mandate, names, limits, &frame)
+        ..Document::told(&policy_config, names, limits, &frame)
     };
     // What is read and set must be able to say what runs.
     let leaves = schema
@@ -54,7 +54,7 @@
         ));
     }
     let origin = Origin {
-        mandate,
+        policy_config,
         document: told.clone(),
         frame,
     };
@@ -122,8 +122,8 @@
 
 impl Started {
     /// What the decision module begins with.
-    pub fn mandate(&self) -> Mandate {
-        self.origin.mandate(self.ledger.running(), &self.roll)
+    pub fn policy_config(&self) -> PolicyConfig {
+        self.origin.policy_config(self.ledger.running(), &self.roll)
     }
 
     pub fn cells(&self) -> Option<CellDirectory> {
@@ -131,7 +131,7 @@
     }
 
     pub fn classes(&self) -> (Vec<Told>, Ms) {
-        classes(&self.roll, self.ledger.running(), &self.mandate())
+        classes(&self.roll, self.ledger.running(), &self.policy_config())
     }
 }
 
@@ -144,11 +144,11 @@
 }
 
 /// The classes by index, and the longest hard limit.
-pub fn classes(roll: &Roll, document: &Document, mandate: &Mandate) -> (Vec<Told>, Ms) {
+pub fn classes(roll: &Roll, document: &Document, policy_config: &PolicyConfig) -> (Vec<Told>, Ms) {
     let told = roll
         .0
         .iter()
-        .zip(&mandate.classes)
+        .zip(&policy_config.classes)
         .map(|(slot, terms)| Told {
             name: slot.name.clone(),
             expected: terms.expected,
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,20 +1,20 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
-use ironstair::{ClassPolicy, Kind, Mandate};
+use ironstair::{ClassPolicy, Kind, PolicyConfig};
 use ironstair_config_change::journal::{encode, Kept, Line, Record};
 use ironstair_config_change::revisions::RevisionState;
 use ironstair_config_change::{Document, Frame};
 use ironstair_management::{open, Journal};
 use std::path::Path;
 
-fn told() -> (Mandate, Vec<String>, Vec<f64>, Frame) {
+fn told() -> (PolicyConfig, Vec<String>, Vec<f64>, Frame) {
     let terms = ClassPolicy {
         expected: 1000.0,
         value: 1.0,
         threads: 1.0,
         ..ClassPolicy::default()
     };
-    let mandate = Mandate {
+    let policy_config = PolicyConfig {
         gateways: 2.0,
         classes: vec![terms],
         kinds: vec![Kind {
@@ -22,25 +22,25 @@
             memory_mb: 1.0,
         }],
         max_attempts: 4,
-        cold_from: 0.3,
-        warm_after: 15e3,
+        slow_start_from: 0.3,
+        slow_start_duration: 15e3,
         fall_multiple: 4.0,
         fall_span: 1e3,
-        ..Mandate::default()
+        ..PolicyConfig::default()
     };
     let frame = Frame {
         zones: vec!["a".into()],
         kinds: vec!["m".into()],
     };
-    (mandate, vec!["lookup".into()], vec![5e3], frame)
+    (policy_config, vec!["lookup".into()], vec![5e3], frame)
 }
 
 fn advice_after(folder: &Path) -> (u32, Vec<String>) {
-    let (mandate, names, limits, frame) = told();
-    let started = open(mandate, &names, &limits, frame, None, Some(folder)).unwrap();
+    let (policy_config, names, limits, frame) = told();
+    let started = open(policy_config, &names, &limits, frame, None, Some(folder)).unwrap();
     // What the decision module begins with is what the ledger says runs.
     assert_eq!(
-        started.mandate().max_retry_after,
+        started.policy_config().max_retry_after,
         started.ledger.running().advice as f64
     );
     (started.ledger.running().advice, started.notes)
@@ -68,8 +68,8 @@
 
 #[test]
 fn cut_at_every_byte_of_its_last_records_a_start_runs_the_last_whole_revision() {
-    let (mandate, names, limits, frame) = told();
-    let base = Document::told(&mandate, &names, &limits, &frame);
+    let (policy_config, names, limits, frame) = told();
+    let base = Document::told(&policy_config, &names, &limits, &frame);
     let records = [
         Record::Whole(Kept::told(base.clone())),
         set(1, 10, RevisionState::Running, &base),
@@ -106,8 +106,8 @@
 
 #[test]
 fn a_journal_goes_on_after_a_start_and_is_written_anew_when_it_grows() {
-    let (mandate, names, limits, frame) = told();
-    let base = Document::told(&mandate, &names, &limits, &frame);
+    let (policy_config, names, limits, frame) = told();
+    let base = Document::told(&policy_config, &names, &limits, &frame);
     let folder = tempfile::tempdir().unwrap();
     let mut journal = Journal::begin(folder.path(), &Kept::told(base.clone())).unwrap();
     let mut number = 0;
@@ -125,9 +125,9 @@
 
 #[test]
 fn what_is_told_and_does_not_fit_the_tree_is_refused_by_its_field() {
-    let (mut mandate, names, limits, frame) = told();
-    mandate.classes[0].value = 0.0;
-    let why = open(mandate, &names, &limits, frame, None, None)
+    let (mut policy_config, names, limits, frame) = told();
+    policy_config.classes[0].value = 0.0;
+    let why = open(policy_config, &names, &limits, frame, None, None)
         .err()
         .unwrap();
     assert!(
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -3,7 +3,7 @@
 
 use arc_swap::ArcSwap;
 use async_channel::Sender;
-use ironstair::{Mandate, Ms};
+use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::Snapshot;
@@ -22,7 +22,7 @@
 
 /// Other terms, taken over whole between two events of the module.
 pub struct Amendment {
-    pub mandate: Mandate,
+    pub policy_config: PolicyConfig,
     /// By the module's index; those out of service too.
     pub classes: Vec<Told>,
     /// The longest hard limit.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that every host of the decisions is given. A figure that a rule rests on is
 //! never guessed: without it, no start.
 
-use ironstair::{ClassPolicy, Effect, Kind, Load, Mandate, Ms, RetryBudget, Within};
+use ironstair::{ClassPolicy, Effect, Kind, Load, Ms, PolicyConfig, RetryBudget, Within};
 use serde_json::Value;
 
 const NS: f64 = 1e6;
@@ -176,11 +176,11 @@
     list(v, path)?.iter().map(text).collect()
 }
 
-pub fn read(text: &[u8]) -> Result<Mandate, String> {
-    mandate(&serde_json::from_slice(text).map_err(|e| e.to_string())?)
+pub fn read(text: &[u8]) -> Result<PolicyConfig, String> {
+    policy_config(&serde_json::from_slice(text).map_err(|e| e.to_string())?)
 }
 
-pub fn mandate(v: &Value) -> Result<Mandate, String> {
+pub fn policy_config(v: &Value) -> Result<PolicyConfig, String> {
     let classes = list(v, "classes")?.iter().enumerate();
     let classes = classes
         .map(|(i, c)| {
@@ -234,7 +234,7 @@
         0.0
     };
     let advised = flag(v, "policy_limits.retry_after")?;
-    Ok(Mandate {
+    Ok(PolicyConfig {
         gateways: number(v, "fleet_size")?.max(1.0),
         classes,
         kinds: kinds.collect::<Result<_, String>>()?,
@@ -260,8 +260,8 @@
         },
         max_attempts: number(v, "policy_limits.max_attempts")?.clamp(0.0, 255.0) as u8,
         must_subscribe: word(v, "registry_mode")? == "subscribe",
-        cold_from: number(v, "guarantees.cold_from")?,
-        warm_after: time(v, "guarantees.warm_after_ns")?,
+        slow_start_from: number(v, "guarantees.cold_from")?,
+        slow_start_duration: time(v, "guarantees.warm_after_ns")?,
         fall_multiple: number(v, "guarantees.overload_factor")?,
         fall_span: time(v, "guarantees.fall_ns")?,
         retry_budget,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,7 +1,7 @@
 //! Who asks: requests that come by chance, and come again when they are rejected. All figures are assumed.
 
 use ironstair::stats::{mix, Pcg};
-use ironstair::{ClassPolicy, Effect, Kind, Mandate, Ms, RetryBudget};
+use ironstair::{ClassPolicy, Effect, Kind, Ms, PolicyConfig, RetryBudget};
 
 /// One class: how often it is asked for, and what that takes.
 struct Asked {
@@ -92,7 +92,7 @@
 }
 
 /// What a gateway is told.
-pub fn mandate(gateways: f64) -> Mandate {
+pub fn policy_config(gateways: f64) -> PolicyConfig {
     use crate::engine::{COLD_FROM, CORES, FALL_MULTIPLE, FALL_SPAN, WARM_AFTER};
     let class = |a: &Asked| ClassPolicy {
         expected: a.expected,
@@ -101,7 +101,7 @@
         repeat: a.repeat,
         ..ClassPolicy::default()
     };
-    Mandate {
+    PolicyConfig {
         gateways,
         classes: CLASSES.iter().map(class).collect(),
         kinds: vec![Kind {
@@ -113,8 +113,8 @@
         may_withdraw: true,
         max_retry_after: COME_BACK_MOST,
         max_attempts: 6,
-        cold_from: COLD_FROM,
-        warm_after: WARM_AFTER,
+        slow_start_from: COLD_FROM,
+        slow_start_duration: WARM_AFTER,
         fall_multiple: FALL_MULTIPLE,
         fall_span: FALL_SPAN,
         retry_budget: Some(RetryBudget {
@@ -123,7 +123,7 @@
             span: 10_000.0,
         }),
         tick: 5.0,
-        ..Mandate::default()
+        ..PolicyConfig::default()
     }
 }
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -7,7 +7,9 @@
 use crate::Figures;
 use ironstair::logic::Gateway;
 use ironstair::stats::{mix, Pcg};
-use ironstair::{Actions, Cost, Endpoint, EndpointState, Mandate, Ms, Outcome, Request as Asks};
+use ironstair::{
+    Actions, Cost, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request as Asks,
+};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Answer, Beat, Member, Share};
 use std::cmp::Reverse;
@@ -131,7 +133,7 @@
     free: Vec<usize>,
     wakes: u64,
     member: Option<Member>,
-    mandate: Mandate,
+    policy_config: PolicyConfig,
     share: Option<Share>,
     beats: u64,
 }
@@ -216,9 +218,9 @@
 
     /// A gateway's process, told as at the day's start.
     fn process(&mut self, g: usize, process: u32) -> Gate {
-        let mandate = clients::mandate(self.day.gateways as f64);
+        let policy_config = clients::policy_config(self.day.gateways as f64);
         let module = Gateway::new(
-            mandate.clone(),
+            policy_config.clone(),
             mix(self.figures.seed ^ mix(g as u64 + 1)) ^ process as u64,
         );
         let start = mix(((g as u64) << 32) | (process as u64 + 1)) | 1;
@@ -244,7 +246,7 @@
             free,
             wakes,
             member,
-            mandate,
+            policy_config,
             share: None,
             beats,
         }
@@ -754,12 +756,14 @@
         let gate = &mut self.gates[g];
         let news = self.day.fleet == day::Fleet::Members
             && gate.share.is_none_or(|was| share.differs(was));
-        let mandate = news.then(|| share.of(&gate.mandate));
+        let policy_config = news.then(|| share.of(&gate.policy_config));
         if news {
             gate.share = Some(share);
         }
         self.call(g, |m, now, out| {
-            mandate.into_iter().for_each(|to| m.amend(now, to, out));
+            policy_config
+                .into_iter()
+                .for_each(|to| m.amend(now, to, out));
             m.renew_lease(now, until, out);
         });
     }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 
-pub use ironstair_settings::read as read_mandate;
+pub use ironstair_settings::read as read_policy_config;
 
 type Address = [u8; 6];
 
@@ -183,7 +183,7 @@
             let seed = f.u64("seed")?;
             let n = f.u32("start message length")? as usize;
             let text = f.take(n, "start message")?;
-            match read_mandate(text) {
+            match read_policy_config(text) {
                 Ok(m) => {
                     let classes = m.classes.len();
                     let gateway = Gateway::new(m, seed);
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter on bytes, written anew from the layout of the wire.
 
-use ironstair_simulator_adapter::{read_mandate, serve};
+use ironstair_simulator_adapter::{read_policy_config, serve};
 
 const FACTS: &str = r#"{"classes": [{"slo_ns": 1000000000, "give_up_ns": 5000000000, "semantics": "pure",
     "worth": 1.0, "some_new_key": 3}], "fleet_size": 2, "machine_types": ["m"], "registry_mode": "automatic",
@@ -202,7 +202,7 @@
 #[test]
 fn a_rule_without_its_figure_is_a_fault_of_that_instance_alone() {
     let facts = FACTS.replace("\"cold_from\": 0.3, ", "");
-    assert!(read_mandate(facts.as_bytes())
+    assert!(read_policy_config(facts.as_bytes())
         .unwrap_err()
         .contains("guarantees.cold_from"));
     let (result, frames) = replies(&batch(1, &[provision(&facts)]));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -88,7 +88,7 @@
 
 /// What a gateway is told at start and holds to until it is amended.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Mandate {
+pub struct PolicyConfig {
     pub gateways: f64,
     pub classes: Vec<ClassPolicy>,
     pub kinds: Vec<Kind>,
@@ -106,8 +106,8 @@
     pub max_retry_after: Ms,
     pub max_attempts: u8,
     pub must_subscribe: bool,
-    pub cold_from: f64,
-    pub warm_after: Ms,
+    pub slow_start_from: f64,
+    pub slow_start_duration: Ms,
     pub fall_multiple: f64,
     pub fall_span: Ms,
     pub retry_budget: Option<RetryBudget>,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -8,7 +8,7 @@
 use crate::state::{Attempt, ClassState, Engine, PendingRequest};
 use crate::stats::{mix, part, DecayingMean, Pcg};
 use crate::{
-    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Load, Mandate, Ms, Outcome, Request, Within,
+    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Load, Ms, Outcome, PolicyConfig, Request, Within,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -87,7 +87,7 @@
 
 #[derive(Default)]
 pub struct Gateway {
-    m: Mandate,
+    m: PolicyConfig,
     chance: Pcg,
     lot: u64, // drawn once
     now: Ms,
@@ -125,14 +125,14 @@
 ];
 
 impl Gateway {
-    pub fn new(m: Mandate, seed: u64) -> Self {
+    pub fn new(m: PolicyConfig, seed: u64) -> Self {
         let (chance, lot, subscribe_at) = (Pcg(seed), mix(seed), m.must_subscribe.then_some(0.0));
         let mut new = Gateway { chance, lot, subscribe_at, until: Ms::INFINITY, ..Default::default() };
         new.adopt(m);
         new
     }
 
-    fn adopt(&mut self, mut m: Mandate) {
+    fn adopt(&mut self, mut m: PolicyConfig) {
         self.classes
             .resize_with(m.classes.len(), || ClassState { best: f64::INFINITY, ..Default::default() });
         self.classes.iter_mut().zip(&m.classes).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
@@ -146,7 +146,7 @@
     /// Other terms for the same classes, and maybe further classes behind them. What was taken before keeps its
     /// hard limit, its expected time and its order, and of the old terms and the new the stricter. What was
     /// counted stays counted.
-    pub fn amend(&mut self, now: Ms, m: Mandate, out: &mut dyn Actions) {
+    pub fn amend(&mut self, now: Ms, m: PolicyConfig, out: &mut dyn Actions) {
         let before = self.classes.len();
         self.adopt(m);
         for e in &mut self.engines {
@@ -316,7 +316,7 @@
         self.due(now, out);
     }
 
-    /// What an engine tells of itself, in the order that the mandate names; nothing when it does not answer.
+    /// What an engine tells of itself, in the order that the policy config names; nothing when it does not answer.
     pub fn report(&mut self, now: Ms, engine: usize, values: &[f64], out: &mut dyn Actions) {
         let cores = self.engines[engine].cores;
         let shares = self.m.reports.iter().zip(values).filter(|r| *r.0 != Load::Other);
@@ -664,10 +664,11 @@
     fn cold(&self, e: &Engine) -> Option<(Ms, Ms)> {
         let (m, age) = (&self.m, self.now - e.endpoint.since);
         // Half of an even ramp is counted on: how an engine warms up is not told.
-        let warm = m.cold_from + (1.0 - m.cold_from) * (age / m.warm_after).clamp(0.0, 1.0) / 2.0;
+        let warm = m.slow_start_from
+            + (1.0 - m.slow_start_from) * (age / m.slow_start_duration).clamp(0.0, 1.0) / 2.0;
         let share = COLD_SHARE * m.fall_multiple * warm * 0.85 * e.cores * m.fall_span / m.gateways;
         let recent = e.cold_sent.iter().filter(|s| s.0 >= self.now - m.fall_span);
-        (e.endpoint.since > 0.0 && age < m.warm_after).then(|| (share, recent.map(|s| s.1).sum()))
+        (e.endpoint.since > 0.0 && age < m.slow_start_duration).then(|| (share, recent.map(|s| s.1).sum()))
     }
 
     // Against pushing over a cold engine: an even share of what all may send in any span. Among hundreds half
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! What the tests share: a mandate, a sheet that takes down actions, and the referee, a slow and plain
+//! What the tests share: a policy config, a sheet that takes down actions, and the referee, a slow and plain
 //! model of the seven rules that sees the same events as the module and every action it takes.
 #![allow(dead_code)]
 
 use ironstair::{
-    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Kind, Mandate, Ms, Outcome, Request, RetryBudget,
-    Within,
+    Actions, ClassPolicy, Effect, Endpoint, EndpointState, Kind, Ms, Outcome, PolicyConfig, Request,
+    RetryBudget, Within,
 };
 use std::collections::BTreeMap;
 
@@ -79,8 +79,8 @@
     }
 }
 
-pub fn mandate(classes: Vec<ClassPolicy>) -> Mandate {
-    Mandate {
+pub fn policy_config(classes: Vec<ClassPolicy>) -> PolicyConfig {
+    PolicyConfig {
         gateways: 2.0,
         classes,
         kinds: vec![Kind { cores: 8.0, memory_mb: 8192.0 }; 2],
@@ -89,8 +89,8 @@
         lines_up: true,
         tries_marked: true,
         max_attempts: 4,
-        cold_from: 0.3,
-        warm_after: 10_000.0,
+        slow_start_from: 0.3,
+        slow_start_duration: 10_000.0,
         fall_multiple: 3.0,
         fall_span: 1000.0,
         key_quarantine: 300.0,
@@ -99,9 +99,9 @@
     }
 }
 
-pub fn motley() -> Mandate {
+pub fn motley() -> PolicyConfig {
     let tagged = |within| class(2.0, 1.0, Effect::Deduplicated(within));
-    let mut m = mandate(vec![
+    let mut m = policy_config(vec![
         class(1.0, 1.0, Effect::Idempotent),
         class(6.0, 4.0, Effect::NonIdempotent),
         tagged(Within::All),
@@ -164,7 +164,7 @@
 /// Keeps everything it ever saw and looks through all of it for each action.
 #[derive(Default)]
 pub struct Referee {
-    pub m: Mandate,
+    pub m: PolicyConfig,
     pub held: Vec<Held>,
     pub at: BTreeMap<usize, usize>,
     pub endpoints: BTreeMap<usize, Endpoint>,
@@ -242,11 +242,11 @@
         breaks!(self.off_since.get(&engine).is_some_and(|t| now > *t), "3: to an engine that is off");
         let tries = || self.held.iter().flat_map(|h| h.tries.iter().map(move |t| (h, t)));
         let usual = |h: &Held| h.of.work.unwrap_or(0.0);
-        if line.since > 0.0 && now < line.since + self.m.warm_after {
+        if line.since > 0.0 && now < line.since + self.m.slow_start_duration {
             let recent = tries().filter(|(_, t)| t.engine == engine && t.sent >= now - self.m.fall_span);
             let sent = recent.map(|(h, _)| usual(h)).sum::<f64>() + usual(h);
             let cores = self.m.kinds[line.kind as usize].cores;
-            let all = self.m.fall_multiple * self.m.cold_from * cores * self.m.fall_span;
+            let all = self.m.fall_multiple * self.m.slow_start_from * cores * self.m.fall_span;
             // Among hundreds the share is less than one request: a test of its own adds them up.
             breaks!(self.m.gateways < 100.0 && sent > all / self.m.gateways, "4: over a cold share");
         }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -7,14 +7,14 @@
 use ironstair::stats::{mix, Pcg};
 use ironstair::*;
 
-fn start(m: Mandate, engines: usize) -> Gateway {
+fn start(m: PolicyConfig, engines: usize) -> Gateway {
     let mut g = Gateway::new(m, 1);
     g.update_endpoints(0.0, true, &(0..engines).map(line).collect::<Vec<_>>(), &mut Sheet::default());
     g
 }
 
-fn two_classes() -> Mandate {
-    mandate(vec![class(1.0, 1.0, Effect::Idempotent), class(6.0, 4.0, Effect::Idempotent)])
+fn two_classes() -> PolicyConfig {
+    policy_config(vec![class(1.0, 1.0, Effect::Idempotent), class(6.0, 4.0, Effect::Idempotent)])
 }
 
 /// Settles quickly at first, then slowly, so that the only engines are under pressure at the time returned.
@@ -76,7 +76,7 @@
 
 #[test]
 fn idle_time_is_not_banked() {
-    let mut g = start(mandate(vec![class(1.0, 1.0, Effect::Idempotent); 2]), 1);
+    let mut g = start(policy_config(vec![class(1.0, 1.0, Effect::Idempotent); 2]), 1);
     let now = press(&mut g, 0..8);
     for i in 10..26 {
         send(&mut g, now, i, ask(i % 2, 100.0));
@@ -170,7 +170,7 @@
 fn a_forward_that_later_ones_overtook_slows_nobody_and_goes_again_where_it_may() {
     // Against answers that get lost: waited for, they make every engine look jammed, and their clients wait in vain.
     for repeat in [Effect::Idempotent, Effect::NonIdempotent] {
-        let m = Mandate { may_withdraw: true, ..mandate(vec![class(1.0, 1.0, repeat)]) };
+        let m = PolicyConfig { may_withdraw: true, ..policy_config(vec![class(1.0, 1.0, repeat)]) };
         let (mut g, mut sheet, mut now) = (start(m, 1), Sheet::default(), 1.0);
         let of = Request { left: 20_000.0, ..ask(0, 100.0) };
         assert_eq!(send(&mut g, now, 0, of).len(), 1);
@@ -224,8 +224,8 @@
 // engines new at once, and nobody told of the others.
 #[test]
 fn hundreds_of_gateways_do_not_push_over_new_engines() {
-    let m = Mandate { gateways: 300.0, ..two_classes() };
-    let limit = m.fall_multiple * m.cold_from * 0.85 * 8.0 * m.fall_span;
+    let m = PolicyConfig { gateways: 300.0, ..two_classes() };
+    let limit = m.fall_multiple * m.slow_start_from * 0.85 * 8.0 * m.fall_span;
     let mut fleet: Vec<Gateway> = (0..300).map(|seed| Gateway::new(m.clone(), seed)).collect();
     let since = |e| if e < 58 { 1000.0 } else { 0.0 };
     let lines: Vec<Endpoint> = (0..60).map(|e| Endpoint { since: since(e), ..line(e) }).collect();
@@ -244,7 +244,7 @@
 #[test]
 fn heavy_queries_ask_engines_first_where_own_paces_tell_too_little() {
     let reports = vec![Load::Share, Load::Held];
-    let mut g = start(Mandate { gateways: 300.0, may_probe: true, reports, ..two_classes() }, 4);
+    let mut g = start(PolicyConfig { gateways: 300.0, may_probe: true, reports, ..two_classes() }, 4);
     (0..4).for_each(|i| drop(send(&mut g, 1.0, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
     g.take(2.0, 9, Request { left: 20_000.0, ..ask(1, 4000.0) }, &mut sheet);
@@ -271,7 +271,7 @@
 
 #[test]
 fn what_waits_is_answered_at_once_when_the_terms_hold_no_longer_and_what_runs_goes_on() {
-    let mut g = start(Mandate { max_retry_after: 700.0, may_withdraw: true, ..two_classes() }, 1);
+    let mut g = start(PolicyConfig { max_retry_after: 700.0, may_withdraw: true, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     // Against deciding by terms that others have left behind while this process stood still: no timer has rung.
     g.renew_lease(now, now + 100.0, &mut Sheet::default());
@@ -390,7 +390,7 @@
 #[test]
 fn of_the_window_in_which_a_tagged_one_may_run_again_the_shorter_holds() {
     for (then, now, again) in [(1000.0, 1000.0, 1), (1000.0, 100.0, 0), (100.0, 1000.0, 0)] {
-        let mut m = mandate(vec![class(1.0, 1.0, Effect::Deduplicated(Within::All))]);
+        let mut m = policy_config(vec![class(1.0, 1.0, Effect::Deduplicated(Within::All))]);
         m.classes[0].window = then;
         let mut g = start(m.clone(), 2);
         send(&mut g, 1.0, 0, ask(0, 100.0));
@@ -414,7 +414,7 @@
 }
 
 /// Two engines, each in a cell of its own.
-fn two_cells(m: Mandate) -> Gateway {
+fn two_cells(m: PolicyConfig) -> Gateway {
     let mut g = Gateway::new(m, 1);
     let lines: Vec<Endpoint> = (0..2).map(|e| Endpoint { cells: 1 << e, ..line(e) }).collect();
     g.update_endpoints(0.0, true, &lines, &mut Sheet::default());
@@ -509,7 +509,7 @@
 #[test]
 fn estimates_of_work_and_memory_are_corrected_by_what_answers_tell() {
     // Against queries that spill, or starve others, by estimates too low by class and too high where they are large.
-    let mut g = start(Mandate { grants_heeded: true, lines_up: true, ..two_classes() }, 2);
+    let mut g = start(PolicyConfig { grants_heeded: true, lines_up: true, ..two_classes() }, 2);
     let grant = |g: &mut Gateway, now: Ms, memory_mb: f64| {
         let mut sheet = Sheet::default();
         g.take(now, 1, Request { memory_mb, ..ask(0, 100.0) }, &mut sheet);
@@ -568,7 +568,7 @@
 fn engines_that_do_not_line_up_bear_an_even_share_of_own_threads_in_sum() {
     // Against a crowd in which each sends one query where none of its own run, to every engine.
     for (lines_up, most) in [(true, 10), (false, 5)] {
-        let mut g = start(Mandate { gateways: 40.0, lines_up, ..two_classes() }, 10);
+        let mut g = start(PolicyConfig { gateways: 40.0, lines_up, ..two_classes() }, 10);
         let (mut now, mut sheet) = (1.0, Sheet::default());
         for took in [100.0, 100.0, 100.0, 400.0, 400.0] {
             (0..30).for_each(|i| g.take(now, i, Request { tables: i as u64, ..ask(0, 100.0) }, &mut sheet));
@@ -593,7 +593,7 @@
     for (may_withdraw, repeat) in
         [(true, Effect::Idempotent), (true, Effect::NonIdempotent), (false, Effect::Idempotent)]
     {
-        let m = Mandate { may_withdraw, ..mandate(vec![class(1.0, 1.0, repeat)]) };
+        let m = PolicyConfig { may_withdraw, ..policy_config(vec![class(1.0, 1.0, repeat)]) };
         let mut g = start(m, 2);
         let now = learn(&mut g, 30, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
         let of = Request { left: 20_000.0, ..ask(0, 1000.0) };
@@ -624,7 +624,7 @@
 fn where_clients_mark_no_tries_the_time_they_lack_is_spent() {
     // Against what came while the gateway stood still: served late, it takes the place of what is in time. Clients
     // that lack patience come with less than they want it within, and are served.
-    let mut g = start(Mandate { tries_marked: false, ..two_classes() }, 1);
+    let mut g = start(PolicyConfig { tries_marked: false, ..two_classes() }, 1);
     let now = press(&mut g, 0..8);
     (10..20).for_each(|i| drop(send(&mut g, now, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
@@ -639,7 +639,7 @@
 fn what_an_engine_told_outlasts_its_silence_and_fades() {
     // Against a jammed engine that answers seldom: its last word forgotten, all go there again at once.
     let reports = vec![Load::Other, Load::Held];
-    let mut g = start(Mandate { reports, ..two_classes() }, 2);
+    let mut g = start(PolicyConfig { reports, ..two_classes() }, 2);
     let home = send(&mut g, 1.0, 0, ask(0, 100.0))[0].1;
     g.outcome(10.0, 0, Outcome::Settled(None), true, &mut Sheet::default());
     g.report(10.0, home, &[0.0, 100.0], &mut Sheet::default());
@@ -659,7 +659,7 @@
 fn a_table_group_that_most_ask_for_has_more_homes() {
     // Against few groups that fill two engines each and leave the others idle.
     let spread = |groups: u64| {
-        let mut g = start(mandate(vec![class(1.0, 1.0, Effect::Idempotent)]), 12);
+        let mut g = start(policy_config(vec![class(1.0, 1.0, Effect::Idempotent)]), 12);
         let sent: Vec<usize> = (0..120)
             .map(|i| send(&mut g, 1.0, i, Request { tables: i as u64 % groups, ..ask(0, 100.0) })[0].1)
             .collect();
@@ -674,7 +674,7 @@
 #[test]
 fn heavy_bands_leave_engines_that_another_band_must_have_to_the_last() {
     // Against a kind that is full of what could run elsewhere.
-    let mut m = mandate(vec![class(1.0, 1.0, Effect::Idempotent); 3]);
+    let mut m = policy_config(vec![class(1.0, 1.0, Effect::Idempotent); 3]);
     m.classes[1].kinds = Some(vec![1]);
     let mut g = start(m, 8);
     let now = learn(&mut g, 20, |_| ask(0, 100.0), |_| Cost { work: 100.0, memory_mb: 0.0 });
@@ -695,7 +695,7 @@
         (Effect::Idempotent, 700.0, 700.0),
         (Effect::Deduplicated(Within::All), 700.0, 700.0),
     ] {
-        let mut g = start(mandate(vec![class(1.0, 1.0, repeat)]), 2);
+        let mut g = start(policy_config(vec![class(1.0, 1.0, repeat)]), 2);
         let mut sheet = Sheet::default();
         g.take(1.0, 0, ask(0, 100.0), &mut sheet);
         assert_eq!(by(&sheet), Some(3001.0), "first attempts have the whole time");
@@ -709,7 +709,7 @@
 #[test]
 fn for_a_client_that_has_closed_its_way_nothing_more_begins() {
     for (out, ends) in [(false, Act::Reject(0, 0.0)), (true, Act::Fail(0))] {
-        let mut g = start(mandate(vec![class(1.0, 1.0, Effect::NonIdempotent)]), 2);
+        let mut g = start(policy_config(vec![class(1.0, 1.0, Effect::NonIdempotent)]), 2);
         if !out {
             // Full everywhere: what comes waits.
             (0..8).for_each(|i| drop(send(&mut g, 1.0, 10 + i, ask(0, 100.0))));
@@ -743,7 +743,7 @@
 /// Traffic is uneven (every tenth has ten times the others'), silent at first and then a burst far beyond what the
 /// fleet has engines for; a quarter of what was sent comes back at once and goes again.
 fn spans_over(gateways: u64, seed: u64, steady: bool) -> (usize, usize) {
-    let m = Mandate { gateways: gateways as f64, ..two_classes() };
+    let m = PolicyConfig { gateways: gateways as f64, ..two_classes() };
     let work = 100.0;
     let mut fleet: Vec<Gateway> =
         (0..gateways).map(|g| Gateway::new(m.clone(), mix(seed * 1000 + g))).collect();
@@ -777,7 +777,8 @@
     for engine in (0..12).step_by(2) {
         sent[engine].sort_by(f64::total_cmp);
         for (i, &end) in sent[engine].iter().enumerate() {
-            let warm = m.cold_from + (1.0 - m.cold_from) * ((end - 1000.0) / m.warm_after).clamp(0.0, 1.0);
+            let warm = m.slow_start_from
+                + (1.0 - m.slow_start_from) * ((end - 1000.0) / m.slow_start_duration).clamp(0.0, 1.0);
             let n = m.fall_multiple * warm * 0.85 * 8.0 * m.fall_span / work;
             let within = sent[engine][..=i].iter().filter(|&&t| t > end - m.fall_span).count() as f64;
             spans += 1;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
 }
 
 impl Play {
-    fn new(m: Mandate) -> Self {
+    fn new(m: PolicyConfig) -> Self {
         let gateway = Gateway::new(m.clone(), 7);
         let referee = Referee { m, ..Default::default() };
         let mut play = Play { now: 1000.0, gateway, referee, out: vec![], free: vec![], next: 0 };
@@ -69,7 +69,7 @@
                 })
             }
             _ if n < 8 => m.classes.push(class(1.0 + a as f64, 1.0, Effect::NonIdempotent)),
-            _ => m.cold_from = 0.3 + (a % 7) as f64 / 10.0,
+            _ => m.slow_start_from = 0.3 + (a % 7) as f64 / 10.0,
         }
         self.referee.m = m.clone();
         self.gateway.amend(self.now, m, &mut sheet);
@@ -165,7 +165,7 @@
 
 /// The shapes of deployments: few gateways or hundreds; attempts that can't be withdrawn, before engines that do
 /// not line up, with a once-only class in order by key and bound to a kind, which holds its tables.
-fn shape(kind: u8) -> Mandate {
+fn shape(kind: u8) -> PolicyConfig {
     let mut m = motley();
     m.gateways = if kind & 1 == 0 { 2.0 } else { 300.0 };
     if kind & 2 != 0 {
