--- /dev/null
+++ b/tests/decision_trace.rs
@@ -0,0 +1,1017 @@
+//! A trace of decisions. Each scenario below plays some thousand events, drawn from a seed, through the
+//! decision module, and folds every action that it takes (each call of its outlet, in order, with the time and
+//! all arguments, floats by their bits) and, at regular intervals, its views of endpoints and classes into one
+//! number, which has to be the expected one. It guards changes that are to leave every decision as it is: one
+//! action more, less, earlier, or different in the last bit of one argument, and the number is another.
+//!
+//! A change that is meant to alter decisions alters the numbers: the failing test prints the new ones. Such a
+//! change says so, and says why.
+//!
+//! The numbers hold for one platform: `powf`, `ln` and `exp` come from its mathematical library, and their
+//! last bits may differ on another. They were made on x86-64 Linux with glibc. An optimized build has numbers
+//! of its own: its compiler makes `exp2` of `powf` with the constant base 0.5 or 2, which differs in the last
+//! bit for about one value in a thousand. A base that is no longer a constant has the same effect there.
+//!
+//! The host is a plain event loop: it sends requests, lets attempts end after drawn times with drawn outcomes,
+//! and does what the module asks for. The module's interface is used in `Actions`, `Host::call`, `Host::views`,
+//! `Host::sanity` and the policies alone. Nothing here depends on the order of a hash table.
+
+use ironstair::logic::Gateway;
+use ironstair::{
+    Cost, Effect, Kind, Listed, Load, Mandate, Outcome, Outlet, Ration, Standing, Submission, Terms, Within,
+};
+use std::collections::BTreeMap;
+
+/// Every action, every call and what shows that each rule fired: all have to occur in the sum of scenarios.
+const MUST_OCCUR: [&str; 46] = [
+    "action attempt",
+    "action forget",
+    "action note",
+    "action probe",
+    "action reject",
+    "action scrap",
+    "action subscribe",
+    "action terms",
+    "action wake",
+    "action withdraw",
+    "call amend",
+    "call closed",
+    "call confine",
+    "call due",
+    "call ending",
+    "call left",
+    "call outcome",
+    "call progress",
+    "call report",
+    "call rest_keys",
+    "call roster",
+    "call roster, full",
+    "call roster_lost",
+    "call take",
+    "call tenure",
+    "outcome Error",
+    "outcome Full",
+    "outcome NoConnection",
+    "outcome Reset",
+    "outcome Settled, cost told",
+    "outcome Settled, cost unknown",
+    "outcome Swept",
+    "outcome TimedOut",
+    "outcome Unsent",
+    "outcome Withdrawn",
+    // Rules whose action alone does not tell them apart.
+    "rule answer_at_the_hard_limit",
+    "rule count_the_overdue",
+    "rule give_up_without_tenure",
+    "rule reject",
+    "seen cold endpoint with its share used up",
+    "seen further attempt",
+    "seen index used again",
+    "seen request to a class out of service",
+    "seen trickle attempt to an endpoint set aside",
+    "seen withdrawal at a note of progress",
+    "seen withdrawal for a client that left",
+];
+
+struct Scenario {
+    name: &'static str,
+    seed: u64,
+    policy: fn() -> Mandate,
+    endpoints: usize,
+    /// Mean time between two requests, in ms.
+    gap: f64,
+    events: usize,
+    /// How many table groups and how many keys requests name.
+    tables: u64,
+    keys: u64,
+    /// The policy changes, holds for a time only, and the gateway announces its end.
+    changes: bool,
+    /// In an unoptimized build, and in an optimized one.
+    expected: [u64; 2],
+}
+
+const SCENARIOS: [Scenario; 6] = [
+    Scenario {
+        name: "classes, keys, retry budget, cold and draining endpoints",
+        seed: 1,
+        policy: classes,
+        endpoints: 8,
+        gap: 25.0,
+        events: 20000,
+        tables: 12,
+        keys: 6,
+        changes: false,
+        expected: [0xf406_0929_d125_fa1f, 0x0aa3_f02c_ed18_40a3],
+    },
+    Scenario {
+        name: "endpoints that line up, memory grants and priorities",
+        seed: 2,
+        policy: grants,
+        endpoints: 6,
+        gap: 40.0,
+        events: 15000,
+        tables: 5,
+        keys: 0,
+        changes: false,
+        expected: [0x457c_a51a_4577_6ac9, 0x7c0c_dbee_f92b_8490],
+    },
+    Scenario {
+        name: "endpoints that do not line up, nothing can be withdrawn",
+        seed: 3,
+        policy: no_line,
+        endpoints: 5,
+        gap: 40.0,
+        events: 15000,
+        tables: 40,
+        keys: 3,
+        changes: false,
+        expected: [0xf468_16c6_36fa_9f7f, 0xadd8_01f2_8b1e_08cb],
+    },
+    Scenario {
+        name: "hundreds of gateways that probe",
+        seed: 4,
+        policy: crowd,
+        endpoints: 30,
+        gap: 150.0,
+        events: 15000,
+        tables: 400,
+        keys: 0,
+        changes: false,
+        expected: [0x71e3_e8d7_a398_8d04, 0xd6ba_8212_cb68_4c05],
+    },
+    Scenario {
+        name: "policy changes, terms that end, announced ends",
+        seed: 5,
+        policy: classes,
+        endpoints: 7,
+        gap: 30.0,
+        events: 20000,
+        tables: 20,
+        keys: 5,
+        changes: true,
+        expected: [0xca84_6ab7_c1ba_1808, 0x3e02_7990_0ee1_5a67],
+    },
+    Scenario {
+        name: "hundreds of gateways, policy changes",
+        seed: 6,
+        policy: crowd,
+        endpoints: 12,
+        gap: 120.0,
+        events: 12000,
+        tables: 300,
+        keys: 4,
+        changes: true,
+        expected: [0x10ae_9e16_b5e0_4123, 0x10e5_761e_3609_4aab],
+    },
+];
+
+fn class(payoff: f64, threads: f64, expected: f64, repeat: Effect) -> Terms {
+    let (expected_stretch, window) = (2.0, 1500.0);
+    Terms { expected, expected_stretch, payoff, threads, repeat, window, ..Default::default() }
+}
+
+fn few(bands: Vec<Terms>) -> Mandate {
+    let kinds = [(8.0, 8192.0), (16.0, 32768.0), (4.0, 4096.0)];
+    Mandate {
+        gateways: 2.0,
+        bands,
+        kinds: kinds.map(|(cores, memory_mb)| Kind { cores, memory_mb }).to_vec(),
+        most_grant: 0.5,
+        priorities_heeded: true,
+        lines_up: true,
+        tries_marked: true,
+        may_withdraw: true,
+        come_back_most: 700.0,
+        most_forwards: 4,
+        must_subscribe: true,
+        cold_from: 0.3,
+        warm_after: 8000.0,
+        fall_multiple: 3.0,
+        fall_span: 1000.0,
+        ration: Some(Ration { spare: 3.0, share: 0.1, span: 2000.0 }),
+        key_rest: 300.0,
+        tick: 5.0,
+        ..Default::default()
+    }
+}
+
+fn classes() -> Mandate {
+    let mut m = few(vec![
+        class(1.0, 1.0, 400.0, Effect::Idempotent),
+        class(6.0, 4.0, 3000.0, Effect::NonIdempotent),
+        class(2.0, 1.0, 500.0, Effect::Deduplicated(Within::All)),
+        class(2.0, 2.0, 500.0, Effect::Deduplicated(Within::Zone)),
+        class(3.0, 1.0, 600.0, Effect::Deduplicated(Within::MarkGroup)),
+    ]);
+    (m.bands[0].in_order, m.bands[2].in_order) = (true, true);
+    m.bands[1].zones = Some(vec![0]);
+    m.bands[3].kinds = Some(vec![1, 2]);
+    m
+}
+
+fn grants() -> Mandate {
+    let mut m = few(vec![
+        class(1.0, 1.0, 300.0, Effect::Idempotent),
+        class(9.0, 4.0, 4000.0, Effect::Idempotent),
+        class(4.0, 2.0, 1000.0, Effect::NonIdempotent),
+    ]);
+    (m.gateways, m.grants_heeded, m.most_grant) = (3.0, true, 0.25);
+    m.bands[2].holds = true;
+    m.ration = None;
+    m
+}
+
+fn no_line() -> Mandate {
+    let mut m = few(vec![
+        class(1.0, 1.0, 300.0, Effect::Idempotent),
+        class(5.0, 6.0, 3000.0, Effect::Deduplicated(Within::Zone)),
+        class(2.0, 2.0, 800.0, Effect::NonIdempotent),
+    ]);
+    (m.gateways, m.lines_up, m.tries_marked, m.may_withdraw, m.must_subscribe) =
+        (4.0, false, false, false, false);
+    (m.priorities_heeded, m.grants_heeded, m.most_forwards) = (false, true, 3);
+    (m.bands[2].in_order, m.bands[2].kinds) = (true, Some(vec![0, 1]));
+    m.reports = vec![Load::Held, Load::Other];
+    m
+}
+
+fn crowd() -> Mandate {
+    let mut m = few(vec![
+        class(1.0, 1.0, 400.0, Effect::Idempotent),
+        class(8.0, 4.0, 4000.0, Effect::Deduplicated(Within::All)),
+        class(2.0, 2.0, 900.0, Effect::NonIdempotent),
+    ]);
+    (m.gateways, m.may_probe, m.grants_heeded) = (300.0, true, true);
+    m.reports = vec![Load::Share, Load::Other, Load::Held];
+    m.bands[0].in_order = true;
+    m
+}
+
+/// The policy after a change: a class out of service or back, other limits, a further class.
+fn changed(mut m: Mandate, draw: &mut Draw) -> Mandate {
+    let (n, crowd) = (m.bands.len(), m.gateways >= 100.0);
+    let b = draw.below(n as u64) as usize;
+    match draw.below(10) {
+        0 | 1 => m.bands[b].closed = !m.bands[b].closed,
+        2 => m.bands[b].window = draw.between(100.0, 4000.0),
+        3 => m.bands[b].zones = [None, Some(vec![0]), Some(vec![1])][draw.below(3) as usize].clone(),
+        4 => m.bands[b].kinds = [None, Some(vec![0, 2]), Some(vec![1])][draw.below(3) as usize].clone(),
+        5 => {
+            (m.bands[b].payoff, m.bands[b].expected_stretch) =
+                (draw.between(0.5, 9.0), draw.between(1.5, 4.0))
+        }
+        6 => m.gateways = if crowd { draw.between(200.0, 400.0) } else { draw.between(1.0, 6.0) }.floor(),
+        7 => {
+            (m.most_forwards, m.ration) = (
+                1 + draw.below(5) as u8,
+                draw.chance(0.8).then(|| Ration { spare: 2.0, share: draw.between(0.0, 0.3), span: 1500.0 }),
+            )
+        }
+        8 if n < 8 => m.bands.push(class(2.0, 1.0, 700.0, Effect::Idempotent)),
+        8 => (m.may_withdraw, m.lines_up) = (draw.chance(0.7), draw.chance(0.7)),
+        _ => (m.cold_from, m.kinds[0].cores) = (draw.between(0.2, 0.8), draw.between(6.0, 12.0).floor()),
+    }
+    // Most classes stay in service.
+    if m.bands.iter().filter(|t| t.closed).count() * 2 > m.bands.len() {
+        m.bands.iter_mut().for_each(|t| t.closed = false);
+    }
+    m
+}
+
+/// Chance of the host's own (xorshift), so that a change of the crate's does not change the events.
+struct Draw(u64);
+
+impl Draw {
+    fn next(&mut self) -> u64 {
+        self.0 ^= self.0 << 13;
+        self.0 ^= self.0 >> 7;
+        self.0 ^= self.0 << 17;
+        self.0.wrapping_mul(0x2545_F491_4F6C_DD1D)
+    }
+    fn below(&mut self, n: u64) -> u64 {
+        (self.next() >> 33) % n
+    }
+    /// Evenly in [0, 1).
+    fn unit(&mut self) -> f64 {
+        (self.next() >> 11) as f64 / (1u64 << 53) as f64
+    }
+    fn between(&mut self, low: f64, high: f64) -> f64 {
+        low + (high - low) * self.unit()
+    }
+    fn chance(&mut self, p: f64) -> bool {
+        self.unit() < p
+    }
+}
+
+/// FNV-1a over the bytes of what is folded in.
+struct Hash(u64);
+
+impl Hash {
+    fn bytes(&mut self, bytes: &[u8]) {
+        bytes.iter().for_each(|b| self.0 = (self.0 ^ *b as u64).wrapping_mul(0x0100_0000_01B3));
+    }
+    fn all(&mut self, values: &[u64]) {
+        values.iter().for_each(|v| self.bytes(&v.to_le_bytes()));
+    }
+    fn float(&mut self, value: Option<f64>) {
+        self.all(&value.map_or([0, 0], |v| [1, v.to_bits()]));
+    }
+}
+
+#[derive(Clone, Debug)]
+enum Action {
+    Attempt(usize, usize, f64),
+    Withdraw(usize, u8),
+    Terms(usize, u8, f64),
+    Reject(usize, f64),
+    Scrap(usize),
+    Subscribe,
+    Probe(usize),
+    Wake(f64),
+    Note(String),
+    Forget(usize),
+}
+
+#[derive(Default)]
+struct Actions(Vec<Action>);
+
+impl Outlet for Actions {
+    fn attempt(&mut self, request: usize, endpoint: usize, by: f64) {
+        self.0.push(Action::Attempt(request, endpoint, by));
+    }
+    fn withdraw(&mut self, request: usize, nth: u8) {
+        self.0.push(Action::Withdraw(request, nth));
+    }
+    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64) {
+        self.0.push(Action::Terms(request, priority, grant_mb));
+    }
+    fn reject(&mut self, request: usize, come_back: f64) {
+        self.0.push(Action::Reject(request, come_back));
+    }
+    fn scrap(&mut self, request: usize) {
+        self.0.push(Action::Scrap(request));
+    }
+    fn subscribe(&mut self) {
+        self.0.push(Action::Subscribe);
+    }
+    fn probe(&mut self, endpoint: usize) {
+        self.0.push(Action::Probe(endpoint));
+    }
+    fn wake(&mut self, after: f64) {
+        self.0.push(Action::Wake(after));
+    }
+    fn note(&mut self, text: &str) {
+        self.0.push(Action::Note(text.into()));
+    }
+    fn forget(&mut self, request: usize) {
+        self.0.push(Action::Forget(request));
+    }
+}
+
+/// A call of the module.
+enum Call {
+    Roster(bool, Vec<Listed>),
+    RosterLost,
+    Take(usize, Submission),
+    Confine(usize, u64),
+    Outcome(usize, Outcome, bool),
+    Progress(usize, f64),
+    Report(usize, Vec<f64>),
+    Left(usize),
+    Closed(usize),
+    Ending(f64),
+    Tenure(f64),
+    RestKeys(f64),
+    Amend(Mandate),
+    Due,
+}
+
+/// What the host does next; requests and attempts are named by their index and their serial number.
+enum Event {
+    Arrive,
+    Again(Submission),
+    End(usize, u64),
+    Progress(usize, u64),
+    Wake,
+    Report(usize, bool),
+    AllEndpoints,
+    EndpointChanges,
+    RosterLost,
+    Leave(usize, u64),
+    Close(usize, u64),
+    Confine(usize, u64),
+    PolicyChanges,
+    Tenure,
+    RestKeys,
+    Ending,
+}
+
+struct Running {
+    serial: u64,
+    endpoint: usize,
+    sent: f64,
+    ends: f64,
+    outcome: Outcome,
+    withdrawn: bool,
+}
+
+struct Request {
+    serial: u64,
+    of: Submission,
+    limit: f64,
+    /// Has its answer, or its client has left.
+    over: bool,
+    attempts: u64,
+    running: Option<Running>,
+}
+
+struct Endpoint {
+    line: Listed,
+    slow: f64,
+    failing: f64,
+    busy: u64,
+}
+
+struct Host<'a> {
+    scenario: &'a Scenario,
+    counts: &'a mut BTreeMap<String, u64>,
+    policy: Mandate,
+    gateway: Gateway,
+    draw: Draw,
+    hash: Hash,
+    now: f64,
+    serial: u64,
+    queue: BTreeMap<(u64, u64), Event>,
+    requests: Vec<Option<Request>>,
+    free: Vec<usize>,
+    endpoints: Vec<Endpoint>,
+    until: f64,
+}
+
+impl<'a> Host<'a> {
+    fn new(scenario: &'a Scenario, counts: &'a mut BTreeMap<String, u64>) -> Self {
+        let policy = (scenario.policy)();
+        let endpoints = (0..scenario.endpoints).map(|i| {
+            let (zone, kind, marks) = (i as u16 % 2, i as u16 / 2 % 3, i as u16 / 2);
+            let (id, cells, standing) = (1000 + 7 * i as u64, 1 << (i % 3), Standing::Ready);
+            let line = Listed { engine: i, id, zone, kind, marks, cells, standing, since: 0.0 };
+            Endpoint { line, slow: 1.0, failing: 0.0, busy: 0 }
+        });
+        Host {
+            gateway: Gateway::new(policy.clone(), scenario.seed),
+            endpoints: endpoints.collect(),
+            scenario,
+            counts,
+            policy,
+            draw: Draw(scenario.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            hash: Hash(0xCBF2_9CE4_8422_2325),
+            now: 1000.0,
+            serial: 0,
+            queue: BTreeMap::new(),
+            requests: vec![],
+            free: vec![],
+            until: f64::INFINITY,
+        }
+    }
+
+    fn count(&mut self, what: &str) {
+        *self.counts.entry(what.into()).or_default() += 1;
+    }
+
+    fn serial(&mut self) -> u64 {
+        self.serial += 1;
+        self.serial
+    }
+
+    fn after(&mut self, time: f64, event: Event) {
+        let at = (self.now + time).to_bits();
+        let key = (at, self.serial());
+        self.queue.insert(key, event);
+    }
+
+    fn play(mut self) -> u64 {
+        let lines = self.endpoints.iter().map(|e| e.line).collect();
+        self.call(Call::Roster(true, lines));
+        let scheduled = [(0.0, Event::Arrive), (300.0, Event::EndpointChanges), (5000.0, Event::RosterLost)];
+        scheduled.into_iter().for_each(|(time, event)| self.after(time, event));
+        if self.scenario.changes {
+            let further = [
+                (50.0, Event::Tenure),
+                (900.0, Event::PolicyChanges),
+                (4000.0, Event::RestKeys),
+                (15_000.0, Event::Ending),
+            ];
+            further.into_iter().for_each(|(time, event)| self.after(time, event));
+        }
+        for n in 0..self.scenario.events {
+            let (key, event) = self.queue.pop_first().expect("requests go on arriving");
+            self.now = f64::from_bits(key.0);
+            self.event(event);
+            if n % 50 == 0 {
+                self.views();
+            }
+        }
+        self.views();
+        self.hash.0
+    }
+
+    fn event(&mut self, event: Event) {
+        match event {
+            Event::Arrive => {
+                let of = self.request();
+                self.arrive(of);
+                // Three seconds of eight bring three times as many.
+                let burst = if self.now % 8000.0 < 3000.0 { 3.0 } else { 1.0 };
+                let gap = 2.0 * self.scenario.gap / burst * self.draw.unit();
+                self.after(gap, Event::Arrive);
+            }
+            Event::Again(of) => self.arrive(of),
+            Event::End(index, serial) => self.end(index, serial),
+            Event::Progress(index, serial) => {
+                let Some(r) = self.running(index, serial) else { return };
+                let share = (self.now - r.sent) / (r.ends - r.sent).max(1.0);
+                let share = if self.draw.chance(0.05) { f64::NAN } else { share };
+                self.call(Call::Progress(index, share));
+                let next = self.draw.between(50.0, 400.0);
+                self.after(next, Event::Progress(index, serial));
+            }
+            Event::Wake => self.call(Call::Due),
+            Event::Report(i, asked) => {
+                let (e, reports) = (&self.endpoints[i], &self.policy.reports);
+                let cores = self.policy.kinds[e.line.kind as usize].cores;
+                let (share, held) = (e.busy as f64 / cores * e.slow, e.busy as f64);
+                let values = reports.iter().map(|what| match what {
+                    Load::Share => share.min(1.0),
+                    Load::Held => held,
+                    Load::Other => 17.0,
+                });
+                // Some answers are empty.
+                let values: Vec<f64> = values.collect();
+                let values = if self.draw.chance(0.08) { vec![] } else { values };
+                self.call(Call::Report(i, values));
+                if !asked {
+                    let next = self.draw.between(100.0, 900.0);
+                    self.after(next, Event::Report(i, false));
+                }
+            }
+            Event::AllEndpoints => {
+                let lines = self.endpoints.iter().map(|e| e.line).collect();
+                self.call(Call::Roster(true, lines));
+            }
+            Event::EndpointChanges => self.endpoint_changes(),
+            Event::RosterLost => {
+                self.call(Call::RosterLost);
+                let next = self.draw.between(3000.0, 9000.0);
+                self.after(next, Event::RosterLost);
+            }
+            Event::Leave(index, serial) if self.open(index, serial) => {
+                let request = self.requests[index].as_mut().expect("it is open");
+                request.over = true;
+                let runs = request.running.is_some();
+                if runs && self.policy.may_withdraw {
+                    self.count("seen withdrawal for a client that left");
+                }
+                self.call(Call::Left(index));
+            }
+            Event::Close(index, serial) if self.open(index, serial) => self.call(Call::Closed(index)),
+            Event::Confine(index, serial) if self.open(index, serial) => {
+                let cells = self.draw.below(8);
+                self.call(Call::Confine(index, cells));
+            }
+            Event::Leave(..) | Event::Close(..) | Event::Confine(..) => {}
+            Event::PolicyChanges => {
+                let policy = changed(self.policy.clone(), &mut self.draw);
+                self.policy = policy.clone();
+                self.call(Call::Amend(policy));
+                let next = self.draw.between(200.0, 1500.0);
+                self.after(next, Event::PolicyChanges);
+            }
+            Event::Tenure => {
+                self.until = self.now + self.draw.between(900.0, 1500.0);
+                self.call(Call::Tenure(self.until));
+                // Now and then it is renewed too late.
+                let next = if self.draw.chance(0.1) { 2500.0 } else { 500.0 };
+                self.after(next, Event::Tenure);
+            }
+            Event::RestKeys => {
+                let until = self.now + self.draw.between(50.0, 600.0);
+                self.call(Call::RestKeys(until));
+                let next = self.draw.between(3000.0, 6000.0);
+                self.after(next, Event::RestKeys);
+            }
+            Event::Ending => {
+                let at = self.now + self.draw.between(100.0, 900.0);
+                let open = self.requests.iter_mut().flatten();
+                open.for_each(|r| r.limit = r.limit.min(at));
+                self.call(Call::Ending(at));
+                self.after(20_000.0, Event::Ending);
+            }
+        }
+    }
+
+    /// A request as a client would send it.
+    fn request(&mut self) -> Submission {
+        let (s, d) = (self.scenario, &mut self.draw);
+        let narrow = d.chance(0.6);
+        let band = if narrow { 0 } else { d.below(self.policy.bands.len() as u64) as usize };
+        let terms = &self.policy.bands[band];
+        let mut work = terms.expected * terms.threads / 4.0 * d.between(0.1, 1.6);
+        if d.chance(0.05) {
+            work *= 4.0;
+        }
+        let time = terms.expected + terms.expected_stretch * work / terms.threads;
+        Submission {
+            band,
+            key: if s.keys > 0 { d.below(s.keys + 1) } else { 0 },
+            left: if d.chance(0.1) { time * d.between(0.1, 1.0) } else { time * d.between(1.2, 3.0) },
+            work: d.chance(0.7).then(|| work * d.between(0.6, 1.6)),
+            memory_mb: if d.chance(0.2) { 0.0 } else { d.between(20.0, 4000.0) },
+            tables: d.below(s.tables).min(d.below(s.tables)),
+            cells: if d.chance(0.8) { 0 } else { d.below(8) },
+            later_try: d.chance(0.1),
+        }
+    }
+
+    fn arrive(&mut self, of: Submission) {
+        let serial = self.serial();
+        let index = self.free.pop().unwrap_or(self.requests.len());
+        if index == self.requests.len() {
+            self.requests.push(None);
+        } else {
+            self.count("seen index used again");
+        }
+        if self.policy.bands[of.band].closed {
+            self.count("seen request to a class out of service");
+        }
+        let limit = self.now + of.left;
+        self.requests[index] = Some(Request { serial, of, limit, over: false, attempts: 0, running: None });
+        for (chance, event) in [
+            (0.04, Event::Leave(index, serial)),
+            (0.03, Event::Close(index, serial)),
+            (0.03, Event::Confine(index, serial)),
+        ] {
+            if self.draw.chance(chance) {
+                let time = self.draw.between(0.0, of.left);
+                self.after(time, event);
+            }
+        }
+        self.call(Call::Take(index, of));
+    }
+
+    fn open(&self, index: usize, serial: u64) -> bool {
+        self.requests[index].as_ref().is_some_and(|r| r.serial == serial && !r.over)
+    }
+
+    fn running(&self, index: usize, serial: u64) -> Option<&Running> {
+        self.requests[index].as_ref()?.running.as_ref().filter(|r| r.serial == serial)
+    }
+
+    fn end(&mut self, index: usize, serial: u64) {
+        if self.running(index, serial).is_none() {
+            return;
+        }
+        let request = self.requests[index].as_mut().expect("it runs");
+        let run = request.running.take().expect("it runs");
+        let threads = self.policy.bands[request.of.band].threads as u64;
+        self.endpoints[run.endpoint].busy = self.endpoints[run.endpoint].busy.saturating_sub(threads);
+        let settled = matches!(run.outcome, Outcome::Settled(_));
+        // Some errors are final answers.
+        let last = settled || run.outcome == Outcome::Error && self.draw.chance(0.2);
+        let request = self.requests[index].as_mut().expect("it ran");
+        request.over |= last;
+        self.call(Call::Outcome(index, run.outcome, last));
+    }
+
+    /// An endpoint becomes slow, fails, drains, goes, restarts, or another one takes its index.
+    fn endpoint_changes(&mut self) {
+        let next = self.draw.between(100.0, 900.0);
+        self.after(next, Event::EndpointChanges);
+        let off = self.endpoints.iter().position(|e| e.line.standing != Standing::Ready);
+        let any = self.draw.below(self.endpoints.len() as u64) as usize;
+        let back = off.filter(|_| self.draw.chance(0.6));
+        let i = back.unwrap_or(any);
+        let (kind, now, serial) = (self.draw.below(8), self.now, self.serial());
+        let e = &mut self.endpoints[i];
+        match kind {
+            _ if back.is_some() => {
+                let again = e.line.standing == Standing::Draining && kind < 4;
+                e.line.standing = Standing::Ready;
+                (e.slow, e.failing) = (1.0, 0.0);
+                e.line.since = if again { e.line.since } else { now };
+            }
+            0 | 1 => (e.slow, e.failing) = (1.0, 0.0),
+            2 => e.slow = self.draw.between(2.0, 9.0),
+            3 => e.failing = self.draw.between(0.5, 1.0),
+            4 => e.line.standing = Standing::Draining,
+            5 => e.line.standing = Standing::Gone,
+            6 => e.line.since = now,
+            _ => (e.line.id, e.line.since) = (100_000 + serial, now),
+        }
+        let (line, lost) = (e.line, kind >= 5);
+        if lost {
+            for index in 0..self.requests.len() {
+                let Some(r) = self.requests[index].as_mut() else { continue };
+                if let Some(run) = r.running.as_mut().filter(|run| run.endpoint == i) {
+                    (run.outcome, run.ends) = (Outcome::Reset, now + 1.0);
+                    let serial = run.serial;
+                    self.after(1.0, Event::End(index, serial));
+                }
+            }
+        }
+        if self.draw.chance(0.9) {
+            self.call(Call::Roster(false, vec![line]));
+        } else {
+            self.event(Event::AllEndpoints);
+        }
+    }
+
+    /// How an attempt will end, and after what time.
+    fn fate(&mut self, index: usize, endpoint: usize, by: f64) -> (f64, Outcome) {
+        let of = self.requests[index].as_ref().expect("it is attempted").of;
+        let (terms, d, e) = (&self.policy.bands[of.band], &mut self.draw, &self.endpoints[endpoint]);
+        let cores = self.policy.kinds[e.line.kind as usize].cores;
+        if by < self.now || d.chance(0.02) {
+            return (d.between(0.5, 3.0), Outcome::Unsent);
+        }
+        let full = d.chance(0.1 * (e.busy as f64 / cores - 1.0).clamp(0.0, 5.0));
+        if full {
+            return (d.between(0.5, 3.0), Outcome::Full);
+        }
+        if d.chance(e.failing) || d.chance(0.04) {
+            return match d.below(6) {
+                0 => (d.between(1.0, 60.0), Outcome::Error),
+                1 => (d.between(1.0, 5.0), Outcome::Full),
+                2 => (d.between(300.0, 2000.0), Outcome::TimedOut),
+                3 => (d.between(1.0, 30.0), Outcome::NoConnection),
+                4 => (d.between(1.0, 300.0), Outcome::Reset),
+                _ => (d.between(1.0, 300.0), Outcome::Swept),
+            };
+        }
+        // Answers that get lost.
+        if d.chance(0.02) {
+            return (15_000.0, Outcome::Swept);
+        }
+        let guess = of.work.unwrap_or(terms.expected * terms.threads / 4.0);
+        let work = guess * d.between(0.5, 2.0) * if d.chance(0.03) { 12.0 } else { 1.0 };
+        let wait = (e.busy as f64 / cores).max(1.0) * e.slow;
+        let memory_mb = of.memory_mb * d.between(0.5, 1.5);
+        let told = d.chance(0.75).then_some(Cost { work, memory_mb });
+        (work / terms.threads * wait, Outcome::Settled(told))
+    }
+
+    /// Calls the module, and does what it asks for.
+    fn call(&mut self, call: Call) {
+        let (mut out, now, g) = (Actions::default(), self.now, &mut self.gateway);
+        let progress = matches!(call, Call::Progress(..));
+        let mut outcome = None;
+        let name = match call {
+            Call::Roster(full, lines) => {
+                g.roster(now, full, &lines, &mut out);
+                ["call roster", "call roster, full"][full as usize]
+            }
+            Call::RosterLost => {
+                g.roster_lost(now, &mut out);
+                "call roster_lost"
+            }
+            Call::Take(index, of) => {
+                g.take(now, index, of, &mut out);
+                "call take"
+            }
+            Call::Confine(index, cells) => {
+                g.confine(index, cells);
+                "call confine"
+            }
+            Call::Outcome(index, what, last) => {
+                g.outcome(now, index, what, last, &mut out);
+                outcome = Some(match what {
+                    Outcome::Settled(Some(_)) => "outcome Settled, cost told",
+                    Outcome::Settled(None) => "outcome Settled, cost unknown",
+                    Outcome::Error => "outcome Error",
+                    Outcome::Full => "outcome Full",
+                    Outcome::TimedOut => "outcome TimedOut",
+                    Outcome::NoConnection => "outcome NoConnection",
+                    Outcome::Reset => "outcome Reset",
+                    Outcome::Swept => "outcome Swept",
+                    Outcome::Withdrawn => "outcome Withdrawn",
+                    Outcome::Unsent => "outcome Unsent",
+                });
+                "call outcome"
+            }
+            Call::Progress(index, share) => {
+                g.progress(now, index, share, &mut out);
+                "call progress"
+            }
+            Call::Report(endpoint, values) => {
+                g.report(now, endpoint, &values, &mut out);
+                "call report"
+            }
+            Call::Left(index) => {
+                g.left(now, index, &mut out);
+                "call left"
+            }
+            Call::Closed(index) => {
+                g.closed(now, index, &mut out);
+                "call closed"
+            }
+            Call::Ending(at) => {
+                g.ending(now, at, &mut out);
+                "call ending"
+            }
+            Call::Tenure(until) => {
+                g.tenure(now, until, &mut out);
+                "call tenure"
+            }
+            Call::RestKeys(until) => {
+                g.rest_keys(until);
+                "call rest_keys"
+            }
+            Call::Amend(policy) => {
+                g.amend(now, policy, &mut out);
+                "call amend"
+            }
+            Call::Due => {
+                g.due(now, &mut out);
+                "call due"
+            }
+        };
+        self.count(name);
+        outcome.into_iter().for_each(|what| self.count(what));
+        for action in out.0 {
+            self.fold(&action);
+            self.carry_out(action, progress);
+        }
+    }
+
+    fn fold(&mut self, action: &Action) {
+        let h = &mut self.hash;
+        h.all(&[self.now.to_bits()]);
+        match action {
+            Action::Attempt(r, e, by) => h.all(&[1, *r as u64, *e as u64, by.to_bits()]),
+            Action::Withdraw(r, nth) => h.all(&[2, *r as u64, *nth as u64]),
+            Action::Terms(r, priority, grant) => h.all(&[3, *r as u64, *priority as u64, grant.to_bits()]),
+            Action::Reject(r, back) => h.all(&[4, *r as u64, back.to_bits()]),
+            Action::Scrap(r) => h.all(&[5, *r as u64]),
+            Action::Subscribe => h.all(&[6]),
+            Action::Probe(e) => h.all(&[7, *e as u64]),
+            Action::Wake(after) => h.all(&[8, after.to_bits()]),
+            Action::Note(text) => {
+                h.all(&[9, text.len() as u64]);
+                h.bytes(text.as_bytes());
+            }
+            Action::Forget(r) => h.all(&[10, *r as u64]),
+        }
+    }
+
+    fn carry_out(&mut self, action: Action, progress: bool) {
+        match action {
+            Action::Attempt(index, endpoint, by) => {
+                self.count("action attempt");
+                self.sanity(endpoint);
+                let (time, outcome) = self.fate(index, endpoint, by);
+                let (serial, sent) = (self.serial(), self.now);
+                let r = self.requests[index].as_mut().expect("it was taken");
+                assert!(r.running.is_none() && !r.over, "{}: request {index}", self.scenario.name);
+                r.attempts += 1;
+                let further = r.attempts > 1;
+                self.endpoints[endpoint].busy += self.policy.bands[r.of.band].threads as u64;
+                let ends = sent + time;
+                r.running = Some(Running { serial, endpoint, sent, ends, outcome, withdrawn: false });
+                if further {
+                    self.count("seen further attempt");
+                }
+                self.after(time, Event::End(index, serial));
+                if self.draw.chance(0.4) {
+                    let first = self.draw.between(20.0, 300.0);
+                    self.after(first, Event::Progress(index, serial));
+                }
+            }
+            Action::Withdraw(index, _) => {
+                self.count("action withdraw");
+                let r = self.requests[index].as_ref().expect("it was taken");
+                let (over, limit) = (r.over, r.limit);
+                if !over && progress {
+                    self.count("seen withdrawal at a note of progress");
+                } else if !over && self.now < limit - 2.0 * self.policy.tick {
+                    self.count("rule count_the_overdue");
+                }
+                // Some end before they can be withdrawn.
+                let (time, sooner) = (self.draw.between(0.5, 20.0), self.draw.chance(0.9));
+                let (serial, now) = (self.serial(), self.now);
+                let run = self.requests[index].as_mut().and_then(|r| r.running.as_mut());
+                let run = run.expect("an attempt runs");
+                if sooner && !run.withdrawn && now + time < run.ends {
+                    (run.withdrawn, run.outcome, run.ends) = (true, Outcome::Withdrawn, now + time);
+                    run.serial = serial;
+                    self.after(time, Event::End(index, serial));
+                }
+            }
+            Action::Terms(..) => self.count("action terms"),
+            Action::Reject(index, come_back) => {
+                self.count("action reject");
+                let late = self.answered(index);
+                let mut of = self.requests[index].as_ref().expect("it was taken").of;
+                let most = self.policy.come_back_most;
+                match come_back {
+                    _ if self.now >= self.until => {}
+                    0.0 => assert!(late, "{}: request {index}", self.scenario.name),
+                    _ if come_back != most => panic!("{}: advice of {come_back} ms", self.scenario.name),
+                    _ if self.policy.bands[of.band].closed => {}
+                    _ => self.count("rule reject"),
+                }
+                if come_back > 0.0 && self.draw.chance(0.3) {
+                    (of.later_try, of.left) = (true, of.left * 0.7);
+                    self.after(come_back, Event::Again(of));
+                }
+            }
+            Action::Scrap(index) => {
+                self.count("action scrap");
+                self.answered(index);
+            }
+            Action::Subscribe => {
+                self.count("action subscribe");
+                self.after(20.0, Event::AllEndpoints);
+            }
+            Action::Probe(endpoint) => {
+                self.count("action probe");
+                if self.draw.chance(0.9) {
+                    let time = self.draw.between(0.5, 40.0);
+                    self.after(time, Event::Report(endpoint, true));
+                }
+            }
+            Action::Wake(after) => {
+                self.count("action wake");
+                self.after(after, Event::Wake);
+            }
+            Action::Note(_) => self.count("action note"),
+            Action::Forget(index) => {
+                self.count("action forget");
+                let r = self.requests[index].take().expect("it was taken");
+                assert!(r.over && r.running.is_none(), "{}: request {index}", self.scenario.name);
+                self.free.push(index);
+            }
+        }
+    }
+
+    /// A request has its answer: whether at its limit.
+    fn answered(&mut self, index: usize) -> bool {
+        let r = self.requests[index].as_mut().expect("it was taken");
+        assert!(!r.over, "{}: request {index} has two answers", self.scenario.name);
+        r.over = true;
+        let late = self.now >= r.limit - 2.0 * self.policy.tick;
+        let rule = match late {
+            _ if self.now >= self.until => Some("rule give_up_without_tenure"),
+            true => Some("rule answer_at_the_hard_limit"),
+            false => None,
+        };
+        rule.into_iter().for_each(|rule| self.count(rule));
+        late
+    }
+
+    /// An attempt goes to an endpoint that is listed and ready; what it was for is counted.
+    fn sanity(&mut self, endpoint: usize) {
+        let view = self.gateway.engine_view(endpoint).expect("it is listed");
+        assert_eq!(view.standing, Standing::Ready, "{}: endpoint {endpoint}", self.scenario.name);
+        if view.aside.is_some() {
+            self.count("seen trickle attempt to an endpoint set aside");
+        }
+    }
+
+    fn views(&mut self) {
+        for i in 0..self.endpoints.len() {
+            let view = self.gateway.engine_view(i).expect("it is listed");
+            let h = &mut self.hash;
+            h.all(&[100, i as u64, view.standing as u64, view.failures as u64, view.seen as u64]);
+            h.all(&[view.cores, view.threads, view.stretch, view.full_until].map(f64::to_bits));
+            h.float(view.report.map(|r| r.0));
+            h.float(view.report.map(|r| r.1));
+            h.float(view.aside);
+            h.float(view.cold_left);
+            if view.cold_left.is_some_and(|left| left < 50.0) {
+                self.count("seen cold endpoint with its share used up");
+            }
+        }
+        for b in 0..self.policy.bands.len() {
+            let view = self.gateway.band_view(b).expect("it is in the policy");
+            let h = &mut self.hash;
+            h.all(&[101, b as u64, view.waiting as u64]);
+            h.all(&[view.threads, view.charged, view.weight, view.usual].map(f64::to_bits));
+        }
+    }
+}
+
+#[test]
+fn decisions_are_the_expected_ones() {
+    let (mut counts, mut wrong) = (BTreeMap::new(), String::new());
+    for scenario in &SCENARIOS {
+        let hash = Host::new(scenario, &mut counts).play();
+        println!("{hash:#018x} {}", scenario.name);
+        let (name, expected) = (scenario.name, scenario.expected[!cfg!(debug_assertions) as usize]);
+        if hash != expected {
+            wrong += &format!("\n{name}: {hash:#018x}, expected {expected:#018x}");
+        }
+    }
+    counts.iter().for_each(|(what, n)| println!("{n:7} {what}"));
+    let missing: Vec<_> = MUST_OCCUR.iter().filter(|what| !counts.contains_key(**what)).collect();
+    assert!(missing.is_empty(), "never occurred: {missing:?}");
+    assert!(wrong.is_empty(), "other decisions:{wrong}");
+}
