--- /dev/null
+++ b/crates/recovery/tests/pinned_forms.rs
@@ -0,0 +1,83 @@
+//! The bytes of the file that a gateway keeps for its next process (`gateway.kept`), and the words of its stages. The
+//! files under `pinned` were written by an earlier version of the program: a gateway that is updated reads the file of
+//! the one before it, so every field has to keep its place, its type and its meaning.
+
+use ironstair_recovery::kept::{decode, encode};
+use ironstair_recovery::stage::Stage;
+use ironstair_recovery::{Engine, Kept};
+use std::path::Path;
+
+fn pinned(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn same(name: &str, written: &str) {
+    assert_eq!(written, pinned(name), "{name}");
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let text = text.trim();
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+}
+
+/// Every field with a value of its own, so that none can stand in another's place.
+fn full() -> Kept {
+    let first = Engine {
+        name: "engine-1".into(),
+        address: "10.1.2.3:9001".parse().unwrap(),
+        zone: "zone-a".into(),
+        kind: "kind-m".into(),
+        marks: 513,
+        draining: false,
+        since: 1.75e12,
+    };
+    let second = Engine {
+        name: "engine-2".into(),
+        address: "[fd00::1:2]:9002".parse().unwrap(),
+        zone: String::new(),
+        kind: "kind-n".into(),
+        marks: 0,
+        draining: true,
+        since: 0.0,
+    };
+    Kept {
+        gateway: "gateway-1".into(),
+        at: 1.8e12 + 0.25,
+        heard: 1.8e12 - 1500.5,
+        rev: 70_001,
+        clean: false,
+        engines: vec![first, second],
+    }
+}
+
+#[test]
+fn what_is_kept_for_the_next_process_is_read_and_written_in_the_pinned_bytes() {
+    let clean = Kept { clean: true, engines: Vec::new(), ..full() };
+    for (name, kept) in [("full.hex", full()), ("clean.hex", clean), ("blank.hex", Kept::default())] {
+        same(name, &format!("{}\n", hex(&encode(&kept).unwrap())));
+        assert_eq!(decode(&unhex(&pinned(name))), Ok(kept), "{name}");
+    }
+}
+
+#[test]
+fn a_file_of_another_form_is_refused() {
+    let bytes = unhex(&pinned("full.hex"));
+    assert_eq!(&bytes[..8], b"irst\x01\0\0\0", "the word at the front and the number of the form");
+    let mut other = bytes.clone();
+    other[4] = 2;
+    assert!(decode(&other).unwrap_err().contains("its form 2 "));
+    let mut other = bytes;
+    other[0] = b'x';
+    assert!(decode(&other).is_err());
+}
+
+#[test]
+fn stages_have_the_pinned_words() {
+    let words = [Stage::CatchingUp, Stage::Cautious, Stage::Full].map(Stage::word);
+    assert_eq!(words, ["catching-up", "cautious", "full"]);
+}
