--- /dev/null
+++ b/crates/trial/tests/pinned_forms.rs
@@ -0,0 +1,109 @@
+//! The JSON of a trial's day, with every kind of fault, and its schema without descriptions. The files under `pinned`
+//! were written by an earlier version of the program; days that are kept, here under `days` and elsewhere, have to be
+//! read with the same values and written without a difference.
+
+use ironstair_trial::{Day, Figures};
+use serde_json::Value;
+use std::path::Path;
+
+fn pinned(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+fn same(name: &str, written: &str) {
+    assert_eq!(written, pinned(name), "{name}");
+}
+
+fn text(of: &impl serde::Serialize) -> String {
+    format!("{}\n", serde_json::to_string_pretty(of).unwrap())
+}
+
+fn day(name: &str) -> Day {
+    Day::decode(pinned(name).as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"))
+}
+
+/// Without what is written for people, and with each definition in the place where it is named: what those are called
+/// is the program's own matter.
+fn plain(v: &Value, definitions: &Value) -> Value {
+    match v {
+        Value::Object(members) => {
+            let named = members.get("$ref").and_then(Value::as_str).and_then(|r| r.strip_prefix("#/$defs/"));
+            let mut new = serde_json::Map::new();
+            if let Some(named) = named {
+                let Value::Object(inner) = plain(&definitions[named], definitions) else { panic!("{named}") };
+                new.extend(inner);
+            }
+            for (name, value) in members {
+                let said = value.is_string() && ["description", "title"].contains(&name.as_str());
+                if !said && !["$ref", "$defs"].contains(&name.as_str()) {
+                    new.insert(name.clone(), plain(value, definitions));
+                }
+            }
+            Value::Object(new)
+        }
+        Value::Array(all) => all.iter().map(|v| plain(v, definitions)).collect(),
+        other => other.clone(),
+    }
+}
+
+#[test]
+fn days_are_read_and_written_in_the_pinned_json() {
+    for (read, written) in [
+        ("day-full.json", "day-full.json"),
+        ("day-told.json", "day-told.json"),
+        ("day-least.json", "day-defaults.json"),
+        ("day-defaults.json", "day-defaults.json"),
+    ] {
+        same(written, &text(&day(read)));
+    }
+}
+
+#[test]
+fn the_days_that_are_kept_are_read_with_the_pinned_values() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("days");
+    let mut all: Vec<(String, Day)> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|f| f.unwrap().path())
+        .map(|p| (p.file_name().unwrap().to_str().unwrap().to_string(), Day::read(&p).unwrap()))
+        .collect();
+    all.sort_by(|a, b| a.0.cmp(&b.0));
+    same("days-kept.json", &text(&all));
+}
+
+#[test]
+fn a_day_that_is_wrong_is_refused_by_the_pinned_field() {
+    let full: Value = serde_json::from_str(&pinned("day-full.json")).unwrap();
+    for (at, value, field) in [
+        ("/seconds", 1.into(), "seconds: "),
+        ("/gateways", 0.into(), "gateways: "),
+        ("/engines", 0.into(), "engines: "),
+        ("/load", 9.into(), "load: "),
+        ("/lease_ms", 1.into(), "lease_ms: "),
+        ("/ignore_advice", 2.into(), "ignore_advice: "),
+        ("/fleet", "other".into(), "fleet: unknown variant"),
+        ("/faults/0/at_s", 99.into(), "faults[0].at_s: "),
+        ("/faults/0/what/kill_gateways/share", 2.into(), "faults[0].what.share: "),
+        ("/faults/1/what/stop_gateways/for_s", 4000.into(), "faults[1].what.for_s: "),
+        ("/faults/3/what/kill_keepers/back_s", 4000.into(), "faults[3].what.back_s: "),
+    ] {
+        let mut spoilt = full.clone();
+        *spoilt.pointer_mut(at).unwrap() = value;
+        let why = Day::decode(spoilt.to_string().as_bytes()).unwrap_err();
+        assert!(why.starts_with(field), "{at}: {why}");
+    }
+}
+
+#[test]
+fn the_schema_without_descriptions_is_the_pinned_one() {
+    let schema: Value = serde_json::from_str(&Day::schema()).unwrap();
+    same("schema.json", &text(&plain(&schema, &schema["$defs"])));
+}
+
+#[test]
+fn figures_are_read_and_written_in_the_pinned_json() {
+    let figures: Figures = serde_json::from_str(&pinned("figures.json")).unwrap();
+    same("figures.json", &text(&figures));
+    assert_eq!((figures.fell(), figures.broken, figures.fault_s), (3, 1, Some(1.5)));
+    same("figures.csv", &ironstair_trial::report::csv(&[figures]));
+}
