--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -362,3 +362,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "operator_pinned_tests.rs"]
+mod pinned_tests;
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -157,3 +157,7 @@
         assert!(follow(&mut known, &json!({"instances": [{"instanceId": "s-3"}]}), &index).is_err());
     }
 }
+
+#[cfg(test)]
+#[path = "told_pinned_tests.rs"]
+mod pinned_tests;
