--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/told.rs
@@ -178,3 +178,7 @@
         .is_err());
     }
 }
+
+#[cfg(test)]
+#[path = "told_pinned_tests.rs"]
+mod pinned_tests;
