--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -3,14 +3,16 @@
 //! earlier version of the program; journals on disk and clients hold the same forms, so they have to be read and
 //! written without a difference.
 
-use ironstair_change::journal::{decode, encode, Kept, Record};
-use ironstair_change::plan::{plan, Roll, Step, When};
-use ironstair_change::{Document, Frame};
+use ironstair_config_change::journal::{decode, encode, Kept, Record};
+use ironstair_config_change::plan::{plan, Roll, Step, When};
+use ironstair_config_change::{Document, Frame};
 use serde_json::Value;
 use std::path::Path;
 
 fn pinned(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
@@ -25,7 +27,10 @@
 
 fn unhex(text: &str) -> Vec<u8> {
     let text = text.trim();
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn document(name: &str) -> Document {
@@ -33,7 +38,10 @@
 }
 
 fn frame() -> Frame {
-    Frame { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into(), "big".into()] }
+    Frame {
+        zones: vec!["a".into(), "b".into()],
+        kinds: vec!["std".into(), "big".into()],
+    }
 }
 
 fn text(of: &impl serde::Serialize) -> String {
@@ -70,7 +78,9 @@
     ] {
         let mut spoilt = full.clone();
         spoilt.pointer_mut(at).unwrap()["unknown-field"] = 1.into();
-        let why = serde_json::from_value::<Document>(spoilt).unwrap_err().to_string();
+        let why = serde_json::from_value::<Document>(spoilt)
+            .unwrap_err()
+            .to_string();
         assert!(why.contains("unknown field `unknown-field`"), "{at}: {why}");
         seen += 1;
     }
@@ -98,9 +108,20 @@
         ("/cells/tenant/0", "name"),
     ] {
         let mut spoilt = full.clone();
-        spoilt.pointer_mut(at).unwrap().as_object_mut().unwrap().remove(field).unwrap();
-        let why = serde_json::from_value::<Document>(spoilt).unwrap_err().to_string();
-        assert!(why.contains(&format!("missing field `{field}`")), "{at}/{field}: {why}");
+        spoilt
+            .pointer_mut(at)
+            .unwrap()
+            .as_object_mut()
+            .unwrap()
+            .remove(field)
+            .unwrap();
+        let why = serde_json::from_value::<Document>(spoilt)
+            .unwrap_err()
+            .to_string();
+        assert!(
+            why.contains(&format!("missing field `{field}`")),
+            "{at}/{field}: {why}"
+        );
         seen += 1;
     }
     assert_eq!(seen, 30);
@@ -109,17 +130,28 @@
 #[test]
 fn journal_records_are_read_and_written_in_the_pinned_json_and_bytes() {
     let json: Vec<Value> = serde_json::from_str(&pinned("journal.json")).unwrap();
-    let read: Vec<Record<Document>> =
-        json.iter().map(|r| serde_json::from_value(r.clone()).unwrap()).collect();
+    let read: Vec<Record<Document>> = json
+        .iter()
+        .map(|r| serde_json::from_value(r.clone()).unwrap())
+        .collect();
     same("journal.json", &text(&read));
-    let kinds: Vec<&str> =
-        json.iter().flat_map(|r| r.as_object().unwrap().keys()).map(String::as_str).collect();
-    assert_eq!(kinds, ["whole", "set", "set", "confirmed", "set", "taken-back"]);
+    let kinds: Vec<&str> = json
+        .iter()
+        .flat_map(|r| r.as_object().unwrap().keys())
+        .map(String::as_str)
+        .collect();
+    assert_eq!(
+        kinds,
+        ["whole", "set", "set", "confirmed", "set", "taken-back"]
+    );
 
     let written: Vec<u8> = read.iter().flat_map(|r| encode(r).unwrap()).collect();
     same("journal.hex", &format!("{}\n", hex(&written)));
     let bytes = unhex(&pinned("journal.hex"));
-    assert_eq!(decode::<Document>(&bytes), (read.clone(), bytes.len(), None));
+    assert_eq!(
+        decode::<Document>(&bytes),
+        (read.clone(), bytes.len(), None)
+    );
 
     let (kept, _) = Kept::open(read, document("document-least.json"));
     same("journal-opened.json", &text(&kept));
@@ -127,7 +159,10 @@
 
 #[test]
 fn a_planned_change_has_the_pinned_paths_moments_and_refusals() {
-    let (full, least) = (document("document-full.json"), document("document-lend.json"));
+    let (full, least) = (
+        document("document-full.json"),
+        document("document-lend.json"),
+    );
     let step = |s: &Step| {
         let value = |v: &Option<String>| match v {
             None => "none".to_string(),
@@ -140,16 +175,24 @@
             When::NewOnly => "for new ones only",
             When::OpenFirst => "when those open are over",
         };
-        format!("{}: {} -> {}, {when}\n", s.path, value(&s.from), value(&s.to))
+        format!(
+            "{}: {} -> {}, {when}\n",
+            s.path,
+            value(&s.from),
+            value(&s.to)
+        )
     };
     let shown = |from: &Document, to: &Document| match plan(from, to, &Roll::of(from), &frame()) {
         Ok(plan) => plan.steps.iter().map(step).collect(),
-        Err(faults) => faults.iter().map(|f| format!("refused {}\n", f.path)).collect::<String>(),
+        Err(faults) => faults
+            .iter()
+            .map(|f| format!("refused {}\n", f.path))
+            .collect::<String>(),
     };
     same("plan-forth.txt", &shown(&full, &least));
     same("plan-back.txt", &shown(&least, &full));
     let mut other = full.clone();
-    for b in &mut other.band {
+    for b in &mut other.class {
         b.threads += 1;
         b.in_order = !b.in_order;
         b.zone = vec!["elsewhere".into()];
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -2,21 +2,23 @@
 //! tree of settings and state, which is what reads over gNMI and `ironstair get` answer. The files under `pinned` were
 //! written by an earlier version of the program; clients, dashboards and scripts hold the same names.
 
-use ironstair::logic::{BandView, EngineView};
-use ironstair::Standing;
-use ironstair_accord::Share;
-use ironstair_change::journal::Line;
-use ironstair_change::{revisions, Document};
-use ironstair_tree::leaves::select;
-use ironstair_tree::schema::{Kind, Node, Type};
-use ironstair_tree::state::{self, Band, Counts, Engine, Fleet, Member, Snapshot};
-use ironstair_tree::yang::{parse, Statement};
-use ironstair_tree::{Leaves, Path, Pattern, Schema, MODULE};
+use ironstair::logic::{ClassView, EngineView};
+use ironstair::EndpointState;
+use ironstair_config_change::journal::Line;
+use ironstair_config_change::{revisions, Document};
+use ironstair_coordination::Share;
+use ironstair_data_tree::leaves::select;
+use ironstair_data_tree::schema::{Kind, Node, Type};
+use ironstair_data_tree::state::{self, Class, Counts, Engine, Fleet, Member, Snapshot};
+use ironstair_data_tree::yang::{parse, Statement};
+use ironstair_data_tree::{Leaves, Path, Pattern, Schema, MODULE};
 use std::fmt::Write;
 use std::sync::Arc;
 
 fn pinned(name: &str) -> String {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
@@ -25,15 +27,28 @@
 }
 
 /// What is written for people, and the dates of the module.
-const FOR_PEOPLE: [&str; 6] =
-    ["description", "contact", "organization", "reference", "error-message", "revision"];
+const FOR_PEOPLE: [&str; 6] = [
+    "description",
+    "contact",
+    "organization",
+    "reference",
+    "error-message",
+    "revision",
+];
 
 fn statements(s: &Statement, depth: usize, to: &mut String) {
     if !FOR_PEOPLE.contains(&s.keyword.as_str()) {
         let argument: Vec<&str> = s.argument.split_whitespace().collect();
-        writeln!(to, "{}{}", "  ".repeat(depth), format!("{} {}", s.keyword, argument.join(" ")).trim_end())
-            .unwrap();
-        s.inner.iter().for_each(|inner| statements(inner, depth + 1, to));
+        writeln!(
+            to,
+            "{}{}",
+            "  ".repeat(depth),
+            format!("{} {}", s.keyword, argument.join(" ")).trim_end()
+        )
+        .unwrap();
+        s.inner
+            .iter()
+            .for_each(|inner| statements(inner, depth + 1, to));
     }
 }
 
@@ -47,10 +62,15 @@
 fn nodes(node: &Node, at: &str, to: &mut String) {
     let of = |t: &Type| match t {
         Type::Bool => "boolean".to_string(),
-        Type::Uint { wide, ranges } => format!("{} {ranges:?}", if *wide { "uint64" } else { "uint" }),
+        Type::Uint { wide, ranges } => {
+            format!("{} {ranges:?}", if *wide { "uint64" } else { "uint" })
+        }
         Type::Decimal { digits, ranges } => format!("decimal{digits} {ranges:?}"),
         Type::Text { lengths, patterns } => {
-            format!("text {lengths:?} {:?}", patterns.iter().map(|p| p.as_str()).collect::<Vec<_>>())
+            format!(
+                "text {lengths:?} {:?}",
+                patterns.iter().map(|p| p.as_str()).collect::<Vec<_>>()
+            )
         }
         Type::Enum(names) => format!("one of {}", names.join(" ")),
     };
@@ -62,7 +82,11 @@
     };
     let path = format!("{at}/{}", node.name);
     let mut line = format!("{path} {kind}");
-    for (is, word) in [(node.config, "config"), (node.mandatory, "mandatory"), (node.presence, "presence")] {
+    for (is, word) in [
+        (node.config, "config"),
+        (node.mandatory, "mandatory"),
+        (node.presence, "presence"),
+    ] {
         line += if is { " " } else { "" };
         line += if is { word } else { "" };
     }
@@ -77,13 +101,17 @@
 fn the_schema_has_the_pinned_nodes() {
     let schema = Schema::shipped().unwrap();
     let mut text = format!("{} {}\n", schema.root.name, schema.namespace);
-    schema.root.inner.iter().for_each(|n| nodes(n, "", &mut text));
+    schema
+        .root
+        .inner
+        .iter()
+        .for_each(|n| nodes(n, "", &mut text));
     same("nodes.txt", &text);
 }
 
 fn snapshot() -> Snapshot {
     let view = EngineView {
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         cores: 8.0,
         threads: 2.5,
         report: Some((1.8e12, 0.625)),
@@ -111,7 +139,7 @@
         address: "[fd00::1]:2".into(),
         cells: "".into(),
         view: EngineView {
-            standing: Standing::Draining,
+            state: EndpointState::Draining,
             report: None,
             aside: Some(1.8e12),
             full_until: 1.9e12,
@@ -120,18 +148,46 @@
         },
         ..first.clone()
     };
-    let third = Engine { view: EngineView { standing: Standing::Gone, ..view }, ..second.clone() };
-    let counts = Counts { taken: 1, released: 2, settled: 3, turned_back: 4, scrapped: 5, left: 6, late: 7 };
-    let view = BandView { waiting: 8, threads: 9.5, charged: 10.25, weight: 0.5, usual: 11.125 };
+    let third = Engine {
+        view: EngineView {
+            state: EndpointState::Gone,
+            ..view
+        },
+        ..second.clone()
+    };
+    let counts = Counts {
+        taken: 1,
+        released: 2,
+        settled: 3,
+        rejected: 4,
+        failed: 5,
+        left: 6,
+        late: 7,
+    };
+    let view = ClassView {
+        waiting: 8,
+        threads: 9.5,
+        charged: 10.25,
+        weight: 0.5,
+        usual: 11.125,
+    };
     Snapshot {
         at: 1.8e12,
         engines: [("e1", first), ("e2", second), ("e3", third)]
             .into_iter()
             .map(|(n, e)| (Arc::from(n), e))
             .collect(),
-        bands: vec![
-            Band { name: "lookup".into(), in_service: true, counts, view },
-            Band { name: "old".into(), ..Band::default() },
+        classes: vec![
+            Class {
+                name: "lookup".into(),
+                in_service: true,
+                counts,
+                view,
+            },
+            Class {
+                name: "old".into(),
+                ..Class::default()
+            },
         ],
         source: "127.0.0.1:53".into(),
         serial: 12,
@@ -148,23 +204,33 @@
 }
 
 fn lines() -> Vec<Line> {
-    use revisions::Standing::{Replaced, Running, TakenBack, Unconfirmed};
-    let all = [(1, Replaced), (2, Running), (3, TakenBack), (4, Unconfirmed)];
-    let line = |(number, standing)| Line {
+    use revisions::RevisionState::{Replaced, Running, TakenBack, Unconfirmed};
+    let all = [
+        (1, Replaced),
+        (2, Running),
+        (3, TakenBack),
+        (4, Unconfirmed),
+    ];
+    let line = |(number, state)| Line {
         number,
         who: "CN=op".into(),
         when: 1.8e12 + number as f64,
         what: "/settings/advice".into(),
-        standing,
-        commit: (standing == Unconfirmed).then(|| "c1".into()),
-        until: (standing == Unconfirmed).then_some(1.8e12 + 60_000.0),
+        state,
+        commit: (state == Unconfirmed).then(|| "c1".into()),
+        until: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
     };
     all.map(line).to_vec()
 }
 
 fn fleet() -> Fleet {
-    let member =
-        Member { name: "g1".into(), steady: true, heard: 1.8e12, until: 1.8e12 + 3000.0, holds: true };
+    let member = Member {
+        name: "g1".into(),
+        steady: true,
+        heard: 1.8e12,
+        until: 1.8e12 + 3000.0,
+        holds: true,
+    };
     Fleet {
         name: "north".into(),
         history: 0xfeed,
@@ -173,8 +239,19 @@
         steady: false,
         keeper: true,
         chair: "g1".into(),
-        share: Some(Share { among: 3.0, taken: true }),
-        members: vec![member.clone(), Member { name: "g2".into(), steady: false, holds: false, ..member }],
+        share: Some(Share {
+            among: 3.0,
+            taken: true,
+        }),
+        members: vec![
+            member.clone(),
+            Member {
+                name: "g2".into(),
+                steady: false,
+                holds: false,
+                ..member
+            },
+        ],
     }
 }
 
@@ -184,7 +261,11 @@
 
 fn all(schema: &Schema) -> Leaves {
     let document: Document = serde_json::from_str(&pinned("settings.json")).unwrap();
-    let state = state::update(&state::process("n0", "0.1.0"), &Snapshot::default(), &snapshot());
+    let state = state::update(
+        &state::process("n0", "0.1.0"),
+        &Snapshot::default(),
+        &snapshot(),
+    );
     let state = state::fleet(&state::revisions(&state, lines().iter()), &fleet());
     schema.settings(&document).unwrap().union(state)
 }
@@ -196,11 +277,18 @@
     let root = Pattern::read("/").unwrap();
     let json = schema.json(&path("/"), select(&all, &root));
     same("tree.json", &format!("{json:#}\n"));
-    let leaves: String = all.iter().map(|(path, value)| format!("{path} {value}\n")).collect();
+    let leaves: String = all
+        .iter()
+        .map(|(path, value)| format!("{path} {value}\n"))
+        .collect();
     same("leaves.txt", &leaves);
     // Every leaf is one that the module has, and of its type.
     for (path, value) in &all {
-        assert_eq!(schema.at(path).unwrap().value(path, &value.json()).as_ref(), Ok(value), "{path}");
+        assert_eq!(
+            schema.at(path).unwrap().value(path, &value.json()).as_ref(),
+            Ok(value),
+            "{path}"
+        );
         let read = Pattern::read(&path.to_string()).unwrap();
         assert_eq!(read.stem(), *path);
     }
@@ -216,5 +304,11 @@
     let again = schema.settings(&document).unwrap();
     assert_eq!(again, leaves);
     let wanted = Pattern::read("/settings").unwrap();
-    same("settings-tree.json", &format!("{:#}\n", schema.json(&path("/settings"), select(&again, &wanted))));
+    same(
+        "settings-tree.json",
+        &format!(
+            "{:#}\n",
+            schema.json(&path("/settings"), select(&again, &wanted))
+        ),
+    );
 }
--- a/crates/gateway/src/told_pinned_tests.rs
+++ b/crates/gateway/src/told_pinned_tests.rs
@@ -10,28 +10,34 @@
         (told.name.as_str(), told.listen, told.names),
         ("n0", at("127.0.0.1:8080"), at("127.0.0.1:53"))
     );
-    assert_eq!((told.seed, told.memory_mb, told.descriptors), (0x8c1f_30d2_7a5b_e964, 256.5, 2048));
-    assert_eq!(told.bands, ["lookup", "post", "mark", "all", "once"]);
+    assert_eq!(
+        (told.seed, told.memory_mb, told.descriptors),
+        (0x8c1f_30d2_7a5b_e964, 256.5, 2048)
+    );
+    assert_eq!(told.classes, ["lookup", "post", "mark", "all", "once"]);
     assert_eq!(told.limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
     assert_eq!(told.index.zones, ["a", "b"]);
     assert_eq!(told.index.kinds, ["std", "big"]);
-    let first = Place {
+    let first = DiscoveredEndpoint {
         address: at("10.1.0.1:9001"),
         zone: 0,
         kind: 0,
         marks: 2,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         since: 1.75e12,
     };
-    let third = Place {
+    let third = DiscoveredEndpoint {
         address: at("[fd00::3]:9003"),
         zone: 1,
         kind: 1,
         marks: 5,
-        standing: Standing::Draining,
+        state: EndpointState::Draining,
         since: 1.75e12,
     };
     // The second is gone by the last change.
-    assert_eq!(told.known, BTreeMap::from([("e-1".to_string(), first), ("e-3".to_string(), third)]));
+    assert_eq!(
+        told.known,
+        BTreeMap::from([("e-1".to_string(), first), ("e-3".to_string(), third)])
+    );
     assert_eq!(told.rev, 7);
 }
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -2,19 +2,24 @@
 //! under `pinned` was written by an earlier version of the program; a gateway that is updated starts with it, so it has
 //! to be read whole, go on with the same revision, and be written without a difference.
 
-use ironstair_change::journal::{Kept, Record};
-use ironstair_change::{Document, Frame};
-use ironstair_manage::Journal;
+use ironstair_config_change::journal::{Kept, Record};
+use ironstair_config_change::{Document, Frame};
+use ironstair_management::Journal;
 use std::path::Path;
 
 fn pinned(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
 fn unhex(text: &str) -> Vec<u8> {
     let text = text.trim();
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -23,7 +28,11 @@
 
 /// A state folder with the pinned journal, and what is read from it.
 fn read(folder: &Path) -> Vec<Record<Document>> {
-    std::fs::write(folder.join("revisions.journal"), unhex(&pinned("journal.hex"))).unwrap();
+    std::fs::write(
+        folder.join("revisions.journal"),
+        unhex(&pinned("journal.hex")),
+    )
+    .unwrap();
     let (records, left_out) = Journal::read(folder).unwrap();
     assert_eq!(left_out, None);
     records
@@ -42,17 +51,25 @@
             Record::TakenBack { .. } => "taken back",
         })
         .collect();
-    assert_eq!(kinds, ["whole", "set", "set", "confirmed", "set", "taken back"]);
+    assert_eq!(
+        kinds,
+        ["whole", "set", "set", "confirmed", "set", "taken back"]
+    );
 
     let other = tempfile::tempdir().unwrap();
-    let Record::Whole(first) = &records[0] else { panic!("{:?}", records[0]) };
+    let Record::Whole(first) = &records[0] else {
+        panic!("{:?}", records[0])
+    };
     let mut journal = Journal::begin(other.path(), first).unwrap();
     for record in &records[1..] {
         journal.append(record).unwrap();
     }
     let written = std::fs::read(other.path().join("revisions.journal")).unwrap();
     assert_eq!(hex(&written), pinned("journal.hex").trim());
-    let names: Vec<_> = std::fs::read_dir(other.path()).unwrap().map(|f| f.unwrap().file_name()).collect();
+    let names: Vec<_> = std::fs::read_dir(other.path())
+        .unwrap()
+        .map(|f| f.unwrap().file_name())
+        .collect();
     assert_eq!(names, ["revisions.journal"]);
 }
 
@@ -60,12 +77,17 @@
 fn a_start_with_the_pinned_journal_file_runs_the_pinned_revision() {
     let folder = tempfile::tempdir().unwrap();
     let records = read(folder.path());
-    let Record::Whole(first) = &records[0] else { panic!("{:?}", records[0]) };
+    let Record::Whole(first) = &records[0] else {
+        panic!("{:?}", records[0])
+    };
     let (kept, _) = Kept::open(records.clone(), first.told.clone());
     assert_eq!((kept.number, kept.next), (5, 7));
     let running = serde_json::to_value(&kept.running).unwrap();
     let want: serde_json::Value = serde_json::from_str(&pinned("running.json")).unwrap();
     assert_eq!(running, want);
-    let frame = Frame { zones: vec!["a".into(), "b".into()], kinds: vec!["std".into()] };
+    let frame = Frame {
+        zones: vec!["a".into(), "b".into()],
+        kinds: vec!["std".into()],
+    };
     assert_eq!(kept.running.faults(&frame), Vec::new());
 }
--- a/crates/recovery/tests/pinned_forms.rs
+++ b/crates/recovery/tests/pinned_forms.rs
@@ -8,7 +8,9 @@
 use std::path::Path;
 
 fn pinned(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
@@ -22,7 +24,10 @@
 
 fn unhex(text: &str) -> Vec<u8> {
     let text = text.trim();
-    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+    (0..text.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 /// Every field with a value of its own, so that none can stand in another's place.
@@ -57,8 +62,16 @@
 
 #[test]
 fn what_is_kept_for_the_next_process_is_read_and_written_in_the_pinned_bytes() {
-    let clean = Kept { clean: true, engines: Vec::new(), ..full() };
-    for (name, kept) in [("full.hex", full()), ("clean.hex", clean), ("blank.hex", Kept::default())] {
+    let clean = Kept {
+        clean: true,
+        engines: Vec::new(),
+        ..full()
+    };
+    for (name, kept) in [
+        ("full.hex", full()),
+        ("clean.hex", clean),
+        ("blank.hex", Kept::default()),
+    ] {
         same(name, &format!("{}\n", hex(&encode(&kept).unwrap())));
         assert_eq!(decode(&unhex(&pinned(name))), Ok(kept), "{name}");
     }
@@ -67,7 +80,11 @@
 #[test]
 fn a_file_of_another_form_is_refused() {
     let bytes = unhex(&pinned("full.hex"));
-    assert_eq!(&bytes[..8], b"irst\x01\0\0\0", "the word at the front and the number of the form");
+    assert_eq!(
+        &bytes[..8],
+        b"irst\x01\0\0\0",
+        "the word at the front and the number of the form"
+    );
     let mut other = bytes.clone();
     other[4] = 2;
     assert!(decode(&other).unwrap_err().contains("its form 2 "));
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -3,22 +3,24 @@
 //! `pinned` are such objects as an earlier version of the program reads them; who tells a gateway is not this
 //! project, so no key may change.
 
-use ironstair::{Effect, Kind, Load, Mandate, Ration, Terms, Within};
-use ironstair_mandate::{bands, carriage, kinds, limits, mandate, read, zones, Carriage};
+use ironstair::{ClassPolicy, Effect, Kind, Load, PolicyConfig, RetryBudget, Within};
+use ironstair_settings::{carriage, classes, kinds, limits, policy_config, read, zones, Carriage};
 use serde_json::{json, Value};
 use std::path::Path;
 
 fn pinned(name: &str) -> Value {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     let text = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     serde_json::from_slice(&text).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-fn full() -> Mandate {
-    let terms = |expected: f64, payoff: f64, threads: f64, repeat: Effect| Terms {
+fn full() -> PolicyConfig {
+    let terms = |expected: f64, value: f64, threads: f64, repeat: Effect| ClassPolicy {
         expected,
         expected_stretch: 0.0,
-        payoff,
+        value,
         threads,
         repeat,
         window: 0.0,
@@ -29,22 +31,44 @@
         closed: false,
     };
     let tagged = Effect::Deduplicated;
-    Mandate {
+    PolicyConfig {
         gateways: 3.0,
-        bands: vec![
-            Terms {
+        classes: vec![
+            ClassPolicy {
                 expected_stretch: 2.5,
                 in_order: true,
                 zones: Some(vec![0, 1]),
                 kinds: Some(vec![1]),
                 ..terms(1000.0, 1.25, 1.0, Effect::Idempotent)
             },
-            Terms { window: 3000.0, holds: true, ..terms(2000.0, 6.0, 4.0, tagged(Within::Zone)) },
-            Terms { window: 4.0, ..terms(3.0, 0.5, 2.0, tagged(Within::MarkGroup)) },
-            Terms { window: 5.0, ..terms(1e-6, 1.0, 1.0, tagged(Within::All)) },
-            Terms { holds: true, ..terms(7.0, 3.0, 1.0, Effect::NonIdempotent) },
+            ClassPolicy {
+                window: 3000.0,
+                holds: true,
+                ..terms(2000.0, 6.0, 4.0, tagged(Within::Zone))
+            },
+            ClassPolicy {
+                window: 4.0,
+                ..terms(3.0, 0.5, 2.0, tagged(Within::MarkGroup))
+            },
+            ClassPolicy {
+                window: 5.0,
+                ..terms(1e-6, 1.0, 1.0, tagged(Within::All))
+            },
+            ClassPolicy {
+                holds: true,
+                ..terms(7.0, 3.0, 1.0, Effect::NonIdempotent)
+            },
+        ],
+        kinds: vec![
+            Kind {
+                cores: 8.0,
+                memory_mb: 1024.0,
+            },
+            Kind {
+                cores: 16.0,
+                memory_mb: 32768.5,
+            },
         ],
-        kinds: vec![Kind { cores: 8.0, memory_mb: 1024.0 }, Kind { cores: 16.0, memory_mb: 32768.5 }],
         most_grant: 0.75,
         grants_heeded: true,
         priorities_heeded: true,
@@ -52,16 +76,26 @@
         tries_marked: false,
         may_withdraw: true,
         may_probe: true,
-        reports: vec![Load::Held, Load::Share, Load::Share, Load::Share, Load::Other],
-        come_back_most: 70.0,
-        most_forwards: 6,
+        reports: vec![
+            Load::Held,
+            Load::Share,
+            Load::Share,
+            Load::Share,
+            Load::Other,
+        ],
+        max_retry_after: 70.0,
+        max_attempts: 6,
         must_subscribe: true,
-        cold_from: 0.34,
-        warm_after: 15_000.0,
+        slow_start_from: 0.34,
+        slow_start_duration: 15_000.0,
         fall_multiple: 4.5,
         fall_span: 1000.0,
-        ration: Some(Ration { spare: 12.0, share: 0.1, span: 10_000.0 }),
-        key_rest: 250.0,
+        retry_budget: Some(RetryBudget {
+            spare: 12.0,
+            share: 0.1,
+            span: 10_000.0,
+        }),
+        key_quarantine: 250.0,
         tick: 1.0,
     }
 }
@@ -69,10 +103,13 @@
 #[test]
 fn every_key_is_read_with_the_pinned_value() {
     let settings = pinned("settings.json");
-    assert_eq!(mandate(&settings), Ok(full()));
+    assert_eq!(policy_config(&settings), Ok(full()));
     assert_eq!(read(settings.to_string().as_bytes()), Ok(full()));
     let texts = |all: &[&str]| Ok(all.iter().map(|t| t.to_string()).collect::<Vec<_>>());
-    assert_eq!(bands(&settings), texts(&["lookup", "post", "mark", "all", "once"]));
+    assert_eq!(
+        classes(&settings),
+        texts(&["lookup", "post", "mark", "all", "once"])
+    );
     assert_eq!(zones(&settings), texts(&["a", "b"]));
     assert_eq!(kinds(&settings), texts(&["std", "big"]));
     assert_eq!(limits(&settings), Ok(vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]));
@@ -82,7 +119,9 @@
         streams: 32,
         most_open: 5000,
         longest: 9000.0,
-        reports: ["concurrent", "load_share", "x0", "x1", "disk"].map(String::from).to_vec(),
+        reports: ["concurrent", "load_share", "x0", "x1", "disk"]
+            .map(String::from)
+            .to_vec(),
     };
     assert_eq!(carriage(&settings), Ok(want));
 }
@@ -90,12 +129,20 @@
 #[test]
 fn what_is_not_told_has_the_pinned_value() {
     let settings = pinned("settings-least.json");
-    let terms =
-        Terms { expected: 1.0, payoff: 1.0, threads: 1.0, repeat: Effect::Idempotent, ..Terms::default() };
-    let want = Mandate {
+    let terms = ClassPolicy {
+        expected: 1.0,
+        value: 1.0,
+        threads: 1.0,
+        repeat: Effect::Idempotent,
+        ..ClassPolicy::default()
+    };
+    let want = PolicyConfig {
         gateways: 1.0,
-        bands: vec![terms],
-        kinds: vec![Kind { cores: 1.0, memory_mb: 0.0 }],
+        classes: vec![terms],
+        kinds: vec![Kind {
+            cores: 1.0,
+            memory_mb: 0.0,
+        }],
         most_grant: 1.0,
         grants_heeded: false,
         priorities_heeded: false,
@@ -104,21 +151,27 @@
         may_withdraw: false,
         may_probe: false,
         reports: Vec::new(),
-        come_back_most: 0.0,
-        most_forwards: 255,
+        max_retry_after: 0.0,
+        max_attempts: 255,
         must_subscribe: false,
-        cold_from: 0.5,
-        warm_after: 3.0,
+        slow_start_from: 0.5,
+        slow_start_duration: 3.0,
         fall_multiple: 4.0,
         fall_span: 5.0,
-        ration: None,
-        key_rest: 0.0,
+        retry_budget: None,
+        key_quarantine: 0.0,
         tick: 2.0,
     };
-    assert_eq!(mandate(&settings), Ok(want));
+    assert_eq!(policy_config(&settings), Ok(want));
     let most_open = f64::MAX as usize;
-    let want =
-        Carriage { connect_within: 6.0, idle: 7.0, streams: 1, most_open, longest: 2.0, reports: Vec::new() };
+    let want = Carriage {
+        connect_within: 6.0,
+        idle: 7.0,
+        streams: 1,
+        most_open,
+        longest: 2.0,
+        reports: Vec::new(),
+    };
     assert_eq!(carriage(&settings), Ok(want));
 }
 
@@ -127,16 +180,30 @@
     let with = |at: &str, value: Value| {
         let mut settings = pinned("settings.json");
         *settings.pointer_mut(at).unwrap() = value;
-        mandate(&settings).unwrap()
+        policy_config(&settings).unwrap()
     };
     for (word, lines_up) in [("line_up", true), ("cut", false), ("overcommit", false)] {
-        assert_eq!(with("/family_info/when_short", json!(word)).lines_up, lines_up, "{word}");
+        assert_eq!(
+            with("/family_info/when_short", json!(word)).lines_up,
+            lines_up,
+            "{word}"
+        );
     }
     for (word, must) in [("subscribe", true), ("automatic", false)] {
-        assert_eq!(with("/registry_mode", json!(word)).must_subscribe, must, "{word}");
+        assert_eq!(
+            with("/registry_mode", json!(word)).must_subscribe,
+            must,
+            "{word}"
+        );
     }
-    assert_eq!(with("/policy_limits/retry_after", json!(false)).come_back_most, 0.0);
-    assert_eq!(with("/classes/0/by_arrival", json!(false)).key_rest, 0.0);
+    assert_eq!(
+        with("/policy_limits/retry_after", json!(false)).max_retry_after,
+        0.0
+    );
+    assert_eq!(
+        with("/classes/0/by_arrival", json!(false)).key_quarantine,
+        0.0
+    );
 }
 
 /// `None` takes the key out.
@@ -148,45 +215,161 @@
     let cases: Vec<Case> = vec![
         ("/classes", None, "classes"),
         ("/classes/1/semantics", None, "classes[1]: semantics"),
-        ("/classes/1/semantics", Some(json!("other")), "classes[1]: semantics"),
-        ("/classes/1/group", Some(json!("other")), "classes[1]: group"),
+        (
+            "/classes/1/semantics",
+            Some(json!("other")),
+            "classes[1]: semantics",
+        ),
+        (
+            "/classes/1/group",
+            Some(json!("other")),
+            "classes[1]: group",
+        ),
         ("/classes/1/window_ns", None, "classes[1]: window_ns"),
         ("/classes/0/slo_ns", None, "classes[0]: slo_ns"),
         ("/classes/0/worth", None, "classes[0]: worth"),
-        ("/classes/0/aim_stretch", not_a_number(), "classes[0]: aim_stretch"),
-        ("/classes/0/by_arrival", not_a_number(), "classes[0]: by_arrival"),
-        ("/classes/0/dcs_allowed", Some(json!([2])), "classes[0]: dcs_allowed"),
-        ("/classes/0/dcs_allowed", Some(json!(["a"])), "classes[0]: dcs_allowed"),
-        ("/classes/0/machine_types_allowed", Some(json!([2])), "classes[0]: machine_types_allowed"),
-        ("/family_info/class_load", Some(json!([true])), "family_info.class_load[1]"),
-        ("/family_info/threads_by_class", Some(json!([0])), "family_info.threads_by_class[0]"),
-        ("/family_info/size_cores", Some(json!([8, 0])), "family_info.size_cores[1]"),
-        ("/family_info/ram_of_kind_mb", Some(json!([0.5])), "family_info.ram_of_kind_mb[0]"),
-        ("/family_info/largest_share", not_a_number(), "family_info.largest_share"),
-        ("/family_info/takes_grants", not_a_number(), "family_info.takes_grants"),
-        ("/family_info/lanes_count", not_a_number(), "family_info.lanes_count"),
-        ("/family_info/when_short", not_a_number(), "family_info.when_short"),
+        (
+            "/classes/0/aim_stretch",
+            not_a_number(),
+            "classes[0]: aim_stretch",
+        ),
+        (
+            "/classes/0/by_arrival",
+            not_a_number(),
+            "classes[0]: by_arrival",
+        ),
+        (
+            "/classes/0/dcs_allowed",
+            Some(json!([2])),
+            "classes[0]: dcs_allowed",
+        ),
+        (
+            "/classes/0/dcs_allowed",
+            Some(json!(["a"])),
+            "classes[0]: dcs_allowed",
+        ),
+        (
+            "/classes/0/machine_types_allowed",
+            Some(json!([2])),
+            "classes[0]: machine_types_allowed",
+        ),
+        (
+            "/family_info/class_load",
+            Some(json!([true])),
+            "family_info.class_load[1]",
+        ),
+        (
+            "/family_info/threads_by_class",
+            Some(json!([0])),
+            "family_info.threads_by_class[0]",
+        ),
+        (
+            "/family_info/size_cores",
+            Some(json!([8, 0])),
+            "family_info.size_cores[1]",
+        ),
+        (
+            "/family_info/ram_of_kind_mb",
+            Some(json!([0.5])),
+            "family_info.ram_of_kind_mb[0]",
+        ),
+        (
+            "/family_info/largest_share",
+            not_a_number(),
+            "family_info.largest_share",
+        ),
+        (
+            "/family_info/takes_grants",
+            not_a_number(),
+            "family_info.takes_grants",
+        ),
+        (
+            "/family_info/lanes_count",
+            not_a_number(),
+            "family_info.lanes_count",
+        ),
+        (
+            "/family_info/when_short",
+            not_a_number(),
+            "family_info.when_short",
+        ),
         ("/fleet_size", None, "fleet_size"),
         ("/registry_mode", None, "registry_mode"),
         ("/resolution_ns", None, "resolution_ns"),
-        ("/callers/marks_retry", not_a_number(), "callers.marks_retry"),
+        (
+            "/callers/marks_retry",
+            not_a_number(),
+            "callers.marks_retry",
+        ),
         ("/guarantees/cold_from", None, "guarantees.cold_from"),
-        ("/guarantees/warm_after_ns", None, "guarantees.warm_after_ns"),
-        ("/guarantees/overload_factor", None, "guarantees.overload_factor"),
+        (
+            "/guarantees/warm_after_ns",
+            None,
+            "guarantees.warm_after_ns",
+        ),
+        (
+            "/guarantees/overload_factor",
+            None,
+            "guarantees.overload_factor",
+        ),
         ("/guarantees/fall_ns", None, "guarantees.fall_ns"),
-        ("/guarantees/budget_span_ns", not_a_number(), "guarantees.budget_span_ns"),
-        ("/guarantees/spare_attempts", None, "guarantees.spare_attempts"),
+        (
+            "/guarantees/budget_span_ns",
+            not_a_number(),
+            "guarantees.budget_span_ns",
+        ),
+        (
+            "/guarantees/spare_attempts",
+            None,
+            "guarantees.spare_attempts",
+        ),
         ("/guarantees/repeat_ratio", None, "guarantees.repeat_ratio"),
-        ("/guarantees/settle_after_doubt_ns", None, "guarantees.settle_after_doubt_ns"),
-        ("/policy_limits/max_attempts", None, "policy_limits.max_attempts"),
-        ("/policy_limits/may_cancel", not_a_number(), "policy_limits.may_cancel"),
-        ("/policy_limits/probes", not_a_number(), "policy_limits.probes"),
-        ("/policy_limits/retry_after", not_a_number(), "policy_limits.retry_after"),
-        ("/policy_limits/max_retry_after_ns", None, "policy_limits.max_retry_after_ns"),
-        ("/policy_limits/connect_timeout_ns", None, "policy_limits.connect_timeout_ns"),
-        ("/policy_limits/keepalive_ns", None, "policy_limits.keepalive_ns"),
+        (
+            "/guarantees/settle_after_doubt_ns",
+            None,
+            "guarantees.settle_after_doubt_ns",
+        ),
+        (
+            "/policy_limits/max_attempts",
+            None,
+            "policy_limits.max_attempts",
+        ),
+        (
+            "/policy_limits/may_cancel",
+            not_a_number(),
+            "policy_limits.may_cancel",
+        ),
+        (
+            "/policy_limits/probes",
+            not_a_number(),
+            "policy_limits.probes",
+        ),
+        (
+            "/policy_limits/retry_after",
+            not_a_number(),
+            "policy_limits.retry_after",
+        ),
+        (
+            "/policy_limits/max_retry_after_ns",
+            None,
+            "policy_limits.max_retry_after_ns",
+        ),
+        (
+            "/policy_limits/connect_timeout_ns",
+            None,
+            "policy_limits.connect_timeout_ns",
+        ),
+        (
+            "/policy_limits/keepalive_ns",
+            None,
+            "policy_limits.keepalive_ns",
+        ),
         ("/policy_limits/multiplex", None, "policy_limits.multiplex"),
-        ("/policy_limits/max_open", not_a_number(), "policy_limits.max_open"),
+        (
+            "/policy_limits/max_open",
+            not_a_number(),
+            "policy_limits.max_open",
+        ),
         ("/classes/0/give_up_ns", None, "give_up_ns"),
         ("/classes/0/name", None, "name"),
         ("/dcs", None, "dcs"),
@@ -195,7 +378,11 @@
     for (at, value, field) in cases {
         let mut settings = pinned("settings.json");
         let (parent, key) = at.rsplit_once('/').unwrap();
-        let members = settings.pointer_mut(parent).unwrap().as_object_mut().unwrap();
+        let members = settings
+            .pointer_mut(parent)
+            .unwrap()
+            .as_object_mut()
+            .unwrap();
         assert!(members.remove(key).is_some(), "{at}");
         if let Some(value) = &value {
             members.insert(key.into(), value.clone());
@@ -203,11 +390,15 @@
         let all = [
             zones(&settings).err(),
             kinds(&settings).err(),
-            mandate(&settings).err(),
+            policy_config(&settings).err(),
             carriage(&settings).err(),
-            bands(&settings).err(),
+            classes(&settings).err(),
         ];
-        let why = all.into_iter().flatten().next().unwrap_or_else(|| panic!("{at} is taken as {value:?}"));
+        let why = all
+            .into_iter()
+            .flatten()
+            .next()
+            .unwrap_or_else(|| panic!("{at} is taken as {value:?}"));
         assert!(why.starts_with(field), "{at}: {why}");
     }
 }
--- a/crates/simulation/tests/pinned_forms.rs
+++ b/crates/simulation/tests/pinned_forms.rs
@@ -2,12 +2,14 @@
 //! were written by an earlier version of the program; days that are kept, here under `days` and elsewhere, have to be
 //! read with the same values and written without a difference.
 
-use ironstair_trial::{Day, Figures};
+use ironstair_simulation::{Day, Figures};
 use serde_json::Value;
 use std::path::Path;
 
 fn pinned(name: &str) -> String {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/pinned")
+        .join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
@@ -28,10 +30,15 @@
 fn plain(v: &Value, definitions: &Value) -> Value {
     match v {
         Value::Object(members) => {
-            let named = members.get("$ref").and_then(Value::as_str).and_then(|r| r.strip_prefix("#/$defs/"));
+            let named = members
+                .get("$ref")
+                .and_then(Value::as_str)
+                .and_then(|r| r.strip_prefix("#/$defs/"));
             let mut new = serde_json::Map::new();
             if let Some(named) = named {
-                let Value::Object(inner) = plain(&definitions[named], definitions) else { panic!("{named}") };
+                let Value::Object(inner) = plain(&definitions[named], definitions) else {
+                    panic!("{named}")
+                };
                 new.extend(inner);
             }
             for (name, value) in members {
@@ -65,7 +72,12 @@
     let mut all: Vec<(String, Day)> = std::fs::read_dir(folder)
         .unwrap()
         .map(|f| f.unwrap().path())
-        .map(|p| (p.file_name().unwrap().to_str().unwrap().to_string(), Day::read(&p).unwrap()))
+        .map(|p| {
+            (
+                p.file_name().unwrap().to_str().unwrap().to_string(),
+                Day::read(&p).unwrap(),
+            )
+        })
         .collect();
     all.sort_by(|a, b| a.0.cmp(&b.0));
     same("days-kept.json", &text(&all));
@@ -83,9 +95,21 @@
         ("/ignore_advice", 2.into(), "ignore_advice: "),
         ("/fleet", "other".into(), "fleet: unknown variant"),
         ("/faults/0/at_s", 99.into(), "faults[0].at_s: "),
-        ("/faults/0/what/kill_gateways/share", 2.into(), "faults[0].what.share: "),
-        ("/faults/1/what/stop_gateways/for_s", 4000.into(), "faults[1].what.for_s: "),
-        ("/faults/3/what/kill_keepers/back_s", 4000.into(), "faults[3].what.back_s: "),
+        (
+            "/faults/0/what/kill_gateways/share",
+            2.into(),
+            "faults[0].what.share: ",
+        ),
+        (
+            "/faults/1/what/stop_gateways/for_s",
+            4000.into(),
+            "faults[1].what.for_s: ",
+        ),
+        (
+            "/faults/3/what/kill_keepers/back_s",
+            4000.into(),
+            "faults[3].what.back_s: ",
+        ),
     ] {
         let mut spoilt = full.clone();
         *spoilt.pointer_mut(at).unwrap() = value;
@@ -104,6 +128,12 @@
 fn figures_are_read_and_written_in_the_pinned_json() {
     let figures: Figures = serde_json::from_str(&pinned("figures.json")).unwrap();
     same("figures.json", &text(&figures));
-    assert_eq!((figures.fell(), figures.broken, figures.fault_s), (3, 1, Some(1.5)));
-    same("figures.csv", &ironstair_trial::report::csv(&[figures]));
+    assert_eq!(
+        (figures.fell(), figures.broken, figures.fault_s),
+        (3, 1, Some(1.5))
+    );
+    same(
+        "figures.csv",
+        &ironstair_simulation::report::csv(&[figures]),
+    );
 }
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -13,12 +13,13 @@
 //! bit for about one value in a thousand. A base that is no longer a constant has the same effect there.
 //!
 //! The host is a plain event loop: it sends requests, lets attempts end after drawn times with drawn outcomes,
-//! and does what the module asks for. The module's interface is used in `Actions`, `Host::call`, `Host::views`,
+//! and does what the module asks for. The module's interface is used in `RecordedActions`, `Host::call`, `Host::views`,
 //! `Host::sanity` and the policies alone. Nothing here depends on the order of a hash table.
 
 use ironstair::logic::Gateway;
 use ironstair::{
-    Cost, Effect, Kind, Listed, Load, Mandate, Outcome, Outlet, Ration, Standing, Submission, Terms, Within,
+    Actions, ClassPolicy, Cost, Effect, Endpoint, EndpointState, Kind, Load, Outcome, PolicyConfig, Request,
+    RetryBudget, Within,
 };
 use std::collections::BTreeMap;
 
@@ -76,8 +77,8 @@
 struct Scenario {
     name: &'static str,
     seed: u64,
-    policy: fn() -> Mandate,
-    endpoints: usize,
+    policy: fn() -> PolicyConfig,
+    endpoint_models: usize,
     /// Mean time between two requests, in ms.
     gap: f64,
     events: usize,
@@ -94,8 +95,8 @@
     Scenario {
         name: "classes, keys, retry budget, cold and draining endpoints",
         seed: 1,
-        policy: classes,
-        endpoints: 8,
+        policy: class_list,
+        endpoint_models: 8,
         gap: 25.0,
         events: 20000,
         tables: 12,
@@ -107,7 +108,7 @@
         name: "endpoints that line up, memory grants and priorities",
         seed: 2,
         policy: grants,
-        endpoints: 6,
+        endpoint_models: 6,
         gap: 40.0,
         events: 15000,
         tables: 5,
@@ -119,7 +120,7 @@
         name: "endpoints that do not line up, nothing can be withdrawn",
         seed: 3,
         policy: no_line,
-        endpoints: 5,
+        endpoint_models: 5,
         gap: 40.0,
         events: 15000,
         tables: 40,
@@ -131,7 +132,7 @@
         name: "hundreds of gateways that probe",
         seed: 4,
         policy: crowd,
-        endpoints: 30,
+        endpoint_models: 30,
         gap: 150.0,
         events: 15000,
         tables: 400,
@@ -142,8 +143,8 @@
     Scenario {
         name: "policy changes, terms that end, announced ends",
         seed: 5,
-        policy: classes,
-        endpoints: 7,
+        policy: class_list,
+        endpoint_models: 7,
         gap: 30.0,
         events: 20000,
         tables: 20,
@@ -155,7 +156,7 @@
         name: "hundreds of gateways, policy changes",
         seed: 6,
         policy: crowd,
-        endpoints: 12,
+        endpoint_models: 12,
         gap: 120.0,
         events: 12000,
         tables: 300,
@@ -165,115 +166,121 @@
     },
 ];
 
-fn class(payoff: f64, threads: f64, expected: f64, repeat: Effect) -> Terms {
+fn class_policy_of(value: f64, threads: f64, expected: f64, repeat: Effect) -> ClassPolicy {
     let (expected_stretch, window) = (2.0, 1500.0);
-    Terms { expected, expected_stretch, payoff, threads, repeat, window, ..Default::default() }
+    ClassPolicy { expected, expected_stretch, value, threads, repeat, window, ..Default::default() }
 }
 
-fn few(bands: Vec<Terms>) -> Mandate {
+fn few(classes: Vec<ClassPolicy>) -> PolicyConfig {
     let kinds = [(8.0, 8192.0), (16.0, 32768.0), (4.0, 4096.0)];
-    Mandate {
+    PolicyConfig {
         gateways: 2.0,
-        bands,
+        classes,
         kinds: kinds.map(|(cores, memory_mb)| Kind { cores, memory_mb }).to_vec(),
         most_grant: 0.5,
         priorities_heeded: true,
         lines_up: true,
         tries_marked: true,
         may_withdraw: true,
-        come_back_most: 700.0,
-        most_forwards: 4,
+        max_retry_after: 700.0,
+        max_attempts: 4,
         must_subscribe: true,
-        cold_from: 0.3,
-        warm_after: 8000.0,
+        slow_start_from: 0.3,
+        slow_start_duration: 8000.0,
         fall_multiple: 3.0,
         fall_span: 1000.0,
-        ration: Some(Ration { spare: 3.0, share: 0.1, span: 2000.0 }),
-        key_rest: 300.0,
+        retry_budget: Some(RetryBudget { spare: 3.0, share: 0.1, span: 2000.0 }),
+        key_quarantine: 300.0,
         tick: 5.0,
         ..Default::default()
     }
 }
 
-fn classes() -> Mandate {
+fn class_list() -> PolicyConfig {
     let mut m = few(vec![
-        class(1.0, 1.0, 400.0, Effect::Idempotent),
-        class(6.0, 4.0, 3000.0, Effect::NonIdempotent),
-        class(2.0, 1.0, 500.0, Effect::Deduplicated(Within::All)),
-        class(2.0, 2.0, 500.0, Effect::Deduplicated(Within::Zone)),
-        class(3.0, 1.0, 600.0, Effect::Deduplicated(Within::MarkGroup)),
+        class_policy_of(1.0, 1.0, 400.0, Effect::Idempotent),
+        class_policy_of(6.0, 4.0, 3000.0, Effect::NonIdempotent),
+        class_policy_of(2.0, 1.0, 500.0, Effect::Deduplicated(Within::All)),
+        class_policy_of(2.0, 2.0, 500.0, Effect::Deduplicated(Within::Zone)),
+        class_policy_of(3.0, 1.0, 600.0, Effect::Deduplicated(Within::MarkGroup)),
     ]);
-    (m.bands[0].in_order, m.bands[2].in_order) = (true, true);
-    m.bands[1].zones = Some(vec![0]);
-    m.bands[3].kinds = Some(vec![1, 2]);
+    (m.classes[0].in_order, m.classes[2].in_order) = (true, true);
+    m.classes[1].zones = Some(vec![0]);
+    m.classes[3].kinds = Some(vec![1, 2]);
     m
 }
 
-fn grants() -> Mandate {
+fn grants() -> PolicyConfig {
     let mut m = few(vec![
-        class(1.0, 1.0, 300.0, Effect::Idempotent),
-        class(9.0, 4.0, 4000.0, Effect::Idempotent),
-        class(4.0, 2.0, 1000.0, Effect::NonIdempotent),
+        class_policy_of(1.0, 1.0, 300.0, Effect::Idempotent),
+        class_policy_of(9.0, 4.0, 4000.0, Effect::Idempotent),
+        class_policy_of(4.0, 2.0, 1000.0, Effect::NonIdempotent),
     ]);
     (m.gateways, m.grants_heeded, m.most_grant) = (3.0, true, 0.25);
-    m.bands[2].holds = true;
-    m.ration = None;
+    m.classes[2].holds = true;
+    m.retry_budget = None;
     m
 }
 
-fn no_line() -> Mandate {
+fn no_line() -> PolicyConfig {
     let mut m = few(vec![
-        class(1.0, 1.0, 300.0, Effect::Idempotent),
-        class(5.0, 6.0, 3000.0, Effect::Deduplicated(Within::Zone)),
-        class(2.0, 2.0, 800.0, Effect::NonIdempotent),
+        class_policy_of(1.0, 1.0, 300.0, Effect::Idempotent),
+        class_policy_of(5.0, 6.0, 3000.0, Effect::Deduplicated(Within::Zone)),
+        class_policy_of(2.0, 2.0, 800.0, Effect::NonIdempotent),
     ]);
     (m.gateways, m.lines_up, m.tries_marked, m.may_withdraw, m.must_subscribe) =
         (4.0, false, false, false, false);
-    (m.priorities_heeded, m.grants_heeded, m.most_forwards) = (false, true, 3);
-    (m.bands[2].in_order, m.bands[2].kinds) = (true, Some(vec![0, 1]));
+    (m.priorities_heeded, m.grants_heeded, m.max_attempts) = (false, true, 3);
+    (m.classes[2].in_order, m.classes[2].kinds) = (true, Some(vec![0, 1]));
     m.reports = vec![Load::Held, Load::Other];
     m
 }
 
-fn crowd() -> Mandate {
+fn crowd() -> PolicyConfig {
     let mut m = few(vec![
-        class(1.0, 1.0, 400.0, Effect::Idempotent),
-        class(8.0, 4.0, 4000.0, Effect::Deduplicated(Within::All)),
-        class(2.0, 2.0, 900.0, Effect::NonIdempotent),
+        class_policy_of(1.0, 1.0, 400.0, Effect::Idempotent),
+        class_policy_of(8.0, 4.0, 4000.0, Effect::Deduplicated(Within::All)),
+        class_policy_of(2.0, 2.0, 900.0, Effect::NonIdempotent),
     ]);
     (m.gateways, m.may_probe, m.grants_heeded) = (300.0, true, true);
     m.reports = vec![Load::Share, Load::Other, Load::Held];
-    m.bands[0].in_order = true;
+    m.classes[0].in_order = true;
     m
 }
 
 /// The policy after a change: a class out of service or back, other limits, a further class.
-fn changed(mut m: Mandate, draw: &mut Draw) -> Mandate {
-    let (n, crowd) = (m.bands.len(), m.gateways >= 100.0);
+fn changed(mut m: PolicyConfig, draw: &mut Draw) -> PolicyConfig {
+    let (n, crowd) = (m.classes.len(), m.gateways >= 100.0);
     let b = draw.below(n as u64) as usize;
     match draw.below(10) {
-        0 | 1 => m.bands[b].closed = !m.bands[b].closed,
-        2 => m.bands[b].window = draw.between(100.0, 4000.0),
-        3 => m.bands[b].zones = [None, Some(vec![0]), Some(vec![1])][draw.below(3) as usize].clone(),
-        4 => m.bands[b].kinds = [None, Some(vec![0, 2]), Some(vec![1])][draw.below(3) as usize].clone(),
+        0 | 1 => m.classes[b].closed = !m.classes[b].closed,
+        2 => m.classes[b].window = draw.between(100.0, 4000.0),
+        3 => m.classes[b].zones = [None, Some(vec![0]), Some(vec![1])][draw.below(3) as usize].clone(),
+        4 => m.classes[b].kinds = [None, Some(vec![0, 2]), Some(vec![1])][draw.below(3) as usize].clone(),
         5 => {
-            (m.bands[b].payoff, m.bands[b].expected_stretch) =
+            (m.classes[b].value, m.classes[b].expected_stretch) =
                 (draw.between(0.5, 9.0), draw.between(1.5, 4.0))
         }
         6 => m.gateways = if crowd { draw.between(200.0, 400.0) } else { draw.between(1.0, 6.0) }.floor(),
         7 => {
-            (m.most_forwards, m.ration) = (
+            (m.max_attempts, m.retry_budget) = (
                 1 + draw.below(5) as u8,
-                draw.chance(0.8).then(|| Ration { spare: 2.0, share: draw.between(0.0, 0.3), span: 1500.0 }),
+                draw.chance(0.8).then(|| RetryBudget {
+                    spare: 2.0,
+                    share: draw.between(0.0, 0.3),
+                    span: 1500.0,
+                }),
             )
         }
-        8 if n < 8 => m.bands.push(class(2.0, 1.0, 700.0, Effect::Idempotent)),
+        8 if n < 8 => m.classes.push(class_policy_of(2.0, 1.0, 700.0, Effect::Idempotent)),
         8 => (m.may_withdraw, m.lines_up) = (draw.chance(0.7), draw.chance(0.7)),
-        _ => (m.cold_from, m.kinds[0].cores) = (draw.between(0.2, 0.8), draw.between(6.0, 12.0).floor()),
+        _ => {
+            (m.slow_start_from, m.kinds[0].cores) = (draw.between(0.2, 0.8), draw.between(6.0, 12.0).floor())
+        }
     }
     // Most classes stay in service.
-    if m.bands.iter().filter(|t| t.closed).count() * 2 > m.bands.len() {
-        m.bands.iter_mut().for_each(|t| t.closed = false);
+    if m.classes.iter().filter(|t| t.closed).count() * 2 > m.classes.len() {
+        m.classes.iter_mut().for_each(|t| t.closed = false);
     }
     m
 }
@@ -322,9 +329,9 @@
 enum Action {
     Attempt(usize, usize, f64),
     Withdraw(usize, u8),
-    Terms(usize, u8, f64),
+    ClassPolicy(usize, u8, f64),
     Reject(usize, f64),
-    Scrap(usize),
+    Fail(usize),
     Subscribe,
     Probe(usize),
     Wake(f64),
@@ -333,29 +340,29 @@
 }
 
 #[derive(Default)]
-struct Actions(Vec<Action>);
+struct RecordedActions(Vec<Action>);
 
-impl Outlet for Actions {
-    fn attempt(&mut self, request: usize, endpoint: usize, by: f64) {
-        self.0.push(Action::Attempt(request, endpoint, by));
+impl Actions for RecordedActions {
+    fn attempt(&mut self, request: usize, endpoint_model: usize, by: f64) {
+        self.0.push(Action::Attempt(request, endpoint_model, by));
     }
     fn withdraw(&mut self, request: usize, nth: u8) {
         self.0.push(Action::Withdraw(request, nth));
     }
-    fn terms(&mut self, request: usize, priority: u8, grant_mb: f64) {
-        self.0.push(Action::Terms(request, priority, grant_mb));
+    fn set_priority(&mut self, request: usize, priority: u8, grant_mb: f64) {
+        self.0.push(Action::ClassPolicy(request, priority, grant_mb));
     }
-    fn reject(&mut self, request: usize, come_back: f64) {
-        self.0.push(Action::Reject(request, come_back));
+    fn reject(&mut self, request: usize, retry_after: f64) {
+        self.0.push(Action::Reject(request, retry_after));
     }
-    fn scrap(&mut self, request: usize) {
-        self.0.push(Action::Scrap(request));
+    fn fail(&mut self, request: usize) {
+        self.0.push(Action::Fail(request));
     }
     fn subscribe(&mut self) {
         self.0.push(Action::Subscribe);
     }
-    fn probe(&mut self, endpoint: usize) {
-        self.0.push(Action::Probe(endpoint));
+    fn probe(&mut self, endpoint_model: usize) {
+        self.0.push(Action::Probe(endpoint_model));
     }
     fn wake(&mut self, after: f64) {
         self.0.push(Action::Wake(after));
@@ -370,9 +377,9 @@
 
 /// A call of the module.
 enum Call {
-    Roster(bool, Vec<Listed>),
+    Endpoints(bool, Vec<Endpoint>),
     RosterLost,
-    Take(usize, Submission),
+    Take(usize, Request),
     Confine(usize, u64),
     Outcome(usize, Outcome, bool),
     Progress(usize, f64),
@@ -380,16 +387,16 @@
     Left(usize),
     Closed(usize),
     Ending(f64),
-    Tenure(f64),
+    Lease(f64),
     RestKeys(f64),
-    Amend(Mandate),
+    Amend(PolicyConfig),
     Due,
 }
 
 /// What the host does next; requests and attempts are named by their index and their serial number.
 enum Event {
     Arrive,
-    Again(Submission),
+    Again(Request),
     End(usize, u64),
     Progress(usize, u64),
     Wake,
@@ -401,23 +408,23 @@
     Close(usize, u64),
     Confine(usize, u64),
     PolicyChanges,
-    Tenure,
+    Lease,
     RestKeys,
     Ending,
 }
 
 struct Running {
     serial: u64,
-    endpoint: usize,
+    endpoint_model: usize,
     sent: f64,
     ends: f64,
     outcome: Outcome,
     withdrawn: bool,
 }
 
-struct Request {
+struct RequestModel {
     serial: u64,
-    of: Submission,
+    of: Request,
     limit: f64,
     /// Has its answer, or its client has left.
     over: bool,
@@ -425,8 +432,8 @@
     running: Option<Running>,
 }
 
-struct Endpoint {
-    line: Listed,
+struct EndpointModel {
+    line: Endpoint,
     slow: f64,
     failing: f64,
     busy: u64,
@@ -435,31 +442,31 @@
 struct Host<'a> {
     scenario: &'a Scenario,
     counts: &'a mut BTreeMap<String, u64>,
-    policy: Mandate,
+    policy: PolicyConfig,
     gateway: Gateway,
     draw: Draw,
     hash: Hash,
     now: f64,
     serial: u64,
     queue: BTreeMap<(u64, u64), Event>,
-    requests: Vec<Option<Request>>,
+    requests: Vec<Option<RequestModel>>,
     free: Vec<usize>,
-    endpoints: Vec<Endpoint>,
+    endpoint_models: Vec<EndpointModel>,
     until: f64,
 }
 
 impl<'a> Host<'a> {
     fn new(scenario: &'a Scenario, counts: &'a mut BTreeMap<String, u64>) -> Self {
         let policy = (scenario.policy)();
-        let endpoints = (0..scenario.endpoints).map(|i| {
+        let endpoint_models = (0..scenario.endpoint_models).map(|i| {
             let (zone, kind, marks) = (i as u16 % 2, i as u16 / 2 % 3, i as u16 / 2);
-            let (id, cells, standing) = (1000 + 7 * i as u64, 1 << (i % 3), Standing::Ready);
-            let line = Listed { engine: i, id, zone, kind, marks, cells, standing, since: 0.0 };
-            Endpoint { line, slow: 1.0, failing: 0.0, busy: 0 }
+            let (id, cells, state) = (1000 + 7 * i as u64, 1 << (i % 3), EndpointState::Ready);
+            let line = Endpoint { engine: i, id, zone, kind, marks, cells, state, since: 0.0 };
+            EndpointModel { line, slow: 1.0, failing: 0.0, busy: 0 }
         });
         Host {
             gateway: Gateway::new(policy.clone(), scenario.seed),
-            endpoints: endpoints.collect(),
+            endpoint_models: endpoint_models.collect(),
             scenario,
             counts,
             policy,
@@ -490,13 +497,13 @@
     }
 
     fn play(mut self) -> u64 {
-        let lines = self.endpoints.iter().map(|e| e.line).collect();
-        self.call(Call::Roster(true, lines));
+        let lines = self.endpoint_models.iter().map(|e| e.line).collect();
+        self.call(Call::Endpoints(true, lines));
         let scheduled = [(0.0, Event::Arrive), (300.0, Event::EndpointChanges), (5000.0, Event::RosterLost)];
         scheduled.into_iter().for_each(|(time, event)| self.after(time, event));
         if self.scenario.changes {
             let further = [
-                (50.0, Event::Tenure),
+                (50.0, Event::Lease),
                 (900.0, Event::PolicyChanges),
                 (4000.0, Event::RestKeys),
                 (15_000.0, Event::Ending),
@@ -537,7 +544,7 @@
             }
             Event::Wake => self.call(Call::Due),
             Event::Report(i, asked) => {
-                let (e, reports) = (&self.endpoints[i], &self.policy.reports);
+                let (e, reports) = (&self.endpoint_models[i], &self.policy.reports);
                 let cores = self.policy.kinds[e.line.kind as usize].cores;
                 let (share, held) = (e.busy as f64 / cores * e.slow, e.busy as f64);
                 let values = reports.iter().map(|what| match what {
@@ -555,8 +562,8 @@
                 }
             }
             Event::AllEndpoints => {
-                let lines = self.endpoints.iter().map(|e| e.line).collect();
-                self.call(Call::Roster(true, lines));
+                let lines = self.endpoint_models.iter().map(|e| e.line).collect();
+                self.call(Call::Endpoints(true, lines));
             }
             Event::EndpointChanges => self.endpoint_changes(),
             Event::RosterLost => {
@@ -586,12 +593,12 @@
                 let next = self.draw.between(200.0, 1500.0);
                 self.after(next, Event::PolicyChanges);
             }
-            Event::Tenure => {
+            Event::Lease => {
                 self.until = self.now + self.draw.between(900.0, 1500.0);
-                self.call(Call::Tenure(self.until));
+                self.call(Call::Lease(self.until));
                 // Now and then it is renewed too late.
                 let next = if self.draw.chance(0.1) { 2500.0 } else { 500.0 };
-                self.after(next, Event::Tenure);
+                self.after(next, Event::Lease);
             }
             Event::RestKeys => {
                 let until = self.now + self.draw.between(50.0, 600.0);
@@ -610,18 +617,18 @@
     }
 
     /// A request as a client would send it.
-    fn request(&mut self) -> Submission {
+    fn request(&mut self) -> Request {
         let (s, d) = (self.scenario, &mut self.draw);
         let narrow = d.chance(0.6);
-        let band = if narrow { 0 } else { d.below(self.policy.bands.len() as u64) as usize };
-        let terms = &self.policy.bands[band];
+        let class = if narrow { 0 } else { d.below(self.policy.classes.len() as u64) as usize };
+        let terms = &self.policy.classes[class];
         let mut work = terms.expected * terms.threads / 4.0 * d.between(0.1, 1.6);
         if d.chance(0.05) {
             work *= 4.0;
         }
         let time = terms.expected + terms.expected_stretch * work / terms.threads;
-        Submission {
-            band,
+        Request {
+            class,
             key: if s.keys > 0 { d.below(s.keys + 1) } else { 0 },
             left: if d.chance(0.1) { time * d.between(0.1, 1.0) } else { time * d.between(1.2, 3.0) },
             work: d.chance(0.7).then(|| work * d.between(0.6, 1.6)),
@@ -632,7 +639,7 @@
         }
     }
 
-    fn arrive(&mut self, of: Submission) {
+    fn arrive(&mut self, of: Request) {
         let serial = self.serial();
         let index = self.free.pop().unwrap_or(self.requests.len());
         if index == self.requests.len() {
@@ -640,11 +647,12 @@
         } else {
             self.count("seen index used again");
         }
-        if self.policy.bands[of.band].closed {
+        if self.policy.classes[of.class].closed {
             self.count("seen request to a class out of service");
         }
         let limit = self.now + of.left;
-        self.requests[index] = Some(Request { serial, of, limit, over: false, attempts: 0, running: None });
+        self.requests[index] =
+            Some(RequestModel { serial, of, limit, over: false, attempts: 0, running: None });
         for (chance, event) in [
             (0.04, Event::Leave(index, serial)),
             (0.03, Event::Close(index, serial)),
@@ -672,8 +680,9 @@
         }
         let request = self.requests[index].as_mut().expect("it runs");
         let run = request.running.take().expect("it runs");
-        let threads = self.policy.bands[request.of.band].threads as u64;
-        self.endpoints[run.endpoint].busy = self.endpoints[run.endpoint].busy.saturating_sub(threads);
+        let threads = self.policy.classes[request.of.class].threads as u64;
+        self.endpoint_models[run.endpoint_model].busy =
+            self.endpoint_models[run.endpoint_model].busy.saturating_sub(threads);
         let settled = matches!(run.outcome, Outcome::Settled(_));
         // Some errors are final answers.
         let last = settled || run.outcome == Outcome::Error && self.draw.chance(0.2);
@@ -686,24 +695,24 @@
     fn endpoint_changes(&mut self) {
         let next = self.draw.between(100.0, 900.0);
         self.after(next, Event::EndpointChanges);
-        let off = self.endpoints.iter().position(|e| e.line.standing != Standing::Ready);
-        let any = self.draw.below(self.endpoints.len() as u64) as usize;
+        let off = self.endpoint_models.iter().position(|e| e.line.state != EndpointState::Ready);
+        let any = self.draw.below(self.endpoint_models.len() as u64) as usize;
         let back = off.filter(|_| self.draw.chance(0.6));
         let i = back.unwrap_or(any);
         let (kind, now, serial) = (self.draw.below(8), self.now, self.serial());
-        let e = &mut self.endpoints[i];
+        let e = &mut self.endpoint_models[i];
         match kind {
             _ if back.is_some() => {
-                let again = e.line.standing == Standing::Draining && kind < 4;
-                e.line.standing = Standing::Ready;
+                let again = e.line.state == EndpointState::Draining && kind < 4;
+                e.line.state = EndpointState::Ready;
                 (e.slow, e.failing) = (1.0, 0.0);
                 e.line.since = if again { e.line.since } else { now };
             }
             0 | 1 => (e.slow, e.failing) = (1.0, 0.0),
             2 => e.slow = self.draw.between(2.0, 9.0),
             3 => e.failing = self.draw.between(0.5, 1.0),
-            4 => e.line.standing = Standing::Draining,
-            5 => e.line.standing = Standing::Gone,
+            4 => e.line.state = EndpointState::Draining,
+            5 => e.line.state = EndpointState::Gone,
             6 => e.line.since = now,
             _ => (e.line.id, e.line.since) = (100_000 + serial, now),
         }
@@ -711,7 +720,7 @@
         if lost {
             for index in 0..self.requests.len() {
                 let Some(r) = self.requests[index].as_mut() else { continue };
-                if let Some(run) = r.running.as_mut().filter(|run| run.endpoint == i) {
+                if let Some(run) = r.running.as_mut().filter(|run| run.endpoint_model == i) {
                     (run.outcome, run.ends) = (Outcome::Reset, now + 1.0);
                     let serial = run.serial;
                     self.after(1.0, Event::End(index, serial));
@@ -719,16 +728,17 @@
             }
         }
         if self.draw.chance(0.9) {
-            self.call(Call::Roster(false, vec![line]));
+            self.call(Call::Endpoints(false, vec![line]));
         } else {
             self.event(Event::AllEndpoints);
         }
     }
 
     /// How an attempt will end, and after what time.
-    fn fate(&mut self, index: usize, endpoint: usize, by: f64) -> (f64, Outcome) {
+    fn fate(&mut self, index: usize, endpoint_model: usize, by: f64) -> (f64, Outcome) {
         let of = self.requests[index].as_ref().expect("it is attempted").of;
-        let (terms, d, e) = (&self.policy.bands[of.band], &mut self.draw, &self.endpoints[endpoint]);
+        let (terms, d, e) =
+            (&self.policy.classes[of.class], &mut self.draw, &self.endpoint_models[endpoint_model]);
         let cores = self.policy.kinds[e.line.kind as usize].cores;
         if by < self.now || d.chance(0.02) {
             return (d.between(0.5, 3.0), Outcome::Unsent);
@@ -761,16 +771,16 @@
 
     /// Calls the module, and does what it asks for.
     fn call(&mut self, call: Call) {
-        let (mut out, now, g) = (Actions::default(), self.now, &mut self.gateway);
+        let (mut out, now, g) = (RecordedActions::default(), self.now, &mut self.gateway);
         let progress = matches!(call, Call::Progress(..));
         let mut outcome = None;
         let name = match call {
-            Call::Roster(full, lines) => {
-                g.roster(now, full, &lines, &mut out);
+            Call::Endpoints(full, lines) => {
+                g.update_endpoints(now, full, &lines, &mut out);
                 ["call roster", "call roster, full"][full as usize]
             }
             Call::RosterLost => {
-                g.roster_lost(now, &mut out);
+                g.endpoint_watch_lost(now, &mut out);
                 "call roster_lost"
             }
             Call::Take(index, of) => {
@@ -801,8 +811,8 @@
                 g.progress(now, index, share, &mut out);
                 "call progress"
             }
-            Call::Report(endpoint, values) => {
-                g.report(now, endpoint, &values, &mut out);
+            Call::Report(endpoint_model, values) => {
+                g.report(now, endpoint_model, &values, &mut out);
                 "call report"
             }
             Call::Left(index) => {
@@ -817,12 +827,12 @@
                 g.ending(now, at, &mut out);
                 "call ending"
             }
-            Call::Tenure(until) => {
-                g.tenure(now, until, &mut out);
+            Call::Lease(until) => {
+                g.renew_lease(now, until, &mut out);
                 "call tenure"
             }
             Call::RestKeys(until) => {
-                g.rest_keys(until);
+                g.quarantine_keys(until);
                 "call rest_keys"
             }
             Call::Amend(policy) => {
@@ -848,9 +858,11 @@
         match action {
             Action::Attempt(r, e, by) => h.all(&[1, *r as u64, *e as u64, by.to_bits()]),
             Action::Withdraw(r, nth) => h.all(&[2, *r as u64, *nth as u64]),
-            Action::Terms(r, priority, grant) => h.all(&[3, *r as u64, *priority as u64, grant.to_bits()]),
+            Action::ClassPolicy(r, priority, grant) => {
+                h.all(&[3, *r as u64, *priority as u64, grant.to_bits()])
+            }
             Action::Reject(r, back) => h.all(&[4, *r as u64, back.to_bits()]),
-            Action::Scrap(r) => h.all(&[5, *r as u64]),
+            Action::Fail(r) => h.all(&[5, *r as u64]),
             Action::Subscribe => h.all(&[6]),
             Action::Probe(e) => h.all(&[7, *e as u64]),
             Action::Wake(after) => h.all(&[8, after.to_bits()]),
@@ -864,18 +876,18 @@
 
     fn carry_out(&mut self, action: Action, progress: bool) {
         match action {
-            Action::Attempt(index, endpoint, by) => {
+            Action::Attempt(index, endpoint_model, by) => {
                 self.count("action attempt");
-                self.sanity(endpoint);
-                let (time, outcome) = self.fate(index, endpoint, by);
+                self.sanity(endpoint_model);
+                let (time, outcome) = self.fate(index, endpoint_model, by);
                 let (serial, sent) = (self.serial(), self.now);
                 let r = self.requests[index].as_mut().expect("it was taken");
                 assert!(r.running.is_none() && !r.over, "{}: request {index}", self.scenario.name);
                 r.attempts += 1;
                 let further = r.attempts > 1;
-                self.endpoints[endpoint].busy += self.policy.bands[r.of.band].threads as u64;
+                self.endpoint_models[endpoint_model].busy += self.policy.classes[r.of.class].threads as u64;
                 let ends = sent + time;
-                r.running = Some(Running { serial, endpoint, sent, ends, outcome, withdrawn: false });
+                r.running = Some(Running { serial, endpoint_model, sent, ends, outcome, withdrawn: false });
                 if further {
                     self.count("seen further attempt");
                 }
@@ -905,25 +917,25 @@
                     self.after(time, Event::End(index, serial));
                 }
             }
-            Action::Terms(..) => self.count("action terms"),
-            Action::Reject(index, come_back) => {
+            Action::ClassPolicy(..) => self.count("action terms"),
+            Action::Reject(index, retry_after) => {
                 self.count("action reject");
                 let late = self.answered(index);
                 let mut of = self.requests[index].as_ref().expect("it was taken").of;
-                let most = self.policy.come_back_most;
-                match come_back {
+                let most = self.policy.max_retry_after;
+                match retry_after {
                     _ if self.now >= self.until => {}
                     0.0 => assert!(late, "{}: request {index}", self.scenario.name),
-                    _ if come_back != most => panic!("{}: advice of {come_back} ms", self.scenario.name),
-                    _ if self.policy.bands[of.band].closed => {}
+                    _ if retry_after != most => panic!("{}: advice of {retry_after} ms", self.scenario.name),
+                    _ if self.policy.classes[of.class].closed => {}
                     _ => self.count("rule reject"),
                 }
-                if come_back > 0.0 && self.draw.chance(0.3) {
+                if retry_after > 0.0 && self.draw.chance(0.3) {
                     (of.later_try, of.left) = (true, of.left * 0.7);
-                    self.after(come_back, Event::Again(of));
+                    self.after(retry_after, Event::Again(of));
                 }
             }
-            Action::Scrap(index) => {
+            Action::Fail(index) => {
                 self.count("action scrap");
                 self.answered(index);
             }
@@ -931,11 +943,11 @@
                 self.count("action subscribe");
                 self.after(20.0, Event::AllEndpoints);
             }
-            Action::Probe(endpoint) => {
+            Action::Probe(endpoint_model) => {
                 self.count("action probe");
                 if self.draw.chance(0.9) {
                     let time = self.draw.between(0.5, 40.0);
-                    self.after(time, Event::Report(endpoint, true));
+                    self.after(time, Event::Report(endpoint_model, true));
                 }
             }
             Action::Wake(after) => {
@@ -968,19 +980,19 @@
     }
 
     /// An attempt goes to an endpoint that is listed and ready; what it was for is counted.
-    fn sanity(&mut self, endpoint: usize) {
-        let view = self.gateway.engine_view(endpoint).expect("it is listed");
-        assert_eq!(view.standing, Standing::Ready, "{}: endpoint {endpoint}", self.scenario.name);
+    fn sanity(&mut self, endpoint_model: usize) {
+        let view = self.gateway.engine_view(endpoint_model).expect("it is listed");
+        assert_eq!(view.state, EndpointState::Ready, "{}: endpoint {endpoint_model}", self.scenario.name);
         if view.aside.is_some() {
             self.count("seen trickle attempt to an endpoint set aside");
         }
     }
 
     fn views(&mut self) {
-        for i in 0..self.endpoints.len() {
+        for i in 0..self.endpoint_models.len() {
             let view = self.gateway.engine_view(i).expect("it is listed");
             let h = &mut self.hash;
-            h.all(&[100, i as u64, view.standing as u64, view.failures as u64, view.seen as u64]);
+            h.all(&[100, i as u64, view.state as u64, view.failures as u64, view.seen as u64]);
             h.all(&[view.cores, view.threads, view.stretch, view.full_until].map(f64::to_bits));
             h.float(view.report.map(|r| r.0));
             h.float(view.report.map(|r| r.1));
@@ -990,8 +1002,8 @@
                 self.count("seen cold endpoint with its share used up");
             }
         }
-        for b in 0..self.policy.bands.len() {
-            let view = self.gateway.band_view(b).expect("it is in the policy");
+        for b in 0..self.policy.classes.len() {
+            let view = self.gateway.class_view(b).expect("it is in the policy");
             let h = &mut self.hash;
             h.all(&[101, b as u64, view.waiting as u64]);
             h.all(&[view.threads, view.charged, view.weight, view.usual].map(f64::to_bits));
