--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -16,7 +16,7 @@
 
 /// One revision as it is shown and remembered, without its document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RevisionSummary {
     pub number: u64,
     pub who: String,
     /// Unix time in ms.
@@ -34,13 +34,14 @@
     /// All that is known: what the configuration file said, what runs, and the revisions remembered.
     Whole(Kept<D>),
     Set {
-        line: Line,
+        line: RevisionSummary,
         document: D,
     },
     Confirmed {
         number: u64,
     },
-    TakenBack {
+    #[serde(rename = "taken-back")]
+    RolledBack {
         number: u64,
     },
 }
@@ -54,7 +55,7 @@
     /// The number of the revision that runs, 0 for what was told, and of the next.
     pub number: u64,
     pub next: u64,
-    pub lines: VecDeque<Line>,
+    pub lines: VecDeque<RevisionSummary>,
 }
 
 /// What a start found worth a line in the log.
@@ -66,8 +67,8 @@
     Revision(u64),
     /// The told file has changed since: it runs, and the revisions are history.
     ToldAnew,
-    /// A revision waited to be confirmed: it is taken back.
-    TakenBack(u64),
+    /// A revision waited to be confirmed: it is rolled back.
+    RolledBack(u64),
 }
 
 impl<D: Clone + PartialEq> Kept<D> {
@@ -89,7 +90,7 @@
             match (record, &mut kept) {
                 (Record::Whole(whole), _) => (kept, trial) = (Some(whole), None),
                 (Record::Set { line, document }, Some(kept)) => {
-                    // Nothing is set upon a trial: that one was taken back, and the record of it was lost.
+                    // Nothing is set upon a trial: that one was rolled back, and the record of it was lost.
                     if let Some((_, before)) = trial.take() {
                         kept.take_back(before);
                     }
@@ -110,7 +111,7 @@
                         kept.mark(RevisionState::Running);
                     }
                 }
-                (Record::TakenBack { number }, Some(kept)) => {
+                (Record::RolledBack { number }, Some(kept)) => {
                     if let Some((_, before)) = trial.take_if(|t| t.0 == number) {
                         kept.take_back(before);
                     }
@@ -125,7 +126,7 @@
         let mut found = Found::Revision(kept.number);
         if let Some((number, before)) = trial {
             kept.take_back(before);
-            found = Found::TakenBack(number);
+            found = Found::RolledBack(number);
         }
         if kept.told != told {
             kept.mark(RevisionState::Replaced);
@@ -145,7 +146,7 @@
     }
 
     fn take_back(&mut self, before: (u64, D)) {
-        self.mark(RevisionState::TakenBack);
+        self.mark(RevisionState::RolledBack);
         (self.number, self.running) = before;
         self.mark(RevisionState::Running);
     }
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -219,7 +219,7 @@
 }
 
 /// What the gateway was told and the document made of that; every policy config is made from both, so that what was
-/// not changed keeps its figure to the last digit, also after a change was taken back.
+/// not changed keeps its figure to the last digit, also after a change was rolled back.
 #[derive(Clone)]
 pub struct Origin {
     pub policy_config: PolicyConfig,
--- a/crates/config-change/src/revisions.rs
+++ b/crates/config-change/src/revisions.rs
@@ -2,9 +2,9 @@
 //!
 //! One input at a time is handed to [`Ledger::on`], which goes through `RULES` in order after each until none
 //! fires. What it asks for is carried out in its order: a record is on the disk before its revision is applied or
-//! its caller answered, but for a change that is taken back, which waits for no disk.
+//! its caller answered, but for a change that is rolled back, which waits for no disk.
 
-use crate::journal::{Kept, Line, Record};
+use crate::journal::{Kept, Record, RevisionSummary};
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -40,7 +40,8 @@
     Running,
     Unconfirmed,
     Replaced,
-    TakenBack,
+    #[serde(rename = "taken-back")]
+    RolledBack,
 }
 
 /// What somebody asks for.
@@ -103,7 +104,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Trial<D> {
+struct PendingConfirmation<D> {
     id: String,
     until: Ms,
     /// What ran before, and under which number.
@@ -113,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Write<D> {
     Set {
-        line: Line,
+        line: RevisionSummary,
         document: D,
         commit: Option<(String, Ms)>,
     },
@@ -126,8 +127,8 @@
     running: D,
     number: u64,
     next: u64,
-    lines: VecDeque<Line>,
-    trial: Option<Trial<D>>,
+    lines: VecDeque<RevisionSummary>,
+    trial: Option<PendingConfirmation<D>>,
     durable: bool,
     now: Ms,
     asked: Option<Ask<D>>,
@@ -170,7 +171,7 @@
         &self.running
     }
 
-    pub fn lines(&self) -> &VecDeque<Line> {
+    pub fn lines(&self) -> &VecDeque<RevisionSummary> {
         &self.lines
     }
 
@@ -185,13 +186,13 @@
     }
 
     /// What would run after a restart now, its number, and the revisions as they would stand then.
-    pub fn firm(&self) -> (u64, D, VecDeque<Line>) {
+    pub fn firm(&self) -> (u64, D, VecDeque<RevisionSummary>) {
         let Some(trial) = &self.trial else {
             return (self.number, self.running.clone(), self.lines.clone());
         };
         let mut after = self.clone();
         let (number, running) = trial.before.clone();
-        after.mark(RevisionState::TakenBack);
+        after.mark(RevisionState::RolledBack);
         after.number = number;
         after.mark(RevisionState::Running);
         (number, running, after.lines)
@@ -263,14 +264,14 @@
                 let number = line.number;
                 // The time runs from here, where the settings begin to: a slow disk does not eat it up.
                 let until = commit.as_ref().map(|c| self.now + c.1);
-                self.lines.push_back(Line { until, ..line });
+                self.lines.push_back(RevisionSummary { until, ..line });
                 if self.lines.len() > REMEMBERED {
                     self.lines.pop_front();
                 }
                 let before = std::mem::replace(&mut self.running, document.clone());
                 let before = (std::mem::replace(&mut self.number, number), before);
                 self.next = number + 1;
-                self.trial = commit.map(|(id, span)| Trial {
+                self.trial = commit.map(|(id, span)| PendingConfirmation {
                     id,
                     until: self.now + span,
                     before,
@@ -300,7 +301,7 @@
             return false;
         };
         let number = self.number;
-        self.mark(RevisionState::TakenBack);
+        self.mark(RevisionState::RolledBack);
         (self.number, self.running) = trial.before;
         self.mark(RevisionState::Running);
         actions.push(Action::Apply {
@@ -308,7 +309,7 @@
             document: self.running.clone(),
         });
         if self.durable {
-            actions.push(Action::Note(Record::TakenBack { number }));
+            actions.push(Action::Note(Record::RolledBack { number }));
         }
         true
     }
@@ -357,7 +358,7 @@
         else {
             return false;
         };
-        let line = Line {
+        let line = RevisionSummary {
             number: self.next,
             who,
             when: self.now,
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -1,12 +1,14 @@
 //! Journals that are torn, spoilt or foreign at every byte.
 
-use ironstair_config_change::journal::{decode, encode, Found, Kept, Line, Record, RECORD_MOST};
+use ironstair_config_change::journal::{
+    decode, encode, Found, Kept, Record, RevisionSummary, RECORD_MOST,
+};
 use ironstair_config_change::revisions::RevisionState;
 use proptest::prelude::*;
 
-fn line(number: u64, state: RevisionState) -> Line {
+fn line(number: u64, state: RevisionState) -> RevisionSummary {
     let (who, what) = ("op".to_string(), format!("change {number}"));
-    Line {
+    RevisionSummary {
         number,
         who,
         when: 1e12,
@@ -28,7 +30,7 @@
         set(2, RevisionState::Unconfirmed),
         Record::Confirmed { number: 2 },
         set(3, RevisionState::Unconfirmed),
-        Record::TakenBack { number: 3 },
+        Record::RolledBack { number: 3 },
         set(4, RevisionState::Running),
     ]
 }
@@ -55,7 +57,7 @@
         let (kept, found) = Kept::open(records, 0);
         assert_eq!(kept.running, RUNS[whole], "{cut}");
         let trial = [3, 5].contains(&whole);
-        assert_eq!(matches!(found, Found::TakenBack(_)), trial, "{cut}");
+        assert_eq!(matches!(found, Found::RolledBack(_)), trial, "{cut}");
         assert!(ends.next().is_some());
     }
 }
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -280,7 +280,7 @@
     );
     assert_eq!(
         (l.number(), l.lines()[0].state),
-        (0, RevisionState::TakenBack)
+        (0, RevisionState::RolledBack)
     );
     let none = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
--- a/crates/coordination/src/count.rs
+++ b/crates/coordination/src/count.rs
@@ -40,10 +40,10 @@
     }
 }
 
-/// The chair's.
+/// The leader's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Count {
-    /// From when on no lease of an earlier chair is left.
+    /// From when on no lease of an earlier leader is left.
     alone_from: Ms,
     lease: Ms,
     grace: Ms,
@@ -55,7 +55,7 @@
 }
 
 impl Count {
-    /// Of a chair that sits since then; `most` is no less than any earlier chair can have told.
+    /// Of a leader that sits since then; `most` is no less than any earlier leader can have told.
     pub fn new(since: Ms, lease: Ms, grace: Ms, most: f64) -> Self {
         let (told, sharing) = Default::default();
         Count {
@@ -93,7 +93,7 @@
         let has = self.sharing.get(name) == Some(&start);
         let taken = has
             || match now < self.alone_from {
-                // What an earlier chair gave stays; nobody knows how many took.
+                // What an earlier leader gave stays; nobody knows how many took.
                 true => takes,
                 false => self.sharing.len() as f64 + 1.0 <= self.least() + 1e-9,
             };
--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -1,6 +1,6 @@
-//! What the fleet's log says up to here: the same at every keeper that has read as far.
+//! What the fleet's log says up to here: the same at every voter that has read as far.
 
-use crate::record::{Line, Record, RevisionState, Seat, Wish};
+use crate::record::{ChangeProposal, Record, RevisionState, RevisionSummary, Session};
 use crate::Policy;
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,7 @@
 
 /// What runs and waits to be confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trial<D> {
+pub struct PendingConfirmation<D> {
     pub id: String,
     pub span: Ms,
     /// What ran before, and under which number.
@@ -44,9 +44,9 @@
     /// Grows whenever what is to be held changes.
     pub mark: u64,
     pub change: Option<Change<D>>,
-    pub trial: Option<Trial<D>>,
-    pub members: BTreeMap<String, Seat>,
-    pub lines: VecDeque<Line>,
+    pub trial: Option<PendingConfirmation<D>>,
+    pub members: BTreeMap<String, Session>,
+    pub lines: VecDeque<RevisionSummary>,
     pub next: u64,
 }
 
@@ -68,7 +68,7 @@
 
 impl<D: Policy> Fleet<D> {
     /// What every member is to hold now, and its revision's number. None where this version can't read what is
-    /// to come: a chair that can't tell what is safe beside both tells nobody anything.
+    /// to come: a leader that can't tell what is safe beside both tells nobody anything.
     pub fn held(&self) -> Option<(u64, D)> {
         let (number, running) = self.running.as_ref()?;
         match self.change.as_ref().filter(|c| c.step == Step::Binding) {
@@ -103,7 +103,7 @@
                 self.lines.extend(line);
             }
             Record::Members { joined, left } => return self.seat(joined, left),
-            Record::Staged(wish) => return self.stage(wish),
+            Record::Staged(proposal) => return self.stage(proposal),
             Record::Refused { number, by, why } => {
                 let Some(change) = self.change.take_if(|c| c.number == number && !c.back) else {
                     return false;
@@ -125,8 +125,8 @@
                 self.trial = None;
                 self.mark(number, RevisionState::Running);
             }
-            Record::TakenBack { number } if self.tried(number) => {
-                let Some(Trial {
+            Record::RolledBack { number } if self.tried(number) => {
+                let Some(PendingConfirmation {
                     before: (to, document),
                     ..
                 }) = self.trial.take()
@@ -141,7 +141,7 @@
                     back: true,
                 });
                 self.mark += 1;
-                self.mark(number, RevisionState::TakenBack);
+                self.mark(number, RevisionState::RolledBack);
             }
             _ => return false,
         }
@@ -152,7 +152,7 @@
         self.trial.is_some() && self.running.as_ref().is_some_and(|r| r.0 == number)
     }
 
-    fn seat(&mut self, joined: Vec<(String, Seat)>, left: Vec<(String, u64)>) -> bool {
+    fn seat(&mut self, joined: Vec<(String, Session)>, left: Vec<(String, u64)>) -> bool {
         let was = self.members.clone();
         for (name, start) in left {
             if self.members.get(&name).is_some_and(|s| s.start == start) {
@@ -163,9 +163,9 @@
         self.members != was
     }
 
-    fn stage(&mut self, wish: Wish<D>) -> bool {
+    fn stage(&mut self, proposal: ChangeProposal<D>) -> bool {
         if self.running.is_none()
-            || self.mark != wish.upon
+            || self.mark != proposal.base_revision
             || self.change.is_some()
             || self.trial.is_some()
         {
@@ -173,7 +173,7 @@
         }
         let (
             number,
-            Wish {
+            ChangeProposal {
                 token,
                 who,
                 when,
@@ -182,11 +182,11 @@
                 commit,
                 ..
             },
-        ) = (self.next, wish);
+        ) = (self.next, proposal);
         self.next += 1;
         let id = commit.as_ref().map(|c| c.0.clone());
         let state = RevisionState::Staged;
-        self.lines.push_back(Line {
+        self.lines.push_back(RevisionSummary {
             number,
             token,
             who,
@@ -221,7 +221,7 @@
         let tried = change.commit.is_some();
         self.trial = was
             .zip(change.commit)
-            .map(|(before, (id, span))| Trial { id, span, before });
+            .map(|(before, (id, span))| PendingConfirmation { id, span, before });
         self.mark(
             change.number,
             if tried {
--- a/crates/coordination/src/history.rs
+++ b/crates/coordination/src/history.rs
@@ -1,4 +1,4 @@
-//! Which history of a fleet is the later one, where there are two: one begun anew after most of the keepers' disks
+//! Which history of a fleet is the later one, where there are two: one begun anew after most of the voters' disks
 //! were lost goes before what is left of the earlier (`docs/design/recovery.md`, promise 6).
 
 /// A history's number is 16 bits of which generation it is, and 48 that are drawn.
--- a/crates/coordination/src/chair.rs
+++ b/crates/coordination/src/leader.rs
@@ -1,10 +1,10 @@
-//! What the fleet's chair does next: who is let in, who still counts, and when a change takes its next step. Its
-//! memory is of one term: a later chair knows only the log, and waits until no lease of the earlier can be left.
+//! What the fleet's leader does next: who is let in, who still counts, and when a change takes its next step. Its
+//! memory is of one term: a later leader knows only the log, and waits until no lease of the earlier can be left.
 
 use crate::count::Count;
 use crate::fleet::{Fleet, Step};
-use crate::record::{Record, Seat, Wish};
-use crate::{grace, Answer, Beat, Policy};
+use crate::record::{ChangeProposal, Record, Session};
+use crate::{grace, Heartbeat, HeartbeatResponse, Policy};
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -19,8 +19,8 @@
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask<D> {
-    Change(Wish<D>),
+pub enum Command<D> {
+    Change(ChangeProposal<D>),
     Confirm {
         id: String,
     },
@@ -72,34 +72,34 @@
     start: u64,
     at: Ms,
     mark: u64,
-    /// No lease granted by this chair runs longer.
+    /// No lease granted by this leader runs longer.
     until: Ms,
     examined: Option<(u64, Result<(), String>)>,
     leaving: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chair<D> {
+pub struct Leader<D> {
     since: Ms,
     lease: Ms,
     heard: BTreeMap<String, Heard>,
-    knocking: BTreeMap<String, Seat>,
-    asks: Vec<Ask<D>>,
+    knocking: BTreeMap<String, Session>,
+    asks: Vec<Command<D>>,
     /// Something was handed to the log: nothing more until that has taken it.
     written: bool,
     /// Processes that go by what was handed to it, no lease for them any more, since what
     /// was found when it was written must still be so when the log takes it.
     going: BTreeMap<String, u64>,
-    /// Since when this chair knows of a process.
+    /// Since when this leader knows of a process.
     seated: BTreeMap<String, (u64, Ms)>,
     trial: Option<(u64, Ms)>,
     /// From the first look at the log on.
     count: Option<Count>,
 }
 
-type Rule<D> = fn(&Chair<D>, Ms, &Fleet<D>) -> Option<Record<D>>;
+type Rule<D> = fn(&Leader<D>, Ms, &Fleet<D>) -> Option<Record<D>>;
 
-impl<D: Policy> Chair<D> {
+impl<D: Policy> Leader<D> {
     /// In order: who is there, then the change that is under way, then what is asked.
     const RULES: [Rule<D>; 5] = [
         Self::seat,
@@ -111,7 +111,7 @@
 
     pub fn new(now: Ms, lease: Ms) -> Self {
         let (heard, knocking, asks, going, seated) = Default::default();
-        Chair {
+        Leader {
             since: now,
             lease,
             heard,
@@ -138,17 +138,22 @@
         if heard.is_some_and(|h| h.leaving) {
             return false;
         }
-        // Leases of an earlier chair are known to nobody.
+        // Leases of an earlier leader are known to nobody.
         seat.steady || now < self.since + self.grace() || heard.is_some_and(|h| h.until > now)
     }
 
-    /// A beat, once a quorum has confirmed this chair since it came.
-    pub fn beat(&mut self, now: Ms, fleet: &Fleet<D>, beat: &Beat) -> Answer<D> {
-        let known = beat.history == fleet.history;
-        let mark = if known { beat.mark } else { 0 };
-        let mut answer = Answer {
-            start: beat.start,
-            sent: beat.sent,
+    /// A heartbeat, once a quorum has confirmed this leader since it came.
+    pub fn heartbeat(
+        &mut self,
+        now: Ms,
+        fleet: &Fleet<D>,
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatResponse<D> {
+        let known = heartbeat.history == fleet.history;
+        let mark = if known { heartbeat.mark } else { 0 };
+        let mut answer = HeartbeatResponse {
+            start: heartbeat.start,
+            sent: heartbeat.sent,
             history: fleet.history,
             mark: fleet.mark,
             hold: fleet.held().filter(|_| mark != fleet.mark),
@@ -164,29 +169,29 @@
             return answer;
         }
         let staged = fleet.change.as_ref().filter(|c| c.step == Step::Staged);
-        let seen = beat.examined.as_ref().map(|e| e.0);
+        let seen = heartbeat.examined.as_ref().map(|e| e.0);
         answer.offer = staged
             .filter(|c| seen != Some(c.number))
             .map(|c| (c.number, c.document.clone()));
-        let seat = Seat {
-            start: beat.start,
-            steady: beat.steady,
-            place: beat.place.clone(),
+        let seat = Session {
+            start: heartbeat.start,
+            steady: heartbeat.steady,
+            place: heartbeat.place.clone(),
         };
-        match fleet.members.get(&beat.name) {
+        match fleet.members.get(&heartbeat.name) {
             Some(s) if *s == seat => {}
             // Not beside a process of that name that may still decide.
-            Some(s) if self.may_live(now, fleet, s, &seat, &beat.name) => {
+            Some(s) if self.may_live(now, fleet, s, &seat, &heartbeat.name) => {
                 answer.soon = true;
                 answer.why = Some(format!(
                     "another process is {} in this fleet, or was until a moment ago",
-                    beat.name
+                    heartbeat.name
                 ));
                 return answer;
             }
             _ => {
-                if !beat.leaving {
-                    self.knocking.insert(beat.name.clone(), seat);
+                if !heartbeat.leaving {
+                    self.knocking.insert(heartbeat.name.clone(), seat);
                     answer.soon = true;
                 }
                 return answer;
@@ -194,37 +199,42 @@
         }
         let grace = self.grace();
         let fresh = Heard {
-            start: beat.start,
+            start: heartbeat.start,
             at: now,
             mark: 0,
             until: 0.0,
             examined: None,
             leaving: false,
         };
-        let h = self.heard.entry(beat.name.clone()).or_insert(fresh.clone());
-        if h.start != beat.start {
+        let h = self
+            .heard
+            .entry(heartbeat.name.clone())
+            .or_insert(fresh.clone());
+        if h.start != heartbeat.start {
             *h = fresh;
         }
-        // Beats come late and twice: what a process holds and has examined only grows.
-        (h.at, h.mark, h.leaving) = (now, h.mark.max(mark), h.leaving || beat.leaving);
+        // Heartbeats come late and twice: what a process holds and has examined only grows.
+        (h.at, h.mark, h.leaving) = (now, h.mark.max(mark), h.leaving || heartbeat.leaving);
         if seen > h.examined.as_ref().map(|e| e.0) {
-            h.examined = beat.examined.clone();
+            h.examined = heartbeat.examined.clone();
         }
         // Against a member that is heard and hears nothing: it would count for good, and hold up every change.
-        let hears = beat.sent - beat.heard <= self.lease;
-        if mark == fleet.mark && hears && !h.leaving && !self.going.contains_key(&beat.name) {
+        let hears = heartbeat.sent - heartbeat.heard <= self.lease;
+        if mark == fleet.mark && hears && !h.leaving && !self.going.contains_key(&heartbeat.name) {
             h.until = h.until.max(now + grace);
             answer.lease = Some(self.lease);
-            answer.share = Some(
-                self.count(fleet)
-                    .share(now, &beat.name, beat.start, beat.shares),
-            );
+            answer.share = Some(self.count(fleet).share(
+                now,
+                &heartbeat.name,
+                heartbeat.start,
+                heartbeat.shares,
+            ));
         }
         answer
     }
 
     fn count(&mut self, fleet: &Fleet<D>) -> &mut Count {
-        // No earlier chair told more than there are members, or than it began with.
+        // No earlier leader told more than there are members, or than it began with.
         let told = fleet.running.as_ref().map_or(1.0, |r| r.1.gateways());
         let most = told.max(fleet.members.len() as f64);
         let (since, lease, grace) = (self.since, self.lease, self.grace());
@@ -237,7 +247,7 @@
         self.count.as_ref().map(Count::shown)
     }
 
-    /// What this chair knows of a member: when it was last heard, what it holds, until when its lease may run.
+    /// What this leader knows of a member: when it was last heard, what it holds, until when its lease may run.
     pub fn seen(&self, name: &str) -> Option<(Ms, u64, Ms)> {
         self.heard.get(name).map(|h| (h.at, h.mark, h.until))
     }
@@ -255,7 +265,7 @@
     }
 
     /// Whether an ask still waits for the log, or something does that may be it.
-    pub fn waits(&self, ask: &Ask<D>) -> bool {
+    pub fn waits(&self, ask: &Command<D>) -> bool {
         self.written || self.asks.contains(ask)
     }
 
@@ -263,7 +273,7 @@
     ///
     /// # Errors
     /// It can't be as things stand.
-    pub fn ask(&mut self, fleet: &Fleet<D>, ask: Ask<D>) -> Result<(), Refusal> {
+    pub fn ask(&mut self, fleet: &Fleet<D>, ask: Command<D>) -> Result<(), Refusal> {
         self.fits(fleet, &ask)?;
         if self.asks.len() >= ASKS_MOST {
             return Err(Refusal::Busy);
@@ -272,13 +282,14 @@
         Ok(())
     }
 
-    fn fits(&self, fleet: &Fleet<D>, ask: &Ask<D>) -> Result<(), Refusal> {
+    fn fits(&self, fleet: &Fleet<D>, ask: &Command<D>) -> Result<(), Refusal> {
         let (runs, running) = fleet.running.as_ref().ok_or(Refusal::NotBegun)?;
         let id = fleet.trial.as_ref().map(|t| &t.id);
         match ask {
-            Ask::Change(wish) => {
-                let asked = |a: &&Ask<D>| matches!(a, Ask::Change(_));
-                if let Some(Ask::Change(w)) = self.asks.iter().find(asked).filter(|a| *a != ask) {
+            Command::Change(proposal) => {
+                let asked = |a: &&Command<D>| matches!(a, Command::Change(_));
+                if let Some(Command::Change(w)) = self.asks.iter().find(asked).filter(|a| *a != ask)
+                {
                     return Err(Refusal::UnderWay {
                         number: fleet.next,
                         who: w.who.clone(),
@@ -294,16 +305,16 @@
                     let who = line.map(|l| l.who.clone()).unwrap_or_default();
                     return Err(Refusal::UnderWay { number, who });
                 }
-                if wish.upon != fleet.mark {
+                if proposal.base_revision != fleet.mark {
                     return Err(Refusal::Outdated { runs: *runs });
                 }
                 running
-                    .stricter(&wish.document)
+                    .stricter(&proposal.document)
                     .map(drop)
                     .ok_or(Refusal::Apart)
             }
-            Ask::Confirm { id: asked } if id == Some(asked) => Ok(()),
-            Ask::Cancel { id: asked, .. } => {
+            Command::Confirm { id: asked } if id == Some(asked) => Ok(()),
+            Command::Cancel { id: asked, .. } => {
                 let way = fleet.change.as_ref().is_some_and(|c| !c.back);
                 let which = asked.as_ref().is_none_or(|a| {
                     id == Some(a)
@@ -318,11 +329,11 @@
                     Err(Refusal::Nothing)
                 }
             }
-            Ask::Confirm { .. } => Err(Refusal::Nothing),
+            Command::Confirm { .. } => Err(Refusal::Nothing),
         }
     }
 
-    /// The log has taken a record, or will never take what was written: the chair looks anew.
+    /// The log has taken a record, or will never take what was written: the leader looks anew.
     pub fn applied(&mut self) {
         self.written = false;
         self.going.clear();
@@ -343,7 +354,7 @@
         for (name, seat) in &fleet.members {
             self.seated.entry(name.clone()).or_insert((seat.start, now));
         }
-        // Its time begins when this chair first sees it run.
+        // Its time begins when this leader first sees it run.
         let runs = fleet.running.as_ref().map_or(0, |r| r.0);
         let trial = fleet.trial.as_ref().map(|t| (runs, now + t.span));
         self.trial = trial.map(|new| self.trial.filter(|old| old.0 == new.0).unwrap_or(new));
@@ -364,8 +375,8 @@
         &self,
         now: Ms,
         fleet: &Fleet<D>,
-        earlier: &Seat,
-        later: &Seat,
+        earlier: &Session,
+        later: &Session,
         name: &str,
     ) -> bool {
         let other = earlier.start != later.start && !earlier.steady;
@@ -390,9 +401,9 @@
         self.count = Some(count);
     }
 
-    // Before their first lease, so that a later chair knows of them.
+    // Before their first lease, so that a later leader knows of them.
     fn seat(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
-        let gone = |(name, seat): &(&String, &Seat)| {
+        let gone = |(name, seat): &(&String, &Session)| {
             let heard = self.heard.get(*name).filter(|h| h.start == seat.start);
             let since = self.seated.get(*name).map_or(now, |s| s.1);
             let last = heard.map_or(since, |h| h.at);
@@ -465,7 +476,7 @@
 
     fn take_back_the_overdue(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let (number, until) = self.trial?;
-        (fleet.change.is_none() && now >= until).then_some(Record::TakenBack { number })
+        (fleet.change.is_none() && now >= until).then_some(Record::RolledBack { number })
     }
 
     fn asked(&mut self, fleet: &Fleet<D>) -> Option<Record<D>> {
@@ -476,15 +487,15 @@
             }
             let number = fleet.running.as_ref().map_or(0, |r| r.0);
             return Some(match ask {
-                Ask::Change(wish) => Record::Staged(wish),
-                Ask::Confirm { .. } => Record::Confirmed { number },
-                Ask::Cancel { who, .. } => match &fleet.change {
+                Command::Change(proposal) => Record::Staged(proposal),
+                Command::Confirm { .. } => Record::Confirmed { number },
+                Command::Cancel { who, .. } => match &fleet.change {
                     Some(c) => Record::Refused {
                         number: c.number,
                         by: who,
                         why: "taken back".into(),
                     },
-                    None => Record::TakenBack { number },
+                    None => Record::RolledBack { number },
                 },
             });
         }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,19 +1,19 @@
 //! One policy for a fleet of gateways, without I/O, clock or thread: what the fleet's log says ([`fleet`]), what
-//! its chair does next ([`chair`]), and what a member holds and until when ([`member`]). The promises stand in
+//! its leader does next ([`leader`]), and what a member holds and until when ([`member`]). The promises stand in
 //! `docs/design/fleet.md`.
 
-pub mod chair;
 pub mod count;
 pub mod fleet;
 pub mod history;
+pub mod leader;
 pub mod member;
 pub mod record;
 
-pub use chair::Chair;
 pub use count::Share;
 pub use fleet::Fleet;
+pub use leader::Leader;
 pub use member::Member;
-pub use record::{Line, Record, RevisionState};
+pub use record::{Record, RevisionState, RevisionSummary};
 
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -53,17 +53,17 @@
     }
 }
 
-/// A chair counts a lease for this much longer than its member: what two clocks' rates may differ by, and more.
+/// A leader counts a lease for this much longer than its member: what two clocks' rates may differ by, and more.
 const DRIFT: f64 = 1.1;
 
-/// After so long no lease that a chair granted before can be left.
+/// After so long no lease that a leader granted before can be left.
 pub fn grace(lease: Ms) -> Ms {
     lease * DRIFT
 }
 
 /// What a member says of itself, three times a lease and whenever that changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     pub name: String,
     /// Of this process: drawn at its start.
     pub start: u64,
@@ -72,7 +72,7 @@
     /// The history that it knows, 0 for none, and what of it the member holds.
     pub history: u64,
     pub mark: u64,
-    /// The latest of its beats to which it heard an answer, by `sent`.
+    /// The latest of its heartbeats to which it heard an answer, by `sent`.
     pub heard: Ms,
     /// Goes on without a lease.
     pub steady: bool,
@@ -87,9 +87,9 @@
     pub shares: bool,
 }
 
-/// What the chair says to that, once a quorum has confirmed that it is the chair.
+/// What the leader says to that, once a quorum has confirmed that it is the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer<D> {
+pub struct HeartbeatResponse<D> {
     pub start: u64,
     pub sent: Ms,
     pub history: u64,
@@ -98,11 +98,11 @@
     pub hold: Option<(u64, D)>,
     /// A staged change, to be examined.
     pub offer: Option<(u64, D)>,
-    /// From when the beat was sent.
+    /// From when the heartbeat was sent.
     pub lease: Option<Ms>,
     /// Why there is no lease, where that is not for the mark alone.
     pub why: Option<String>,
-    /// The next step goes out with the next beat, which is wanted soon: a change is under way, or the member is not in
+    /// The next step goes out with the next heartbeat, which is wanted soon: a change is under way, or the member is not in
     /// yet.
     #[serde(default)]
     pub soon: bool,
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -1,19 +1,19 @@
 //! What one gateway of a fleet holds, and until when it may decide by it.
 
 use crate::history::supersedes;
-use crate::{Answer, Beat, Share};
+use crate::{Heartbeat, HeartbeatResponse, Share};
 use ironstair::Ms;
 
-/// Beats in a lease: one may be lost, and one more.
-const BEATS: f64 = 3.0;
+/// Heartbeats in a lease: one may be lost, and one more.
+const HEARTBEATS_PER_LEASE: f64 = 3.0;
 /// And while a change is under way: a change of three steps is not to take a whole lease.
-const BEATS_SOON: f64 = 15.0;
+const HEARTBEATS_PER_LEASE_DURING_CHANGE: f64 = 15.0;
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input<D> {
     /// Time has gone on.
     Due,
-    Answered(Answer<D>),
+    Answered(HeartbeatResponse<D>),
     /// The decisions go by it from now on.
     Applied {
         mark: u64,
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<D> {
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// To be handed to the decisions, then `Applied`.
     Apply {
         mark: u64,
@@ -62,7 +62,7 @@
     applying: Option<u64>,
     until: Ms,
     examined: Option<(u64, Result<(), String>)>,
-    beat_at: Ms,
+    heartbeat_due: Ms,
     heard: Ms,
     leaving: bool,
     said: Option<String>,
@@ -84,7 +84,7 @@
             applying: None,
             until: 0.0,
             examined: None,
-            beat_at: 0.0,
+            heartbeat_due: 0.0,
             heard: 0.0,
             leaving: false,
             said: None,
@@ -122,7 +122,7 @@
 
     /// When `Due` is wanted.
     pub fn due(&self) -> Ms {
-        self.beat_at
+        self.heartbeat_due
     }
 
     pub fn on<D: Clone>(&mut self, now: Ms, input: Input<D>) -> Vec<Action<D>> {
@@ -133,7 +133,7 @@
             Input::Answered(_) => {}
             Input::Applied { mark } => {
                 if self.applying.take_if(|m| *m == mark).is_some() {
-                    (self.mark, self.beat_at) = (mark, now);
+                    (self.mark, self.heartbeat_due) = (mark, now);
                 }
             }
             Input::Unable { mark, why } => {
@@ -145,16 +145,16 @@
                 }
             }
             Input::Examined { number, how } => {
-                (self.examined, self.beat_at) = (Some((number, how)), now);
+                (self.examined, self.heartbeat_due) = (Some((number, how)), now);
             }
             Input::Leave => {
-                (self.leaving, self.beat_at, self.until) = (true, now, 0.0);
+                (self.leaving, self.heartbeat_due, self.until) = (true, now, 0.0);
                 actions.push(Action::Hold(0.0, Share::default()));
             }
         }
-        if now >= self.beat_at {
-            self.beat_at = now + self.lease / BEATS;
-            actions.push(Action::Beat(Beat {
+        if now >= self.heartbeat_due {
+            self.heartbeat_due = now + self.lease / HEARTBEATS_PER_LEASE;
+            actions.push(Action::Heartbeat(Heartbeat {
                 name: self.name.clone(),
                 start: self.start,
                 sent: now,
@@ -180,10 +180,17 @@
     }
 
     // Answers come late and twice: only what is newer than what is held is taken.
-    fn answered<D: Clone>(&mut self, now: Ms, a: Answer<D>, actions: &mut Vec<Action<D>>) {
+    fn answered<D: Clone>(
+        &mut self,
+        now: Ms,
+        a: HeartbeatResponse<D>,
+        actions: &mut Vec<Action<D>>,
+    ) {
         self.heard = self.heard.max(a.sent);
         if a.soon {
-            self.beat_at = self.beat_at.min(now + self.lease / BEATS_SOON);
+            self.heartbeat_due = self
+                .heartbeat_due
+                .min(now + self.lease / HEARTBEATS_PER_LEASE_DURING_CHANGE);
         }
         if let Some(why) = a.why {
             self.say(why, actions);
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,5 +1,5 @@
-//! What the fleet's log is made of. Each record is a step that all keepers agree on; one that does not fit what
-//! stands before it has no effect, so that a chair may write one again whose fate it does not know.
+//! What the fleet's log is made of. Each record is a step that all voters agree on; one that does not fit what
+//! stands before it has no effect, so that a leader may write one again whose fate it does not know.
 
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -11,15 +11,15 @@
     Begun {
         history: u64,
         document: D,
-        line: Option<Line>,
+        line: Option<RevisionSummary>,
     },
     /// Members come in with a process, instead of an earlier one of that name, and go.
     Members {
-        joined: Vec<(String, Seat)>,
+        joined: Vec<(String, Session)>,
         left: Vec<(String, u64)>,
     },
     /// Somebody wants a change: it is examined everywhere.
-    Staged(Wish<D>),
+    Staged(ChangeProposal<D>),
     /// It holds nowhere: a member or an operator has said no.
     Refused {
         number: u64,
@@ -33,12 +33,13 @@
     /// What waited to be confirmed stays.
     Confirmed { number: u64 },
     /// What waited to be confirmed goes; what ran before it is bound, and then decided anew.
-    TakenBack { number: u64 },
+    #[serde(rename = "taken-back")]
+    RolledBack { number: u64 },
 }
 
 /// A member's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Session {
     pub start: u64,
     /// It goes on without a lease: no change is decided without it.
     pub steady: bool,
@@ -48,16 +49,16 @@
     pub place: String,
 }
 
-impl Seat {
+impl Session {
     /// Whether another process of that name proves by what it holds that this one has ended.
-    pub fn ended_before(&self, other: &Seat) -> bool {
+    pub fn ended_before(&self, other: &Session) -> bool {
         !self.place.is_empty() && self.place == other.place && self.start != other.start
     }
 }
 
 /// A change that somebody wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Wish<D> {
+pub struct ChangeProposal<D> {
     /// By which its asker finds it again.
     pub token: u64,
     pub who: String,
@@ -65,7 +66,8 @@
     pub when: Ms,
     pub what: String,
     /// The mark that its asker held: what it was made of is what runs, not the stricter of two.
-    pub upon: u64,
+    #[serde(rename = "upon")]
+    pub base_revision: u64,
     pub document: D,
     /// To be confirmed under that id within so many ms.
     pub commit: Option<(String, Ms)>,
@@ -79,13 +81,14 @@
     Running,
     Unconfirmed,
     Replaced,
-    TakenBack,
+    #[serde(rename = "taken-back")]
+    RolledBack,
     Refused,
 }
 
 /// One revision as it is shown and remembered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RevisionSummary {
     pub number: u64,
     pub token: u64,
     pub who: String,
--- a/crates/coordination/tests/count.rs
+++ b/crates/coordination/tests/count.rs
@@ -1,10 +1,10 @@
-//! Shares of what all gateways share out, in every order of beats, ends, starts and lost chairs: never more than the
+//! Shares of what all gateways share out, in every order of heartbeats, ends, starts and lost leaders: never more than the
 //! whole (`docs/design/recovery.md`, promise 2). Three gateways, of which the policy was made for two.
 
 mod played;
 
 use ironstair_coordination::member::Input;
-use ironstair_coordination::{Chair, Fleet, Record};
+use ironstair_coordination::{Fleet, Leader, Record};
 use played::{Gate, Pol, LEASE};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -14,7 +14,7 @@
 struct World {
     now: f64,
     fleet: Fleet<Pol>,
-    chair: Chair<Pol>,
+    leader: Leader<Pol>,
     gates: Vec<Option<Gate>>,
     starts: u64,
     left: Budget,
@@ -24,7 +24,7 @@
 struct Budget {
     ticks: u8,
     ends: u8,
-    chairs: u8,
+    leaders: u8,
 }
 
 played::hashed_as_shown!(World);
@@ -36,7 +36,7 @@
     Hear(usize),
     Kill(usize),
     Start(usize),
-    Chair,
+    Leader,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -44,7 +44,7 @@
     Nothing,
     /// Who comes takes its share at once.
     Waits,
-    /// A new chair gives shares before leases of the earlier are over.
+    /// A new leader gives shares before leases of the earlier are over.
     Grace,
 }
 
@@ -54,11 +54,11 @@
 }
 
 impl World {
-    /// The chair looks, and the log takes what it writes.
+    /// The leader looks, and the log takes what it writes.
     fn look(&mut self) {
-        while let Some(record) = self.chair.next(self.now, &self.fleet) {
+        while let Some(record) = self.leader.next(self.now, &self.fleet) {
             self.fleet.apply(record);
-            self.chair.applied();
+            self.leader.applied();
         }
     }
 
@@ -86,7 +86,7 @@
             document: Pol(0, 0),
             line: None,
         });
-        let chair = Chair::new(-9.0, LEASE);
+        let leader = Leader::new(-9.0, LEASE);
         let left = Budget {
             ticks: 9,
             ..self.budget
@@ -94,7 +94,7 @@
         let mut w = World {
             now: 0.0,
             fleet,
-            chair,
+            leader,
             gates: vec![None; GATES],
             starts: 0,
             left,
@@ -117,13 +117,13 @@
 
     fn actions(&self, w: &World, moves: &mut Vec<Move>) {
         moves.extend((w.left.ticks > 0).then_some(Move::Tick));
-        moves.extend((w.left.chairs > 0).then_some(Move::Chair));
+        moves.extend((w.left.leaders > 0).then_some(Move::Leader));
         for (i, gate) in w.gates.iter().enumerate() {
             let Some(g) = gate else {
                 moves.push(Move::Start(i));
                 continue;
             };
-            moves.extend(g.has_a_beat(w.now).then_some(Move::Talk(i)));
+            moves.extend(g.is_leader_ready(w.now).then_some(Move::Talk(i)));
             moves.extend(g.answer.is_some().then_some(Move::Hear(i)));
             moves.extend((w.left.ends > 0).then_some(Move::Kill(i)));
         }
@@ -138,8 +138,8 @@
             }
             Move::Talk(i) => {
                 let gate = w.gates[i].as_mut()?;
-                let beat = gate.sends(w.now, i)?;
-                let mut answer = w.chair.beat(w.now, &w.fleet, &beat);
+                let heartbeat = gate.sends(w.now, i)?;
+                let mut answer = w.leader.heartbeat(w.now, &w.fleet, &heartbeat);
                 if self.out == Out::Waits {
                     answer.share.iter_mut().for_each(|s| s.taken = true);
                 }
@@ -156,10 +156,10 @@
                 w.starts += 1;
                 w.gates[i] = Some(Gate::new(i, w.starts));
             }
-            Move::Chair => {
-                w.left.chairs -= 1;
+            Move::Leader => {
+                w.left.leaders -= 1;
                 let since = if self.out == Out::Grace { -9.0 } else { w.now };
-                w.chair = Chair::new(since, LEASE);
+                w.leader = Leader::new(since, LEASE);
             }
         }
         Some(w).filter(|w| w != was)
@@ -182,7 +182,7 @@
     let quiet = Budget {
         ticks: 3,
         ends: 0,
-        chairs: 0,
+        leaders: 0,
     };
     let killed = |ticks| Budget {
         ticks,
@@ -197,7 +197,7 @@
         (
             Budget {
                 ticks: 2,
-                chairs: 1,
+                leaders: 1,
                 ..quiet
             },
             1_000,
@@ -225,11 +225,11 @@
 
 #[test]
 fn a_share_taken_at_once_and_a_chair_that_knows_no_earlier_leases_break_it() {
-    for (out, chairs) in [(Out::Waits, 0), (Out::Grace, 1)] {
+    for (out, leaders) in [(Out::Waits, 0), (Out::Grace, 1)] {
         let budget = Budget {
             ticks: 3,
             ends: 0,
-            chairs,
+            leaders,
         };
         let days = Days { budget, out }.checker().threads(4);
         let failure = HasDiscoveries::AllOf(["no more than the whole"].into());
--- a/crates/coordination/tests/chair.rs
+++ b/crates/coordination/tests/leader.rs
@@ -1,9 +1,11 @@
-//! What a chair grants and writes, case by case.
+//! What a leader grants and writes, case by case.
 
-use ironstair_coordination::chair::{Ask, Refusal};
 use ironstair_coordination::count::Count;
-use ironstair_coordination::record::Wish;
-use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record, RevisionState};
+use ironstair_coordination::leader::{Command, Refusal};
+use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::{
+    Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record, RevisionState,
+};
 
 const LEASE: f64 = 3000.0;
 
@@ -17,11 +19,11 @@
     }
 }
 
-/// A chair with its log, long after the one before it.
+/// A leader with its log, long after the one before it.
 struct Desk {
     now: f64,
     fleet: Fleet<Pol>,
-    chair: Chair<Pol>,
+    leader: Leader<Pol>,
 }
 
 impl Desk {
@@ -36,25 +38,28 @@
         let mut d = Desk {
             now: 100_000.0,
             fleet,
-            chair: Chair::new(0.0, LEASE),
+            leader: Leader::new(0.0, LEASE),
         };
         for name in names {
-            let beat = Beat {
+            let heartbeat = Heartbeat {
                 steady,
                 ..d.of_start(name, 1)
             };
-            assert!(d.say(&beat).lease.is_none(), "not before it is in the log");
+            assert!(
+                d.say(&heartbeat).lease.is_none(),
+                "not before it is in the log"
+            );
             d.write();
-            assert_eq!(d.say(&beat).lease, Some(LEASE));
+            assert_eq!(d.say(&heartbeat).lease, Some(LEASE));
         }
         d
     }
 
-    fn of_start(&self, name: &str, start: u64) -> Beat {
+    fn of_start(&self, name: &str, start: u64) -> Heartbeat {
         let (history, mark, sent) = (7, self.fleet.mark, self.now);
         let (name, heard, steady, examined, leaving) = (name.into(), sent, false, None, false);
         let (shares, place) = (false, String::new());
-        Beat {
+        Heartbeat {
             name,
             start,
             sent,
@@ -69,42 +74,42 @@
         }
     }
 
-    fn say(&mut self, beat: &Beat) -> Answer<Pol> {
-        self.chair.beat(self.now, &self.fleet, beat)
+    fn say(&mut self, heartbeat: &Heartbeat) -> HeartbeatResponse<Pol> {
+        self.leader.heartbeat(self.now, &self.fleet, heartbeat)
     }
 
     /// All that is to be written by now.
     fn write(&mut self) -> Vec<Record<Pol>> {
         let mut written = Vec::new();
-        while let Some(record) = self.chair.next(self.now, &self.fleet) {
+        while let Some(record) = self.leader.next(self.now, &self.fleet) {
             written.push(record.clone());
             self.fleet.apply(record);
-            self.chair.applied();
+            self.leader.applied();
         }
         written
     }
 
     fn ask(&mut self, to: u8, commit: Option<f64>) -> Result<(), Refusal> {
         let (who, what) = (format!("op{to}"), "set".to_string());
-        let upon = self.fleet.mark;
+        let base_revision = self.fleet.mark;
         let commit = commit.map(|span| ("c".to_string(), span));
-        let wish = Wish {
+        let proposal = ChangeProposal {
             token: 1,
             who,
             when: 0.0,
             what,
-            upon,
+            base_revision,
             document: Pol(to),
             commit,
         };
-        self.chair.ask(&self.fleet, Ask::Change(wish))
+        self.leader.ask(&self.fleet, Command::Change(proposal))
     }
 
     /// A change up to where it is decided, with one member that says yes to all.
     fn through(&mut self, name: &str) {
         self.write();
         let number = self.fleet.change.as_ref().unwrap().number;
-        let yes = Beat {
+        let yes = Heartbeat {
             examined: Some((number, Ok(()))),
             ..self.of_start(name, 1)
         };
@@ -115,11 +120,11 @@
 
     /// The member says that it holds what is to be held.
     fn hold(&mut self, name: &str) {
-        let beat = self.of_start(name, 1);
-        self.say(&beat);
+        let heartbeat = self.of_start(name, 1);
+        self.say(&heartbeat);
         self.write();
-        let beat = self.of_start(name, 1);
-        self.say(&beat);
+        let heartbeat = self.of_start(name, 1);
+        self.say(&heartbeat);
     }
 
     fn state(&self, number: u64) -> RevisionState {
@@ -138,25 +143,25 @@
     // the log had that; the next change was decided without it.
     let mut d = Desk::of(&["a", "b"], false);
     d.now += 11.0 * LEASE;
-    let removal = d.chair.next(d.now, &d.fleet).unwrap();
+    let removal = d.leader.next(d.now, &d.fleet).unwrap();
     assert!(
         matches!(&removal, Record::Members { left, .. } if left.len() == 2),
         "{removal:?}"
     );
-    let beat = d.of_start("a", 1);
-    assert_eq!(d.say(&beat).lease, None);
+    let heartbeat = d.of_start("a", 1);
+    assert_eq!(d.say(&heartbeat).lease, None);
     d.fleet.apply(removal);
-    d.chair.applied();
-    assert_eq!(d.say(&beat).lease, None);
+    d.leader.applied();
+    assert_eq!(d.say(&heartbeat).lease, None);
     d.write();
-    assert_eq!(d.say(&beat).lease, Some(LEASE), "let in anew");
+    assert_eq!(d.say(&heartbeat).lease, Some(LEASE), "let in anew");
 }
 
 #[test]
 fn who_was_let_in_and_not_heard_since_is_not_taken_out_at_once() {
     let mut d = Desk::of(&["a"], false);
-    let beat = d.of_start("b", 1);
-    d.say(&beat);
+    let heartbeat = d.of_start("b", 1);
+    d.say(&heartbeat);
     d.write();
     assert_eq!((d.write(), d.fleet.members.len()), (vec![], 2));
 }
@@ -175,7 +180,7 @@
     let first = d.of_start("a", 1);
     assert!(d.say(&first).why.is_some());
     // One that says that it leaves makes room at once.
-    let bye = Beat {
+    let bye = Heartbeat {
         leaving: true,
         ..second
     };
@@ -194,14 +199,14 @@
         ("", "here", true),
     ] {
         let mut d = Desk::of(&["b"], false);
-        let first = Beat {
+        let first = Heartbeat {
             place: held.into(),
             ..d.of_start("a", 1)
         };
         d.say(&first);
         d.write();
         assert_eq!(d.say(&first).lease, Some(LEASE));
-        let second = Beat {
+        let second = Heartbeat {
             place: holds.into(),
             ..d.of_start("a", 2)
         };
@@ -232,7 +237,7 @@
     assert_eq!(d.ask(3, None), under_way("op2"), "before the log has it");
     d.write();
     assert_eq!(d.ask(3, None), under_way("op2"));
-    let no = Beat {
+    let no = Heartbeat {
         examined: Some((1, Err("it lacks a kind".into()))),
         ..d.of_start("a", 1)
     };
@@ -264,18 +269,18 @@
     d.now += 2500.0;
     d.hold("a");
     d.now += 2500.0;
-    assert_eq!(d.write(), [Record::TakenBack { number: 1 }]);
+    assert_eq!(d.write(), [Record::RolledBack { number: 1 }]);
     assert_eq!(
         d.fleet.held(),
         Some((1, Pol(2))),
         "the stricter of both first"
     );
-    let late = Ask::Confirm { id: "c".into() };
-    assert_eq!(d.chair.ask(&d.fleet, late), Err(Refusal::Nothing));
+    let late = Command::Confirm { id: "c".into() };
+    assert_eq!(d.leader.ask(&d.fleet, late), Err(Refusal::Nothing));
     d.hold("a");
     assert_eq!(
         (d.state(1), d.fleet.held()),
-        (RevisionState::TakenBack, Some((0, Pol(1))))
+        (RevisionState::RolledBack, Some((0, Pol(1))))
     );
 }
 
@@ -286,14 +291,14 @@
         d.ask(2, None).unwrap();
         d.now += 5.0 * LEASE;
         d.write();
-        let yes = Beat {
+        let yes = Heartbeat {
             examined: Some((1, Ok(()))),
             steady,
             ..d.of_start("a", 1)
         };
         d.say(&yes);
         d.write();
-        let holds = Beat {
+        let holds = Heartbeat {
             steady,
             ..d.of_start("a", 1)
         };
@@ -309,14 +314,14 @@
 
 #[test]
 fn who_hears_nothing_is_granted_no_lease_and_holds_up_no_change() {
-    // Against a way that is cut one way only: its beats come, no answer arrives, and it would count for good.
+    // Against a way that is cut one way only: its heartbeats come, no answer arrives, and it would count for good.
     let mut d = Desk::of(&["a"], false);
-    let deaf = Beat {
+    let deaf = Heartbeat {
         heard: d.now - 3.5 * LEASE,
         ..d.of_start("a", 1)
     };
     assert_eq!(d.say(&deaf).lease, None);
-    let hears = Beat {
+    let hears = Heartbeat {
         heard: d.now - 0.5 * LEASE,
         ..d.of_start("a", 1)
     };
@@ -331,7 +336,7 @@
     let takes = |count: &mut Count, now: f64, nth: usize, start| {
         count.share(now, names[nth], start, false).taken
     };
-    // Nobody new before no lease of an earlier chair is left.
+    // Nobody new before no lease of an earlier leader is left.
     assert!(!takes(&mut count, grace - 1.0, 0, 1));
     count.look(grace, 5, |_, _| true);
     assert!((0..4).all(|nth| takes(&mut count, grace, nth, 1)));
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -1,14 +1,14 @@
-//! A change of policy in every order of beats, answers, steps of the log, crashes, lost chairs and late, doubled
+//! A change of policy in every order of heartbeats, answers, steps of the log, crashes, lost leaders and late, doubled
 //! or lost messages: the sentences of `docs/design/fleet.md` as properties (model checked). The log itself is the
-//! agreement library's: here it takes one record after the other, and a chair whose term is over grants nothing.
+//! agreement library's: here it takes one record after the other, and a leader whose term is over grants nothing.
 
 mod played;
 
-use ironstair_coordination::chair::Ask;
 use ironstair_coordination::fleet::Step as Stage;
+use ironstair_coordination::leader::Command;
 use ironstair_coordination::member::Input;
-use ironstair_coordination::{Chair, Fleet, Record};
-use played::{wish, Gate, Pol, LEASE, UNREAD};
+use ironstair_coordination::{Fleet, Leader, Record};
+use played::{proposal, Gate, Pol, LEASE, UNREAD};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,7 @@
     now: f64,
     fleet: Fleet<Pol>,
     marked: f64,
-    chair: Chair<Pol>,
+    leader: Leader<Pol>,
     writing: Option<Record<Pol>>,
     gates: Vec<Option<Gate>>,
     starts: u64,
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Budget {
     ticks: u8,
-    chairs: u8,
+    leaders: u8,
     crashes: u8,
     asks: u8,
     cancels: u8,
@@ -42,17 +42,17 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Move {
     Tick,
-    /// A beat comes to the chair, and its answer is under way: the new one, or once more the last.
+    /// A heartbeat comes to the leader, and its answer is under way: the new one, or once more the last.
     Talk(usize, bool),
     /// An answer comes and is carried out; it may come once more.
     Hear(usize, bool),
     Next,
     Commit,
-    /// The chair is lost, what it wrote is in the log or not.
-    Chair(bool),
+    /// The leader is lost, what it wrote is in the log or not.
+    Leader(bool),
     Crash(usize),
     Start(usize),
-    Ask,
+    Command,
     Cancel,
     /// A gateway is stopped, and goes on.
     Pause(usize),
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Out {
     Nothing,
-    /// A new chair counts no leases of an earlier one.
+    /// A new leader counts no leases of an earlier one.
     Grace,
     /// A lease runs from when its answer came.
     Sent,
@@ -101,7 +101,7 @@
         if self.fleet.mark != mark {
             self.marked = self.now;
         }
-        self.chair.applied();
+        self.leader.applied();
     }
 
     /// Those that may decide now.
@@ -128,7 +128,7 @@
             now: 0.0,
             marked: 0.0,
             fleet,
-            chair: Chair::new(-9.0, LEASE),
+            leader: Leader::new(-9.0, LEASE),
             writing: None,
             gates: (0..self.gates)
                 .map(|i| Some(Gate::new(i, i as u64 + 1)))
@@ -145,7 +145,7 @@
                     w = self.next_state(&w, step).unwrap_or(w);
                 }
             }
-            w.writing = w.chair.next(w.now, &w.fleet);
+            w.writing = w.leader.next(w.now, &w.fleet);
             w.commit();
         }
         assert_eq!(w.deciding(self.out).count(), self.gates);
@@ -167,10 +167,10 @@
             if g.paused {
                 continue;
             }
-            moves.extend(g.has_a_beat(w.now).then_some(Move::Talk(i, false)));
+            moves.extend(g.is_leader_ready(w.now).then_some(Move::Talk(i, false)));
             moves.extend(g.answer.is_some().then_some(Move::Hear(i, false)));
             if w.left.twice > 0 {
-                moves.extend(g.beat.is_some().then_some(Move::Talk(i, true)));
+                moves.extend(g.heartbeat.is_some().then_some(Move::Talk(i, true)));
                 moves.extend(g.answer.is_some().then_some(Move::Hear(i, true)));
             }
             moves.extend((w.left.crashes > 0).then_some(Move::Crash(i)));
@@ -179,11 +179,11 @@
             Some(_) => moves.push(Move::Commit),
             None => moves.push(Move::Next),
         }
-        if w.left.chairs > 0 {
-            moves.push(Move::Chair(false));
-            moves.extend(w.writing.is_some().then_some(Move::Chair(true)));
+        if w.left.leaders > 0 {
+            moves.push(Move::Leader(false));
+            moves.extend(w.writing.is_some().then_some(Move::Leader(true)));
         }
-        moves.extend((w.left.asks > 0).then_some(Move::Ask));
+        moves.extend((w.left.asks > 0).then_some(Move::Command));
         moves.extend((w.left.cancels > 0).then_some(Move::Cancel));
     }
 
@@ -199,12 +199,12 @@
             Move::Talk(i, again) => {
                 w.left.twice -= again as u8;
                 let gate = w.gates[i].as_mut()?;
-                let beat = if again {
-                    gate.beat.clone()
+                let heartbeat = if again {
+                    gate.heartbeat.clone()
                 } else {
                     gate.sends(w.now, i)
                 };
-                gate.answer = Some(w.chair.beat(w.now, &w.fleet, &beat?));
+                gate.answer = Some(w.leader.heartbeat(w.now, &w.fleet, &heartbeat?));
             }
             Move::Hear(i, again) => {
                 w.left.twice -= again as u8;
@@ -217,7 +217,7 @@
                 w.hand(i, Input::Answered(answer));
             }
             Move::Next => {
-                let record = w.chair.next(w.now, &w.fleet);
+                let record = w.leader.next(w.now, &w.fleet);
                 w.writing = match (record, self.out) {
                     (None, Out::Unheard) => match &w.fleet.change {
                         Some(c) if c.step == Stage::Binding => {
@@ -227,20 +227,20 @@
                     },
                     (record, _) => record,
                 };
-                // In between, a chair may be lost; else nothing can come.
-                if w.left.chairs == 0 {
+                // In between, a leader may be lost; else nothing can come.
+                if w.left.leaders == 0 {
                     w.commit();
                 }
             }
             Move::Commit => w.commit(),
-            Move::Chair(kept) => {
-                w.left.chairs -= 1;
+            Move::Leader(kept) => {
+                w.left.leaders -= 1;
                 if kept {
                     w.commit();
                 }
                 w.writing = None;
                 let since = if self.out == Out::Grace { -9.0 } else { w.now };
-                w.chair = Chair::new(since, LEASE);
+                w.leader = Leader::new(since, LEASE);
             }
             Move::Crash(i) => {
                 w.left.crashes -= 1;
@@ -255,18 +255,20 @@
                 w.left.pauses -= !gate.paused as u8;
                 gate.paused = !gate.paused;
             }
-            Move::Ask => {
+            Move::Command => {
                 w.left.asks -= 1;
                 let to = if w.left.asks == 0 { 1 } else { UNREAD };
                 w.fleet.running.as_ref()?;
-                let upon = w.fleet.mark;
-                let _ = w.chair.ask(&w.fleet, Ask::Change(wish(to, upon)));
+                let base_revision = w.fleet.mark;
+                let _ = w
+                    .leader
+                    .ask(&w.fleet, Command::Change(proposal(to, base_revision)));
             }
             Move::Cancel => {
                 w.left.cancels -= 1;
-                let _ = w.chair.ask(
+                let _ = w.leader.ask(
                     &w.fleet,
-                    Ask::Cancel {
+                    Command::Cancel {
                         id: None,
                         who: "op".into(),
                     },
@@ -310,7 +312,7 @@
 
 const QUIET: Budget = Budget {
     ticks: 4,
-    chairs: 0,
+    leaders: 0,
     crashes: 0,
     asks: 2,
     cancels: 0,
@@ -330,7 +332,7 @@
         2,
         Budget {
             ticks: 2,
-            chairs: 1,
+            leaders: 1,
             asks: 1,
             ..QUIET
         },
@@ -389,7 +391,7 @@
         2,
         Budget {
             ticks: 3,
-            chairs: 1,
+            leaders: 1,
             asks: 1,
             ..QUIET
         },
@@ -480,7 +482,7 @@
         (
             Out::Grace,
             Budget {
-                chairs: 1,
+                leaders: 1,
                 asks: 1,
                 ..QUIET
             },
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -3,10 +3,12 @@
 //! sample under `pinned/` is read into the type and must equal the value here; written again it must be the same
 //! bytes. Lines that earlier versions wrote, without later fields, must still be read.
 
-use ironstair_coordination::chair::Ask;
-use ironstair_coordination::fleet::{Change, Fleet, Step, Trial};
-use ironstair_coordination::record::{Line, Record, RevisionState, Seat, Wish};
-use ironstair_coordination::{Answer, Beat, Share};
+use ironstair_coordination::fleet::{Change, Fleet, PendingConfirmation, Step};
+use ironstair_coordination::leader::Command;
+use ironstair_coordination::record::{
+    ChangeProposal, Record, RevisionState, RevisionSummary, Session,
+};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, VecDeque};
@@ -45,32 +47,32 @@
     json!({"gateways": 2, "limit": 10.5})
 }
 
-fn seat(start: u64, steady: bool, place: &str) -> Seat {
-    Seat {
+fn seat(start: u64, steady: bool, place: &str) -> Session {
+    Session {
         start,
         steady,
         place: place.into(),
     }
 }
 
-fn wish(commit: Option<(String, f64)>) -> Wish<Json> {
-    Wish {
+fn proposal(commit: Option<(String, f64)>) -> ChangeProposal<Json> {
+    ChangeProposal {
         token: 42,
         who: "operator".into(),
         when: 1_700_000_000_000.5,
         what: "a new limit".into(),
-        upon: 3,
+        base_revision: 3,
         document: document(),
         commit,
     }
 }
 
-fn line(number: u64, state: RevisionState) -> Line {
+fn line(number: u64, state: RevisionState) -> RevisionSummary {
     let refused =
         (state == RevisionState::Refused).then(|| ("g2".to_string(), "no such engine".to_string()));
     let commit = (state == RevisionState::Unconfirmed).then(|| "trial-1".to_string());
     let (who, what) = ("operator".into(), "a new limit".into());
-    Line {
+    RevisionSummary {
         number,
         token: 42,
         who,
@@ -88,7 +90,7 @@
     RevisionState::Running,
     RevisionState::Unconfirmed,
     RevisionState::Replaced,
-    RevisionState::TakenBack,
+    RevisionState::RolledBack,
     RevisionState::Refused,
 ];
 
@@ -111,8 +113,8 @@
             ],
             left: vec![("g3".into(), 13)],
         },
-        Record::Staged(wish(None)),
-        Record::Staged(wish(Some(("trial-1".into(), 60_000.0)))),
+        Record::Staged(proposal(None)),
+        Record::Staged(proposal(Some(("trial-1".into(), 60_000.0)))),
         Record::Refused {
             number: 4,
             by: "g2".into(),
@@ -121,7 +123,7 @@
         Record::Binding { number: 5 },
         Record::Decided { number: 6 },
         Record::Confirmed { number: 7 },
-        Record::TakenBack { number: 8 },
+        Record::RolledBack { number: 8 },
     ]
 }
 
@@ -135,7 +137,7 @@
         Record::Binding { .. } => 4,
         Record::Decided { .. } => 5,
         Record::Confirmed { .. } => 6,
-        Record::TakenBack { .. } => 7,
+        Record::RolledBack { .. } => 7,
     }
 }
 
@@ -169,7 +171,7 @@
             .collect::<VecDeque<_>>(),
         next: 8,
     };
-    let trial = Some(Trial {
+    let trial = Some(PendingConfirmation {
         id: "trial-1".into(),
         span: 60_000.0,
         before: (3, json!({"gateways": 1})),
@@ -190,8 +192,8 @@
     ]
 }
 
-fn beats() -> Vec<Beat> {
-    let beat = Beat {
+fn heartbeats() -> Vec<Heartbeat> {
+    let heartbeat = Heartbeat {
         name: "g1".into(),
         start: 11,
         sent: 1000.25,
@@ -205,27 +207,27 @@
         shares: true,
     };
     vec![
-        Beat {
+        Heartbeat {
             examined: Some((5, Ok(()))),
-            ..beat.clone()
+            ..heartbeat.clone()
         },
-        Beat {
+        Heartbeat {
             examined: Some((5, Err("no such engine".into()))),
             steady: true,
-            ..beat.clone()
+            ..heartbeat.clone()
         },
-        Beat {
+        Heartbeat {
             leaving: true,
             place: String::new(),
             shares: false,
-            ..beat.clone()
+            ..heartbeat.clone()
         },
-        beat,
+        heartbeat,
     ]
 }
 
-fn answers() -> Vec<Answer<Json>> {
-    let none = Answer {
+fn answers() -> Vec<HeartbeatResponse<Json>> {
+    let none = HeartbeatResponse {
         start: 11,
         sent: 1000.25,
         history: 1 << 48 | 7,
@@ -237,7 +239,7 @@
         soon: false,
         share: None,
     };
-    let full = Answer {
+    let full = HeartbeatResponse {
         hold: Some((4, document())),
         offer: Some((5, document())),
         lease: Some(5000.0),
@@ -252,17 +254,17 @@
     vec![full, none]
 }
 
-fn asks() -> Vec<Ask<Json>> {
+fn asks() -> Vec<Command<Json>> {
     vec![
-        Ask::Change(wish(Some(("trial-1".into(), 60_000.0)))),
-        Ask::Confirm {
+        Command::Change(proposal(Some(("trial-1".into(), 60_000.0)))),
+        Command::Confirm {
             id: "trial-1".into(),
         },
-        Ask::Cancel {
+        Command::Cancel {
             id: Some("trial-1".into()),
             who: "operator".into(),
         },
-        Ask::Cancel {
+        Command::Cancel {
             id: None,
             who: "operator".into(),
         },
@@ -273,7 +275,7 @@
 fn every_stored_or_sent_form_is_read_and_written_as_in_its_sample() {
     check("records.jsonl", &records());
     check("fleets.jsonl", &fleets());
-    check("heartbeats.jsonl", &beats());
+    check("heartbeats.jsonl", &heartbeats());
     check("answers.jsonl", &answers());
     check("asks.jsonl", &asks());
     check("standings.jsonl", &STANDINGS);
@@ -293,21 +295,21 @@
     let [old_seat, old_beat, old_answer] = text.lines().collect::<Vec<_>>()[..] else {
         panic!("earlier.jsonl: three lines are wanted")
     };
-    let read: Seat = serde_json::from_str(old_seat).unwrap();
+    let read: Session = serde_json::from_str(old_seat).unwrap();
     assert_eq!(read, seat(11, true, ""));
-    let read: Beat = serde_json::from_str(old_beat).unwrap();
+    let read: Heartbeat = serde_json::from_str(old_beat).unwrap();
     assert_eq!(
         read,
-        Beat {
+        Heartbeat {
             place: String::new(),
             shares: false,
-            ..beats().remove(0)
+            ..heartbeats().remove(0)
         }
     );
-    let read: Answer<Json> = serde_json::from_str(old_answer).unwrap();
+    let read: HeartbeatResponse<Json> = serde_json::from_str(old_answer).unwrap();
     assert_eq!(
         read,
-        Answer {
+        HeartbeatResponse {
             soon: false,
             share: None,
             ..answers().remove(0)
--- a/crates/coordination/tests/played/mod.rs
+++ b/crates/coordination/tests/played/mod.rs
@@ -5,8 +5,8 @@
 #![allow(dead_code)]
 
 use ironstair_coordination::member::{Action, Input};
-use ironstair_coordination::record::Wish;
-use ironstair_coordination::{Answer, Beat, Member, Policy};
+use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Policy};
 
 /// States are told apart by all that they show: the decisions bear figures, which can't be hashed.
 macro_rules! hashed_as_shown {
@@ -46,10 +46,10 @@
 pub struct Gate {
     pub member: Member,
     pub holding: Pol,
-    pub beat: Option<Beat>,
+    pub heartbeat: Option<Heartbeat>,
     /// That was not sent yet.
     pub unsent: bool,
-    pub answer: Option<Answer<Pol>>,
+    pub answer: Option<HeartbeatResponse<Pol>>,
     /// Stopped between two instructions: nothing is handed to it.
     pub paused: bool,
     /// What a timer last found, where a timer is asked in place of the clock.
@@ -64,7 +64,7 @@
         Gate {
             member,
             holding: NONE,
-            beat: None,
+            heartbeat: None,
             unsent: false,
             answer: None,
             paused: false,
@@ -79,7 +79,9 @@
         while let Some(input) = inputs.pop() {
             for action in self.member.on(now, input) {
                 match action {
-                    Action::Beat(beat) => (self.beat, self.unsent) = (Some(beat), true),
+                    Action::Heartbeat(heartbeat) => {
+                        (self.heartbeat, self.unsent) = (Some(heartbeat), true)
+                    }
                     Action::Apply { mark, document, .. } if unread(document) => {
                         inputs.push(Input::Unable {
                             mark,
@@ -105,17 +107,17 @@
         self.by_timer = self.member.holds(now);
     }
 
-    pub fn has_a_beat(&self, now: f64) -> bool {
+    pub fn is_leader_ready(&self, now: f64) -> bool {
         self.unsent || self.member.due() <= now
     }
 
-    /// The beat that goes out now: one that waits, or that is due.
-    pub fn sends(&mut self, now: f64, nth: usize) -> Option<Beat> {
+    /// The heartbeat that goes out now: one that waits, or that is due.
+    pub fn sends(&mut self, now: f64, nth: usize) -> Option<Heartbeat> {
         if !std::mem::take(&mut self.unsent) {
             self.hand(now, nth, Input::Due);
             self.unsent = false;
         }
-        self.beat.clone()
+        self.heartbeat.clone()
     }
 
     /// Time has gone on for all that run: a timer of each looks.
@@ -162,14 +164,14 @@
     deciding.all(|g| g.holding != NONE)
 }
 
-pub fn wish(to: u8, upon: u64) -> Wish<Pol> {
+pub fn proposal(to: u8, base_revision: u64) -> ChangeProposal<Pol> {
     let (who, what) = ("op".to_string(), "set".to_string());
-    Wish {
+    ChangeProposal {
         token: to as u64,
         who,
         when: 0.0,
         what,
-        upon,
+        base_revision,
         document: Pol(to, to),
         commit: None,
     }
--- a/crates/coordination/tests/keepers.rs
+++ b/crates/coordination/tests/voters.rs
@@ -1,40 +1,40 @@
-//! Three keepers and two further gateways in one model: chairs chosen by a quorum, records that a quorum has or that
-//! are lost with their chair, a chair that was cut off and goes on, a keeper without its disk, gateways that are
+//! Three voters and two further gateways in one model: leaders chosen by a quorum, records that a quorum has or that
+//! are lost with their leader, a leader that was cut off and goes on, a voter without its disk, gateways that are
 //! stopped. Agreement is played as the library promises it (a vote for each term, the longer log wins, what a quorum
-//! has stays); messages among keepers come or don't. That the library keeps this is the seeded days' part.
+//! has stays); messages among voters come or don't. That the library keeps this is the seeded days' part.
 
 mod played;
 
-use ironstair_coordination::chair::Ask;
+use ironstair_coordination::leader::Command;
 use ironstair_coordination::member::Input;
-use ironstair_coordination::{Chair, Fleet, Record};
-use played::{wish, Gate, Pol, LEASE};
+use ironstair_coordination::{Fleet, Leader, Record};
+use played::{proposal, Gate, Pol, LEASE};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
-const KEEPERS: usize = 3;
+const VOTERS: usize = 3;
 const GATES: usize = 2;
 
-/// What a keeper's log is made of.
+/// What a voter's log is made of.
 #[derive(Clone, Debug, PartialEq)]
 enum Entry {
-    /// A chair's first: what stands before it is known to it once a quorum has it.
+    /// A leader's first: what stands before it is known to it once a quorum has it.
     Sits,
     Record(Record<Pol>),
-    /// A keeper votes under this number from here on.
+    /// A voter votes under this number from here on.
     Votes(usize, u8),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Seat {
+struct Session {
     term: u8,
-    chair: Chair<Pol>,
+    leader: Leader<Pol>,
     fleet: Fleet<Pol>,
     /// Entries that a quorum has.
     known: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Keeper {
+struct Voter {
     number: u8,
     /// The latest term that it voted in or heard of.
     term: u8,
@@ -42,13 +42,13 @@
     log: Option<Vec<(u8, Entry)>>,
     /// Entries of it that it knows a quorum to have: who votes is read from those.
     known: usize,
-    sits: Option<Seat>,
+    sits: Option<Session>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
     now: f64,
-    keepers: Vec<Keeper>,
+    voters: Vec<Voter>,
     gates: Vec<Gate>,
     /// As of what a quorum ever had: nothing of it may be lost.
     decided: Vec<u8>,
@@ -71,41 +71,41 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Move {
     Tick,
-    /// One is chosen, by the vote of another; a chair that is chosen anew was killed and started.
+    /// One is chosen, by the vote of another; a leader that is chosen anew was killed and started.
     Elect(usize, usize),
-    /// The chair's log comes to another.
+    /// The leader's log comes to another.
     Copy(usize, usize),
     Write(usize),
-    /// The disk is lost; a keeper in its place under the next number.
+    /// The disk is lost; a voter in its place under the next number.
     Lose(usize),
-    /// The chair lets one in that has its whole log.
+    /// The leader lets one in that has its whole log.
     LetIn(usize, usize),
-    /// A gateway's beat comes to a chair, which another keeper confirms; the answer is under way.
+    /// A gateway's heartbeat comes to a leader, which another voter confirms; the answer is under way.
     Talk(usize, usize, usize),
-    /// The same beat once more, maybe at another chair.
+    /// The same heartbeat once more, maybe at another leader.
     TalkAgain(usize, usize, usize),
     /// A gateway is killed and started anew where it was.
     Restart(usize),
     Hear(usize),
     Pause(usize),
-    Ask(usize),
+    Command(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Out {
     Nothing,
-    /// A keeper that lost its disk votes under the number it had.
+    /// A voter that lost its disk votes under the number it had.
     Number,
-    /// No quorum confirms the chair before it grants.
+    /// No quorum confirms the leader before it grants.
     Confirm,
-    /// A chair grants by what it knew before it sat.
+    /// A leader grants by what it knew before it sat.
     Known,
 }
 
 struct Days {
     budget: Budget,
     out: Out,
-    /// So many steps of a change are made before the days begin, with the first two keepers alone.
+    /// So many steps of a change are made before the days begin, with the first two voters alone.
     made: usize,
     /// And then this.
     then: Vec<Move>,
@@ -115,12 +115,12 @@
 
 played::hashed_as_shown!(World);
 
-/// Who votes by a log: one more vote than this keeper's is a quorum of three.
-fn voters(log: &[(u8, Entry)], upto: usize) -> [u8; KEEPERS] {
+/// Who votes by a log: one more vote than this voter's is a quorum of three.
+fn voters(log: &[(u8, Entry)], upto: usize) -> [u8; VOTERS] {
     let mut all = [0, 1, 2];
     for (_, entry) in &log[..upto] {
-        if let Entry::Votes(keeper, number) = entry {
-            all[*keeper] = *number;
+        if let Entry::Votes(voter, number) = entry {
+            all[*voter] = *number;
         }
     }
     all
@@ -139,21 +139,21 @@
 impl World {
     /// Whether two are one, by the voters' numbers that the first knows.
     fn are_a_quorum(&self, k: usize, j: usize) -> bool {
-        let (Some(log), Some(_)) = (&self.keepers[k].log, &self.keepers[j].log) else {
+        let (Some(log), Some(_)) = (&self.voters[k].log, &self.voters[j].log) else {
             return false;
         };
-        let all = voters(log, self.keepers[k].known);
-        k != j && [k, j].iter().all(|i| all[*i] == self.keepers[*i].number)
+        let all = voters(log, self.voters[k].known);
+        k != j && [k, j].iter().all(|i| all[*i] == self.voters[*i].number)
     }
 
-    /// What a quorum has by now: entries of the chair's own term, and all before them.
+    /// What a quorum has by now: entries of the leader's own term, and all before them.
     fn learn(&mut self, k: usize) {
-        let own = self.keepers[k].clone();
+        let own = self.voters[k].clone();
         let (Some(log), Some(mut seat)) = (own.log, own.sits) else {
             return;
         };
-        let has = |j: usize, upto: usize, all: &[u8; KEEPERS]| {
-            let other = &self.keepers[j];
+        let has = |j: usize, upto: usize, all: &[u8; VOTERS]| {
+            let other = &self.voters[j];
             let same = other
                 .log
                 .as_ref()
@@ -163,7 +163,7 @@
         for upto in (seat.known + 1..=log.len()).rev() {
             // A change of the voters needs both their quorums.
             let (before, after) = (voters(&log, seat.known), voters(&log, upto));
-            let quorum = |all| (0..KEEPERS).filter(|j| has(*j, upto, all)).count() >= 2;
+            let quorum = |all| (0..VOTERS).filter(|j| has(*j, upto, all)).count() >= 2;
             if log[upto - 1].0 != seat.term || !quorum(&before) || !quorum(&after) {
                 continue;
             }
@@ -180,18 +180,18 @@
                     .extend(seat.fleet.running.iter().map(|r| r.1 .0));
                 self.decided.sort();
                 self.decided.dedup();
-                seat.chair.applied();
+                seat.leader.applied();
             }
             seat.known = upto;
             break;
         }
-        self.keepers[k].known = self.keepers[k].known.max(seat.known);
-        self.keepers[k].sits = Some(seat);
+        self.voters[k].known = self.voters[k].known.max(seat.known);
+        self.voters[k].sits = Some(seat);
     }
 
     fn push(&mut self, k: usize, entry: Entry) {
-        let term = self.keepers[k].term;
-        self.keepers[k]
+        let term = self.voters[k].term;
+        self.voters[k]
             .log
             .iter_mut()
             .for_each(|l| l.push((term, entry.clone())));
@@ -201,10 +201,10 @@
         self.gates.iter().filter(|g| g.decides(self.now, false))
     }
 
-    /// A chair that has read all that its own log holds.
-    fn sits(&self, k: usize) -> Option<&Seat> {
-        let log = self.keepers[k].log.as_ref()?;
-        self.keepers[k]
+    /// A leader that has read all that its own log holds.
+    fn sits(&self, k: usize) -> Option<&Session> {
+        let log = self.voters[k].log.as_ref()?;
+        self.voters[k]
             .sits
             .as_ref()
             .filter(|s| s.known == log.len())
@@ -216,7 +216,7 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<World> {
-        let keeper = |number| Keeper {
+        let voter = |number| Voter {
             number,
             term: 0,
             log: Some(Vec::new()),
@@ -225,17 +225,17 @@
         };
         let mut w = World {
             now: 0.0,
-            keepers: (0..KEEPERS as u8).map(keeper).collect(),
+            voters: (0..VOTERS as u8).map(voter).collect(),
             gates: (0..GATES).map(|i| Gate::new(i, i as u64 + 1)).collect(),
             decided: vec![0],
             refused: Vec::new(),
-            numbers: KEEPERS as u8,
+            numbers: VOTERS as u8,
             left: Budget {
                 elections: 1,
                 ..self.budget
             },
         };
-        // One chair, all gateways in: what comes before is the same for each.
+        // One leader, all gateways in: what comes before is the same for each.
         let first = [Move::Elect(0, 1), Move::Copy(0, 1), Move::Copy(0, 2)];
         let talk = (0..GATES).flat_map(|g| [Move::Talk(g, 0, 1), Move::Hear(g)]);
         let write = [Move::Write(0), Move::Copy(0, 1), Move::Copy(0, 2)];
@@ -251,9 +251,9 @@
         }
         assert!(w.gates.iter().all(|g| g.decides(w.now, false)));
         // Its log is whole everywhere.
-        let seat = w.keepers[0].sits.as_ref().expect("a chair");
+        let seat = w.voters[0].sits.as_ref().expect("a chair");
         let fleet = seat.fleet.clone();
-        w.keepers
+        w.voters
             .iter_mut()
             .for_each(|k| k.log = Some(vec![(1, Entry::Sits)]));
         w.left = self.budget;
@@ -265,14 +265,14 @@
                 .collect(),
             left: Vec::new(),
         });
-        w.keepers.iter_mut().for_each(|k| {
+        w.voters.iter_mut().for_each(|k| {
             k.log
                 .iter_mut()
                 .for_each(|l| l.insert(0, (0, base.clone())))
         });
-        w.keepers.iter_mut().for_each(|k| k.known = 2);
-        w.keepers[0].sits.iter_mut().for_each(|s| s.known = 2);
-        let beats = (0..GATES).flat_map(|g| {
+        w.voters.iter_mut().for_each(|k| k.known = 2);
+        w.voters[0].sits.iter_mut().for_each(|s| s.known = 2);
+        let heartbeats = (0..GATES).flat_map(|g| {
             [
                 Move::Talk(g, 0, 1),
                 Move::Hear(g),
@@ -282,10 +282,10 @@
         });
         let step: Vec<Move> = [Move::Tick]
             .into_iter()
-            .chain(beats)
+            .chain(heartbeats)
             .chain([Move::Write(0), Move::Copy(0, 1)])
             .collect();
-        let first = [Move::Ask(0), Move::Write(0), Move::Copy(0, 1)];
+        let first = [Move::Command(0), Move::Write(0), Move::Copy(0, 1)];
         let made = (1..self.made).flat_map(|_| step.clone());
         w.left = Budget {
             ticks: 9,
@@ -310,24 +310,24 @@
 
     fn actions(&self, w: &World, moves: &mut Vec<Move>) {
         moves.extend((w.left.ticks > 0).then_some(Move::Tick));
-        for k in 0..KEEPERS {
-            for j in (0..KEEPERS).filter(|j| *j != k) {
+        for k in 0..VOTERS {
+            for j in (0..VOTERS).filter(|j| *j != k) {
                 if w.left.elections > 0 {
                     moves.push(Move::Elect(k, j));
                 }
-                if w.keepers[k].sits.is_some() {
+                if w.voters[k].sits.is_some() {
                     moves.push(Move::Copy(k, j));
                     moves.push(Move::LetIn(k, j));
-                    let due = |g: &usize| !w.gates[*g].paused && w.gates[*g].has_a_beat(w.now);
+                    let due = |g: &usize| !w.gates[*g].paused && w.gates[*g].is_leader_ready(w.now);
                     moves.extend((0..GATES).filter(due).map(|g| Move::Talk(g, k, j)));
                     let again =
-                        (0..GATES).filter(|g| w.left.twice > 0 && w.gates[*g].beat.is_some());
+                        (0..GATES).filter(|g| w.left.twice > 0 && w.gates[*g].heartbeat.is_some());
                     moves.extend(again.map(|g| Move::TalkAgain(g, k, j)));
                 }
             }
-            if w.keepers[k].sits.is_some() {
+            if w.voters[k].sits.is_some() {
                 moves.push(Move::Write(k));
-                moves.extend((w.left.asks > 0).then_some(Move::Ask(k)));
+                moves.extend((w.left.asks > 0).then_some(Move::Command(k)));
             }
             moves.extend((w.left.disks > 0).then_some(Move::Lose(k)));
         }
@@ -349,25 +349,25 @@
             }
             Move::Elect(k, j) => {
                 w.left.elections -= 1;
-                let term = w.keepers[k].term + 1;
-                let log = w.keepers[k].log.clone()?;
+                let term = w.voters[k].term + 1;
+                let log = w.voters[k].log.clone()?;
                 let newest = |l: &[(u8, Entry)]| (l.last().map_or(0, |e| e.0), l.len());
-                let voter = &w.keepers[j];
+                let voter = &w.voters[j];
                 let longer = newest(voter.log.as_ref()?) > newest(&log);
                 if !w.are_a_quorum(k, j) || voter.term >= term || longer {
                     return None;
                 }
-                (w.keepers[k].term, w.keepers[j].term, w.keepers[j].sits) = (term, term, None);
-                let (chair, fleet) = (Chair::new(w.now, LEASE), begun());
-                w.keepers[k].sits = Some(Seat {
+                (w.voters[k].term, w.voters[j].term, w.voters[j].sits) = (term, term, None);
+                let (leader, fleet) = (Leader::new(w.now, LEASE), begun());
+                w.voters[k].sits = Some(Session {
                     term,
-                    chair,
+                    leader,
                     fleet,
                     known: 0,
                 });
                 if self.out == Out::Known {
                     // As if all that lies in its log were known to be in a quorum's.
-                    let seat = w.keepers[k].sits.as_mut()?;
+                    let seat = w.voters[k].sits.as_mut()?;
                     for (_, entry) in &log {
                         if let Entry::Record(record) = entry {
                             seat.fleet.apply(record.clone());
@@ -379,38 +379,38 @@
                 w.push(k, Entry::Sits);
             }
             Move::Copy(k, j) => {
-                let term = w.keepers[k].sits.as_ref()?.term;
-                if w.keepers[j].term > term {
-                    // It hears of a later chair.
-                    (w.keepers[k].term, w.keepers[k].sits) = (w.keepers[j].term, None);
+                let term = w.voters[k].sits.as_ref()?.term;
+                if w.voters[j].term > term {
+                    // It hears of a later leader.
+                    (w.voters[k].term, w.voters[k].sits) = (w.voters[j].term, None);
                 } else {
-                    let log = w.keepers[k].log.clone();
-                    (w.keepers[j].term, w.keepers[j].log, w.keepers[j].sits) = (term, log, None);
-                    w.keepers[j].known = w.keepers[k].known;
+                    let log = w.voters[k].log.clone();
+                    (w.voters[j].term, w.voters[j].log, w.voters[j].sits) = (term, log, None);
+                    w.voters[j].known = w.voters[k].known;
                     w.learn(k);
                 }
             }
             Move::Write(k) => {
                 w.sits(k)?;
-                let (now, seat) = (w.now, w.keepers[k].sits.as_mut()?);
-                let record = seat.chair.next(now, &seat.fleet)?;
+                let (now, seat) = (w.now, w.voters[k].sits.as_mut()?);
+                let record = seat.leader.next(now, &seat.fleet)?;
                 w.push(k, Entry::Record(record));
             }
             Move::Lose(k) => {
                 w.left.disks -= 1;
                 // One at a time, as the pages say.
-                if w.keepers.iter().any(|k| k.log.is_none()) {
+                if w.voters.iter().any(|k| k.log.is_none()) {
                     return None;
                 }
                 let number = if self.out == Out::Number {
-                    w.keepers[k].number
+                    w.voters[k].number
                 } else {
                     w.numbers
                 };
                 w.numbers += 1;
                 let log = (self.out == Out::Number)
-                    .then(|| w.keepers[k].log.as_ref().map(|l| l[..2].to_vec()));
-                w.keepers[k] = Keeper {
+                    .then(|| w.voters[k].log.as_ref().map(|l| l[..2].to_vec()));
+                w.voters[k] = Voter {
                     number,
                     term: 0,
                     log: log.flatten(),
@@ -420,9 +420,9 @@
             }
             Move::LetIn(k, j) => {
                 w.sits(k)?;
-                let own = w.keepers[k].log.as_ref()?;
-                let (number, all) = (w.keepers[j].number, voters(own, own.len()));
-                if all[j] == number || w.keepers[j].log.as_ref() != Some(own) {
+                let own = w.voters[k].log.as_ref()?;
+                let (number, all) = (w.voters[j].number, voters(own, own.len()));
+                if all[j] == number || w.voters[j].log.as_ref() != Some(own) {
                     return None;
                 }
                 w.push(k, Entry::Votes(j, number));
@@ -433,24 +433,24 @@
             }
             Move::Talk(g, k, j) | Move::TalkAgain(g, k, j) => {
                 let asked = self.out != Out::Confirm;
-                let (term, confirms) = (w.keepers[k].sits.as_ref()?.term, &w.keepers[j]);
+                let (term, confirms) = (w.voters[k].sits.as_ref()?.term, &w.voters[j]);
                 if asked && (!w.are_a_quorum(k, j) || confirms.term > term) {
                     return None;
                 }
                 w.sits(k)?;
-                if asked && w.keepers[j].term < term {
-                    (w.keepers[j].term, w.keepers[j].sits) = (term, None);
+                if asked && w.voters[j].term < term {
+                    (w.voters[j].term, w.voters[j].sits) = (term, None);
                 }
                 let now = w.now;
-                let beat = match step {
+                let heartbeat = match step {
                     Move::TalkAgain(..) => {
                         w.left.twice -= 1;
-                        w.gates[g].beat.clone()?
+                        w.gates[g].heartbeat.clone()?
                     }
                     _ => w.gates[g].sends(now, g)?,
                 };
-                let seat = w.keepers[k].sits.as_mut()?;
-                w.gates[g].answer = Some(seat.chair.beat(now, &seat.fleet, &beat));
+                let seat = w.voters[k].sits.as_mut()?;
+                w.gates[g].answer = Some(seat.leader.heartbeat(now, &seat.fleet, &heartbeat));
             }
             Move::Hear(g) => {
                 let (now, answer) = (w.now, w.gates[g].answer.take()?);
@@ -460,14 +460,14 @@
                 w.left.pauses -= !w.gates[g].paused as u8;
                 w.gates[g].paused = !w.gates[g].paused;
             }
-            Move::Ask(k) => {
+            Move::Command(k) => {
                 w.left.asks -= 1;
                 let to = 1 + w.left.asks;
                 w.sits(k)?;
-                let seat = w.keepers[k].sits.as_mut()?;
-                let upon = seat.fleet.mark;
-                seat.chair
-                    .ask(&seat.fleet, Ask::Change(wish(to, upon)))
+                let seat = w.voters[k].sits.as_mut()?;
+                let base_revision = seat.fleet.mark;
+                seat.leader
+                    .ask(&seat.fleet, Command::Change(proposal(to, base_revision)))
                     .ok()?;
             }
         }
@@ -483,15 +483,15 @@
             Property::always("nothing before the policy is known", |_, w: &World| {
                 played::knows(w.deciding())
             }),
-            // A chair that may grant knows of all that was ever decided.
+            // A leader that may grant knows of all that was ever decided.
             Property::always("a decided one is never lost", |_, w: &World| {
                 let last = w.decided.last().copied().unwrap_or(0);
-                let knows = |s: &Seat| s.fleet.running.as_ref().is_some_and(|r| r.1 .0 >= last);
+                let knows = |s: &Session| s.fleet.running.as_ref().is_some_and(|r| r.1 .0 >= last);
                 let confirmed = |k: usize| {
-                    let term = w.keepers[k].term;
-                    (0..KEEPERS).any(|j| w.are_a_quorum(k, j) && w.keepers[j].term <= term)
+                    let term = w.voters[k].term;
+                    (0..VOTERS).any(|j| w.are_a_quorum(k, j) && w.voters[j].term <= term)
                 };
-                (0..KEEPERS)
+                (0..VOTERS)
                     .filter(|k| confirmed(*k))
                     .all(|k| w.sits(k).is_none_or(knows))
             }),
@@ -657,8 +657,8 @@
 
 #[test]
 fn every_guard_of_the_keepers_that_is_taken_out_breaks_a_promise() {
-    // An earlier chair is asked by one gateway still, and the new one waits for leases of its own time alone.
-    let two_chairs = [
+    // An earlier leader is asked by one gateway still, and the new one waits for leases of its own time alone.
+    let two_leaders = [
         Move::Elect(1, 2),
         Move::Copy(1, 2),
         Move::Tick,
@@ -666,12 +666,12 @@
         Move::Hear(0),
         Move::Tick,
     ];
-    let chair_and_disk = Budget {
+    let leader_and_disk = Budget {
         elections: 1,
         disks: 1,
         ..QUIET
     };
-    let chair = Budget {
+    let leader = Budget {
         ticks: 2,
         elections: 1,
         ..QUIET
@@ -679,13 +679,13 @@
     for (out, budget, made, then, promise) in [
         (
             Out::Number,
-            chair_and_disk,
+            leader_and_disk,
             3,
             vec![],
             "a decided one is never lost",
         ),
-        (Out::Confirm, QUIET, 1, two_chairs.to_vec(), "apart"),
-        (Out::Known, chair, 2, vec![], "all or none"),
+        (Out::Confirm, QUIET, 1, two_leaders.to_vec(), "apart"),
+        (Out::Known, leader, 2, vec![], "all or none"),
     ] {
         let tick = if then.is_empty() { 1.0 } else { 2.0 };
         let days = Days {
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -5,7 +5,7 @@
 use crate::schema::Value;
 use ironstair::logic::{ClassView, EngineView};
 use ironstair::{EndpointState, Ms};
-use ironstair_config_change::journal::Line;
+use ironstair_config_change::journal::RevisionSummary;
 use ironstair_config_change::revisions;
 use ironstair_coordination::Share;
 use std::sync::Arc;
@@ -77,16 +77,16 @@
     /// Until when it may decide by that.
     pub until: Ms,
     pub steady: bool,
-    pub keeper: bool,
+    pub voter: bool,
     /// Empty where none is known.
-    pub chair: String,
+    pub leader: String,
     /// Of what all gateways share out, where the fleet counts its members.
     pub share: Option<Share>,
-    /// At the chair: who is in.
+    /// At the leader: who is in.
     pub members: Vec<Member>,
 }
 
-/// A member as the fleet's chair knows it.
+/// A member as the fleet's leader knows it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
     pub name: String,
@@ -121,8 +121,8 @@
     n.wide("revision", is.revision);
     n.set("held-until", moment(is.until.min(MOMENT_MOST)));
     n.text("cut-off", cut_off(is.steady));
-    n.set("keeper", Value::Bool(is.keeper));
-    n.text("chair", &is.chair);
+    n.set("keeper", Value::Bool(is.voter));
+    n.text("chair", &is.leader);
     if let Some(share) = is.share {
         n.set("shares-among", Value::Uint(share.among.round() as u64));
         n.set("takes-share", Value::Bool(share.taken));
@@ -301,7 +301,7 @@
 }
 
 /// The revisions that are remembered.
-pub fn revisions<'a>(leaves: &Leaves, lines: impl Iterator<Item = &'a Line>) -> Leaves {
+pub fn revisions<'a>(leaves: &Leaves, lines: impl Iterator<Item = &'a RevisionSummary>) -> Leaves {
     let mut new = leaves.clone();
     let list = Path([step("state", None)].into());
     let old = new
@@ -321,7 +321,7 @@
             revisions::RevisionState::Running => "running",
             revisions::RevisionState::Unconfirmed => "unconfirmed",
             revisions::RevisionState::Replaced => "replaced",
-            revisions::RevisionState::TakenBack => "taken-back",
+            revisions::RevisionState::RolledBack => "taken-back",
         };
         n.text("outcome", outcome);
         if let Some(until) = l.until {
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -4,7 +4,7 @@
 
 use ironstair::logic::{ClassView, EngineView};
 use ironstair::EndpointState;
-use ironstair_config_change::journal::Line;
+use ironstair_config_change::journal::RevisionSummary;
 use ironstair_config_change::{revisions, Document};
 use ironstair_coordination::Share;
 use ironstair_data_tree::leaves::select;
@@ -203,15 +203,15 @@
     }
 }
 
-fn lines() -> Vec<Line> {
-    use revisions::RevisionState::{Replaced, Running, TakenBack, Unconfirmed};
+fn lines() -> Vec<RevisionSummary> {
+    use revisions::RevisionState::{Replaced, RolledBack, Running, Unconfirmed};
     let all = [
         (1, Replaced),
         (2, Running),
-        (3, TakenBack),
+        (3, RolledBack),
         (4, Unconfirmed),
     ];
-    let line = |(number, state)| Line {
+    let line = |(number, state)| RevisionSummary {
         number,
         who: "CN=op".into(),
         when: 1.8e12 + number as f64,
@@ -237,8 +237,8 @@
         revision: 21,
         until: 1.8e12 + 2000.0,
         steady: false,
-        keeper: true,
-        chair: "g1".into(),
+        voter: true,
+        leader: "g1".into(),
         share: Some(Share {
             among: 3.0,
             taken: true,
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -1,23 +1,25 @@
 //! The owner of a gateway's part in its fleet: one mailbox, one task. What it waits for (a disk, a peer, the
 //! gateway's thread) is waited for by tasks of its own, which post how it ended.
 
-use crate::charter::Charter;
+use crate::config::FleetConfig;
 use crate::proto::Word;
 use crate::serve::{self, Own};
 use crate::shown;
 use crate::variant::taken_out;
 use crate::way::Way;
 use ironstair::Ms;
-use ironstair_coordination::chair::{Ask, Refusal};
 use ironstair_coordination::history::{anew, first, supersedes};
+use ironstair_coordination::leader::{Command, Refusal};
 use ironstair_coordination::member::{Action, Input};
-use ironstair_coordination::record::Wish;
-use ironstair_coordination::{grace, Answer, Beat, Line, Member, RevisionState};
+use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::{
+    grace, Heartbeat, HeartbeatResponse, Member, RevisionState, RevisionSummary,
+};
 use ironstair_data_tree::state;
 use ironstair_management::fleet::Wanted;
-use ironstair_management::{Desk, Refused};
-use ironstair_raft_replica::{Keeper, Out, Save, TICK};
-use ironstair_raft_storage::Archive;
+use ironstair_management::{ManagementHandle, Refused};
+use ironstair_raft_replica::{Out, Replica, Save, TICK};
+use ironstair_raft_storage::Storage;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::window::ManagementCommand;
 use serde::{Deserialize, Serialize};
@@ -33,35 +35,37 @@
 
 /// What may wait for the actor.
 const MAILBOX: usize = 1024;
-/// Beats of this gateway that may be under way, and asks that may wait for their outcome here.
-const BEATS_MOST: usize = 4;
+/// Heartbeats of this gateway that may be under way, and asks that may wait for their outcome here.
+const MAX_HEARTBEATS_IN_FLIGHT: usize = 4;
 const ASKS_MOST: usize = 64;
-/// A keeper without a history asks to be let in this often.
-const KNOCK_EVERY: Ms = 500.0;
-/// Each keeper asks the others so often which history they know.
+/// A voter without a history asks to be let in this often.
+const JOIN_REQUEST_INTERVAL: Ms = 500.0;
+/// Each voter asks the others so often which history they know.
 const COMPARE_EVERY: Ms = 2000.0;
 /// How long a disk that took nothing is left alone.
 const DISK_AGAIN: Ms = 500.0;
-/// While no chair is known each keeper is asked so often in a lease.
+/// While no leader is known each voter is asked so often in a lease.
 const LOOKS: f64 = 10.0;
-/// Between two tries to find the chair for what an operator asks.
+/// Between two tries to find the leader for what an operator asks.
 const LOOK_AGAIN: Ms = 50.0;
 /// How long an operator waits for what becomes of a change, in leases and at least.
 const OUTCOME_LEASES: f64 = 5.0;
 const OUTCOME_LEAST: Ms = 15_000.0;
 
-/// What an operator asks of the chair.
+/// What an operator asks of the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Asked {
-    Ask(Ask<Json>),
+    #[serde(rename = "ask")]
+    Command(Command<Json>),
     Show,
 }
 
-/// Another keeper may be the chair.
+/// Another voter may be the leader.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Hint {
-    pub chair: Option<String>,
+    #[serde(rename = "chair")]
+    pub leader: Option<String>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -75,25 +79,28 @@
 
 /// To the actor.
 pub enum Mail {
-    Beat(Beat, oneshot::Sender<Result<Answer<Json>, Hint>>),
+    Heartbeat(
+        Heartbeat,
+        oneshot::Sender<Result<HeartbeatResponse<Json>, Hint>>,
+    ),
     Agree(String, Vec<u8>),
-    /// A keeper and its voter's number, or 0 where it asks for the history alone.
-    Knock(String, u64, oneshot::Sender<u64>),
-    Ask(Asked, oneshot::Sender<Told>),
-    /// A beat of this gateway came back, and from whom; or why not.
-    Answered(Result<(String, Answer<Json>), String>),
+    /// A voter and its voter's number, or 0 where it asks for the history alone.
+    Join(String, u64, oneshot::Sender<u64>),
+    Command(Asked, oneshot::Sender<Told>),
+    /// A heartbeat of this gateway came back, and from whom; or why not.
+    Answered(Result<(String, HeartbeatResponse<Json>), String>),
     Held(u64, Result<(), String>),
     Examined(u64, Result<(), String>),
     Saved(Box<Saved>),
-    /// The histories that the other keepers know, before one begins here.
+    /// The histories that the other voters know, before one begins here.
     Known(
         Result<(), String>,
         Json,
-        ironstair_management::fleet::Answer,
+        ironstair_management::fleet::Responder,
     ),
     /// The same before one begins anew: what was found, and by whose word with what.
     KnownAnew(Result<Vec<u64>, String>, Anew),
-    /// A history that another keeper knows.
+    /// A history that another voter knows.
     Heard(u64),
     Leave(oneshot::Sender<()>),
 }
@@ -102,11 +109,11 @@
 pub struct Anew {
     document: Json,
     who: String,
-    answer: ironstair_management::fleet::Answer,
+    answer: ironstair_management::fleet::Responder,
 }
 
 pub struct Saved {
-    archive: Archive,
+    storage: Storage,
     save: Save,
     how: Result<(), String>,
 }
@@ -116,31 +123,31 @@
 
 enum Waits {
     Own,
-    Other(oneshot::Sender<Result<Answer<Json>, Hint>>),
+    Other(oneshot::Sender<Result<HeartbeatResponse<Json>, Hint>>),
 }
 
-/// A keeper's log and its disk, which is elsewhere while it writes.
+/// A voter's log and its disk, which is elsewhere while it writes.
 struct Kept {
-    keeper: Keeper<Json>,
-    archive: Option<Archive>,
+    replica: Replica<Json>,
+    storage: Option<Storage>,
     /// Why the disk is to be left, once it is not being written.
     older: Option<&'static str>,
-    knock_at: Ms,
+    join_request_due: Ms,
     compare_at: Ms,
     disk_said: bool,
 }
 
 struct Pending {
-    ask: Ask<Json>,
+    ask: Command<Json>,
     until: Ms,
     answer: oneshot::Sender<Told>,
 }
 
 /// Opened before anything serves: a disk or an address that can't be used is told at once.
 pub struct Opened {
-    charter: Charter,
+    config: FleetConfig,
     bound: TcpListener,
-    archive: Option<Archive>,
+    storage: Option<Storage>,
     note: Option<String>,
 }
 
@@ -155,8 +162,8 @@
 impl Opened {
     /// # Errors
     /// The address is not free, or the disk can't be used; one sentence.
-    pub fn open(charter: Charter) -> Result<Opened, String> {
-        let bound = serve::bind(charter.listen)?;
+    pub fn open(config: FleetConfig) -> Result<Opened, String> {
+        let bound = serve::bind(config.listen)?;
         // Held to the process's end, also where this thread ends before: the gateway's decides by its lease still, and
         // a later process that could listen here would count this one as gone.
         std::mem::forget(
@@ -164,37 +171,37 @@
                 .try_clone()
                 .map_err(|e| format!("fleet.listen: {e}"))?,
         );
-        let archive = charter.folder.as_ref();
+        let storage = config.folder.as_ref();
         let number = if taken_out("number") {
-            named(&charter.name)
+            named(&config.name)
         } else {
             drawn()
         };
-        let open = |folder| Archive::open(folder, &charter.fleet, &charter.name, number);
-        let archive = archive
+        let open = |folder| Storage::open(folder, &config.fleet, &config.name, number);
+        let storage = storage
             .map(|f| open(f).map_err(|e| format!("fleet.state: {e}")))
             .transpose()?;
-        let (archive, note) = archive.map_or((None, None), |a| (Some(a.archive), a.note));
+        let (storage, note) = storage.map_or((None, None), |a| (Some(a.storage), a.note));
         Ok(Opened {
-            charter,
+            config,
             bound,
-            archive,
+            storage,
             note,
         })
     }
 }
 
 pub struct Actor {
-    charter: Charter,
+    config: FleetConfig,
     own: Own,
     clock: Clock,
     log: Logger,
     member: Member,
     kept: Option<Kept>,
-    desk: Desk,
+    management: ManagementHandle,
     requests: async_channel::Sender<ManagementCommand>,
     ways: BTreeMap<String, Way>,
-    /// The keeper that last answered a beat.
+    /// The voter that last answered a heartbeat.
     speaks_to: Option<String>,
     inbox: mpsc::Receiver<Mail>,
     post: mpsc::Sender<Mail>,
@@ -202,18 +209,18 @@
     shown: watch::Sender<state::Fleet>,
     answers: HashMap<u64, Waits>,
     tokens: u64,
-    beats: usize,
+    heartbeats: usize,
     pending: Vec<Pending>,
     leaving: Option<oneshot::Sender<()>>,
-    /// Why no chair answered, as last said.
+    /// Why no leader answered, as last said.
     unheard: String,
     /// Whether it was said that a lease is held.
     held: bool,
-    /// Whether it was said that this keeper has a vote.
+    /// Whether it was said that this voter has a vote.
     votes: bool,
     /// The revisions as last told to the log.
-    lines: VecDeque<Line>,
-    /// The latest history that anybody told of: a member may know more than what is left of the keepers.
+    lines: VecDeque<RevisionSummary>,
+    /// The latest history that anybody told of: a member may know more than what is left of the voters.
     latest: u64,
 }
 
@@ -227,41 +234,41 @@
     /// Must be called on the runtime that serves it; the listener's task is started here.
     ///
     /// # Errors
-    /// The disk holds no keeper's log, or an address can't be one.
+    /// The disk holds no voter's log, or an address can't be one.
     pub fn start(
         opened: Opened,
         ends: Ends,
-        desk: Desk,
+        management: ManagementHandle,
         requests: async_channel::Sender<ManagementCommand>,
         clock: Clock,
         log: Logger,
     ) -> Result<(Actor, Leave), String> {
         let Opened {
-            charter,
+            config,
             bound,
-            archive,
+            storage,
             note,
         } = opened;
         let own = Own {
-            fleet: charter.fleet.clone(),
-            name: charter.name.clone(),
+            fleet: config.fleet.clone(),
+            name: config.name.clone(),
             start: drawn(),
         };
         let (post, inbox) = mpsc::channel(MAILBOX);
         if let Some(note) = note {
             warn!(log, "the fleet's log here is not what it was"; "why" => note);
         }
-        let others = charter
-            .keepers
+        let others = config
+            .voters
             .iter()
-            .filter(|(name, _)| **name != charter.name);
+            .filter(|(name, _)| **name != config.name);
         let ways = others.map(|(name, at)| Ok((name.clone(), Way::to(*at)?)));
         let ways = ways.collect::<Result<BTreeMap<_, _>, String>>()?;
-        let member = Member::new(&charter.name, own.start, charter.steady, charter.lease);
+        let member = Member::new(&config.name, own.start, config.steady, config.lease);
         let member = member.holding(if taken_out("place") {
             String::new()
         } else {
-            serve::place(charter.listen)
+            serve::place(config.listen)
         });
         let serving = serve::serve(bound, own.clone(), post.clone(), log.clone());
         let said = log.clone();
@@ -271,13 +278,13 @@
             }
         });
         let mut actor = Actor {
-            charter,
+            config,
             own,
             clock,
             log,
             member,
             kept: None,
-            desk,
+            management,
             requests,
             ways,
             speaks_to: None,
@@ -287,7 +294,7 @@
             shown: ends.shown,
             answers: HashMap::new(),
             tokens: 0,
-            beats: 0,
+            heartbeats: 0,
             pending: Vec::new(),
             leaving: None,
             unheard: String::new(),
@@ -296,34 +303,34 @@
             lines: VecDeque::new(),
             latest: 0,
         };
-        if let Some(archive) = archive {
-            actor.keep(archive)?;
+        if let Some(storage) = storage {
+            actor.keep(storage)?;
         }
         Ok((actor, post))
     }
 
-    /// A keeper with what its disk holds.
-    fn keep(&mut self, archive: Archive) -> Result<(), String> {
+    /// A voter with what its disk holds.
+    fn keep(&mut self, storage: Storage) -> Result<(), String> {
         let place = self
-            .charter
-            .keepers
+            .config
+            .voters
             .keys()
-            .position(|k| *k == self.charter.name)
+            .position(|k| *k == self.config.name)
             .unwrap_or(0);
-        let (name, lease, now) = (&self.charter.name, self.charter.lease, self.clock.now());
-        let keeper = Keeper::open(name, place, lease, archive.image(), now, &self.log)?;
-        let history = keeper.state().fleet.history;
+        let (name, lease, now) = (&self.config.name, self.config.lease, self.clock.now());
+        let replica = Replica::open(name, place, lease, storage.image(), now, &self.log)?;
+        let history = replica.state().fleet.history;
         info!(self.log, "a keeper of the fleet's log"; "history" => format!("{history:016x}"));
-        // Beats that an earlier one was to answer find nobody, and are sent again.
+        // Heartbeats that an earlier one was to answer find nobody, and are sent again.
         self.answers.clear();
         // Only what comes to pass from now on is news.
-        self.lines.clone_from(&keeper.state().fleet.lines);
-        let archive = Some(archive);
+        self.lines.clone_from(&replica.state().fleet.lines);
+        let storage = Some(storage);
         self.kept = Some(Kept {
-            keeper,
-            archive,
+            replica,
+            storage,
             older: None,
-            knock_at: now,
+            join_request_due: now,
             compare_at: now,
             disk_said: false,
         });
@@ -353,10 +360,10 @@
     fn take(&mut self, mail: Mail) {
         let now = self.clock.now();
         match mail {
-            Mail::Beat(beat, to) => match &mut self.kept {
+            Mail::Heartbeat(heartbeat, to) => match &mut self.kept {
                 Some(_) => {
-                    self.hear_of(beat.history);
-                    self.beat(beat, Waits::Other(to));
+                    self.hear_of(heartbeat.history);
+                    self.heartbeat(heartbeat, Waits::Other(to));
                 }
                 None => drop(to.send(Err(Hint::default()))),
             },
@@ -364,35 +371,35 @@
                 let outs = self
                     .kept
                     .as_mut()
-                    .map(|k| k.keeper.message(now, &from, &bytes));
+                    .map(|k| k.replica.message(now, &from, &bytes));
                 self.carry(outs.unwrap_or_default());
             }
-            Mail::Knock(name, number, to) => {
+            Mail::Join(name, number, to) => {
                 let Some(k) = &mut self.kept else {
                     let _ = to.send(self.member.held().0);
                     return;
                 };
-                if number != 0 && self.charter.keepers.contains_key(&name) {
-                    k.keeper.knocked(name, number);
+                if number != 0 && self.config.voters.contains_key(&name) {
+                    k.replica.knocked(name, number);
                 }
                 // A blank one may remember what its disk knows no more.
-                let of_disk = k.keeper.state().fleet.history;
+                let of_disk = k.replica.state().fleet.history;
                 let _ = to.send(if of_disk == 0 {
                     self.member.held().0
                 } else {
                     of_disk
                 });
             }
-            Mail::Ask(asked, to) => self.asked(asked, to),
+            Mail::Command(asked, to) => self.asked(asked, to),
             Mail::Answered(answer) => {
-                self.beats -= 1;
+                self.heartbeats -= 1;
                 let lost = answer.is_err();
                 match answer {
                     Ok((by, answer)) => {
                         (self.speaks_to, self.unheard) = (Some(by), String::new());
                         self.told(answer);
                     }
-                    // Once, not with each beat.
+                    // Once, not with each heartbeat.
                     Err(why) if !self.member.holds(now) && why != self.unheard => {
                         warn!(self.log, "no keeper answers as the fleet's chair"; "why" => &why);
                         self.unheard = why;
@@ -418,7 +425,7 @@
                 let own = self
                     .kept
                     .as_ref()
-                    .map_or(0, |k| k.keeper.state().fleet.history);
+                    .map_or(0, |k| k.replica.state().fleet.history);
                 if own != 0 && supersedes(history, own) && !taken_out("compare") {
                     self.leave_the_older("the fleet's history began anew without this keeper");
                 }
@@ -444,7 +451,7 @@
         }
         self.answer_the_pending();
         self.say_what_came_to_pass();
-        let votes = self.kept.as_ref().is_some_and(|k| !k.keeper.is_blank());
+        let votes = self.kept.as_ref().is_some_and(|k| !k.replica.is_blank());
         if votes && !std::mem::replace(&mut self.votes, votes) {
             info!(self.log, "this keeper has a vote");
         }
@@ -466,18 +473,18 @@
         }
         let (history, _, revision) = self.member.held();
         let is = state::Fleet {
-            name: self.charter.fleet.clone(),
+            name: self.config.fleet.clone(),
             history,
             revision,
             until: self.member.until(),
-            steady: self.charter.steady,
-            keeper: self.kept.is_some(),
-            chair: self.chair().unwrap_or_default(),
-            share: self.charter.counts.then(|| self.member.share()),
+            steady: self.config.steady,
+            voter: self.kept.is_some(),
+            leader: self.leader().unwrap_or_default(),
+            share: self.config.counts.then(|| self.member.share()),
             members: self
                 .kept
                 .as_ref()
-                .map_or(Vec::new(), |k| shown::members(&k.keeper)),
+                .map_or(Vec::new(), |k| shown::members(&k.replica)),
         };
         self.shown.send_if_modified(|was| {
             let other = *was != is;
@@ -486,9 +493,9 @@
         });
     }
 
-    fn chair(&self) -> Option<String> {
+    fn leader(&self) -> Option<String> {
         match &self.kept {
-            Some(k) => k.keeper.leader().map(String::from),
+            Some(k) => k.replica.leader_name().map(String::from),
             None => self.speaks_to.clone(),
         }
     }
@@ -496,13 +503,15 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         let Some(k) = &mut self.kept else { return };
-        let outs = k.keeper.tick(now);
-        let knock = k.keeper.knock().filter(|_| now >= k.knock_at);
+        let outs = k.replica.tick(now);
+        let knock = k.replica.knock().filter(|_| now >= k.join_request_due);
         if let Some((_, number)) = knock {
-            k.knock_at = now + KNOCK_EVERY;
+            k.join_request_due = now + JOIN_REQUEST_INTERVAL;
             for way in self.ways.values() {
                 let (way, word) = (way.clone(), self.own.word(number.to_string().into_bytes()));
-                tokio::spawn(async move { drop(way.knock(word, KNOCK_EVERY * 0.8).await) });
+                tokio::spawn(
+                    async move { drop(way.knock(word, JOIN_REQUEST_INTERVAL * 0.8).await) },
+                );
             }
         }
         if now >= k.compare_at {
@@ -525,27 +534,27 @@
     fn act(&mut self, input: Input<Json>) {
         for action in self.member.on(self.clock.now(), input) {
             match action {
-                Action::Beat(beat) => self.send(beat),
+                Action::Heartbeat(heartbeat) => self.send(heartbeat),
                 Action::Apply {
                     mark,
                     number,
                     document,
                 } => {
-                    let (desk, post) = (self.desk.clone(), self.post.clone());
+                    let (management, post) = (self.management.clone(), self.post.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("hold") {
                             true => Ok(()),
-                            false => hold(&desk, mark, number, document).await,
+                            false => hold(&management, mark, number, document).await,
                         };
                         let _ = post.send(Mail::Held(mark, how)).await;
                     });
                 }
                 Action::Examine { number, document } => {
-                    let (desk, post) = (self.desk.clone(), self.post.clone());
+                    let (management, post) = (self.management.clone(), self.post.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("examine") {
                             true => Ok(()),
-                            false => readable(&document).and(desk.examine(document).await),
+                            false => readable(&document).and(management.examine(document).await),
                         };
                         let _ = post.send(Mail::Examined(number, how)).await;
                     });
@@ -557,7 +566,7 @@
                         until
                     };
                     // Against a mailbox that is full just then: a steady one is told once, and for good.
-                    let share = Some(share).filter(|_| self.charter.counts);
+                    let share = Some(share).filter(|_| self.config.counts);
                     if let Err(full) = self
                         .requests
                         .try_send(ManagementCommand::Lease(until, share))
@@ -571,60 +580,62 @@
         }
     }
 
-    fn told(&mut self, answer: Answer<Json>) {
+    fn told(&mut self, answer: HeartbeatResponse<Json>) {
         self.act(Input::Answered(answer));
         if let Some(done) = self.leaving.take() {
             let _ = done.send(());
         }
     }
 
-    /// The gateway's own beat goes to the chair: here, or by the way to it.
-    fn send(&mut self, mut beat: Beat) {
-        beat.steady &= !taken_out("says-steady");
+    /// The gateway's own heartbeat goes to the leader: here, or by the way to it.
+    fn send(&mut self, mut heartbeat: Heartbeat) {
+        heartbeat.steady &= !taken_out("says-steady");
         let here = self
             .kept
             .as_ref()
-            .is_some_and(|k| k.keeper.leader() == Some(&self.charter.name));
+            .is_some_and(|k| k.replica.leader_name() == Some(&self.config.name));
         if here {
-            return self.beat(beat, Waits::Own);
+            return self.heartbeat(heartbeat, Waits::Own);
         }
-        // One search at a time: while no keeper is the chair, hundreds of members would ask for it together.
-        if self.beats
-            >= if self.chair().is_some() {
-                BEATS_MOST
+        // One search at a time: while no voter is the leader, hundreds of members would ask for it together.
+        if self.heartbeats
+            >= if self.leader().is_some() {
+                MAX_HEARTBEATS_IN_FLIGHT
             } else {
                 1
             }
         {
             return;
         }
-        self.beats += 1;
-        let body = serde_json::to_vec(&beat).unwrap_or_default();
+        self.heartbeats += 1;
+        let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
         let (search, post) = (self.search(), self.post.clone());
         let word = self.own.word(body);
         tokio::spawn(async move {
-            let found = search.beat(word).await;
+            let found = search.heartbeat(word).await;
             let _ = post.send(Mail::Answered(found)).await;
         });
     }
 
     fn search(&self) -> Search {
-        let first = self.chair().filter(|c| self.ways.contains_key(c));
+        let first = self.leader().filter(|c| self.ways.contains_key(c));
         Search {
             own: self.own.clone(),
             ways: self.ways.clone(),
             first,
             clock: self.clock,
-            lease: self.charter.lease,
+            lease: self.config.lease,
         }
     }
 
-    /// A beat at this keeper.
-    fn beat(&mut self, beat: Beat, waits: Waits) {
+    /// A heartbeat at this voter.
+    fn heartbeat(&mut self, heartbeat: Heartbeat, waits: Waits) {
         let Some(k) = &mut self.kept else { return };
         self.tokens += 1;
         self.answers.insert(self.tokens, waits);
-        let outs = k.keeper.beat(self.clock.now(), self.tokens, beat);
+        let outs = k
+            .replica
+            .heartbeat(self.clock.now(), self.tokens, heartbeat);
         self.carry(outs);
     }
 
@@ -637,14 +648,14 @@
                         way.agree(self.own.word(bytes));
                     }
                 }
-                Out::Answer(token, answer) => match self.answers.remove(&token) {
+                Out::HeartbeatResponse(token, answer) => match self.answers.remove(&token) {
                     Some(Waits::Own) => self.told(answer),
                     Some(Waits::Other(to)) => drop(to.send(Ok(answer))),
                     None => {}
                 },
-                Out::NotChair(token, chair) => {
+                Out::NotLeader(token, leader) => {
                     if let Some(Waits::Other(to)) = self.answers.remove(&token) {
-                        let _ = to.send(Err(Hint { chair }));
+                        let _ = to.send(Err(Hint { leader }));
                     }
                 }
                 Out::Older => self.leave_the_older("the fleet's log here is an older copy"),
@@ -653,26 +664,26 @@
     }
 
     fn save(&mut self, save: Save) {
-        let Some(mut archive) = self.kept.as_mut().and_then(|k| k.archive.take()) else {
+        let Some(mut storage) = self.kept.as_mut().and_then(|k| k.storage.take()) else {
             return;
         };
         let post = self.post.clone();
         tokio::spawn(async move {
             let work = tokio::task::spawn_blocking(move || {
-                let how = write(&mut archive, &save);
-                Saved { archive, save, how }
+                let how = write(&mut storage, &save);
+                Saved { storage, save, how }
             });
-            // A thread that panicked leaves no disk behind: this keeper writes nothing more, and votes on nothing.
+            // A thread that panicked leaves no disk behind: this voter writes nothing more, and votes on nothing.
             if let Ok(saved) = work.await {
                 let _ = post.send(Mail::Saved(Box::new(saved))).await;
             }
         });
     }
 
-    fn saved(&mut self, Saved { archive, save, how }: Saved) {
+    fn saved(&mut self, Saved { storage, save, how }: Saved) {
         let now = self.clock.now();
         let Some(k) = &mut self.kept else { return };
-        k.archive = Some(archive);
+        k.storage = Some(storage);
         if let Some(why) = k.older {
             return self.leave_the_older(why);
         }
@@ -682,14 +693,14 @@
                 warn!(self.log, "the fleet's log can't be kept: this keeper takes no part until it can"; "why" => why);
             }
             let post = self.post.clone();
-            let Some(mut archive) = k.archive.take() else {
+            let Some(mut storage) = k.storage.take() else {
                 return;
             };
             tokio::spawn(async move {
                 sleep(span(DISK_AGAIN)).await;
                 let work = tokio::task::spawn_blocking(move || {
-                    let how = write(&mut archive, &save);
-                    Saved { archive, save, how }
+                    let how = write(&mut storage, &save);
+                    Saved { storage, save, how }
                 });
                 if let Ok(saved) = work.await {
                     let _ = post.send(Mail::Saved(Box::new(saved))).await;
@@ -700,7 +711,7 @@
         if std::mem::take(&mut k.disk_said) {
             info!(self.log, "the fleet's log is kept again");
         }
-        let outs = k.keeper.saved(now);
+        let outs = k.replica.saved(now);
         self.carry(outs);
     }
 
@@ -708,12 +719,12 @@
     fn leave_the_older(&mut self, why: &'static str) {
         let Some(k) = &mut self.kept else { return };
         k.older = Some(why);
-        let Some(mut archive) = k.archive.take() else {
+        let Some(mut storage) = k.storage.take() else {
             return;
         };
-        let how = archive.put_aside(drawn());
+        let how = storage.quarantined(drawn());
         self.kept = None;
-        match how.and_then(|aside| self.keep(archive).map(|()| aside)) {
+        match how.and_then(|aside| self.keep(storage).map(|()| aside)) {
             Ok(aside) => {
                 warn!(self.log, "{}: put aside, and begun blank", why; "aside" => aside);
             }
@@ -723,7 +734,7 @@
 
     fn want(&mut self, wanted: Wanted) {
         let now = self.clock.now();
-        let fail = |answer: ironstair_management::fleet::Answer, why: &str| {
+        let fail = |answer: ironstair_management::fleet::Responder, why: &str| {
             drop(answer.send(Err(Refused::Fleet(why.into()))));
         };
         match wanted {
@@ -731,26 +742,26 @@
                 who,
                 what,
                 document,
-                upon,
+                base_revision,
                 commit,
                 answer,
             } => {
                 let commit = commit.filter(|_| !taken_out("trial"));
                 let when = now;
-                let wish = Wish {
+                let proposal = ChangeProposal {
                     token: drawn(),
                     who,
                     when,
                     what,
-                    upon,
+                    base_revision,
                     document,
                     commit,
                 };
-                self.ask(Ask::Change(wish), answer);
+                self.ask(Command::Change(proposal), answer);
             }
-            Wanted::Confirm { id, answer } => self.ask(Ask::Confirm { id }, answer),
+            Wanted::Confirm { id, answer } => self.ask(Command::Confirm { id }, answer),
             Wanted::Cancel { id, who, answer } => {
-                self.ask(Ask::Cancel { id: Some(id), who }, answer)
+                self.ask(Command::Cancel { id: Some(id), who }, answer)
             }
             Wanted::Show(answer) => {
                 let (search, own) = (self.search(), self.post.clone());
@@ -770,11 +781,11 @@
                 answer,
             } => self.look_before_anew(document, who, answer),
             Wanted::Begin { document, answer } => {
-                let first = self.charter.keepers.keys().next();
+                let first = self.config.voters.keys().next();
                 let Some(k) = &self.kept else {
                     return fail(answer, "only a keeper begins a history");
                 };
-                if first != Some(&self.charter.name) {
+                if first != Some(&self.config.name) {
                     // In one place alone, so that no two can begin.
                     let why = format!(
                         "a history is begun at the keeper {}",
@@ -782,7 +793,7 @@
                     );
                     return fail(answer, &why);
                 }
-                if !k.keeper.is_blank() || k.archive.is_none() {
+                if !k.replica.is_blank() || k.storage.is_none() {
                     return fail(answer, "the fleet has a history");
                 }
                 let (ways, own, post) = (self.ways.clone(), self.own.clone(), self.post.clone());
@@ -811,54 +822,54 @@
         &mut self,
         how: Result<(), String>,
         document: Json,
-        answer: ironstair_management::fleet::Answer,
+        answer: ironstair_management::fleet::Responder,
     ) {
         let made = how.and_then(|()| {
-            let Some(k) = self.kept.as_mut().filter(|k| k.keeper.is_blank()) else {
+            let Some(k) = self.kept.as_mut().filter(|k| k.replica.is_blank()) else {
                 return Err("the fleet has a history".into());
             };
-            let mut archive = k.archive.take().ok_or("the disk is being written")?;
+            let mut storage = k.storage.take().ok_or("the disk is being written")?;
             // Under the number that it has given to others already.
-            let image = Keeper::begin(
-                &self.charter.name,
-                archive.image().id,
+            let image = Replica::begin(
+                &self.config.name,
+                storage.image().id,
                 first(drawn()),
                 document,
                 None,
             )?;
-            let begun = archive.begin(image);
+            let begun = storage.begin(image);
             self.kept = None;
-            self.keep(archive).and(begun)
+            self.keep(storage).and(begun)
         });
         let _ = answer.send(made.map(|()| 0).map_err(Refused::Fleet));
     }
 
-    /// After most keepers' disks were lost for good, with what is left here; not while a chair answers.
+    /// After most voters' disks were lost for good, with what is left here; not while a leader answers.
     fn look_before_anew(
         &mut self,
         document: Json,
         who: String,
-        answer: ironstair_management::fleet::Answer,
+        answer: ironstair_management::fleet::Responder,
     ) {
         if self.kept.is_none() {
             let why = "only a keeper begins a history anew".into();
             return drop(answer.send(Err(Refused::Fleet(why))));
         }
         let (lease, ways, own, post) = (
-            self.charter.lease,
+            self.config.lease,
             self.ways.clone(),
             self.own.clone(),
             self.post.clone(),
         );
-        // Twice, and between them the longest lease that a chair which ended just now can have left.
+        // Twice, and between them the longest lease that a leader which ended just now can have left.
         let searches = [(self.search(), grace(lease)), (self.search(), 0.0)];
         tokio::spawn(async move {
             let mut how = Ok(Vec::new());
             for (search, then) in searches {
                 if let Told::Shown(shown) = search.ask(post.clone(), Asked::Show, lease).await {
-                    let chair = shown["chair"].as_str().unwrap_or("one").to_string();
+                    let leader = shown["chair"].as_str().unwrap_or("one").to_string();
                     how = Err(format!(
-                        "{chair} is the chair: the fleet's history is not lost"
+                        "{leader} is the chair: the fleet's history is not lost"
                     ));
                     break;
                 }
@@ -897,10 +908,10 @@
     ) {
         let made = how.and_then(|mut known| {
             let k = self.kept.as_mut().ok_or("this gateway is no keeper any more")?;
-            if k.keeper.chair().is_some() {
+            if k.replica.leader().is_some() {
                 return Err("this keeper is the chair: the fleet's history is not lost".into());
             }
-            let left = &k.keeper.state().fleet;
+            let left = &k.replica.state().fleet;
             let remembered = self.member.held().0;
             let silent = self.ways.len() - known.len().min(self.ways.len());
             known.extend([left.history, remembered, self.latest]);
@@ -916,13 +927,13 @@
             let (who, when, state) = (who, self.clock.now(), RevisionState::Running);
             let (number, token, commit, refused) = (0, 0, None, None);
             let said = (who.clone(), what.clone());
-            let line = Line { number, token, who, when, what, state, commit, refused };
+            let line = RevisionSummary { number, token, who, when, what, state, commit, refused };
             let id = drawn();
-            let image = Keeper::begin(&self.charter.name, id, history, document, Some(line))?;
-            let mut archive = k.archive.take().ok_or("the disk is being written")?;
-            let begun = archive.put_aside(id).and_then(|_| archive.begin(image));
+            let image = Replica::begin(&self.config.name, id, history, document, Some(line))?;
+            let mut storage = k.storage.take().ok_or("the disk is being written")?;
+            let begun = storage.quarantined(id).and_then(|_| storage.begin(image));
             self.kept = None;
-            self.keep(archive).and(begun)?;
+            self.keep(storage).and(begun)?;
             warn!(self.log, "the fleet's history begins anew"; "who" => said.0, "what" => said.1,
                 "history" => format!("{history:016x}"));
             Ok(0)
@@ -930,12 +941,12 @@
         let _ = answer.send(made.map_err(Refused::Fleet));
     }
 
-    /// Finds the chair for what an operator asks, and hands on the outcome.
-    fn ask(&mut self, ask: Ask<Json>, answer: ironstair_management::fleet::Answer) {
+    /// Finds the leader for what an operator asks, and hands on the outcome.
+    fn ask(&mut self, ask: Command<Json>, answer: ironstair_management::fleet::Responder) {
         let (search, own) = (self.search(), self.post.clone());
         let within = self.outcome_within() + OUTCOME_LEAST / 3.0;
         tokio::spawn(async move {
-            let told = search.ask(own, Asked::Ask(ask), within).await;
+            let told = search.ask(own, Asked::Command(ask), within).await;
             let _ = answer.send(match told {
                 Told::Done(number) => Ok(number),
                 Told::Refused(why) => Err(Refused::Fleet(why)),
@@ -945,25 +956,25 @@
     }
 
     fn outcome_within(&self) -> Ms {
-        (OUTCOME_LEASES * self.charter.lease).max(OUTCOME_LEAST)
+        (OUTCOME_LEASES * self.config.lease).max(OUTCOME_LEAST)
     }
 
-    /// At this keeper: an ask is handed to the chair, and answered once it is known what became of it.
+    /// At this voter: an ask is handed to the leader, and answered once it is known what became of it.
     fn asked(&mut self, asked: Asked, to: oneshot::Sender<Told>) {
         let now = self.clock.now();
         let elsewhere = Told::Elsewhere(Hint {
-            chair: self.chair(),
+            leader: self.leader(),
         });
         let Some(k) = &mut self.kept else {
             return drop(to.send(elsewhere));
         };
-        let Some(chair) = k.keeper.chair() else {
+        let Some(leader) = k.replica.leader() else {
             return drop(to.send(elsewhere));
         };
         let ask = match asked {
-            Asked::Ask(ask) => ask,
+            Asked::Command(ask) => ask,
             Asked::Show => {
-                let shown = shown::fleet(now, &self.charter.name, &k.keeper, chair);
+                let shown = shown::fleet(now, &self.config.name, &k.replica, leader);
                 return drop(to.send(Told::Shown(shown)));
             }
         };
@@ -971,15 +982,15 @@
             return drop(to.send(Told::Refused(Refusal::Busy.to_string())));
         }
         let ask = match ask {
-            Ask::Change(wish) if taken_out("upon") => Ask::Change(Wish {
-                upon: k.keeper.state().fleet.mark,
-                ..wish
+            Command::Change(proposal) if taken_out("upon") => Command::Change(ChangeProposal {
+                base_revision: k.replica.state().fleet.mark,
+                ..proposal
             }),
             ask => ask,
         };
         // One that comes again by another way stands in the log already.
-        if matches!(outcome(&k.keeper.state().fleet, &ask), Outcome::Unknown) {
-            match k.keeper.ask(now, ask.clone()) {
+        if matches!(outcome(&k.replica.state().fleet, &ask), Outcome::Unknown) {
+            match k.replica.ask(now, ask.clone()) {
                 Ok(outs) => self.carry(outs),
                 Err(why) => return drop(to.send(Told::Refused(why.to_string()))),
             }
@@ -997,20 +1008,20 @@
             return;
         }
         let now = self.clock.now();
-        let chair = self.chair();
+        let leader = self.leader();
         let mut again = Vec::new();
         for p in std::mem::take(&mut self.pending) {
             let found = self
                 .kept
                 .as_ref()
-                .and_then(|k| Some((k, k.keeper.chair()?)));
+                .and_then(|k| Some((k, k.replica.leader()?)));
             let Some((k, sits)) = found else {
                 let _ = p.answer.send(Told::Elsewhere(Hint {
-                    chair: chair.clone(),
+                    leader: leader.clone(),
                 }));
                 continue;
             };
-            let fleet = &k.keeper.state().fleet;
+            let fleet = &k.replica.state().fleet;
             let told = match outcome(fleet, &p.ask) {
                 // Who hears that it is done finds it done wherever he looks next.
                 Outcome::Known(Told::Done(_)) if now < p.until && !sits.all_hold(now, fleet) => {
@@ -1038,7 +1049,7 @@
         // Passed over when its turn came, since something else had come before it.
         for p in again {
             let Some(k) = &mut self.kept else { return };
-            match k.keeper.ask(now, p.ask.clone()) {
+            match k.replica.ask(now, p.ask.clone()) {
                 Ok(outs) => {
                     self.carry(outs);
                     self.pending.push(p);
@@ -1048,14 +1059,14 @@
         }
     }
 
-    /// A line in the log for each step of a change, at each keeper.
+    /// A line in the log for each step of a change, at each voter.
     fn say_what_came_to_pass(&mut self) {
         let Some(k) = &self.kept else { return };
-        let lines = &k.keeper.state().fleet.lines;
+        let lines = &k.replica.state().fleet.lines;
         if *lines == self.lines {
             return;
         }
-        let known = |l: &&Line| !self.lines.iter().any(|was| was == *l);
+        let known = |l: &&RevisionSummary| !self.lines.iter().any(|was| was == *l);
         for l in lines.iter().filter(known) {
             let (by, why) = l.refused.clone().unwrap_or_default();
             info!(self.log, "a change of the fleet's policy"; "step" => step(l.state), "revision" => l.number,
@@ -1066,9 +1077,14 @@
 }
 
 /// Against a version that knows less than what it is handed: the member says so, and nothing is taken over.
-async fn hold(desk: &Desk, mark: u64, number: u64, document: Json) -> Result<(), String> {
+async fn hold(
+    management: &ManagementHandle,
+    mark: u64,
+    number: u64,
+    document: Json,
+) -> Result<(), String> {
     readable(&document)?;
-    desk.hold(mark, number, document).await
+    management.hold(mark, number, document).await
 }
 
 /// An older version is played by one that can't read a field.
@@ -1080,21 +1096,21 @@
 }
 
 /// Also a disk that is slow or full, for tests.
-fn write(archive: &mut Archive, save: &Save) -> Result<(), String> {
-    if taken_out("quick-disk") && archive.folder().join("slow").exists() {
+fn write(storage: &mut Storage, save: &Save) -> Result<(), String> {
+    if taken_out("quick-disk") && storage.folder().join("slow").exists() {
         std::thread::sleep(span(1000.0));
     }
-    if taken_out("room") && archive.folder().join("full").exists() {
+    if taken_out("room") && storage.folder().join("full").exists() {
         return if taken_out("kept") {
             Ok(())
         } else {
             Err("No space left on device".into())
         };
     }
-    archive.save(save.clone())
+    storage.save(save.clone())
 }
 
-/// The number of a keeper that would not be drawn anew.
+/// The number of a voter that would not be drawn anew.
 fn named(name: &str) -> u64 {
     ironstair_runtime::number(name.as_bytes()) | 1
 }
@@ -1106,7 +1122,7 @@
         RevisionState::Running => "running",
         RevisionState::Unconfirmed => "unconfirmed",
         RevisionState::Replaced => "replaced",
-        RevisionState::TakenBack => "taken back",
+        RevisionState::RolledBack => "taken back",
         RevisionState::Refused => "refused",
     }
 }
@@ -1119,20 +1135,20 @@
 }
 
 /// What became of an ask, by the log.
-fn outcome(fleet: &ironstair_coordination::Fleet<Json>, ask: &Ask<Json>) -> Outcome {
+fn outcome(fleet: &ironstair_coordination::Fleet<Json>, ask: &Command<Json>) -> Outcome {
     let line = match ask {
-        Ask::Change(wish) => fleet.lines.iter().find(|l| l.token == wish.token),
-        Ask::Confirm { id } => fleet
+        Command::Change(proposal) => fleet.lines.iter().find(|l| l.token == proposal.token),
+        Command::Confirm { id } => fleet
             .lines
             .iter()
             .rev()
             .find(|l| l.commit.as_ref() == Some(id)),
-        Ask::Cancel { id: Some(id), .. } => fleet
+        Command::Cancel { id: Some(id), .. } => fleet
             .lines
             .iter()
             .rev()
             .find(|l| l.commit.as_ref() == Some(id)),
-        Ask::Cancel { id: None, .. } => None,
+        Command::Cancel { id: None, .. } => None,
     };
     let Some(l) = line else {
         return Outcome::Unknown;
@@ -1147,18 +1163,18 @@
     let done = Outcome::Known(Told::Done(l.number));
     let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
     match (ask, l.state) {
-        (Ask::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
-        (Ask::Change(_), RevisionState::Refused) => refused(),
-        (Ask::Change(_), _) => done,
-        (Ask::Confirm { .. }, RevisionState::Running) => done,
-        (Ask::Cancel { .. }, RevisionState::TakenBack) if back_over => done,
-        (Ask::Cancel { .. }, RevisionState::TakenBack) => Outcome::UnderWay,
-        (Ask::Cancel { .. }, RevisionState::Refused) => done,
+        (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
+        (Command::Change(_), RevisionState::Refused) => refused(),
+        (Command::Change(_), _) => done,
+        (Command::Confirm { .. }, RevisionState::Running) => done,
+        (Command::Cancel { .. }, RevisionState::RolledBack) if back_over => done,
+        (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::UnderWay,
+        (Command::Cancel { .. }, RevisionState::Refused) => done,
         _ => Outcome::Unknown,
     }
 }
 
-/// One search for the chair, by the ways to the keepers.
+/// One search for the leader, by the ways to the voters.
 struct Search {
     own: Own,
     ways: BTreeMap<String, Way>,
@@ -1174,16 +1190,16 @@
         later.or(self.ways.keys().next()).cloned()
     }
 
-    /// The last chair alone first; then all keepers, each asked anew once it has said that it is not the chair. Nobody
+    /// The last leader alone first; then all voters, each asked anew once it has said that it is not the leader. Nobody
     /// is given up for being slow: what comes within the lease counts.
-    async fn beat(self, word: Word) -> Result<(String, Answer<Json>), String> {
+    async fn heartbeat(self, word: Word) -> Result<(String, HeartbeatResponse<Json>), String> {
         let (lease, until) = (self.lease, self.clock.now() + self.lease);
         let mut why = "there is no chair".to_string();
         let ask = |to: &String, within: Ms, after: Ms| {
             let (way, to, word) = (self.ways[to].clone(), to.clone(), word.clone());
             async move {
                 sleep(span(after)).await;
-                (to, way.beat(word, within).await)
+                (to, way.heartbeat(word, within).await)
             }
         };
         let mut asked = JoinSet::new();
@@ -1205,7 +1221,7 @@
             }
             let read = said
                 .ok()
-                .map(|w| serde_json::from_slice::<Result<Answer<Json>, Hint>>(&w.body));
+                .map(|w| serde_json::from_slice::<Result<HeartbeatResponse<Json>, Hint>>(&w.body));
             if let Some(Ok(Ok(answer))) = read {
                 return Ok((to, answer));
             }
@@ -1224,7 +1240,7 @@
         Err(why)
     }
 
-    /// Here first: this keeper may be the chair.
+    /// Here first: this voter may be the leader.
     async fn ask(self, here: mpsc::Sender<Mail>, asked: Asked, within: Ms) -> Told {
         let until = self.clock.now() + within;
         let body = serde_json::to_vec(&asked).unwrap_or_default();
@@ -1232,14 +1248,18 @@
         let mut last = String::from("no keeper answers");
         while self.clock.now() < until {
             let (answer, told) = oneshot::channel();
-            if here.send(Mail::Ask(asked.clone(), answer)).await.is_err() {
+            if here
+                .send(Mail::Command(asked.clone(), answer))
+                .await
+                .is_err()
+            {
                 break;
             }
             match told.await {
-                Ok(Told::Elsewhere(Hint { chair })) => {
-                    // Not over what was found since: this gateway may speak to one that is the chair no more.
+                Ok(Told::Elsewhere(Hint { leader })) => {
+                    // Not over what was found since: this gateway may speak to one that is the leader no more.
                     to = to
-                        .or(chair.filter(|c| self.ways.contains_key(c)))
+                        .or(leader.filter(|c| self.ways.contains_key(c)))
                         .or_else(|| self.next(None));
                 }
                 Ok(told) => return told,
@@ -1250,8 +1270,8 @@
             let said = self.ways[&at].ask(self.own.word(body.clone()), left).await;
             let read = said.map(|w| serde_json::from_slice::<Told>(&w.body));
             to = match read {
-                Ok(Ok(Told::Elsewhere(Hint { chair }))) => {
-                    let other = chair.filter(|c| *c != at && self.ways.contains_key(c));
+                Ok(Ok(Told::Elsewhere(Hint { leader }))) => {
+                    let other = leader.filter(|c| *c != at && self.ways.contains_key(c));
                     other.or_else(|| self.next(Some(&at)))
                 }
                 Ok(Ok(told)) => return told,
--- a/crates/fleet-agent/src/charter.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -5,31 +5,31 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Shorter costs beats and takes pauses for ends; longer makes a change wait longer for who is gone.
+/// Shorter costs heartbeats and takes pauses for ends; longer makes a change wait longer for who is gone.
 const LEASE_LEAST: Ms = 1000.0;
 const LEASE_MOST: Ms = 60_000.0;
 const NAME_MOST: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Charter {
+pub struct FleetConfig {
     pub fleet: String,
     /// This gateway's name in it.
     pub name: String,
     pub listen: SocketAddr,
-    /// Names of the keepers, and where each is reached from here.
-    pub keepers: BTreeMap<String, SocketAddr>,
+    /// Names of the voters, and where each is reached from here.
+    pub voters: BTreeMap<String, SocketAddr>,
     pub lease: Ms,
     /// Goes on without a lease; no change is decided without it.
     pub steady: bool,
     /// Shares out among the members there are, not among as many as the policy says.
     pub counts: bool,
-    /// Where a keeper's log lies.
+    /// Where a voter's log lies.
     pub folder: Option<PathBuf>,
 }
 
-impl Charter {
-    pub fn is_keeper(&self) -> bool {
-        self.keepers.contains_key(&self.name)
+impl FleetConfig {
+    pub fn is_voter(&self) -> bool {
+        self.voters.contains_key(&self.name)
     }
 
     /// # Errors
@@ -47,15 +47,15 @@
                 "fleet: the gateway's own name is empty or too long to be one of a fleet's".into(),
             );
         }
-        self.keepers.keys().try_for_each(|k| named("keepers", k))?;
-        if ![3, 5].contains(&self.keepers.len()) {
+        self.voters.keys().try_for_each(|k| named("keepers", k))?;
+        if ![3, 5].contains(&self.voters.len()) {
             return Err(format!(
                 "fleet.keepers: 3 or 5 are named, not {}",
-                self.keepers.len()
+                self.voters.len()
             ));
         }
-        let twice = |at: &SocketAddr| self.keepers.values().filter(|a| *a == at).count() > 1;
-        if let Some((name, at)) = self.keepers.iter().find(|(_, at)| twice(at)) {
+        let twice = |at: &SocketAddr| self.voters.values().filter(|a| *a == at).count() > 1;
+        if let Some((name, at)) = self.voters.iter().find(|(_, at)| twice(at)) {
             return Err(format!(
                 "fleet.keepers.{name}: {at} is another's address too"
             ));
@@ -72,7 +72,7 @@
                     .into(),
             );
         }
-        match (self.is_keeper(), &self.folder) {
+        match (self.is_voter(), &self.folder) {
             (true, None) => Err(format!(
                 "fleet.state: {} is a keeper, and needs a folder for its log",
                 self.name
--- a/crates/fleet-agent/src/serve.rs
+++ b/crates/fleet-agent/src/serve.rs
@@ -5,7 +5,7 @@
 use crate::proto::Word;
 use crate::way::WORD_MOST;
 use crate::FORM;
-use ironstair_coordination::{Answer, Beat};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse};
 use serde_json::Value as Json;
 use slog::{warn, Logger};
 use std::net::TcpListener as Bound;
@@ -26,7 +26,7 @@
 const PING_EVERY: Duration = Duration::from_secs(5);
 const PING_WITHIN: Duration = Duration::from_secs(5);
 const CALLS_MOST: u32 = 64;
-/// Connections at once: a member has one to each keeper.
+/// Connections at once: a member has one to each voter.
 const CONNECTIONS_MOST: usize = 1024;
 /// Without a free descriptor: how long until the next try.
 const NO_DESCRIPTOR: Duration = Duration::from_millis(50);
@@ -78,7 +78,7 @@
     own: Own,
     mail: mpsc::Sender<Mail>,
     log: Logger,
-    /// The last sentence on a word not taken: said once, not with each beat.
+    /// The last sentence on a word not taken: said once, not with each heartbeat.
     said: Mutex<String>,
 }
 
@@ -120,11 +120,12 @@
 impl Fleet for Service {
     async fn beat(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
-        let beat: Beat = read(&word)?;
-        if (&beat.name, beat.start) != (&word.from, word.start) {
+        let heartbeat: Heartbeat = read(&word)?;
+        if (&heartbeat.name, heartbeat.start) != (&word.from, word.start) {
             return Err(Status::invalid_argument("a beat in another's name"));
         }
-        let answer: Result<Answer<Json>, Hint> = self.hand(|to| Mail::Beat(beat, to)).await?;
+        let answer: Result<HeartbeatResponse<Json>, Hint> =
+            self.hand(|to| Mail::Heartbeat(heartbeat, to)).await?;
         self.word(&answer)
     }
 
@@ -137,14 +138,14 @@
     async fn knock(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
         let number: u64 = read(&word)?;
-        let history = self.hand(|to| Mail::Knock(word.from, number, to)).await?;
+        let history = self.hand(|to| Mail::Join(word.from, number, to)).await?;
         self.word(&history)
     }
 
     async fn ask(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
         let asked: Asked = read(&word)?;
-        let answer = self.hand(|to| Mail::Ask(asked, to)).await?;
+        let answer = self.hand(|to| Mail::Command(asked, to)).await?;
         self.word(&answer)
     }
 }
--- a/crates/fleet-agent/src/shown.rs
+++ b/crates/fleet-agent/src/shown.rs
@@ -1,20 +1,20 @@
-//! What operators see of a fleet, as its chair knows it.
+//! What operators see of a fleet, as its leader knows it.
 
 use ironstair::Ms;
 use ironstair_coordination::fleet::{Change, Step};
-use ironstair_coordination::record::{Line, Seat};
-use ironstair_coordination::{Chair, Fleet};
+use ironstair_coordination::record::{RevisionSummary, Session};
+use ironstair_coordination::{Fleet, Leader};
 use ironstair_data_tree::state;
-use ironstair_raft_replica::Keeper;
+use ironstair_raft_replica::Replica;
 use serde_json::{json, Value as Json};
 
 fn member(
     now: Ms,
     fleet: &Fleet<Json>,
-    chair: &Chair<Json>,
-    (name, seat): (&String, &Seat),
+    leader: &Leader<Json>,
+    (name, seat): (&String, &Session),
 ) -> Json {
-    let seen = chair.seen(name);
+    let seen = leader.seen(name);
     let left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
     let cut_off = if seat.steady { "steady" } else { "strict" };
     json!({
@@ -23,17 +23,17 @@
         "heard-ms-ago": seen.map(|s| (now - s.0).round()),
         "lease-left-ms": left.round(),
         "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.mark),
-        "counts": chair.counts(now, fleet, name),
+        "counts": leader.counts(now, fleet, name),
     })
 }
 
 /// Who is in, for the tree.
-pub fn members(keeper: &Keeper<Json>) -> Vec<state::Member> {
-    let (fleet, Some(chair)) = (&keeper.state().fleet, keeper.chair()) else {
+pub fn members(replica: &Replica<Json>) -> Vec<state::Member> {
+    let (fleet, Some(leader)) = (&replica.state().fleet, replica.leader()) else {
         return Vec::new();
     };
-    let one = |(name, seat): (&String, &Seat)| {
-        let (heard, mark, until) = chair.seen(name).unwrap_or_default();
+    let one = |(name, seat): (&String, &Session)| {
+        let (heard, mark, until) = leader.seen(name).unwrap_or_default();
         let holds = mark == fleet.mark;
         state::Member {
             name: name.clone(),
@@ -46,7 +46,7 @@
     fleet.members.iter().map(one).collect()
 }
 
-fn line(l: &Line) -> Json {
+fn line(l: &RevisionSummary) -> Json {
     let mut shown = json!({"number": l.number, "who": l.who, "when": l.when.round(), "what": l.what, "outcome": l.state});
     if let Some(commit) = &l.commit {
         shown["commit"] = json!(commit);
@@ -58,24 +58,24 @@
     shown
 }
 
-fn change(now: Ms, fleet: &Fleet<Json>, chair: &Chair<Json>, c: &Change<Json>) -> Json {
-    json!({"number": c.number, "step": c.step, "takes-back": c.back, "waits-for": waits_for(now, fleet, chair)})
+fn change(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>, c: &Change<Json>) -> Json {
+    json!({"number": c.number, "step": c.step, "takes-back": c.back, "waits-for": waits_for(now, fleet, leader)})
 }
 
 /// Who a change under way waits for.
-pub fn waits_for(now: Ms, fleet: &Fleet<Json>, chair: &Chair<Json>) -> Vec<String> {
+pub fn waits_for(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>) -> Vec<String> {
     let lacks = |name: &String| match fleet.change.as_ref() {
-        Some(c) if c.step == Step::Staged => !chair.examined(name, c.number),
-        Some(_) => chair.seen(name).is_none_or(|s| s.1 != fleet.mark),
+        Some(c) if c.step == Step::Staged => !leader.examined(name, c.number),
+        Some(_) => leader.seen(name).is_none_or(|s| s.1 != fleet.mark),
         None => false,
     };
-    let waits = |name: &&String| chair.counts(now, fleet, name) && lacks(name);
+    let waits = |name: &&String| leader.counts(now, fleet, name) && lacks(name);
     fleet.members.keys().filter(waits).cloned().collect()
 }
 
-/// All of it, at the chair.
-pub fn fleet(now: Ms, name: &str, keeper: &Keeper<Json>, chair: &Chair<Json>) -> Json {
-    let state = keeper.state();
+/// All of it, at the leader.
+pub fn fleet(now: Ms, name: &str, replica: &Replica<Json>, leader: &Leader<Json>) -> Json {
+    let state = replica.state();
     let f = &state.fleet;
     json!({
         "history": format!("{:016x}", f.history),
@@ -83,12 +83,12 @@
         "chair": name,
         "keepers": state.voters.keys().collect::<Vec<_>>(),
         "joining": state.joining.keys().collect::<Vec<_>>(),
-        "replacing": keeper.replacing(),
-        "change": f.change.as_ref().map(|c| change(now, f, chair, c)),
-        "counted": chair.sharing().map(|s| s.0.round()),
-        "sharing": chair.sharing().map(|s| s.1),
+        "replacing": replica.replacing(),
+        "change": f.change.as_ref().map(|c| change(now, f, leader, c)),
+        "counted": leader.sharing().map(|s| s.0.round()),
+        "sharing": leader.sharing().map(|s| s.1),
         "unconfirmed": f.trial.as_ref().map(|t| &t.id),
-        "members": f.members.iter().map(|m| member(now, f, chair, m)).collect::<Vec<_>>(),
+        "members": f.members.iter().map(|m| member(now, f, leader, m)).collect::<Vec<_>>(),
         "revisions": f.lines.iter().map(line).collect::<Vec<_>>(),
     })
 }
--- a/crates/fleet-agent/src/way.rs
+++ b/crates/fleet-agent/src/way.rs
@@ -1,4 +1,4 @@
-//! The way to one keeper: words go there by a connection that is made anew when it fails, and what can't go in its
+//! The way to one voter: words go there by a connection that is made anew when it fails, and what can't go in its
 //! time is dropped, since whoever speaks says it again. Nobody waits for a peer but the task that speaks to it.
 
 use crate::proto::fleet_client::FleetClient;
@@ -12,7 +12,7 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// Messages of the agreement library that may wait for a keeper, that may be under way to it, and for how long.
+/// Messages of the agreement library that may wait for a voter, that may be under way to it, and for how long.
 const WAITING: usize = 128;
 const UNDER_WAY: usize = 32;
 const AGREE_WITHIN: Ms = 2000.0;
@@ -55,7 +55,7 @@
         let _ = self.agree.try_send(word);
     }
 
-    pub async fn beat(&self, word: Word, within: Ms) -> Result<Word, Status> {
+    pub async fn heartbeat(&self, word: Word, within: Ms) -> Result<Word, Status> {
         let mut client = self.client.clone();
         answered(timeout(span(within), client.beat(word)).await)
     }
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -1,16 +1,16 @@
 //! Pins what gateways of one fleet send to each other, as protobuf bytes in hex with the JSON body in plain text, and
 //! the JSON of a fleet's status that an operator is shown. Each sample request is sent by its full method path to the
 //! running listener, which must read the value here from it and answer with the sample's bytes. The bytes of the
-//! agreement library themselves are pinned by the keeper's package.
+//! agreement library themselves are pinned by the voter's package.
 
-use ironstair_coordination::chair::Ask;
-use ironstair_coordination::record::Wish;
-use ironstair_coordination::{Answer, Beat, Share};
+use ironstair_coordination::leader::Command;
+use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
 use ironstair_fleet_agent::actor::{Asked, Hint, Mail, Told};
 use ironstair_fleet_agent::proto::Word;
 use ironstair_fleet_agent::serve::{bind, serve, Own};
 use ironstair_fleet_agent::shown;
-use ironstair_raft_replica::{Keeper, Out, TICK};
+use ironstair_raft_replica::{Out, Replica, TICK};
 use prost::Message;
 use serde_json::{json, Value as Json};
 use slog::{o, Discard, Logger};
@@ -49,8 +49,8 @@
     })
 }
 
-fn beat() -> Beat {
-    Beat {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         name: "g1".into(),
         start: 11,
         sent: 1000.25,
@@ -65,8 +65,8 @@
     }
 }
 
-fn answer() -> Answer<Json> {
-    Answer {
+fn answer() -> HeartbeatResponse<Json> {
+    HeartbeatResponse {
         start: 11,
         sent: 1000.25,
         history: 1 << 48 | 7,
@@ -83,14 +83,14 @@
     }
 }
 
-fn wish(upon: u64, commit: Option<(String, f64)>) -> Wish<Json> {
+fn wish(base_revision: u64, commit: Option<(String, f64)>) -> ChangeProposal<Json> {
     let (who, what) = ("operator".into(), "a new limit".into());
-    Wish {
+    ChangeProposal {
         token: 42,
         who,
         when: 1_700_000_000_000.5,
         what,
-        upon,
+        base_revision,
         document: document(60),
         commit,
     }
@@ -98,29 +98,29 @@
 
 /// What the listener is to hand to its owner, and what it is told in return.
 enum Case {
-    Beat(Beat, Result<Answer<Json>, Hint>),
+    Heartbeat(Heartbeat, Result<HeartbeatResponse<Json>, Hint>),
     Agree(Vec<u8>),
-    Knock(u64, u64),
-    Ask(Asked, Told),
+    Join(u64, u64),
+    Command(Asked, Told),
 }
 
 impl Case {
     fn method(&self) -> &'static str {
         match self {
-            Case::Beat(..) => "Beat",
+            Case::Heartbeat(..) => "Beat",
             Case::Agree(..) => "Agree",
-            Case::Knock(..) => "Knock",
-            Case::Ask(..) => "Ask",
+            Case::Join(..) => "Knock",
+            Case::Command(..) => "Ask",
         }
     }
 
     /// As the gateway that asks writes it.
     fn request_body(&self) -> Vec<u8> {
         match self {
-            Case::Beat(beat, _) => serde_json::to_vec(beat).unwrap(),
+            Case::Heartbeat(heartbeat, _) => serde_json::to_vec(heartbeat).unwrap(),
             Case::Agree(bytes) => bytes.clone(),
-            Case::Knock(number, _) => number.to_string().into_bytes(),
-            Case::Ask(asked, _) => serde_json::to_vec(asked).unwrap(),
+            Case::Join(number, _) => number.to_string().into_bytes(),
+            Case::Command(asked, _) => serde_json::to_vec(asked).unwrap(),
         }
     }
 
@@ -128,18 +128,18 @@
     fn take(self, mail: Mail) {
         let text = |asked: &Asked| format!("{asked:?}");
         match (self, mail) {
-            (Case::Beat(want, answer), Mail::Beat(beat, to)) => {
-                assert_eq!(beat, want);
+            (Case::Heartbeat(want, answer), Mail::Heartbeat(heartbeat, to)) => {
+                assert_eq!(heartbeat, want);
                 to.send(answer).unwrap();
             }
             (Case::Agree(want), Mail::Agree(from, bytes)) => {
                 assert_eq!((from.as_str(), bytes), ("g1", want));
             }
-            (Case::Knock(want, history), Mail::Knock(name, number, to)) => {
+            (Case::Join(want, history), Mail::Join(name, number, to)) => {
                 assert_eq!((name.as_str(), number), ("g1", want));
                 to.send(history).unwrap();
             }
-            (Case::Ask(want, told), Mail::Ask(asked, to)) => {
+            (Case::Command(want, told), Mail::Command(asked, to)) => {
                 assert_eq!(text(&asked), text(&want));
                 to.send(told).unwrap();
             }
@@ -150,39 +150,42 @@
 
 /// Every message, with every variant of what it holds.
 fn cases() -> Vec<(&'static str, Case)> {
-    let hint = |chair: Option<&str>| Hint {
-        chair: chair.map(String::from),
+    let hint = |leader: Option<&str>| Hint {
+        leader: leader.map(String::from),
     };
-    let ask = Asked::Ask;
+    let ask = Asked::Command;
     let id = || "trial-1".to_string();
     let who = || "operator".to_string();
-    let change = || ask(Ask::Change(wish(3, Some((id(), 60_000.0)))));
+    let change = || ask(Command::Change(wish(3, Some((id(), 60_000.0)))));
     vec![
-        ("heartbeat answered", Case::Beat(beat(), Ok(answer()))),
+        (
+            "heartbeat answered",
+            Case::Heartbeat(heartbeat(), Ok(answer())),
+        ),
         (
             "heartbeat to a keeper that is not the chair",
-            Case::Beat(beat(), Err(hint(Some("g3")))),
+            Case::Heartbeat(heartbeat(), Err(hint(Some("g3")))),
         ),
         (
             "heartbeat where no chair is known",
-            Case::Beat(beat(), Err(hint(None))),
+            Case::Heartbeat(heartbeat(), Err(hint(None))),
         ),
         ("agreement bytes", Case::Agree(vec![0, 1, 127, 128, 255])),
-        ("join", Case::Knock(22, 1 << 48 | 7)),
-        ("question for the history alone", Case::Knock(0, 0)),
-        ("change done", Case::Ask(change(), Told::Done(5))),
+        ("join", Case::Join(22, 1 << 48 | 7)),
+        ("question for the history alone", Case::Join(0, 0)),
+        ("change done", Case::Command(change(), Told::Done(5))),
         (
             "change refused",
-            Case::Ask(change(), Told::Refused("no such engine".into())),
+            Case::Command(change(), Told::Refused("no such engine".into())),
         ),
         (
             "confirmation",
-            Case::Ask(ask(Ask::Confirm { id: id() }), Told::Done(5)),
+            Case::Command(ask(Command::Confirm { id: id() }), Told::Done(5)),
         ),
         (
             "cancellation by id",
-            Case::Ask(
-                ask(Ask::Cancel {
+            Case::Command(
+                ask(Command::Cancel {
                     id: Some(id()),
                     who: who(),
                 }),
@@ -191,8 +194,8 @@
         ),
         (
             "cancellation, to another keeper",
-            Case::Ask(
-                ask(Ask::Cancel {
+            Case::Command(
+                ask(Command::Cancel {
                     id: None,
                     who: who(),
                 }),
@@ -201,7 +204,7 @@
         ),
         (
             "status",
-            Case::Ask(Asked::Show, Told::Shown(json!({"chair": "g2"}))),
+            Case::Command(Asked::Show, Told::Shown(json!({"chair": "g2"}))),
         ),
     ]
 }
@@ -300,8 +303,8 @@
         });
         let (request_again, answer_again) = match method {
             "Beat" => (
-                again::<Beat>(&request),
-                again::<Result<Answer<Json>, Hint>>(&answer),
+                again::<Heartbeat>(&request),
+                again::<Result<HeartbeatResponse<Json>, Hint>>(&answer),
             ),
             "Agree" => (request.clone(), Vec::new()),
             "Knock" => (again::<u64>(&request), again::<u64>(&answer)),
@@ -356,27 +359,27 @@
 
 const LEASE: f64 = 1000.0;
 
-/// A keeper alone, which hears two members.
+/// A voter alone, which hears two members.
 struct Alone {
-    keeper: Keeper<Json>,
+    replica: Replica<Json>,
     now: f64,
 }
 
 impl Alone {
     fn carry(&mut self, mut outs: Vec<Out<Json>>) {
         while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = self.keeper.saved(self.now);
+            outs = self.replica.saved(self.now);
         }
     }
 
     fn go_on(&mut self, ticks: usize, examined: &Result<(), String>) {
         for _ in 0..ticks {
             self.now += TICK;
-            let outs = self.keeper.tick(self.now);
+            let outs = self.replica.tick(self.now);
             self.carry(outs);
             for (name, start, steady) in [("g1", 11, true), ("g2", 12, false)] {
-                let fleet = &self.keeper.state().fleet;
-                let beat = Beat {
+                let fleet = &self.replica.state().fleet;
+                let heartbeat = Heartbeat {
                     name: name.into(),
                     start,
                     sent: self.now,
@@ -389,49 +392,49 @@
                     place: String::new(),
                     shares: true,
                 };
-                let outs = self.keeper.beat(self.now, start, beat);
+                let outs = self.replica.heartbeat(self.now, start, heartbeat);
                 self.carry(outs);
             }
         }
     }
 
-    fn ask(&mut self, ask: Ask<Json>) {
-        let outs = self.keeper.ask(self.now, ask).unwrap();
+    fn ask(&mut self, ask: Command<Json>) {
+        let outs = self.replica.ask(self.now, ask).unwrap();
         self.carry(outs);
     }
 
     fn shown(&self) -> String {
-        let chair = self.keeper.chair().unwrap();
-        serde_json::to_string(&shown::fleet(self.now + 20.0, "a", &self.keeper, chair)).unwrap()
+        let leader = self.replica.leader().unwrap();
+        serde_json::to_string(&shown::fleet(self.now + 20.0, "a", &self.replica, leader)).unwrap()
             + "\n"
     }
 }
 
 #[test]
 fn the_status_of_a_fleet_is_shown_as_in_its_sample() {
-    let image = Keeper::begin("a", 1, 1 << 48 | 7, document(50), None).unwrap();
-    let keeper = Keeper::open("a", 0, LEASE, &image, 0.0, &log()).unwrap();
-    let mut alone = Alone { keeper, now: 0.0 };
+    let image = Replica::begin("a", 1, 1 << 48 | 7, document(50), None).unwrap();
+    let replica = Replica::open("a", 0, LEASE, &image, 0.0, &log()).unwrap();
+    let mut alone = Alone { replica, now: 0.0 };
     let fits = Ok(());
-    // Begun; staged; waiting to be confirmed; taken back; refused by a member; with a keeper that is to join.
+    // Begun; staged; waiting to be confirmed; rolled back; refused by a member; with a voter that is to join.
     alone.go_on(60, &fits);
     let mut all = alone.shown();
-    let mark = |alone: &Alone| alone.keeper.state().fleet.mark;
-    let ask = Ask::Change(wish(mark(&alone), Some(("trial-1".into(), 60_000.0))));
+    let mark = |alone: &Alone| alone.replica.state().fleet.mark;
+    let ask = Command::Change(wish(mark(&alone), Some(("trial-1".into(), 60_000.0))));
     alone.ask(ask);
     all += &alone.shown();
     alone.go_on(10, &fits);
     all += &alone.shown();
-    alone.ask(Ask::Cancel {
+    alone.ask(Command::Cancel {
         id: Some("trial-1".into()),
         who: "operator".into(),
     });
     alone.go_on(10, &fits);
     all += &alone.shown();
-    let ask = Ask::Change(wish(mark(&alone), None));
+    let ask = Command::Change(wish(mark(&alone), None));
     alone.ask(ask);
     alone.go_on(10, &Err("no such engine".into()));
-    alone.keeper.knocked("b".into(), 22);
+    alone.replica.knocked("b".into(), 22);
     alone.go_on(2, &fits);
     all += &alone.shown();
     let text = sample("status.jsonl");
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -1,9 +1,9 @@
 //! What a fleet costs and how long its changes take, with processes of the built gateway on loopback between
-//! stand-ins: `cargo bench -p ironstair-gateway --bench fleet`. Its keepers' part alone at 100 and 300 members, too.
+//! stand-ins: `cargo bench -p ironstair-gateway --bench fleet`. Its voters' part alone at 100 and 300 members, too.
 
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::Member;
-use ironstair_raft_replica::{Keeper, Out, TICK};
+use ironstair_raft_replica::{Out, Replica, TICK};
 use ironstair_test_cluster::oracle::What;
 use ironstair_test_cluster::rig::{until, Plan, Rig};
 use serde_json::{json, Value};
@@ -93,13 +93,16 @@
         let rig = Rig::started(&format!("bench-{gateways}"), &plan);
         let mut took = timed(&rig, gateways - 1, CHANGES);
         let (widest, between) = side_by_side(&rig, gateways, CHANGES);
-        let chair = rig.chair();
-        let keeper = (0..3).find(|k| *k != chair).unwrap();
+        let leader = rig.leader();
+        let replica = (0..3).find(|k| *k != leader).unwrap();
         let member = gateways - 1;
         let of = |g: usize| (processor(rig.pid(g)), rig.passed(g));
-        let (before, span) = ([of(chair), of(keeper), of(member)], Duration::from_secs(10));
+        let (before, span) = (
+            [of(leader), of(replica), of(member)],
+            Duration::from_secs(10),
+        );
         std::thread::sleep(span);
-        let after = [of(chair), of(keeper), of(member)];
+        let after = [of(leader), of(replica), of(member)];
         for (who, (a, b)) in ["chair", "keeper", "member"]
             .iter()
             .zip(before.iter().zip(&after))
@@ -111,9 +114,9 @@
                 (b.1 - a.1) as f64 / s
             ));
         }
-        rig.cut_off(if chair == member { keeper } else { member }, true, true);
-        let first = timed(&rig, chair, 1)[0];
-        let mut cut = timed(&rig, chair, 3);
+        rig.cut_off(if leader == member { replica } else { member }, true, true);
+        let first = timed(&rig, leader, 1)[0];
+        let mut cut = timed(&rig, leader, 3);
         rig.heal();
         println!(
             "| {gateways} | {:.0} / {:.0} | {:.0}, {:.0} | {widest:.0} | {between:.0} |",
@@ -212,30 +215,30 @@
     );
 }
 
-/// A chair alone with so many members that beat, in virtual time: its processor for a second of that.
-fn keeper_alone(members: usize) {
+/// A leader alone with so many members that heartbeat, in virtual time: its processor for a second of that.
+fn single_voter(members: usize) {
     let policy = json!({"band": []});
-    let image = Keeper::begin("a", 1, 7, policy, None).unwrap();
+    let image = Replica::begin("a", 1, 7, policy, None).unwrap();
     let log = Logger::root(Discard, o!());
     let lease = LEASE as f64;
-    let mut keeper: Keeper<Value> = Keeper::open("a", 0, lease, &image, 0.0, &log).unwrap();
+    let mut replica: Replica<Value> = Replica::open("a", 0, lease, &image, 0.0, &log).unwrap();
     let mut all: Vec<Member> = (0..members)
         .map(|m| Member::new(&format!("g{m}"), m as u64 + 1, false, lease))
         .collect();
-    let (mut now, mut bytes, mut beats, mut since) = (0.0, 0usize, 0usize, Instant::now());
+    let (mut now, mut bytes, mut heartbeats, mut since) = (0.0, 0usize, 0usize, Instant::now());
     let seconds = 60.0;
     while now < 20_000.0 + seconds * 1000.0 {
         if (now - 20_000.0f64).abs() < TICK / 2.0 {
-            (bytes, beats, since) = (0, 0, Instant::now());
+            (bytes, heartbeats, since) = (0, 0, Instant::now());
         }
         now += TICK;
-        let mut outs = keeper.tick(now);
+        let mut outs = replica.tick(now);
         for (m, member) in all.iter_mut().enumerate() {
             for action in member.on::<Value>(now, Input::Due) {
-                if let Action::Beat(beat) = action {
-                    beats += 1;
-                    bytes += serde_json::to_vec(&beat).unwrap().len();
-                    outs.extend(keeper.beat(now, m as u64, beat));
+                if let Action::Heartbeat(heartbeat) = action {
+                    heartbeats += 1;
+                    bytes += serde_json::to_vec(&heartbeat).unwrap().len();
+                    outs.extend(replica.heartbeat(now, m as u64, heartbeat));
                 }
             }
         }
@@ -243,8 +246,8 @@
             let mut next = Vec::new();
             for out in outs {
                 match out {
-                    Out::Save(_) => next.extend(keeper.saved(now)),
-                    Out::Answer(m, answer) => {
+                    Out::Save(_) => next.extend(replica.saved(now)),
+                    Out::HeartbeatResponse(m, answer) => {
                         bytes += serde_json::to_vec(&answer).unwrap().len();
                         let member = &mut all[m as usize];
                         for action in member.on(now, Input::Answered(answer)) {
@@ -263,7 +266,7 @@
     let used = since.elapsed().as_secs_f64() / seconds * 100.0;
     println!(
         "| {members} | {held} | {:.1} | {:.0} | {used:.2} |",
-        beats as f64 / seconds,
+        heartbeats as f64 / seconds,
         bytes as f64 / seconds
     );
 }
@@ -283,6 +286,6 @@
     }
     if wanted("keeper") {
         println!("\n| members | with a lease | beats a second | bytes a second, of beats and answers | processor, % of a core |");
-        [10, 100, 300].into_iter().for_each(keeper_alone);
+        [10, 100, 300].into_iter().for_each(single_voter);
     }
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -505,7 +505,7 @@
                 | Reply::Rejected(c, _)
                 | Reply::Failed(c)
                 | Reply::Unusable(c) => {
-                    // Not for one that its client has taken back meanwhile.
+                    // Not for one that its client has rolled back meanwhile.
                     if !self.open.borrow().contains_key(c) {
                         self.writing.set(false);
                         self.place.seat.bell.notify(usize::MAX);
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -242,7 +242,7 @@
         .write_all(b"0000000000000001 BROKE - 0\r\n\r\n")
         .unwrap();
     assert_eq!(b.ended(), (again.id, Outcome::Error));
-    // Nor is it taken back by a withdrawal of the first that comes late.
+    // Nor is it rolled back by a withdrawal of the first that comes late.
     let third = b.attempt(1);
     b.order(Order::Attempt(third.clone()));
     b.order(Order::Withdraw(of));
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -109,7 +109,7 @@
         println!("recovery: in {}", r.state.display());
     }
     if let Some(f) = &o.fleet {
-        let part = if f.keepers.contains_key(&t.name) {
+        let part = if f.voters.contains_key(&t.name) {
             "a keeper"
         } else {
             "a member"
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -49,10 +49,10 @@
 pub fn open(m: &Management, told: &crate::told::Told, of: &Operator) -> Result<Opened, String> {
     let cells = of.cells.as_ref().map(operator::cells);
     let (policy_config, state) = (told.policy_config.clone(), m.state.as_deref());
-    let charter = of
+    let config = of
         .fleet
         .as_ref()
-        .map(|f| operator::charter(f, &told.name))
+        .map(|f| operator::config(f, &told.name))
         .transpose()?;
     let started = ironstair_management::open(
         policy_config,
@@ -65,7 +65,7 @@
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (serve::bind(m.listen)?, m.streams);
-    let fleet = charter.map(actor::Opened::open).transpose()?;
+    let fleet = config.map(actor::Opened::open).transpose()?;
     Ok(Opened {
         started,
         bound,
@@ -95,7 +95,7 @@
 pub fn fits(told: &crate::told::Told, of: &Operator) -> Result<(), String> {
     of.fleet
         .as_ref()
-        .map(|f| operator::charter(f, &told.name))
+        .map(|f| operator::config(f, &told.name))
         .transpose()?;
     let cells = of.cells.as_ref().map(operator::cells);
     ironstair_management::open(
@@ -164,8 +164,8 @@
                 level,
                 fleet,
             };
-            let (manager, desk) = Manager::new(self.started, &name, around);
-            let service = Service::new(desk.clone(), &name, self.streams);
+            let (manager, management) = Manager::new(self.started, &name, around);
+            let service = Service::new(management.clone(), &name, self.streams);
             runtime.block_on(async {
                 tokio::spawn(manager.run());
                 if let Some(opened) = self.fleet {
@@ -174,7 +174,7 @@
                         shown,
                     };
                     let (actor, leave) =
-                        Actor::start(opened, ends, desk, requests, clock, log.clone())?;
+                        Actor::start(opened, ends, management, requests, clock, log.clone())?;
                     let _ = leaves.send(leave);
                     tokio::spawn(actor.run());
                 }
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -2,7 +2,7 @@
 
 use ironstair_cells::CellDirectory;
 use ironstair_config_change::{Cell, Decimal, EnginePin, TenantPin};
-use ironstair_fleet_agent::Charter;
+use ironstair_fleet_agent::FleetConfig;
 use ironstair_runtime::number;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -42,7 +42,8 @@
     /// Address and port for the other gateways, on a closed network: who reaches it is believed.
     pub listen: SocketAddr,
     /// The 3 or 5 gateways that keep the fleet's log, and where each is reached from here.
-    pub keepers: BTreeMap<String, SocketAddr>,
+    #[serde(rename = "keepers")]
+    pub voters: BTreeMap<String, SocketAddr>,
     /// How long, in ms, a gateway may decide by what it last heard.
     #[serde(default = "lease")]
     #[schemars(range(min = 1000, max = 60000))]
@@ -53,7 +54,7 @@
     /// Among how many the gateways share out what a cold engine bears; alike at all.
     #[serde(default)]
     pub count: Count,
-    /// A keeper's folder for the log; only for keepers.
+    /// A voter's folder for the log; only for voters.
     pub state: Option<PathBuf>,
 }
 
@@ -85,18 +86,18 @@
 ///
 /// # Errors
 /// What can't be, by its field.
-pub fn charter(f: &Fleet, name: &str) -> Result<Charter, String> {
-    let charter = Charter {
+pub fn config(f: &Fleet, name: &str) -> Result<FleetConfig, String> {
+    let config = FleetConfig {
         fleet: f.name.clone(),
         name: name.to_string(),
         listen: f.listen,
-        keepers: f.keepers.clone(),
+        voters: f.voters.clone(),
         lease: f.lease_ms as f64,
         steady: f.cut_off == CutOff::Steady,
         counts: f.count == Count::Members,
         folder: f.state.clone(),
     };
-    charter.checked()
+    config.checked()
 }
 
 /// Cells; every gateway of a fleet is to be told the same.
@@ -303,9 +304,9 @@
             "" => String::new(),
             more => format!(r#""management": {{"listen": "127.0.0.1:1"{more}}}, "#),
         };
-        let keepers = r#""keepers": {"a": "127.0.0.1:2", "b": "127.0.0.1:3", "c": "127.0.0.1:4"}"#;
+        let voters = r#""keepers": {"a": "127.0.0.1:2", "b": "127.0.0.1:3", "c": "127.0.0.1:4"}"#;
         format!(
-            r#"{{{management}"fleet": {{"name": "f", "listen": "127.0.0.1:2", {keepers}, {fleet}}}}}"#
+            r#"{{{management}"fleet": {{"name": "f", "listen": "127.0.0.1:2", {voters}, {fleet}}}}}"#
         )
     }
 
@@ -318,14 +319,14 @@
                 .fleet
                 .unwrap()
         };
-        let voter = charter(&read(r#""state": "s""#), "a").unwrap();
+        let voter = config(&read(r#""state": "s""#), "a").unwrap();
         assert_eq!(
-            (voter.lease, voter.steady, voter.is_keeper()),
+            (voter.lease, voter.steady, voter.is_voter()),
             (3000.0, false, true)
         );
-        assert!(!charter(&read(r#""cut_off": "steady""#), "d")
+        assert!(!config(&read(r#""cut_off": "steady""#), "d")
             .unwrap()
-            .is_keeper());
+            .is_voter());
         for (more, name, why) in [
             (r#""lease_ms": 999"#, "d", "fleet.lease_ms: 999"),
             (
@@ -341,17 +342,17 @@
                 "fleet.count: who goes on",
             ),
         ] {
-            let told = charter(&read(more), name).unwrap_err();
+            let told = config(&read(more), name).unwrap_err();
             assert!(told.starts_with(why), "{more}: {told}");
         }
         let mut two = read(r#""state": "s""#);
-        two.keepers.insert("c".into(), two.keepers["b"]);
-        assert!(charter(&two, "a")
+        two.voters.insert("c".into(), two.voters["b"]);
+        assert!(config(&two, "a")
             .unwrap_err()
             .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
-        two.keepers.remove("c");
+        two.voters.remove("c");
         assert_eq!(
-            charter(&two, "a").unwrap_err(),
+            config(&two, "a").unwrap_err(),
             "fleet.keepers: 3 or 5 are named, not 2"
         );
         let platform = include_str!("../../../deploy/balancer.toml");
--- a/crates/gateway/src/operator_pinned_tests.rs
+++ b/crates/gateway/src/operator_pinned_tests.rs
@@ -40,10 +40,7 @@
         (f.name.as_str(), f.listen, f.lease_ms),
         ("north", at("127.0.0.1:9340"), 2500)
     );
-    assert_eq!(
-        (f.keepers.len(), f.keepers["n1"]),
-        (3, at("127.0.0.1:9341"))
-    );
+    assert_eq!((f.voters.len(), f.voters["n1"]), (3, at("127.0.0.1:9341")));
     assert_eq!((f.cut_off, f.count), (CutOff::Strict, Count::Members));
     assert_eq!(f.state, Some(PathBuf::from("/var/lib/fleet")));
     assert_eq!(
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/places.rs
@@ -208,7 +208,7 @@
         self.of.press();
     }
 
-    /// Something was answered or taken back; with nothing left open, the place may be asked for.
+    /// Something was answered or rolled back; with nothing left open, the place may be asked for.
     pub fn rest(&self, now: Ms, answered: bool, open: bool) {
         self.seat.answered.set(self.seat.answered() || answered);
         // One that only takes back what it never asked is no less quiet for it.
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -141,16 +141,16 @@
     at: At,
 }
 
-/// How often it is looked whether a history that began anew has its chair.
+/// How often it is looked whether a history that began anew has its leader.
 const ANEW_LOOKS: usize = 20;
 const ANEW_LOOK: std::time::Duration = std::time::Duration::from_millis(200);
 
 #[derive(clap::Subcommand)]
 enum FleetWhat {
-    /// Begins the fleet's history with what this gateway was told, once, at the first keeper by name
+    /// Begins the fleet's history with what this gateway was told, once, at the first voter by name
     Begin,
-    /// Begins it anew at a keeper, after most keepers' disks were lost for good: with the last policy that this one's
-    /// disk holds. What was decided after that is lost, and most keepers that still run elsewhere must not
+    /// Begins it anew at a voter, after most voters' disks were lost for good: with the last policy that this one's
+    /// disk holds. What was decided after that is lost, and most voters that still run elsewhere must not
     BeginAnew,
 }
 
@@ -629,7 +629,7 @@
     say(&text)
 }
 
-/// What it began with, by the fleet's log: once the keeper that has a vote alone is the chair.
+/// What it began with, by the fleet's log: once the voter that has a vote alone is the leader.
 async fn begun_anew(at: &At) -> Done {
     for _ in 0..ANEW_LOOKS {
         if let Ok(shown) = fleet_shown(at).await {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -127,16 +127,16 @@
             .flat_map(|k| rig.links(4, k))
             .for_each(|(_, l)| l.delay(ironstair_test_cluster::link::Way::Both, 250));
         let value = json!(3 + nth as u64);
-        let chair = rig.chair();
-        let change = rig.cli_meanwhile(chair, &["set", ATTEMPTS, &value.to_string(), "--fleet"]);
+        let leader = rig.leader();
+        let change = rig.cli_meanwhile(leader, &["set", ATTEMPTS, &value.to_string(), "--fleet"]);
         until(step, || {
             assert!(
                 !change.is_finished(),
                 "{step} was not seen: {} {}",
-                rig.shown(chair),
-                rig.log(chair)
+                rig.shown(leader),
+                rig.log(leader)
             );
-            let shown = rig.shown(chair);
+            let shown = rig.shown(leader);
             let members = shown["members"].as_array().cloned().unwrap_or_default();
             let lacks = members
                 .iter()
@@ -148,20 +148,20 @@
             });
             shown["change"]["step"] == json!(step) || step == "half told" && ours && lacks
         });
-        rig.kill(chair);
+        rig.kill(leader);
         rig.heal();
         change.join().unwrap();
-        rig.start(chair);
+        rig.start(leader);
         until("the change ends", || {
-            let shown = rig.shown(chair);
+            let shown = rig.shown(leader);
             shown["revisions"].is_array() && shown["change"].is_null()
         });
-        let outcome = last(&rig, chair)["outcome"].clone();
+        let outcome = last(&rig, leader)["outcome"].clone();
         assert!(
             ["running", "refused"].iter().any(|o| outcome == json!(o)),
             "{step}: {outcome}"
         );
-        let runs = rig.shown(chair)["revision"].as_u64().unwrap();
+        let runs = rig.shown(leader)["revision"].as_u64().unwrap();
         all_hold(&rig, runs);
         let held = rig.setting(0, ATTEMPTS);
         all_have(&rig, ATTEMPTS, &held);
@@ -379,7 +379,7 @@
     all_have(&rig, ATTEMPTS, &json!(6));
 }
 
-/// All keepers are killed at once; two come back, one wiped and one with a disk from before the changes.
+/// All voters are killed at once; two come back, one wiped and one with a disk from before the changes.
 fn wiped_and_old(test: &str, plan: Plan) -> Rig {
     let mut rig = loaded(test, plan);
     rig.kill(2);
@@ -406,7 +406,7 @@
     rig.start(0);
     all_hold(&rig, 2);
     rig.until_answers(What::Settled, 200);
-    // The wiped one has a vote again, as at its first start: without the first keeper, the fleet goes on.
+    // The wiped one has a vote again, as at its first start: without the first voter, the fleet goes on.
     until("it votes", || {
         rig.log(1).matches("this keeper has a vote").count() == 2
     });
@@ -499,7 +499,7 @@
     rig.over();
 }
 
-/// Two keepers' disks are full over a change, the third is lost after it, and all keepers start anew.
+/// Two voters' disks are full over a change, the third is lost after it, and all voters start anew.
 fn full_over_a_change(test: &str, plan: Plan) -> (Rig, Said) {
     let mut rig = Rig::started(test, &plan);
     let full = |rig: &Rig, k: usize| rig.state_folder(k).join("full");
@@ -648,12 +648,12 @@
             ..Plan::default()
         },
     );
-    let chair = rig.chair();
+    let leader = rig.leader();
     // Its own client's calls are lost with it.
-    rig.quiet(chair);
-    rig.kill(chair);
+    rig.quiet(leader);
+    rig.kill(leader);
     rig.until_answers(What::Settled, 500);
-    assert_ne!(rig.chair(), chair);
+    assert_ne!(rig.leader(), leader);
     well(rig.set(3, &[ATTEMPTS, "5"]));
     let answers = rig.over();
     assert_eq!(
@@ -663,7 +663,7 @@
     );
 }
 
-/// Gateway 3 is of another fleet, and 4 is called as the third keeper is.
+/// Gateway 3 is of another fleet, and 4 is called as the third voter is.
 fn strange(g: usize, told: &mut Value, operator: &mut Value) {
     match g {
         3 => operator["fleet"]["name"] = json!("other"),
@@ -713,7 +713,7 @@
         std::env::temp_dir().join(format!("strange-{}", std::process::id())),
     );
     // Not heard for ten leases is long; by its own word it is out at once.
-    let second = if rig.chair() == 1 { 0 } else { 1 };
+    let second = if rig.leader() == 1 { 0 } else { 1 };
     rig.end(second);
     assert!(
         rig.log(second).contains("left the fleet"),
@@ -750,10 +750,10 @@
         plain.code == 3 && plain.err.contains("ironstair set --fleet"),
         "{plain:?}"
     );
-    let chair = rig.chair();
+    let leader = rig.leader();
     let of = |g: usize, leaf: &str| {
         rig.setting(
-            chair,
+            leader,
             &format!("/state/fleet/member[name=g{}]/{leaf}", g + 1),
         )
     };
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -468,7 +468,7 @@
     std::fs::write(&journal, &bytes[..bytes.len() - 7]).unwrap();
     gateway.again();
     assert_eq!(value(&rt), json!(700));
-    // And one that is taken back in time by itself, its time made longer once.
+    // And one that is rolled back in time by itself, its time made longer once.
     rt.block_on(async {
         let mut c = client(at).await;
         let request = gnmi::SetRequest {
--- a/crates/gateway/tests/pinned_forms.rs
+++ b/crates/gateway/tests/pinned_forms.rs
@@ -427,7 +427,7 @@
     let state = rig.cli(0, &["get", "/state/fleet", "--json"]);
     let state: Value = serde_json::from_str(&state.out).unwrap();
     let mut state = shape(&state[0]["value"]);
-    // Only the chair knows who is in, and any keeper may be it.
+    // Only the leader knows who is in, and any voter may be it.
     state
         .as_object_mut()
         .unwrap()
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 
 const ATTEMPTS: &str = "/settings/forwards-most";
-const KEEPERS: usize = 3;
+const VOTERS: usize = 3;
 
 fn well(said: &Said) {
     assert_eq!(said.code, 0, "{said:?}");
@@ -70,11 +70,11 @@
     until("all keepers vote", || {
         rig.shown(3)["keepers"]
             .as_array()
-            .is_some_and(|k| k.len() == KEEPERS)
+            .is_some_and(|k| k.len() == VOTERS)
     });
     well(&rig.set(4, &[ATTEMPTS, "3"]));
     all_have(&rig, &json!(3));
-    // While a chair answers, no word begins anything.
+    // While a leader answers, no word begins anything.
     let again = rig.cli(2, &["fleet", "begin-anew"]);
     assert!(
         again.code == 3
@@ -90,7 +90,7 @@
 fn case_2_two_operators_who_begin_anew_at_once_leave_one_history() {
     let rig = disks_lost("two-anew", &[0, 1]);
     // Against two histories of one generation, of which neither goes before the other: two fleets for good. Neither
-    // operator's keeper hears of the other's.
+    // operator's voter hears of the other's.
     rig.cut_off(0, true, true);
     std::thread::scope(|scope| {
         let asked = [0, 2].map(|g| {
@@ -103,10 +103,10 @@
     });
     rig.heal();
     until("one history is left, and every keeper votes in it", || {
-        let shown: Vec<Value> = (0..KEEPERS).map(|k| rig.shown(k)).collect();
+        let shown: Vec<Value> = (0..VOTERS).map(|k| rig.shown(k)).collect();
         shown
             .iter()
-            .all(|s| s["keepers"].as_array().is_some_and(|k| k.len() == KEEPERS))
+            .all(|s| s["keepers"].as_array().is_some_and(|k| k.len() == VOTERS))
             && shown.iter().all(|s| s["history"] == shown[0]["history"])
     });
     (0..rig.size()).for_each(|g| rig.until_fit(g));
@@ -139,7 +139,7 @@
     rig.over();
 }
 
-/// Most keepers, believed lost, come back after a history was begun anew without them.
+/// Most voters, believed lost, come back after a history was begun anew without them.
 fn back_after_anew(test: &str, plan: &Plan) -> Rig {
     let mut rig = loaded(test, plan);
     well(&rig.set(0, &[ATTEMPTS, "5"]));
@@ -169,7 +169,7 @@
     until("all keepers vote", || {
         rig.shown(3)["keepers"]
             .as_array()
-            .is_some_and(|k| k.len() == KEEPERS)
+            .is_some_and(|k| k.len() == VOTERS)
     });
     all_have(&rig, &json!(2));
     rig.over();
@@ -210,7 +210,7 @@
     let takes = |rig: &Rig, g: usize| rig.setting(g, "/state/fleet/takes-share") == json!(true);
     let all = |rig: &Rig| (0..rig.size()).all(|g| among(rig, g) == 5 && takes(rig, g));
     until("all five are counted, and take their shares", || all(&rig));
-    // Two of three keepers are gone: who is left decides nothing, and is not one of two.
+    // Two of three voters are gone: who is left decides nothing, and is not one of two.
     rig.kill(0);
     rig.kill(1);
     until("the others have no lease", || (2..5).all(|g| !rig.fit(g)));
