--- a/crates/gnmi/src/follow.rs
+++ b/crates/gnmi/src/follow.rs
@@ -54,7 +54,7 @@
     pub heartbeat: Option<Ms>,
     seen: Leaves,
     next: Ms,
-    beat: Ms,
+    heartbeat_due: Ms,
 }
 
 impl Subscription {
@@ -65,7 +65,7 @@
             heartbeat,
             seen: Leaves::new(),
             next: 0.0,
-            beat: 0.0,
+            heartbeat_due: 0.0,
         }
     }
 
@@ -76,7 +76,7 @@
             Ms::INFINITY
         };
         sample.min(if self.heartbeat.is_some() {
-            self.beat
+            self.heartbeat_due
         } else {
             Ms::INFINITY
         })
@@ -154,7 +154,7 @@
             if let Mode::Sample { every, .. } = s.mode {
                 s.next = now + every;
             }
-            s.beat = now + s.heartbeat.unwrap_or(0.0);
+            s.heartbeat_due = now + s.heartbeat.unwrap_or(0.0);
             if !updates_only {
                 f.all(nth);
             }
@@ -168,20 +168,20 @@
         self.tree = tree.clone();
         for nth in 0..self.subscriptions.len() {
             let s = &mut self.subscriptions[nth];
-            let beats = s.heartbeat.is_some() && s.beat <= now;
-            if beats {
-                s.beat = now + s.heartbeat.unwrap_or(0.0);
+            let heartbeats = s.heartbeat.is_some() && s.heartbeat_due <= now;
+            if heartbeats {
+                s.heartbeat_due = now + s.heartbeat.unwrap_or(0.0);
             }
             let (changed, all) = match s.mode {
-                Mode::OnChange => (true, beats),
+                Mode::OnChange => (true, heartbeats),
                 Mode::Sample {
                     every,
                     changed_only,
                 } if s.next <= now => {
                     s.next = now + every;
-                    (true, !changed_only || beats)
+                    (true, !changed_only || heartbeats)
                 }
-                Mode::Sample { .. } => (beats, beats),
+                Mode::Sample { .. } => (heartbeats, heartbeats),
             };
             if changed {
                 self.changed(nth);
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -11,7 +11,7 @@
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
-use ironstair_management::{Desk, Refused, Scope};
+use ironstair_management::{ManagementHandle, Refused, Scope};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Request, Response, Status};
@@ -32,7 +32,7 @@
 /// What calls share.
 #[derive(Clone)]
 pub struct Service {
-    pub desk: Desk,
+    pub management: ManagementHandle,
     pub name: Arc<str>,
     masters: Arc<Mutex<Masters>>,
     streams: Arc<Semaphore>,
@@ -40,10 +40,10 @@
 
 impl Service {
     /// `streams`: how many may be open.
-    pub fn new(desk: Desk, name: &str, streams: usize) -> Service {
+    pub fn new(management: ManagementHandle, name: &str, streams: usize) -> Service {
         let streams = Arc::new(Semaphore::new(streams));
         Service {
-            desk,
+            management,
             name: name.into(),
             masters: Arc::default(),
             streams,
@@ -62,7 +62,7 @@
         path: &gnmi::Path,
     ) -> Result<Pattern, Status> {
         let wanted = words::pattern(prefix, path, &self.name)?;
-        self.desk
+        self.management
             .schema()
             .resolve(&wanted)
             .map_err(|m| Status::invalid_argument(m.to_string()))
@@ -147,7 +147,7 @@
             supported_models: vec![gnmi::ModelData {
                 name: ironstair_data_tree::schema::MODULE_NAME.into(),
                 organization: "ironstair".into(),
-                version: self.desk.schema().revision.clone(),
+                version: self.management.schema().revision.clone(),
             }],
             supported_encodings: encodings.map(|e| e as i32).to_vec(),
             g_nmi_version: VERSION.into(),
@@ -161,8 +161,8 @@
     ) -> Result<Response<gnmi::GetResponse>, Status> {
         let r = request.into_inner();
         if words::scope(r.prefix.as_ref()) == Scope::Fleet {
-            // What the chair knows, whole.
-            let shown = self.desk.show().await.map_err(|why| refused(&why))?;
+            // What the leader knows, whole.
+            let shown = self.management.show().await.map_err(|why| refused(&why))?;
             let (path, val) = (
                 Some(gnmi::Path::default()),
                 Some(Written::JsonIetf.json(&shown)),
@@ -200,7 +200,7 @@
             .into_iter()
             .map(|p| self.resolved(r.prefix.as_ref(), p));
         let paths = paths.collect::<Result<Vec<_>, _>>()?;
-        let tree = self.desk.look().await;
+        let tree = self.management.look().await;
         let fits = |root: &str| match kind {
             DataType::All => true,
             DataType::Config => root == "settings",
@@ -222,7 +222,7 @@
                 } else {
                     let mut below = below.peekable();
                     if below.peek().is_some() {
-                        let json = self.desk.schema().json(&at, below);
+                        let json = self.management.schema().json(&at, below);
                         let (path, val) = (Some(words::path(&at)), Some(written.json(&json)));
                         update.push(gnmi::Update {
                             path,
@@ -284,7 +284,7 @@
             .iter()
             .find_map(|u| u.path.as_ref().and_then(words::begins));
         if let Some(anew) = begins.filter(|_| scope == Scope::Fleet) {
-            self.desk
+            self.management
                 .begin(anew, who.name)
                 .await
                 .map_err(|why| refused(&why))?;
@@ -351,7 +351,7 @@
                 Wrong::Status(s) => s,
                 Wrong::Refused(r) => refused(&r),
             })?;
-        let timestamp = nanos(self.desk.look().await.at);
+        let timestamp = nanos(self.management.look().await.at);
         Ok(Response::new(gnmi::SetResponse {
             prefix: r.prefix.clone(),
             response,
@@ -394,7 +394,7 @@
             }
             let what = said(&edits);
             return self
-                .desk
+                .management
                 .set(edits, who.name, what, None, scope)
                 .await
                 .map_err(Wrong::Refused);
@@ -412,7 +412,7 @@
                 let what = said(&edits);
                 let commit = Some((id, span));
                 return self
-                    .desk
+                    .management
                     .set(edits, who.name, what, commit, scope)
                     .await
                     .map_err(Wrong::Refused);
@@ -430,7 +430,7 @@
                 "a confirmation, a cancel or a new duration comes without changes",
             ));
         }
-        self.desk
+        self.management
             .ask(ask, who.name, scope)
             .await
             .map_err(Wrong::Refused)
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -128,8 +128,8 @@
     let target = list.prefix.map(|p| p.target).unwrap_or_default();
     let writer = Writer { written, target };
     // Watched from before the first look: no change falls between the two.
-    let mut watch = service.desk.watch();
-    let tree = service.desk.look().await;
+    let mut watch = service.management.watch();
+    let tree = service.management.look().await;
     watch.trees.mark_unchanged();
     let clock = Clock::start();
     let follow = Follow::begin(
@@ -151,7 +151,7 @@
                         "a stream that polls sends polls only",
                     ));
                 };
-                let tree = service.desk.look().await;
+                let tree = service.management.look().await;
                 match list.updates_only {
                     true => drop(follow.look(clock.now(), &tree.leaves)),
                     false => follow = follow.again(clock.now(), tree.leaves.clone()),
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -96,12 +96,12 @@
         start in proptest::collection::vec((0..4u8, 0..12u8, 0..9u64), 0..12),
         steps in proptest::collection::vec((0..7u8, 0..12u8, 0..9u64), 0..60),
         asked in proptest::collection::vec((0..8usize, 0..3usize), 1..4),
-        beats in any::<bool>(),
+        heartbeats in any::<bool>(),
     ) {
         let mut tree = Leaves::new();
         start.iter().for_each(|&(what, entry, value)| change(&mut tree, what, entry, value));
         let subscriptions = asked.iter().map(|&(p, m)| {
-            Subscription::new(wanted(PATTERNS[p]), MODES[m], beats.then_some(500.0))
+            Subscription::new(wanted(PATTERNS[p]), MODES[m], heartbeats.then_some(500.0))
         });
         let (mut now, mut reader) = (1000.0, Reader::default());
         let mut follow = Follow::begin(subscriptions.collect(), now, tree.clone(), false);
--- a/crates/management/src/desk.rs
+++ b/crates/management/src/actor.rs
@@ -1,7 +1,7 @@
 //! The manager's actor, and the desk at which others ask it.
 
 use crate::file::Journal;
-use crate::fleet::{Answer, Fleetward, Held, Wanted};
+use crate::fleet::{Fleetward, Held, Responder, Wanted};
 use crate::start::{cell_directory, classes, Started};
 use async_channel::Sender as Requests;
 use ironstair::Ms;
@@ -92,12 +92,12 @@
         ask: Box<Ask<Document>>,
         who: String,
         scope: Scope,
-        answer: Answer,
+        answer: Responder,
     },
     Begin {
         anew: bool,
         who: String,
-        answer: Answer,
+        answer: Responder,
     },
     Show(oneshot::Sender<Result<Json, Refused>>),
     Examine(Json, oneshot::Sender<Result<(), String>>),
@@ -115,12 +115,12 @@
     what: String,
     commit: Option<(String, Ms)>,
     scope: Scope,
-    answer: Answer,
+    answer: Responder,
 }
 
 /// Where the tree is read and changed; cloned for each who does.
 #[derive(Clone)]
-pub struct Desk {
+pub struct ManagementHandle {
     schema: Arc<Schema>,
     orders: mpsc::Sender<Order>,
     trees: watch::Receiver<Arc<Tree>>,
@@ -139,7 +139,7 @@
     }
 }
 
-impl Desk {
+impl ManagementHandle {
     pub fn schema(&self) -> &Schema {
         &self.schema
     }
@@ -211,10 +211,10 @@
             .unwrap_or(Err(Refused::Ending))
     }
 
-    /// What the fleet's chair knows.
+    /// What the fleet's leader knows.
     ///
     /// # Errors
-    /// It is in no fleet, or no chair answers.
+    /// It is in no fleet, or no leader answers.
     pub async fn show(&self) -> Result<Json, Refused> {
         self.told(Order::Show).await.unwrap_or(Err(Refused::Ending))
     }
@@ -285,7 +285,7 @@
 }
 
 impl Manager {
-    pub fn new(from: Started, name: &str, around: Around) -> (Manager, Desk) {
+    pub fn new(from: Started, name: &str, around: Around) -> (Manager, ManagementHandle) {
         let Around {
             clock,
             window,
@@ -314,7 +314,7 @@
             leaves: leaves.clone(),
         });
         let (trees, seen) = watch::channel(first);
-        let desk = Desk {
+        let management = ManagementHandle {
             schema: schema.clone(),
             orders: tell,
             trees: seen,
@@ -342,7 +342,7 @@
             held: None,
         };
         manager.set_level();
-        (manager, desk)
+        (manager, management)
     }
 
     /// Until every desk is gone.
@@ -480,7 +480,7 @@
                 .await;
             return drop(answer.send(how));
         };
-        let Some(upon) = self.held.as_ref().map(|h| h.mark) else {
+        let Some(base_revision) = self.held.as_ref().map(|h| h.mark) else {
             let why = "what the fleet holds is not known here yet".into();
             return drop(answer.send(Err(Refused::Fleet(why))));
         };
@@ -489,7 +489,7 @@
             who,
             what,
             document,
-            upon,
+            base_revision,
             commit,
             answer,
         });
@@ -525,7 +525,7 @@
         });
         let taken = self.apply(number, document).await;
         self.publish();
-        // Against telling the chair that it is held while the gateway's thread still goes by what was before.
+        // Against telling the leader that it is held while the gateway's thread still goes by what was before.
         taken
             .then_some(())
             .ok_or("the gateway's thread has not taken it over yet".into())
--- a/crates/management/src/fleet.rs
+++ b/crates/management/src/fleet.rs
@@ -1,45 +1,45 @@
 //! What the manager and the fleet's actor say to each other: a gateway in a fleet takes its settings from that alone.
 
-use crate::desk::Refused;
+use crate::actor::Refused;
 use ironstair::Ms;
 use ironstair_data_tree::state;
 use serde_json::Value as Json;
 use tokio::sync::{mpsc, oneshot, watch};
 
-pub type Answer = oneshot::Sender<Result<u64, Refused>>;
+pub type Responder = oneshot::Sender<Result<u64, Refused>>;
 
 /// From the manager to the fleet's actor.
 pub enum Wanted {
-    /// `upon` is the mark that the gateway held when it made the document of what was asked for.
+    /// `base_revision` is the mark that the gateway held when it made the document of what was asked for.
     Change {
         who: String,
         what: String,
         document: Json,
-        upon: u64,
+        base_revision: u64,
         commit: Option<(String, Ms)>,
-        answer: Answer,
+        answer: Responder,
     },
     Confirm {
         id: String,
-        answer: Answer,
+        answer: Responder,
     },
     Cancel {
         id: String,
         who: String,
-        answer: Answer,
+        answer: Responder,
     },
     /// A history begins with what this gateway was told.
     Begin {
         document: Json,
-        answer: Answer,
+        answer: Responder,
     },
-    /// One begins anew, after most keepers' disks were lost: with what is left here, else with that document.
+    /// One begins anew, after most voters' disks were lost: with what is left here, else with that document.
     Anew {
         document: Json,
         who: String,
-        answer: Answer,
+        answer: Responder,
     },
-    /// What the chair knows.
+    /// What the leader knows.
     Show(oneshot::Sender<Result<Json, Refused>>),
 }
 
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -71,7 +71,7 @@
                 match how {
                     Found::Nothing | Found::Revision(0) => {}
                     Found::Revision(n) => notes.push(format!("revision {n} runs")),
-                    Found::TakenBack(n) => {
+                    Found::RolledBack(n) => {
                         notes.push(format!(
                             "revision {n} was not confirmed and is taken back; {} runs",
                             found.number
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,7 +1,7 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
 use ironstair::{ClassPolicy, Kind, PolicyConfig};
-use ironstair_config_change::journal::{encode, Kept, Line, Record};
+use ironstair_config_change::journal::{encode, Kept, Record, RevisionSummary};
 use ironstair_config_change::revisions::RevisionState;
 use ironstair_config_change::{Document, Frame};
 use ironstair_management::{open, Journal};
@@ -48,7 +48,7 @@
 
 fn set(number: u64, advice: u32, state: RevisionState, base: &Document) -> Record<Document> {
     let (who, what) = ("op".to_string(), String::new());
-    let line = Line {
+    let line = RevisionSummary {
         number,
         who,
         when: 1e12,
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -48,7 +48,7 @@
             Record::Whole(_) => "whole",
             Record::Set { .. } => "set",
             Record::Confirmed { .. } => "confirmed",
-            Record::TakenBack { .. } => "taken back",
+            Record::RolledBack { .. } => "taken back",
         })
         .collect();
     assert_eq!(
--- a/crates/raft-replica/src/lib.rs
+++ b/crates/raft-replica/src/lib.rs
@@ -1,7 +1,7 @@
-//! A keeper of a fleet's log. What is agreed on is the library's (`raft`); this drives it without I/O, clock or
-//! thread: messages, beats, asks and the ends of writes come in, messages, answers and writes go out.
+//! A voter of a fleet's log. What is agreed on is the library's (`raft`); this drives it without I/O, clock or
+//! thread: messages, heartbeats, asks and the ends of writes come in, messages, answers and writes go out.
 //!
-//! A keeper's disk and its voter's number belong together: one that begins without its disk draws another number,
+//! A voter's disk and its voter's number belong together: one that begins without its disk draws another number,
 //! and is a voter only once the others have let it in. So a lost disk never votes twice.
 
 mod store;
@@ -9,8 +9,10 @@
 pub use store::{Image, Save};
 
 use ironstair::Ms;
-use ironstair_coordination::chair::{Ask, Refusal};
-use ironstair_coordination::{Answer, Beat, Chair, Fleet, Line, Policy, Record};
+use ironstair_coordination::leader::{Command, Refusal};
+use ironstair_coordination::{
+    Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record, RevisionSummary,
+};
 use protobuf::Message as _;
 use raft::prelude::{
     ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType,
@@ -24,29 +26,29 @@
 
 /// How often the library's clock is to tick, in ms.
 pub const TICK: Ms = 50.0;
-/// Ticks between a chair's words, and without one until the next election: the first keeper's, and how much later
+/// Ticks between a leader's words, and without one until the next election: the first voter's, and how much later
 /// each further one begins, so that no two begin together.
 const HEARTBEAT: usize = 2;
 const ELECTION: usize = 12;
 const LATER: usize = 4;
 /// Records behind the whole one, after which the log is cut.
 const RECORDS_MOST: u64 = 256;
-/// Of one message of the library, and what may be under way to one keeper.
+/// Of one message of the library, and what may be under way to one voter.
 const BYTES_MOST: u64 = 1 << 20;
 const UNDER_WAY: usize = 64;
 /// The whole state is sent once more after this, in ms.
 const WHOLE_WITHIN: Ms = 2000.0;
-/// How long a blank keeper's word holds: it says it again as long as it is blank.
-const KNOCK_HOLDS: Ms = 3000.0;
-/// Beats that wait for a quorum's word.
-const BEATS_MOST: usize = 4096;
+/// How long a blank voter's word holds: it says it again as long as it is blank.
+const JOIN_REQUEST_VALID_FOR: Ms = 3000.0;
+/// Heartbeats that wait for a quorum's word.
+const MAX_HEARTBEATS_IN_FLIGHT: usize = 4096;
 
-/// What every keeper reads from the log alike.
+/// What every voter reads from the log alike.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound(serialize = "D: Serialize", deserialize = "D: DeserializeOwned"))]
 pub struct State<D> {
     pub fleet: Fleet<D>,
-    /// The keepers that vote, by name, and those that are to.
+    /// The voters that vote, by name, and those that are to.
     pub voters: BTreeMap<String, u64>,
     pub joining: BTreeMap<String, u64>,
 }
@@ -59,66 +61,66 @@
     votes: bool,
 }
 
-/// What a keeper wants done, in this order.
+/// What a voter wants done, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out<D> {
-    /// Brought to the disk, then [`Keeper::saved`]; there is one at a time.
+    /// Brought to the disk, then [`Replica::saved`]; there is one at a time.
     Save(Save),
-    /// To the keeper of that name.
+    /// To the voter of that name.
     Send(String, Vec<u8>),
-    /// To the member that sent the beat under that token.
-    Answer(u64, Answer<D>),
-    /// This keeper is not the chair; another may be.
-    NotChair(u64, Option<String>),
-    /// The chair knows that this disk held more: it is an older copy, and is not to be used any more.
+    /// To the member that sent the heartbeat under that token.
+    HeartbeatResponse(u64, HeartbeatResponse<D>),
+    /// This voter is not the leader; another may be.
+    NotLeader(u64, Option<String>),
+    /// The leader knows that this disk held more: it is an older copy, and is not to be used any more.
     Older,
 }
 
-/// To the quorum, whether this keeper is still the chair: which one, since when, and the beats that wait for it.
+/// To the quorum, whether this voter is still the leader: which one, since when, and the heartbeats that wait for it.
 struct Question {
     nth: u64,
     since: Ms,
-    beats: Vec<(u64, Beat)>,
+    heartbeats: Vec<(u64, Heartbeat)>,
 }
 
-pub struct Keeper<D> {
+pub struct Replica<D> {
     name: String,
     id: u64,
     node: RawNode<Store>,
     state: State<D>,
     applied: u64,
-    chair: Option<(u64, Chair<D>)>,
+    leader: Option<(u64, Leader<D>)>,
     lease: Ms,
     now: Ms,
     saving: Option<u64>,
     held_back: Vec<Message>,
-    /// Beats that wait for the next question to the quorum, and for the answer to the last.
-    beats: Vec<(u64, Beat)>,
+    /// Heartbeats that wait for the next question to the quorum, and for the answer to the last.
+    heartbeats: Vec<(u64, Heartbeat)>,
     asked: Option<Question>,
     questions: u64,
-    /// Numbers that blank keepers gave, and when they last did.
+    /// Numbers that blank voters gave, and when they last did.
     knocking: BTreeMap<String, (u64, Ms)>,
-    /// Since when a keeper is being sent the whole state.
+    /// Since when a voter is being sent the whole state.
     whole_sent: BTreeMap<u64, Ms>,
-    /// Who last spoke to this keeper while it was blank.
+    /// Who last spoke to this voter while it was blank.
     teacher: Option<(u64, String)>,
-    /// The chair is to look whether there is something to write: not with each beat, or hundreds of members would
+    /// The leader is to look whether there is something to write: not with each heartbeat, or hundreds of members would
     /// each cost a look at all of them.
     look: bool,
-    /// The log is to be cut: who is new must find itself among the keepers of the whole state.
+    /// The log is to be cut: who is new must find itself among the voters of the whole state.
     cut: bool,
     out: Vec<Out<D>>,
 }
 
-/// Why a keeper can't begin with what its disk holds.
+/// Why a voter can't begin with what its disk holds.
 pub type Fault = String;
 
 fn fault(what: &str) -> impl Fn(raft::Error) -> Fault + '_ {
     move |e| format!("{what}: {e}")
 }
 
-impl<D: Policy + Serialize + DeserializeOwned> Keeper<D> {
-    /// The image of a fleet's first disk: a history begins with this keeper alone; the line says how, where it does so
+impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
+    /// The image of a fleet's first disk: a history begins with this voter alone; the line says how, where it does so
     /// anew.
     ///
     /// # Errors
@@ -128,7 +130,7 @@
         id: u64,
         history: u64,
         document: D,
-        line: Option<Line>,
+        line: Option<RevisionSummary>,
     ) -> Result<Image, Fault> {
         let mut fleet = Fleet::default();
         fleet.apply(Record::Begun {
@@ -146,11 +148,11 @@
         Ok(Image::first(id, data))
     }
 
-    /// A keeper with what its disk holds; `place` is its place among those named. A blank one has no history, and
+    /// A voter with what its disk holds; `place` is its place among those named. A blank one has no history, and
     /// waits until the others let it in under its number.
     ///
     /// # Errors
-    /// The image is none of a keeper's.
+    /// The image is none of a voter's.
     pub fn open(
         name: &str,
         place: usize,
@@ -181,24 +183,24 @@
             applied,
             max_size_per_msg: BYTES_MOST,
             max_inflight_msgs: UNDER_WAY,
-            // A chair that reaches no quorum steps down, and one that was cut off does not unseat the next.
+            // A leader that reaches no quorum steps down, and one that was cut off does not unseat the next.
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
         let node = RawNode::new(&config, store, log).map_err(fault("the log can't be opened"))?;
-        Ok(Keeper {
+        Ok(Replica {
             name: name.into(),
             id: image.id,
             node,
             state,
             applied,
-            chair: None,
+            leader: None,
             lease,
             now,
             saving: None,
             held_back: Vec::new(),
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
             asked: None,
             questions: 0,
             knocking: BTreeMap::new(),
@@ -214,8 +216,8 @@
         &self.state
     }
 
-    /// Who is the chair, as far as this keeper knows.
-    pub fn leader(&self) -> Option<&str> {
+    /// Who is the leader, as far as this voter knows.
+    pub fn leader_name(&self) -> Option<&str> {
         let leader = self.node.raft.leader_id;
         self.state
             .voters
@@ -224,9 +226,9 @@
             .map(|v| v.0.as_str())
     }
 
-    /// The chair, where this keeper is it and has read the whole log.
-    pub fn chair(&self) -> Option<&Chair<D>> {
-        self.chair.as_ref().map(|c| &c.1)
+    /// The leader, where this voter is it and has read the whole log.
+    pub fn leader(&self) -> Option<&Leader<D>> {
+        self.leader.as_ref().map(|c| &c.1)
     }
 
     /// Whether it has no history and votes on nothing.
@@ -234,7 +236,7 @@
         !self.state.voters.values().any(|id| *id == self.id)
     }
 
-    /// Whether a keeper is being replaced: until that is over, a further lost disk is one too many.
+    /// Whether a voter is being replaced: until that is over, a further lost disk is one too many.
     pub fn replacing(&self) -> bool {
         let conf = self.node.raft.prs().conf().to_conf_state();
         !self.state.joining.is_empty() || !conf.get_voters_outgoing().is_empty()
@@ -245,7 +247,7 @@
         self.is_blank().then(|| (self.name.clone(), self.id))
     }
 
-    /// A blank keeper asks to be let in.
+    /// A blank voter asks to be let in.
     pub fn knocked(&mut self, name: String, id: u64) {
         let named = self.state.voters.contains_key(&name) || self.knocking.len() < UNDER_WAY;
         if named && self.state.voters.get(&name) != Some(&id) {
@@ -262,18 +264,18 @@
         self.go_on()
     }
 
-    /// Bytes of the library of the keeper of that name; what can't be read or does not fit is passed over.
+    /// Bytes of the library of the voter of that name; what can't be read or does not fit is passed over.
     pub fn message(&mut self, now: Ms, from: &str, bytes: &[u8]) -> Vec<Out<D>> {
         self.now = now;
         if let Ok(m) = Message::parse_from_bytes(bytes) {
-            // To a number that this keeper once had: for a disk that is lost.
+            // To a number that this voter once had: for a disk that is lost.
             if m.to == self.id {
                 // A blank one has no list yet, and is to answer.
                 if self.is_blank() {
                     self.teacher = Some((m.from, from.to_string()));
                 }
-                // Against the library's end: the chair counts on what this disk once told it had. So does the
-                // agreement: such a keeper begins blank, as if its disk were lost.
+                // Against the library's end: the leader counts on what this disk once told it had. So does the
+                // agreement: such a voter begins blank, as if its disk were lost.
                 let last = self.node.raft.raft_log.last_index();
                 let heartbeat = m.get_msg_type() == MessageType::MsgHeartbeat;
                 if heartbeat && m.term >= self.node.raft.term && m.commit > last {
@@ -286,14 +288,16 @@
         self.go_on()
     }
 
-    /// A member's beat, answered under its token.
-    pub fn beat(&mut self, now: Ms, token: u64, beat: Beat) -> Vec<Out<D>> {
+    /// A member's heartbeat, answered under its token.
+    pub fn heartbeat(&mut self, now: Ms, token: u64, heartbeat: Heartbeat) -> Vec<Out<D>> {
         self.now = now;
-        if self.node.raft.state != StateRole::Leader || self.beats.len() >= BEATS_MOST {
-            let leader = self.leader().map(String::from);
-            self.out.push(Out::NotChair(token, leader));
+        if self.node.raft.state != StateRole::Leader
+            || self.heartbeats.len() >= MAX_HEARTBEATS_IN_FLIGHT
+        {
+            let leader = self.leader_name().map(String::from);
+            self.out.push(Out::NotLeader(token, leader));
         } else {
-            self.beats.push((token, beat));
+            self.heartbeats.push((token, heartbeat));
         }
         self.go_on()
     }
@@ -301,11 +305,11 @@
     /// An operator's word; what becomes of it stands in the log.
     ///
     /// # Errors
-    /// It can't be as things stand, or this keeper is not the chair.
-    pub fn ask(&mut self, now: Ms, ask: Ask<D>) -> Result<Vec<Out<D>>, Refusal> {
+    /// It can't be as things stand, or this voter is not the leader.
+    pub fn ask(&mut self, now: Ms, ask: Command<D>) -> Result<Vec<Out<D>>, Refusal> {
         self.now = now;
-        let (_, chair) = self.chair.as_mut().ok_or(Refusal::NotBegun)?;
-        chair.ask(&self.state.fleet, ask)?;
+        let (_, leader) = self.leader.as_mut().ok_or(Refusal::NotBegun)?;
+        leader.ask(&self.state.fleet, ask)?;
         self.look = true;
         Ok(self.go_on())
     }
@@ -353,20 +357,20 @@
         }
     }
 
-    /// Takes the chair once the whole log up to its own term is read; leaves it with the term.
+    /// Takes the leader once the whole log up to its own term is read; leaves it with the term.
     fn sit(&mut self) {
         let raft = &self.node.raft;
         let (term, leads) = (raft.term, raft.state == StateRole::Leader);
-        self.chair = self.chair.take().filter(|c| leads && c.0 == term);
-        if leads && self.chair.is_none() {
-            self.chair = Some((term, Chair::new(self.now, self.lease)));
+        self.leader = self.leader.take().filter(|c| leads && c.0 == term);
+        if leads && self.leader.is_none() {
+            self.leader = Some((term, Leader::new(self.now, self.lease)));
         }
         if !leads {
-            let asked = self.asked.take().into_iter().flat_map(|a| a.beats);
-            let lost: Vec<(u64, Beat)> = asked.chain(self.beats.drain(..)).collect();
+            let asked = self.asked.take().into_iter().flat_map(|a| a.heartbeats);
+            let lost: Vec<(u64, Heartbeat)> = asked.chain(self.heartbeats.drain(..)).collect();
             self.out.extend(
                 lost.into_iter()
-                    .map(|(token, _)| Out::NotChair(token, None)),
+                    .map(|(token, _)| Out::NotLeader(token, None)),
             );
         }
     }
@@ -376,28 +380,28 @@
         raft.commit_to_current_term() && self.applied == raft.raft_log.committed
     }
 
-    // Against a chair that was cut off or stopped: others may have another by now.
+    // Against a leader that was cut off or stopped: others may have another by now.
     fn ask_the_quorum(&mut self) {
         let stale = self
             .asked
             .as_ref()
             .is_some_and(|a| self.now >= a.since + self.lease);
-        if self.chair.is_none() || self.beats.is_empty() || self.asked.is_some() && !stale {
+        if self.leader.is_none() || self.heartbeats.is_empty() || self.asked.is_some() && !stale {
             return;
         }
         if !self.node.raft.commit_to_current_term() {
             return;
         }
         // Their members ask again.
-        let lost = self.asked.take().into_iter().flat_map(|a| a.beats);
+        let lost = self.asked.take().into_iter().flat_map(|a| a.heartbeats);
         self.out
-            .extend(lost.map(|(token, _)| Out::NotChair(token, None)));
+            .extend(lost.map(|(token, _)| Out::NotLeader(token, None)));
         self.questions += 1;
-        let beats = std::mem::take(&mut self.beats);
+        let heartbeats = std::mem::take(&mut self.heartbeats);
         self.asked = Some(Question {
             nth: self.questions,
             since: self.now,
-            beats,
+            heartbeats,
         });
         self.node.read_index(self.questions.to_le_bytes().to_vec());
     }
@@ -406,28 +410,29 @@
         if !self.has_read_all() || !std::mem::take(&mut self.look) {
             return;
         }
-        let Some((_, chair)) = self.chair.as_mut() else {
+        let Some((_, leader)) = self.leader.as_mut() else {
             return;
         };
-        if let Some(record) = chair.next(self.now, &self.state.fleet) {
+        if let Some(record) = leader.next(self.now, &self.state.fleet) {
             let taken =
                 serde_json::to_vec(&record).is_ok_and(|b| self.node.propose(Vec::new(), b).is_ok());
             if !taken {
-                chair.applied();
+                leader.applied();
             }
         }
         self.let_in();
     }
 
-    /// One keeper at a time: first it learns the log, then it votes in place of the number it had.
+    /// One voter at a time: first it learns the log, then it votes in place of the number it had.
     fn let_in(&mut self) {
         let State {
             voters, joining, ..
         } = &self.state;
         // Against a number given long ago: nobody bears it any more, and it would stand in everybody's way.
         let now = self.now;
-        self.knocking
-            .retain(|name, (id, at)| voters.get(name) != Some(id) && now < *at + KNOCK_HOLDS);
+        self.knocking.retain(|name, (id, at)| {
+            voters.get(name) != Some(id) && now < *at + JOIN_REQUEST_VALID_FOR
+        });
         if self.node.raft.has_pending_conf() {
             return;
         }
@@ -519,18 +524,21 @@
         {
             return;
         }
-        let Some(Question { beats, .. }) = self.asked.take() else {
+        let Some(Question { heartbeats, .. }) = self.asked.take() else {
             return;
         };
         let whole = self.has_read_all();
-        let Some((_, chair)) = self.chair.as_mut() else {
+        let Some((_, leader)) = self.leader.as_mut() else {
             return;
         };
-        for (token, beat) in beats {
+        for (token, heartbeat) in heartbeats {
             self.out.push(match whole {
-                true => Out::Answer(token, chair.beat(self.now, &self.state.fleet, &beat)),
-                // It decided more than it has read: the next beat will do.
-                false => Out::NotChair(token, Some(self.name.clone())),
+                true => Out::HeartbeatResponse(
+                    token,
+                    leader.heartbeat(self.now, &self.state.fleet, &heartbeat),
+                ),
+                // It decided more than it has read: the next heartbeat will do.
+                false => Out::NotLeader(token, Some(self.name.clone())),
             });
         }
     }
@@ -543,7 +551,7 @@
                 EntryType::EntryNormal => {
                     if let Ok(record) = serde_json::from_slice::<Record<D>>(entry.get_data()) {
                         self.state.fleet.apply(record);
-                        self.chair.iter_mut().for_each(|c| c.1.applied());
+                        self.leader.iter_mut().for_each(|c| c.1.applied());
                     }
                 }
                 EntryType::EntryConfChangeV2 => {
--- a/crates/raft-replica/src/store.rs
+++ b/crates/raft-replica/src/store.rs
@@ -1,4 +1,4 @@
-//! What of the log, the vote and the whole state a keeper holds in memory, and what of it is still to be saved.
+//! What of the log, the vote and the whole state a voter holds in memory, and what of it is still to be saved.
 
 use protobuf::Message as _;
 use raft::prelude::{ConfState, Entry, HardState, Snapshot};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a disk holds of a keeper, as bytes: the library's own.
+/// What a disk holds of a voter, as bytes: the library's own.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     /// The voter's number that belongs to this disk.
@@ -125,7 +125,7 @@
         self.conf = conf;
     }
 
-    /// The whole state of another keeper, in place of all.
+    /// The whole state of another voter, in place of all.
     pub fn replace(&mut self, whole: Snapshot) {
         self.conf = whole.get_metadata().get_conf_state().clone();
         self.entries.clear();
--- a/crates/raft-replica/tests/knock.rs
+++ b/crates/raft-replica/tests/knock.rs
@@ -1,7 +1,7 @@
-//! Who is let in among the keepers.
+//! Who is let in among the voters.
 
 use ironstair_coordination::Policy;
-use ironstair_raft_replica::{Keeper, Out, TICK};
+use ironstair_raft_replica::{Out, Replica, TICK};
 use serde::{Deserialize, Serialize};
 use slog::{o, Discard, Logger};
 
@@ -14,27 +14,27 @@
     }
 }
 
-/// A keeper alone, once it is the chair; whom it lets in that knocked so long before.
+/// A voter alone, once it is the leader; whom it lets in that knocked so long before.
 fn joining(before: f64) -> Vec<String> {
-    let image = Keeper::begin("a", 1, 7, Pol(1), None).unwrap();
+    let image = Replica::begin("a", 1, 7, Pol(1), None).unwrap();
     let log = Logger::root(Discard, o!());
-    let mut keeper: Keeper<Pol> = Keeper::open("a", 0, 1000.0, &image, 0.0, &log).unwrap();
-    keeper.knocked("b".into(), 99);
+    let mut replica: Replica<Pol> = Replica::open("a", 0, 1000.0, &image, 0.0, &log).unwrap();
+    replica.knocked("b".into(), 99);
     let mut now = before;
     for _ in 0..40 {
         now += TICK;
-        let mut outs = keeper.tick(now);
+        let mut outs = replica.tick(now);
         while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = keeper.saved(now);
+            outs = replica.saved(now);
         }
     }
-    assert!(keeper.chair().is_some());
-    keeper.state().joining.keys().cloned().collect()
+    assert!(replica.leader().is_some());
+    replica.state().joining.keys().cloned().collect()
 }
 
 #[test]
 fn a_number_given_long_ago_is_not_let_in() {
-    // Against a keeper that began a history, or lost its disk again: its old number stood in everybody's way for good.
+    // Against a voter that began a history, or lost its disk again: its old number stood in everybody's way for good.
     assert_eq!(
         (joining(0.0), joining(4000.0)),
         (vec!["b".to_string()], vec![])
--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -1,13 +1,13 @@
-//! Pins what a keeper of the fleet's log writes to its disk and sends to other keepers, as the agreement library's
+//! Pins what a voter of the fleet's log writes to its disk and sends to other voters, as the agreement library's
 //! protobuf bytes in hex: the vote, the snapshot, the log's entries with the records and voter changes inside them,
-//! and one message of each kind between two keepers; and the JSON of the replicated state. A fixed run of two keepers
-//! must write exactly the sample's bytes; each sample is read by the library and by a keeper, and written again as the
+//! and one message of each kind between two voters; and the JSON of the replicated state. A fixed run of two voters
+//! must write exactly the sample's bytes; each sample is read by the library and by a voter, and written again as the
 //! same bytes.
 
-use ironstair_coordination::chair::Ask;
-use ironstair_coordination::record::{Record, Seat, Wish};
-use ironstair_coordination::{Beat, Fleet, Policy};
-use ironstair_raft_replica::{Image, Keeper, Out, Save, State, TICK};
+use ironstair_coordination::leader::Command;
+use ironstair_coordination::record::{ChangeProposal, Record, Session};
+use ironstair_coordination::{Fleet, Heartbeat, Policy};
+use ironstair_raft_replica::{Image, Out, Replica, Save, State, TICK};
 use protobuf::Message as _;
 use raft::prelude::{ConfChangeV2, Entry, EntryType, HardState, Message, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -50,14 +50,14 @@
     }
 }
 
-fn open(name: &str, place: usize, image: &Image, now: f64) -> Keeper<Limit> {
+fn open(name: &str, place: usize, image: &Image, now: f64) -> Replica<Limit> {
     let log = Logger::root(Discard, o!());
-    Keeper::open(name, place, LEASE, image, now, &log).unwrap()
+    Replica::open(name, place, LEASE, image, now, &log).unwrap()
 }
 
-/// Keepers joined by links that lose nothing, and what they wrote.
+/// Voters joined by links that lose nothing, and what they wrote.
 struct Run {
-    keepers: BTreeMap<&'static str, Keeper<Limit>>,
+    voters: BTreeMap<&'static str, Replica<Limit>>,
     images: BTreeMap<&'static str, Image>,
     now: f64,
     lines: Vec<String>,
@@ -82,7 +82,7 @@
 impl Run {
     fn add(&mut self, name: &'static str, place: usize, image: Image) {
         self.lines.extend(disk_lines(name, &image.step()));
-        self.keepers
+        self.voters
             .insert(name, open(name, place, &image, self.now));
         self.images.insert(name, image);
     }
@@ -94,7 +94,7 @@
                 Out::Save(save) => {
                     self.lines.extend(disk_lines(from, &save));
                     self.images.get_mut(from).unwrap().take(save);
-                    (from, self.keepers.get_mut(from).unwrap().saved(self.now))
+                    (from, self.voters.get_mut(from).unwrap().saved(self.now))
                 }
                 Out::Send(to, sent) => {
                     let kind = format!(
@@ -105,41 +105,41 @@
                         self.lines
                             .push(format!("{from} sends {kind} {}", hex(&sent)));
                     }
-                    let Some((to, keeper)) = self.keepers.iter_mut().find(|k| *k.0 == to) else {
+                    let Some((to, replica)) = self.voters.iter_mut().find(|k| *k.0 == to) else {
                         continue;
                     };
-                    (*to, keeper.message(self.now, from, &sent))
+                    (*to, replica.message(self.now, from, &sent))
                 }
-                Out::Answer(..) | Out::NotChair(..) | Out::Older => continue,
+                Out::HeartbeatResponse(..) | Out::NotLeader(..) | Out::Older => continue,
             };
             waiting.extend(more.into_iter().map(|out| (by, out)));
         }
     }
 
     fn tick(&mut self, name: &'static str) {
-        let outs = self.keepers.get_mut(name).unwrap().tick(self.now);
+        let outs = self.voters.get_mut(name).unwrap().tick(self.now);
         self.carry(name, outs);
     }
 
-    /// All keepers' time goes on, and a member of the fleet speaks to the first.
+    /// All voters' time goes on, and a member of the fleet speaks to the first.
     fn go_on(&mut self, ticks: usize, member: bool) {
         for _ in 0..ticks {
             self.now += TICK;
-            let names: Vec<&'static str> = self.keepers.keys().copied().collect();
+            let names: Vec<&'static str> = self.voters.keys().copied().collect();
             names.iter().for_each(|name| self.tick(name));
-            if let Some((name, id)) = self.keepers.get("b").and_then(Keeper::knock) {
-                self.keepers.get_mut("a").unwrap().knocked(name, id);
+            if let Some((name, id)) = self.voters.get("b").and_then(Replica::knock) {
+                self.voters.get_mut("a").unwrap().knocked(name, id);
             }
             if member {
-                self.beat();
+                self.heartbeat();
             }
         }
     }
 
-    fn beat(&mut self) {
-        let fleet = &self.keepers["a"].state().fleet;
+    fn heartbeat(&mut self) {
+        let fleet = &self.voters["a"].state().fleet;
         let examined = fleet.change.as_ref().map(|c| (c.number, Ok(())));
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             name: "g1".into(),
             start: 11,
             sent: self.now,
@@ -152,13 +152,17 @@
             place: "place".into(),
             shares: false,
         };
-        let outs = self.keepers.get_mut("a").unwrap().beat(self.now, 1, beat);
+        let outs = self
+            .voters
+            .get_mut("a")
+            .unwrap()
+            .heartbeat(self.now, 1, heartbeat);
         self.carry("a", outs);
     }
 
-    fn ask(&mut self, ask: Ask<Limit>) {
+    fn ask(&mut self, ask: Command<Limit>) {
         let outs = self
-            .keepers
+            .voters
             .get_mut("a")
             .unwrap()
             .ask(self.now, ask)
@@ -167,13 +171,13 @@
     }
 }
 
-fn change(mark: u64, token: u64) -> Ask<Limit> {
-    Ask::Change(Wish {
+fn change(mark: u64, token: u64) -> Command<Limit> {
+    Command::Change(ChangeProposal {
         token,
         who: "operator".into(),
         when: 1_700_000_000_000.0,
         what: "a lower limit".into(),
-        upon: mark,
+        base_revision: mark,
         document: Limit {
             limit: 10.0 - token as f64,
         },
@@ -181,12 +185,12 @@
     })
 }
 
-/// One keeper begins a history, a member comes in, a second keeper joins; one change is confirmed, one taken back and
-/// one cancelled before it holds. Then the first keeper starts again from its disk and the second is elected.
+/// One voter begins a history, a member comes in, a second voter joins; one change is confirmed, one rolled back and
+/// one cancelled before it holds. Then the first voter starts again from its disk and the second is elected.
 fn run() -> Run {
-    let (keepers, images, kinds) = Default::default();
+    let (voters, images, kinds) = Default::default();
     let mut run = Run {
-        keepers,
+        voters,
         images,
         now: 0.0,
         lines: Vec::new(),
@@ -195,33 +199,33 @@
     run.add(
         "a",
         0,
-        Keeper::begin("a", 1, HISTORY, Limit { limit: 10.5 }, None).unwrap(),
+        Replica::begin("a", 1, HISTORY, Limit { limit: 10.5 }, None).unwrap(),
     );
     run.go_on(40, true);
     run.add("b", 1, Image::blank(22));
     run.go_on(30, true);
     for token in 1..=3 {
-        run.ask(change(run.keepers["a"].state().fleet.mark, token));
+        run.ask(change(run.voters["a"].state().fleet.mark, token));
         let (id, who) = (format!("trial-{token}"), "operator".to_string());
         match token {
             1 => {
                 run.go_on(10, true);
-                run.ask(Ask::Confirm { id });
+                run.ask(Command::Confirm { id });
             }
             2 => {
                 run.go_on(10, true);
-                run.ask(Ask::Cancel { id: Some(id), who });
+                run.ask(Command::Cancel { id: Some(id), who });
             }
             // The member is not heard: the change waits for what it makes of it.
             _ => {
                 run.go_on(2, false);
-                run.ask(Ask::Cancel { id: None, who });
+                run.ask(Command::Cancel { id: None, who });
             }
         }
         run.go_on(10, true);
     }
     let image = run.images["a"].clone();
-    run.keepers.insert("a", open("a", 0, &image, run.now));
+    run.voters.insert("a", open("a", 0, &image, run.now));
     for _ in 0..40 {
         run.now += TICK;
         run.tick("b");
@@ -275,7 +279,7 @@
                 Record::Binding { .. } => "binding",
                 Record::Decided { .. } => "decided",
                 Record::Confirmed { .. } => "confirmed",
-                Record::TakenBack { .. } => "taken-back",
+                Record::RolledBack { .. } => "taken-back",
             }
             .into()
         }
@@ -296,7 +300,7 @@
         assert_eq!(line, want, "run.txt, line {}", number + 1);
     }
     assert_eq!(written, text);
-    // Two disks as the sample has them are those of the run, and a keeper reads them.
+    // Two disks as the sample has them are those of the run, and a voter reads them.
     for (name, place, id) in [("a", 0, 1), ("b", 1, 22)] {
         let image = disk(&text, name, id);
         assert_eq!(image, run.images[name], "{name}");
@@ -387,7 +391,7 @@
         document: Limit { limit: 10.5 },
         line: None
     }));
-    let seat = Seat {
+    let seat = Session {
         start: 11,
         steady: true,
         place: "place".into(),
--- a/crates/raft-replica/tests/seeded.rs
+++ b/crates/raft-replica/tests/seeded.rs
@@ -1,12 +1,12 @@
-//! Three keepers and three members in virtual time, with the agreement library itself: crashes, lost disks, stops,
+//! Three voters and three members in virtual time, with the agreement library itself: crashes, lost disks, stops,
 //! ways cut one way, late, doubled and lost messages, from a seed. The sentences of `docs/design/fleet.md` are
 //! looked at after each event.
 
-use ironstair_coordination::chair::Ask;
+use ironstair_coordination::leader::Command;
 use ironstair_coordination::member::{Action, Input};
-use ironstair_coordination::record::Wish;
-use ironstair_coordination::{Answer, Beat, Member, Policy};
-use ironstair_raft_replica::{Image, Keeper, Out, Save, TICK};
+use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Policy};
+use ironstair_raft_replica::{Image, Out, Replica, Save, TICK};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 const LEASE: f64 = 3000.0;
-const KEEPERS: usize = 3;
+const VOTERS: usize = 3;
 const ALL: usize = 6;
 const NAMES: [&str; ALL] = ["k0", "k1", "k2", "m0", "m1", "m2"];
 
@@ -30,22 +30,22 @@
 #[derive(Clone)]
 enum Mail {
     Library(Vec<u8>),
-    Knock(String, u64),
-    Beat(u64, Beat),
-    Answer(Answer<Pol>),
-    NotChair(Option<String>),
+    Join(String, u64),
+    Heartbeat(u64, Heartbeat),
+    HeartbeatResponse(HeartbeatResponse<Pol>),
+    NotLeader(Option<String>),
 }
 
-/// A keeper or a member, with what outlives its process.
+/// A voter or a member, with what outlives its process.
 #[derive(Default)]
 struct Process {
-    keeper: Option<Keeper<Pol>>,
+    replica: Option<Replica<Pol>>,
     image: Image,
     saving: Option<(f64, Save)>,
     member: Option<Member>,
     holding: Option<Pol>,
     speaks_to: usize,
-    beat: Option<Beat>,
+    heartbeat: Option<Heartbeat>,
     heard: f64,
     /// Until when it is down or stopped.
     down: f64,
@@ -83,9 +83,9 @@
             same_number: false,
             log: Logger::root(Discard, o!()),
         };
-        // A history begins at one keeper; the others are let in as any whose disk is new.
-        w.all[0].image = Keeper::begin("k0", 1, 77, Pol(0, 0), None).unwrap();
-        for i in 1..KEEPERS {
+        // A history begins at one voter; the others are let in as any whose disk is new.
+        w.all[0].image = Replica::begin("k0", 1, 77, Pol(0, 0), None).unwrap();
+        for i in 1..VOTERS {
             w.all[i].image = Image::blank(1 + i as u64);
         }
         (0..ALL).for_each(|i| w.start(i));
@@ -99,9 +99,9 @@
     fn start(&mut self, i: usize) {
         let (now, start) = (self.now, self.chance.next_u64() | 1);
         let p = &mut self.all[i];
-        if i < KEEPERS {
-            let kept = Keeper::open(NAMES[i], i, LEASE, &p.image, now, &self.log);
-            (p.keeper, p.saving) = (Some(kept.unwrap()), None);
+        if i < VOTERS {
+            let kept = Replica::open(NAMES[i], i, LEASE, &p.image, now, &self.log);
+            (p.replica, p.saving) = (Some(kept.unwrap()), None);
         } else {
             (p.member, p.holding) = (Some(Member::new(NAMES[i], start, false, LEASE)), None);
         }
@@ -130,8 +130,10 @@
                     let to = NAMES.iter().position(|n| *n == to).unwrap();
                     self.send(i, to, Mail::Library(bytes));
                 }
-                Out::Answer(token, answer) => self.send(i, token as usize, Mail::Answer(answer)),
-                Out::NotChair(token, to) => self.send(i, token as usize, Mail::NotChair(to)),
+                Out::HeartbeatResponse(token, answer) => {
+                    self.send(i, token as usize, Mail::HeartbeatResponse(answer))
+                }
+                Out::NotLeader(token, to) => self.send(i, token as usize, Mail::NotLeader(to)),
                 Out::Older => panic!("an older copy of a disk, where none was put back"),
             }
         }
@@ -145,10 +147,10 @@
             };
             for action in member.on(now, input) {
                 match action {
-                    Action::Beat(beat) => {
+                    Action::Heartbeat(heartbeat) => {
                         let to = self.all[i].speaks_to;
-                        self.all[i].beat = Some(beat.clone());
-                        self.send(i, to, Mail::Beat(i as u64, beat));
+                        self.all[i].heartbeat = Some(heartbeat.clone());
+                        self.send(i, to, Mail::Heartbeat(i as u64, heartbeat));
                     }
                     Action::Apply { mark, document, .. } => {
                         self.all[i].holding = Some(document);
@@ -197,7 +199,7 @@
             if !self.runs(i) {
                 continue;
             }
-            if self.all[i].keeper.is_none() && self.all[i].member.is_none() {
+            if self.all[i].replica.is_none() && self.all[i].member.is_none() {
                 self.start(i);
             }
             if self.all[i].saving.as_ref().is_some_and(|s| s.0 <= self.now) {
@@ -205,20 +207,20 @@
                 self.all[i].image.take(save);
                 let now = self.now;
                 let outs = self.all[i]
-                    .keeper
+                    .replica
                     .as_mut()
                     .map(|k| k.saved(now))
                     .unwrap_or_default();
                 self.carry(i, outs);
             }
             let tick = self.now % TICK < 5.0;
-            if let Some(keeper) = self.all[i].keeper.as_mut().filter(|_| tick) {
-                let outs = keeper.tick(self.now);
-                let knock = keeper.knock();
+            if let Some(replica) = self.all[i].replica.as_mut().filter(|_| tick) {
+                let outs = replica.tick(self.now);
+                let knock = replica.knock();
                 self.carry(i, outs);
-                for to in (0..KEEPERS).filter(|to| *to != i) {
+                for to in (0..VOTERS).filter(|to| *to != i) {
                     if let Some((name, id)) = knock.clone() {
-                        self.send(i, to, Mail::Knock(name, id));
+                        self.send(i, to, Mail::Join(name, id));
                     }
                 }
             }
@@ -228,7 +230,7 @@
                 .is_some_and(|m| m.due() <= self.now)
             {
                 if self.now > self.all[i].heard + LEASE / 2.0 {
-                    self.all[i].speaks_to = (self.all[i].speaks_to + 1) % KEEPERS;
+                    self.all[i].speaks_to = (self.all[i].speaks_to + 1) % VOTERS;
                 }
                 self.hand(i, Input::Due);
             }
@@ -239,44 +241,44 @@
     fn deliver(&mut self, from: usize, to: usize, mail: Mail) {
         let now = self.now;
         match mail {
-            Mail::Answer(answer) => {
+            Mail::HeartbeatResponse(answer) => {
                 self.all[to].heard = now;
                 self.hand(to, Input::Answered(answer));
             }
-            Mail::NotChair(at) => {
+            Mail::NotLeader(at) => {
                 let at = at.and_then(|n| NAMES.iter().position(|m| **m == n));
                 self.all[to].heard = now;
-                self.all[to].speaks_to = at.unwrap_or((from + 1) % KEEPERS);
-                // Who knows the chair tells it: the beat goes on there.
-                if let Some((at, beat)) = at.zip(self.all[to].beat.clone()) {
-                    self.send(to, at, Mail::Beat(to as u64, beat));
+                self.all[to].speaks_to = at.unwrap_or((from + 1) % VOTERS);
+                // Who knows the leader tells it: the heartbeat goes on there.
+                if let Some((at, heartbeat)) = at.zip(self.all[to].heartbeat.clone()) {
+                    self.send(to, at, Mail::Heartbeat(to as u64, heartbeat));
                 }
             }
-            Mail::Knock(name, id) => {
+            Mail::Join(name, id) => {
                 self.all[to]
-                    .keeper
+                    .replica
                     .iter_mut()
                     .for_each(|k| k.knocked(name.clone(), id));
             }
             Mail::Library(bytes) => {
                 let outs = self.all[to]
-                    .keeper
+                    .replica
                     .as_mut()
                     .map(|k| k.message(now, NAMES[from], &bytes));
                 self.carry(to, outs.unwrap_or_default());
             }
-            Mail::Beat(token, beat) => {
+            Mail::Heartbeat(token, heartbeat) => {
                 let outs = self.all[to]
-                    .keeper
+                    .replica
                     .as_mut()
-                    .map(|k| k.beat(now, token, beat));
+                    .map(|k| k.heartbeat(now, token, heartbeat));
                 self.carry(to, outs.unwrap_or_default());
             }
         }
     }
 
     fn look(&mut self) {
-        for k in self.all[..KEEPERS].iter().filter_map(|p| p.keeper.as_ref()) {
+        for k in self.all[..VOTERS].iter().filter_map(|p| p.replica.as_ref()) {
             let fleet = &k.state().fleet;
             self.marks.entry(fleet.mark).or_insert(self.now);
             if let Some((number, pol)) = fleet.running {
@@ -289,7 +291,7 @@
             .all
             .iter()
             .enumerate()
-            .skip(KEEPERS)
+            .skip(VOTERS)
             .filter(|(i, _)| self.runs(*i))
         {
             let Some(m) = p.member.as_ref().filter(|m| m.holds(self.now)) else {
@@ -322,27 +324,27 @@
             self.chance.next_u64() | 1
         };
         let p = &mut self.all[i];
-        (p.keeper, p.member, p.holding, p.saving) = (None, None, None, None);
+        (p.replica, p.member, p.holding, p.saving) = (None, None, None, None);
         p.down = self.now + for_ms;
         if lost {
             p.image = Image::blank(number);
         }
     }
 
-    fn chair(&self) -> Option<usize> {
-        (0..KEEPERS).find(|i| {
+    fn leader(&self) -> Option<usize> {
+        (0..VOTERS).find(|i| {
             self.runs(*i)
                 && self.all[*i]
-                    .keeper
+                    .replica
                     .as_ref()
-                    .is_some_and(|k| k.chair().is_some())
+                    .is_some_and(|k| k.leader().is_some())
         })
     }
 
     fn ask(&mut self, commit: bool) -> bool {
-        let Some(i) = self.chair() else { return false };
-        let (now, keeper) = (self.now, self.all[i].keeper.as_mut().unwrap());
-        let upon = keeper.state().fleet.mark;
+        let Some(i) = self.leader() else { return false };
+        let (now, replica) = (self.now, self.all[i].replica.as_mut().unwrap());
+        let base_revision = replica.state().fleet.mark;
         self.asked += 1;
         let commit = commit.then(|| ("c".to_string(), 5000.0));
         let (who, what, document) = (
@@ -350,16 +352,16 @@
             "set".to_string(),
             Pol(self.asked, self.asked),
         );
-        let wish = Wish {
+        let proposal = ChangeProposal {
             token: self.asked,
             who,
             when: now,
             what,
-            upon,
+            base_revision,
             document,
             commit,
         };
-        let Ok(outs) = keeper.ask(now, Ask::Change(wish)) else {
+        let Ok(outs) = replica.ask(now, Command::Change(proposal)) else {
             return false;
         };
         self.carry(i, outs);
@@ -383,31 +385,31 @@
                 } else {
                     None
                 };
-                if let Some(c) = self.chair() {
+                if let Some(c) = self.leader() {
                     let ask = match id {
-                        Some(id) => Ask::Confirm { id },
-                        None => Ask::Cancel {
+                        Some(id) => Command::Confirm { id },
+                        None => Command::Cancel {
                             id: None,
                             who: "op".into(),
                         },
                     };
                     let now = self.now;
-                    let outs = self.all[c].keeper.as_mut().map(|k| k.ask(now, ask));
+                    let outs = self.all[c].replica.as_mut().map(|k| k.ask(now, ask));
                     self.carry(c, outs.and_then(Result::ok).unwrap_or_default());
                 }
             }
             4 | 5 => self.crash(i, ms, false),
             6 => {
                 // A disk is lost only beside two that are whole: more is no minority.
-                let others = (0..KEEPERS).filter(|k| *k != i);
+                let others = (0..VOTERS).filter(|k| *k != i);
                 let whole = others.filter(|k| {
-                    let ready = |k: &Keeper<Pol>| !k.is_blank() && !k.replacing();
+                    let ready = |k: &Replica<Pol>| !k.is_blank() && !k.replacing();
                     self.all[*k]
-                        .keeper
+                        .replica
                         .as_ref()
-                        .is_some_and(|k| ready(k) && k.state().voters.len() == KEEPERS)
+                        .is_some_and(|k| ready(k) && k.state().voters.len() == VOTERS)
                 });
-                if i < KEEPERS && whole.count() == 2 {
+                if i < VOTERS && whole.count() == 2 {
                     self.crash(i, ms, true);
                 }
             }
@@ -428,9 +430,9 @@
     }
 
     fn told(&self) -> String {
-        let keeper = |k: &Keeper<Pol>| format!("{:?} chair {}", k.state(), k.chair().is_some());
-        let one = |p: &Process| match (&p.keeper, &p.member) {
-            (Some(k), _) => keeper(k),
+        let replica = |k: &Replica<Pol>| format!("{:?} chair {}", k.state(), k.leader().is_some());
+        let one = |p: &Process| match (&p.replica, &p.member) {
+            (Some(k), _) => replica(k),
             (_, m) => format!("{m:?} holds {:?}", p.holding),
         };
         self.all.iter().map(one).collect::<Vec<_>>().join("\n")
@@ -438,16 +440,16 @@
 
     fn whole(&self) -> bool {
         let newest = self.marks.last_key_value().map_or(0, |m| *m.0);
-        self.all[KEEPERS..].iter().all(|p| {
+        self.all[VOTERS..].iter().all(|p| {
             p.member
                 .as_ref()
                 .is_some_and(|m| m.holds(self.now) && m.held().1 == newest)
-        }) && self.all[..KEEPERS]
+        }) && self.all[..VOTERS]
             .iter()
-            .all(|p| p.keeper.as_ref().is_some_and(|k| !k.is_blank()))
+            .all(|p| p.replica.as_ref().is_some_and(|k| !k.is_blank()))
     }
 
-    /// Until all keepers vote and all members decide by the newest, or panics.
+    /// Until all voters vote and all members decide by the newest, or panics.
     fn settle(&mut self) {
         self.cut = Default::default();
         self.all
@@ -502,14 +504,14 @@
     assert_eq!(played(5), played(5));
 }
 
-/// A change is decided by two keepers while the third is cut off; then one of the two loses its disk and the other
+/// A change is decided by two voters while the third is cut off; then one of the two loses its disk and the other
 /// is gone: what the third and the blank one come to.
 fn decided_then_lost(same_number: bool) -> bool {
     let mut w = World::new(3);
     w.same_number = same_number;
     w.settle();
-    let chair = w.chair().unwrap();
-    let (far, blank) = ((chair + 1) % KEEPERS, (chair + 2) % KEEPERS);
+    let leader = w.leader().unwrap();
+    let (far, blank) = ((leader + 1) % VOTERS, (leader + 2) % VOTERS);
     (0..ALL).for_each(|i| (w.cut[i][far], w.cut[far][i]) = (true, true));
     let before = w.decided.len();
     while w.decided.len() == before {
@@ -518,15 +520,15 @@
     }
     w.run(500.0);
     let mark = *w.marks.last_key_value().unwrap().0;
-    w.crash(chair, 1e9, false);
+    w.crash(leader, 1e9, false);
     w.crash(blank, 0.0, true);
     w.cut = Default::default();
     let end = w.now + 30_000.0;
     while w.now < end {
         w.step();
-        // A chair without what was decided: history has been lost.
-        if w.chair()
-            .is_some_and(|c| w.all[c].keeper.as_ref().unwrap().state().fleet.mark < mark)
+        // A leader without what was decided: history has been lost.
+        if w.leader()
+            .is_some_and(|c| w.all[c].replica.as_ref().unwrap().state().fleet.mark < mark)
         {
             return true;
         }
@@ -537,7 +539,7 @@
 #[test]
 fn a_lost_disk_votes_on_nothing_and_under_its_old_number_history_would_be_lost() {
     assert!(!decided_then_lost(false));
-    // Under the old number either history is lost, or the keeper is found to have told of more than its disk has:
+    // Under the old number either history is lost, or the voter is found to have told of more than its disk has:
     // no other end of the control counts.
     let control = std::panic::catch_unwind(|| decided_then_lost(true));
     let lost = control.unwrap_or_else(|why| {
--- a/crates/raft-storage/src/lib.rs
+++ b/crates/raft-storage/src/lib.rs
@@ -1,10 +1,10 @@
-//! A keeper's disk: a file to which each step is appended and brought to the disk before anything rests on it, and
+//! A voter's disk: a file to which each step is appended and brought to the disk before anything rests on it, and
 //! that is written anew beside itself now and then.
 //!
 //! A record is its length, the CRC-32C of that and one of the step (4 bytes each, little end first; both take in
 //! whose disk it is), and the step. A file that ends within a record, or in zeros, was being written when its
 //! process or machine ended: nobody was told of that step, and it is cut off. Any other fault means that steps which
-//! others rest on may be lost: the file is put aside, and the keeper begins blank under another voter's number.
+//! others rest on may be lost: the file is put aside, and the voter begins blank under another voter's number.
 
 use ironstair_raft_replica::{Image, Save};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 const FILE: &str = "fleet.log";
 const BESIDE: &str = "fleet.new";
 /// Of what is put aside, so many stay.
-const ASIDE_MOST: usize = 8;
+const MAX_QUARANTINED: usize = 8;
 /// How the records are written; another is of another version.
 const FORM: u32 = 1;
 const HEAD: usize = 12;
@@ -35,7 +35,7 @@
     id: u64,
 }
 
-pub struct Archive {
+pub struct Storage {
     folder: PathBuf,
     owner: Owner,
     /// None where the last step may be half there: the next one writes all anew.
@@ -48,7 +48,7 @@
 
 /// A disk as a start finds it.
 pub struct Opened {
-    pub archive: Archive,
+    pub storage: Storage,
     /// Worth a line in the log: what was there could not be used, or not all of it.
     pub note: Option<String>,
 }
@@ -132,7 +132,7 @@
     }
 }
 
-impl Archive {
+impl Storage {
     /// The disk in that folder; one without a history begins under `number`, which is to be drawn anew at each call.
     ///
     /// # Errors
@@ -182,7 +182,7 @@
                 (owner, image, (lost > 0).then(torn))
             }
             Err(why) => {
-                let aside = put_aside(folder, &path).map_err(|e| fault(e.to_string()))?;
+                let aside = quarantined(folder, &path).map_err(|e| fault(e.to_string()))?;
                 (
                     wanted,
                     blank,
@@ -193,7 +193,7 @@
             }
         };
         let folder = folder.to_path_buf();
-        let mut archive = Archive {
+        let mut storage = Storage {
             folder,
             owner,
             file: None,
@@ -201,8 +201,8 @@
             steps: 0,
             image,
         };
-        archive.anew().map_err(fault)?;
-        Ok(Opened { archive, note })
+        storage.anew().map_err(fault)?;
+        Ok(Opened { storage, note })
     }
 
     pub fn folder(&self) -> &Path {
@@ -229,10 +229,10 @@
     ///
     /// # Errors
     /// As the disk has it.
-    pub fn put_aside(&mut self, number: u64) -> Result<String, String> {
+    pub fn quarantined(&mut self, number: u64) -> Result<String, String> {
         let path = self.folder.join(FILE);
         let aside =
-            put_aside(&self.folder, &path).map_err(|e| format!("{}: {e}", path.display()))?;
+            quarantined(&self.folder, &path).map_err(|e| format!("{}: {e}", path.display()))?;
         self.begin(Image::blank(number)).map(|()| aside)
     }
 
@@ -248,7 +248,7 @@
         let file = self.file.as_mut().ok_or("the log is not open")?;
         if let Err(e) = file.write_all(&bytes).and_then(|()| file.sync_data()) {
             // How much of it is there is not known: all is written anew next. A start before that may find the step
-            // whole, which harms nobody: a keeper may have kept more than it told.
+            // whole, which harms nobody: a voter may have kept more than it told.
             self.file = None;
             return Err(format!("{}: {e}", self.folder.join(FILE).display()));
         }
@@ -271,12 +271,12 @@
     }
 }
 
-fn put_aside(folder: &Path, file: &Path) -> io::Result<String> {
-    let free = (1..ASIDE_MOST)
+fn quarantined(folder: &Path, file: &Path) -> io::Result<String> {
+    let free = (1..MAX_QUARANTINED)
         .map(|n| format!("{FILE}.aside-{n}"))
         .find(|n| !folder.join(n).exists());
     // The last is written over: what fills a disk helps nobody.
-    let name = free.unwrap_or(format!("{FILE}.aside-{ASIDE_MOST}"));
+    let name = free.unwrap_or(format!("{FILE}.aside-{MAX_QUARANTINED}"));
     std::fs::rename(file, folder.join(&name))?;
     Ok(name)
 }
--- a/crates/raft-storage/tests/disk.rs
+++ b/crates/raft-storage/tests/disk.rs
@@ -1,17 +1,17 @@
-//! What a start finds on a keeper's disk after crashes, torn bytes, mix-ups and folders that can't be used.
+//! What a start finds on a voter's disk after crashes, torn bytes, mix-ups and folders that can't be used.
 
 use ironstair_raft_replica::{Image, Save};
-use ironstair_raft_storage::{Archive, Opened};
+use ironstair_raft_storage::{Opened, Storage};
 use std::path::Path;
 use tempfile::tempdir;
 
 const FILE: &str = "fleet.log";
 
 fn open(folder: &Path, number: u64) -> Opened {
-    Archive::open(folder, "north", "g1", number).unwrap()
+    Storage::open(folder, "north", "g1", number).unwrap()
 }
 
-/// Steps as a keeper makes them: a vote, records, an end rewritten, a cut.
+/// Steps as a voter makes them: a vote, records, an end rewritten, a cut.
 fn steps() -> Vec<Save> {
     let record = |n: u8| vec![n; 100];
     let entries =
@@ -37,12 +37,12 @@
 
 /// The disk's bytes after all steps, and the image after each with its length.
 fn filled(folder: &Path) -> Vec<(usize, Image)> {
-    let mut archive = open(folder, 7).archive;
+    let mut storage = open(folder, 7).storage;
     let length = || std::fs::metadata(folder.join(FILE)).unwrap().len() as usize;
-    let mut all = vec![(length(), archive.image().clone())];
+    let mut all = vec![(length(), storage.image().clone())];
     for save in steps() {
-        archive.save(save).unwrap();
-        all.push((length(), archive.image().clone()));
+        storage.save(save).unwrap();
+        all.push((length(), storage.image().clone()));
     }
     all
 }
@@ -51,11 +51,11 @@
 fn found(bytes: &[u8]) -> (Image, Option<String>) {
     let folder = tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), bytes).unwrap();
-    let Opened { archive, note } = open(folder.path(), 8);
+    let Opened { storage, note } = open(folder.path(), 8);
     // And the next start the same, without a word.
-    let image = archive.image().clone();
+    let image = storage.image().clone();
     let again = open(folder.path(), 9);
-    assert_eq!((again.archive.image(), again.note), (&image, None));
+    assert_eq!((again.storage.image(), again.note), (&image, None));
     (image, note)
 }
 
@@ -113,31 +113,31 @@
             "it is of gateway g1 in fleet north, not of g1 in south",
         ),
     ] {
-        let told = Archive::open(folder.path(), fleet, gateway, 9)
+        let told = Storage::open(folder.path(), fleet, gateway, 9)
             .err()
             .unwrap();
         assert!(told.ends_with(why), "{told}");
     }
     assert_eq!(
-        open(folder.path(), 9).archive.image(),
+        open(folder.path(), 9).storage.image(),
         &all.last().unwrap().1
     );
     // A folder that can't be one: the sentence names it.
     let file = folder.path().join(FILE);
-    let told = Archive::open(&file, "north", "g1", 9).err().unwrap();
+    let told = Storage::open(&file, "north", "g1", 9).err().unwrap();
     assert!(told.starts_with(&file.display().to_string()), "{told}");
 }
 
 #[test]
 fn a_disk_that_takes_no_more_refuses_the_step_and_goes_on_where_it_was() {
     let folder = tempdir().unwrap();
-    let mut archive = open(folder.path(), 7).archive;
-    archive.save(steps().remove(0)).unwrap();
-    let before = archive.image().clone();
+    let mut storage = open(folder.path(), 7).storage;
+    storage.save(steps().remove(0)).unwrap();
+    let before = storage.image().clone();
     // Beyond what the file may be it is written anew, which a folder in the place of the new file refuses.
     std::fs::create_dir(folder.path().join("fleet.new")).unwrap();
     let filling = std::iter::from_fn(|| {
-        Some(archive.save(Save {
+        Some(storage.save(Save {
             hard: Some(vec![1]),
             ..Save::default()
         }))
@@ -148,9 +148,9 @@
         hard: vec![1],
         ..before
     };
-    assert_eq!(archive.image(), &held);
+    assert_eq!(storage.image(), &held);
     std::fs::remove_dir(folder.path().join("fleet.new")).unwrap();
-    archive.save(steps().remove(1)).unwrap();
-    let after = archive.image().clone();
-    assert_eq!(open(folder.path(), 9).archive.image(), &after);
+    storage.save(steps().remove(1)).unwrap();
+    let after = storage.image().clone();
+    assert_eq!(open(folder.path(), 9).storage.image(), &after);
 }
--- a/crates/raft-storage/tests/pinned_forms.rs
+++ b/crates/raft-storage/tests/pinned_forms.rs
@@ -3,7 +3,7 @@
 //! the sample in a folder must be opened as today's image, and the rewritten file must be its own sample.
 
 use ironstair_raft_replica::{Image, Save};
-use ironstair_raft_storage::{Archive, Opened};
+use ironstair_raft_storage::{Opened, Storage};
 use std::collections::BTreeMap;
 use std::path::Path;
 use tempfile::tempdir;
@@ -33,7 +33,7 @@
 }
 
 fn open(folder: &Path, number: u64) -> Opened {
-    Archive::open(folder, "north", "g1", number).unwrap()
+    Storage::open(folder, "north", "g1", number).unwrap()
 }
 
 /// Each part of a step alone, all together, and none.
@@ -80,8 +80,8 @@
 /// A folder whose file is written by these steps.
 fn after(steps: &[Save]) -> Vec<u8> {
     let folder = tempdir().unwrap();
-    let mut archive = open(folder.path(), image().id).archive;
-    steps.iter().for_each(|s| archive.save(s.clone()).unwrap());
+    let mut storage = open(folder.path(), image().id).storage;
+    steps.iter().for_each(|s| storage.save(s.clone()).unwrap());
     std::fs::read(folder.path().join(FILE)).unwrap()
 }
 
@@ -89,13 +89,13 @@
 fn found(bytes: &[u8]) -> (Image, Option<String>, Vec<u8>) {
     let folder = tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), bytes).unwrap();
-    let Opened { archive, note } = open(folder.path(), 9);
+    let Opened { storage, note } = open(folder.path(), 9);
     let names = std::fs::read_dir(folder.path())
         .unwrap()
         .map(|e| e.unwrap().file_name());
     assert_eq!(names.collect::<Vec<_>>(), [FILE]);
     (
-        archive.image().clone(),
+        storage.image().clone(),
         note,
         std::fs::read(folder.path().join(FILE)).unwrap(),
     )
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -68,14 +68,16 @@
         back_s: f64,
         /// Those among them that keep the fleet's log are spared: with most of those gone, a fleet decides nothing.
         #[serde(default)]
-        but_keepers: bool,
+        #[serde(rename = "but_keepers")]
+        except_voters: bool,
     },
     /// Stopped, and gone on: what came meanwhile is found then.
     StopGateways { share: f64, for_s: f64 },
     /// That share of the engines; back cold.
     KillEngines { share: f64, back_s: f64 },
     /// The first three gateways keep the fleet's log.
-    KillKeepers { back_s: f64 },
+    #[serde(rename = "kill_keepers")]
+    KillVoters { back_s: f64 },
     /// No list of engines comes.
     NamesDown { for_s: f64 },
 }
@@ -101,7 +103,7 @@
             What::StopGateways { share, for_s } => {
                 [("share", share, 1.0), ("for_s", for_s, 3600.0)]
             }
-            What::KillKeepers { back_s } => [("back_s", back_s, 3600.0); 2],
+            What::KillVoters { back_s } => [("back_s", back_s, 3600.0); 2],
             What::NamesDown { for_s } => [("for_s", for_s, 3600.0); 2],
         }
     }
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -20,7 +20,8 @@
     pub fell: u32,
     #[serde(rename = "forwards")]
     pub attempts: u32,
-    pub beats: u32,
+    #[serde(rename = "beats")]
+    pub heartbeats: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,11 +1,11 @@
-//! Gateways among themselves: the built chair and members. Agreement is played as the library gives it (a chair while
-//! two of three keepers run, another after an election's time, a record after a round); that the library does so is
+//! Gateways among themselves: the built leader and members. Agreement is played as the library gives it (a leader while
+//! two of three voters run, another after an election's time, a record after a round); that the library does so is
 //! what `crates/raft-replica` is tested for.
 
 use ironstair::Ms;
-use ironstair_coordination::{Answer, Beat, Chair, Fleet, Policy, Record};
+use ironstair_coordination::{Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record};
 
-pub const KEEPERS: usize = 3;
+pub const VOTERS: usize = 3;
 /// An election takes twelve of the library's ticks of 50 ms and a round; a record a round of two ways and disks.
 const ELECTION: Ms = 700.0;
 const ROUND: Ms = 5.0;
@@ -27,7 +27,7 @@
 pub struct Log {
     fleet: Fleet<Told>,
     lease: Ms,
-    chair: Option<(usize, Chair<Told>)>,
+    leader: Option<(usize, Leader<Told>)>,
     /// Since when there could be one.
     quorum_since: Option<Ms>,
     writing: Option<(Ms, Record<Told>)>,
@@ -44,40 +44,40 @@
         Log {
             fleet,
             lease,
-            chair: None,
+            leader: None,
             quorum_since: Some(-ELECTION),
             writing: None,
         }
     }
 
-    /// Time has gone on by a tick; who of the keepers runs.
-    pub fn tick(&mut self, now: Ms, runs: [bool; KEEPERS]) {
+    /// Time has gone on by a tick; who of the voters runs.
+    pub fn tick(&mut self, now: Ms, runs: [bool; VOTERS]) {
         if runs.iter().filter(|r| **r).count() < 2 {
-            (self.chair, self.writing, self.quorum_since) = (None, None, None);
+            (self.leader, self.writing, self.quorum_since) = (None, None, None);
             return;
         }
-        if self.chair.as_ref().is_some_and(|c| !runs[c.0]) {
-            (self.chair, self.writing, self.quorum_since) = (None, None, Some(now));
+        if self.leader.as_ref().is_some_and(|c| !runs[c.0]) {
+            (self.leader, self.writing, self.quorum_since) = (None, None, Some(now));
         }
         self.quorum_since = self.quorum_since.or(Some(now));
-        if self.chair.is_none() && self.quorum_since.is_some_and(|s| now >= s + ELECTION) {
+        if self.leader.is_none() && self.quorum_since.is_some_and(|s| now >= s + ELECTION) {
             let first = runs.iter().position(|r| *r).unwrap_or(0);
-            self.chair = Some((first, Chair::new(now, self.lease)));
+            self.leader = Some((first, Leader::new(now, self.lease)));
         }
-        let Some((_, chair)) = &mut self.chair else {
+        let Some((_, leader)) = &mut self.leader else {
             return;
         };
         if let Some((_, record)) = self.writing.take_if(|w| w.0 <= now) {
             self.fleet.apply(record);
-            chair.applied();
+            leader.applied();
         }
         if self.writing.is_none() {
-            self.writing = chair.next(now, &self.fleet).map(|r| (now + ROUND, r));
+            self.writing = leader.next(now, &self.fleet).map(|r| (now + ROUND, r));
         }
     }
 
-    pub fn beat(&mut self, now: Ms, beat: &Beat) -> Option<Answer<Told>> {
-        let (_, chair) = self.chair.as_mut()?;
-        Some(chair.beat(now, &self.fleet, beat))
+    pub fn heartbeat(&mut self, now: Ms, heartbeat: &Heartbeat) -> Option<HeartbeatResponse<Told>> {
+        let (_, leader) = self.leader.as_mut()?;
+        Some(leader.heartbeat(now, &self.fleet, heartbeat))
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,5 +1,5 @@
 //! Days of faults for hundreds of gateways in virtual time. The decisions are the built ones (the module, a fleet's
-//! chair and members); engines, name service, clients and the ways between them are stand-ins after `docs/design`,
+//! leader and members); engines, name service, clients and the ways between them are stand-ins after `docs/design`,
 //! with constants of their own. The same seed plays the same day.
 //!
 //! [`day`] is what is played, [`engine`] a stand-in engine, [`clients`] who asks, [`fleet`] the gateways among
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -65,7 +65,7 @@
             let _ = writeln!(
                 text,
                 "{},{n},{:.1},{:.1},{},{},{},{},{}",
-                d.seed, s.asked, s.served, s.rejected, s.failed, s.fell, s.attempts, s.beats
+                d.seed, s.asked, s.served, s.rejected, s.failed, s.fell, s.attempts, s.heartbeats
             );
         }
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -3,7 +3,7 @@
 use crate::clients::{self, drawn, one_of, pause, rate, Request};
 use crate::day::{self, Day, What};
 use crate::engine::{Admission, Asker, Engine};
-use crate::fleet::{Log, Told, KEEPERS, TICK};
+use crate::fleet::{Log, Told, TICK, VOTERS};
 use crate::Figures;
 use ironstair::logic::Gateway;
 use ironstair::stats::{mix, Pcg};
@@ -11,7 +11,7 @@
     Actions, Cost, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request as Asks,
 };
 use ironstair_coordination::member::{Action, Input};
-use ironstair_coordination::{Answer, Beat, Member, Share};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Share};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -20,7 +20,7 @@
 const LIST_LATE: Ms = 1500.0;
 /// A client whose gateway ended goes to another.
 const ELSEWHERE: Ms = 50.0;
-/// A member that finds no chair asks again so often in a lease.
+/// A member that finds no leader asks again so often in a lease.
 const LOOKS: f64 = 10.0;
 /// An answer so much after its hard limit is a broken promise.
 const LATE: Ms = 20.0;
@@ -52,9 +52,9 @@
     GateBack(usize),
     EngineBack(usize),
     FleetTick,
-    BeatDue(usize, u32, u64),
-    BeatComes(usize, u32, Box<Beat>, Ms),
-    AnswerComes(usize, u32, Box<Answer<Told>>),
+    HeartbeatDue(usize, u32, u64),
+    HeartbeatArrives(usize, u32, Box<Heartbeat>, Ms),
+    AnswerComes(usize, u32, Box<HeartbeatResponse<Told>>),
 }
 
 /// When, and in which order what happens at one time: as it was asked for.
@@ -135,7 +135,7 @@
     member: Option<Member>,
     policy_config: PolicyConfig,
     share: Option<Share>,
-    beats: u64,
+    heartbeats: u64,
 }
 
 pub struct World {
@@ -236,7 +236,7 @@
                 }
             });
         let (slots, free) = Default::default();
-        let (stopped_until, wakes, beats) = (0.0, 0, 0);
+        let (stopped_until, wakes, heartbeats) = (0.0, 0, 0);
         Gate {
             up: true,
             process,
@@ -248,7 +248,7 @@
             member,
             policy_config,
             share: None,
-            beats,
+            heartbeats,
         }
     }
 
@@ -266,7 +266,7 @@
             // Not all at once: their processes came up one after the other.
             let spread = one_of(&mut self.chance, 100) as f64;
             let process = self.gates[g].process;
-            self.after(spread, Event::BeatDue(g, process, 0));
+            self.after(spread, Event::HeartbeatDue(g, process, 0));
         }
     }
 
@@ -388,9 +388,10 @@
 
     fn happens(&mut self, event: Event) {
         let gate = match &event {
-            Event::Try(_, g) | Event::Wakes(g, ..) | Event::List(g, _) | Event::BeatDue(g, ..) => {
-                Some(*g)
-            }
+            Event::Try(_, g)
+            | Event::Wakes(g, ..)
+            | Event::List(g, _)
+            | Event::HeartbeatDue(g, ..) => Some(*g),
             Event::AnswerComes(g, ..) => Some(*g),
             Event::Ended(a, _) => Some(a.gate),
             _ => None,
@@ -443,12 +444,14 @@
                 self.endpoint();
             }
             Event::FleetTick => self.fleet_ticks(),
-            Event::BeatDue(g, process, beat) => {
-                if lives(self, g, process) && self.gates[g].beats == beat {
+            Event::HeartbeatDue(g, process, heartbeat) => {
+                if lives(self, g, process) && self.gates[g].heartbeats == heartbeat {
                     self.member(g, Input::Due);
                 }
             }
-            Event::BeatComes(g, process, beat, first) => self.beat_comes(g, process, beat, first),
+            Event::HeartbeatArrives(g, process, heartbeat, first) => {
+                self.heartbeat_arrives(g, process, heartbeat, first)
+            }
             Event::AnswerComes(g, process, answer) => {
                 if lives(self, g, process) {
                     self.member(g, Input::Answered(*answer));
@@ -635,9 +638,9 @@
             What::KillGateways {
                 share,
                 back_s,
-                but_keepers,
+                except_voters,
             } => {
-                let spared = |g: usize| but_keepers && g < KEEPERS;
+                let spared = |g: usize| except_voters && g < VOTERS;
                 for g in self
                     .chosen(self.gates.len(), share)
                     .into_iter()
@@ -646,8 +649,8 @@
                     self.kill(g, back_s * 1000.0);
                 }
             }
-            What::KillKeepers { back_s } => {
-                (0..KEEPERS.min(self.gates.len())).for_each(|g| self.kill(g, back_s * 1000.0))
+            What::KillVoters { back_s } => {
+                (0..VOTERS.min(self.gates.len())).for_each(|g| self.kill(g, back_s * 1000.0))
             }
             What::StopGateways { share, for_s } => {
                 for g in self.chosen(self.gates.len(), share) {
@@ -726,9 +729,12 @@
             };
             for action in member.on(now, input) {
                 match action {
-                    Action::Beat(beat) => {
-                        self.figures.at(now).beats += 1;
-                        self.after(WAY, Event::BeatComes(g, process, Box::new(beat), now));
+                    Action::Heartbeat(heartbeat) => {
+                        self.figures.at(now).heartbeats += 1;
+                        self.after(
+                            WAY,
+                            Event::HeartbeatArrives(g, process, Box::new(heartbeat), now),
+                        );
                     }
                     Action::Apply { mark, .. } => inputs.push(Input::Applied { mark }),
                     Action::Examine { number, .. } => inputs.push(Input::Examined {
@@ -743,9 +749,12 @@
         let Some(due) = self.gates[g].member.as_ref().map(Member::due) else {
             return;
         };
-        self.gates[g].beats += 1;
-        let beat = self.gates[g].beats;
-        self.after((due - now).max(0.0), Event::BeatDue(g, process, beat));
+        self.gates[g].heartbeats += 1;
+        let heartbeat = self.gates[g].heartbeats;
+        self.after(
+            (due - now).max(0.0),
+            Event::HeartbeatDue(g, process, heartbeat),
+        );
     }
 
     fn holds(&mut self, g: usize, until: Ms, share: Share) {
@@ -768,16 +777,19 @@
         });
     }
 
-    fn beat_comes(&mut self, g: usize, process: u32, beat: Box<Beat>, first: Ms) {
+    fn heartbeat_arrives(&mut self, g: usize, process: u32, heartbeat: Box<Heartbeat>, first: Ms) {
         let now = self.now;
         let Some(log) = self.log.as_mut() else { return };
-        match log.beat(now, &beat) {
+        match log.heartbeat(now, &heartbeat) {
             // A quorum has been asked meanwhile: two ways more.
             Some(answer) => self.after(3.0 * WAY, Event::AnswerComes(g, process, Box::new(answer))),
             None => {
                 let lease = self.day.lease_ms as f64;
                 if now < first + lease {
-                    self.after(lease / LOOKS, Event::BeatComes(g, process, beat, first));
+                    self.after(
+                        lease / LOOKS,
+                        Event::HeartbeatArrives(g, process, heartbeat, first),
+                    );
                 }
             }
         }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -36,14 +36,14 @@
     let kill = r#"{"at_s": 8, "what": {"kill_gateways": {"share": 0.7, "back_s": 1}}}"#;
     let cold = r#"{"at_s": 8, "what": {"kill_engines": {"share": 0.34, "back_s": 1}}}"#;
     let stop = r#"{"at_s": 8, "what": {"stop_gateways": {"share": 0.5, "for_s": 4}}}"#;
-    let keepers = r#"{"at_s": 8, "what": {"kill_keepers": {"back_s": 5}}}"#;
+    let voters = r#"{"at_s": 8, "what": {"kill_keepers": {"back_s": 5}}}"#;
     let names = r#"{"at_s": 7, "what": {"names_down": {"for_s": 5}}}"#;
     for fleet in ["none", "told", "members"] {
         for (faults, comes_back) in [
             (kill.to_string(), true),
             (format!("{kill}, {cold}"), false),
             (stop.to_string(), true),
-            (format!("{keepers}, {names}"), true),
+            (format!("{voters}, {names}"), true),
         ] {
             let d = day(&format!(
                 r#""fleet": "{fleet}", "ignore_advice": 0.33, "faults": [{faults}]"#
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/rig.rs
@@ -1,4 +1,4 @@
-//! Gateways of one fleet as processes: each with its files, its links to the keepers and its engines' addresses, so
+//! Gateways of one fleet as processes: each with its files, its links to the voters and its engines' addresses, so
 //! that an engine knows from which gateway an attempt came.
 
 use crate::link::{Link, Way};
@@ -20,7 +20,7 @@
 /// Classes: what may run again, and what may run once.
 pub const CLASSES: [&str; 2] = ["lookup", "post"];
 pub const ONCE: [&str; 1] = ["post"];
-const KEEPERS: usize = 3;
+const VOTERS: usize = 3;
 
 /// What a gateway is told and its operator's file, before they are written.
 pub type Edit = fn(usize, &mut Value, &mut Value);
@@ -60,7 +60,7 @@
     at: SocketAddr,
     management: SocketAddr,
     without: Vec<&'static str>,
-    /// To the other keepers, by their numbers.
+    /// To the other voters, by their numbers.
     links: BTreeMap<usize, Link>,
 }
 
@@ -129,13 +129,13 @@
             // Two zones: which policy a gateway goes by is seen from where it sends.
             told["settings"]["dcs"] = json!(["a", "b"]);
             told["known"]["notices"][0]["pool"]["instances"][1]["zone"] = json!("b");
-            let others = (0..KEEPERS).filter(|k| *k != g);
+            let others = (0..VOTERS).filter(|k| *k != g);
             let links: BTreeMap<usize, Link> = others.map(|k| (k, Link::to(on(listens[k], 2)))).collect();
             let reached = |k: usize| links.get(&k).map_or(on(listens[k], 2), |l| l.at).to_string();
-            let keepers: BTreeMap<String, String> = (0..KEEPERS).map(|k| (name(k), reached(k))).collect();
-            let mut fleet = json!({"name": test, "listen": on(listens[g], 2).to_string(), "keepers": keepers,
+            let voters: BTreeMap<String, String> = (0..VOTERS).map(|k| (name(k), reached(k))).collect();
+            let mut fleet = json!({"name": test, "listen": on(listens[g], 2).to_string(), "keepers": voters,
                 "lease_ms": plan.lease_ms});
-            if g < KEEPERS {
+            if g < VOTERS {
                 fleet["state"] = json!(dir.join("state"));
             }
             if plan.steady.contains(&g) {
@@ -191,7 +191,7 @@
         (0..self.gates.len()).for_each(|g| self.until_fit(g));
     }
 
-    /// Begins the history; every keeper has a vote.
+    /// Begins the history; every voter has a vote.
     pub fn begin_alone(&self) {
         until("the history begins", || {
             let said = self.command(0, &["fleet"], &["begin"]);
@@ -200,7 +200,7 @@
         until("every keeper votes", || {
             self.shown(0)["keepers"]
                 .as_array()
-                .is_some_and(|k| k.len() == KEEPERS)
+                .is_some_and(|k| k.len() == VOTERS)
         });
     }
 
@@ -279,20 +279,20 @@
         self.cli_meanwhile(g, &args).join().expect("a command")
     }
 
-    /// What the chair knows, asked at that gateway; null where no chair answers.
+    /// What the leader knows, asked at that gateway; null where no leader answers.
     pub fn shown(&self, g: usize) -> Value {
         let said = self.cli(g, &["fleet", "--json"]);
         serde_json::from_str(&said.out).unwrap_or_default()
     }
 
-    /// The number of the keeper that is the chair.
-    pub fn chair(&self) -> usize {
+    /// The number of the voter that is the leader.
+    pub fn leader(&self) -> usize {
         let mut found = None;
         until("a chair", || {
-            let chair = (0..KEEPERS)
+            let leader = (0..VOTERS)
                 .filter(|g| self.runs(*g))
                 .find_map(|g| self.shown(g)["chair"].as_str().map(String::from));
-            found = chair.and_then(|c| (0..KEEPERS).find(|k| name(*k) == c));
+            found = leader.and_then(|c| (0..VOTERS).find(|k| name(*k) == c));
             found.is_some()
         });
         found.unwrap_or(0)
@@ -386,12 +386,12 @@
         self.gates[g].dir.join("state")
     }
 
-    /// A keeper's disk is lost; its process must not run.
+    /// A voter's disk is lost; its process must not run.
     pub fn wipe(&self, g: usize) {
         let _ = fs::remove_dir_all(self.state(g));
     }
 
-    /// A copy of a keeper's disk, to be put back later.
+    /// A copy of a voter's disk, to be put back later.
     pub fn copy(&self, g: usize) -> PathBuf {
         let to = self.gates[g].dir.join("copy");
         copy_files(&self.state(g), &to);
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const GATEWAYS: u64 = 5;
-const KEEPERS: u64 = 3;
+const VOTERS: u64 = 3;
 /// Faults in a schedule; how long one lasts, in ms: about a lease, from well below to beyond.
 const STEPS: usize = 6;
 const LASTS: std::ops::Range<u64> = 200..2600;
@@ -22,10 +22,10 @@
     CutOff(usize, bool, bool),
     /// All that it says and hears comes late, in ms.
     Slow(usize, u64),
-    /// A keeper comes back without its disk.
+    /// A voter comes back without its disk.
     Wipe(usize),
-    /// All keepers at once.
-    KillKeepers,
+    /// All voters at once.
+    KillVoters,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -49,7 +49,7 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut below = |n: u64| chance.next_u64() % n;
     let step = |_| {
-        let (g, keeper) = (below(GATEWAYS) as usize, below(KEEPERS) as usize);
+        let (g, voter) = (below(GATEWAYS) as usize, below(VOTERS) as usize);
         let fault = match below(9) {
             0 | 1 => Fault::Kill(g),
             2 | 3 => Fault::Stop(g),
@@ -57,8 +57,8 @@
             5 => [Fault::CutOff(g, true, false), Fault::CutOff(g, false, true)][below(2) as usize]
                 .clone(),
             6 => Fault::Slow(g, 50 + below(400)),
-            7 => Fault::Wipe(keeper),
-            _ => Fault::KillKeepers,
+            7 => Fault::Wipe(voter),
+            _ => Fault::KillVoters,
         };
         let lasts = LASTS.start + below(LASTS.end - LASTS.start);
         let class = CLASSES[below(2) as usize];
@@ -131,14 +131,14 @@
                 meanwhile(rig)
             }
             Fault::Wipe(k) => {
-                // A further disk, lost before the last one's keeper has a vote again, is one too many.
+                // A further disk, lost before the last one's voter has a vote again, is one too many.
                 let votes =
                     |rig: &Rig, k: usize| rig.log(k).matches("this keeper has a vote").count();
                 until("the keeper whose disk was lost has a vote", || {
                     lost.is_none_or(|(lost, before)| votes(rig, lost) > before)
                 });
                 until("no keeper is being replaced", || {
-                    let at = (0..KEEPERS as usize).find(|o| o != k).unwrap_or(0);
+                    let at = (0..VOTERS as usize).find(|o| o != k).unwrap_or(0);
                     let shown = rig.shown(at);
                     shown["joining"] == json!([]) && shown["replacing"] == json!(false)
                 });
@@ -149,10 +149,10 @@
                 rig.start(*k);
                 asked
             }
-            Fault::KillKeepers => {
-                (0..KEEPERS as usize).for_each(|k| rig.kill(k));
+            Fault::KillVoters => {
+                (0..VOTERS as usize).for_each(|k| rig.kill(k));
                 let asked = meanwhile(rig);
-                (0..KEEPERS as usize).for_each(|k| rig.start(k));
+                (0..VOTERS as usize).for_each(|k| rig.start(k));
                 asked
             }
         };
