--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -88,10 +88,10 @@
     ("threads", |s| s.threads.to_string()),
 ];
 
-type Told = fn(&Document) -> Option<String>;
+type DocumentText = fn(&Document) -> Option<String>;
 
 /// The fields beside the classes; all of them at once but for the most attempts, of which fewer bind at once.
-const REST: [(&str, When, Told); 10] = [
+const REST: [(&str, When, DocumentText); 10] = [
     ("gateways", When::AtOnce, |d| Some(d.gateways.to_string())),
     ("forwards-most", When::AtOnce, |d| {
         Some(d.max_attempts.to_string())
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -55,7 +55,7 @@
 /// What an operator asks of the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Asked {
+pub enum FleetCommand {
     #[serde(rename = "ask")]
     Command(Command<Json>),
     Show,
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum CommandResponse {
     Done(u64),
     Refused(String),
     Shown(Json),
@@ -78,7 +78,7 @@
 }
 
 /// To the actor.
-pub enum Mail {
+pub enum AgentMessage {
     Heartbeat(
         Heartbeat,
         oneshot::Sender<Result<HeartbeatResponse<Json>, Hint>>,
@@ -86,7 +86,7 @@
     Agree(String, Vec<u8>),
     /// A voter and its voter's number, or 0 where it asks for the history alone.
     Join(String, u64, oneshot::Sender<u64>),
-    Command(Asked, oneshot::Sender<Told>),
+    Command(FleetCommand, oneshot::Sender<CommandResponse>),
     /// A heartbeat of this gateway came back, and from whom; or why not.
     Answered(Result<(String, HeartbeatResponse<Json>), String>),
     Held(u64, Result<(), String>),
@@ -119,7 +119,7 @@
 }
 
 /// Says that the process ends, once all is answered; told when the fleet knows.
-pub type Leave = mpsc::Sender<Mail>;
+pub type Leave = mpsc::Sender<AgentMessage>;
 
 enum Waits {
     Own,
@@ -140,7 +140,7 @@
 struct Pending {
     ask: Command<Json>,
     until: Ms,
-    answer: oneshot::Sender<Told>,
+    answer: oneshot::Sender<CommandResponse>,
 }
 
 /// Opened before anything serves: a disk or an address that can't be used is told at once.
@@ -203,8 +203,8 @@
     ways: BTreeMap<String, Way>,
     /// The voter that last answered a heartbeat.
     speaks_to: Option<String>,
-    inbox: mpsc::Receiver<Mail>,
-    post: mpsc::Sender<Mail>,
+    inbox: mpsc::Receiver<AgentMessage>,
+    post: mpsc::Sender<AgentMessage>,
     wanted: mpsc::Receiver<Wanted>,
     shown: watch::Sender<state::Fleet>,
     answers: HashMap<u64, Waits>,
@@ -357,24 +357,24 @@
         }
     }
 
-    fn take(&mut self, mail: Mail) {
+    fn take(&mut self, mail: AgentMessage) {
         let now = self.clock.now();
         match mail {
-            Mail::Heartbeat(heartbeat, to) => match &mut self.kept {
+            AgentMessage::Heartbeat(heartbeat, to) => match &mut self.kept {
                 Some(_) => {
                     self.hear_of(heartbeat.history);
                     self.heartbeat(heartbeat, Waits::Other(to));
                 }
                 None => drop(to.send(Err(Hint::default()))),
             },
-            Mail::Agree(from, bytes) => {
+            AgentMessage::Agree(from, bytes) => {
                 let outs = self
                     .kept
                     .as_mut()
                     .map(|k| k.replica.message(now, &from, &bytes));
                 self.carry(outs.unwrap_or_default());
             }
-            Mail::Join(name, number, to) => {
+            AgentMessage::Join(name, number, to) => {
                 let Some(k) = &mut self.kept else {
                     let _ = to.send(self.member.held().0);
                     return;
@@ -390,8 +390,8 @@
                     of_disk
                 });
             }
-            Mail::Command(asked, to) => self.asked(asked, to),
-            Mail::Answered(answer) => {
+            AgentMessage::Command(asked, to) => self.asked(asked, to),
+            AgentMessage::Answered(answer) => {
                 self.heartbeats -= 1;
                 let lost = answer.is_err();
                 match answer {
@@ -410,17 +410,17 @@
                     self.speaks_to = None;
                 }
             }
-            Mail::Held(mark, how) => {
+            AgentMessage::Held(mark, how) => {
                 self.act(match how {
                     Ok(()) => Input::Applied { mark },
                     Err(why) => Input::Unable { mark, why },
                 });
             }
-            Mail::Examined(number, how) => self.act(Input::Examined { number, how }),
-            Mail::Saved(saved) => self.saved(*saved),
-            Mail::Known(how, document, answer) => self.begin(how, document, answer),
-            Mail::KnownAnew(how, anew) => self.begin_anew(how, anew),
-            Mail::Heard(history) => {
+            AgentMessage::Examined(number, how) => self.act(Input::Examined { number, how }),
+            AgentMessage::Saved(saved) => self.saved(*saved),
+            AgentMessage::Known(how, document, answer) => self.begin(how, document, answer),
+            AgentMessage::KnownAnew(how, anew) => self.begin_anew(how, anew),
+            AgentMessage::Heard(history) => {
                 self.hear_of(history);
                 let own = self
                     .kept
@@ -430,7 +430,7 @@
                     self.leave_the_older("the fleet's history began anew without this keeper");
                 }
             }
-            Mail::Leave(done) => {
+            AgentMessage::Leave(done) => {
                 self.leaving = Some(done);
                 self.act(Input::Leave);
             }
@@ -522,7 +522,7 @@
                 tokio::spawn(async move {
                     let known = way.knock(word, COMPARE_EVERY).await;
                     if let Some(Ok(history)) = known.ok().map(|w| serde_json::from_slice(&w.body)) {
-                        let _ = post.send(Mail::Heard(history)).await;
+                        let _ = post.send(AgentMessage::Heard(history)).await;
                     }
                 });
             }
@@ -546,7 +546,7 @@
                             true => Ok(()),
                             false => hold(&management, mark, number, document).await,
                         };
-                        let _ = post.send(Mail::Held(mark, how)).await;
+                        let _ = post.send(AgentMessage::Held(mark, how)).await;
                     });
                 }
                 Action::Examine { number, document } => {
@@ -556,7 +556,7 @@
                             true => Ok(()),
                             false => readable(&document).and(management.examine(document).await),
                         };
-                        let _ = post.send(Mail::Examined(number, how)).await;
+                        let _ = post.send(AgentMessage::Examined(number, how)).await;
                     });
                 }
                 Action::Hold(until, share) => {
@@ -613,7 +613,7 @@
         let word = self.own.word(body);
         tokio::spawn(async move {
             let found = search.heartbeat(word).await;
-            let _ = post.send(Mail::Answered(found)).await;
+            let _ = post.send(AgentMessage::Answered(found)).await;
         });
     }
 
@@ -675,7 +675,7 @@
             });
             // A thread that panicked leaves no disk behind: this voter writes nothing more, and votes on nothing.
             if let Ok(saved) = work.await {
-                let _ = post.send(Mail::Saved(Box::new(saved))).await;
+                let _ = post.send(AgentMessage::Saved(Box::new(saved))).await;
             }
         });
     }
@@ -703,7 +703,7 @@
                     Saved { storage, save, how }
                 });
                 if let Ok(saved) = work.await {
-                    let _ = post.send(Mail::Saved(Box::new(saved))).await;
+                    let _ = post.send(AgentMessage::Saved(Box::new(saved))).await;
                 }
             });
             return;
@@ -767,9 +767,12 @@
                 let (search, own) = (self.search(), self.post.clone());
                 tokio::spawn(async move {
                     let _ = answer.send(
-                        match search.ask(own, Asked::Show, OUTCOME_LEAST / 3.0).await {
-                            Told::Shown(json) => Ok(json),
-                            Told::Refused(why) => Err(Refused::Fleet(why)),
+                        match search
+                            .ask(own, FleetCommand::Show, OUTCOME_LEAST / 3.0)
+                            .await
+                        {
+                            CommandResponse::Shown(json) => Ok(json),
+                            CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
                             _ => Err(Refused::Fleet("no chair".into())),
                         },
                     );
@@ -812,7 +815,7 @@
                             Err(e) => Err(format!("{name} must answer, and does not: {}", e.message())),
                         });
                     }
-                    let _ = post.send(Mail::Known(how, document, answer)).await;
+                    let _ = post.send(AgentMessage::Known(how, document, answer)).await;
                 });
             }
         }
@@ -866,7 +869,9 @@
         tokio::spawn(async move {
             let mut how = Ok(Vec::new());
             for (search, then) in searches {
-                if let Told::Shown(shown) = search.ask(post.clone(), Asked::Show, lease).await {
+                if let CommandResponse::Shown(shown) =
+                    search.ask(post.clone(), FleetCommand::Show, lease).await
+                {
                     let leader = shown["chair"].as_str().unwrap_or("one").to_string();
                     how = Err(format!(
                         "{leader} is the chair: the fleet's history is not lost"
@@ -885,7 +890,7 @@
                 }
             }
             let _ = post
-                .send(Mail::KnownAnew(
+                .send(AgentMessage::KnownAnew(
                     how,
                     Anew {
                         document,
@@ -946,10 +951,10 @@
         let (search, own) = (self.search(), self.post.clone());
         let within = self.outcome_within() + OUTCOME_LEAST / 3.0;
         tokio::spawn(async move {
-            let told = search.ask(own, Asked::Command(ask), within).await;
+            let told = search.ask(own, FleetCommand::Command(ask), within).await;
             let _ = answer.send(match told {
-                Told::Done(number) => Ok(number),
-                Told::Refused(why) => Err(Refused::Fleet(why)),
+                CommandResponse::Done(number) => Ok(number),
+                CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
                 _ => Err(Refused::Fleet("no chair".into())),
             });
         });
@@ -960,9 +965,9 @@
     }
 
     /// At this voter: an ask is handed to the leader, and answered once it is known what became of it.
-    fn asked(&mut self, asked: Asked, to: oneshot::Sender<Told>) {
+    fn asked(&mut self, asked: FleetCommand, to: oneshot::Sender<CommandResponse>) {
         let now = self.clock.now();
-        let elsewhere = Told::Elsewhere(Hint {
+        let elsewhere = CommandResponse::Elsewhere(Hint {
             leader: self.leader(),
         });
         let Some(k) = &mut self.kept else {
@@ -972,14 +977,14 @@
             return drop(to.send(elsewhere));
         };
         let ask = match asked {
-            Asked::Command(ask) => ask,
-            Asked::Show => {
+            FleetCommand::Command(ask) => ask,
+            FleetCommand::Show => {
                 let shown = shown::fleet(now, &self.config.name, &k.replica, leader);
-                return drop(to.send(Told::Shown(shown)));
+                return drop(to.send(CommandResponse::Shown(shown)));
             }
         };
         if self.pending.len() >= ASKS_MOST {
-            return drop(to.send(Told::Refused(Refusal::Busy.to_string())));
+            return drop(to.send(CommandResponse::Refused(Refusal::Busy.to_string())));
         }
         let ask = match ask {
             Command::Change(proposal) if taken_out("upon") => Command::Change(ChangeProposal {
@@ -992,7 +997,7 @@
         if matches!(outcome(&k.replica.state().fleet, &ask), Outcome::Unknown) {
             match k.replica.ask(now, ask.clone()) {
                 Ok(outs) => self.carry(outs),
-                Err(why) => return drop(to.send(Told::Refused(why.to_string()))),
+                Err(why) => return drop(to.send(CommandResponse::Refused(why.to_string()))),
             }
         }
         let until = now + self.outcome_within();
@@ -1016,7 +1021,7 @@
                 .as_ref()
                 .and_then(|k| Some((k, k.replica.leader()?)));
             let Some((k, sits)) = found else {
-                let _ = p.answer.send(Told::Elsewhere(Hint {
+                let _ = p.answer.send(CommandResponse::Elsewhere(Hint {
                     leader: leader.clone(),
                 }));
                 continue;
@@ -1024,7 +1029,9 @@
             let fleet = &k.replica.state().fleet;
             let told = match outcome(fleet, &p.ask) {
                 // Who hears that it is done finds it done wherever he looks next.
-                Outcome::Known(Told::Done(_)) if now < p.until && !sits.all_hold(now, fleet) => {
+                Outcome::Known(CommandResponse::Done(_))
+                    if now < p.until && !sits.all_hold(now, fleet) =>
+                {
                     None
                 }
                 Outcome::Known(told) => Some(told),
@@ -1037,7 +1044,7 @@
                     let why = format!(
                         "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
                     );
-                    Some(Told::Refused(why))
+                    Some(CommandResponse::Refused(why))
                 }
                 _ => None,
             };
@@ -1054,7 +1061,7 @@
                     self.carry(outs);
                     self.pending.push(p);
                 }
-                Err(why) => drop(p.answer.send(Told::Refused(why.to_string()))),
+                Err(why) => drop(p.answer.send(CommandResponse::Refused(why.to_string()))),
             }
         }
     }
@@ -1128,7 +1135,7 @@
 }
 
 enum Outcome {
-    Known(Told),
+    Known(CommandResponse),
     /// It stands in the log, and goes on.
     UnderWay,
     Unknown,
@@ -1155,12 +1162,12 @@
     };
     let refused = || {
         let (by, why) = l.refused.clone().unwrap_or_default();
-        Outcome::Known(Told::Refused(format!(
+        Outcome::Known(CommandResponse::Refused(format!(
             "revision {} was refused by {by}: {why}",
             l.number
         )))
     };
-    let done = Outcome::Known(Told::Done(l.number));
+    let done = Outcome::Known(CommandResponse::Done(l.number));
     let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
     match (ask, l.state) {
         (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
@@ -1241,7 +1248,12 @@
     }
 
     /// Here first: this voter may be the leader.
-    async fn ask(self, here: mpsc::Sender<Mail>, asked: Asked, within: Ms) -> Told {
+    async fn ask(
+        self,
+        here: mpsc::Sender<AgentMessage>,
+        asked: FleetCommand,
+        within: Ms,
+    ) -> CommandResponse {
         let until = self.clock.now() + within;
         let body = serde_json::to_vec(&asked).unwrap_or_default();
         let mut to = self.first.clone();
@@ -1249,14 +1261,14 @@
         while self.clock.now() < until {
             let (answer, told) = oneshot::channel();
             if here
-                .send(Mail::Command(asked.clone(), answer))
+                .send(AgentMessage::Command(asked.clone(), answer))
                 .await
                 .is_err()
             {
                 break;
             }
             match told.await {
-                Ok(Told::Elsewhere(Hint { leader })) => {
+                Ok(CommandResponse::Elsewhere(Hint { leader })) => {
                     // Not over what was found since: this gateway may speak to one that is the leader no more.
                     to = to
                         .or(leader.filter(|c| self.ways.contains_key(c)))
@@ -1268,15 +1280,17 @@
             let Some(at) = to.clone() else { break };
             let left = until - self.clock.now();
             let said = self.ways[&at].ask(self.own.word(body.clone()), left).await;
-            let read = said.map(|w| serde_json::from_slice::<Told>(&w.body));
+            let read = said.map(|w| serde_json::from_slice::<CommandResponse>(&w.body));
             to = match read {
-                Ok(Ok(Told::Elsewhere(Hint { leader }))) => {
+                Ok(Ok(CommandResponse::Elsewhere(Hint { leader }))) => {
                     let other = leader.filter(|c| *c != at && self.ways.contains_key(c));
                     other.or_else(|| self.next(Some(&at)))
                 }
                 Ok(Ok(told)) => return told,
                 Ok(Err(e)) => {
-                    return Told::Refused(format!("{at} answers what can't be read: {e}"))
+                    return CommandResponse::Refused(format!(
+                        "{at} answers what can't be read: {e}"
+                    ))
                 }
                 // The same ask may be said again: the log knows it by its token.
                 Err(e) => {
@@ -1286,7 +1300,7 @@
             };
             sleep(span(LOOK_AGAIN)).await;
         }
-        Told::Refused(format!(
+        CommandResponse::Refused(format!(
             "the fleet has no chair that answers ({last}); what became of it, `ironstair fleet` shows"
         ))
     }
--- a/crates/fleet-agent/src/serve.rs
+++ b/crates/fleet-agent/src/serve.rs
@@ -1,6 +1,6 @@
 //! The listener for other gateways: words are looked over and handed to the actor, whose mailbox is bounded.
 
-use crate::actor::{Asked, Hint, Mail};
+use crate::actor::{AgentMessage, FleetCommand, Hint};
 use crate::proto::fleet_server::{Fleet, FleetServer};
 use crate::proto::Word;
 use crate::way::WORD_MOST;
@@ -76,7 +76,7 @@
 
 pub struct Service {
     own: Own,
-    mail: mpsc::Sender<Mail>,
+    mail: mpsc::Sender<AgentMessage>,
     log: Logger,
     /// The last sentence on a word not taken: said once, not with each heartbeat.
     said: Mutex<String>,
@@ -96,7 +96,10 @@
         Ok(word)
     }
 
-    async fn hand<T>(&self, mail: impl FnOnce(oneshot::Sender<T>) -> Mail) -> Result<T, Status> {
+    async fn hand<T>(
+        &self,
+        mail: impl FnOnce(oneshot::Sender<T>) -> AgentMessage,
+    ) -> Result<T, Status> {
         let (answer, told) = oneshot::channel();
         self.mail
             .try_send(mail(answer))
@@ -124,28 +127,33 @@
         if (&heartbeat.name, heartbeat.start) != (&word.from, word.start) {
             return Err(Status::invalid_argument("a beat in another's name"));
         }
-        let answer: Result<HeartbeatResponse<Json>, Hint> =
-            self.hand(|to| Mail::Heartbeat(heartbeat, to)).await?;
+        let answer: Result<HeartbeatResponse<Json>, Hint> = self
+            .hand(|to| AgentMessage::Heartbeat(heartbeat, to))
+            .await?;
         self.word(&answer)
     }
 
     async fn agree(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
-        let _ = self.mail.try_send(Mail::Agree(word.from, word.body));
+        let _ = self
+            .mail
+            .try_send(AgentMessage::Agree(word.from, word.body));
         Ok(Response::new(self.own.word(Vec::new())))
     }
 
     async fn knock(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
         let number: u64 = read(&word)?;
-        let history = self.hand(|to| Mail::Join(word.from, number, to)).await?;
+        let history = self
+            .hand(|to| AgentMessage::Join(word.from, number, to))
+            .await?;
         self.word(&history)
     }
 
     async fn ask(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
-        let asked: Asked = read(&word)?;
-        let answer = self.hand(|to| Mail::Command(asked, to)).await?;
+        let asked: FleetCommand = read(&word)?;
+        let answer = self.hand(|to| AgentMessage::Command(asked, to)).await?;
         self.word(&answer)
     }
 }
@@ -218,7 +226,7 @@
 pub async fn serve(
     bound: Bound,
     own: Own,
-    mail: mpsc::Sender<Mail>,
+    mail: mpsc::Sender<AgentMessage>,
     log: Logger,
 ) -> Result<(), String> {
     let listener = TcpListener::from_std(bound).map_err(|e| e.to_string())?;
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -6,7 +6,7 @@
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
-use ironstair_fleet_agent::actor::{Asked, Hint, Mail, Told};
+use ironstair_fleet_agent::actor::{AgentMessage, CommandResponse, FleetCommand, Hint};
 use ironstair_fleet_agent::proto::Word;
 use ironstair_fleet_agent::serve::{bind, serve, Own};
 use ironstair_fleet_agent::shown;
@@ -101,7 +101,7 @@
     Heartbeat(Heartbeat, Result<HeartbeatResponse<Json>, Hint>),
     Agree(Vec<u8>),
     Join(u64, u64),
-    Command(Asked, Told),
+    Command(FleetCommand, CommandResponse),
 }
 
 impl Case {
@@ -125,21 +125,21 @@
     }
 
     /// Looks over what the listener read, and answers it.
-    fn take(self, mail: Mail) {
-        let text = |asked: &Asked| format!("{asked:?}");
+    fn take(self, mail: AgentMessage) {
+        let text = |asked: &FleetCommand| format!("{asked:?}");
         match (self, mail) {
-            (Case::Heartbeat(want, answer), Mail::Heartbeat(heartbeat, to)) => {
+            (Case::Heartbeat(want, answer), AgentMessage::Heartbeat(heartbeat, to)) => {
                 assert_eq!(heartbeat, want);
                 to.send(answer).unwrap();
             }
-            (Case::Agree(want), Mail::Agree(from, bytes)) => {
+            (Case::Agree(want), AgentMessage::Agree(from, bytes)) => {
                 assert_eq!((from.as_str(), bytes), ("g1", want));
             }
-            (Case::Join(want, history), Mail::Join(name, number, to)) => {
+            (Case::Join(want, history), AgentMessage::Join(name, number, to)) => {
                 assert_eq!((name.as_str(), number), ("g1", want));
                 to.send(history).unwrap();
             }
-            (Case::Command(want, told), Mail::Command(asked, to)) => {
+            (Case::Command(want, told), AgentMessage::Command(asked, to)) => {
                 assert_eq!(text(&asked), text(&want));
                 to.send(told).unwrap();
             }
@@ -153,7 +153,7 @@
     let hint = |leader: Option<&str>| Hint {
         leader: leader.map(String::from),
     };
-    let ask = Asked::Command;
+    let ask = FleetCommand::Command;
     let id = || "trial-1".to_string();
     let who = || "operator".to_string();
     let change = || ask(Command::Change(wish(3, Some((id(), 60_000.0)))));
@@ -173,14 +173,17 @@
         ("agreement bytes", Case::Agree(vec![0, 1, 127, 128, 255])),
         ("join", Case::Join(22, 1 << 48 | 7)),
         ("question for the history alone", Case::Join(0, 0)),
-        ("change done", Case::Command(change(), Told::Done(5))),
+        (
+            "change done",
+            Case::Command(change(), CommandResponse::Done(5)),
+        ),
         (
             "change refused",
-            Case::Command(change(), Told::Refused("no such engine".into())),
+            Case::Command(change(), CommandResponse::Refused("no such engine".into())),
         ),
         (
             "confirmation",
-            Case::Command(ask(Command::Confirm { id: id() }), Told::Done(5)),
+            Case::Command(ask(Command::Confirm { id: id() }), CommandResponse::Done(5)),
         ),
         (
             "cancellation by id",
@@ -189,7 +192,7 @@
                     id: Some(id()),
                     who: who(),
                 }),
-                Told::Done(5),
+                CommandResponse::Done(5),
             ),
         ),
         (
@@ -199,12 +202,15 @@
                     id: None,
                     who: who(),
                 }),
-                Told::Elsewhere(hint(Some("g3"))),
+                CommandResponse::Elsewhere(hint(Some("g3"))),
             ),
         ),
         (
             "status",
-            Case::Command(Asked::Show, Told::Shown(json!({"chair": "g2"}))),
+            Case::Command(
+                FleetCommand::Show,
+                CommandResponse::Shown(json!({"chair": "g2"})),
+            ),
         ),
     ]
 }
@@ -231,7 +237,7 @@
     format!("# {name}: {method}\n{}{}", one(words[0]), one(words[1]))
 }
 
-async fn listener(mail: mpsc::Sender<Mail>) -> std::net::SocketAddr {
+async fn listener(mail: mpsc::Sender<AgentMessage>) -> std::net::SocketAddr {
     let bound = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = bound.local_addr().unwrap();
     let own = Own {
@@ -308,7 +314,10 @@
             ),
             "Agree" => (request.clone(), Vec::new()),
             "Knock" => (again::<u64>(&request), again::<u64>(&answer)),
-            "Ask" => (again::<Asked>(&request), again::<Told>(&answer)),
+            "Ask" => (
+                again::<FleetCommand>(&request),
+                again::<CommandResponse>(&answer),
+            ),
             _ => panic!("{at}"),
         };
         assert_eq!((request_again, answer_again), (request, answer), "{at}");
@@ -444,8 +453,9 @@
     assert_eq!(all, text);
     // What an operator's side reads of it, as the answer that it comes in.
     for line in text.lines() {
-        let told: Told = serde_json::from_str(&format!(r#"{{"shown":{line}}}"#)).unwrap();
-        let Told::Shown(read) = told else {
+        let told: CommandResponse =
+            serde_json::from_str(&format!(r#"{{"shown":{line}}}"#)).unwrap();
+        let CommandResponse::Shown(read) = told else {
             panic!("{line}")
         };
         assert_eq!(read.to_string(), line);
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -1,7 +1,7 @@
 //! What a call costs a gateway as the list of engines grows: its processor for each call between stand-ins on
 //! loopback, and the module's part alone. `cargo bench -p ironstair-gateway --bench calls`
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -139,9 +139,14 @@
             .map(|(i, n)| (n.as_str(), real[i % 8]))
             .collect();
         let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-        let (mut told, endpoints) = told(1, json!([class]), &listed);
-        told["limits"] = json!({"memory_mb": 512, "sockets": 8192});
-        let gateway = started(&format!("bench-calls-{groups}-{n}"), told, endpoints, None);
+        let (mut config, endpoints) = config(1, json!([class]), &listed);
+        config["limits"] = json!({"memory_mb": 512, "sockets": 8192});
+        let gateway = started(
+            &format!("bench-calls-{groups}-{n}"),
+            config,
+            endpoints,
+            None,
+        );
         let (mut costs, mut rates) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS as u64 {
             let (before, since) = (processor_us(gateway.process.id()), Instant::now());
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -4,8 +4,8 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::Member;
 use ironstair_raft_replica::{Out, Replica, TICK};
-use ironstair_test_cluster::oracle::What;
-use ironstair_test_cluster::rig::{until, Plan, Rig};
+use ironstair_test_cluster::cluster::{until, Cluster, Plan};
+use ironstair_test_cluster::invariants::What;
 use serde_json::{json, Value};
 use slog::{o, Discard, Logger};
 use std::time::{Duration, Instant};
@@ -19,11 +19,11 @@
     all[((all.len() - 1) as f64 * q).round() as usize]
 }
 
-fn timed(rig: &Rig, at: usize, changes: usize) -> Vec<f64> {
+fn timed(cluster: &Cluster, at: usize, changes: usize) -> Vec<f64> {
     let one = |nth: usize| {
         let value = (2 + nth % 5).to_string();
         let since = Instant::now();
-        let said = rig.set(at, &[ATTEMPTS, &value]);
+        let said = cluster.set(at, &[ATTEMPTS, &value]);
         assert_eq!(said.code, 0, "{said:?}");
         since.elapsed().as_secs_f64() * 1000.0
     };
@@ -47,8 +47,8 @@
 
 /// Of the last changes: the longest between the first and the last that took a step over, and the least time by
 /// which the last that took over the stricter of both was before the first that took over the new.
-fn side_by_side(rig: &Rig, gateways: usize, changes: usize) -> (f64, f64) {
-    let all: Vec<Vec<f64>> = (0..gateways).map(|g| taken_over(&rig.log(g))).collect();
+fn side_by_side(cluster: &Cluster, gateways: usize, changes: usize) -> (f64, f64) {
+    let all: Vec<Vec<f64>> = (0..gateways).map(|g| taken_over(&cluster.log(g))).collect();
     let step = |back: usize| -> (f64, f64) {
         let at = all.iter().map(|t| t[t.len() - back]);
         at.fold((f64::INFINITY, 0.0), |a, t| (a.0.min(t), a.1.max(t)))
@@ -90,13 +90,13 @@
             lease_ms: LEASE,
             ..Plan::default()
         };
-        let rig = Rig::started(&format!("bench-{gateways}"), &plan);
-        let mut took = timed(&rig, gateways - 1, CHANGES);
-        let (widest, between) = side_by_side(&rig, gateways, CHANGES);
-        let leader = rig.leader();
+        let cluster = Cluster::started(&format!("bench-{gateways}"), &plan);
+        let mut took = timed(&cluster, gateways - 1, CHANGES);
+        let (widest, between) = side_by_side(&cluster, gateways, CHANGES);
+        let leader = cluster.leader();
         let replica = (0..3).find(|k| *k != leader).unwrap();
         let member = gateways - 1;
-        let of = |g: usize| (processor(rig.pid(g)), rig.passed(g));
+        let of = |g: usize| (processor(cluster.pid(g)), cluster.passed(g));
         let (before, span) = (
             [of(leader), of(replica), of(member)],
             Duration::from_secs(10),
@@ -114,10 +114,10 @@
                 (b.1 - a.1) as f64 / s
             ));
         }
-        rig.cut_off(if leader == member { replica } else { member }, true, true);
-        let first = timed(&rig, leader, 1)[0];
-        let mut cut = timed(&rig, leader, 3);
-        rig.heal();
+        cluster.cut_off(if leader == member { replica } else { member }, true, true);
+        let first = timed(&cluster, leader, 1)[0];
+        let mut cut = timed(&cluster, leader, 3);
+        cluster.heal();
         println!(
             "| {gateways} | {:.0} / {:.0} | {:.0}, {:.0} | {widest:.0} | {between:.0} |",
             quantile(&mut took, 0.5),
@@ -137,8 +137,8 @@
     *operator = json!({});
 }
 
-fn without_fleet(test: &str) -> Rig {
-    let mut rig = Rig::laid_out(
+fn without_fleet(test: &str) -> Cluster {
+    let mut cluster = Cluster::laid_out(
         test,
         &Plan {
             gateways: 3,
@@ -146,13 +146,13 @@
             ..Plan::default()
         },
     );
-    (0..3).for_each(|g| rig.start(g));
-    (0..3).for_each(|g| rig.until_fit(g));
-    rig
+    (0..3).for_each(|g| cluster.start(g));
+    (0..3).for_each(|g| cluster.until_fit(g));
+    cluster
 }
 
-fn with_fleet(test: &str) -> Rig {
-    Rig::started(
+fn with_fleet(test: &str) -> Cluster {
+    Cluster::started(
         test,
         &Plan {
             gateways: 3,
@@ -163,9 +163,9 @@
 }
 
 fn shares() {
-    let share = |rig: &mut Rig| {
-        rig.until_answers(What::Settled, 100);
-        let answers = rig.over();
+    let share = |cluster: &mut Cluster| {
+        cluster.until_answers(What::Settled, 100);
+        let answers = cluster.over();
         let all: usize = answers.values().sum();
         (all - answers.get(&What::Settled).copied().unwrap_or(0), all)
     };
@@ -178,8 +178,8 @@
     alone.load();
     for value in 2..7 {
         for g in 0..3 {
-            alone.retell(g, |told| {
-                told["settings"]["policy_limits"]["max_attempts"] = json!(value)
+            alone.retell(g, |config| {
+                config["settings"]["policy_limits"]["max_attempts"] = json!(value)
             });
             let seen = value as usize - 1;
             until("it holds", || {
@@ -195,13 +195,19 @@
     let (mut on, mut off) = (with_fleet("bench-on"), without_fleet("bench-off"));
     let mut ratios = Vec::new();
     for _ in 0..5 {
-        let cost = |rig: &mut Rig| {
-            rig.load();
-            rig.until_answers(What::Settled, 50);
-            let (had, used) = (rig.book.answers()[&What::Settled], processor(rig.pid(1)));
-            rig.until_answers(What::Settled, 1200);
-            let (has, uses) = (rig.book.answers()[&What::Settled], processor(rig.pid(1)));
-            rig.over();
+        let cost = |cluster: &mut Cluster| {
+            cluster.load();
+            cluster.until_answers(What::Settled, 50);
+            let (had, used) = (
+                cluster.request_log.answers()[&What::Settled],
+                processor(cluster.pid(1)),
+            );
+            cluster.until_answers(What::Settled, 1200);
+            let (has, uses) = (
+                cluster.request_log.answers()[&What::Settled],
+                processor(cluster.pid(1)),
+            );
+            cluster.over();
             // Three gateways serve alike.
             (uses - used) / (has - had) as f64 * 3.0 * 1e6
         };
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -1,7 +1,7 @@
 //! What management costs: a gateway between stand-ins on loopback, both sides of each comparison interleaved in one
 //! run. `cargo bench -p ironstair-gateway --bench management` prints the tables of docs/results/gnmi.md.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 #[path = "../tests/managed/mod.rs"]
 mod managed;
 
@@ -156,10 +156,10 @@
                 }
                 let seconds = since.elapsed().as_secs_f64();
                 rates.push((made as f64 / seconds) as u64);
-                let told = heard.load(Ordering::Relaxed) - before;
+                let config = heard.load(Ordering::Relaxed) - before;
                 let stood = stands_for.load(Ordering::Relaxed) - stood;
-                told_rates.push((told as f64 / seconds / n.max(1) as f64) as u64);
-                folded.push(stood / told.max(1));
+                told_rates.push((config as f64 / seconds / n.max(1) as f64) as u64);
+                folded.push(stood / config.max(1));
             }
         });
         println!(
@@ -208,7 +208,7 @@
 
 /// An engine that tells when each attempt reached it.
 fn telling() -> (SocketAddr, Receiver<Instant>) {
-    let (tell, told) = channel();
+    let (tell, config) = channel();
     let tell = Mutex::new(tell);
     let (at, _) = engine(move |line, _| {
         if line.starts_with("fetch") {
@@ -217,13 +217,13 @@
         }
         (Vec::new(), false)
     });
-    (at, told)
+    (at, config)
 }
 
 fn forwarding() {
     println!("\n| management | submission to first forward, us (median) | us (99%) | us (99.9%) |");
     println!("| --- | --- | --- | --- |");
-    let (real, told) = telling();
+    let (real, config) = telling();
     let (gateway, at) = managed("bench-forwarding", &[("engine-real", real)]);
     let busy = Arc::new(AtomicBool::new(false));
     for nth in 0..20 {
@@ -287,10 +287,10 @@
         let mut h = histogram();
         for _ in 0..3000 {
             call += 1;
-            while told.try_recv().is_ok() {}
+            while config.try_recv().is_ok() {}
             let since = Instant::now();
             asker.ask(call);
-            let there = told.recv().unwrap();
+            let there = config.recv().unwrap();
             h.record((there - since).as_nanos() as u64).unwrap();
             asker.rows();
         }
--- a/crates/gateway/src/told.rs
+++ b/crates/gateway/src/config.rs
@@ -14,7 +14,7 @@
 const MEMORY_MB: f64 = 192.0;
 const DESCRIPTORS: f64 = 1024.0;
 
-pub struct Told {
+pub struct GatewayConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub names: SocketAddr,
@@ -33,7 +33,7 @@
     pub rev: u32,
 }
 
-impl Told {
+impl GatewayConfig {
     pub fn file(&self) -> File {
         let (policy_config, names) = (self.policy_config.clone(), self.classes.clone());
         File {
@@ -55,7 +55,7 @@
     }
 }
 
-pub fn read(path: &Path) -> Result<Told, String> {
+pub fn read(path: &Path) -> Result<GatewayConfig, String> {
     let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     decode(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -67,7 +67,7 @@
         .map_err(|_| format!("{key} is no address: {found}"))
 }
 
-pub fn decode(json: &[u8]) -> Result<Told, String> {
+pub fn decode(json: &[u8]) -> Result<GatewayConfig, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
     let seed = word(&v, "seed")?;
@@ -80,7 +80,7 @@
     for notice in notices.into_iter().flatten() {
         follow(&mut known, &notice["pool"], &index)?;
     }
-    Ok(Told {
+    Ok(GatewayConfig {
         name: word(&v, "name")?.to_string(),
         listen: address(&v, "listen")?,
         names: address(&v, "names")?,
@@ -180,5 +180,5 @@
 }
 
 #[cfg(test)]
-#[path = "told_pinned_tests.rs"]
+#[path = "config_pinned_tests.rs"]
 mod pinned_tests;
--- a/crates/gateway/src/told_pinned_tests.rs
+++ b/crates/gateway/src/config_pinned_tests.rs
@@ -4,20 +4,20 @@
 
 #[test]
 fn the_pinned_told_file_is_read_with_the_pinned_values() {
-    let told = decode(include_bytes!("../tests/pinned/told.json")).unwrap();
+    let config = decode(include_bytes!("../tests/pinned/told.json")).unwrap();
     let at = |text: &str| text.parse::<SocketAddr>().unwrap();
     assert_eq!(
-        (told.name.as_str(), told.listen, told.names),
+        (config.name.as_str(), config.listen, config.names),
         ("n0", at("127.0.0.1:8080"), at("127.0.0.1:53"))
     );
     assert_eq!(
-        (told.seed, told.memory_mb, told.descriptors),
+        (config.seed, config.memory_mb, config.descriptors),
         (0x8c1f_30d2_7a5b_e964, 256.5, 2048)
     );
-    assert_eq!(told.classes, ["lookup", "post", "mark", "all", "once"]);
-    assert_eq!(told.limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
-    assert_eq!(told.index.zones, ["a", "b"]);
-    assert_eq!(told.index.kinds, ["std", "big"]);
+    assert_eq!(config.classes, ["lookup", "post", "mark", "all", "once"]);
+    assert_eq!(config.limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
+    assert_eq!(config.index.zones, ["a", "b"]);
+    assert_eq!(config.index.kinds, ["std", "big"]);
     let first = DiscoveredEndpoint {
         address: at("10.1.0.1:9001"),
         zone: 0,
@@ -36,8 +36,8 @@
     };
     // The second is gone by the last change.
     assert_eq!(
-        told.known,
+        config.known,
         BTreeMap::from([("e-1".to_string(), first), ("e-3".to_string(), third)])
     );
-    assert_eq!(told.rev, 7);
+    assert_eq!(config.rev, 7);
 }
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -6,7 +6,7 @@
 use ironstair::EndpointState;
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
-use ironstair_runtime::window::Told;
+use ironstair_runtime::window::ClassSummary;
 use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
@@ -37,7 +37,7 @@
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         pool: Pool::of(1 << 20),
-        classes: RefCell::new(Rc::new(vec![Told {
+        classes: RefCell::new(Rc::new(vec![ClassSummary {
             name: "lookup".into(),
             expected: 1000.0,
             in_service: true,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,6 +1,7 @@
 //! `ironstair`: one gateway on sockets. It translates, times and carries; every decision is the module's.
 
 mod client;
+mod config;
 mod engine;
 mod link;
 mod list;
@@ -11,7 +12,6 @@
 mod operator;
 mod places;
 mod start;
-mod told;
 mod user;
 
 use clap::{Parser, Subcommand};
@@ -66,7 +66,7 @@
 struct Source {
     /// What this gateway is told at start, as JSON
     #[arg(env = "ROUTER_CONFIG", value_name = "FILE")]
-    told: PathBuf,
+    config: PathBuf,
     /// What the operator turns on beyond that, as JSON
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
@@ -94,7 +94,7 @@
 }
 
 fn check(from: &Source, operator: Option<operator::Operator>) -> Result<(), String> {
-    let t = told::read(&from.told)?;
+    let t = config::read(&from.config)?;
     let (classes, engines) = (t.classes.len(), t.known.len());
     println!(
         "{}: {classes} bands, {engines} engines, listens on {}",
@@ -124,7 +124,7 @@
     let done = match Line::parse().job {
         Job::Serve(Serve { from, log }) => plain(
             from.operator()
-                .and_then(|operator| start::serve(&from.told, operator, log)),
+                .and_then(|operator| start::serve(&from.config, operator, log)),
         ),
         Job::Check(from) => plain(from.operator().and_then(|operator| check(&from, operator))),
         Job::Schema {
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -12,7 +12,7 @@
 use ironstair_management::fleet::Fleetward;
 use ironstair_management::{Around, Manager, Started};
 use ironstair_runtime::clock::Clock;
-use ironstair_runtime::window::{ManagementCommand, Told, Window};
+use ironstair_runtime::window::{ClassSummary, ManagementCommand, Window};
 use ironstair_runtime::Event;
 use slog::{error, info, Logger};
 use std::net::TcpListener;
@@ -46,26 +46,30 @@
 ///
 /// # Errors
 /// The settings do not fit the tree, a folder can't be read, or an address is not free.
-pub fn open(m: &Management, told: &crate::told::Told, of: &Operator) -> Result<Opened, String> {
+pub fn open(
+    m: &Management,
+    config: &crate::config::GatewayConfig,
+    of: &Operator,
+) -> Result<Opened, String> {
     let cells = of.cells.as_ref().map(operator::cells);
-    let (policy_config, state) = (told.policy_config.clone(), m.state.as_deref());
-    let config = of
+    let (policy_config, state) = (config.policy_config.clone(), m.state.as_deref());
+    let fleet_config = of
         .fleet
         .as_ref()
-        .map(|f| operator::config(f, &told.name))
+        .map(|f| operator::fleet_config(f, &config.name))
         .transpose()?;
     let started = ironstair_management::open(
         policy_config,
-        &told.classes,
-        &told.limits,
-        told.index.clone(),
+        &config.classes,
+        &config.limits,
+        config.index.clone(),
         cells,
         state,
     )?;
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (serve::bind(m.listen)?, m.streams);
-    let fleet = config.map(actor::Opened::open).transpose()?;
+    let fleet = fleet_config.map(actor::Opened::open).transpose()?;
     Ok(Opened {
         started,
         bound,
@@ -92,17 +96,17 @@
 ///
 /// # Errors
 /// It does not fit the tree; the sentence names the field.
-pub fn fits(told: &crate::told::Told, of: &Operator) -> Result<(), String> {
+pub fn fits(config: &crate::config::GatewayConfig, of: &Operator) -> Result<(), String> {
     of.fleet
         .as_ref()
-        .map(|f| operator::config(f, &told.name))
+        .map(|f| operator::fleet_config(f, &config.name))
         .transpose()?;
     let cells = of.cells.as_ref().map(operator::cells);
     ironstair_management::open(
-        told.policy_config.clone(),
-        &told.classes,
-        &told.limits,
-        told.index.clone(),
+        config.policy_config.clone(),
+        &config.classes,
+        &config.limits,
+        config.index.clone(),
         cells,
         None,
     )
@@ -118,7 +122,7 @@
         self.started.cells()
     }
 
-    pub fn classes(&self) -> (Vec<Told>, Ms) {
+    pub fn classes(&self) -> (Vec<ClassSummary>, Ms) {
         self.started.classes()
     }
 
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,7 +1,7 @@
 //! What outlives this process for the next one of its name: the one owner of that folder. A thread of its own writes,
 //! so that a slow disk holds up nobody; what it has not written yet is replaced by what is newer.
 
-use crate::told::Told;
+use crate::config::GatewayConfig;
 use async_channel::{bounded, Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::or;
@@ -90,7 +90,7 @@
 }
 
 /// What the last process kept, as far as it is good for anything: its list goes into what is told.
-pub fn begin(folder: &Path, told: &mut Told) -> Begun {
+pub fn begin(folder: &Path, config: &mut GatewayConfig) -> Begun {
     let (tell, answer) = mpsc::sync_channel(1);
     let (writes, waiting) = bounded(1);
     let own = folder.to_path_buf();
@@ -114,10 +114,10 @@
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let begun = found(kept, &told.name, unix.as_secs_f64() * 1000.0, told.rev);
+    let begun = found(kept, &config.name, unix.as_secs_f64() * 1000.0, config.rev);
     let mut notes: Vec<String> = begun.note.into_iter().collect();
     let mut kept = Kept {
-        gateway: told.name.clone(),
+        gateway: config.name.clone(),
         ..Kept::default()
     };
     if let Some((rev, age, engines)) = begun.endpoints {
@@ -128,7 +128,7 @@
             engines.len()
         ));
         let place = |e: Engine| {
-            let (zone, kind) = (told.index.zone(&e.zone), told.index.kind(&e.kind));
+            let (zone, kind) = (config.index.zone(&e.zone), config.index.kind(&e.kind));
             let (address, marks, since) = (e.address, e.marks, e.since);
             (
                 e.name,
@@ -142,7 +142,7 @@
                 },
             )
         };
-        (told.rev, told.known) = (rev, engines.into_iter().map(place).collect());
+        (config.rev, config.known) = (rev, engines.into_iter().map(place).collect());
     }
     Begun {
         rests: begun.rests,
@@ -182,10 +182,10 @@
 
     /// The process ends: kept is whether anything is out. Waits for the disk for so long, in ms, at most.
     pub async fn end(self, within: Ms) {
-        let (done, told) = bounded(1);
+        let (done, config) = bounded(1);
         let said = async {
             if self.mail.send(Mail::End(done)).await.is_ok() {
-                let _ = told.recv().await;
+                let _ = config.recv().await;
             }
         };
         or(said, async { _ = Timer::after(span(within)).await }).await;
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -546,8 +546,8 @@
             engines.insert(name.into(), is);
         }
     }
-    let told = shared.classes();
-    let classes = told.iter().enumerate().map(|(b, t)| state::Class {
+    let config = shared.classes();
+    let classes = config.iter().enumerate().map(|(b, t)| state::Class {
         name: t.name.clone(),
         in_service: t.in_service,
         counts: *executor.count(b),
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator.rs
@@ -73,7 +73,8 @@
 pub enum Count {
     /// As many as the policy says.
     #[default]
-    Told,
+    #[serde(rename = "told")]
+    Configured,
     /// The members that may decide: grows at once, shrinks slowly.
     Members,
 }
@@ -86,7 +87,7 @@
 ///
 /// # Errors
 /// What can't be, by its field.
-pub fn config(f: &Fleet, name: &str) -> Result<FleetConfig, String> {
+pub fn fleet_config(f: &Fleet, name: &str) -> Result<FleetConfig, String> {
     let config = FleetConfig {
         fleet: f.name.clone(),
         name: name.to_string(),
@@ -319,12 +320,12 @@
                 .fleet
                 .unwrap()
         };
-        let voter = config(&read(r#""state": "s""#), "a").unwrap();
+        let voter = fleet_config(&read(r#""state": "s""#), "a").unwrap();
         assert_eq!(
             (voter.lease, voter.steady, voter.is_voter()),
             (3000.0, false, true)
         );
-        assert!(!config(&read(r#""cut_off": "steady""#), "d")
+        assert!(!fleet_config(&read(r#""cut_off": "steady""#), "d")
             .unwrap()
             .is_voter());
         for (more, name, why) in [
@@ -342,17 +343,17 @@
                 "fleet.count: who goes on",
             ),
         ] {
-            let told = config(&read(more), name).unwrap_err();
-            assert!(told.starts_with(why), "{more}: {told}");
+            let config = fleet_config(&read(more), name).unwrap_err();
+            assert!(config.starts_with(why), "{more}: {config}");
         }
         let mut two = read(r#""state": "s""#);
         two.voters.insert("c".into(), two.voters["b"]);
-        assert!(config(&two, "a")
+        assert!(fleet_config(&two, "a")
             .unwrap_err()
             .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
         two.voters.remove("c");
         assert_eq!(
-            config(&two, "a").unwrap_err(),
+            fleet_config(&two, "a").unwrap_err(),
             "fleet.keepers: 3 or 5 are named, not 2"
         );
         let platform = include_str!("../../../deploy/balancer.toml");
@@ -440,8 +441,8 @@
             (r#"{"recovery": {}}"#, "recovery: missing field `state`"),
             ("{} {}", "trailing characters"),
         ] {
-            let told = decode(text.as_bytes()).unwrap_err();
-            assert!(told.starts_with(why), "{text}: {told}");
+            let config = decode(text.as_bytes()).unwrap_err();
+            assert!(config.starts_with(why), "{text}: {config}");
         }
     }
 
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,11 +1,11 @@
 //! Start and drain.
 
+use crate::config::{self, GatewayConfig};
 use crate::list::{List, Moved};
 use crate::memory::{self, Memory};
 use crate::module::{decide, Shown};
 use crate::operator::{self, Operator};
 use crate::places::Places;
-use crate::told::{self, Told};
 use crate::{client, log, management};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -60,7 +60,7 @@
 /// What signals say, for as long as the process lives: also in a drain, none of them ends it at once.
 async fn heed(
     mut signals: Signals,
-    told: PathBuf,
+    config: PathBuf,
     moves: Sender<Moved>,
     (renew, settings): (Option<management::Renew>, Settings),
     mut renewal: Renewal,
@@ -76,8 +76,8 @@
                     let _ = r.try_send(());
                 }
                 // All of it or none: settings that can't be leave the list where it is, too.
-                let read = told::read(&told).and_then(|t| Ok((renewal.renew(t.file())?, t)));
-                let (new, mut told) = match read {
+                let read = config::read(&config).and_then(|t| Ok((renewal.renew(t.file())?, t)));
+                let (new, mut config) = match read {
                     Ok(read) => read,
                     Err(e) => {
                         warn!(log, "the new configuration can't be used, the old one stays"; "why" => e);
@@ -85,11 +85,11 @@
                     }
                 };
                 // What the carrying alone goes by may change as well.
-                if new.is_some() || told.carriage != *shared.carriage() {
+                if new.is_some() || config.carriage != *shared.carriage() {
                     match settings {
                         Settings::File => {
                             renewal = new.unwrap_or(renewal);
-                            take_over(&renewal, told.carriage.clone(), &shared).await;
+                            take_over(&renewal, config.carriage.clone(), &shared).await;
                         }
                         Settings::Management => {
                             warn!(
@@ -102,14 +102,14 @@
                         }
                     }
                 }
-                told.under(renewal.frame());
-                let Told {
+                config.under(renewal.frame());
+                let GatewayConfig {
                     names,
                     known,
                     rev,
                     index,
                     ..
-                } = told;
+                } = config;
                 let _ = moves
                     .send(Moved {
                         names,
@@ -137,7 +137,7 @@
     let policy_config = renewal.policy_config();
     let (classes, longest) =
         ironstair_management::classes(renewal.roll(), renewal.document(), &policy_config);
-    let (done, told) = async_channel::bounded(1);
+    let (done, config) = async_channel::bounded(1);
     let to = Amendment {
         policy_config,
         classes,
@@ -150,7 +150,7 @@
         .module
         .send(Event::Asked(ManagementCommand::Amend(Box::new(to))))
         .await;
-    if told.recv().await.is_ok() {
+    if config.recv().await.is_ok() {
         let open = shared.classes().iter().filter(|b| b.in_service).count();
         info!(shared.log, "new settings hold"; "bands" => open);
     }
@@ -173,22 +173,22 @@
 }
 
 pub fn serve(path: &Path, operator: Option<Operator>, form: log::Form) -> Result<(), String> {
-    let mut told = told::read(path)?;
-    let refused = make_room(told.descriptors);
+    let mut config = config::read(path)?;
+    let refused = make_room(config.descriptors);
     let recovery = operator.as_ref().and_then(|o| o.recovery.as_ref());
-    let begun = recovery.map(|r| memory::begin(&r.state, &mut told));
-    let file = told.file();
+    let begun = recovery.map(|r| memory::begin(&r.state, &mut config));
+    let file = config.file();
     let management = operator.as_ref().and_then(|o| o.management.as_ref());
     let cells = operator.as_ref().and_then(|o| o.cells.as_ref());
     let management = match (management, &operator) {
-        (Some(m), Some(of)) => Some(management::open(m, &told, of)?),
+        (Some(m), Some(of)) => Some(management::open(m, &config, of)?),
         _ => None,
     };
     let cells = match &management {
         Some(m) => m.cells(),
         None => cells.map(operator::cell_directory).transpose()?,
     };
-    let (log, _guard, level) = log::open(&told.name, form);
+    let (log, _guard, level) = log::open(&config.name, form);
     if let Some((wanted, made)) = refused {
         warn!(log, "there is room for fewer descriptors than told"; "told" => wanted, "room" => made);
     }
@@ -198,29 +198,29 @@
     let (policy_config, (classes, longest)) = match &management {
         Some(m) => (m.policy_config(), m.classes()),
         None => {
-            let classes = told
+            let classes = config
                 .classes
                 .iter()
                 .cloned()
-                .zip(&told.policy_config.classes);
-            let classes = classes.map(|(name, b)| window::Told {
+                .zip(&config.policy_config.classes);
+            let classes = classes.map(|(name, b)| window::ClassSummary {
                 name,
                 expected: b.expected,
                 in_service: true,
             });
             let classes = classes.collect();
-            (told.policy_config, (classes, told.carriage.longest))
+            (config.policy_config, (classes, config.carriage.longest))
         }
     };
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
     let key_quarantine = policy_config.key_quarantine;
-    let gateway = Gateway::new(policy_config, told.seed);
+    let gateway = Gateway::new(policy_config, config.seed);
     let renewal = Renewal::new(file);
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         // A third: what else there is grows with it, statements joined and answers being written.
-        pool: Pool::of((told.memory_mb * 1e6 / 3.0) as usize),
-        links_most: told.descriptors / 4,
+        pool: Pool::of((config.memory_mb * 1e6 / 3.0) as usize),
+        links_most: config.descriptors / 4,
         listed: Cell::new(0),
         // In a fleet nothing is decided before that has said until when.
         lease_until: Cell::new(if in_fleet && !taken_out("start") {
@@ -235,7 +235,7 @@
             .as_ref()
             .and_then(|o| o.cells.as_ref())
             .is_some_and(|c| c.named_by_clients),
-        carriage: RefCell::new(Rc::new(told.carriage)),
+        carriage: RefCell::new(Rc::new(config.carriage)),
         log: log.clone(),
         module: module.clone(),
         executor: executor.clone(),
@@ -257,21 +257,31 @@
         // Before it listens: who finds it listening may send it a signal, which would end it without a word.
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
         let signals = signals.map_err(|e| fault("signals", e))?;
-        let listener = Async::<TcpListener>::bind(told.listen).map_err(|e| fault("listen", e))?;
+        let listener = Async::<TcpListener>::bind(config.listen).map_err(|e| fault("listen", e))?;
         module
-            .try_send(Event::Endpoints(told.known))
+            .try_send(Event::Endpoints(config.known))
             .map_err(|e| e.to_string())?;
         let shown = management.as_ref().map(|m| Shown {
             window: m.window.clone(),
-            zones: told.index.zones.iter().map(|n| n.as_str().into()).collect(),
-            kinds: told.index.kinds.iter().map(|n| n.as_str().into()).collect(),
+            zones: config
+                .index
+                .zones
+                .iter()
+                .map(|n| n.as_str().into())
+                .collect(),
+            kinds: config
+                .index
+                .kinds
+                .iter()
+                .map(|n| n.as_str().into())
+                .collect(),
         });
         executor
             .spawn(decide(gateway, shared.clone(), events, shown, cells))
             .detach();
         let (mut renew, mut leave) = (None, None);
         if let Some(m) = management {
-            let running = m.start(&told.name, shared.clock, log.clone(), level)?;
+            let running = m.start(&config.name, shared.clock, log.clone(), level)?;
             (renew, leave) = (Some(running.renew), running.leave);
             executor
                 .spawn(management::carry(running.asked, module.clone()))
@@ -282,7 +292,8 @@
             (Some(_), None) => Settings::Management,
             (Some(_), Some(_)) => Settings::Fleet,
         };
-        let (from, names, index, rev) = (told.listen.ip(), told.names, told.index, told.rev);
+        let (from, names, index, rev) =
+            (config.listen.ip(), config.names, config.index, config.rev);
         let (moves, moved) = async_channel::bounded(1);
         let list = List {
             from,
@@ -296,12 +307,12 @@
         };
         executor.spawn(list.follow(moved)).detach();
         // Clients keep to a third of the descriptors.
-        shared.gauges.serial.set(told.rev);
+        shared.gauges.serial.set(config.rev);
         shared
             .gauges
             .connections_most
-            .set((told.descriptors / 2) as u32);
-        let places = Places::new(told.descriptors / 2, shared.gauges.connections.clone());
+            .set((config.descriptors / 2) as u32);
+        let places = Places::new(config.descriptors / 2, shared.gauges.connections.clone());
         let heeded = heed(
             signals,
             path.into(),
@@ -312,7 +323,7 @@
             shared.clone(),
         );
         executor.spawn(heeded).detach();
-        info!(log, "serving"; "on" => told.listen);
+        info!(log, "serving"; "on" => config.listen);
 
         // Accepted, and without a place yet: not dropped with the wait for one.
         let waits = Cell::new(None);
@@ -375,14 +386,14 @@
         }
         if let Some(leave) = leave {
             // Who says so needs no lease to run out before its fleet goes on without it.
-            let (done, told) = tokio::sync::oneshot::channel();
+            let (done, config) = tokio::sync::oneshot::channel();
             let said = leave
-                .try_send(ironstair_fleet_agent::actor::Mail::Leave(done))
+                .try_send(ironstair_fleet_agent::actor::AgentMessage::Leave(done))
                 .is_ok();
             let most = async {
                 Timer::after(span(LEAVE_WITHIN)).await;
             };
-            or(async { drop(told.await) }, most).await;
+            or(async { drop(config.await) }, most).await;
             info!(log, "left the fleet"; "said" => said);
         }
         Ok(())
--- a/crates/gateway/src/user.rs
+++ b/crates/gateway/src/user.rs
@@ -718,10 +718,10 @@
     };
     // The way there stays open: its end is the end of the stream.
     let asked = tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
-    let mut told = client(&w.at).await?.subscribe(asked).await?.into_inner();
+    let mut config = client(&w.at).await?.subscribe(asked).await?.into_inner();
     let mut left = w.count.unwrap_or(usize::MAX);
     while let Some(message) = if left > 0 {
-        told.message().await?
+        config.message().await?
     } else {
         None
     } {
@@ -749,7 +749,7 @@
             false => format!("{} {path} is gone", moment(at as u64)),
         }
     });
-    let told = n.update.iter().map(|u| {
+    let config = n.update.iter().map(|u| {
         let (path, v) = (
             shown(n.prefix.as_ref(), u.path.as_ref()),
             value(u.val.as_ref()),
@@ -759,7 +759,7 @@
             false => format!("{} {path} {}", moment(at as u64), plain(&v)),
         }
     });
-    gone.chain(told).collect::<Vec<_>>().join("\n")
+    gone.chain(config).collect::<Vec<_>>().join("\n")
 }
 
 /// A line on standard output. A reader that has gone away wants no more, and is no failure.
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,9 +1,9 @@
-//! Tenants confined to cells, at the built gateway, between stand-ins on loopback.
+//! Tenants confined to cells, at the built gateway, between stubs on loopback.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 mod managed;
 
-use common::{answer, done, engine, id, started, told, Client, Gateway, Seen};
+use common::{answer, config, done, engine, id, started, Client, Gateway, Seen};
 use managed::{client, get, runtime, set};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,8 +29,8 @@
         .collect();
     let listed = [("e1", engines[0].0), ("e2", engines[1].0)];
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(1, json!([class]), &listed);
-    (started(test, told, name_answer, operator), engines)
+    let (config, name_answer) = config(1, json!([class]), &listed);
+    (started(test, config, name_answer, operator), engines)
 }
 
 /// The calls that reached an engine.
@@ -123,12 +123,13 @@
 /// An engine that now and then loses a connection, and when each attempt reached it.
 fn failing(every: usize) -> (SocketAddr, Reached) {
     let (nth, reached) = (AtomicUsize::new(0), Reached::default());
-    let told = reached.clone();
+    let config = reached.clone();
     let (at, _) = engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
-        told.lock()
+        config
+            .lock()
             .unwrap()
             .push((line.to_string(), Instant::now()));
         std::thread::sleep(Duration::from_millis(3));
@@ -147,13 +148,13 @@
     let listed: Vec<(&str, SocketAddr)> =
         names.iter().zip(&engines).map(|(n, e)| (*n, e.0)).collect();
     let class = |name: &str, semantics: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0});
-    let (told, name_answer) = told(
+    let (config, name_answer) = config(
         1,
         json!([class("lookup", "pure"), class("post", "side_effect")]),
         &listed,
     );
     let at = SocketAddr::new(
-        told["listen"]
+        config["listen"]
             .as_str()
             .unwrap()
             .parse::<SocketAddr>()
@@ -167,7 +168,7 @@
         .collect();
     let operator = json!({"management": {"listen": at.to_string()}, "cells": {"names": {"a": 1, "b": 1, "c": 1},
         "named_by_clients": true, "engines": pins, "tenants": {"t1": ["a"], "t2": ["c"]}}});
-    let gateway = started(test, told, name_answer, Some(operator));
+    let gateway = started(test, config, name_answer, Some(operator));
     let clients: Vec<_> = (0..6u64)
         .map(|who| {
             let mut c = Client::of(&gateway);
@@ -183,9 +184,9 @@
                         ));
                         open.insert(call);
                     }
-                    let told = c.hear();
-                    assert!(open.remove(&told["id"].as_u64().unwrap()), "a second answer: {told}");
-                    settled += told["result"].is_object() as u32;
+                    let config = c.hear();
+                    assert!(open.remove(&config["id"].as_u64().unwrap()), "a second answer: {config}");
+                    settled += config["result"].is_object() as u32;
                     over += 1;
                 }
                 settled
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Two events that cross: the built gateway over real connections, the bad order made to happen every time. The rows of
 //! docs/design/crossings.md name these tests.
 
-use ironstair_test_cluster::stand::*;
+use ironstair_test_cluster::stub::*;
 use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
@@ -35,10 +35,10 @@
 
 /// A gateway that waits up to 6 s for a connection to come up.
 fn patient(test: &str, engines: &[(&str, SocketAddr)], edit: impl Fn(&mut Value)) -> Gateway {
-    let (mut told, name_answer) = told(2, classes(), engines);
-    told["settings"]["policy_limits"]["connect_timeout_ns"] = json!(6e9);
-    edit(&mut told);
-    started(test, told, name_answer, None)
+    let (mut config, name_answer) = config(2, classes(), engines);
+    config["settings"]["policy_limits"]["connect_timeout_ns"] = json!(6e9);
+    edit(&mut config);
+    started(test, config, name_answer, None)
 }
 
 fn ask(c: &mut Client, class: &str, call: u64) {
@@ -152,9 +152,9 @@
     gate.until_kept_back(8);
     *g.name_answer.lock().unwrap() = answer(2, &[("e1", late, 1), ("e2", other, 0)]);
     // The list is known once something is answered.
-    let mut told = Client::of(&g);
-    ask(&mut told, "lookup", 77);
-    assert_eq!(told.rows().0, 77);
+    let mut config = Client::of(&g);
+    ask(&mut config, "lookup", 77);
+    assert_eq!(config.rows().0, 77);
     let opened = gate.open(good);
     opened.until_up(8);
     let mut calls: Vec<u64> = (0..8).map(|_| c.rows().0).collect();
@@ -194,9 +194,9 @@
             .map(|t| t.join().unwrap())
             .collect::<String>()
     });
-    let g = patient("held-back", &[("e1", at)], |told| {
-        told["limits"] = json!({"memory_mb": 192, "sockets": 8});
-        told["settings"]["policy_limits"]["multiplex"] = json!(64);
+    let g = patient("held-back", &[("e1", at)], |config| {
+        config["limits"] = json!({"memory_mb": 192, "sockets": 8});
+        config["settings"]["policy_limits"]["multiplex"] = json!(64);
     });
     // For each of the two more than the system takes for a peer that reads nothing (4 MiB).
     let long = "QUJD".repeat(62_000);
@@ -250,8 +250,8 @@
     // Another client's requests hold over half of the buffers: what this one says then is not read, and its end lies
     // behind that.
     let (at, gate) = Gate::shut();
-    let g = patient("unread", &[("e1", at)], |told| {
-        told["limits"] = json!({"memory_mb": 1, "sockets": 64});
+    let g = patient("unread", &[("e1", at)], |config| {
+        config["limits"] = json!({"memory_mb": 1, "sockets": 64});
     });
     let (mut c, mut hog) = (Client::of(&g), Client::of(&g));
     (1..=4).for_each(|call| ask(&mut c, "lookup", call));
@@ -283,8 +283,8 @@
 fn what_the_system_has_accepted_is_answered_before_the_gateway_ends() {
     // All places are taken by requests that nobody answers, one connection more has come in and waits for one.
     let (at, seen) = engine(|_, _| (vec![], false));
-    let mut g = patient("backlog", &[("e1", at)], |told| {
-        told["limits"] = json!({"memory_mb": 192, "sockets": 32});
+    let mut g = patient("backlog", &[("e1", at)], |config| {
+        config["limits"] = json!({"memory_mb": 192, "sockets": 32});
     });
     let mut busy: Vec<Client> = (1..=16).map(|_| Client::of(&g)).collect();
     (1..)
@@ -359,8 +359,8 @@
 fn clients_that_fill_all_places_and_rest_do_not_keep_a_moved_name_service_from_being_heard() {
     let answers = |row: &'static str| engine(move |line, _| (done(line, row), false));
     let ((old, _), (new, _)) = (answers("old\t\t\n"), answers("new\t\t\n"));
-    let g = patient("fill", &[("e1", old)], |told| {
-        told["limits"] = json!({"memory_mb": 192, "sockets": 64});
+    let g = patient("fill", &[("e1", old)], |config| {
+        config["limits"] = json!({"memory_mb": 192, "sockets": 64});
     });
     drop(Client::of(&g));
     let rest: Vec<TcpStream> = (0..300)
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! A fleet of real processes between links with faults: the promises of `docs/design/fleet.md`, each with a control
 //! that breaks it with its guard out.
 
-use ironstair_test_cluster::oracle::{Breach, What};
-use ironstair_test_cluster::rig::{until, Plan, Rig, Said};
+use ironstair_test_cluster::cluster::{until, Cluster, Plan, Said};
+use ironstair_test_cluster::invariants::{Breach, What};
 use ironstair_test_cluster::schedule;
 use serde_json::{json, Value};
 
@@ -15,29 +15,29 @@
 }
 
 /// All gateways hold that revision, and serve.
-fn all_hold(rig: &Rig, revision: u64) {
+fn all_hold(cluster: &Cluster, revision: u64) {
     for g in ALL {
         until(&format!("gateway {g} holds revision {revision}"), || {
-            rig.revision(g) == Some(revision)
+            cluster.revision(g) == Some(revision)
         });
-        rig.until_fit(g);
+        cluster.until_fit(g);
     }
 }
 
 /// A loaded fleet, some answers later.
-fn loaded(test: &str, plan: Plan) -> Rig {
-    let mut rig = Rig::started(test, &plan);
-    rig.load();
-    rig.until_answers(What::Settled, 100);
-    rig
+fn loaded(test: &str, plan: Plan) -> Cluster {
+    let mut cluster = Cluster::started(test, &plan);
+    cluster.load();
+    cluster.until_answers(What::Settled, 100);
+    cluster
 }
 
 /// All gateways have that setting, once they serve.
-fn all_have(rig: &Rig, path: &str, value: &Value) {
+fn all_have(cluster: &Cluster, path: &str, value: &Value) {
     // One that was slow holds no lease for a moment, and then none of it: a busy machine is no breach.
     ALL.for_each(|g| {
         until(&format!("gateway {g} has {path} {value}"), || {
-            rig.setting(g, path) == *value
+            cluster.setting(g, path) == *value
         })
     });
 }
@@ -56,66 +56,68 @@
 }
 
 /// The outcome of the last revision in the log, asked at that gateway.
-fn last(rig: &Rig, g: usize) -> Value {
-    rig.shown(g)["revisions"]
+fn last(cluster: &Cluster, g: usize) -> Value {
+    cluster.shown(g)["revisions"]
         .as_array()
         .and_then(|r| r.last().cloned())
         .unwrap_or_default()
 }
 
-fn down_at_a_change(test: &str, plan: Plan) -> Rig {
-    let mut rig = loaded(test, plan);
-    rig.kill(3);
-    rig.kill(4);
-    let change = rig.cli_meanwhile(0, &["set", ATTEMPTS, "5", "--fleet"]);
-    rig.start(3);
+fn down_at_a_change(test: &str, plan: Plan) -> Cluster {
+    let mut cluster = loaded(test, plan);
+    cluster.kill(3);
+    cluster.kill(4);
+    let change = cluster.cli_meanwhile(0, &["set", ATTEMPTS, "5", "--fleet"]);
+    cluster.start(3);
     well(change.join().unwrap());
-    well(rig.bar(1, "lookup"));
+    well(cluster.bar(1, "lookup"));
     // It hears nothing of the fleet at first.
-    rig.cut_off(4, true, true);
-    rig.start(4);
-    until("it serves", || rig.log(4).matches("serving").count() == 2);
-    rig
+    cluster.cut_off(4, true, true);
+    cluster.start(4);
+    until("it serves", || {
+        cluster.log(4).matches("serving").count() == 2
+    });
+    cluster
 }
 
 #[test]
 fn case_1_two_of_five_are_down_at_a_change_and_come_back_during_and_after_it() {
-    let mut rig = down_at_a_change("case-1", Plan::default());
+    let mut cluster = down_at_a_change("case-1", Plan::default());
     // Not a silent wait: its clients are answered at once.
-    rig.until_answers(What::Rejected, 50);
-    assert!(!rig.fit(4));
-    rig.heal();
-    all_hold(&rig, 2);
-    rig.until_answers(What::Settled, 300);
-    all_have(&rig, ATTEMPTS, &json!(5));
-    rig.over();
+    cluster.until_answers(What::Rejected, 50);
+    assert!(!cluster.fit(4));
+    cluster.heal();
+    all_hold(&cluster, 2);
+    cluster.until_answers(What::Settled, 300);
+    all_have(&cluster, ATTEMPTS, &json!(5));
+    cluster.over();
 }
 
 #[test]
 fn control_1_who_decides_before_it_has_learned_decides_by_the_old_policy() {
-    let mut rig = down_at_a_change("control-1", without("start"));
-    rig.until_answers(What::Settled, 300);
-    assert!(left(&rig.end_of_load(), 4));
+    let mut cluster = down_at_a_change("control-1", without("start"));
+    cluster.until_answers(What::Settled, 300);
+    assert!(left(&cluster.end_of_load(), 4));
 }
 
 #[test]
 fn control_1_who_says_that_it_holds_before_it_does_decides_by_the_old_policy() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "control-1b",
         Plan {
             without: vec![(Some(4), "hold")],
             ..Plan::default()
         },
     );
-    well(rig.bar(1, "lookup"));
-    rig.until_answers(What::Settled, 200);
-    assert!(left(&rig.end_of_load(), 4));
+    well(cluster.bar(1, "lookup"));
+    cluster.until_answers(What::Settled, 200);
+    assert!(left(&cluster.end_of_load(), 4));
 }
 
 #[test]
 fn case_2_a_proposer_killed_at_each_step_leaves_the_change_everywhere_or_nowhere() {
     // A member whose words take long, so that each step lasts.
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "case-2",
         Plan {
             lease_ms: 2000,
@@ -124,19 +126,20 @@
     );
     for (nth, step) in ["staged", "binding", "half told"].into_iter().enumerate() {
         (0..3)
-            .flat_map(|k| rig.links(4, k))
+            .flat_map(|k| cluster.links(4, k))
             .for_each(|(_, l)| l.delay(ironstair_test_cluster::link::Way::Both, 250));
         let value = json!(3 + nth as u64);
-        let leader = rig.leader();
-        let change = rig.cli_meanwhile(leader, &["set", ATTEMPTS, &value.to_string(), "--fleet"]);
+        let leader = cluster.leader();
+        let change =
+            cluster.cli_meanwhile(leader, &["set", ATTEMPTS, &value.to_string(), "--fleet"]);
         until(step, || {
             assert!(
                 !change.is_finished(),
                 "{step} was not seen: {} {}",
-                rig.shown(leader),
-                rig.log(leader)
+                cluster.shown(leader),
+                cluster.log(leader)
             );
-            let shown = rig.shown(leader);
+            let shown = cluster.shown(leader);
             let members = shown["members"].as_array().cloned().unwrap_or_default();
             let lacks = members
                 .iter()
@@ -148,47 +151,47 @@
             });
             shown["change"]["step"] == json!(step) || step == "half told" && ours && lacks
         });
-        rig.kill(leader);
-        rig.heal();
+        cluster.kill(leader);
+        cluster.heal();
         change.join().unwrap();
-        rig.start(leader);
+        cluster.start(leader);
         until("the change ends", || {
-            let shown = rig.shown(leader);
+            let shown = cluster.shown(leader);
             shown["revisions"].is_array() && shown["change"].is_null()
         });
-        let outcome = last(&rig, leader)["outcome"].clone();
+        let outcome = last(&cluster, leader)["outcome"].clone();
         assert!(
             ["running", "refused"].iter().any(|o| outcome == json!(o)),
             "{step}: {outcome}"
         );
-        let runs = rig.shown(leader)["revision"].as_u64().unwrap();
-        all_hold(&rig, runs);
-        let held = rig.setting(0, ATTEMPTS);
-        all_have(&rig, ATTEMPTS, &held);
+        let runs = cluster.shown(leader)["revision"].as_u64().unwrap();
+        all_hold(&cluster, runs);
+        let held = cluster.setting(0, ATTEMPTS);
+        all_have(&cluster, ATTEMPTS, &held);
         assert_eq!(held == value, outcome == json!("running"), "{step}: {held}");
     }
-    rig.until_answers(What::Settled, 100);
-    rig.over();
+    cluster.until_answers(What::Settled, 100);
+    cluster.over();
 }
 
 /// Cut off one way over a change each, and back.
-fn cut_off_one_way(test: &str, plan: Plan) -> Rig {
-    let rig = loaded(test, plan);
+fn cut_off_one_way(test: &str, plan: Plan) -> Cluster {
+    let cluster = loaded(test, plan);
     for (sends, hears, class) in [(true, false, "lookup"), (false, true, "post")] {
-        rig.cut_off(4, sends, hears);
-        well(rig.bar(0, class));
-        rig.until_answers(What::Settled, 100);
-        rig.heal();
-        rig.until_fit(4);
+        cluster.cut_off(4, sends, hears);
+        well(cluster.bar(0, class));
+        cluster.until_answers(What::Settled, 100);
+        cluster.heal();
+        cluster.until_fit(4);
     }
-    rig
+    cluster
 }
 
 #[test]
 fn case_3_a_gateway_cut_off_one_way_decides_nothing_by_what_was_left() {
-    let mut rig = cut_off_one_way("case-3", Plan::default());
-    all_hold(&rig, 2);
-    let answers = rig.over();
+    let mut cluster = cut_off_one_way("case-3", Plan::default());
+    all_hold(&cluster, 2);
+    let answers = cluster.over();
     assert!(
         answers[&What::Rejected] > 0,
         "it was without a lease: {answers:?}"
@@ -203,25 +206,25 @@
     ));
 }
 
-fn stopped_over_a_change(test: &str, plan: Plan) -> Rig {
-    let mut rig = loaded(test, plan);
+fn stopped_over_a_change(test: &str, plan: Plan) -> Cluster {
+    let mut cluster = loaded(test, plan);
     // Nothing of it is under way when it is stopped: what was about to be written then is written later.
-    rig.quiet(3);
-    rig.stop(3);
-    rig.queue_at(3);
-    well(rig.bar(0, "lookup"));
-    well(rig.bar(0, "post"));
-    rig.go_on(3);
-    rig.until_fit(3);
-    rig.until_answers(What::Settled, 200);
-    rig
+    cluster.quiet(3);
+    cluster.stop(3);
+    cluster.queue_at(3);
+    well(cluster.bar(0, "lookup"));
+    well(cluster.bar(0, "post"));
+    cluster.go_on(3);
+    cluster.until_fit(3);
+    cluster.until_answers(What::Settled, 200);
+    cluster
 }
 
 #[test]
 fn case_4_a_gateway_stopped_over_a_change_decides_nothing_by_the_old_policy() {
-    let mut rig = stopped_over_a_change("case-4", Plan::default());
-    all_hold(&rig, 2);
-    rig.over();
+    let mut cluster = stopped_over_a_change("case-4", Plan::default());
+    all_hold(&cluster, 2);
+    cluster.over();
 }
 
 #[test]
@@ -233,9 +236,9 @@
 }
 
 /// Gateway 4 was told of zone a alone.
-fn narrow(g: usize, told: &mut Value, _: &mut Value) {
+fn narrow(g: usize, config: &mut Value, _: &mut Value) {
     if g == 4 {
-        told["settings"]["dcs"] = json!(["a"]);
+        config["settings"]["dcs"] = json!(["a"]);
     }
 }
 
@@ -243,34 +246,34 @@
 
 #[test]
 fn case_5_what_one_live_member_refuses_holds_nowhere_and_the_operator_sees_who_and_why() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "case-5",
         Plan {
             edit: Some(narrow),
             ..Plan::default()
         },
     );
-    let said = rig.set(0, &[ZONE, r#"["b"]"#]);
+    let said = cluster.set(0, &[ZONE, r#"["b"]"#]);
     assert_eq!(said.code, 3, "{said:?}");
     assert!(
         said.err.contains("g5") && said.err.contains("b is not among those told"),
         "{said:?}"
     );
-    let line = last(&rig, 1);
+    let line = last(&cluster, 1);
     assert_eq!(
         (&line["outcome"], &line["refused-by"]),
         (&json!("refused"), &json!("g5")),
         "{line}"
     );
-    let table = rig.cli(2, &["revisions", "--fleet"]);
+    let table = cluster.cli(2, &["revisions", "--fleet"]);
     assert!(
         table.out.contains("refused") && table.out.contains("g5"),
         "{table:?}"
     );
-    all_hold(&rig, 0);
-    all_have(&rig, ZONE, &Value::Null);
-    rig.until_answers(What::Settled, 100);
-    rig.over();
+    all_hold(&cluster, 0);
+    all_have(&cluster, ZONE, &Value::Null);
+    cluster.until_answers(What::Settled, 100);
+    cluster.over();
 }
 
 #[test]
@@ -280,18 +283,18 @@
         without: vec![(Some(4), "examine")],
         ..Plan::default()
     };
-    let rig = loaded("control-5", plan);
-    well(rig.set(0, &[ZONE, r#"["b"]"#]));
+    let cluster = loaded("control-5", plan);
+    well(cluster.set(0, &[ZONE, r#"["b"]"#]));
     assert_eq!(
-        (rig.setting(0, ZONE), rig.setting(4, ZONE)),
+        (cluster.setting(0, ZONE), cluster.setting(4, ZONE)),
         (json!(["b"]), Value::Null)
     );
 }
 
 #[test]
 fn case_6_two_operators_at_once_a_take_back_and_a_late_confirmation() {
-    let mut rig = loaded("case-6", Plan::default());
-    let ask = |g, value| rig.cli(g, &["set", ATTEMPTS, value, "--fleet"]);
+    let mut cluster = loaded("case-6", Plan::default());
+    let ask = |g, value| cluster.cli(g, &["set", ATTEMPTS, value, "--fleet"]);
     let both = std::thread::scope(|scope| {
         let first = scope.spawn(|| ask(0, "3"));
         [ask(1, "4"), first.join().unwrap()]
@@ -303,63 +306,63 @@
         refused.err.contains("is under way") || refused.err.contains("runs by now"),
         "{refused:?}"
     );
-    let held = rig.setting(0, ATTEMPTS);
-    all_have(&rig, ATTEMPTS, &held);
+    let held = cluster.setting(0, ATTEMPTS);
+    all_have(&cluster, ATTEMPTS, &held);
     // Taken back while it waits to be confirmed.
     let asks = |value: &'static str, id: &'static str, within: &'static str| {
         [ATTEMPTS, value, "--confirm-within", within, "--id", id]
     };
-    well(rig.set(2, &asks("2", "a", "1h")));
-    all_have(&rig, ATTEMPTS, &json!(2));
-    let second = rig.set(1, &[ATTEMPTS, "6"]);
+    well(cluster.set(2, &asks("2", "a", "1h")));
+    all_have(&cluster, ATTEMPTS, &json!(2));
+    let second = cluster.set(1, &[ATTEMPTS, "6"]);
     assert!(
         second.code == 3 && second.err.contains("waits to be confirmed"),
         "{second:?}"
     );
-    well(rig.cli(3, &["cancel", "a", "--fleet"]));
-    all_have(&rig, ATTEMPTS, &held);
+    well(cluster.cli(3, &["cancel", "a", "--fleet"]));
+    all_have(&cluster, ATTEMPTS, &held);
     // And while it is under way, by who waits for a gateway that is stopped.
-    rig.quiet(4);
-    rig.stop(4);
-    let change = rig.cli_meanwhile(
+    cluster.quiet(4);
+    cluster.stop(4);
+    let change = cluster.cli_meanwhile(
         0,
         &[&["set", "--fleet"][..], &asks("2", "b", "1h")].concat(),
     );
     until("it is staged", || {
-        rig.shown(1)["change"]["step"] == json!("staged")
+        cluster.shown(1)["change"]["step"] == json!("staged")
     });
-    well(rig.cli(1, &["cancel", "b", "--fleet"]));
-    let told = change.join().unwrap();
+    well(cluster.cli(1, &["cancel", "b", "--fleet"]));
+    let config = change.join().unwrap();
     assert!(
-        told.code == 3 && told.err.contains("taken back"),
-        "{told:?}"
+        config.code == 3 && config.err.contains("taken back"),
+        "{config:?}"
     );
-    rig.go_on(4);
-    rig.loud(4);
+    cluster.go_on(4);
+    cluster.loud(4);
     // Not confirmed in its time, and confirmed too late.
-    well(rig.set(0, &asks("2", "c", "1s")));
+    well(cluster.set(0, &asks("2", "c", "1s")));
     until("it is taken back", || {
-        last(&rig, 0)["outcome"] == json!("taken-back")
+        last(&cluster, 0)["outcome"] == json!("taken-back")
     });
-    let late = rig.cli(0, &["confirm", "c", "--fleet"]);
+    let late = cluster.cli(0, &["confirm", "c", "--fleet"]);
     assert!(
         late.code == 3 && late.err.contains("taken back"),
         "{late:?}"
     );
-    all_have(&rig, ATTEMPTS, &held);
+    all_have(&cluster, ATTEMPTS, &held);
     // In time.
-    well(rig.set(0, &asks("5", "d", "1h")));
-    well(rig.cli(4, &["confirm", "--fleet"]));
-    all_have(&rig, ATTEMPTS, &json!(5));
-    rig.over();
+    well(cluster.set(0, &asks("5", "d", "1h")));
+    well(cluster.cli(4, &["confirm", "--fleet"]));
+    all_have(&cluster, ATTEMPTS, &json!(5));
+    cluster.over();
 }
 
 #[test]
 fn control_6_without_looking_upon_what_it_was_made_the_first_change_is_undone() {
     // One operator's change is made while a gateway hears nothing; another's there, of what that still knows.
-    let rig = Rig::started("control-6", &without("upon"));
-    rig.cut_off(4, false, true);
-    well(rig.set(0, &[ATTEMPTS, "3"]));
+    let cluster = Cluster::started("control-6", &without("upon"));
+    cluster.cut_off(4, false, true);
+    well(cluster.set(0, &[ATTEMPTS, "3"]));
     let args = [
         "set",
         "/settings/band[name=lookup]/expected",
@@ -368,91 +371,92 @@
     ]
     .map(String::from);
     let second = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| rig.cli(4, &[&args[0], &args[1], &args[2], &args[3]]));
+        let asked = scope.spawn(|| cluster.cli(4, &[&args[0], &args[1], &args[2], &args[3]]));
         until("it is asked for", || {
-            asked.is_finished() || last(&rig, 0)["number"] == json!(2)
+            asked.is_finished() || last(&cluster, 0)["number"] == json!(2)
         });
-        rig.heal();
+        cluster.heal();
         asked.join().unwrap()
     });
     well(second);
-    all_have(&rig, ATTEMPTS, &json!(6));
+    all_have(&cluster, ATTEMPTS, &json!(6));
 }
 
 /// All voters are killed at once; two come back, one wiped and one with a disk from before the changes.
-fn wiped_and_old(test: &str, plan: Plan) -> Rig {
-    let mut rig = loaded(test, plan);
-    rig.kill(2);
-    let old = rig.copy(2);
-    rig.start(2);
-    rig.until_fit(2);
-    well(rig.bar(0, "lookup"));
-    well(rig.bar(1, "post"));
-    (0..3).for_each(|k| rig.kill(k));
-    rig.wipe(1);
-    rig.put_back(2, &old);
-    rig.start(1);
-    rig.start(2);
-    (1..5).for_each(|g| until("without keepers nobody is fit", || !rig.fit(g)));
-    rig
+fn wiped_and_old(test: &str, plan: Plan) -> Cluster {
+    let mut cluster = loaded(test, plan);
+    cluster.kill(2);
+    let old = cluster.copy(2);
+    cluster.start(2);
+    cluster.until_fit(2);
+    well(cluster.bar(0, "lookup"));
+    well(cluster.bar(1, "post"));
+    (0..3).for_each(|k| cluster.kill(k));
+    cluster.wipe(1);
+    cluster.put_back(2, &old);
+    cluster.start(1);
+    cluster.start(2);
+    (1..5).for_each(|g| until("without keepers nobody is fit", || !cluster.fit(g)));
+    cluster
 }
 
 #[test]
 fn case_7_all_keepers_killed_at_once_one_wiped_one_with_an_old_disk_lose_nothing_decided() {
-    let mut rig = wiped_and_old("case-7", Plan::default());
+    let mut cluster = wiped_and_old("case-7", Plan::default());
     // Two of three are no quorum here: one has no vote, and nobody decides.
-    rig.until_answers(What::Rejected, 100);
-    assert!((1..5).all(|g| !rig.fit(g)));
-    rig.start(0);
-    all_hold(&rig, 2);
-    rig.until_answers(What::Settled, 200);
+    cluster.until_answers(What::Rejected, 100);
+    assert!((1..5).all(|g| !cluster.fit(g)));
+    cluster.start(0);
+    all_hold(&cluster, 2);
+    cluster.until_answers(What::Settled, 200);
     // The wiped one has a vote again, as at its first start: without the first voter, the fleet goes on.
     until("it votes", || {
-        rig.log(1).matches("this keeper has a vote").count() == 2
+        cluster.log(1).matches("this keeper has a vote").count() == 2
     });
-    rig.kill(0);
-    rig.until_answers(What::Settled, 200);
-    well(rig.set(1, &[ATTEMPTS, "5"]));
-    rig.over();
+    cluster.kill(0);
+    cluster.until_answers(What::Settled, 200);
+    well(cluster.set(1, &[ATTEMPTS, "5"]));
+    cluster.over();
 }
 
 #[test]
 fn control_7_a_wiped_keeper_that_keeps_its_number_brings_the_old_policy_back() {
-    let mut rig = wiped_and_old("control-7", without("number"));
-    rig.until_fit(2);
-    rig.until_answers(What::Settled, 100);
-    let found = rig.end_of_load();
+    let mut cluster = wiped_and_old("control-7", without("number"));
+    cluster.until_fit(2);
+    cluster.until_answers(What::Settled, 100);
+    let found = cluster.end_of_load();
     assert!((1..3).any(|g| left(&found, g)), "{found:?}");
 }
 
 #[test]
 fn case_8_a_change_that_only_newer_ones_can_read_is_refused_by_the_older_and_keeps_it_out() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "case-8",
         Plan {
             without: vec![(Some(4), "advice")],
             ..Plan::default()
         },
     );
-    let said = rig.set(0, &[ADVICE, "500"]);
+    let said = cluster.set(0, &[ADVICE, "500"]);
     assert!(
         said.code == 3 && said.err.contains("g5") && said.err.contains("can't read it"),
         "{said:?}"
     );
-    all_have(&rig, ADVICE, &json!(0));
-    rig.kill(4);
-    well(rig.set(0, &[ADVICE, "500"]));
-    rig.start(4);
+    all_have(&cluster, ADVICE, &json!(0));
+    cluster.kill(4);
+    well(cluster.set(0, &[ADVICE, "500"]));
+    cluster.start(4);
     until("it says why it can't hold that", || {
-        rig.log(4)
+        cluster
+            .log(4)
             .contains("what the fleet holds can't be held here")
     });
-    assert!(!rig.fit(4));
-    (0..4).for_each(|g| assert_eq!(rig.setting(g, ADVICE), json!(500)));
+    assert!(!cluster.fit(4));
+    (0..4).for_each(|g| assert_eq!(cluster.setting(g, ADVICE), json!(500)));
     // Back to what it can read: it is in again.
-    well(rig.set(1, &[ADVICE, "0"]));
-    rig.until_fit(4);
-    rig.over();
+    well(cluster.set(1, &[ADVICE, "0"]));
+    cluster.until_fit(4);
+    cluster.over();
 }
 
 #[test]
@@ -461,19 +465,20 @@
         without: vec![(Some(4), "advice"), (Some(4), "examine")],
         ..Plan::default()
     };
-    let rig = Rig::started("control-8", &plan);
-    well(rig.set(0, &[ADVICE, "500"]));
+    let cluster = Cluster::started("control-8", &plan);
+    well(cluster.set(0, &[ADVICE, "500"]));
     until("a live member can't hold it", || {
-        rig.log(4)
+        cluster
+            .log(4)
             .contains("what the fleet holds can't be held here")
-            && !rig.fit(4)
+            && !cluster.fit(4)
     });
 }
 
 #[test]
 fn case_10_a_slow_disk_and_a_full_one_at_a_keeper_cost_the_fleet_nothing() {
     let slow_and_full = vec![(Some(1), "quick-disk"), (Some(2), "room")];
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "case-10",
         Plan {
             lease_ms: 3000,
@@ -481,39 +486,40 @@
             ..Plan::default()
         },
     );
-    std::fs::write(rig.state_folder(1).join("slow"), "").unwrap();
-    well(rig.set(0, &[ATTEMPTS, "3"]));
-    std::fs::remove_file(rig.state_folder(1).join("slow")).unwrap();
+    std::fs::write(cluster.state_folder(1).join("slow"), "").unwrap();
+    well(cluster.set(0, &[ATTEMPTS, "3"]));
+    std::fs::remove_file(cluster.state_folder(1).join("slow")).unwrap();
     // Each alone: with both, two of three have no disk that serves, and that is no minority.
-    std::fs::write(rig.state_folder(2).join("full"), "").unwrap();
-    well(rig.set(3, &[ATTEMPTS, "4"]));
+    std::fs::write(cluster.state_folder(2).join("full"), "").unwrap();
+    well(cluster.set(3, &[ATTEMPTS, "4"]));
     until("it says so", || {
-        rig.log(2).contains("the fleet's log can't be kept")
+        cluster.log(2).contains("the fleet's log can't be kept")
     });
-    std::fs::remove_file(rig.state_folder(2).join("full")).unwrap();
+    std::fs::remove_file(cluster.state_folder(2).join("full")).unwrap();
     until("it has room again", || {
-        rig.log(2).contains("the fleet's log is kept again")
+        cluster.log(2).contains("the fleet's log is kept again")
     });
-    well(rig.set(2, &[ATTEMPTS, "5"]));
-    all_hold(&rig, 3);
-    rig.over();
+    well(cluster.set(2, &[ATTEMPTS, "5"]));
+    all_hold(&cluster, 3);
+    cluster.over();
 }
 
 /// Two voters' disks are full over a change, the third is lost after it, and all voters start anew.
-fn full_over_a_change(test: &str, plan: Plan) -> (Rig, Said) {
-    let mut rig = Rig::started(test, &plan);
-    let full = |rig: &Rig, k: usize| rig.state_folder(k).join("full");
-    (1..3).for_each(|k| std::fs::write(full(&rig, k), "").unwrap());
-    let change = rig.cli_meanwhile(3, &["set", ATTEMPTS, "3", "--fleet"]);
+fn full_over_a_change(test: &str, plan: Plan) -> (Cluster, Said) {
+    let mut cluster = Cluster::started(test, &plan);
+    let full = |cluster: &Cluster, k: usize| cluster.state_folder(k).join("full");
+    (1..3).for_each(|k| std::fs::write(full(&cluster, k), "").unwrap());
+    let change = cluster.cli_meanwhile(3, &["set", ATTEMPTS, "3", "--fleet"]);
     until("it is made, or two say that they keep nothing", || {
-        change.is_finished() || (1..3).all(|k| rig.log(k).contains("the fleet's log can't be kept"))
+        change.is_finished()
+            || (1..3).all(|k| cluster.log(k).contains("the fleet's log can't be kept"))
     });
-    (0..3).for_each(|k| rig.kill(k));
-    rig.wipe(0);
-    (1..3).for_each(|k| std::fs::remove_file(full(&rig, k)).unwrap());
-    (0..3).for_each(|k| rig.start(k));
-    (1..3).for_each(|g| rig.until_fit(g));
-    (rig, change.join().unwrap())
+    (0..3).for_each(|k| cluster.kill(k));
+    cluster.wipe(0);
+    (1..3).for_each(|k| std::fs::remove_file(full(&cluster, k)).unwrap());
+    (0..3).for_each(|k| cluster.start(k));
+    (1..3).for_each(|g| cluster.until_fit(g));
+    (cluster, change.join().unwrap())
 }
 
 fn room() -> Vec<(Option<usize>, &'static str)> {
@@ -522,7 +528,7 @@
 
 #[test]
 fn case_10_what_two_full_disks_did_not_take_was_not_decided() {
-    let (rig, said) = full_over_a_change(
+    let (cluster, said) = full_over_a_change(
         "full",
         Plan {
             without: room(),
@@ -533,15 +539,15 @@
     let value = if said.code == 0 {
         json!(3)
     } else {
-        rig.setting(0, ATTEMPTS)
+        cluster.setting(0, ATTEMPTS)
     };
-    all_have(&rig, ATTEMPTS, &value);
+    all_have(&cluster, ATTEMPTS, &value);
 }
 
 #[test]
 fn control_10_and_2_a_keeper_that_counts_as_kept_what_is_not_loses_a_decided_change() {
     let without = [room(), vec![(Some(1), "kept"), (Some(2), "kept")]].concat();
-    let (rig, said) = full_over_a_change(
+    let (cluster, said) = full_over_a_change(
         "control-10",
         Plan {
             without,
@@ -549,91 +555,93 @@
         },
     );
     well(said);
-    (1..3).for_each(|g| assert_eq!(rig.setting(g, ATTEMPTS), json!(6)));
+    (1..3).for_each(|g| assert_eq!(cluster.setting(g, ATTEMPTS), json!(6)));
     // Who held it holds to it, and decides nothing beside them.
-    (3..5).for_each(|g| until("it decides nothing", || !rig.fit(g)));
+    (3..5).for_each(|g| until("it decides nothing", || !cluster.fit(g)));
 }
 
 #[test]
 fn without_most_keepers_a_strict_one_stops_at_once_and_a_steady_one_goes_on() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "majority",
         Plan {
             steady: vec![4],
             ..Plan::default()
         },
     );
-    rig.kill(0);
-    rig.kill(1);
-    (2..4).for_each(|g| rig.until_answers_of(g, What::Rejected, 20));
-    rig.until_answers_of(4, What::Settled, 100);
-    assert!(rig.fit(4) && !rig.fit(3));
-    let said = rig.set(3, &[ATTEMPTS, "5"]);
+    cluster.kill(0);
+    cluster.kill(1);
+    (2..4).for_each(|g| cluster.until_answers_of(g, What::Rejected, 20));
+    cluster.until_answers_of(4, What::Settled, 100);
+    assert!(cluster.fit(4) && !cluster.fit(3));
+    let said = cluster.set(3, &[ATTEMPTS, "5"]);
     assert!(said.code == 3 && said.err.contains("no chair"), "{said:?}");
-    rig.start(0);
-    rig.start(1);
-    all_hold(&rig, 0);
-    assert_eq!(rig.setting(4, "/state/fleet/cut-off"), json!("steady"));
-    rig.over();
+    cluster.start(0);
+    cluster.start(1);
+    all_hold(&cluster, 0);
+    assert_eq!(cluster.setting(4, "/state/fleet/cut-off"), json!("steady"));
+    cluster.over();
 }
 
 #[test]
 fn a_steady_one_that_is_cut_off_goes_on_and_no_change_is_decided_without_it() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "steady",
         Plan {
             steady: vec![4],
             ..Plan::default()
         },
     );
-    rig.cut_off(4, true, true);
-    let change = rig.bar_meanwhile(0, "lookup");
+    cluster.cut_off(4, true, true);
+    let change = cluster.bar_meanwhile(0, "lookup");
     until("it waits", || {
-        rig.shown(1)["change"]["waits-for"] == json!(["g5"])
+        cluster.shown(1)["change"]["waits-for"] == json!(["g5"])
     });
-    rig.until_answers_of(4, What::Settled, 300);
+    cluster.until_answers_of(4, What::Settled, 300);
     assert_eq!(
-        (rig.shown(1)["revision"].clone(), change.is_finished()),
+        (cluster.shown(1)["revision"].clone(), change.is_finished()),
         (json!(0), false)
     );
-    rig.heal();
+    cluster.heal();
     well(change.join().unwrap());
-    all_hold(&rig, 1);
-    rig.over();
+    all_hold(&cluster, 1);
+    cluster.over();
 }
 
 #[test]
 fn control_without_an_end_of_tenure_it_decides_on_without_most_keepers() {
-    let mut rig = loaded("control-majority", without("tenure"));
-    rig.kill(0);
-    rig.kill(1);
+    let mut cluster = loaded("control-majority", without("tenure"));
+    cluster.kill(0);
+    cluster.kill(1);
     until("it has no lease", || {
-        rig.log(3).contains("the fleet was not heard for a lease")
+        cluster
+            .log(3)
+            .contains("the fleet was not heard for a lease")
     });
-    rig.until_answers_of(3, What::Settled, 100);
+    cluster.until_answers_of(3, What::Settled, 100);
 }
 
 #[test]
 fn control_a_steady_one_that_does_not_say_so_decides_by_what_was_left() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "control-steady",
         Plan {
             steady: vec![4],
             ..without("says-steady")
         },
     );
-    rig.cut_off(4, true, true);
-    well(rig.bar(0, "lookup"));
-    rig.until_answers_of(4, What::Settled, 200);
-    assert!(left(&rig.end_of_load(), 4));
+    cluster.cut_off(4, true, true);
+    well(cluster.bar(0, "lookup"));
+    cluster.until_answers_of(4, What::Settled, 200);
+    assert!(left(&cluster.end_of_load(), 4));
 }
 
 #[test]
 fn control_without_its_time_a_trial_stays_unconfirmed_for_good() {
-    let rig = Rig::started("control-trial", &without("trial"));
-    well(rig.set(0, &[ATTEMPTS, "2", "--confirm-within", "1s"]));
+    let cluster = Cluster::started("control-trial", &without("trial"));
+    well(cluster.set(0, &[ATTEMPTS, "2", "--confirm-within", "1s"]));
     assert_eq!(
-        last(&rig, 0)["outcome"],
+        last(&cluster, 0)["outcome"],
         json!("running"),
         "nobody confirmed it, and nothing waits"
     );
@@ -641,21 +649,21 @@
 
 #[test]
 fn a_chair_that_is_killed_costs_no_submission() {
-    let mut rig = loaded(
+    let mut cluster = loaded(
         "minority",
         Plan {
             lease_ms: 5000,
             ..Plan::default()
         },
     );
-    let leader = rig.leader();
+    let leader = cluster.leader();
     // Its own client's calls are lost with it.
-    rig.quiet(leader);
-    rig.kill(leader);
-    rig.until_answers(What::Settled, 500);
-    assert_ne!(rig.leader(), leader);
-    well(rig.set(3, &[ATTEMPTS, "5"]));
-    let answers = rig.over();
+    cluster.quiet(leader);
+    cluster.kill(leader);
+    cluster.until_answers(What::Settled, 500);
+    assert_ne!(cluster.leader(), leader);
+    well(cluster.set(3, &[ATTEMPTS, "5"]));
+    let answers = cluster.over();
     assert_eq!(
         answers.keys().collect::<Vec<_>>(),
         [&What::Settled],
@@ -664,11 +672,11 @@
 }
 
 /// Gateway 3 is of another fleet, and 4 is called as the third voter is.
-fn strange(g: usize, told: &mut Value, operator: &mut Value) {
+fn strange(g: usize, config: &mut Value, operator: &mut Value) {
     match g {
         3 => operator["fleet"]["name"] = json!("other"),
         4 => {
-            told["name"] = json!("g3");
+            config["name"] = json!("g3");
             operator["fleet"]["state"] =
                 json!(std::env::temp_dir().join(format!("strange-{}", std::process::id())));
         }
@@ -683,17 +691,17 @@
         edit: Some(strange),
         ..Plan::default()
     };
-    let mut rig = Rig::laid_out("strangers", &plan);
-    (0..4).for_each(|g| rig.start(g));
-    rig.begin_alone();
+    let mut cluster = Cluster::laid_out("strangers", &plan);
+    (0..4).for_each(|g| cluster.start(g));
+    cluster.begin_alone();
     until("the other fleet's is told", || {
-        rig.log(3).contains(r#"g4 is of fleet "other""#)
+        cluster.log(3).contains(r#"g4 is of fleet "other""#)
     });
-    assert!((0..3).any(|k| rig
+    assert!((0..3).any(|k| cluster
         .log(k)
         .contains("a word of another gateway is not taken")));
-    let names = |rig: &Rig| -> Vec<String> {
-        let members = rig.shown(0)["members"]
+    let names = |cluster: &Cluster| -> Vec<String> {
+        let members = cluster.shown(0)["members"]
             .as_array()
             .cloned()
             .unwrap_or_default();
@@ -702,57 +710,59 @@
             .filter_map(|m| m["name"].as_str().map(String::from))
             .collect()
     };
-    until("the keepers are in", || names(&rig) == ["g1", "g2", "g3"]);
-    rig.start(4);
+    until("the keepers are in", || {
+        names(&cluster) == ["g1", "g2", "g3"]
+    });
+    cluster.start(4);
     until("the second of a name is told", || {
-        rig.log(4).contains("another process is")
+        cluster.log(4).contains("another process is")
     });
-    assert!(!rig.fit(3) && !rig.fit(4));
-    rig.kill(4);
+    assert!(!cluster.fit(3) && !cluster.fit(4));
+    cluster.kill(4);
     let _ = std::fs::remove_dir_all(
         std::env::temp_dir().join(format!("strange-{}", std::process::id())),
     );
     // Not heard for ten leases is long; by its own word it is out at once.
-    let second = if rig.leader() == 1 { 0 } else { 1 };
-    rig.end(second);
+    let second = if cluster.leader() == 1 { 0 } else { 1 };
+    cluster.end(second);
     assert!(
-        rig.log(second).contains("left the fleet"),
+        cluster.log(second).contains("left the fleet"),
         "{}",
-        rig.log(second)
+        cluster.log(second)
     );
-    let out = |rig: &Rig| {
-        rig.shown(1 - second)["members"]
+    let out = |cluster: &Cluster| {
+        cluster.shown(1 - second)["members"]
             .as_array()
             .is_some_and(|m| m.len() == 2)
     };
-    until("it is out", || out(&rig));
+    until("it is out", || out(&cluster));
 }
 
 #[test]
 fn sighup_with_settings_is_refused_in_a_fleet_and_plain_words_are_told_which_command() {
-    let mut rig = Rig::started("sighup", &Plan::default());
+    let mut cluster = Cluster::started("sighup", &Plan::default());
     let sentence = "settings are the fleet's";
-    rig.retell(4, |told| told["names"] = json!("127.0.0.1:9"));
-    rig.retell(3, |told| {
-        told["settings"]["policy_limits"]["max_attempts"] = json!(2)
+    cluster.retell(4, |config| config["names"] = json!("127.0.0.1:9"));
+    cluster.retell(3, |config| {
+        config["settings"]["policy_limits"]["max_attempts"] = json!(2)
     });
-    until("it is refused", || rig.log(3).contains(sentence));
+    until("it is refused", || cluster.log(3).contains(sentence));
     until("the list moves", || {
-        rig.log(4).contains("name service has moved")
+        cluster.log(4).contains("name service has moved")
     });
     assert!(
-        !rig.log(4).contains(sentence),
+        !cluster.log(4).contains(sentence),
         "where the list comes from may move"
     );
-    assert_eq!(rig.setting(3, ATTEMPTS), json!(6));
-    let plain = rig.cli(3, &["set", ATTEMPTS, "2"]);
+    assert_eq!(cluster.setting(3, ATTEMPTS), json!(6));
+    let plain = cluster.cli(3, &["set", ATTEMPTS, "2"]);
     assert!(
         plain.code == 3 && plain.err.contains("ironstair set --fleet"),
         "{plain:?}"
     );
-    let leader = rig.leader();
+    let leader = cluster.leader();
     let of = |g: usize, leaf: &str| {
-        rig.setting(
+        cluster.setting(
             leader,
             &format!("/state/fleet/member[name=g{}]/{leaf}", g + 1),
         )
@@ -763,7 +773,7 @@
         })
     });
     assert_eq!(of(4, "cut-off"), json!("strict"));
-    let shown = rig.cli(1, &["fleet"]);
+    let shown = cluster.cli(1, &["fleet"]);
     assert!(
         shown.out.contains("chair g") && shown.out.contains("lease-left-ms"),
         "{shown:?}"
@@ -792,9 +802,9 @@
                 }
                 let steps = schedule::drawn(seed);
                 let played = std::panic::catch_unwind(|| {
-                    let mut rig = loaded(&format!("case-9-{seed}"), Plan::default());
-                    let made = schedule::play(&mut rig, &steps);
-                    rig.over();
+                    let mut cluster = loaded(&format!("case-9-{seed}"), Plan::default());
+                    let made = schedule::play(&mut cluster, &steps);
+                    cluster.over();
                     made
                 });
                 let Ok(played) = played else {
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -1,6 +1,6 @@
-//! Management of the built gateway under traffic and faults: the hard cases, on loopback, between stand-ins.
+//! Management of the built gateway under traffic and faults: the hard cases, on loopback, between stubs.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 mod managed;
 
 use common::*;
@@ -148,13 +148,13 @@
                         c.ask_in(["lookup", "report", "post"][asked % 3], call);
                         open.insert(call, Instant::now());
                     }
-                    let told = c.hear();
-                    let call = told["id"].as_u64().unwrap();
+                    let config = c.hear();
+                    let call = config["id"].as_u64().unwrap();
                     let since = open
                         .remove(&call)
-                        .unwrap_or_else(|| panic!("a second answer: {told}"));
+                        .unwrap_or_else(|| panic!("a second answer: {config}"));
                     worst = worst.max(since.elapsed());
-                    let code = told["error"]["code"].as_i64();
+                    let code = config["error"]["code"].as_i64();
                     answers.insert(call, code);
                 }
                 // What would come after the last answer is one too many.
@@ -219,9 +219,9 @@
     (101..=105).for_each(|call| asker.ask_in("report", call));
     let (mut settled, mut back) = (BTreeSet::new(), BTreeMap::new());
     while settled.len() + back.len() < 17 {
-        let told = asker.hear();
-        let call = told["id"].as_u64().unwrap();
-        match told["error"]["code"].as_i64() {
+        let config = asker.hear();
+        let call = config["id"].as_u64().unwrap();
+        match config["error"]["code"].as_i64() {
             None => assert!(settled.insert(call), "twice"),
             Some(_) => assert!(back.insert(call, since.elapsed()).is_none(), "twice"),
         }
@@ -330,13 +330,14 @@
             let mut c = client(at).await;
             let end = end.clone();
             readers.push(tokio::spawn(async move {
-                let mut told =
+                let mut config =
                     subscribe(&mut c, subscribing("/settings", SubscriptionMode::OnChange))
                         .await
                         .unwrap();
                 let mut copy = Copy::default();
                 loop {
-                    let Sent::Update(n) = told.message().await.unwrap().unwrap().response.unwrap()
+                    let Sent::Update(n) =
+                        config.message().await.unwrap().unwrap().response.unwrap()
                     else {
                         continue;
                     };
@@ -640,7 +641,7 @@
             json!(1)
         );
 
-        let mut told = subscribe(
+        let mut config = subscribe(
             &mut reader,
             subscribing("/settings/advice", SubscriptionMode::OnChange),
         )
@@ -668,7 +669,8 @@
         // The stream that was open hears the last change, made on a connection of the old keys.
         let heard = tokio::time::timeout(Duration::from_secs(5), async {
             loop {
-                let Some(Sent::Update(n)) = told.message().await.unwrap().unwrap().response else {
+                let Some(Sent::Update(n)) = config.message().await.unwrap().unwrap().response
+                else {
                     continue;
                 };
                 let last = n
@@ -740,12 +742,12 @@
         .map_err(|e| Status::unavailable(e.to_string()))?;
     let at = format!("/gnmi.gNMI/{method}").parse().unwrap();
     let once = tokio_stream::once(message);
-    let mut told = grpc
+    let mut config = grpc
         .streaming(tonic::Request::new(once), at, Bytes)
         .await?
         .into_inner();
     let ends = async {
-        while told.message().await?.is_some() {}
+        while config.message().await?.is_some() {}
         Ok(())
     };
     // A stream that was understood goes on; that is no fault.
@@ -1234,11 +1236,11 @@
             .await
             .unwrap()
     });
-    let told = gateway.dir.join("told.json");
+    let config = gateway.dir.join("told.json");
     let mut v: serde_json::Value =
-        serde_json::from_str(&std::fs::read_to_string(&told).unwrap()).unwrap();
+        serde_json::from_str(&std::fs::read_to_string(&config).unwrap()).unwrap();
     v["settings"]["fleet_size"] = json!(8);
-    std::fs::write(&told, v.to_string()).unwrap();
+    std::fs::write(&config, v.to_string()).unwrap();
     // Not by a signal: settings are taken over at a start.
     gateway.signal("-HUP");
     let gateways = |rt: &Runtime| {
@@ -1268,8 +1270,8 @@
 #[test]
 fn without_the_operators_file_nothing_of_management_runs() {
     let with = managed("holds-with", &[]);
-    let (told, name_answer) = told(1, classes(), &[]);
-    let without = started("holds-without", told, name_answer, None);
+    let (config, name_answer) = config(1, classes(), &[]);
+    let without = started("holds-without", config, name_answer, None);
     Client::of(&with.0).ask(1);
     Client::of(&without).ask(1);
     runtime().block_on(async { get(&mut client(with.1).await, "/settings").await.unwrap() });
@@ -1281,8 +1283,8 @@
 
 #[test]
 fn the_log_as_json_lines_has_stable_keys() {
-    let (told, name_answer) = told(1, classes(), &[]);
-    let gateway = started("log-json", told, name_answer, None);
+    let (config, name_answer) = config(1, classes(), &[]);
+    let gateway = started("log-json", config, name_answer, None);
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"))
         .args(["serve", "--log", "json"])
         .arg(gateway.dir.join("other.json"))
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -34,9 +34,9 @@
     engines: &[(&str, SocketAddr)],
     more: impl FnOnce(&mut Value, &std::path::Path),
 ) -> (Gateway, SocketAddr) {
-    let (told, name_answer) = told(1, classes(), engines);
+    let (config, name_answer) = config(1, classes(), engines);
     let at = SocketAddr::new(
-        told["listen"]
+        config["listen"]
             .as_str()
             .unwrap()
             .parse::<SocketAddr>()
@@ -49,7 +49,7 @@
         json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
     std::fs::create_dir_all(&dir).unwrap();
     more(&mut operator, &dir);
-    (started(test, told, name_answer, Some(operator)), at)
+    (started(test, config, name_answer, Some(operator)), at)
 }
 
 pub fn managed(test: &str, engines: &[(&str, SocketAddr)]) -> (Gateway, SocketAddr) {
--- a/crates/gateway/tests/pinned_forms.rs
+++ b/crates/gateway/tests/pinned_forms.rs
@@ -3,8 +3,8 @@
 //! is kept for the next process, and the bytes of gNMI's paths and extensions. The files under `pinned` were written
 //! by an earlier version of the program; operators' files, scripts and clients hold the same forms.
 
-use ironstair_test_cluster::rig::{until, Plan, Rig};
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::cluster::{until, Cluster, Plan};
+use ironstair_test_cluster::stub as common;
 mod managed;
 
 use common::*;
@@ -124,13 +124,13 @@
 
 #[test]
 fn pinned_files_of_teller_and_operator_are_taken() {
-    let told = file("told.json");
-    let told = told.to_str().unwrap();
-    let mut all = prints(&["check", told]);
+    let config = file("told.json");
+    let config = config.to_str().unwrap();
+    let mut all = prints(&["check", config]);
     for operator in ["operator.json", "operator-least.json"] {
         all += &prints(&[
             "check",
-            told,
+            config,
             "--operator",
             file(operator).to_str().unwrap(),
         ]);
@@ -153,7 +153,7 @@
 #[test]
 fn a_wrong_operators_file_is_refused_by_the_pinned_field() {
     let folder = tempfile::tempdir().unwrap();
-    let (told, at) = (file("told.json"), folder.path().join("operator.json"));
+    let (config, at) = (file("told.json"), folder.path().join("operator.json"));
     let none = || None;
     for (field, value, why) in [
         (
@@ -262,7 +262,7 @@
         std::fs::write(&at, spoilt("operator.json", field, &value)).unwrap();
         let said = refuses(&[
             "check",
-            told.to_str().unwrap(),
+            config.to_str().unwrap(),
             "--operator",
             at.to_str().unwrap(),
         ]);
@@ -387,7 +387,7 @@
 
 #[test]
 fn fleet_and_its_revisions_print_the_pinned_json() {
-    let rig = Rig::started(
+    let cluster = Cluster::started(
         "pinned-fleet",
         &Plan {
             gateways: 3,
@@ -395,9 +395,9 @@
         },
     );
     let path = "/settings/forwards-most";
-    let said = rig.set(0, &[path, "5"]);
+    let said = cluster.set(0, &[path, "5"]);
     assert_eq!(said.code, 0, "{said:?}");
-    let said = rig.set(0, &[path, "4", "--confirm-within", "10m", "--id", "waits"]);
+    let said = cluster.set(0, &[path, "4", "--confirm-within", "10m", "--id", "waits"]);
     assert_eq!(said.code, 0, "{said:?}");
     let settled = |shown: &Value| {
         let all = |members: &Value| {
@@ -411,9 +411,12 @@
             && shown["change"].is_null()
             && all(&shown["members"])
     };
-    until("all hold it", || settled(&rig.shown(0)));
-    same("fleet-shape.json", &format!("{:#}\n", shape(&rig.shown(0))));
-    let said = rig.cli(0, &["revisions", "--fleet", "--json"]);
+    until("all hold it", || settled(&cluster.shown(0)));
+    same(
+        "fleet-shape.json",
+        &format!("{:#}\n", shape(&cluster.shown(0))),
+    );
+    let said = cluster.cli(0, &["revisions", "--fleet", "--json"]);
     let mut revisions: Value = serde_json::from_str(&said.out).unwrap();
     for r in revisions.as_array_mut().unwrap() {
         assert!(r["when"].as_f64().is_some_and(|at| at > 1.7e12), "{r}");
@@ -424,7 +427,7 @@
         (r["when"], r["who"]) = (json!("moment"), json!("address"));
     }
     same("fleet-revisions.json", &format!("{revisions:#}\n"));
-    let state = rig.cli(0, &["get", "/state/fleet", "--json"]);
+    let state = cluster.cli(0, &["get", "/state/fleet", "--json"]);
     let state: Value = serde_json::from_str(&state.out).unwrap();
     let mut state = shape(&state[0]["value"]);
     // Only the leader knows who is in, and any voter may be it.
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -1,6 +1,6 @@
-//! The built gateway between stand-ins of its own on loopback: a client, engines, a name service.
+//! The built gateway between stubs of its own on loopback: a client, engines, a name service.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 
 use common::*;
 use serde_json::{json, Value};
@@ -485,7 +485,7 @@
     };
     assert_eq!(row(&mut c), b"old\t\t\n");
     // Against a signal that ends the process, a file that can't be used, and an old address still believed.
-    let told = std::fs::read_to_string(g.dir.join("told.json")).unwrap();
+    let config = std::fs::read_to_string(g.dir.join("told.json")).unwrap();
     std::fs::write(g.dir.join("told.json"), "{").unwrap();
     g.signal("-HUP");
     thread::sleep(Duration::from_millis(100));
@@ -494,7 +494,7 @@
         .enumerate()
     {
         let (names, name_answer) = name_service();
-        g.moves(&told, names);
+        g.moves(&config, names);
         thread::sleep(Duration::from_millis(100));
         let serial = 2 + serial as u32;
         *g.name_answer.lock().unwrap() = answer(serial + 5, &[("e9", own_address(), 0)]);
@@ -560,7 +560,7 @@
     c.ask(1);
     assert!(soon(|| seen.lock().unwrap().len() == 1));
     c.ask(2);
-    let told = Instant::now();
+    let config = Instant::now();
     g.signal("-TERM");
     thread::sleep(Duration::from_millis(100));
     g.signal("-HUP");
@@ -575,7 +575,7 @@
     );
     assert_eq!(c.rows().0, 1);
     assert_eq!(c.hear()["error"]["code"], -32014);
-    let took = told.elapsed();
+    let took = config.elapsed();
     assert!(took < Duration::from_millis(3700), "{took:?}");
     let ended = soon(|| TcpStream::connect(g.at).is_err());
     assert!(ended && g.process.wait().unwrap().success());
@@ -587,10 +587,10 @@
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     for (sockets, room) in [(json!(384), 384), (json!(1e9), 512)] {
-        let (mut told, name_answer) =
-            told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
-        told["limits"] = json!({"memory_mb": 192, "sockets": sockets});
-        let g = started(&format!("room-{room}"), told, name_answer, None);
+        let (mut config, name_answer) =
+            config(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
+        config["limits"] = json!({"memory_mb": 192, "sockets": sockets});
+        let g = started(&format!("room-{room}"), config, name_answer, None);
         let mut c = Client::of(&g);
         c.ask(1);
         assert_eq!(c.rows().0, 1);
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -1,6 +1,6 @@
-//! Other settings in a running gateway, there and back, between stand-ins on loopback.
+//! Other settings in a running gateway, there and back, between stubs on loopback.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 
 use common::*;
 use serde_json::{json, Value};
@@ -38,8 +38,8 @@
     s
 }
 
-fn put(g: &Gateway, told: &Value, settings: &Value) {
-    let mut v = told.clone();
+fn put(g: &Gateway, config: &Value, settings: &Value) {
+    let mut v = config.clone();
     v["settings"] = settings.clone();
     std::fs::write(g.dir.join("told.json"), v.to_string()).unwrap();
     g.signal("-HUP");
@@ -48,13 +48,13 @@
 /// A gateway whose log lines are kept.
 fn logged(
     test: &str,
-    told: &Value,
+    config: &Value,
     name_answer: NameServiceAnswer,
     operator: Option<Value>,
 ) -> (Gateway, Seen) {
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    std::fs::write(dir.join("told.json"), told.to_string()).unwrap();
+    std::fs::write(dir.join("told.json"), config.to_string()).unwrap();
     let mut serve = Command::new(env!("CARGO_BIN_EXE_ironstair"));
     serve
         .arg("serve")
@@ -73,7 +73,7 @@
             .map_while(Result::ok)
             .for_each(|l| kept.lock().unwrap().push(l))
     });
-    let at = told["listen"].as_str().unwrap().parse().unwrap();
+    let at = config["listen"].as_str().unwrap().parse().unwrap();
     (
         Gateway {
             process,
@@ -129,17 +129,17 @@
     };
     let ((a, seen_a), (b, seen_b)) = (engine(act), engine(act));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(
+    let (config, name_answer) = config(
         2,
         json!([class("lookup"), class("report")]),
         &[("e1", a), ("e2", b)],
     );
-    let (first, second) = (told["settings"].clone(), other(&told["settings"]));
-    let g = started("switch", told.clone(), name_answer, None);
+    let (first, second) = (config["settings"].clone(), other(&config["settings"]));
+    let g = started("switch", config.clone(), name_answer, None);
     // A class that was never told is a client's fault, of which a connection bears few: it is told once.
     // Before it serves, the signal would end it.
     drop(Client::of(&g));
-    put(&g, &told, &second);
+    put(&g, &config, &second);
     let mut nth = 0;
     assert!(soon(|| {
         nth += 1;
@@ -147,7 +147,7 @@
         c.ask_in("load", (1 << 40) + nth);
         c.hear()["result"].is_object()
     }));
-    put(&g, &told, &first);
+    put(&g, &config, &first);
     let answers = Answers::default();
     let classes = ["lookup", "report", "load"];
     let load: Vec<_> = (0..3u64)
@@ -166,7 +166,7 @@
         .collect();
     for turn in 0..8 {
         thread::sleep(Duration::from_millis(150));
-        put(&g, &told, if turn % 2 == 0 { &second } else { &first });
+        put(&g, &config, if turn % 2 == 0 { &second } else { &first });
         if turn % 3 == 0 {
             // Two in a row, the second with the same file.
             g.signal("-HUP");
@@ -206,11 +206,11 @@
 fn a_bad_file_leaves_the_old_settings_whole_and_says_which_field() {
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
-    let (g, lines) = logged("bad", &told, name_answer, None);
+    let (config, name_answer) = config(2, json!([class("lookup"), class("report")]), &[("e1", at)]);
+    let (g, lines) = logged("bad", &config, name_answer, None);
     let mut c = Client::of(&g);
     let said = |what: &str| soon(|| lines.lock().unwrap().iter().any(|l| l.contains(what)));
-    let good = other(&told["settings"]);
+    let good = other(&config["settings"]);
     let spoil = |path: &str, to: Value| {
         let mut s = good.clone();
         *s.pointer_mut(path).unwrap() = to;
@@ -248,21 +248,21 @@
         ),
         (no_rest, "guarantees.settle_after_doubt_ns is missing"),
     ] {
-        put(&g, &told, &settings);
+        put(&g, &config, &settings);
         assert!(said(field), "{field}: {:?}", lines.lock().unwrap());
         c.ask_in("report", 1);
         assert_eq!(c.rows().0, 1, "{field}");
     }
     assert_eq!(count(&lines, "new settings hold"), 0);
-    put(&g, &told, &good);
+    put(&g, &config, &good);
     assert!(said("new settings hold"));
     c.ask_in("load", 2);
     assert_eq!(c.rows().0, 2);
-    put(&g, &told, &told["settings"]);
+    put(&g, &config, &config["settings"]);
     assert!(soon(|| count(&lines, "new settings hold") == 2));
     c.ask_in("load", 3);
     assert_eq!(c.hear()["error"]["code"], -32014, "out of service again");
-    put(&g, &told, &told["settings"]);
+    put(&g, &config, &config["settings"]);
     c.ask_in("lookup", 4);
     assert_eq!(c.rows().0, 4);
     assert_eq!(count(&lines, "new settings hold"), 2);
@@ -276,17 +276,17 @@
         (done(line, "x\ty\tz\n"), false)
     });
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(1, json!([class]), &[("e1", at)]);
-    let (g, lines) = logged("carriage", &told, name_answer, None);
+    let (config, name_answer) = config(1, json!([class]), &[("e1", at)]);
+    let (g, lines) = logged("carriage", &config, name_answer, None);
     let mut c = Client::of(&g);
-    let mut s = told["settings"].clone();
+    let mut s = config["settings"].clone();
     s["policy_limits"]["max_open"] = json!(1);
-    put(&g, &told, &s);
+    put(&g, &config, &s);
     assert!(soon(|| count(&lines, "new settings hold") == 1));
     (1..3).for_each(|call| c.ask(call));
     assert_eq!(c.hear()["error"]["code"], -32014, "one may be open");
     assert_eq!(c.rows().0, 1);
-    put(&g, &told, &told["settings"]);
+    put(&g, &config, &config["settings"]);
     assert!(soon(|| count(&lines, "new settings hold") == 2));
     (3..5).for_each(|call| c.ask(call));
     assert_eq!([c.rows().0, c.rows().0], [3, 4]);
@@ -297,11 +297,11 @@
     // Against a commit and a file that contradict each other.
     let (at, _) = engine(|line, _| (done(line, "x\ty\tz\n"), false));
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(1, json!([class("lookup"), class("report")]), &[("e1", at)]);
+    let (config, name_answer) = config(1, json!([class("lookup"), class("report")]), &[("e1", at)]);
     let operator = json!({"management": {"listen": own_address().to_string()}});
-    let (g, lines) = logged("managed-switch", &told, name_answer, Some(operator));
+    let (g, lines) = logged("managed-switch", &config, name_answer, Some(operator));
     let mut c = Client::of(&g);
-    put(&g, &told, &other(&told["settings"]));
+    put(&g, &config, &other(&config["settings"]));
     assert!(soon(|| count(&lines, "settings come by management") == 1
         && count(&lines, "name service has moved") == 1));
     c.ask_in("load", 1);
@@ -317,16 +317,16 @@
         .map(|_| engine(|line, _| (done(line, "x\ty\tz\n"), false)))
         .collect();
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (told, name_answer) = told(
+    let (config, name_answer) = config(
         1,
         json!([class]),
         &[("e1", engines[0].0), ("e2", engines[1].0)],
     );
     let cells = json!({"cells": {"names": {"a": 1, "b": 1}, "named_by_clients": true,
         "engines": {"e1": "a", "e2": "b"}, "tenants": {"t1": ["a"], "t2": ["b"]}, "without": {"turn_back": 500}}});
-    let (g, lines) = logged("cells-switch", &told, name_answer, Some(cells));
+    let (g, lines) = logged("cells-switch", &config, name_answer, Some(cells));
     let mut c = Client::of(&g);
-    put(&g, &told, &other(&told["settings"]));
+    put(&g, &config, &other(&config["settings"]));
     assert!(soon(|| count(&lines, "new settings hold") == 1));
     for call in 1..20u64 {
         let tenant = ["t1", "t2"][call as usize % 2];
@@ -357,14 +357,14 @@
         json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0,
             "machine_types_allowed": [kind]}])
     };
-    let (told, name_answer) = told(1, class(0), &[("e1", old)]);
-    let (g, _lines) = logged("list-switch", &told, name_answer, None);
+    let (config, name_answer) = config(1, class(0), &[("e1", old)]);
+    let (g, _lines) = logged("list-switch", &config, name_answer, None);
     let mut c = Client::of(&g);
-    let mut moved = told.clone();
+    let mut moved = config.clone();
     moved["settings"]["machine_types"] = json!(["new", "m"]);
     moved["settings"]["family_info"]["size_cores"] = json!([4, 16]);
     moved["settings"]["classes"] = class(0);
-    let mut back = told.clone();
+    let mut back = config.clone();
     for (v, rev, name, at, kind) in [
         (&mut moved, 2, "e9", new, "new"),
         (&mut back, 3, "e1", old, "m"),
@@ -375,7 +375,7 @@
     }
     let mut call = 0;
     for (file, want) in [
-        (&told, b"old\t\t\n"),
+        (&config, b"old\t\t\n"),
         (&moved, b"new\t\t\n"),
         (&back, b"old\t\t\n"),
     ] {
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -1,7 +1,7 @@
 //! An independent judge of the module and of what a running gateway gives and refuses: yanglint, which `.ci/run`
 //! installs. Without it these tests are left out.
 
-use ironstair_test_cluster::stand as common;
+use ironstair_test_cluster::stub as common;
 mod managed;
 
 use common::*;
--- a/crates/gnmi/src/follow.rs
+++ b/crates/gnmi/src/follow.rs
@@ -85,7 +85,7 @@
 
 /// What is sent for one mark.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct PathUpdate {
     pub at: Path,
     pub deleted: bool,
     /// All of it at once or nothing: it replaces what stood there.
@@ -232,8 +232,8 @@
     }
 
     /// What to send next, for about so many leaves.
-    pub fn take(&mut self, now: Ms, most: usize) -> Vec<Told> {
-        let (mut told, mut leaves) = (Vec::new(), 0);
+    pub fn take(&mut self, now: Ms, most: usize) -> Vec<PathUpdate> {
+        let (mut path_updates, mut leaves) = (Vec::new(), 0);
         while let Some(at) = if leaves < most {
             self.order.pop_front()
         } else {
@@ -250,7 +250,7 @@
             // An entry, not a leaf that stands as high.
             let atomic = at.0.len() == 2 && updates.first().is_some_and(|u| u.0 != at);
             let deleted = updates.is_empty();
-            told.push(Told {
+            path_updates.push(PathUpdate {
                 at,
                 deleted,
                 atomic,
@@ -258,9 +258,9 @@
                 duplicates,
             });
         }
-        self.taken |= !told.is_empty();
+        self.taken |= !path_updates.is_empty();
         self.await_reader(now);
-        told
+        path_updates
     }
 
     fn await_reader(&mut self, now: Ms) {
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -1,6 +1,8 @@
 //! Subscriptions: each stream is a task that follows the tree and hands on what its reader has room for.
 
-use crate::follow::{Cut, Follow, Mode, Subscription, Told, SAMPLE_LEAST, SAMPLE_MOST, SILENCE};
+use crate::follow::{
+    Cut, Follow, Mode, PathUpdate, Subscription, SAMPLE_LEAST, SAMPLE_MOST, SILENCE,
+};
 use crate::proto::gnmi::{
     self, subscribe_request::Request as Asked, subscribe_response::Response as Sent,
 };
@@ -55,15 +57,15 @@
     // One message waits: what comes later is told by the newest tree.
     let (to, messages) = mpsc::channel(1);
     let end = End::default();
-    let told = end.clone();
+    let path_updates = end.clone();
     tokio::spawn(async move {
         let Some(_room) = service.room() else {
             let full = Status::resource_exhausted("as many streams are open as there may be");
-            *told.lock().unwrap_or_else(PoisonError::into_inner) = Some(full);
+            *path_updates.lock().unwrap_or_else(PoisonError::into_inner) = Some(full);
             return;
         };
         if let Err(status) = run(&service, &mut asked, &to).await {
-            *told.lock().unwrap_or_else(PoisonError::into_inner) = Some(status);
+            *path_updates.lock().unwrap_or_else(PoisonError::into_inner) = Some(status);
         }
     });
     Answers { messages, end }
@@ -281,14 +283,14 @@
     }
 
     /// Atomic ones each by themselves, the others together.
-    fn messages(&self, at: Ms, told: Vec<Told>) -> Vec<SubscribeResponse> {
+    fn messages(&self, at: Ms, path_updates: Vec<PathUpdate>) -> Vec<SubscribeResponse> {
         let (mut messages, timestamp) = (Vec::new(), nanos(at));
         let mut rest = gnmi::Notification {
             timestamp,
             prefix: self.prefix(None),
             ..Default::default()
         };
-        for t in told {
+        for t in path_updates {
             if t.deleted {
                 rest.delete.push(words::path(&t.at));
             }
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use ironstair_data_tree::leaves::select;
 use ironstair_data_tree::{Leaves, Path, Pattern, Schema, Value};
-use ironstair_gnmi::follow::{Cut, Follow, Mode, Subscription, Told, MARKS_MOST, SILENCE};
+use ironstair_gnmi::follow::{Cut, Follow, Mode, PathUpdate, Subscription, MARKS_MOST, SILENCE};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
 struct Reader(BTreeMap<Path, Value>);
 
 impl Reader {
-    fn takes(&mut self, told: Vec<Told>) {
-        for t in told {
+    fn takes(&mut self, path_updates: Vec<PathUpdate>) {
+        for t in path_updates {
             if t.deleted || t.atomic {
                 self.0.retain(|p, _| !p.starts_with(&t.at));
             }
@@ -149,9 +149,13 @@
         tree.insert(leaf.clone(), Value::Uint(n));
         f.look(n as f64, &tree).unwrap();
     }
-    let told = f.take(6.0, 9);
+    let path_updates = f.take(6.0, 9);
     assert_eq!(
-        (told.len(), told[0].duplicates, &told[0].updates[..]),
+        (
+            path_updates.len(),
+            path_updates[0].duplicates,
+            &path_updates[0].updates[..]
+        ),
         (1, 4, &[(leaf, Value::Uint(5))][..])
     );
     assert!(f.take(7.0, 9).is_empty());
@@ -170,9 +174,13 @@
     f.take(0.0, 99);
     tree.insert(path("/state/revision[number=1]/who"), Value::Uint(9));
     f.look(1.0, &tree).unwrap();
-    let told = f.take(1.0, 99);
+    let path_updates = f.take(1.0, 99);
     assert_eq!(
-        (told.len(), told[0].atomic, told[0].updates.len()),
+        (
+            path_updates.len(),
+            path_updates[0].atomic,
+            path_updates[0].updates.len()
+        ),
         (1, true, 3)
     );
 }
@@ -182,8 +190,8 @@
     // Against an update with an empty path, which a prefix alone would name.
     let mut tree = Leaves::new();
     tree.insert(path("/settings/advice"), Value::Uint(1));
-    let told = follows("/settings", Mode::OnChange, &tree).take(0.0, 9);
-    assert_eq!((told.len(), told[0].atomic), (1, false));
+    let path_updates = follows("/settings", Mode::OnChange, &tree).take(0.0, 9);
+    assert_eq!((path_updates.len(), path_updates[0].atomic), (1, false));
 }
 
 #[test]
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -9,7 +9,7 @@
 use ironstair_config_change::{Cells, Document, Frame};
 use ironstair_data_tree::{Leaves, Schema};
 use ironstair_runtime::number;
-use ironstair_runtime::window::Told;
+use ironstair_runtime::window::ClassSummary;
 use std::path::Path;
 
 /// All that the manager begins with.
@@ -130,7 +130,7 @@
         cell_directory(self.ledger.running())
     }
 
-    pub fn classes(&self) -> (Vec<Told>, Ms) {
+    pub fn classes(&self) -> (Vec<ClassSummary>, Ms) {
         classes(&self.roll, self.ledger.running(), &self.policy_config())
     }
 }
@@ -144,12 +144,16 @@
 }
 
 /// The classes by index, and the longest hard limit.
-pub fn classes(roll: &Roll, document: &Document, policy_config: &PolicyConfig) -> (Vec<Told>, Ms) {
+pub fn classes(
+    roll: &Roll,
+    document: &Document,
+    policy_config: &PolicyConfig,
+) -> (Vec<ClassSummary>, Ms) {
     let told = roll
         .0
         .iter()
         .zip(&policy_config.classes)
-        .map(|(slot, terms)| Told {
+        .map(|(slot, terms)| ClassSummary {
             name: slot.name.clone(),
             expected: terms.expected,
             in_service: !terms.closed,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use window::{ManagementCommand, Told};
+use window::{ClassSummary, ManagementCommand};
 
 /// A request's id as its client wrote it.
 pub type Id = [u8; 16];
@@ -144,7 +144,7 @@
     pub clock: Clock,
     pub pool: Rc<Pool>,
     /// The classes by the module's index; replaced whole when they are amended.
-    pub classes: RefCell<Rc<Vec<Told>>>,
+    pub classes: RefCell<Rc<Vec<ClassSummary>>>,
     /// The longest hard limit.
     pub longest: Cell<Ms>,
     /// Replaced whole when a file brings other figures.
@@ -178,7 +178,7 @@
 }
 
 impl Shared {
-    pub fn classes(&self) -> Rc<Vec<Told>> {
+    pub fn classes(&self) -> Rc<Vec<ClassSummary>> {
         self.classes.borrow().clone()
     }
 
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -24,7 +24,7 @@
 pub struct Amendment {
     pub policy_config: PolicyConfig,
     /// By the module's index; those out of service too.
-    pub classes: Vec<Told>,
+    pub classes: Vec<ClassSummary>,
     /// The longest hard limit.
     pub longest: Ms,
     /// None leaves them as they are.
@@ -37,7 +37,7 @@
 
 /// What the carrying needs of a class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ClassSummary {
     pub name: String,
     pub expected: Ms,
     pub in_service: bool,
--- a/crates/test-cluster/src/rig.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,9 +1,9 @@
 //! Gateways of one fleet as processes: each with its files, its links to the voters and its engines' addresses, so
 //! that an engine knows from which gateway an attempt came.
 
+use crate::invariants::{breaches, Breach, RequestLog, Seen, What};
 use crate::link::{Link, Way};
-use crate::oracle::{breaches, Book, Breach, Seen, What};
-use crate::stand::{self, binary, done, engine, own_address, Client};
+use crate::stub::{self, binary, done, engine, own_address, Client};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -72,8 +72,8 @@
     pub err: String,
 }
 
-pub struct Rig {
-    pub book: Book,
+pub struct Cluster {
+    pub request_log: RequestLog,
     dir: PathBuf,
     gates: Vec<Gate>,
     loads: Vec<Load>,
@@ -94,41 +94,41 @@
     format!("g{}", gateway + 1)
 }
 
-impl Rig {
+impl Cluster {
     /// The fleet's processes, serving, its history begun and every gateway holding it.
-    pub fn started(test: &str, plan: &Plan) -> Rig {
-        let mut rig = Rig::laid_out(test, plan);
-        (0..plan.gateways).for_each(|g| rig.start(g));
-        rig.begin();
-        rig
+    pub fn started(test: &str, plan: &Plan) -> Cluster {
+        let mut cluster = Cluster::laid_out(test, plan);
+        (0..plan.gateways).for_each(|g| cluster.start(g));
+        cluster.begin();
+        cluster
     }
 
     /// Files, links and engines; no process yet.
-    pub fn laid_out(test: &str, plan: &Plan) -> Rig {
+    pub fn laid_out(test: &str, plan: &Plan) -> Cluster {
         let dir = std::env::temp_dir().join(format!(
             "ironstair-test-cluster-{test}-{}",
             std::process::id()
         ));
         let _ = fs::remove_dir_all(&dir);
-        let book = Book::default();
+        let request_log = RequestLog::default();
         let listens: Vec<SocketAddr> = (0..plan.gateways).map(|_| own_address()).collect();
         let on = |at: SocketAddr, nth: u16| SocketAddr::new(at.ip(), at.port() + nth);
         let gates = (0..plan.gateways).map(|g| {
             let dir = dir.join(name(g));
             fs::create_dir_all(&dir).expect("a folder");
-            let engines: Vec<SocketAddr> = (0..2).map(|e| engine_for(&book, g, e, plan.takes_ms)).collect();
+            let engines: Vec<SocketAddr> = (0..2).map(|e| engine_for(&request_log, g, e, plan.takes_ms)).collect();
             let listed = [("e1", engines[0]), ("e2", engines[1])];
             let class = |name: &str, semantics: &str| {
                 json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
             };
             let classes = json!([class(CLASSES[0], "pure"), class(CLASSES[1], "side_effect")]);
-            let (mut told, _) = stand::told(plan.gateways as u32, classes, &listed);
-            told["name"] = json!(name(g));
-            told["listen"] = json!(listens[g].to_string());
-            told["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(g as u64 + 1)));
+            let (mut config, _) = stub::config(plan.gateways as u32, classes, &listed);
+            config["name"] = json!(name(g));
+            config["listen"] = json!(listens[g].to_string());
+            config["seed"] = json!(format!("{:016x}", 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(g as u64 + 1)));
             // Two zones: which policy a gateway goes by is seen from where it sends.
-            told["settings"]["dcs"] = json!(["a", "b"]);
-            told["known"]["notices"][0]["pool"]["instances"][1]["zone"] = json!("b");
+            config["settings"]["dcs"] = json!(["a", "b"]);
+            config["known"]["notices"][0]["pool"]["instances"][1]["zone"] = json!("b");
             let others = (0..VOTERS).filter(|k| *k != g);
             let links: BTreeMap<usize, Link> = others.map(|k| (k, Link::to(on(listens[k], 2)))).collect();
             let reached = |k: usize| links.get(&k).map_or(on(listens[k], 2), |l| l.at).to_string();
@@ -144,17 +144,17 @@
             let management = on(listens[g], 1);
             let mut operator = json!({"management": {"listen": management.to_string()}, "fleet": fleet});
             if let Some(edit) = plan.edit {
-                edit(g, &mut told, &mut operator);
+                edit(g, &mut config, &mut operator);
             }
-            fs::write(dir.join("told.json"), told.to_string()).expect("a file");
+            fs::write(dir.join("told.json"), config.to_string()).expect("a file");
             fs::write(dir.join("operator.json"), operator.to_string()).expect("a file");
             let of_it = |w: &&(Option<usize>, &'static str)| w.0.is_none_or(|of| of == g);
             let without = plan.without.iter().filter(of_it).map(|w| w.1).collect();
             Gate { process: None, stopped: false, dir, at: listens[g], management, without, links }
         });
         let gates = gates.collect();
-        Rig {
-            book,
+        Cluster {
+            request_log,
             dir,
             gates,
             loads: Vec::new(),
@@ -232,7 +232,7 @@
         client.try_say(r#"{"jsonrpc":"2.0","id":1,"method":"check","params":{}}"#)
             && client
                 .try_hear()
-                .is_some_and(|told| told["result"]["fit"] == json!(true))
+                .is_some_and(|config| config["result"]["fit"] == json!(true))
     }
 
     fn command(&self, g: usize, before: &[&str], after: &[&str]) -> Said {
@@ -305,15 +305,15 @@
     /// The revision that a gateway holds, where it is fit.
     pub fn revision(&self, g: usize) -> Option<u64> {
         let said = self.cli(g, &["get", "/state/fleet/revision", "--json"]);
-        let told: Value = serde_json::from_str(&said.out).ok()?;
-        told[0]["value"].as_str()?.parse().ok()
+        let config: Value = serde_json::from_str(&said.out).ok()?;
+        config[0]["value"].as_str()?.parse().ok()
     }
 
     /// What a gateway is set to, as JSON.
     pub fn setting(&self, g: usize, path: &str) -> Value {
         let said = self.cli(g, &["get", path, "--json"]);
-        let told: Value = serde_json::from_str(&said.out).unwrap_or_default();
-        told[0]["value"].clone()
+        let config: Value = serde_json::from_str(&said.out).unwrap_or_default();
+        config[0]["value"].clone()
     }
 
     /// Has the fleet bar the engine of zone b to the class, asked at that gateway: from the answer on, nobody that
@@ -321,11 +321,11 @@
     pub fn bar_meanwhile(&self, g: usize, class: &'static str) -> JoinHandle<Said> {
         let path = format!("/settings/band[name={class}]/zone");
         let asked = self.cli_meanwhile(g, &["set", &path, r#"["a"]"#, "--fleet"]);
-        let book = self.book.clone();
+        let request_log = self.request_log.clone();
         thread::spawn(move || {
             let said = asked.join().expect("a command");
             if said.code == 0 {
-                book.note(Seen::Barred { engine: 1, class });
+                request_log.note(Seen::Barred { engine: 1, class });
             }
             said
         })
@@ -339,14 +339,14 @@
     pub fn free_meanwhile(&self, g: usize, class: &'static str) -> JoinHandle<Said> {
         let path = format!("/settings/band[name={class}]/zone");
         // From when it is asked for: any gateway may hold it before the last has answered.
-        self.book.note(Seen::Free { engine: 1, class });
+        self.request_log.note(Seen::Free { engine: 1, class });
         self.cli_meanwhile(g, &["set", &path, "--delete", "--fleet"])
     }
 
     /// SIGKILL.
     pub fn kill(&mut self, g: usize) {
         if let Some(mut process) = self.gates[g].process.take() {
-            self.book.note(Seen::Killed { gateway: g });
+            self.request_log.note(Seen::Killed { gateway: g });
             let _ = process.kill();
             let _ = process.wait();
         }
@@ -475,7 +475,7 @@
         let first = ROUND * self.rounds;
         self.rounds += 1;
         for g in 0..self.gates.len() {
-            let load = Load::of(self.gates[g].at, g, first, self.book.clone());
+            let load = Load::of(self.gates[g].at, g, first, self.request_log.clone());
             self.loads.push(load);
         }
     }
@@ -501,17 +501,17 @@
 
     /// So many more answers of that kind, from now on.
     pub fn until_answers(&self, what: What, more: usize) {
-        let had = self.book.answers().get(&what).copied().unwrap_or(0);
+        let had = self.request_log.answers().get(&what).copied().unwrap_or(0);
         until(&format!("{more} more {what:?}"), || {
-            self.book.answers().get(&what).copied().unwrap_or(0) >= had + more
+            self.request_log.answers().get(&what).copied().unwrap_or(0) >= had + more
         });
     }
 
     /// The same of one gateway's client.
     pub fn until_answers_of(&self, g: usize, what: What, more: usize) {
-        let had = self.book.answers_of(g, what);
+        let had = self.request_log.answers_of(g, what);
         until(&format!("{more} more {what:?} of {}", name(g)), || {
-            self.book.answers_of(g, what) >= had + more
+            self.request_log.answers_of(g, what) >= had + more
         });
     }
 
@@ -529,14 +529,14 @@
     /// Clients ask no more, all is answered, and nothing is broken.
     pub fn over(&mut self) -> BTreeMap<What, usize> {
         let found = self.end_of_load();
-        let told: Vec<String> = found.iter().take(8).map(Breach::to_string).collect();
+        let config: Vec<String> = found.iter().take(8).map(Breach::to_string).collect();
         assert!(
             found.is_empty(),
             "{} breaches: {}",
             found.len(),
-            told.join("; ")
+            config.join("; ")
         );
-        self.book.answers()
+        self.request_log.answers()
     }
 
     /// The same, with what is broken.
@@ -545,11 +545,11 @@
         for load in self.loads.drain(..) {
             let _ = load.thread.join();
         }
-        breaches(&self.book.lines(), &ONCE)
+        breaches(&self.request_log.lines(), &ONCE)
     }
 }
 
-impl Drop for Rig {
+impl Drop for Cluster {
     fn drop(&mut self) {
         self.loads.iter().for_each(|l| l.over.store(true, Relaxed));
         (0..self.gates.len()).for_each(|g| self.kill(g));
@@ -590,8 +590,8 @@
 }
 
 /// One engine as one gateway reaches it.
-fn engine_for(book: &Book, gateway: usize, nth: usize, takes_ms: u64) -> SocketAddr {
-    let book = book.clone();
+fn engine_for(request_log: &RequestLog, gateway: usize, nth: usize, takes_ms: u64) -> SocketAddr {
+    let request_log = request_log.clone();
     let (at, _) = engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
@@ -601,8 +601,8 @@
             .nth(1)
             .and_then(|r| r.split([',', ' ']).next())
             .unwrap_or_default();
-        let id = stand::id(line).to_string();
-        book.note(Seen::Attempt {
+        let id = stub::id(line).to_string();
+        request_log.note(Seen::Attempt {
             gateway,
             engine: nth,
             id,
@@ -630,7 +630,7 @@
 }
 
 impl Load {
-    fn of(at: SocketAddr, client: usize, first: usize, book: Book) -> Load {
+    fn of(at: SocketAddr, client: usize, first: usize, request_log: RequestLog) -> Load {
         let (over, paused, open): (Arc<AtomicBool>, Arc<AtomicBool>, Arc<AtomicUsize>) =
             Default::default();
         let (o, p, n) = (over.clone(), paused.clone(), open.clone());
@@ -643,9 +643,9 @@
                     thread::sleep(EVERY);
                     continue;
                 };
-                ask(stream, client, connection, &book, &o, &p, &n);
+                ask(stream, client, connection, &request_log, &o, &p, &n);
                 n.store(0, Relaxed);
-                book.note(Seen::Closed { client, connection });
+                request_log.note(Seen::Closed { client, connection });
             }
         });
         Load {
@@ -662,7 +662,7 @@
     stream: TcpStream,
     client: usize,
     connection: usize,
-    book: &Book,
+    request_log: &RequestLog,
     over: &AtomicBool,
     paused: &AtomicBool,
     open: &AtomicUsize,
@@ -679,7 +679,7 @@
             // Ids differ among clients and connections.
             let call = (client as u64 + 1) << 48 | (connection as u64) << 32 | asked;
             open.fetch_add(1, Relaxed);
-            book.note(Seen::Asked {
+            request_log.note(Seen::Asked {
                 client,
                 connection,
                 call,
@@ -705,15 +705,15 @@
             thread::sleep(EVERY);
             continue;
         }
-        let Some(told) = c.try_hear() else { return };
-        let what = match told["error"]["code"].as_i64() {
+        let Some(config) = c.try_hear() else { return };
+        let what = match config["error"]["code"].as_i64() {
             None => What::Settled,
-            Some(code) if code == stand::REJECTED => What::Rejected,
-            Some(code) if code == stand::FAILED => What::Failed,
+            Some(code) if code == stub::REJECTED => What::Rejected,
+            Some(code) if code == stub::FAILED => What::Failed,
             Some(_) => What::Refused,
         };
-        let call = told["id"].as_u64().unwrap_or(0);
-        book.note(Seen::Answered {
+        let call = config["id"].as_u64().unwrap_or(0);
+        request_log.note(Seen::Answered {
             client,
             connection,
             call,
--- a/crates/test-cluster/src/oracle.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -84,21 +84,21 @@
 
 /// What is seen, by many threads.
 #[derive(Clone)]
-pub struct Book {
+pub struct RequestLog {
     since: Instant,
     lines: Arc<Mutex<Vec<(f64, Seen)>>>,
 }
 
-impl Default for Book {
+impl Default for RequestLog {
     fn default() -> Self {
-        Book {
+        RequestLog {
             since: Instant::now(),
             lines: Arc::default(),
         }
     }
 }
 
-impl Book {
+impl RequestLog {
     pub fn now(&self) -> f64 {
         self.since.elapsed().as_secs_f64() * 1000.0
     }
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -1,6 +1,6 @@
 //! A run of faults drawn from a seed: the same seed plays the same schedule.
 
-use crate::rig::{name, until, Rig, Said, CLASSES};
+use crate::cluster::{name, until, Cluster, Said, CLASSES};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
@@ -80,12 +80,12 @@
     (0..STEPS).map(step).collect()
 }
 
-fn ask(rig: &Rig, at: usize, ask: Ask) -> Option<JoinHandle<Said>> {
+fn ask(cluster: &Cluster, at: usize, ask: Ask) -> Option<JoinHandle<Said>> {
     match ask {
         Ask::Nothing => None,
-        Ask::Bar(class) => Some(rig.bar_meanwhile(at, class)),
-        Ask::Free(class) => Some(rig.free_meanwhile(at, class)),
-        Ask::MaxAttempts(n) => Some(rig.cli_meanwhile(
+        Ask::Bar(class) => Some(cluster.bar_meanwhile(at, class)),
+        Ask::Free(class) => Some(cluster.free_meanwhile(at, class)),
+        Ask::MaxAttempts(n) => Some(cluster.cli_meanwhile(
             at,
             &["set", "/settings/forwards-most", &n.to_string(), "--fleet"],
         )),
@@ -93,89 +93,90 @@
 }
 
 /// Plays a schedule under load; how many of the changes asked for were made. What it breaks ends it.
-pub fn play(rig: &mut Rig, steps: &[Step]) -> usize {
+pub fn play(cluster: &mut Cluster, steps: &[Step]) -> usize {
     let (mut made, mut lost) = (0, None);
     for step in steps {
-        let (lasts, asks) = (Duration::from_millis(step.lasts), |rig: &Rig| {
-            ask(rig, step.at, step.ask)
+        let (lasts, asks) = (Duration::from_millis(step.lasts), |cluster: &Cluster| {
+            ask(cluster, step.at, step.ask)
         });
         // Half of it lies before what is asked, half after.
-        let meanwhile = |rig: &Rig| {
+        let meanwhile = |cluster: &Cluster| {
             thread::sleep(lasts / 2);
-            let asked = asks(rig);
+            let asked = asks(cluster);
             thread::sleep(lasts / 2);
             asked
         };
         let asked = match &step.fault {
             Fault::Kill(g) => {
-                rig.kill(*g);
-                let asked = meanwhile(rig);
-                rig.start(*g);
+                cluster.kill(*g);
+                let asked = meanwhile(cluster);
+                cluster.start(*g);
                 asked
             }
             Fault::Stop(g) => {
                 // What was about to be written when it is stopped is written later, and not promised.
-                rig.quiet(*g);
-                rig.stop(*g);
-                rig.queue_at(*g);
-                let asked = meanwhile(rig);
-                rig.go_on(*g);
+                cluster.quiet(*g);
+                cluster.stop(*g);
+                cluster.queue_at(*g);
+                let asked = meanwhile(cluster);
+                cluster.go_on(*g);
                 asked
             }
             Fault::CutOff(g, sends, hears) => {
-                rig.cut_off(*g, *sends, *hears);
-                meanwhile(rig)
+                cluster.cut_off(*g, *sends, *hears);
+                meanwhile(cluster)
             }
             Fault::Slow(g, ms) => {
-                rig.slow(*g, *ms);
-                meanwhile(rig)
+                cluster.slow(*g, *ms);
+                meanwhile(cluster)
             }
             Fault::Wipe(k) => {
                 // A further disk, lost before the last one's voter has a vote again, is one too many.
-                let votes =
-                    |rig: &Rig, k: usize| rig.log(k).matches("this keeper has a vote").count();
+                let votes = |cluster: &Cluster, k: usize| {
+                    cluster.log(k).matches("this keeper has a vote").count()
+                };
                 until("the keeper whose disk was lost has a vote", || {
-                    lost.is_none_or(|(lost, before)| votes(rig, lost) > before)
+                    lost.is_none_or(|(lost, before)| votes(cluster, lost) > before)
                 });
                 until("no keeper is being replaced", || {
                     let at = (0..VOTERS as usize).find(|o| o != k).unwrap_or(0);
-                    let shown = rig.shown(at);
+                    let shown = cluster.shown(at);
                     shown["joining"] == json!([]) && shown["replacing"] == json!(false)
                 });
-                lost = Some((*k, votes(rig, *k)));
-                rig.kill(*k);
-                rig.wipe(*k);
-                let asked = meanwhile(rig);
-                rig.start(*k);
+                lost = Some((*k, votes(cluster, *k)));
+                cluster.kill(*k);
+                cluster.wipe(*k);
+                let asked = meanwhile(cluster);
+                cluster.start(*k);
                 asked
             }
             Fault::KillVoters => {
-                (0..VOTERS as usize).for_each(|k| rig.kill(k));
-                let asked = meanwhile(rig);
-                (0..VOTERS as usize).for_each(|k| rig.start(k));
+                (0..VOTERS as usize).for_each(|k| cluster.kill(k));
+                let asked = meanwhile(cluster);
+                (0..VOTERS as usize).for_each(|k| cluster.start(k));
                 asked
             }
         };
-        rig.heal();
+        cluster.heal();
         made += asked.is_some_and(|a| a.join().is_ok_and(|s| s.code == 0)) as usize;
     }
-    settled(rig);
+    settled(cluster);
     made
 }
 
 /// All of it has healed: one policy at every gateway, and every gateway serves.
-fn settled(rig: &mut Rig) {
+fn settled(cluster: &mut Cluster) {
     until("no change is under way", || {
-        let shown = rig.shown(3);
+        let shown = cluster.shown(3);
         shown["revision"].is_u64() && shown["change"].is_null()
     });
-    let revision = rig.shown(3)["revision"].as_u64();
+    let revision = cluster.shown(3)["revision"].as_u64();
     for g in 0..GATEWAYS as usize {
         until(&format!("{} holds revision {revision:?}", name(g)), || {
-            rig.revision(g) == revision && rig.fit(g)
+            cluster.revision(g) == revision && cluster.fit(g)
         });
     }
-    let of = |g: usize| -> Vec<Value> { SETTINGS.iter().map(|s| rig.setting(g, s)).collect() };
+    let of = |g: usize| -> Vec<Value> { SETTINGS.iter().map(|s| cluster.setting(g, s)).collect() };
     let first = of(0);
     (1..GATEWAYS as usize).for_each(|g| assert_eq!(of(g), first, "{} and {}", name(g), name(0)));
 }
--- a/crates/test-cluster/src/stand.rs
+++ b/crates/test-cluster/src/stub.rs
@@ -1,4 +1,4 @@
-//! The built gateway between stand-ins on loopback: clients, engines, a name service. What goes wrong here ends the
+//! The built gateway between stubs on loopback: clients, engines, a name service. What goes wrong here ends the
 //! test that asked for it.
 
 use serde_json::{json, Value};
@@ -249,12 +249,12 @@
 pub fn gateway_among(gateways: u32, test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let classes = json!([class("lookup"), class("report")]);
-    let (told, name_answer) = told(gateways, classes, engines);
-    started(test, told, name_answer, None)
+    let (config, name_answer) = config(gateways, classes, engines);
+    started(test, config, name_answer, None)
 }
 
 /// What a gateway is told, and the list that its name service tells.
-pub fn told(
+pub fn config(
     gateways: u32,
     classes: Value,
     engines: &[(&str, SocketAddr)],
@@ -267,7 +267,7 @@
     let threads: Vec<u32> = (0..classes.as_array().unwrap().len())
         .map(|i| 1 + 3 * (i % 2) as u32)
         .collect();
-    let told = json!({"name": "n0", "listen": own_address().to_string(), "seed": "8c1f30d27a5be964",
+    let config = json!({"name": "n0", "listen": own_address().to_string(), "seed": "8c1f30d27a5be964",
     "names": names.to_string(),
     "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"reset": true, "instances": known.collect::<Vec<_>>()}}]},
     "settings": {"classes": classes, "fleet_size": gateways, "machine_types": ["m"],
@@ -278,7 +278,7 @@
         "report": {"fields": ["concurrent", "load_share"]},
         "policy_limits": {"max_attempts": 6, "may_cancel": true, "probes": true, "connect_timeout_ns": 250e6,
             "keepalive_ns": 30e9, "multiplex": 32}}});
-    (told, name_answer)
+    (config, name_answer)
 }
 
 pub type NameServiceAnswer = Arc<Mutex<Vec<u8>>>;
@@ -286,14 +286,14 @@
 /// A gateway told that, with an operator's file or without.
 pub fn started(
     test: &str,
-    told: Value,
+    config: Value,
     name_answer: NameServiceAnswer,
     operator: Option<Value>,
 ) -> Gateway {
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
-    std::fs::write(dir.join("told.json"), told.to_string()).unwrap();
-    let at = told["listen"].as_str().unwrap().parse().unwrap();
+    std::fs::write(dir.join("told.json"), config.to_string()).unwrap();
+    let at = config["listen"].as_str().unwrap().parse().unwrap();
     if let Some(operator) = operator {
         std::fs::write(dir.join("operator.json"), operator.to_string()).unwrap();
     }
@@ -335,8 +335,8 @@
         self.process = serve(&self.dir);
     }
     /// Told anew: the same but for the name service's address.
-    pub fn moves(&self, told: &str, names: SocketAddr) {
-        let mut v: Value = serde_json::from_str(told).unwrap();
+    pub fn moves(&self, config: &str, names: SocketAddr) {
+        let mut v: Value = serde_json::from_str(config).unwrap();
         v["names"] = json!(names.to_string());
         std::fs::write(self.dir.join("told.json"), v.to_string()).unwrap();
         self.signal("-HUP");
