--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -2,11 +2,11 @@
 //! gateway's thread) is waited for by tasks of its own, which post how it ended.
 
 use crate::config::FleetConfig;
+use crate::fault_injection::taken_out;
+use crate::peer::Way;
 use crate::proto::Word;
-use crate::serve::{self, Own};
-use crate::shown;
-use crate::variant::taken_out;
-use crate::way::Way;
+use crate::server::{self, Own};
+use crate::status;
 use ironstair::Ms;
 use ironstair_coordination::history::{anew, first, supersedes};
 use ironstair_coordination::leader::{Command, Refusal};
@@ -16,7 +16,7 @@
     grace, Heartbeat, HeartbeatResponse, Member, RevisionState, RevisionSummary,
 };
 use ironstair_data_tree::state;
-use ironstair_management::fleet::Wanted;
+use ironstair_management::fleet_channel::Wanted;
 use ironstair_management::{ManagementHandle, Refused};
 use ironstair_raft_replica::{Out, Replica, Save, TICK};
 use ironstair_raft_storage::Storage;
@@ -96,7 +96,7 @@
     Known(
         Result<(), String>,
         Json,
-        ironstair_management::fleet::Responder,
+        ironstair_management::fleet_channel::Responder,
     ),
     /// The same before one begins anew: what was found, and by whose word with what.
     KnownAnew(Result<Vec<u64>, String>, Anew),
@@ -109,7 +109,7 @@
 pub struct Anew {
     document: Json,
     who: String,
-    answer: ironstair_management::fleet::Responder,
+    answer: ironstair_management::fleet_channel::Responder,
 }
 
 pub struct Saved {
@@ -163,7 +163,7 @@
     /// # Errors
     /// The address is not free, or the disk can't be used; one sentence.
     pub fn open(config: FleetConfig) -> Result<Opened, String> {
-        let bound = serve::bind(config.listen)?;
+        let bound = server::bind(config.listen)?;
         // Held to the process's end, also where this thread ends before: the gateway's decides by its lease still, and
         // a later process that could listen here would count this one as gone.
         std::mem::forget(
@@ -268,9 +268,9 @@
         let member = member.holding(if taken_out("place") {
             String::new()
         } else {
-            serve::place(config.listen)
+            server::place(config.listen)
         });
-        let serving = serve::serve(bound, own.clone(), post.clone(), log.clone());
+        let serving = server::serve(bound, own.clone(), post.clone(), log.clone());
         let said = log.clone();
         tokio::spawn(async move {
             if let Err(why) = serving.await {
@@ -484,7 +484,7 @@
             members: self
                 .kept
                 .as_ref()
-                .map_or(Vec::new(), |k| shown::members(&k.replica)),
+                .map_or(Vec::new(), |k| status::members(&k.replica)),
         };
         self.shown.send_if_modified(|was| {
             let other = *was != is;
@@ -734,7 +734,7 @@
 
     fn want(&mut self, wanted: Wanted) {
         let now = self.clock.now();
-        let fail = |answer: ironstair_management::fleet::Responder, why: &str| {
+        let fail = |answer: ironstair_management::fleet_channel::Responder, why: &str| {
             drop(answer.send(Err(Refused::Fleet(why.into()))));
         };
         match wanted {
@@ -825,7 +825,7 @@
         &mut self,
         how: Result<(), String>,
         document: Json,
-        answer: ironstair_management::fleet::Responder,
+        answer: ironstair_management::fleet_channel::Responder,
     ) {
         let made = how.and_then(|()| {
             let Some(k) = self.kept.as_mut().filter(|k| k.replica.is_blank()) else {
@@ -852,7 +852,7 @@
         &mut self,
         document: Json,
         who: String,
-        answer: ironstair_management::fleet::Responder,
+        answer: ironstair_management::fleet_channel::Responder,
     ) {
         if self.kept.is_none() {
             let why = "only a keeper begins a history anew".into();
@@ -947,7 +947,7 @@
     }
 
     /// Finds the leader for what an operator asks, and hands on the outcome.
-    fn ask(&mut self, ask: Command<Json>, answer: ironstair_management::fleet::Responder) {
+    fn ask(&mut self, ask: Command<Json>, answer: ironstair_management::fleet_channel::Responder) {
         let (search, own) = (self.search(), self.post.clone());
         let within = self.outcome_within() + OUTCOME_LEAST / 3.0;
         tokio::spawn(async move {
@@ -979,7 +979,7 @@
         let ask = match asked {
             FleetCommand::Command(ask) => ask,
             FleetCommand::Show => {
-                let shown = shown::fleet(now, &self.config.name, &k.replica, leader);
+                let shown = status::fleet(now, &self.config.name, &k.replica, leader);
                 return drop(to.send(CommandResponse::Shown(shown)));
             }
         };
@@ -1040,7 +1040,7 @@
                     continue;
                 }
                 _ if now >= p.until => {
-                    let names = shown::waits_for(now, fleet, sits).join(", ");
+                    let names = status::waits_for(now, fleet, sits).join(", ");
                     let why = format!(
                         "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
                     );
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -8,10 +8,10 @@
 
 pub mod actor;
 pub mod config;
-pub mod serve;
-pub mod shown;
-pub mod variant;
-pub mod way;
+pub mod fault_injection;
+pub mod peer;
+pub mod server;
+pub mod status;
 
 pub use actor::{Actor, Leave, Opened};
 pub use config::FleetConfig;
--- a/crates/fleet-agent/src/serve.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -1,9 +1,9 @@
 //! The listener for other gateways: words are looked over and handed to the actor, whose mailbox is bounded.
 
 use crate::actor::{AgentMessage, FleetCommand, Hint};
+use crate::peer::WORD_MOST;
 use crate::proto::fleet_server::{Fleet, FleetServer};
 use crate::proto::Word;
-use crate::way::WORD_MOST;
 use crate::FORM;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse};
 use serde_json::Value as Json;
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -8,8 +8,8 @@
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
 use ironstair_fleet_agent::actor::{AgentMessage, CommandResponse, FleetCommand, Hint};
 use ironstair_fleet_agent::proto::Word;
-use ironstair_fleet_agent::serve::{bind, serve, Own};
-use ironstair_fleet_agent::shown;
+use ironstair_fleet_agent::server::{bind, serve, Own};
+use ironstair_fleet_agent::status;
 use ironstair_raft_replica::{Out, Replica, TICK};
 use prost::Message;
 use serde_json::{json, Value as Json};
@@ -414,7 +414,7 @@
 
     fn shown(&self) -> String {
         let leader = self.replica.leader().unwrap();
-        serde_json::to_string(&shown::fleet(self.now + 20.0, "a", &self.replica, leader)).unwrap()
+        serde_json::to_string(&status::fleet(self.now + 20.0, "a", &self.replica, leader)).unwrap()
             + "\n"
     }
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,6 +1,6 @@
 //! A client connection's actor: reads requests, writes answers, each way by itself.
 
-use crate::places::Place;
+use crate::connection_limiter::Place;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use base64::engine::general_purpose::STANDARD;
--- a/crates/gateway/src/places.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -221,5 +221,5 @@
 }
 
 #[cfg(test)]
-#[path = "places_tests.rs"]
+#[path = "connection_limiter_tests.rs"]
 mod tests;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The list's actor: asks the name service and tells the module's actor of changes.
 
-use crate::memory::Memory;
+use crate::snapshot_store::Memory;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -721,5 +721,5 @@
 }
 
 #[cfg(test)]
-#[path = "module_tests.rs"]
+#[path = "dispatcher_tests.rs"]
 mod tests;
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,7 +1,7 @@
 //! An engine's actor: the owner of its connections, of the attempts open there with their time-outs, and of
 //! the pages that have come in.
 
-use crate::link::carry;
+use crate::connection::carry;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::Async;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,24 +1,24 @@
 //! `ironstair`: one gateway on sockets. It translates, times and carries; every decision is the module's.
 
+mod cli;
 mod client;
 mod config;
+mod connection;
+mod connection_limiter;
+mod discovery;
+mod dispatcher;
 mod engine;
-mod link;
-mod list;
 mod log;
 mod management;
-mod memory;
-mod module;
-mod operator;
-mod places;
-mod start;
-mod user;
+mod operator_config;
+mod server;
+mod snapshot_store;
 
 use clap::{Parser, Subcommand};
+use cli::Failed;
 use ironstair_gnmi::proto::gnmi_ext::{commit::Action, CommitCancel, CommitConfirm};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use user::Failed;
 
 #[derive(Parser)]
 #[command(
@@ -41,23 +41,23 @@
     /// Prints the YANG module of settings and state
     Yang,
     /// Shows what a gateway is set to and what it knows
-    Get(user::Get),
+    Get(cli::Get),
     /// Changes a gateway's settings while it serves
-    Set(user::Set),
+    Set(cli::Set),
     /// Keeps a change that waits to be confirmed
-    Confirm(user::Trial),
+    Confirm(cli::Trial),
     /// Takes back a change that waits to be confirmed
-    Cancel(user::Trial),
+    Cancel(cli::Trial),
     /// Shows changes as they come
-    Watch(user::Watch),
+    Watch(cli::Watch),
     /// Shows the cells, and who is kept to which
-    Cells(user::Endpoint),
+    Cells(cli::Endpoint),
     /// Moves a tenant to other cells under traffic
-    Move(user::Move),
+    Move(cli::Move),
     /// Shows the last changes of the settings, who made them and what became of them
-    Revisions(user::Revisions),
+    Revisions(cli::Revisions),
     /// Shows the fleet: who is in it, which revision holds, who lacks what; or begins its history
-    Fleet(user::Fleet),
+    Fleet(cli::Fleet),
     /// Prints the version
     Version,
 }
@@ -88,12 +88,15 @@
 }
 
 impl Source {
-    fn operator(&self) -> Result<Option<operator::Operator>, String> {
-        self.operator.as_deref().map(operator::read).transpose()
+    fn operator(&self) -> Result<Option<operator_config::Operator>, String> {
+        self.operator
+            .as_deref()
+            .map(operator_config::read)
+            .transpose()
     }
 }
 
-fn check(from: &Source, operator: Option<operator::Operator>) -> Result<(), String> {
+fn check(from: &Source, operator: Option<operator_config::Operator>) -> Result<(), String> {
     let t = config::read(&from.config)?;
     let (classes, engines) = (t.classes.len(), t.known.len());
     println!(
@@ -124,13 +127,13 @@
     let done = match Line::parse().job {
         Job::Serve(Serve { from, log }) => plain(
             from.operator()
-                .and_then(|operator| start::serve(&from.config, operator, log)),
+                .and_then(|operator| server::serve(&from.config, operator, log)),
         ),
         Job::Check(from) => plain(from.operator().and_then(|operator| check(&from, operator))),
         Job::Schema {
             of: Schema::Operator,
         } => {
-            println!("{}", operator::schema());
+            println!("{}", operator_config::schema());
             Ok(())
         }
         Job::Yang => {
@@ -141,15 +144,15 @@
             println!("ironstair {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Job::Get(g) => user::run(user::get(g)),
-        Job::Set(s) => user::run(user::set(s)),
-        Job::Confirm(t) => user::run(user::trial(t, Action::Confirm(CommitConfirm {}))),
-        Job::Cancel(t) => user::run(user::trial(t, Action::Cancel(CommitCancel {}))),
-        Job::Watch(w) => user::run(user::watch(w)),
-        Job::Cells(l) => user::run(user::cells(l)),
-        Job::Move(m) => user::run(user::move_tenant(m)),
-        Job::Revisions(l) => user::run(user::revisions(l)),
-        Job::Fleet(f) => user::run(user::fleet(f)),
+        Job::Get(g) => cli::run(cli::get(g)),
+        Job::Set(s) => cli::run(cli::set(s)),
+        Job::Confirm(t) => cli::run(cli::trial(t, Action::Confirm(CommitConfirm {}))),
+        Job::Cancel(t) => cli::run(cli::trial(t, Action::Cancel(CommitCancel {}))),
+        Job::Watch(w) => cli::run(cli::watch(w)),
+        Job::Cells(l) => cli::run(cli::cells(l)),
+        Job::Move(m) => cli::run(cli::move_tenant(m)),
+        Job::Revisions(l) => cli::run(cli::revisions(l)),
+        Job::Fleet(f) => cli::run(cli::fleet(f)),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -1,15 +1,15 @@
 //! Management on a thread of its own: a busy reader costs the gateway's thread no more than the view it asks for.
 
 use crate::log::Least;
-use crate::operator::{self, Management, Operator, Tls};
+use crate::operator_config::{self, Management, Operator, Tls};
 use async_channel::{Receiver, Sender};
 use ironstair::Ms;
 use ironstair_fleet_agent::{actor, Actor, Leave};
-use ironstair_gnmi::keys::Files;
 use ironstair_gnmi::roles::Roles;
-use ironstair_gnmi::serve::{self, Keys};
+use ironstair_gnmi::server::{self, Keys};
+use ironstair_gnmi::tls::Files;
 use ironstair_gnmi::Service;
-use ironstair_management::fleet::Fleetward;
+use ironstair_management::fleet_channel::Fleetward;
 use ironstair_management::{Around, Manager, Started};
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::window::{ClassSummary, ManagementCommand, Window};
@@ -51,12 +51,12 @@
     config: &crate::config::GatewayConfig,
     of: &Operator,
 ) -> Result<Opened, String> {
-    let cells = of.cells.as_ref().map(operator::cells);
+    let cells = of.cells.as_ref().map(operator_config::cells);
     let (policy_config, state) = (config.policy_config.clone(), m.state.as_deref());
     let fleet_config = of
         .fleet
         .as_ref()
-        .map(|f| operator::fleet_config(f, &config.name))
+        .map(|f| operator_config::fleet_config(f, &config.name))
         .transpose()?;
     let started = ironstair_management::open(
         policy_config,
@@ -68,7 +68,7 @@
     )?;
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
-    let (bound, streams) = (serve::bind(m.listen)?, m.streams);
+    let (bound, streams) = (server::bind(m.listen)?, m.streams);
     let fleet = fleet_config.map(actor::Opened::open).transpose()?;
     Ok(Opened {
         started,
@@ -99,9 +99,9 @@
 pub fn fits(config: &crate::config::GatewayConfig, of: &Operator) -> Result<(), String> {
     of.fleet
         .as_ref()
-        .map(|f| operator::fleet_config(f, &config.name))
+        .map(|f| operator_config::fleet_config(f, &config.name))
         .transpose()?;
-    let cells = of.cells.as_ref().map(operator::cells);
+    let cells = of.cells.as_ref().map(operator_config::cells);
     ironstair_management::open(
         config.policy_config.clone(),
         &config.classes,
@@ -182,7 +182,7 @@
                     let _ = leaves.send(leave);
                     tokio::spawn(actor.run());
                 }
-                serve::serve(self.bound, service, self.keys, word, log).await
+                server::serve(self.bound, service, self.keys, word, log).await
             })
         };
         let work = move || {
--- a/crates/gateway/src/operator.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -466,5 +466,5 @@
 }
 
 #[cfg(test)]
-#[path = "operator_pinned_tests.rs"]
+#[path = "operator_config_pinned_tests.rs"]
 mod pinned_tests;
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/server.rs
@@ -1,11 +1,11 @@
 //! Start and drain.
 
 use crate::config::{self, GatewayConfig};
-use crate::list::{List, Moved};
-use crate::memory::{self, Memory};
-use crate::module::{decide, Shown};
-use crate::operator::{self, Operator};
-use crate::places::Places;
+use crate::connection_limiter::Places;
+use crate::discovery::{List, Moved};
+use crate::dispatcher::{decide, Shown};
+use crate::operator_config::{self, Operator};
+use crate::snapshot_store::{self, Memory};
 use crate::{client, log, management};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -16,7 +16,7 @@
 use ironstair::logic::Gateway;
 use ironstair::Ms;
 use ironstair_config_change::renewal::Renewal;
-use ironstair_fleet_agent::variant::taken_out;
+use ironstair_fleet_agent::fault_injection::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::{self, Amendment, ManagementCommand};
@@ -176,7 +176,7 @@
     let mut config = config::read(path)?;
     let refused = make_room(config.descriptors);
     let recovery = operator.as_ref().and_then(|o| o.recovery.as_ref());
-    let begun = recovery.map(|r| memory::begin(&r.state, &mut config));
+    let begun = recovery.map(|r| snapshot_store::begin(&r.state, &mut config));
     let file = config.file();
     let management = operator.as_ref().and_then(|o| o.management.as_ref());
     let cells = operator.as_ref().and_then(|o| o.cells.as_ref());
@@ -186,7 +186,7 @@
     };
     let cells = match &management {
         Some(m) => m.cells(),
-        None => cells.map(operator::cell_directory).transpose()?,
+        None => cells.map(operator_config::cell_directory).transpose()?,
     };
     let (log, _guard, level) = log::open(&config.name, form);
     if let Some((wanted, made)) = refused {
@@ -240,7 +240,7 @@
         module: module.clone(),
         executor: executor.clone(),
     });
-    if let Some(memory::Begun { rests, notes, .. }) = &begun {
+    if let Some(snapshot_store::Begun { rests, notes, .. }) = &begun {
         notes
             .iter()
             .for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::or;
 use ironstair::{EndpointState, Ms};
 use ironstair_config_change::Frame;
-use ironstair_fleet_agent::variant::taken_out;
+use ironstair_fleet_agent::fault_injection::taken_out;
 use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
 use ironstair_recovery::{begin as found, Engine, Kept};
 use ironstair_runtime::clock::span;
--- a/crates/gnmi/src/lib.rs
+++ b/crates/gnmi/src/lib.rs
@@ -3,17 +3,17 @@
 //! [`service`] answers Capabilities, Get and Set, [`subscribe`] streams; [`follow`] decides what a subscriber is sent
 //! and when it is cut off, [`masters`] and [`roles`] who may change, all three without input or output.
 
+pub mod arbitration;
+mod codec;
 pub mod follow;
-pub mod keys;
-pub mod masters;
 pub mod roles;
-pub mod serve;
+pub mod server;
 pub mod service;
 pub mod subscribe;
-mod words;
+pub mod tls;
 
+pub use codec::FLEET;
 pub use service::{Service, Who};
-pub use words::FLEET;
 
 /// The messages and the service, from `proto/`.
 pub mod proto {
--- a/crates/gnmi/src/serve.rs
+++ b/crates/gnmi/src/server.rs
@@ -1,8 +1,8 @@
 //! The listener: connections, their bounds, and who is at their other end.
 
-use crate::keys::{names, Files};
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
 use crate::service::{Service, Who};
+use crate::tls::{names, Files};
 use ironstair_runtime::clock::span;
 use rustls::ServerConfig;
 use slog::{info, warn, Logger};
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -1,11 +1,11 @@
 //! The service: what each call asks for is handed to the desk, and its errors come back as gRPC's, each with a
 //! sentence that names the path.
 
-use crate::masters::Masters;
+use crate::arbitration::Masters;
+use crate::codec::{self, Written};
 use crate::proto::gnmi::g_nmi_server::GNmi;
 use crate::proto::gnmi::{self, get_request::DataType, update_result::Operation};
 use crate::proto::gnmi_ext::{commit::Action, extension::Ext, Commit, Extension};
-use crate::words::{self, Written};
 use ironstair::Ms;
 use ironstair_config_change::revisions::{confirm_within, Ask, Refusal};
 use ironstair_data_tree::leaves::{nodes, select};
@@ -61,7 +61,7 @@
         prefix: Option<&gnmi::Path>,
         path: &gnmi::Path,
     ) -> Result<Pattern, Status> {
-        let wanted = words::pattern(prefix, path, &self.name)?;
+        let wanted = codec::pattern(prefix, path, &self.name)?;
         self.management
             .schema()
             .resolve(&wanted)
@@ -160,7 +160,7 @@
         request: Request<gnmi::GetRequest>,
     ) -> Result<Response<gnmi::GetResponse>, Status> {
         let r = request.into_inner();
-        if words::scope(r.prefix.as_ref()) == Scope::Fleet {
+        if codec::scope(r.prefix.as_ref()) == Scope::Fleet {
             // What the leader knows, whole.
             let shown = self.management.show().await.map_err(|why| refused(&why))?;
             let (path, val) = (
@@ -215,15 +215,15 @@
                     .filter(|(path, _)| path.0.first().is_some_and(|s| fits(&s.name)));
                 if written == Written::Scalars {
                     update.extend(below.map(|(path, value)| gnmi::Update {
-                        path: Some(words::path(path)),
-                        val: Some(words::scalar(value)),
+                        path: Some(codec::path(path)),
+                        val: Some(codec::scalar(value)),
                         duplicates: 0,
                     }));
                 } else {
                     let mut below = below.peekable();
                     if below.peek().is_some() {
                         let json = self.management.schema().json(&at, below);
-                        let (path, val) = (Some(words::path(&at)), Some(written.json(&json)));
+                        let (path, val) = (Some(codec::path(&at)), Some(written.json(&json)));
                         update.push(gnmi::Update {
                             path,
                             val,
@@ -275,14 +275,14 @@
             )));
         }
         let r = request.into_inner();
-        let scope = words::scope(r.prefix.as_ref());
-        let prefix = r.prefix.clone().map(words::without_scope);
+        let scope = codec::scope(r.prefix.as_ref());
+        let prefix = r.prefix.clone().map(codec::without_scope);
         let prefix = prefix.as_ref();
         let (commit, master) = extensions(&r.extension)?;
         let begins = r
             .update
             .iter()
-            .find_map(|u| u.path.as_ref().and_then(words::begins));
+            .find_map(|u| u.path.as_ref().and_then(codec::begins));
         if let Some(anew) = begins.filter(|_| scope == Scope::Fleet) {
             self.management
                 .begin(anew, who.name)
@@ -299,7 +299,7 @@
             )));
         }
         let at = |path: Option<&gnmi::Path>| {
-            words::pattern(prefix, path.unwrap_or(&gnmi::Path::default()), &self.name)
+            codec::pattern(prefix, path.unwrap_or(&gnmi::Path::default()), &self.name)
         };
         let (mut edits, mut response) = (Vec::new(), Vec::new());
         let mut result = |path: Option<&gnmi::Path>, op: Operation| {
@@ -314,13 +314,13 @@
         }
         for u in &r.replace {
             let path = at(u.path.as_ref())?;
-            let json = words::json(u.val.as_ref(), &path)?;
+            let json = codec::json(u.val.as_ref(), &path)?;
             edits.push(Edit::Replace(path, json));
             result(u.path.as_ref(), Operation::Replace);
         }
         for u in &r.update {
             let path = at(u.path.as_ref())?;
-            let json = words::json(u.val.as_ref(), &path)?;
+            let json = codec::json(u.val.as_ref(), &path)?;
             edits.push(Edit::Update(path, json));
             result(u.path.as_ref(), Operation::Update);
         }
@@ -334,7 +334,7 @@
             edits.push(Edit::Delete(Pattern(vec![Wanted::of("settings", None)])));
             for u in &r.union_replace {
                 let path = at(u.path.as_ref())?;
-                let json = words::json(u.val.as_ref(), &path)?;
+                let json = codec::json(u.val.as_ref(), &path)?;
                 edits.push(Edit::Update(path, json));
                 result(u.path.as_ref(), Operation::UnionReplace);
             }
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -1,5 +1,6 @@
 //! Subscriptions: each stream is a task that follows the tree and hands on what its reader has room for.
 
+use crate::codec::{self, Written};
 use crate::follow::{
     Cut, Follow, Mode, PathUpdate, Subscription, SAMPLE_LEAST, SAMPLE_MOST, SILENCE,
 };
@@ -10,7 +11,6 @@
     subscription_list, SubscribeRequest, SubscribeResponse, SubscriptionMode,
 };
 use crate::service::{nanos, Service};
-use crate::words::{self, Written};
 use ironstair::Ms;
 use ironstair_data_tree::{Path, Pattern};
 use ironstair_runtime::clock::{span, Clock};
@@ -275,7 +275,7 @@
 impl Writer {
     fn prefix(&self, at: Option<&Path>) -> Option<gnmi::Path> {
         let target = self.target.clone();
-        let path = at.map(words::path);
+        let path = at.map(codec::path);
         (path.is_some() || !target.is_empty()).then(|| gnmi::Path {
             target,
             ..path.unwrap_or_default()
@@ -292,11 +292,11 @@
         };
         for t in path_updates {
             if t.deleted {
-                rest.delete.push(words::path(&t.at));
+                rest.delete.push(codec::path(&t.at));
             }
             let update =
                 |(path, value): &(Path, ironstair_data_tree::Value), from: usize| gnmi::Update {
-                    path: Some(words::path(&Path(path.0[from..].into()))),
+                    path: Some(codec::path(&Path(path.0[from..].into()))),
                     val: Some(self.written.leaf(value)),
                     duplicates: t.duplicates,
                 };
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -1,7 +1,7 @@
 //! The manager's actor, and the desk at which others ask it.
 
 use crate::file::Journal;
-use crate::fleet::{Fleetward, Held, Responder, Wanted};
+use crate::fleet_channel::{Fleetward, Held, Responder, Wanted};
 use crate::start::{cell_directory, classes, Started};
 use async_channel::Sender as Requests;
 use ironstair::Ms;
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -3,7 +3,7 @@
 
 mod actor;
 mod file;
-pub mod fleet;
+pub mod fleet_channel;
 mod start;
 
 pub use actor::{Around, ManagementHandle, Manager, Refused, Scope, Tree, Watch};
