--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -3,7 +3,7 @@
 use crate::leaves::Leaves;
 use crate::path::{Path, Step};
 use crate::schema::Value;
-use ironstair::logic::{ClassView, EngineView};
+use ironstair::policy::{ClassView, EngineView};
 use ironstair::{EndpointState, Ms};
 use ironstair_config_change::journal::RevisionSummary;
 use ironstair_config_change::revisions;
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -2,7 +2,7 @@
 //! tree of settings and state, which is what reads over gNMI and `ironstair get` answer. The files under `pinned` were
 //! written by an earlier version of the program; clients, dashboards and scripts hold the same names.
 
-use ironstair::logic::{ClassView, EngineView};
+use ironstair::policy::{ClassView, EngineView};
 use ironstair::EndpointState;
 use ironstair_config_change::journal::RevisionSummary;
 use ironstair_config_change::{revisions, Document};
--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use common::*;
-use ironstair::logic::Gateway as Module;
+use ironstair::policy::Gateway as Module;
 use ironstair::{Actions, Cost, Endpoint, EndpointState, Ms, Outcome, Request};
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use async_channel::{Receiver, Sender};
 use ironstair::interner::Interner;
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::{Actions, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request};
 use ironstair_cells::{CellDirectory, Cells, Goes};
 use ironstair_coordination::Share;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -13,7 +13,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::future::{or, yield_now};
 use futures_lite::StreamExt;
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::Ms;
 use ironstair_config_change::renewal::Renewal;
 use ironstair_fleet_agent::fault_injection::taken_out;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,7 +5,7 @@
 use crate::engine::{Admission, Asker, Engine};
 use crate::fleet::{Log, Told, TICK, VOTERS};
 use crate::Figures;
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::stats::{mix, Pcg};
 use ironstair::{
     Actions, Cost, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request as Asks,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
 //! The simulator's wire around the decisions: frames in, calls, frames out. Nothing is decided here.
 
 use ironstair::interner::Interner;
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::{Actions, Cost, Endpoint, EndpointState, Ms, Outcome, Request};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! Keeps short and long queries apart on shared engines.
 //!
-//! [`logic`] holds every decision and does no input or output. A host (a wire adapter, later a
+//! [`policy`] holds every decision and does no input or output. A host (a wire adapter, later a
 //! socket server) turns ids into indices with [`interner`], calls the module and carries out what it
 //! asks for through [`Actions`].
 
 pub mod interner;
-pub mod logic;
+pub mod policy;
 mod state;
 pub mod stats;
 
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -16,7 +16,7 @@
 //! and does what the module asks for. The module's interface is used in `RecordedActions`, `Host::call`, `Host::views`,
 //! `Host::sanity` and the policies alone. Nothing here depends on the order of a hash table.
 
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::{
     Actions, ClassPolicy, Cost, Effect, Endpoint, EndpointState, Kind, Load, Outcome, PolicyConfig, Request,
     RetryBudget, Within,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use ironstair::logic::Gateway;
+use ironstair::policy::Gateway;
 use ironstair::stats::{mix, Pcg};
 use ironstair::*;
 
