--- a/crates/cells/src/directory.rs
+++ b/crates/cells/src/directory.rs
@@ -125,7 +125,7 @@
     use super::*;
 
     #[test]
-    fn a_move_is_over_with_the_last_forward_where_the_tenant_was() {
+    fn a_move_is_over_with_the_last_attempt_where_the_tenant_was() {
         let cells = ["a", "b", "c"].map(|c| (c.to_string(), 1.0));
         let first = Assignment::new(1, &cells, 1)
             .unwrap()
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -66,7 +66,7 @@
     /// The told file is as it was: the last confirmed revision runs.
     Revision(u64),
     /// The told file has changed since: it runs, and the revisions are history.
-    ToldAnew,
+    Reconfigured,
     /// A revision waited to be confirmed: it is rolled back.
     RolledBack(u64),
 }
@@ -131,7 +131,7 @@
         if kept.told != told {
             kept.mark(RevisionState::Replaced);
             (kept.told, kept.running, kept.number) = (told.clone(), told, 0);
-            found = Found::ToldAnew;
+            found = Found::Reconfigured;
         }
         (kept, found)
     }
--- a/crates/config-change/src/revisions.rs
+++ b/crates/config-change/src/revisions.rs
@@ -46,7 +46,7 @@
 
 /// What somebody asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask<D> {
+pub enum Command<D> {
     /// Other settings, at once; to be confirmed under that id within that time, or for good.
     Set {
         who: String,
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input<D> {
     /// One at a time: the next once this is answered.
-    Asked(Ask<D>),
+    Command(Command<D>),
     /// How the write asked for ended.
     Written(Result<(), String>),
     /// Time has gone on.
@@ -131,7 +131,7 @@
     trial: Option<PendingConfirmation<D>>,
     durable: bool,
     now: Ms,
-    asked: Option<Ask<D>>,
+    asked: Option<Command<D>>,
     writing: Option<Write<D>>,
     written: Option<Result<(), String>>,
 }
@@ -215,10 +215,10 @@
         let mut actions = Vec::new();
         self.now = now;
         match input {
-            Input::Asked(_) if self.asked.is_some() || self.writing.is_some() => {
+            Input::Command(_) if self.asked.is_some() || self.writing.is_some() => {
                 actions.push(Action::Answer(Err(Refusal::Busy)));
             }
-            Input::Asked(ask) => self.asked = Some(ask),
+            Input::Command(ask) => self.asked = Some(ask),
             Input::Written(how) => self.written = self.writing.is_some().then_some(how),
             Input::Due => {}
         }
@@ -320,7 +320,7 @@
         };
         if self
             .asked
-            .take_if(|a| matches!(a, Ask::Set { .. }))
+            .take_if(|a| matches!(a, Command::Set { .. }))
             .is_none()
         {
             return false;
@@ -335,26 +335,25 @@
 
     fn refuse_an_unknown_commit(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let known = |id: &String| self.trial.as_ref().is_some_and(|t| t.id == *id);
-        let unknown = match &self.asked {
-            Some(Ask::Confirm { id } | Ask::Cancel { id } | Ask::Extend { id, .. })
-                if !known(id) =>
-            {
-                id.clone()
-            }
-            _ => return false,
-        };
+        let unknown =
+            match &self.asked {
+                Some(
+                    Command::Confirm { id } | Command::Cancel { id } | Command::Extend { id, .. },
+                ) if !known(id) => id.clone(),
+                _ => return false,
+            };
         self.asked = None;
         actions.push(Action::Answer(Err(Refusal::NoSuchCommit { id: unknown })));
         true
     }
 
     fn set(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(Ask::Set {
+        let Some(Command::Set {
             who,
             what,
             document,
             commit,
-        }) = self.asked.take_if(|a| matches!(a, Ask::Set { .. }))
+        }) = self.asked.take_if(|a| matches!(a, Command::Set { .. }))
         else {
             return false;
         };
@@ -390,7 +389,7 @@
     fn confirm(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         if self
             .asked
-            .take_if(|a| matches!(a, Ask::Confirm { .. }))
+            .take_if(|a| matches!(a, Command::Confirm { .. }))
             .is_none()
         {
             return false;
@@ -404,7 +403,7 @@
 
     fn cancel_or_extend(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         match self.asked.take() {
-            Some(Ask::Extend { span, .. }) => {
+            Some(Command::Extend { span, .. }) => {
                 let (until, number) = (self.now + span, self.number);
                 self.trial.iter_mut().for_each(|t| t.until = until);
                 self.lines
@@ -413,7 +412,7 @@
                     .for_each(|l| l.until = Some(until));
                 actions.push(Action::Answer(Ok(number)));
             }
-            Some(Ask::Cancel { .. }) => {
+            Some(Command::Cancel { .. }) => {
                 self.take_back(actions);
                 actions.push(Action::Answer(Ok(self.number)));
             }
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_journal_with_any_byte_changed_keeps_what_stands_before_it() {
+fn a_journal_with_any_byte_changed_keeps_what_comes_before_it() {
     let parts = bytes(&day());
     let all = parts.concat();
     for at in 0..all.len() {
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_the_told_file_says_anew_comes_before_the_revisions() {
+fn what_the_config_file_says_anew_comes_before_the_revisions() {
     let (kept, found) = Kept::open(day(), 0);
     assert_eq!(
         (kept.running, kept.number, kept.next, found),
@@ -95,7 +95,7 @@
         (kept.running, kept.told, kept.number, kept.next),
         (9, 9, 0, 5)
     );
-    assert_eq!(found, Found::ToldAnew);
+    assert_eq!(found, Found::Reconfigured);
     assert!(kept.lines.iter().all(|l| l.state != RevisionState::Running));
     // And so it stays once that is written down.
     assert_eq!(
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_band_comes_back_to_its_place_only_as_it_was_and_new_ones_get_new_places() {
+fn a_class_comes_back_to_its_place_only_as_it_was_and_new_ones_get_new_places() {
     let o = origin();
     let (mut out, mut back) = (o.document.clone(), o.document.clone());
     let post = out.class.remove(1);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn bands_that_come_and_go_by_other_names_are_bounded() {
+fn classes_that_come_and_go_by_other_names_are_bounded() {
     let o = origin();
     let (mut from, mut roll) = (o.document.clone(), Roll::of(&o.document));
     for nth in 2..=ROLL_MOST {
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/renewal.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn bands_that_come_and_go_for_ever_are_refused_in_the_end() {
+fn classes_that_come_and_go_for_ever_are_refused_in_the_end() {
     // Against memory that grows with every file.
     let mut now = Renewal::new(first());
     let many = |n: usize| {
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -2,7 +2,7 @@
 //! (model checked), and the plain cases by hand.
 
 use ironstair_config_change::journal::{Kept, Record};
-use ironstair_config_change::revisions::{Action, Ask, Input, Ledger, Refusal, RevisionState};
+use ironstair_config_change::revisions::{Action, Command, Input, Ledger, Refusal, RevisionState};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -18,7 +18,7 @@
     /// Not on the disk yet: the record that is waited for, and those that nothing waits for.
     writing: Option<Record<u8>>,
     notes: Vec<Record<u8>>,
-    ask: Option<Ask<u8>>,
+    ask: Option<Command<u8>>,
     /// What the decision module runs.
     applied: u8,
     /// What callers were told is for good; and what may be, since a crash met its write.
@@ -38,7 +38,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    Ask(&'static str),
+    Command(&'static str),
     Tick,
     Wrote(bool),
     Noted(bool),
@@ -49,9 +49,9 @@
 
 struct Days;
 
-fn asked(what: &str, document: u8) -> Ask<u8> {
+fn asked(what: &str, document: u8) -> Command<u8> {
     let id = || "c".to_string();
-    let set = |commit| Ask::Set {
+    let set = |commit| Command::Set {
         who: "op".into(),
         what: what.into(),
         document,
@@ -60,9 +60,9 @@
     match what {
         "set" => set(None),
         "try" => set(Some((id(), 1.0))),
-        "confirm" => Ask::Confirm { id: id() },
-        "cancel" => Ask::Cancel { id: id() },
-        _ => Ask::Extend {
+        "confirm" => Command::Confirm { id: id() },
+        "cancel" => Command::Cancel { id: id() },
+        _ => Command::Extend {
             id: id(),
             span: 2.0,
         },
@@ -79,7 +79,7 @@
         let Some(ledger) = self.ledger.as_mut() else {
             return;
         };
-        if let Input::Asked(ask) = &input {
+        if let Input::Command(ask) = &input {
             self.ask = Some(ask.clone());
         }
         for action in ledger.on(now, input) {
@@ -90,9 +90,9 @@
                 Action::Answer(how) => {
                     let tried = ledger.trial().is_some();
                     match (self.ask.take(), how) {
-                        (Some(Ask::Set { .. }), Ok(_)) if tried => {}
-                        (Some(Ask::Set { document, .. }), Ok(_)) => self.firm = document,
-                        (Some(Ask::Confirm { .. }), Ok(_)) => self.firm = *ledger.running(),
+                        (Some(Command::Set { .. }), Ok(_)) if tried => {}
+                        (Some(Command::Set { document, .. }), Ok(_)) => self.firm = document,
+                        (Some(Command::Confirm { .. }), Ok(_)) => self.firm = *ledger.running(),
                         (None, _) => self.broken = Some("an answer to nobody"),
                         _ => {}
                     }
@@ -129,7 +129,7 @@
             return steps.push(Step::Start);
         }
         if w.left.0 > 0 && w.writing.is_none() {
-            steps.extend(["set", "try", "confirm", "cancel", "extend"].map(Step::Ask));
+            steps.extend(["set", "try", "confirm", "cancel", "extend"].map(Step::Command));
         }
         if w.left.2 > 0 {
             steps.push(Step::Tick);
@@ -148,10 +148,10 @@
     fn next_state(&self, was: &World, step: Step) -> Option<World> {
         let mut w = was.clone();
         match step {
-            Step::Ask(what) => {
+            Step::Command(what) => {
                 w.left.0 -= 1;
                 let document = (ASKS - w.left.0) as u8;
-                w.hand(Input::Asked(asked(what, document)));
+                w.hand(Input::Command(asked(what, document)));
             }
             Step::Tick => {
                 w.left.2 -= 1;
@@ -256,18 +256,21 @@
 #[test]
 fn a_trial_is_taken_back_at_its_time_and_a_second_change_meanwhile_is_refused() {
     let mut l = Ledger::new(Kept::told(0), false);
-    assert_eq!(answers(l.on(10.0, Input::Asked(asked("try", 7)))), [Ok(1)]);
+    assert_eq!(
+        answers(l.on(10.0, Input::Command(asked("try", 7)))),
+        [Ok(1)]
+    );
     assert_eq!((l.due(), *l.running()), (Some(11.0), 7));
     let refused = Refusal::Unconfirmed {
         number: 1,
         id: "c".into(),
     };
     assert_eq!(
-        answers(l.on(10.1, Input::Asked(asked("set", 8)))),
+        answers(l.on(10.1, Input::Command(asked("set", 8)))),
         [Err(refused)]
     );
     assert_eq!(
-        answers(l.on(10.2, Input::Asked(asked("extend", 0)))),
+        answers(l.on(10.2, Input::Command(asked("extend", 0)))),
         [Ok(1)]
     );
     assert_eq!((l.on(11.0, Input::Due), l.due()), (vec![], Some(12.2)));
@@ -284,7 +287,7 @@
     );
     let none = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
-        answers(l.on(12.3, Input::Asked(asked("confirm", 0)))),
+        answers(l.on(12.3, Input::Command(asked("confirm", 0)))),
         [Err(none)],
         "too late"
     );
@@ -294,9 +297,9 @@
 fn a_confirmation_that_is_being_written_at_its_time_counts_and_a_lost_one_does_not() {
     for kept in [true, false] {
         let mut l = Ledger::new(Kept::told(0), true);
-        l.on(0.0, Input::Asked(asked("try", 7)));
+        l.on(0.0, Input::Command(asked("try", 7)));
         l.on(0.5, Input::Written(Ok(())));
-        assert_eq!(answers(l.on(1.4, Input::Asked(asked("confirm", 0)))), []);
+        assert_eq!(answers(l.on(1.4, Input::Command(asked("confirm", 0)))), []);
         assert_eq!((l.on(1.6, Input::Due), l.due()), (vec![], None));
         let how = if kept {
             Ok(())
--- a/crates/coordination/tests/count.rs
+++ b/crates/coordination/tests/count.rs
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_share_taken_at_once_and_a_chair_that_knows_no_earlier_leases_break_it() {
+fn a_share_taken_at_once_and_a_leader_that_knows_no_earlier_leases_break_it() {
     for (out, leaders) in [(Out::Waits, 0), (Out::Grace, 1)] {
         let budget = Budget {
             ticks: 3,
--- a/crates/coordination/tests/leader.rs
+++ b/crates/coordination/tests/leader.rs
@@ -20,22 +20,22 @@
 }
 
 /// A leader with its log, long after the one before it.
-struct Desk {
+struct LeaderHarness {
     now: f64,
     fleet: Fleet<Pol>,
     leader: Leader<Pol>,
 }
 
-impl Desk {
+impl LeaderHarness {
     /// With these members in, each of start 1, holding the first policy.
-    fn of(names: &[&str], steady: bool) -> Desk {
+    fn of(names: &[&str], steady: bool) -> LeaderHarness {
         let mut fleet = Fleet::default();
         fleet.apply(Record::Begun {
             history: 7,
             document: Pol(1),
             line: None,
         });
-        let mut d = Desk {
+        let mut d = LeaderHarness {
             now: 100_000.0,
             fleet,
             leader: Leader::new(0.0, LEASE),
@@ -141,7 +141,7 @@
 fn who_goes_by_what_is_written_gets_no_lease_before_the_log_has_it() {
     // Found by a seeded day: a member was found without a lease, its removal written, and a lease granted before
     // the log had that; the next change was decided without it.
-    let mut d = Desk::of(&["a", "b"], false);
+    let mut d = LeaderHarness::of(&["a", "b"], false);
     d.now += 11.0 * LEASE;
     let removal = d.leader.next(d.now, &d.fleet).unwrap();
     assert!(
@@ -159,7 +159,7 @@
 
 #[test]
 fn who_was_let_in_and_not_heard_since_is_not_taken_out_at_once() {
-    let mut d = Desk::of(&["a"], false);
+    let mut d = LeaderHarness::of(&["a"], false);
     let heartbeat = d.of_start("b", 1);
     d.say(&heartbeat);
     d.write();
@@ -168,7 +168,7 @@
 
 #[test]
 fn two_processes_of_one_name_never_hold_leases_together() {
-    let mut d = Desk::of(&["a"], false);
+    let mut d = LeaderHarness::of(&["a"], false);
     let second = d.of_start("a", 2);
     let told = d.say(&second);
     assert!(told.lease.is_none() && told.why.unwrap().starts_with("another process is a"));
@@ -198,7 +198,7 @@
         ("", "", true),
         ("", "here", true),
     ] {
-        let mut d = Desk::of(&["b"], false);
+        let mut d = LeaderHarness::of(&["b"], false);
         let first = Heartbeat {
             place: held.into(),
             ..d.of_start("a", 1)
@@ -225,7 +225,7 @@
 
 #[test]
 fn one_change_at_a_time_and_none_that_has_nothing_in_common() {
-    let mut d = Desk::of(&["a"], false);
+    let mut d = LeaderHarness::of(&["a"], false);
     assert_eq!(d.ask(9, None), Err(Refusal::Apart));
     assert_eq!(d.ask(2, None), Ok(()));
     let under_way = |who: &str| {
@@ -259,7 +259,7 @@
 
 #[test]
 fn what_is_not_confirmed_in_its_time_is_taken_back_by_the_same_steps() {
-    let mut d = Desk::of(&["a"], false);
+    let mut d = LeaderHarness::of(&["a"], false);
     d.ask(2, Some(5000.0)).unwrap();
     d.through("a");
     assert_eq!(
@@ -287,7 +287,7 @@
 #[test]
 fn without_a_steady_member_nothing_is_decided_and_without_a_strict_one_it_is_after_its_lease() {
     for (steady, decided) in [(true, false), (false, true)] {
-        let mut d = Desk::of(&["a", "b"], steady);
+        let mut d = LeaderHarness::of(&["a", "b"], steady);
         d.ask(2, None).unwrap();
         d.now += 5.0 * LEASE;
         d.write();
@@ -315,7 +315,7 @@
 #[test]
 fn who_hears_nothing_is_granted_no_lease_and_holds_up_no_change() {
     // Against a way that is cut one way only: its heartbeats come, no answer arrives, and it would count for good.
-    let mut d = Desk::of(&["a"], false);
+    let mut d = LeaderHarness::of(&["a"], false);
     let deaf = Heartbeat {
         heard: d.now - 3.5 * LEASE,
         ..d.of_start("a", 1)
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -84,7 +84,7 @@
     }
 }
 
-const STANDINGS: [RevisionState; 7] = [
+const REVISION_STATES: [RevisionState; 7] = [
     RevisionState::Staged,
     RevisionState::Binding,
     RevisionState::Running,
@@ -164,7 +164,7 @@
         )),
         trial: None,
         members,
-        lines: STANDINGS
+        lines: REVISION_STATES
             .iter()
             .zip(1..)
             .map(|(s, n)| line(n, *s))
@@ -278,7 +278,7 @@
     check("heartbeats.jsonl", &heartbeats());
     check("answers.jsonl", &answers());
     check("asks.jsonl", &asks());
-    check("standings.jsonl", &STANDINGS);
+    check("standings.jsonl", &REVISION_STATES);
 }
 
 #[test]
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -625,7 +625,7 @@
 ];
 
 #[test]
-fn with_three_keepers_and_two_further_gateways_nothing_decided_is_lost() {
+fn with_three_voters_and_two_further_gateways_nothing_decided_is_lost() {
     let all = std::env::var_os("ORDERS").is_some();
     for (what, larger, budget, after, tick) in CASES {
         if larger && !all {
@@ -656,7 +656,7 @@
 }
 
 #[test]
-fn every_guard_of_the_keepers_that_is_taken_out_breaks_a_promise() {
+fn every_guard_of_the_voters_that_is_taken_out_breaks_a_promise() {
     // An earlier leader is asked by one gateway still, and the new one waits for leases of its own time alone.
     let two_leaders = [
         Move::Elect(1, 2),
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -230,7 +230,7 @@
 
     /// A slow plain model of edits on nested JSON: the leaves agree with it.
     #[test]
-    fn edits_of_bands_agree_with_a_plain_model(
+    fn edits_of_classes_agree_with_a_plain_model(
         edits in proptest::collection::vec((0..3u8, 0..3usize, 1..5000u32), 1..8)
     ) {
         let (schema, leaves) = start();
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -137,7 +137,7 @@
     use serde_json::json;
 
     #[test]
-    fn the_roster_of_the_start_is_that_after_all_its_changes() {
+    fn the_endpoint_list_of_the_start_is_that_after_all_its_changes() {
         let engine = |name: &str, state: &str, port: u16| {
             json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
                 "cell": 2, "lifecycle": state, "startedAtMs": 5})
--- a/crates/gateway/src/config_pinned_tests.rs
+++ b/crates/gateway/src/config_pinned_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_pinned_told_file_is_read_with_the_pinned_values() {
+fn the_pinned_config_file_is_read_with_the_pinned_values() {
     let config = decode(include_bytes!("../tests/pinned/told.json")).unwrap();
     let at = |text: &str| text.parse::<SocketAddr>().unwrap();
     assert_eq!(
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -377,7 +377,7 @@
                 gateway.ending(now, at, &mut executor);
             }
             Some(Event::Endpoints(lines)) => update_endpoints(&mut gateway, &mut executor, lines),
-            Some(Event::Asked(request)) => match (request, &shown) {
+            Some(Event::Command(request)) => match (request, &shown) {
                 (ManagementCommand::Show, Some(shown)) => show(&gateway, &mut executor, shown),
                 (ManagementCommand::Amend(to), _) => amend(&mut gateway, &mut executor, *to),
                 (ManagementCommand::Lease(until, share), _) => {
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_withdrawn_attempt_is_out_until_the_engine_has_been_told() {
+fn a_withdrawn_attempt_is_out_until_the_engine_has_been_informed() {
     let b = bench(8);
     let of = b.attempt(1);
     b.order(Order::Attempt(of.clone()));
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -206,7 +206,7 @@
 /// Carries what the management's thread asks to the module's mailbox.
 pub async fn carry(asked: Receiver<ManagementCommand>, module: Sender<Event>) {
     while let Ok(request) = asked.recv().await {
-        if module.send(Event::Asked(request)).await.is_err() {
+        if module.send(Event::Command(request)).await.is_err() {
             return;
         }
     }
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -361,7 +361,7 @@
     }
 
     #[test]
-    fn what_is_wrong_is_told_by_its_field() {
+    fn what_is_wrong_is_reported_by_its_field() {
         for (text, why) in [
             ("", "the file: EOF"),
             ("[]", "the file: invalid length 0"),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -148,7 +148,7 @@
     };
     let _ = shared
         .module
-        .send(Event::Asked(ManagementCommand::Amend(Box::new(to))))
+        .send(Event::Command(ManagementCommand::Amend(Box::new(to))))
         .await;
     if config.recv().await.is_ok() {
         let open = shared.classes().iter().filter(|b| b.in_service).count();
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn submissions_of_a_tenant_reach_only_engines_of_its_cell() {
+fn requests_of_a_tenant_reach_only_engines_of_its_cell() {
     let (gateway, engines) = fleet("cells", Some(cells(json!({"turn_back": 500}))));
     play(&mut Client::of(&gateway));
     assert_eq!(reached(&engines[0].1), (1..=30).collect());
@@ -284,6 +284,6 @@
 }
 
 #[test]
-fn case_1_control_without_a_move_its_submissions_stay_where_they_are() {
+fn case_1_control_without_a_move_its_requests_stay_where_they_are() {
     day("cells-stay", false);
 }
--- a/crates/gateway/tests/crossings.rs
+++ b/crates/gateway/tests/crossings.rs
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn a_name_service_that_falls_silent_towards_one_socket_is_asked_from_another() {
+fn a_name_service_that_falls_silent_towards_one_socket_is_queried_from_another() {
     let answers = |row: &'static str| engine(move |line, _| (done(line, row), false));
     let ((old, _), (new, _)) = (answers("old\t\t\n"), answers("new\t\t\n"));
     let g = patient("silent-socket", &[("e1", old)], |_| {});
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn control_3_without_an_end_of_tenure_it_does() {
+fn control_3_without_an_end_of_its_lease_it_does() {
     assert!(left(
         &cut_off_one_way("control-3", without("tenure")).end_of_load(),
         4
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn control_4_without_an_end_of_tenure_it_does() {
+fn control_4_without_an_end_of_its_lease_it_does() {
     assert!(left(
         &stopped_over_a_change("control-4", without("tenure")).end_of_load(),
         3
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn case_7_all_keepers_killed_at_once_one_wiped_one_with_an_old_disk_lose_nothing_decided() {
+fn case_7_all_voters_killed_at_once_one_wiped_one_with_an_old_disk_lose_nothing_decided() {
     let mut cluster = wiped_and_old("case-7", Plan::default());
     // Two of three are no quorum here: one has no vote, and nobody decides.
     cluster.until_answers(What::Rejected, 100);
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn control_7_a_wiped_keeper_that_keeps_its_number_brings_the_old_policy_back() {
+fn control_7_a_wiped_voter_that_keeps_its_number_brings_the_old_policy_back() {
     let mut cluster = wiped_and_old("control-7", without("number"));
     cluster.until_fit(2);
     cluster.until_answers(What::Settled, 100);
@@ -476,7 +476,7 @@
 }
 
 #[test]
-fn case_10_a_slow_disk_and_a_full_one_at_a_keeper_cost_the_fleet_nothing() {
+fn case_10_a_slow_disk_and_a_full_one_at_a_voter_cost_the_fleet_nothing() {
     let slow_and_full = vec![(Some(1), "quick-disk"), (Some(2), "room")];
     let mut cluster = loaded(
         "case-10",
@@ -545,7 +545,7 @@
 }
 
 #[test]
-fn control_10_and_2_a_keeper_that_counts_as_kept_what_is_not_loses_a_decided_change() {
+fn control_10_and_2_a_voter_that_counts_as_kept_what_is_not_loses_a_decided_change() {
     let without = [room(), vec![(Some(1), "kept"), (Some(2), "kept")]].concat();
     let (cluster, said) = full_over_a_change(
         "control-10",
@@ -561,7 +561,7 @@
 }
 
 #[test]
-fn without_most_keepers_a_strict_one_stops_at_once_and_a_steady_one_goes_on() {
+fn without_most_voters_a_strict_one_stops_at_once_and_a_steady_one_goes_on() {
     let mut cluster = loaded(
         "majority",
         Plan {
@@ -609,7 +609,7 @@
 }
 
 #[test]
-fn control_without_an_end_of_tenure_it_decides_on_without_most_keepers() {
+fn control_without_an_end_of_its_lease_it_decides_on_without_most_voters() {
     let mut cluster = loaded("control-majority", without("tenure"));
     cluster.kill(0);
     cluster.kill(1);
@@ -648,7 +648,7 @@
 }
 
 #[test]
-fn a_chair_that_is_killed_costs_no_submission() {
+fn a_leader_that_is_killed_costs_no_request() {
     let mut cluster = loaded(
         "minority",
         Plan {
@@ -739,7 +739,7 @@
 }
 
 #[test]
-fn sighup_with_settings_is_refused_in_a_fleet_and_plain_words_are_told_which_command() {
+fn sighup_with_settings_is_refused_in_a_fleet_and_plain_commands_name_the_right_one() {
     let mut cluster = Cluster::started("sighup", &Plan::default());
     let sentence = "settings are the fleet's";
     cluster.retell(4, |config| config["names"] = json!("127.0.0.1:9"));
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn case_1_settings_change_under_load_and_every_submission_taken_gets_one_answer_in_time() {
+fn case_1_settings_change_under_load_and_every_request_taken_gets_one_answer_in_time() {
     let names = ["e1", "e2", "e3", "e4"];
     // Now and then two of them lose a connection with all that is open on it.
     let engines: Vec<(SocketAddr, Seen)> = (0..4)
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn case_2_a_band_is_taken_out_and_put_back_while_its_submissions_wait_and_run() {
+fn case_2_a_class_is_taken_out_and_put_back_while_its_requests_wait_and_run() {
     let (at_engine, _) = slow_engine(120, |_| false);
     let (gateway, at) = managed("case-2", &[("e1", at_engine)]);
     let rt = runtime();
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn case_3_stalled_subscribers_delay_no_forward_and_fifty_that_read_miss_nothing() {
+fn case_3_stalled_subscribers_delay_no_attempt_and_fifty_that_read_miss_nothing() {
     let (at_engine, _) = slow_engine(1, |_| false);
     let (gateway, at) = managed("case-3", &[("e1", at_engine)]);
     let over = Arc::new(AtomicBool::new(false));
@@ -1228,7 +1228,7 @@
 }
 
 #[test]
-fn a_told_file_that_has_changed_comes_before_the_revisions() {
+fn a_config_file_that_has_changed_comes_before_the_revisions() {
     let (mut gateway, at) = managed("told-anew", &[]);
     let rt = runtime();
     rt.block_on(async {
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -15,7 +15,7 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::Status;
 
-pub type Asked = GNmiClient<Channel>;
+pub type Command = GNmiClient<Channel>;
 
 pub fn class(name: &str, semantics: &str, expected_ms: f64) -> Value {
     json!({"name": name, "slo_ns": expected_ms * 1e6, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
@@ -63,7 +63,7 @@
         .unwrap()
 }
 
-pub async fn connected(endpoint: Endpoint) -> Asked {
+pub async fn connected(endpoint: Endpoint) -> Command {
     let late = Instant::now() + Duration::from_secs(10);
     loop {
         match endpoint.connect().await {
@@ -74,7 +74,7 @@
     }
 }
 
-pub async fn client(at: SocketAddr) -> Asked {
+pub async fn client(at: SocketAddr) -> Command {
     connected(Endpoint::from_shared(format!("http://{at}")).unwrap()).await
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-pub async fn set(c: &mut Asked, at: &str, value: Value) -> Result<(), Status> {
+pub async fn set(c: &mut Command, at: &str, value: Value) -> Result<(), Status> {
     let request = gnmi::SetRequest {
         update: vec![update(at, value)],
         ..Default::default()
@@ -130,7 +130,7 @@
     c.set(request).await.map(drop)
 }
 
-pub async fn delete(c: &mut Asked, at: &str) -> Result<(), Status> {
+pub async fn delete(c: &mut Command, at: &str) -> Result<(), Status> {
     let request = gnmi::SetRequest {
         delete: vec![path(at)],
         ..Default::default()
@@ -138,7 +138,7 @@
     c.set(request).await.map(drop)
 }
 
-pub async fn get(c: &mut Asked, at: &str) -> Result<Value, Status> {
+pub async fn get(c: &mut Command, at: &str) -> Result<Value, Status> {
     let encoding = gnmi::Encoding::JsonIetf as i32;
     let answer = c
         .get(gnmi::GetRequest {
@@ -154,7 +154,7 @@
     Ok(serde_json::from_slice(bytes).unwrap())
 }
 
-pub async fn leaves(c: &mut Asked, at: &str) -> BTreeMap<String, TypedValue> {
+pub async fn leaves(c: &mut Command, at: &str) -> BTreeMap<String, TypedValue> {
     let encoding = gnmi::Encoding::Proto as i32;
     let request = gnmi::GetRequest {
         path: vec![path(at)],
@@ -201,7 +201,7 @@
 }
 
 pub async fn subscribe(
-    c: &mut Asked,
+    c: &mut Command,
     first: gnmi::SubscribeRequest,
 ) -> Result<tonic::Streaming<gnmi::SubscribeResponse>, Status> {
     let asked = tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
--- a/crates/gateway/tests/pinned_forms.rs
+++ b/crates/gateway/tests/pinned_forms.rs
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_wrong_told_file_is_refused_by_the_pinned_field() {
+fn a_wrong_config_file_is_refused_by_the_pinned_field() {
     let folder = tempfile::tempdir().unwrap();
     let at = folder.path().join("told.json");
     let none = || None;
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn case_2_most_keepers_disks_lost_nothing_is_decided_until_an_operator_begins_anew() {
+fn case_2_most_voters_disks_lost_nothing_is_decided_until_an_operator_bootstraps_anew() {
     let mut cluster = disks_lost("anew", &[0, 1]);
     cluster.until_answers(What::Rejected, 100);
     assert!((0..cluster.size()).all(|g| !cluster.fit(g)));
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn keepers_of_an_earlier_history_that_come_back_put_it_aside() {
+fn voters_of_an_earlier_generation_that_come_back_quarantine_it() {
     let mut cluster = back_after_anew("earlier", &Plan::default());
     all_have(&cluster, &json!(2));
     until("they put it aside", || {
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn where_calls_can_not_be_told_apart_any_more_none_is_settled() {
+fn where_calls_can_not_be_distinguished_any_more_none_is_settled() {
     let (at, seen) = engine(|line, _| {
         thread::sleep(Duration::from_millis(500));
         (done(line, "x\ty\tz\n"), false)
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn an_engine_is_asked_how_it_is_where_the_module_wants_to_know() {
+fn an_engine_is_probed_where_the_module_wants_to_know() {
     let (at, seen) = engine(|line, _| match line.split_once(' ').unwrap() {
         ("stats", tag) => (
             format!("{tag} FIT load=inflight:2;util:0.4 0\r\n\r\n").into_bytes(),
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn told_to_end_it_answers_what_it_has_and_ends_well() {
+fn requested_to_end_it_answers_what_it_has_and_ends_well() {
     // The second call would take longer than the gateway is left, and its client would wait: that is rejected.
     let (at, seen) = engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -7,7 +7,7 @@
 use crate::proto::gnmi::{self, get_request::DataType, update_result::Operation};
 use crate::proto::gnmi_ext::{commit::Action, extension::Ext, Commit, Extension};
 use ironstair::Ms;
-use ironstair_config_change::revisions::{confirm_within, Ask, Refusal};
+use ironstair_config_change::revisions::{confirm_within, Command, Refusal};
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
@@ -417,11 +417,11 @@
                     .await
                     .map_err(Wrong::Refused);
             }
-            Some(Action::Confirm(_)) => Ask::Confirm { id },
-            Some(Action::Cancel(_)) => Ask::Cancel { id },
+            Some(Action::Confirm(_)) => Command::Confirm { id },
+            Some(Action::Cancel(_)) => Command::Cancel { id },
             Some(Action::SetRollbackDuration(d)) => {
                 let span = span(d.rollback_duration.as_ref()).map_err(Wrong::Status)?;
-                Ask::Extend { id, span }
+                Command::Extend { id, span }
             }
             None => return Err(wrong("a commit extension that asks for nothing")),
         };
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn later_values_replace_earlier_ones_and_say_how_many_they_stand_for() {
+fn later_values_replace_earlier_ones_and_say_how_many_they_replace() {
     let leaf = path("/state/list/serial");
     let mut tree = Leaves::new();
     tree.insert(leaf.clone(), Value::Uint(0));
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn an_entry_that_must_not_be_seen_half_is_told_whole() {
+fn an_entry_that_must_not_be_seen_half_is_sent_whole() {
     let mut tree = Leaves::new();
     for (name, value) in [("number", 1), ("who", 2), ("what", 3)] {
         tree.insert(
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_leaf_that_stands_as_high_as_an_entry_is_told_as_a_leaf() {
+fn a_leaf_that_lies_as_high_as_an_entry_is_sent_as_a_leaf() {
     // Against an update with an empty path, which a prefix alone would name.
     let mut tree = Leaves::new();
     tree.insert(path("/settings/advice"), Value::Uint(1));
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -10,7 +10,7 @@
 use ironstair_config_change::document::Level;
 use ironstair_config_change::journal::{Kept, Record};
 use ironstair_config_change::plan::{plan, Origin, Roll};
-use ironstair_config_change::revisions::{Action, Ask, Input, Ledger, Refusal};
+use ironstair_config_change::revisions::{Action, Command, Input, Ledger, Refusal};
 use ironstair_config_change::Document;
 use ironstair_data_tree::state::{self, Snapshot};
 use ironstair_data_tree::{Edit, Leaves, Path, Schema};
@@ -88,8 +88,8 @@
 enum Order {
     Look(oneshot::Sender<Arc<Tree>>),
     Set(Box<Set>),
-    Ask {
-        ask: Box<Ask<Document>>,
+    Command {
+        ask: Box<Command<Document>>,
         who: String,
         scope: Scope,
         answer: Responder,
@@ -191,8 +191,13 @@
     ///
     /// # Errors
     /// Nothing of the kind waits, or the disk did not take it.
-    pub async fn ask(&self, ask: Ask<Document>, who: String, scope: Scope) -> Result<u64, Refused> {
-        let asks = |answer| Order::Ask {
+    pub async fn ask(
+        &self,
+        ask: Command<Document>,
+        who: String,
+        scope: Scope,
+    ) -> Result<u64, Refused> {
+        let asks = |answer| Order::Command {
             ask: Box::new(ask),
             who,
             scope,
@@ -375,22 +380,22 @@
                     let _ = tell.send(self.trees.borrow().clone());
                 }
                 Some(Order::Set(set)) => self.set(*set).await,
-                Some(Order::Ask {
+                Some(Order::Command {
                     ask,
                     who,
                     scope,
                     answer,
                 }) => match self.meant(scope) {
                     Err(why) => drop(answer.send(Err(why))),
-                    Ok(None) => drop(answer.send(self.hand(Input::Asked(*ask)).await)),
+                    Ok(None) => drop(answer.send(self.hand(Input::Command(*ask)).await)),
                     Ok(Some(fleet)) => match *ask {
-                        Ask::Confirm { id } => {
+                        Command::Confirm { id } => {
                             want(fleet, answer, |answer| Wanted::Confirm { id, answer })
                         }
-                        Ask::Cancel { id } => {
+                        Command::Cancel { id } => {
                             want(fleet, answer, |answer| Wanted::Cancel { id, who, answer })
                         }
-                        Ask::Set { .. } | Ask::Extend { .. } => {
+                        Command::Set { .. } | Command::Extend { .. } => {
                             let why = "in a fleet a change keeps the time it was given".into();
                             let _ = answer.send(Err(Refused::Fleet(why)));
                         }
@@ -471,7 +476,7 @@
         };
         let Some(fleet) = &self.fleet else {
             let how = self
-                .hand(Input::Asked(Ask::Set {
+                .hand(Input::Command(Command::Set {
                     who,
                     what,
                     document,
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -77,7 +77,7 @@
                             found.number
                         ));
                     }
-                    Found::ToldAnew => {
+                    Found::Reconfigured => {
                         notes.push(
                             "the told settings have changed: they run, earlier revisions do not"
                                 .into(),
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_is_told_and_does_not_fit_the_tree_is_refused_by_its_field() {
+fn what_is_given_and_does_not_fit_the_tree_is_refused_by_its_field() {
     let (mut policy_config, names, limits, frame) = told();
     policy_config.classes[0].value = 0.0;
     let why = open(policy_config, &names, &limits, frame, None, None)
--- a/crates/protocol/tests/parsers.rs
+++ b/crates/protocol/tests/parsers.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_told_apart() {
+fn what_is_no_call_is_distinguished() {
     let read = |m: &[u8]| rpc::read(m, |_, _, _| ()).unwrap_err();
     assert_eq!(read(b"{\"id\":3"), (Some(3), rpc::UNREADABLE));
     assert_eq!(read(b"{\"id\":3}"), (Some(3), rpc::INVALID));
--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn two_keepers_write_and_read_the_bytes_of_the_sample() {
+fn two_replicas_write_and_read_the_bytes_of_the_sample() {
     let run = run();
     let written: String = run.lines.iter().map(|l| format!("{l}\n")).collect();
     let text = sample("run.txt");
--- a/crates/raft-storage/tests/disk.rs
+++ b/crates/raft-storage/tests/disk.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_file_cut_at_any_byte_holds_every_step_that_was_told_as_done() {
+fn a_file_cut_at_any_byte_holds_every_step_that_was_reported_as_done() {
     let folder = tempdir().unwrap();
     let all = filled(folder.path());
     let bytes = std::fs::read(folder.path().join(FILE)).unwrap();
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -42,7 +42,7 @@
     /// By then the process is to have ended.
     Ending(Ms),
     /// From outside the gateway's thread.
-    Asked(ManagementCommand),
+    Command(ManagementCommand),
 }
 
 /// A request from a front.
--- a/crates/runtime/tests/window.rs
+++ b/crates/runtime/tests/window.rs
@@ -44,7 +44,7 @@
     }
 }
 
-enum Asked {
+enum Command {
     Show,
     Amend(u32),
 }
@@ -62,14 +62,14 @@
             let mut serial = 0;
             while let Ok(asked) = asked.recv() {
                 match asked {
-                    Asked::Show => show(
+                    Command::Show => show(
                         &window,
                         Snapshot {
                             serial,
                             ..Default::default()
                         },
                     ),
-                    Asked::Amend(n) => {
+                    Command::Amend(n) => {
                         serial = n;
                         done.send(()).unwrap();
                     }
@@ -79,11 +79,11 @@
     };
     for n in 1..=3 {
         // Given up: its ring may come in the midst of what follows.
-        ask.send(Asked::Show).unwrap();
-        ask.send(Asked::Amend(n)).unwrap();
+        ask.send(Command::Show).unwrap();
+        ask.send(Command::Amend(n)).unwrap();
         told.recv().unwrap();
         let waiting = window.waiting();
-        ask.send(Asked::Show).unwrap();
+        ask.send(Command::Show).unwrap();
         waiting.until_rung();
         assert_eq!(window.latest().serial, n, "a view of before the change");
     }
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn what_is_not_told_has_the_pinned_value() {
+fn what_is_not_given_has_the_pinned_value() {
     let settings = pinned("settings-least.json");
     let terms = ClassPolicy {
         expected: 1.0,
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -67,7 +67,7 @@
 }
 
 fn share(chance: &mut Pcg) -> f64 {
-    (chance.lot() as f64 + 0.5) / 4294967296.0
+    (chance.draw() as f64 + 0.5) / 4294967296.0
 }
 
 /// One of so many.
@@ -140,9 +140,9 @@
 
 /// The nth; classes come in turn, by their shares.
 pub fn drawn(chance: &mut Pcg, nth: usize, now: Ms, ignore: f64) -> Request {
-    let (lot, mut class) = ((nth as f64 * GOLDEN).fract(), 0);
+    let (draw, mut class) = ((nth as f64 * GOLDEN).fract(), 0);
     let mut sum = CLASSES[0].share;
-    while lot > sum && class + 1 < CLASSES.len() {
+    while draw > sum && class + 1 < CLASSES.len() {
         class += 1;
         sum += CLASSES[class].share;
     }
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_day_is_told_by_its_field() {
+fn what_is_wrong_with_a_day_is_reported_by_its_field() {
     for (text, why) in [
         ("", "the day: EOF"),
         (r#"{"name": "d"}"#, "the day: missing field `gateways`"),
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_failed_forward_goes_out_again_and_what_is_over_is_ignored() {
+fn a_failed_attempt_goes_out_again_and_what_is_over_is_ignored() {
     let start = [
         provision(FACTS),
         register(0, 8000),
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_told_with_its_place() {
+fn what_is_malformed_is_reported_with_its_place() {
     let unknown = batch(1, &[vec![99, 0, 3, 0]]);
     assert!(replies(&unknown).0.unwrap_err().contains("unknown code 99"));
     let cut = batch(1, &[provision(FACTS)]);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -89,7 +89,7 @@
 pub struct Gateway {
     m: PolicyConfig,
     chance: Pcg,
-    lot: u64, // drawn once
+    draw: u64, // drawn once
     now: Ms,
     engines: Vec<Engine>,
     subs: Vec<PendingRequest>,
@@ -126,8 +126,8 @@
 
 impl Gateway {
     pub fn new(m: PolicyConfig, seed: u64) -> Self {
-        let (chance, lot, subscribe_at) = (Pcg(seed), mix(seed), m.must_subscribe.then_some(0.0));
-        let mut new = Gateway { chance, lot, subscribe_at, until: Ms::INFINITY, ..Default::default() };
+        let (chance, draw, subscribe_at) = (Pcg(seed), mix(seed), m.must_subscribe.then_some(0.0));
+        let mut new = Gateway { chance, draw, subscribe_at, until: Ms::INFINITY, ..Default::default() };
         new.adopt(m);
         new
     }
@@ -185,7 +185,7 @@
 
     pub fn endpoint_watch_lost(&mut self, now: Ms, out: &mut dyn Actions) {
         // Not at once: all gateways lose the list together and would ask together.
-        let later = now + 500.0 + (self.chance.lot() % 1000) as f64;
+        let later = now + 500.0 + (self.chance.draw() % 1000) as f64;
         self.subscribe_at = self.m.must_subscribe.then_some(later);
         self.due(now, out);
     }
@@ -220,8 +220,15 @@
         if self.subs.len() <= sub {
             self.subs.resize_with(sub + 1, PendingRequest::default);
         }
-        self.subs[sub] =
-            PendingRequest { of, work, open: true, aim, limit, lot: self.chance.lot(), ..Default::default() };
+        self.subs[sub] = PendingRequest {
+            of,
+            work,
+            open: true,
+            aim,
+            limit,
+            draw: self.chance.draw(),
+            ..Default::default()
+        };
         (self.subs[sub].under, self.subs[sub].most) = (class.terms.clone(), self.m.max_attempts);
         if self.keyed(sub) {
             self.keys.entry(of.key).or_default().0.push_back(sub);
@@ -676,7 +683,7 @@
     // all send what they may in the mean at most, stray by its root, and save up nothing for a burst.
     fn cold_room(&self, s: &PendingRequest, e: &Engine) -> bool {
         let Some((share, recent)) = self.cold(e) else { return true };
-        let (usual, own) = (self.usual_work(s.of.class), mix(self.lot ^ e.endpoint.id));
+        let (usual, own) = (self.usual_work(s.of.class), mix(self.draw ^ e.endpoint.id));
         let span = (self.now / self.m.fall_span + part(own)) as u64;
         let drawn = self.crowded && part(mix(own ^ span)) < (share / usual).fract() / 2.0;
         recent + usual <= share || drawn && recent <= share
--- a/src/state.rs
+++ b/src/state.rs
@@ -51,13 +51,13 @@
     pub(crate) out: Option<Attempt>,
     pub(crate) may_have_run: Vec<(usize, Ms)>,
     pub(crate) tried: Vec<usize>,
-    pub(crate) lot: u64,
+    pub(crate) draw: u64,
 }
 
 impl PendingRequest {
     /// Drawn once for each request and what is named: asked again, it gives no second chance.
     pub(crate) fn chance(&self, of: u64) -> f64 {
-        part(mix(self.lot ^ of))
+        part(mix(self.draw ^ of))
     }
 }
 
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -30,7 +30,7 @@
 /// scatter, so that a large one is more often too large; a slope of one and no shift while little is known.
 #[derive(Clone, Copy, Default)]
 pub struct Estimator {
-    sums: [f64; 6], // weight, x, y, xx, xy, yy
+    stats: [f64; 6], // weight, x, y, xx, xy, yy
     at: Ms,
 }
 
@@ -39,14 +39,14 @@
         if estimate > 0.0 && is > 0.0 {
             let (keep, x, y) = (0.5f64.powf((now - self.at) / half), estimate.ln(), is.ln());
             let new = [1.0, x, y, x * x, x * y, y * y];
-            self.sums.iter_mut().zip(new).for_each(|(s, n)| *s = *s * keep + n);
+            self.stats.iter_mut().zip(new).for_each(|(s, n)| *s = *s * keep + n);
             self.at = now;
         }
     }
     /// As far above the middle as `above` makes of the deviation. `little` is what a slope of one weighs beside
     /// what was learnt.
     pub fn of(&self, estimate: f64, little: f64, above: impl Fn(f64) -> f64) -> f64 {
-        let ([n, sx, sy, sxx, sxy, syy], x) = (self.sums, estimate.ln());
+        let ([n, sx, sy, sxx, sxy, syy], x) = (self.stats, estimate.ln());
         if n == 0.0 {
             return estimate;
         }
@@ -62,7 +62,7 @@
 pub struct Pcg(pub u64);
 
 impl Pcg {
-    pub fn lot(&mut self) -> u64 {
+    pub fn draw(&mut self) -> u64 {
         let s = self.0;
         self.0 = s.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         ((((s >> 18) ^ s) >> 27) as u32).rotate_right((s >> 59) as u32) as u64
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -378,7 +378,7 @@
 /// A call of the module.
 enum Call {
     Endpoints(bool, Vec<Endpoint>),
-    RosterLost,
+    EndpointWatchLost,
     Take(usize, Request),
     Confine(usize, u64),
     Outcome(usize, Outcome, bool),
@@ -403,7 +403,7 @@
     Report(usize, bool),
     AllEndpoints,
     EndpointChanges,
-    RosterLost,
+    EndpointWatchLost,
     Leave(usize, u64),
     Close(usize, u64),
     Confine(usize, u64),
@@ -499,7 +499,8 @@
     fn play(mut self) -> u64 {
         let lines = self.endpoint_models.iter().map(|e| e.line).collect();
         self.call(Call::Endpoints(true, lines));
-        let scheduled = [(0.0, Event::Arrive), (300.0, Event::EndpointChanges), (5000.0, Event::RosterLost)];
+        let scheduled =
+            [(0.0, Event::Arrive), (300.0, Event::EndpointChanges), (5000.0, Event::EndpointWatchLost)];
         scheduled.into_iter().for_each(|(time, event)| self.after(time, event));
         if self.scenario.changes {
             let further = [
@@ -566,10 +567,10 @@
                 self.call(Call::Endpoints(true, lines));
             }
             Event::EndpointChanges => self.endpoint_changes(),
-            Event::RosterLost => {
-                self.call(Call::RosterLost);
+            Event::EndpointWatchLost => {
+                self.call(Call::EndpointWatchLost);
                 let next = self.draw.between(3000.0, 9000.0);
-                self.after(next, Event::RosterLost);
+                self.after(next, Event::EndpointWatchLost);
             }
             Event::Leave(index, serial) if self.open(index, serial) => {
                 let request = self.requests[index].as_mut().expect("it is open");
@@ -779,7 +780,7 @@
                 g.update_endpoints(now, full, &lines, &mut out);
                 ["call roster", "call roster, full"][full as usize]
             }
-            Call::RosterLost => {
+            Call::EndpointWatchLost => {
                 g.endpoint_watch_lost(now, &mut out);
                 "call roster_lost"
             }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn least_charged_work_over_weight_goes_first_and_the_next_band_that_fits_after() {
+fn least_charged_work_over_weight_goes_first_and_the_next_class_that_fits_after() {
     let mut m = two_classes();
     m.classes[1].zones = Some(vec![1]);
     let mut g = start(m, 1);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn failing_engine_is_set_aside_and_comes_back_by_a_trickle() {
+fn failing_engine_is_ejected_and_returns_by_recovery_probes() {
     let (mut g, mut now, mut to_bad, mut back) = (start(two_classes(), 3), 1.0, 0, 0);
     let notes = serve(&mut g, &mut now, 430, |i, engine| {
         back += (engine == 1 && i >= 400) as u32;
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn what_went_with_a_connection_and_what_another_engine_left_behind_set_nobody_aside() {
+fn lost_connections_and_replaced_engines_eject_nobody() {
     let (mut g, mut now) = (start(two_classes(), 3), 1.0);
     let end = |what| move |_, engine| (10.0, if engine == 1 { what } else { Outcome::Settled(None) });
     let swept = serve(&mut g, &mut now, 200, end(Outcome::Swept));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_forward_that_later_ones_overtook_slows_nobody_and_goes_again_where_it_may() {
+fn an_attempt_that_later_ones_overtook_slows_nobody_and_goes_again_where_it_may() {
     // Against answers that get lost: waited for, they make every engine look jammed, and their clients wait in vain.
     for repeat in [Effect::Idempotent, Effect::NonIdempotent] {
         let m = PolicyConfig { may_withdraw: true, ..policy_config(vec![class(1.0, 1.0, repeat)]) };
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn half_the_engines_out_of_reach_are_all_set_aside() {
+fn half_the_engines_out_of_reach_are_all_ejected() {
     let (mut g, mut now, mut late) = (start(two_classes(), 4), 1.0, 0);
     serve(&mut g, &mut now, 200, |i, engine| {
         late += (engine % 2 == 0 && i >= 100) as u32;
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_band_out_of_service_turns_back_what_is_new_and_keeps_what_it_has() {
+fn a_class_out_of_service_rejects_what_is_new_and_keeps_what_it_has() {
     let mut m = two_classes();
     let mut g = start(m.clone(), 1);
     let now = press(&mut g, 0..8);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_band_of_which_nothing_came_yet_leaves_the_weights_of_the_others_as_they_are() {
+fn a_class_of_which_nothing_came_yet_leaves_the_weights_of_the_others_as_they_are() {
     // Against weights that leave out all work while that of one class is unknown.
     let mut m = two_classes();
     let mut g = start(m.clone(), 2);
@@ -403,7 +403,7 @@
 }
 
 #[test]
-fn a_band_out_of_service_from_the_start_does_not_keep_the_weights_from_heeding_work() {
+fn a_class_out_of_service_from_the_start_does_not_keep_the_weights_from_heeding_work() {
     // Against a restart with a class that was taken out before: nothing ever comes of it.
     let mut m = two_classes();
     m.classes.push(ClassPolicy { closed: true, ..class(1.0, 1.0, Effect::Idempotent) });
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn submissions_go_to_engines_of_their_cells_and_nowhere_else() {
+fn requests_go_to_engines_of_their_cells_and_nowhere_else() {
     let mut g = two_cells(two_classes());
     for nth in 0..2 {
         let sent: Vec<_> =
@@ -483,7 +483,7 @@
 }
 
 #[test]
-fn a_submission_that_is_confined_anew_goes_to_its_new_cells_with_its_next_forward() {
+fn a_request_that_is_confined_anew_goes_to_its_new_cells_with_its_next_attempt() {
     let mut g = two_cells(two_classes());
     assert_eq!(send(&mut g, 1.0, 0, within_cell(0, 10.0)), [(0, 0)]);
     g.confine(0, 2);
@@ -636,7 +636,7 @@
 }
 
 #[test]
-fn what_an_engine_told_outlasts_its_silence_and_fades() {
+fn what_an_engine_reported_outlasts_its_silence_and_fades() {
     // Against a jammed engine that answers seldom: its last word forgotten, all go there again at once.
     let reports = vec![Load::Other, Load::Held];
     let mut g = start(PolicyConfig { reports, ..two_classes() }, 2);
@@ -672,7 +672,7 @@
 }
 
 #[test]
-fn heavy_bands_leave_engines_that_another_band_must_have_to_the_last() {
+fn heavy_classes_leave_engines_that_another_class_must_have_to_the_last() {
     // Against a kind that is full of what could run elsewhere.
     let mut m = policy_config(vec![class(1.0, 1.0, Effect::Idempotent); 3]);
     m.classes[1].kinds = Some(vec![1]);
@@ -757,16 +757,16 @@
         let mut chance = Pcg(mix(seed ^ (n as u64) << 32));
         // A burst within the last tenth of the third span, or even traffic over four.
         let mut at: Vec<Ms> = (0..each.max(2) * if steady { 4 } else { 1 })
-            .map(|_| (chance.lot() % 4096) as f64 / 4096.0)
+            .map(|_| (chance.draw() % 4096) as f64 / 4096.0)
             .map(|part| if steady { 1001.0 + 4000.0 * part } else { 3900.0 + 100.0 * part })
             .collect();
         at.sort_by(f64::total_cmp);
         for (i, at) in at.into_iter().enumerate() {
-            let of = Request { tables: chance.lot() % 60, ..ask(0, work) };
+            let of = Request { tables: chance.draw() % 60, ..ask(0, work) };
             let mut out = send(g, at, i, of);
             while let Some((slot, e)) = out.pop() {
                 sent[e].push(at);
-                let (mut sheet, fails) = (Sheet::default(), chance.lot().is_multiple_of(4));
+                let (mut sheet, fails) = (Sheet::default(), chance.draw().is_multiple_of(4));
                 let what = if fails { Outcome::Error } else { Outcome::Settled(None) };
                 g.outcome(at, slot, what, !fails, &mut sheet);
                 out.extend(sheet.attempts());
