--- a/crates/data-tree/src/leaves.rs
+++ b/crates/data-tree/src/leaves.rs
@@ -292,9 +292,9 @@
     fill(&inside, at, json, to)?;
     let key_at = at.child(key, None);
     match to.get(&key_at) {
-        Some(told) if told.to_string() != *own => Err(misfit(
+        Some(reported) if reported.to_string() != *own => Err(misfit(
             at,
-            format!("the entry says that its {key} is {told}"),
+            format!("the entry says that its {key} is {reported}"),
         )),
         _ => {
             let leaf = node
--- a/crates/data-tree/src/schema.rs
+++ b/crates/data-tree/src/schema.rs
@@ -207,10 +207,10 @@
             }
             let keys: Vec<&Arc<str>> = next.iter().filter_map(|n| n.key()).collect();
             match (key_name.as_ref(), keys.first()) {
-                (Some(told), Some(k)) if !keys.contains(&told) => {
+                (Some(reported), Some(k)) if !keys.contains(&reported) => {
                     return Err(misfit(
                         &walked,
-                        format!("the list's key is {k}, not {told}"),
+                        format!("the list's key is {k}, not {reported}"),
                     ));
                 }
                 (Some(_), None) => return Err(misfit(&walked, "this is no list and has no key")),
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -234,7 +234,7 @@
 }
 
 fn engine(to: &mut Leaves, name: &str, was: Option<&Engine>, e: &Engine, now: Ms) {
-    let optional = |e: &Engine| (e.view.cold_left.is_some(), e.view.aside.is_some());
+    let optional = |e: &Engine| (e.view.cold_left.is_some(), e.view.ejected.is_some());
     let entry = [step("engine", Some(name))];
     if was.is_some_and(|w| optional(w) != optional(e)) {
         let path = at(to, entry.clone()).at;
@@ -270,8 +270,8 @@
     n.decimal("pace", v.stretch.min(1e9), 3);
     n.count("failures", v.failures as u64);
     n.count("outcomes", v.seen as u64);
-    n.set("aside", Value::Bool(v.aside.is_some()));
-    if v.aside.is_some() {
+    n.set("aside", Value::Bool(v.ejected.is_some()));
+    if v.ejected.is_some() {
         n.text("aside-why", &format!("{} of {} failed", v.failures, v.seen));
     }
     n.set("full", Value::Bool(v.full_until > now));
--- a/crates/data-tree/src/yang.rs
+++ b/crates/data-tree/src/yang.rs
@@ -188,8 +188,8 @@
             ("module m { x \"\\z\"; }", "line 1: an escape"),
             ("module m; more;", "line 1: something behind"),
         ] {
-            let told = parse(text).unwrap_err();
-            assert!(told.starts_with(why), "{text}: {told}");
+            let reported = parse(text).unwrap_err();
+            assert!(reported.starts_with(why), "{text}: {reported}");
         }
         assert!(parse(&"a { ".repeat(99)).unwrap_err().contains("too deep"));
     }
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -118,7 +118,7 @@
         stretch: 1.25,
         failures: 3,
         seen: 20,
-        aside: None,
+        ejected: None,
         full_until: 0.0,
         cold_left: Some(77.0),
     };
@@ -141,7 +141,7 @@
         view: EngineView {
             state: EndpointState::Draining,
             report: None,
-            aside: Some(1.8e12),
+            ejected: Some(1.8e12),
             full_until: 1.9e12,
             cold_left: None,
             ..view
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -169,8 +169,8 @@
             "/settings/band: 0 entries",
         ),
     ] {
-        let told = faults(&edits);
-        assert!(told.starts_with(why), "{why}: {told}");
+        let reported = faults(&edits);
+        assert!(reported.starts_with(why), "{why}: {reported}");
     }
 }
 
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -119,11 +119,11 @@
     println!("| --- | --- | --- | --- |");
     for n in [0, 1, 50] {
         let (_gateway, at) = managed(&format!("bench-changes-{n}"), &[]);
-        let (mut rates, mut told_rates, mut folded) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut rates, mut updates_delivered, mut folded) = (Vec::new(), Vec::new(), Vec::new());
         let heard = Arc::new(AtomicU64::new(0));
-        let stands_for = Arc::new(AtomicU64::new(0));
+        let duplicates = Arc::new(AtomicU64::new(0));
         for _ in 0..n {
-            let (heard, stands_for) = (heard.clone(), stands_for.clone());
+            let (heard, duplicates) = (heard.clone(), duplicates.clone());
             thread::spawn(move || {
                 runtime().block_on(async {
                     let mut c = client(at).await;
@@ -133,7 +133,7 @@
                         if let Some(Sent::Update(u)) = m.response {
                             heard.fetch_add(1, Ordering::Relaxed);
                             let more: u64 = u.update.iter().map(|u| 1 + u.duplicates as u64).sum();
-                            stands_for.fetch_add(more, Ordering::Relaxed);
+                            duplicates.fetch_add(more, Ordering::Relaxed);
                         }
                     }
                 });
@@ -145,7 +145,7 @@
             for round in 0..ROUNDS as u32 {
                 let (before, stood) = (
                     heard.load(Ordering::Relaxed),
-                    stands_for.load(Ordering::Relaxed),
+                    duplicates.load(Ordering::Relaxed),
                 );
                 let (since, mut made) = (Instant::now(), 0u32);
                 while since.elapsed() < Duration::from_secs(1) {
@@ -157,15 +157,15 @@
                 let seconds = since.elapsed().as_secs_f64();
                 rates.push((made as f64 / seconds) as u64);
                 let config = heard.load(Ordering::Relaxed) - before;
-                let stood = stands_for.load(Ordering::Relaxed) - stood;
-                told_rates.push((config as f64 / seconds / n.max(1) as f64) as u64);
+                let stood = duplicates.load(Ordering::Relaxed) - stood;
+                updates_delivered.push((config as f64 / seconds / n.max(1) as f64) as u64);
                 folded.push(stood / config.max(1));
             }
         });
         println!(
             "| {n} | {} | {} | {} |",
             spread(rates),
-            spread(told_rates),
+            spread(updates_delivered),
             spread(folded)
         );
     }
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -717,8 +717,13 @@
         extension: Vec::new(),
     };
     // The way there stays open: its end is the end of the stream.
-    let asked = tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
-    let mut config = client(&w.at).await?.subscribe(asked).await?.into_inner();
+    let requested =
+        tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
+    let mut config = client(&w.at)
+        .await?
+        .subscribe(requested)
+        .await?
+        .into_inner();
     let mut left = w.count.unwrap_or(usize::MAX);
     while let Some(message) = if left > 0 {
         config.message().await?
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -212,7 +212,7 @@
             let heard = seat.bell.listen();
             let quiet = seat.quiet_since();
             let due = match since {
-                _ if seat.asked_to_leave() && quiet.is_finite() => break,
+                _ if seat.must_leave() && quiet.is_finite() => break,
                 Some(first) if seat.answered() || quiet.is_infinite() => first + WORD_WITHIN,
                 None if seat.answered() => quiet + IDLE,
                 _ => quiet.max(seat.since + WORD_WITHIN),
--- a/crates/gateway/src/connection_limiter.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -173,7 +173,7 @@
         self.leave.set(true);
         self.bell.notify(usize::MAX);
     }
-    pub fn asked_to_leave(&self) -> bool {
+    pub fn must_leave(&self) -> bool {
         self.leave.get()
     }
     pub fn answered(&self) -> bool {
--- a/crates/gateway/src/connection_limiter_tests.rs
+++ b/crates/gateway/src/connection_limiter_tests.rs
@@ -9,12 +9,12 @@
     held[0].busy();
     held[1].rest(8.0, true, false);
     held[2].rest(7.0, true, false);
-    let asked = |held: &[Place]| held.iter().filter(|p| p.seat.asked_to_leave()).count();
+    let requested = |held: &[Place]| held.iter().filter(|p| p.seat.must_leave()).count();
     // The last is new: it has not had its word yet.
     for leaver in [2, 1] {
         assert!(block_on(take()).is_none());
         assert_eq!(
-            (asked(&held), held[leaver].seat.asked_to_leave()),
+            (requested(&held), held[leaver].seat.must_leave()),
             (1, true),
             "{leaver}"
         );
@@ -25,11 +25,11 @@
     std::thread::sleep(std::time::Duration::from_millis(NEW as u64 + 20));
     held[2].rest(clock.now(), true, false);
     assert!(block_on(take()).is_none());
-    assert!(held[1].seat.asked_to_leave(), "it never said anything");
+    assert!(held[1].seat.must_leave(), "it never said anything");
     held[1].busy();
     assert!(block_on(take()).is_none());
     assert_eq!(
-        (asked(&held), held[2].seat.asked_to_leave()),
+        (requested(&held), held[2].seat.must_leave()),
         (1, true),
         "what has come to speak stays"
     );
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -54,14 +54,14 @@
         loop {
             let moved = async { moves.recv().await.ok() };
             // A new address gets a new socket: what the old one still answers finds nobody.
-            let asked = async {
+            let queried = async {
                 if let Err(e) = self.ask().await {
                     warn!(self.log, "the name service can't be asked"; "why" => %e);
                     Timer::after(span(ASK_EVERY)).await;
                 }
                 None
             };
-            if let Some(moved) = or(moved, asked).await {
+            if let Some(moved) = or(moved, queried).await {
                 info!(self.log, "name service has moved"; "to" => moved.names);
                 self.names = moved.names;
                 self.index = moved.index;
@@ -116,8 +116,8 @@
                 or(async { socket.recv_from(&mut packet).await.ok() }, late()).await
             {
                 let mut lines = BTreeMap::new();
-                let asked = |n: u16| number.wrapping_sub(n) < WAITING;
-                let serial = dns::read(&packet[..n], asked, |h| {
+                let queried = |n: u16| number.wrapping_sub(n) < WAITING;
+                let serial = dns::read(&packet[..n], queried, |h| {
                     lines.insert(h.name.to_string(), place(&h, &self.index));
                 });
                 let Some(serial) = serial.filter(|_| from == self.names) else {
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -75,7 +75,7 @@
     in_flight: BTreeMap<Id, InFlightAttempt>,
     links: BTreeMap<u64, Link>,
     opened: u64,
-    asked: u64,
+    requested: u64,
     events: Vec<Event>,
     /// Connections on which there is something new to write.
     said: Vec<u64>,
@@ -106,7 +106,7 @@
             in_flight,
             links,
             opened: 0,
-            asked: 0,
+            requested: 0,
             events,
             said,
             connections,
@@ -159,9 +159,9 @@
             }
             Order::EndpointStateChanged => self.refuse(),
             Order::Report => {
-                self.asked += 1;
+                self.requested += 1;
                 let mut line = Vec::new();
-                lines::report(&mut line, &format!("r{}", self.asked));
+                lines::report(&mut line, &format!("r{}", self.requested));
                 let link = self.link(None);
                 self.say(link, line);
             }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -26,7 +26,7 @@
 
 /// The ends that the gateway's thread holds.
 pub struct Running {
-    pub asked: Receiver<ManagementCommand>,
+    pub commands: Receiver<ManagementCommand>,
     pub renew: Renew,
     /// In a fleet: by which it is told that this process ends.
     pub leave: Option<Leave>,
@@ -142,7 +142,7 @@
         log: Logger,
         level: Least,
     ) -> Result<Running, String> {
-        let (requests, asked) = async_channel::bounded(MAILBOX);
+        let (requests, commands) = async_channel::bounded(MAILBOX);
         let (renew, word) = tokio::sync::mpsc::channel(1);
         let on = self.bound.local_addr().map_err(|e| e.to_string())?;
         info!(log, "management is served"; "on" => on);
@@ -196,7 +196,7 @@
             .map_err(|e| e.to_string())?;
         let leave = if in_fleet { leave.recv().ok() } else { None };
         Ok(Running {
-            asked,
+            commands,
             renew,
             leave,
         })
@@ -204,8 +204,8 @@
 }
 
 /// Carries what the management's thread asks to the module's mailbox.
-pub async fn carry(asked: Receiver<ManagementCommand>, module: Sender<Event>) {
-    while let Ok(request) = asked.recv().await {
+pub async fn carry(commands: Receiver<ManagementCommand>, module: Sender<Event>) {
+    while let Ok(request) = commands.recv().await {
         if module.send(Event::Command(request)).await.is_err() {
             return;
         }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -284,7 +284,7 @@
             let running = m.start(&config.name, shared.clock, log.clone(), level)?;
             (renew, leave) = (Some(running.renew), running.leave);
             executor
-                .spawn(management::carry(running.asked, module.clone()))
+                .spawn(management::carry(running.commands, module.clone()))
                 .detach();
         }
         let settings = match (&renew, &leave) {
@@ -350,12 +350,12 @@
             }
         };
         let ends = Cell::new(Ms::INFINITY);
-        let told_to_end = async {
+        let stop_requested = async {
             places.until_begun().await;
             ends.set(shared.clock.now() + left(&shared) + LAST_WORDS / 2.0);
             Timer::after(span(CLIENTS_COME_FOR)).await;
         };
-        or(accept, told_to_end).await;
+        or(accept, stop_requested).await;
         // What the system has accepted is taken: none of it is left behind when the listener goes.
         let accepted = || {
             listener
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -173,11 +173,11 @@
         .map(|who| {
             let mut c = Client::of(&gateway);
             std::thread::spawn(move || {
-                let (mut open, mut settled, mut asked, mut over) = (BTreeSet::new(), 0, 0, 0);
+                let (mut open, mut settled, mut requested, mut over) = (BTreeSet::new(), 0, 0, 0);
                 while over < 200 {
-                    while asked < 200 && open.len() < 16 {
-                        asked += 1;
-                        let (call, class) = (who * 1000 + asked, ["lookup", "post"][asked as usize % 2]);
+                    while requested < 200 && open.len() < 16 {
+                        requested += 1;
+                        let (call, class) = (who * 1000 + requested, ["lookup", "post"][requested as usize % 2]);
                         let tenant = if who < 4 { "t1" } else { "t2" };
                         c.say(&format!(
                             r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -371,12 +371,12 @@
     ]
     .map(String::from);
     let second = std::thread::scope(|scope| {
-        let asked = scope.spawn(|| cluster.cli(4, &[&args[0], &args[1], &args[2], &args[3]]));
+        let requested = scope.spawn(|| cluster.cli(4, &[&args[0], &args[1], &args[2], &args[3]]));
         until("it is asked for", || {
-            asked.is_finished() || last(&cluster, 0)["number"] == json!(2)
+            requested.is_finished() || last(&cluster, 0)["number"] == json!(2)
         });
         cluster.heal();
-        asked.join().unwrap()
+        requested.join().unwrap()
     });
     well(second);
     all_have(&cluster, ATTEMPTS, &json!(6));
--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -139,13 +139,14 @@
             thread::spawn(move || {
                 let (mut answers, mut open, mut worst) =
                     (BTreeMap::new(), BTreeMap::new(), Duration::ZERO);
-                let mut asked = 0;
-                let more = |asked: usize| asked < per_client || made.load(Ordering::Relaxed) < 36;
-                while answers.len() < asked || more(asked) {
-                    while more(asked) && open.len() < 12 {
-                        asked += 1;
-                        let call = who * 1_000_000 + asked as u64;
-                        c.ask_in(["lookup", "report", "post"][asked % 3], call);
+                let mut requested = 0;
+                let more =
+                    |requested: usize| requested < per_client || made.load(Ordering::Relaxed) < 36;
+                while answers.len() < requested || more(requested) {
+                    while more(requested) && open.len() < 12 {
+                        requested += 1;
+                        let call = who * 1_000_000 + requested as u64;
+                        c.ask_in(["lookup", "report", "post"][requested % 3], call);
                         open.insert(call, Instant::now());
                     }
                     let config = c.hear();
@@ -163,7 +164,7 @@
                     .unwrap();
                 let more = std::io::Read::read(&mut c.0, &mut [0; 16]);
                 assert!(more.is_err(), "more than one answer for some");
-                (answers, worst, asked)
+                (answers, worst, requested)
             })
         })
         .collect();
@@ -177,8 +178,8 @@
         .filter(|a| a.1.is_none())
         .map(|a| a.0)
         .collect();
-    let asked: usize = results.iter().map(|r| r.2).sum();
-    assert_eq!(answers.len(), asked, "each one answer");
+    let requested: usize = results.iter().map(|r| r.2).sum();
+    assert_eq!(answers.len(), requested, "each one answer");
     assert!(
         results.iter().all(|r| r.1 < Duration::from_millis(4300)),
         "in time"
@@ -188,8 +189,8 @@
         "{changed} changes, {refused} refused"
     );
     assert!(
-        settled.len() * 10 > asked * 8,
-        "{} settled of {asked}",
+        settled.len() * 10 > requested * 8,
+        "{} settled of {requested}",
         settled.len()
     );
     // What may have run once and may not run twice was never forwarded again.
@@ -877,10 +878,10 @@
         encoding: gnmi::Encoding::Proto as i32,
         ..Default::default()
     };
-    asked(list)
+    requested(list)
 }
 
-fn asked(list: gnmi::SubscriptionList) -> gnmi::SubscribeRequest {
+fn requested(list: gnmi::SubscriptionList) -> gnmi::SubscribeRequest {
     let request = Some(gnmi::subscribe_request::Request::Subscribe(list));
     gnmi::SubscribeRequest {
         request,
@@ -918,12 +919,12 @@
             extension: Vec::new(),
         };
         for (updates_only, second) in [(false, classes), (true, 0)] {
-            let (say, asked) = tokio::sync::mpsc::channel(4);
+            let (say, requested) = tokio::sync::mpsc::channel(4);
             say.send(listing(&["/settings/band"], Poll, updates_only))
                 .await
                 .unwrap();
-            let asked = tokio_stream::wrappers::ReceiverStream::new(asked);
-            let mut polled = c.clone().subscribe(asked).await.unwrap().into_inner();
+            let requested = tokio_stream::wrappers::ReceiverStream::new(requested);
+            let mut polled = c.clone().subscribe(requested).await.unwrap().into_inner();
             say.send(poll()).await.unwrap();
             assert_eq!(
                 up_to_sync(&mut polled).await.unwrap(),
@@ -1094,7 +1095,7 @@
             );
         }
         let sub = |s: gnmi::Subscription| {
-            asked(gnmi::SubscriptionList {
+            requested(gnmi::SubscriptionList {
                 subscription: vec![s],
                 encoding: 4,
                 ..Default::default()
@@ -1119,7 +1120,7 @@
             (sub(unknown), "/nothing: there is no such node"),
             (poll, "a stream begins with a subscription list"),
             (
-                asked(gnmi::SubscriptionList {
+                requested(gnmi::SubscriptionList {
                     encoding: 4,
                     ..Default::default()
                 }),
@@ -1139,12 +1140,12 @@
         }
         let mut open = Vec::new();
         for nth in 0..3 {
-            let (say, asked) = tokio::sync::mpsc::channel(1);
+            let (say, requested) = tokio::sync::mpsc::channel(1);
             say.send(subscribing("/settings", SubscriptionMode::OnChange))
                 .await
                 .unwrap();
-            let asked = tokio_stream::wrappers::ReceiverStream::new(asked);
-            let mut s = c.subscribe(asked).await.unwrap().into_inner();
+            let requested = tokio_stream::wrappers::ReceiverStream::new(requested);
+            let mut s = c.subscribe(requested).await.unwrap().into_inner();
             let first = s.message().await;
             assert_eq!(first.is_ok(), nth < 2);
             assert!(nth < 2 || first.unwrap_err().code() == Code::ResourceExhausted);
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -204,6 +204,7 @@
     c: &mut Command,
     first: gnmi::SubscribeRequest,
 ) -> Result<tonic::Streaming<gnmi::SubscribeResponse>, Status> {
-    let asked = tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
-    Ok(c.subscribe(asked).await?.into_inner())
+    let requested =
+        tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
+    Ok(c.subscribe(requested).await?.into_inner())
 }
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -93,13 +93,13 @@
     // operator's voter hears of the other's.
     cluster.cut_off(0, true, true);
     std::thread::scope(|scope| {
-        let asked = [0, 2].map(|g| {
+        let requested = [0, 2].map(|g| {
             scope.spawn({
                 let cluster = &cluster;
                 move || cluster.cli(g, &["fleet", "begin-anew"])
             })
         });
-        asked.into_iter().for_each(|a| well(&a.join().unwrap()));
+        requested.into_iter().for_each(|a| well(&a.join().unwrap()));
     });
     cluster.heal();
     until("one history is left, and every keeper votes in it", || {
--- a/crates/gateway/tests/serve.rs
+++ b/crates/gateway/tests/serve.rs
@@ -513,14 +513,14 @@
     let service = UdpSocket::bind("127.0.0.1:0").unwrap();
     let names = service.local_addr().unwrap();
     thread::spawn(move || {
-        let (mut query, mut asked, mut stray) = ([0; 512], Vec::new(), answer(9, &[]));
+        let (mut query, mut requested, mut stray) = ([0; 512], Vec::new(), answer(9, &[]));
         stray.truncate(20);
         while let Ok((_, from)) = service.recv_from(&mut query) {
-            asked.push([query[0], query[1]]);
+            requested.push([query[0], query[1]]);
             let _ = service.send_to(&[&query[..2], &stray].concat(), from);
-            if let Some(late) = asked.len().checked_sub(4) {
+            if let Some(late) = requested.len().checked_sub(4) {
                 let _ = service.send_to(
-                    &[&asked[late][..], &answer(2, &[("e2", new, 0)])].concat(),
+                    &[&requested[late][..], &answer(2, &[("e2", new, 0)])].concat(),
                     from,
                 );
             }
--- a/crates/gnmi/src/follow.rs
+++ b/crates/gnmi/src/follow.rs
@@ -127,8 +127,8 @@
         }
         _ => false,
     };
-    let asked = wanted.0.len() <= 2 && !wanted.0.contains(&Wanted::Any);
-    if whole && asked {
+    let requested = wanted.0.len() <= 2 && !wanted.0.contains(&Wanted::Any);
+    if whole && requested {
         (path.first(2), true)
     } else {
         (path.clone(), false)
--- a/crates/gnmi/src/server.rs
+++ b/crates/gnmi/src/server.rs
@@ -88,7 +88,7 @@
     async fn follow(&self, mut renew: mpsc::Receiver<()>, log: Logger) {
         let (mut used, mut last) = (self.files.stamp(), self.files.stamp());
         loop {
-            let asked = tokio::select! {
+            let requested = tokio::select! {
                 word = renew.recv() => match word {
                     Some(()) => true,
                     None => std::future::pending().await,
@@ -97,7 +97,7 @@
             };
             let stamp = self.files.stamp();
             // Against half a rotation: certificate and key are two files.
-            if asked || stamp != used && stamp == last {
+            if requested || stamp != used && stamp == last {
                 self.renew(&log);
                 used = stamp.clone();
             }
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -110,8 +110,8 @@
 }
 
 fn span(d: Option<&prost_types::Duration>) -> Result<Ms, Status> {
-    let asked = d.map(|d| d.seconds as f64 * 1000.0 + d.nanos as f64 / 1e6);
-    confirm_within(asked)
+    let requested = d.map(|d| d.seconds as f64 * 1000.0 + d.nanos as f64 / 1e6);
+    confirm_within(requested)
         .map_err(|why| Status::invalid_argument(format!("rollback_duration {why}")))
 }
 
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -5,7 +5,7 @@
     Cut, Follow, Mode, PathUpdate, Subscription, SAMPLE_LEAST, SAMPLE_MOST, SILENCE,
 };
 use crate::proto::gnmi::{
-    self, subscribe_request::Request as Asked, subscribe_response::Response as Sent,
+    self, subscribe_request::Request as SubscribeAction, subscribe_response::Response as Sent,
 };
 use crate::proto::gnmi::{
     subscription_list, SubscribeRequest, SubscribeResponse, SubscriptionMode,
@@ -53,7 +53,7 @@
 }
 
 /// A task for the stream: it ends with its reader, or with a status for it.
-pub fn serve(service: Service, mut asked: Streaming<SubscribeRequest>) -> Answers {
+pub fn serve(service: Service, mut requested: Streaming<SubscribeRequest>) -> Answers {
     // One message waits: what comes later is told by the newest tree.
     let (to, messages) = mpsc::channel(1);
     let end = End::default();
@@ -64,7 +64,7 @@
             *path_updates.lock().unwrap_or_else(PoisonError::into_inner) = Some(full);
             return;
         };
-        if let Err(status) = run(&service, &mut asked, &to).await {
+        if let Err(status) = run(&service, &mut requested, &to).await {
             *path_updates.lock().unwrap_or_else(PoisonError::into_inner) = Some(status);
         }
     });
@@ -107,11 +107,11 @@
 
 async fn run(
     service: &Service,
-    asked: &mut Streaming<SubscribeRequest>,
+    requested: &mut Streaming<SubscribeRequest>,
     to: &mpsc::Sender<SubscribeResponse>,
 ) -> Result<(), Status> {
-    let first = asked.message().await?.and_then(|r| r.request);
-    let Some(Asked::Subscribe(list)) = first else {
+    let first = requested.message().await?.and_then(|r| r.request);
+    let Some(SubscribeAction::Subscribe(list)) = first else {
         return Err(Status::invalid_argument(
             "a stream begins with a subscription list",
         ));
@@ -145,10 +145,10 @@
         Ok(subscription_list::Mode::Poll) => {
             let mut follow = follow;
             loop {
-                let Some(next) = asked.message().await? else {
+                let Some(next) = requested.message().await? else {
                     return Ok(());
                 };
-                let Some(Asked::Poll(_)) = next.request else {
+                let Some(SubscribeAction::Poll(_)) = next.request else {
                     return Err(Status::invalid_argument(
                         "a stream that polls sends polls only",
                     ));
@@ -164,7 +164,7 @@
             }
         }
         Ok(subscription_list::Mode::Stream) => {
-            stream(follow, tree.at, watch, asked, &writer, to, clock).await
+            stream(follow, tree.at, watch, requested, &writer, to, clock).await
         }
         Err(_) => Err(Status::invalid_argument(format!(
             "mode {} is unknown",
@@ -218,7 +218,7 @@
     mut follow: Follow,
     mut at: Ms,
     mut watch: ironstair_management::Watch,
-    asked: &mut Streaming<SubscribeRequest>,
+    requested: &mut Streaming<SubscribeRequest>,
     writer: &Writer,
     to: &mpsc::Sender<SubscribeResponse>,
     clock: Clock,
@@ -258,7 +258,7 @@
                 at = tree.at;
                 follow.look(clock.now(), &tree.leaves).map_err(cut)?;
             }
-            more = asked.message() => match more? {
+            more = requested.message() => match more? {
                 Some(_) => return Err(Status::invalid_argument("a stream takes one subscription list")),
                 None => return Ok(()),
             },
--- a/crates/gnmi/tests/follow.rs
+++ b/crates/gnmi/tests/follow.rs
@@ -95,12 +95,12 @@
     fn who_caught_up_has_the_tree(
         start in proptest::collection::vec((0..4u8, 0..12u8, 0..9u64), 0..12),
         steps in proptest::collection::vec((0..7u8, 0..12u8, 0..9u64), 0..60),
-        asked in proptest::collection::vec((0..8usize, 0..3usize), 1..4),
+        requested in proptest::collection::vec((0..8usize, 0..3usize), 1..4),
         heartbeats in any::<bool>(),
     ) {
         let mut tree = Leaves::new();
         start.iter().for_each(|&(what, entry, value)| change(&mut tree, what, entry, value));
-        let subscriptions = asked.iter().map(|&(p, m)| {
+        let subscriptions = requested.iter().map(|&(p, m)| {
             Subscription::new(wanted(PATTERNS[p]), MODES[m], heartbeats.then_some(500.0))
         });
         let (mut now, mut reader) = (1000.0, Reader::default());
@@ -119,7 +119,7 @@
         while !follow.is_empty() {
             reader.takes(follow.take(now, 5));
         }
-        let want: BTreeMap<Path, Value> = asked.iter()
+        let want: BTreeMap<Path, Value> = requested.iter()
             .flat_map(|&(p, _)| {
                 let wanted = wanted(PATTERNS[p]);
                 select(&tree, &wanted).map(|(p, v)| (p.clone(), v.clone())).collect::<Vec<_>>()
--- a/crates/protocol/src/dns.rs
+++ b/crates/protocol/src/dns.rs
@@ -108,12 +108,16 @@
     length: usize,
 }
 
-/// Hands over each host of the answer to a question that was `asked` and gives the zone's serial; none if this
+/// Hands over each host of the answer to a question that was `queried` and gives the zone's serial; none if this
 /// is no whole answer to one. The hosts are those of the zone only where there is a serial.
-pub fn read(m: &[u8], asked: impl FnOnce(u16) -> bool, mut each: impl FnMut(Host)) -> Option<u32> {
+pub fn read(
+    m: &[u8],
+    queried: impl FnOnce(u16) -> bool,
+    mut each: impl FnMut(Host),
+) -> Option<u32> {
     let flags = u16_at(m, 2)?;
     // An answer, not cut short, with no error.
-    if !asked(u16_at(m, 0)?) || flags & 0x8000 == 0 || flags & 0x0200 != 0 || flags & 0xF != 0 {
+    if !queried(u16_at(m, 0)?) || flags & 0x8000 == 0 || flags & 0x0200 != 0 || flags & 0xF != 0 {
         return None;
     }
     let (mut at, mut text) = (12, String::new());
--- a/crates/protocol/tests/parsers.rs
+++ b/crates/protocol/tests/parsers.rs
@@ -270,7 +270,7 @@
 fn spoilt_bytes_make_no_parser_panic() {
     let line = b"9b1f03aa5c7e2d41 MORE page=2,load=a:1;b:2 4\r\nabcd\r\n".to_vec();
     let text = b"select $a$ '\" /* -- from sales_17.orders where x.y = `q`".to_vec();
-    let mut lot = 0x2545_F491_4F6C_DD1Du64;
+    let mut draw = 0x2545_F491_4F6C_DD1Du64;
     for round in 0..40_000 {
         let mut m = [
             framed(CALL),
@@ -281,14 +281,14 @@
         ][round % 5]
             .clone();
         for _ in 0..1 + round % 4 {
-            lot = lot
+            draw = draw
                 .wrapping_mul(6364136223846793005)
                 .wrapping_add(1442695040888963407);
-            let at = (lot >> 33) as usize % m.len();
-            match lot >> 62 {
+            let at = (draw >> 33) as usize % m.len();
+            match draw >> 62 {
                 0 => m.truncate(at + 1),
-                1 => m[at] = (lot >> 20) as u8,
-                2 => m[at] = b"\"\\{}[],:;= \r\n*/$'"[(lot >> 20) as usize % 17],
+                1 => m[at] = (draw >> 20) as u8,
+                2 => m[at] = b"\"\\{}[],:;= \r\n*/$'"[(draw >> 20) as usize % 17],
                 _ => drop(m.remove(at)),
             }
             if m.is_empty() {
--- a/crates/runtime/tests/window.rs
+++ b/crates/runtime/tests/window.rs
@@ -54,14 +54,14 @@
     let rings = Rings(Arc::new((Mutex::new(0), Condvar::new())));
     let window = Window::of(Cell(Mutex::new(Shared::default())), rings);
     let window = Arc::new(window);
-    let (ask, asked) = channel();
-    let (done, told) = channel();
+    let (ask, requested) = channel();
+    let (done, reported) = channel();
     let writer = {
         let window = window.clone();
         shuttle::thread::spawn(move || {
             let mut serial = 0;
-            while let Ok(asked) = asked.recv() {
-                match asked {
+            while let Ok(requested) = requested.recv() {
+                match requested {
                     Command::Show => show(
                         &window,
                         Snapshot {
@@ -81,7 +81,7 @@
         // Given up: its ring may come in the midst of what follows.
         ask.send(Command::Show).unwrap();
         ask.send(Command::Amend(n)).unwrap();
-        told.recv().unwrap();
+        reported.recv().unwrap();
         let waiting = window.waiting();
         ask.send(Command::Show).unwrap();
         waiting.until_rung();
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -4,7 +4,7 @@
 use ironstair::{ClassPolicy, Effect, Kind, Ms, PolicyConfig, RetryBudget};
 
 /// One class: how often it is asked for, and what that takes.
-struct Asked {
+struct ClassProfile {
     share: f64,
     threads: f64,
     work: f64,
@@ -14,8 +14,8 @@
     repeat: Effect,
 }
 
-const CLASSES: [Asked; 3] = [
-    Asked {
+const CLASSES: [ClassProfile; 3] = [
+    ClassProfile {
         share: 0.8,
         threads: 1.0,
         work: 120.0,
@@ -24,7 +24,7 @@
         value: 1.0,
         repeat: Effect::Idempotent,
     },
-    Asked {
+    ClassProfile {
         share: 0.04,
         threads: 4.0,
         work: 2400.0,
@@ -33,7 +33,7 @@
         value: 3.0,
         repeat: Effect::Idempotent,
     },
-    Asked {
+    ClassProfile {
         share: 0.16,
         threads: 1.0,
         work: 80.0,
@@ -94,7 +94,7 @@
 /// What a gateway is told.
 pub fn policy_config(gateways: f64) -> PolicyConfig {
     use crate::engine::{COLD_FROM, CORES, FALL_MULTIPLE, FALL_SPAN, WARM_AFTER};
-    let class = |a: &Asked| ClassPolicy {
+    let class = |a: &ClassProfile| ClassPolicy {
         expected: a.expected,
         value: a.value,
         threads: a.threads,
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -47,7 +47,8 @@
     #[default]
     None,
     /// One policy, leases; shares as many as were told.
-    Told,
+    #[serde(rename = "told")]
+    Fixed,
     /// The same, and shares among the members that there are.
     Members,
 }
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
     /// Value that came, by when it first came; and that was settled within its expected time.
-    pub asked: f64,
+    #[serde(rename = "asked")]
+    pub requested: f64,
     pub served: f64,
     #[serde(rename = "turned_back")]
     pub rejected: u32,
@@ -60,7 +61,7 @@
     /// Of the value that came, the share that was served.
     pub fn kept(&self) -> f64 {
         let sum = |of: fn(&Second) -> f64| self.seconds.iter().map(of).sum::<f64>();
-        sum(|s| s.served) / sum(|s| s.asked).max(1e-9)
+        sum(|s| s.served) / sum(|s| s.requested).max(1e-9)
     }
 
     pub fn fell(&self) -> u32 {
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -13,11 +13,11 @@
 
 /// The policy, as far as a fleet's decisions look into it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told(pub f64);
+pub struct GatewayCount(pub f64);
 
-impl Policy for Told {
+impl Policy for GatewayCount {
     fn stricter(&self, other: &Self) -> Option<Self> {
-        Some(Told(self.0.max(other.0)))
+        Some(GatewayCount(self.0.max(other.0)))
     }
     fn gateways(&self) -> f64 {
         self.0
@@ -25,12 +25,12 @@
 }
 
 pub struct Log {
-    fleet: Fleet<Told>,
+    fleet: Fleet<GatewayCount>,
     lease: Ms,
-    leader: Option<(usize, Leader<Told>)>,
+    leader: Option<(usize, Leader<GatewayCount>)>,
     /// Since when there could be one.
     quorum_since: Option<Ms>,
-    writing: Option<(Ms, Record<Told>)>,
+    writing: Option<(Ms, Record<GatewayCount>)>,
 }
 
 impl Log {
@@ -38,7 +38,7 @@
         let mut fleet = Fleet::default();
         fleet.apply(Record::Begun {
             history: 1 << 48,
-            document: Told(gateways),
+            document: GatewayCount(gateways),
             line: None,
         });
         Log {
@@ -76,7 +76,11 @@
         }
     }
 
-    pub fn heartbeat(&mut self, now: Ms, heartbeat: &Heartbeat) -> Option<HeartbeatResponse<Told>> {
+    pub fn heartbeat(
+        &mut self,
+        now: Ms,
+        heartbeat: &Heartbeat,
+    ) -> Option<HeartbeatResponse<GatewayCount>> {
         let (_, leader) = self.leader.as_mut()?;
         Some(leader.heartbeat(now, &self.fleet, heartbeat))
     }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -65,7 +65,14 @@
             let _ = writeln!(
                 text,
                 "{},{n},{:.1},{:.1},{},{},{},{},{}",
-                d.seed, s.asked, s.served, s.rejected, s.failed, s.fell, s.attempts, s.heartbeats
+                d.seed,
+                s.requested,
+                s.served,
+                s.rejected,
+                s.failed,
+                s.fell,
+                s.attempts,
+                s.heartbeats
             );
         }
     }
@@ -84,7 +91,7 @@
         .max()
         .unwrap_or(1);
     let share = |row: &Row, n: usize| -> Option<f64> {
-        let of = |d: &Figures| d.seconds.get(n).map(|s| s.served / s.asked.max(1e-9));
+        let of = |d: &Figures| d.seconds.get(n).map(|s| s.served / s.requested.max(1e-9));
         let all: Vec<f64> = row.days.iter().filter_map(of).collect();
         (!all.is_empty()).then(|| quantile(&all, 0.5))
     };
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -3,7 +3,7 @@
 use crate::clients::{self, drawn, one_of, pause, rate, Request};
 use crate::day::{self, Day, What};
 use crate::engine::{Admission, Asker, Engine};
-use crate::fleet::{Log, Told, TICK, VOTERS};
+use crate::fleet::{GatewayCount, Log, TICK, VOTERS};
 use crate::Figures;
 use ironstair::policy::Gateway;
 use ironstair::stats::{mix, Pcg};
@@ -54,7 +54,7 @@
     FleetTick,
     HeartbeatDue(usize, u32, u64),
     HeartbeatArrives(usize, u32, Box<Heartbeat>, Ms),
-    AnswerComes(usize, u32, Box<HeartbeatResponse<Told>>),
+    AnswerComes(usize, u32, Box<HeartbeatResponse<GatewayCount>>),
 }
 
 /// When, and in which order what happens at one time: as it was asked for.
@@ -465,7 +465,7 @@
         self.after(next, Event::Arrives);
         let nth = self.subs.len();
         let s = drawn(&mut self.chance, nth, self.now, self.day.ignore_advice);
-        self.figures.at(self.now).asked += clients::value(s.class);
+        self.figures.at(self.now).requested += clients::value(s.class);
         let (sub, n) = (self.subs.len(), self.gates.len());
         self.subs.push(s);
         let first = one_of(&mut self.chance, n);
@@ -720,7 +720,7 @@
         }
     }
 
-    fn member(&mut self, g: usize, input: Input<Told>) {
+    fn member(&mut self, g: usize, input: Input<GatewayCount>) {
         let (now, process) = (self.now, self.gates[g].process);
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -112,8 +112,8 @@
             "faults[0].at_s: 99 is outside 0 to 60",
         ),
     ] {
-        let told = Day::decode(text.as_bytes()).unwrap_err();
-        assert!(told.starts_with(why), "{text}: {told}");
+        let reported = Day::decode(text.as_bytes()).unwrap_err();
+        assert!(reported.starts_with(why), "{text}: {reported}");
     }
     assert!(Day::schema().contains("kill_gateways"));
 }
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -320,10 +320,10 @@
     /// decides may send it there.
     pub fn bar_meanwhile(&self, g: usize, class: &'static str) -> JoinHandle<Said> {
         let path = format!("/settings/band[name={class}]/zone");
-        let asked = self.cli_meanwhile(g, &["set", &path, r#"["a"]"#, "--fleet"]);
+        let requested = self.cli_meanwhile(g, &["set", &path, r#"["a"]"#, "--fleet"]);
         let request_log = self.request_log.clone();
         thread::spawn(move || {
-            let said = asked.join().expect("a command");
+            let said = requested.join().expect("a command");
             if said.code == 0 {
                 request_log.note(Seen::Barred { engine: 1, class });
             }
@@ -670,16 +670,16 @@
     // A gateway that is stopped answers nothing, and owes its answers when it goes on.
     let _ = stream.set_read_timeout(Some(WITHIN));
     let mut c = Client(std::io::BufReader::new(stream));
-    let mut asked = 0u64;
+    let mut requested = 0u64;
     loop {
         let ends = over.load(Relaxed);
         if !ends && !paused.load(Relaxed) && open.load(Relaxed) < OPEN {
-            asked += 1;
-            let class = CLASSES[asked as usize % 2];
+            requested += 1;
+            let class = CLASSES[requested as usize % 2];
             // Ids differ among clients and connections.
-            let call = (client as u64 + 1) << 48 | (connection as u64) << 32 | asked;
+            let call = (client as u64 + 1) << 48 | (connection as u64) << 32 | requested;
             open.fetch_add(1, Relaxed);
-            request_log.note(Seen::Asked {
+            request_log.note(Seen::Requested {
                 client,
                 connection,
                 call,
@@ -689,7 +689,7 @@
             if !c.try_ask_of(
                 class,
                 call,
-                &format!("select a from s_{}.t", asked / 2 % TABLES),
+                &format!("select a from s_{}.t", requested / 2 % TABLES),
             ) {
                 return;
             }
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// A client sent a request: under which call, on which of its connections.
-    Asked {
+    Requested {
         client: usize,
         connection: usize,
         call: u64,
@@ -144,7 +144,7 @@
     let (mut open, mut began, mut killed) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     for (at, seen) in lines {
         match seen {
-            Seen::Asked {
+            Seen::Requested {
                 client,
                 connection,
                 call,
@@ -185,18 +185,18 @@
 /// All that the run breaks. `once` are the classes whose requests may run once.
 pub fn breaches(lines: &[(f64, Seen)], once: &[&str]) -> Vec<Breach> {
     let mut found = Vec::new();
-    let mut asked = BTreeMap::new();
+    let mut requested = BTreeMap::new();
     let mut out: BTreeMap<&str, u32> = BTreeMap::new();
     let mut barred: BTreeMap<(usize, &str), f64> = BTreeMap::new();
     for (at, seen) in lines {
         match seen {
-            Seen::Asked {
+            Seen::Requested {
                 client,
                 connection,
                 call,
                 ..
             } => {
-                asked.insert((*client, *connection, *call), ());
+                requested.insert((*client, *connection, *call), ());
             }
             Seen::Answered {
                 client,
@@ -204,7 +204,7 @@
                 call,
                 ..
             } => {
-                if asked.remove(&(*client, *connection, *call)).is_none() {
+                if requested.remove(&(*client, *connection, *call)).is_none() {
                     found.push(Breach::TwoAnswers {
                         client: *client,
                         call: *call,
@@ -254,7 +254,7 @@
 
     #[test]
     fn each_kind_of_breach_is_caught_and_a_clean_run_is_none() {
-        let ask = |call| Seen::Asked {
+        let ask = |call| Seen::Requested {
             client: 0,
             connection: 1,
             call,
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -102,25 +102,25 @@
         // Half of it lies before what is asked, half after.
         let meanwhile = |cluster: &Cluster| {
             thread::sleep(lasts / 2);
-            let asked = asks(cluster);
+            let requested = asks(cluster);
             thread::sleep(lasts / 2);
-            asked
+            requested
         };
-        let asked = match &step.fault {
+        let requested = match &step.fault {
             Fault::Kill(g) => {
                 cluster.kill(*g);
-                let asked = meanwhile(cluster);
+                let requested = meanwhile(cluster);
                 cluster.start(*g);
-                asked
+                requested
             }
             Fault::Stop(g) => {
                 // What was about to be written when it is stopped is written later, and not promised.
                 cluster.quiet(*g);
                 cluster.stop(*g);
                 cluster.queue_at(*g);
-                let asked = meanwhile(cluster);
+                let requested = meanwhile(cluster);
                 cluster.go_on(*g);
-                asked
+                requested
             }
             Fault::CutOff(g, sends, hears) => {
                 cluster.cut_off(*g, *sends, *hears);
@@ -146,19 +146,19 @@
                 lost = Some((*k, votes(cluster, *k)));
                 cluster.kill(*k);
                 cluster.wipe(*k);
-                let asked = meanwhile(cluster);
+                let requested = meanwhile(cluster);
                 cluster.start(*k);
-                asked
+                requested
             }
             Fault::KillVoters => {
                 (0..VOTERS as usize).for_each(|k| cluster.kill(k));
-                let asked = meanwhile(cluster);
+                let requested = meanwhile(cluster);
                 (0..VOTERS as usize).for_each(|k| cluster.start(k));
-                asked
+                requested
             }
         };
         cluster.heal();
-        made += asked.is_some_and(|a| a.join().is_ok_and(|s| s.code == 0)) as usize;
+        made += requested.is_some_and(|a| a.join().is_ok_and(|s| s.code == 0)) as usize;
     }
     settled(cluster);
     made
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -43,7 +43,7 @@
 /// This many times its peers' pace is a fault of the engine, not of its load; of one attempt, maybe a loss.
 const SLOW: f64 = 2.5;
 /// A ejected engine first gets one small request this often; each that goes well halves it.
-const TRICKLE: Ms = 1000.0;
+const RECOVERY_PROBE_INTERVAL: Ms = 1000.0;
 /// An engine's report holds this long.
 const FRESH: Ms = 400.0;
 /// Probes for each request taken, and the most at once: each costs engines work.
@@ -69,17 +69,17 @@
         self.report.filter(|r| now - r.0 < FRESH)
     }
     /// Share in use as it told last, fading: a jammed engine answers seldom, and its word must outlast that.
-    fn told(&self, now: Ms) -> f64 {
+    fn reported_load(&self, now: Ms) -> f64 {
         self.report.map_or(0.0, |(at, share)| share * 0.5f64.powf((now - at) / HALF))
     }
     fn judge(&mut self, now: Ms, well: bool) {
         self.record = (self.record << 1 | !well as u32) & ((1 << RECORD) - 1);
         self.seen = (self.seen + 1).min(RECORD);
-        if let Some((next, gap)) = self.aside {
-            let gap = if well { gap / 2.0 } else { (gap * 2.0).min(gap.max(TRICKLE * 2.0)) };
-            self.aside = Some((if well { next.min(now + gap) } else { now + gap }, gap));
-            if gap < TRICKLE / 5.0 {
-                (self.aside, self.record, self.seen) = (None, 0, 0);
+        if let Some((next, gap)) = self.ejected {
+            let gap = if well { gap / 2.0 } else { (gap * 2.0).min(gap.max(RECOVERY_PROBE_INTERVAL * 2.0)) };
+            self.ejected = Some((if well { next.min(now + gap) } else { now + gap }, gap));
+            if gap < RECOVERY_PROBE_INTERVAL / 5.0 {
+                (self.ejected, self.record, self.seen) = (None, 0, 0);
             }
         }
     }
@@ -96,7 +96,7 @@
     in_flight: Vec<usize>,
     classes: Vec<ClassState>,
     orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the endpoint list changes
-    asked: HashMap<u64, DecayingMean>,       // work by table group
+    work_of_tables: HashMap<u64, DecayingMean>, // work by table group
     keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
     taken_at: VecDeque<Ms>,
     further: VecDeque<Ms>,
@@ -117,7 +117,7 @@
     Gateway::reject_without_lease,
     Gateway::answer_at_the_hard_limit,
     Gateway::count_the_overdue,
-    Gateway::set_aside,
+    Gateway::eject_outlier,
     Gateway::probe,
     Gateway::release,
     Gateway::reject,
@@ -233,10 +233,10 @@
         if self.keyed(sub) {
             self.keys.entry(of.key).or_default().0.push_back(sub);
         }
-        if self.asked.len() >= ORDERS && !self.asked.contains_key(&of.tables) {
-            (self.asked, self.orders) = Default::default();
+        if self.work_of_tables.len() >= ORDERS && !self.work_of_tables.contains_key(&of.tables) {
+            (self.work_of_tables, self.orders) = Default::default();
         }
-        self.asked.entry(of.tables).or_default().add(now, LONG_HALF, work, 0.0);
+        self.work_of_tables.entry(of.tables).or_default().add(now, LONG_HALF, work, 0.0);
         self.taken_at.push_back(now);
         self.probes = (self.probes + PROBES).min(AT_ONCE);
         if self.m.classes[of.class].closed {
@@ -289,7 +289,7 @@
             Outcome::Settled(_) => {
                 if !fwd.overdue {
                     e.fine[b] = e.fine[b].max(fwd.sent);
-                    e.judge(now, elapsed < SLOW * usual || in_time && e.aside.is_none());
+                    e.judge(now, elapsed < SLOW * usual || in_time && e.ejected.is_none());
                 }
                 self.learn(fwd.engine, b, (now - fwd.counted.0) * threads, work * (1.0 - fwd.counted.1));
             }
@@ -413,13 +413,13 @@
 
     // Against fast failures, silence, slowness and failed connects alike: an engine much worse than its
     // peers by its last outcomes. When all worsen together, that would only move the load: half may be aside.
-    fn set_aside(&mut self, out: &mut dyn Actions) -> bool {
+    fn eject_outlier(&mut self, out: &mut dyn Actions) -> bool {
         let ready = || self.engines.iter().filter(|e| e.endpoint.state == EndpointState::Ready);
-        let (n, aside) = (ready().count(), ready().filter(|e| e.aside.is_some()).count());
+        let (n, ejected) = (ready().count(), ready().filter(|e| e.ejected.is_some()).count());
         let (bad, seen) = ready().fold((0, 0), |a, e| (a.0 + e.failures(), a.1 + e.seen));
         let share = |bad: u32, seen: u32| bad as f64 / seen.max(1) as f64;
         let worse = |e: &Engine| {
-            (aside + 1) * 2 <= n
+            (ejected + 1) * 2 <= n
                 && e.in_use()
                 && e.failures() >= BAD
                 && share(e.failures(), e.seen) > 2.0 * share(bad - e.failures(), seen - e.seen)
@@ -427,7 +427,7 @@
         let found = (0..self.engines.len()).filter(|&i| worse(&self.engines[i]));
         let Some(i) = found.max_by_key(|&i| self.engines[i].failures()) else { return false };
         let e = &mut self.engines[i];
-        e.aside = Some((self.now + TRICKLE, TRICKLE));
+        e.ejected = Some((self.now + RECOVERY_PROBE_INTERVAL, RECOVERY_PROBE_INTERVAL));
         out.note(&format!("engine {:012x} set aside: {} of {} failed", e.endpoint.id, e.failures(), e.seen));
         true
     }
@@ -633,7 +633,7 @@
     /// How long until this gateway would meet one engine again by its usual traffic.
     fn seldom(&self) -> Ms {
         let taken: f64 = self.classes.iter().map(|b| b.work.now(self.now, LONG_HALF).1).sum();
-        (self.engines.len() as f64 * LONG_HALF / taken).clamp(TRICKLE, LONG_HALF)
+        (self.engines.len() as f64 * LONG_HALF / taken).clamp(RECOVERY_PROBE_INTERVAL, LONG_HALF)
     }
 
     fn heavy(&self, b: usize) -> bool {
@@ -662,8 +662,9 @@
         // Against a jam that feeds itself: under pressure nothing goes where it would miss its expected time.
         let in_time = self.now + s.work / self.m.classes[b].threads * self.pace(e, b) <= s.aim;
         let asks = self.asks && self.heavy(b);
-        let told = if asks { e.reported(self.now) } else { e.report.map(|r| (r.0, e.told(self.now))) };
-        let enters = told.map_or(!asks, |r| self.enters(s, e, r));
+        let reported =
+            if asks { e.reported(self.now) } else { e.report.map(|r| (r.0, e.reported_load(self.now))) };
+        let enters = reported.map_or(!asks, |r| self.enters(s, e, r));
         self.now > e.full_until && enters && (fits && in_time || stretch <= PRESSED)
     }
 
@@ -729,7 +730,7 @@
     fn homes(&self, tables: u64) -> usize {
         let ready = self.engines.iter().filter(|e| e.in_use()).count();
         let all: f64 = self.classes.iter().map(|b| b.work.now(self.now, LONG_HALF).0).sum();
-        let share = self.asked.get(&tables).map_or(0.0, |f| f.now(self.now, LONG_HALF).0) / all;
+        let share = self.work_of_tables.get(&tables).map_or(0.0, |f| f.now(self.now, LONG_HALF).0) / all;
         ((HOMES * ready) as f64 * share).round().max(HOMES as f64) as usize
     }
 
@@ -737,15 +738,15 @@
     fn place(&self, sub: usize) -> Option<usize> {
         let s = &self.subs[sub];
         let mut order = self.order(s);
-        let due = |i: &usize| self.engines[*i].aside.is_some_and(|a| a.0 <= self.now);
+        let due = |i: &usize| self.engines[*i].ejected.is_some_and(|a| a.0 <= self.now);
         if let Some(i) = order.iter().find(|i| due(i) && s.attempts == 0 && !self.heavy(s.of.class)) {
             return Some(*i);
         }
         // What was tried already comes last but for what is ejected.
-        let last = |i: usize| 2 * self.engines[i].aside.is_some() as u8 + s.tried.contains(&i) as u8;
+        let last = |i: usize| 2 * self.engines[i].ejected.is_some() as u8 + s.tried.contains(&i) as u8;
         let best = order.iter().map(|&i| last(i)).min()?;
         order.retain(|&i| last(i) == best || best == 3);
-        let load = |e: &Engine| e.threads / e.cores + e.told(self.now);
+        let load = |e: &Engine| e.threads / e.cores + e.reported_load(self.now);
         let (homes, rest) = order.split_at(self.homes(s.of.tables).min(order.len()));
         let home = homes.iter().copied().filter(|&i| self.open(i, s));
         home.min_by(|&x, &y| load(&self.engines[x]).total_cmp(&load(&self.engines[y])))
@@ -773,7 +774,7 @@
         e.threads += threads;
         e.cold_sent.push_back((now, usual));
         e.cold_sent.retain(|c| c.0 >= now - self.m.fall_span);
-        e.aside = e.aside.map(|(_, gap)| (now + gap, gap));
+        e.ejected = e.ejected.map(|(_, gap)| (now + gap, gap));
         if !again && (self.m.priorities_heeded || self.m.grants_heeded) {
             let least = self.m.kinds.iter().map(|k| k.memory_mb).fold(f64::INFINITY, f64::min);
             let known = self.m.grants_heeded && memory > 0.0;
--- a/src/policy/view.rs
+++ b/src/policy/view.rs
@@ -18,7 +18,7 @@
     pub failures: u32,
     pub seen: u32,
     /// When ejected: when the next of the trickle may go.
-    pub aside: Option<Ms>,
+    pub ejected: Option<Ms>,
     pub full_until: Ms,
     /// While it is cold: work, in ms on a thread, that this gateway may still send within the span.
     pub cold_left: Option<Ms>,
@@ -46,7 +46,7 @@
             stretch: if e.pace.is_empty() { 1.0 } else { self.stretch(e) },
             failures: e.failures(),
             seen: e.seen,
-            aside: e.aside.map(|a| a.0),
+            ejected: e.ejected.map(|a| a.0),
             full_until: e.full_until,
             cold_left: self.cold(e).map(|(share, used)| (share - used).max(0.0)),
         })
--- a/src/state.rs
+++ b/src/state.rs
@@ -16,14 +16,14 @@
     pub(crate) pace: Vec<DecayingMean>,
     pub(crate) fine: Vec<Ms>, // by class: when the latest sent of those settled before they were overdue was sent
     pub(crate) full_until: Ms,
-    pub(crate) aside: Option<(Ms, Ms)>, // when ejected: when the next of the trickle may go, and the gap between
+    pub(crate) ejected: Option<(Ms, Ms)>, // when ejected: when the next of the trickle may go, and the gap between
     pub(crate) cold_sent: VecDeque<(Ms, f64)>,
     pub(crate) report: Option<(Ms, f64)>, // when asked or last reported, and the largest share of it in use
 }
 
 impl Engine {
     pub(crate) fn in_use(&self) -> bool {
-        self.endpoint.state == EndpointState::Ready && self.aside.is_none()
+        self.endpoint.state == EndpointState::Ready && self.ejected.is_none()
     }
     pub(crate) fn failures(&self) -> u32 {
         self.record.count_ones()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -172,7 +172,7 @@
 }
 
 impl Referee {
-    pub fn told(&mut self, now: Ms, lines: &[Endpoint]) {
+    pub fn reported(&mut self, now: Ms, lines: &[Endpoint]) {
         for l in lines {
             self.endpoints.insert(l.engine, *l);
             match l.state {
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -544,7 +544,7 @@
                 self.after(next, Event::Progress(index, serial));
             }
             Event::Wake => self.call(Call::Due),
-            Event::Report(i, asked) => {
+            Event::Report(i, requested) => {
                 let (e, reports) = (&self.endpoint_models[i], &self.policy.reports);
                 let cores = self.policy.kinds[e.line.kind as usize].cores;
                 let (share, held) = (e.busy as f64 / cores * e.slow, e.busy as f64);
@@ -557,7 +557,7 @@
                 let values: Vec<f64> = values.collect();
                 let values = if self.draw.chance(0.08) { vec![] } else { values };
                 self.call(Call::Report(i, values));
-                if !asked {
+                if !requested {
                     let next = self.draw.between(100.0, 900.0);
                     self.after(next, Event::Report(i, false));
                 }
@@ -766,8 +766,8 @@
         let work = guess * d.between(0.5, 2.0) * if d.chance(0.03) { 12.0 } else { 1.0 };
         let wait = (e.busy as f64 / cores).max(1.0) * e.slow;
         let memory_mb = of.memory_mb * d.between(0.5, 1.5);
-        let told = d.chance(0.75).then_some(Cost { work, memory_mb });
-        (work / terms.threads * wait, Outcome::Settled(told))
+        let reported = d.chance(0.75).then_some(Cost { work, memory_mb });
+        (work / terms.threads * wait, Outcome::Settled(reported))
     }
 
     /// Calls the module, and does what it asks for.
@@ -984,7 +984,7 @@
     fn sanity(&mut self, endpoint_model: usize) {
         let view = self.gateway.engine_view(endpoint_model).expect("it is listed");
         assert_eq!(view.state, EndpointState::Ready, "{}: endpoint {endpoint_model}", self.scenario.name);
-        if view.aside.is_some() {
+        if view.ejected.is_some() {
             self.count("seen trickle attempt to an endpoint set aside");
         }
     }
@@ -997,7 +997,7 @@
             h.all(&[view.cores, view.threads, view.stretch, view.full_until].map(f64::to_bits));
             h.float(view.report.map(|r| r.0));
             h.float(view.report.map(|r| r.1));
-            h.float(view.aside);
+            h.float(view.ejected);
             h.float(view.cold_left);
             if view.cold_left.is_some_and(|left| left < 50.0) {
                 self.count("seen cold endpoint with its share used up");
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -248,8 +248,8 @@
     (0..4).for_each(|i| drop(send(&mut g, 1.0, i, ask(0, 100.0))));
     let mut sheet = Sheet::default();
     g.take(2.0, 9, Request { left: 20_000.0, ..ask(1, 4000.0) }, &mut sheet);
-    let asked = |s: &Sheet| s.0.iter().find_map(|a| if let Act::Probe(e) = a { Some(*e) } else { None });
-    let first = asked(&sheet).expect("an engine is asked");
+    let requested = |s: &Sheet| s.0.iter().find_map(|a| if let Act::Probe(e) = a { Some(*e) } else { None });
+    let first = requested(&sheet).expect("an engine is asked");
     assert_eq!(sheet.attempts(), [], "nothing goes before one told of room");
     let mut sheet = Sheet::default();
     g.report(3.0, first, &[0.4, 24.0], &mut sheet);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -40,7 +40,7 @@
 
     fn update_endpoints(&mut self, lines: &[Endpoint]) -> Result<(), String> {
         let mut sheet = Sheet::default();
-        self.referee.told(self.now, lines);
+        self.referee.reported(self.now, lines);
         self.gateway.update_endpoints(self.now, false, lines, &mut sheet);
         self.check(sheet)
     }
@@ -205,15 +205,15 @@
     ];
     for (rule, acts) in cases {
         let mut referee = Referee { m: motley(), ..Default::default() };
-        referee.told(0.0, &(0..6).map(line).collect::<Vec<_>>());
+        referee.reported(0.0, &(0..6).map(line).collect::<Vec<_>>());
         let mut broken = Ok(());
         for (i, (event, act)) in acts.iter().enumerate() {
             let now = 1.0 + i as f64;
             match event {
                 3 => referee.ended(now, 0, Outcome::Error),
-                6 => referee.told(now - 0.5, &[Endpoint { state: EndpointState::Draining, ..line(0) }]),
+                6 => referee.reported(now - 0.5, &[Endpoint { state: EndpointState::Draining, ..line(0) }]),
                 9 => {
-                    referee.told(now, &[Endpoint { since: 0.5, ..line(0) }]);
+                    referee.reported(now, &[Endpoint { since: 0.5, ..line(0) }]);
                     referee.took(now, 0, ask(0, 1e6));
                 }
                 class if i == 0 || rule == "5" => {
@@ -223,7 +223,7 @@
             }
             broken = broken.and(referee.sees(now, act));
         }
-        let told = broken.expect_err(rule);
-        assert!(told.starts_with(rule), "rule {rule}: {told}");
+        let reported = broken.expect_err(rule);
+        assert!(reported.starts_with(rule), "rule {rule}: {reported}");
     }
 }
