--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -57,7 +57,7 @@
     pub serial: u32,
     pub heard: Ms,
     pub connections: u32,
-    pub connections_most: u32,
+    pub max_client_connections: u32,
     pub open: u32,
     pub lent: u32,
     pub buffers_most: u32,
@@ -203,7 +203,7 @@
     n.count("engines", is.engines.len() as u64);
     let mut n = at(&mut new, [step("clients", None)]);
     n.count("connections", is.connections as u64);
-    n.count("connections-most", is.connections_most as u64);
+    n.count("connections-most", is.max_client_connections as u64);
     n.count("open", is.open as u64);
     let mut n = at(&mut new, [step("buffers", None)]);
     n.count("lent", is.lent as u64);
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -193,7 +193,7 @@
         serial: 12,
         heard: 1.8e12 - 1.0,
         connections: 13,
-        connections_most: 14,
+        max_client_connections: 14,
         open: 15,
         lent: 16,
         buffers_most: 17,
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,6 +1,6 @@
 //! A client connection's actor: reads requests, writes answers, each way by itself.
 
-use crate::connection_limiter::Place;
+use crate::connection_limiter::ConnectionPermit;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use base64::engine::general_purpose::STANDARD;
@@ -47,7 +47,7 @@
 
 struct Client {
     shared: Rc<Shared>,
-    place: Place,
+    permit: ConnectionPermit,
     own: Sender<Reply>,
     /// With what tells the owners of its attempts, ahead of any mailbox, that it waits no more.
     open: RefCell<BTreeMap<u64, (Id, Waits)>>,
@@ -57,13 +57,13 @@
     ended: Cell<Option<Ms>>,
 }
 
-pub async fn serve(stream: Async<TcpStream>, shared: Rc<Shared>, place: Place) {
+pub async fn serve(stream: Async<TcpStream>, shared: Rc<Shared>, permit: ConnectionPermit) {
     let _ = stream.get_ref().set_nodelay(true);
     let (own, replies) = async_channel::bounded(MAILBOX);
     let (open, writing, faults, ended) = Default::default();
     let client = Client {
         shared,
-        place,
+        permit,
         own,
         open,
         writing,
@@ -85,18 +85,18 @@
     };
     let _ = or(read, client.write(&stream, replies)).await;
     client.give_up().await;
-    close(stream, client.place, &client.shared).await;
+    close(stream, client.permit, &client.shared).await;
 }
 
 /// The one way in which a client's connection ends. Closed with something unread it would be reset, and what was said
 /// last be lost with it: so this side's way is closed first, and what still comes is thrown away, for a time and up to
 /// an amount. Nothing of it is taken: the client sees the end, and a request that crosses it is sent once more.
-async fn close(stream: Async<TcpStream>, place: Place, shared: &Shared) {
+async fn close(stream: Async<TcpStream>, permit: ConnectionPermit, shared: &Shared) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
     // The place is the next one's; without room to linger the end is at once.
-    let Some(_lingers) = place.linger() else {
+    let Some(_lingers) = permit.linger() else {
         return;
     };
     let thrown_away = async {
@@ -194,28 +194,28 @@
     /// Until nothing is owed on this connection.
     async fn quiet(&self) {
         let quiet = || self.open.borrow().is_empty() && self.own.is_empty() && !self.writing.get();
-        until(&self.place.seat.bell, || quiet().then_some(())).await
+        until(&self.permit.activity.bell, || quiet().then_some(())).await
     }
 
     fn over(&self, call: Option<u64>, answered: bool) {
         let mut open = self.open.borrow_mut();
         call.and_then(|c| open.remove(&c));
-        self.place
+        self.permit
             .rest(self.shared.clock.now(), answered, !open.is_empty());
     }
 
     /// Until a connection on which nothing is open has been quiet for too long, or a message, begun at `since`,
     /// has been under way for too long, or the place is needed.
     async fn impatient(&self, stream: &Async<TcpStream>, since: Option<Ms>) -> io::Result<()> {
-        let seat = &self.place.seat;
+        let activity = &self.permit.activity;
         loop {
-            let heard = seat.bell.listen();
-            let quiet = seat.quiet_since();
+            let heard = activity.bell.listen();
+            let quiet = activity.quiet_since();
             let due = match since {
-                _ if seat.must_leave() && quiet.is_finite() => break,
-                Some(first) if seat.answered() || quiet.is_infinite() => first + WORD_WITHIN,
-                None if seat.answered() => quiet + IDLE,
-                _ => quiet.max(seat.since + WORD_WITHIN),
+                _ if activity.is_asked_to_close() && quiet.is_finite() => break,
+                Some(first) if activity.answered() || quiet.is_infinite() => first + WORD_WITHIN,
+                None if activity.answered() => quiet + IDLE,
+                _ => quiet.max(activity.since + WORD_WITHIN),
             };
             if due <= self.shared.clock.now() {
                 break;
@@ -393,10 +393,16 @@
         }
         let call = call.filter(|c| *c > 0).ok_or((None, rpc::INVALID))?;
         if method == b"check" {
-            self.plain(|m| rpc::fit(m, call, !self.place.of.begun() && self.shared.holds_lease()));
+            self.plain(|m| {
+                rpc::fit(
+                    m,
+                    call,
+                    !self.permit.of.is_shutting_down() && self.shared.holds_lease(),
+                )
+            });
             return Ok(None);
         }
-        if self.place.of.closing()
+        if self.permit.of.is_closing()
             || self
                 .ended
                 .get()
@@ -467,7 +473,7 @@
         };
         let waits = Rc::new(Cell::new(true));
         self.open.borrow_mut().insert(call, (id, waits.clone()));
-        self.place.busy();
+        self.permit.busy();
         Ok(Some(Event::NewRequest(Box::new(NewRequest {
             id,
             call,
@@ -508,7 +514,7 @@
                     // Not for one that its client has rolled back meanwhile.
                     if !self.open.borrow().contains_key(c) {
                         self.writing.set(false);
-                        self.place.seat.bell.notify(usize::MAX);
+                        self.permit.activity.bell.notify(usize::MAX);
                         continue;
                     }
                     Some(*c)
--- a/crates/gateway/src/connection_limiter.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -9,92 +9,93 @@
 use std::rc::Rc;
 
 /// How long a connection counts as new.
-const NEW: Ms = 250.0;
+const NEW_CONNECTION_PERIOD: Ms = 250.0;
 /// One in so many places may linger beside them.
-const LINGER_SHARE: usize = 16;
+const CONNECTIONS_PER_LINGERING: usize = 16;
 
-pub struct Places {
-    most: usize,
-    begun: Cell<bool>,
-    closing: Cell<bool>,
-    taken: RefCell<BTreeMap<u64, Rc<Seat>>>,
+pub struct ConnectionLimiter {
+    max_connections: usize,
+    is_shutting_down: Cell<bool>,
+    is_closing: Cell<bool>,
+    taken: RefCell<BTreeMap<u64, Rc<ConnectionActivity>>>,
     nth: Cell<u64>,
     bell: Bell,
     /// Connections that are over but for what their clients still send, and the most of them.
     lingering: Cell<usize>,
-    most_lingering: usize,
+    max_lingering: usize,
     /// How many are taken, for who looks on.
     count: Rc<Cell<u32>>,
 }
 
 /// Held while a connection lingers after its end.
-pub struct Lingers(Rc<Places>);
+pub struct LingerPermit(Rc<ConnectionLimiter>);
 
 /// What is known of a connection here.
-pub struct Seat {
+pub struct ConnectionActivity {
     /// When it was connected.
     pub since: Ms,
     /// Since when nothing is open on it; infinite while something is.
     quiet: Cell<Ms>,
     answered: Cell<bool>,
-    leave: Cell<bool>,
+    close_requested: Cell<bool>,
     /// Rung whenever any of this changes.
     pub bell: Bell,
 }
 
 /// A place held; given back when dropped.
-pub struct Place {
-    pub of: Rc<Places>,
-    pub seat: Rc<Seat>,
+pub struct ConnectionPermit {
+    pub of: Rc<ConnectionLimiter>,
+    pub activity: Rc<ConnectionActivity>,
     nth: u64,
 }
 
-impl Places {
-    /// At most `most` connections, and a sixteenth as many that linger after their end.
-    pub fn new(most: usize, count: Rc<Cell<u32>>) -> Rc<Self> {
-        let (begun, closing, taken) = (Cell::new(false), Cell::new(false), RefCell::default());
-        Rc::new(Places {
-            most: most.max(1),
-            begun,
-            closing,
+impl ConnectionLimiter {
+    /// At most `max_connections` connections, and a sixteenth as many that linger after their end.
+    pub fn new(max_connections: usize, count: Rc<Cell<u32>>) -> Rc<Self> {
+        let (is_shutting_down, is_closing, taken) =
+            (Cell::new(false), Cell::new(false), RefCell::default());
+        Rc::new(ConnectionLimiter {
+            max_connections: max_connections.max(1),
+            is_shutting_down,
+            is_closing,
             taken,
             nth: Cell::new(0),
             bell: Bell::new(),
             lingering: Cell::new(0),
-            most_lingering: (most / LINGER_SHARE).max(1),
+            max_lingering: (max_connections / CONNECTIONS_PER_LINGERING).max(1),
             count,
         })
     }
 
     /// The end has been announced.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
+    pub fn is_shutting_down(&self) -> bool {
+        self.is_shutting_down.get()
     }
 
-    pub fn begin(&self) {
-        self.begun.set(true);
+    pub fn begin_shutdown(&self) {
+        self.is_shutting_down.set(true);
         self.bell.notify(usize::MAX);
     }
 
-    pub async fn until_begun(&self) {
-        until(&self.bell, || self.begun().then_some(())).await
+    pub async fn until_shutting_down(&self) {
+        until(&self.bell, || self.is_shutting_down().then_some(())).await
     }
 
     /// Every connection is to close as soon as it is quiet.
     pub fn close(&self) {
-        self.closing.set(true);
+        self.is_closing.set(true);
         self.taken.borrow().values().for_each(|s| s.ask());
     }
 
     /// Who waits for a place looks anew.
     fn press(&self) {
-        if self.taken.borrow().len() >= self.most {
+        if self.taken.borrow().len() >= self.max_connections {
             self.bell.notify(usize::MAX);
         }
     }
 
-    pub fn closing(&self) -> bool {
-        self.closing.get()
+    pub fn is_closing(&self) -> bool {
+        self.is_closing.get()
     }
 
     pub async fn until_empty(&self) {
@@ -103,20 +104,22 @@
     }
 
     /// Until a place or a descriptor may have become free.
-    pub async fn until_given_back(&self) {
+    pub async fn until_released(&self) {
         self.bell.listen().await
     }
 
     /// A place for a new connection. Where there is none, the one that has been quiet for longest leaves, of
     /// those first that never had an answer: against connections by the hundred that say nothing, and those
     /// kept for good by clients that ask once. New ones leave last: their first word may be under way.
-    pub async fn take(self: &Rc<Self>, clock: &Clock) -> Place {
+    pub async fn take(self: &Rc<Self>, clock: &Clock) -> ConnectionPermit {
         until(&self.bell, || {
             let (taken, now) = (self.taken.borrow(), clock.now());
             let quiet = || taken.values().filter(|s| s.quiet.get().is_finite());
-            if taken.len() >= self.most && !quiet().any(|s| s.leave.get()) {
-                let new = |s: &Seat| !s.answered.get() && now - s.since < NEW;
-                let rank = |s: &Rc<Seat>| (new(s), s.answered.get(), s.quiet.get());
+            if taken.len() >= self.max_connections && !quiet().any(|s| s.close_requested.get()) {
+                let new = |s: &ConnectionActivity| {
+                    !s.answered.get() && now - s.since < NEW_CONNECTION_PERIOD
+                };
+                let rank = |s: &Rc<ConnectionActivity>| (new(s), s.answered.get(), s.quiet.get());
                 let first = quiet().min_by(|a, b| {
                     rank(a)
                         .partial_cmp(&rank(b))
@@ -124,43 +127,43 @@
                 });
                 first.inspect(|s| s.ask());
             }
-            (taken.len() < self.most).then_some(())
+            (taken.len() < self.max_connections).then_some(())
         })
         .await;
-        self.seat(clock)
+        self.activity(clock)
     }
 
     /// Without waiting, a few beyond the places: for what the system has accepted before the end.
-    pub fn last(self: &Rc<Self>, clock: &Clock) -> Option<Place> {
-        let few = self.taken.borrow().len() < self.most + self.most_lingering;
-        few.then(|| self.seat(clock))
+    pub fn last(self: &Rc<Self>, clock: &Clock) -> Option<ConnectionPermit> {
+        let few = self.taken.borrow().len() < self.max_connections + self.max_lingering;
+        few.then(|| self.activity(clock))
     }
 
-    fn seat(self: &Rc<Self>, clock: &Clock) -> Place {
+    fn activity(self: &Rc<Self>, clock: &Clock) -> ConnectionPermit {
         let (now, nth) = (clock.now(), self.nth.replace(self.nth.get() + 1));
-        let (quiet, answered, leave) = (
+        let (quiet, answered, close_requested) = (
             Cell::new(now),
             Cell::new(false),
-            Cell::new(self.closing.get()),
+            Cell::new(self.is_closing.get()),
         );
-        let seat = Rc::new(Seat {
+        let activity = Rc::new(ConnectionActivity {
             since: now,
             quiet,
             answered,
-            leave,
+            close_requested,
             bell: Bell::new(),
         });
-        self.taken.borrow_mut().insert(nth, seat.clone());
+        self.taken.borrow_mut().insert(nth, activity.clone());
         self.count.set(self.taken.borrow().len() as u32);
-        Place {
+        ConnectionPermit {
             of: self.clone(),
-            seat,
+            activity,
             nth,
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.of.taken.borrow_mut().remove(&self.nth);
         self.of.count.set(self.of.taken.borrow().len() as u32);
@@ -168,13 +171,13 @@
     }
 }
 
-impl Seat {
+impl ConnectionActivity {
     fn ask(&self) {
-        self.leave.set(true);
+        self.close_requested.set(true);
         self.bell.notify(usize::MAX);
     }
-    pub fn must_leave(&self) -> bool {
-        self.leave.get()
+    pub fn is_asked_to_close(&self) -> bool {
+        self.close_requested.get()
     }
     pub fn answered(&self) -> bool {
         self.answered.get()
@@ -184,39 +187,41 @@
     }
 }
 
-impl Drop for Lingers {
+impl Drop for LingerPermit {
     fn drop(&mut self) {
         self.0.lingering.set(self.0.lingering.get() - 1);
         self.0.bell.notify(usize::MAX);
     }
 }
 
-impl Place {
+impl ConnectionPermit {
     /// Gives the place back; none where too many linger already, but for the end, when nobody comes any more.
-    pub fn linger(self) -> Option<Lingers> {
+    pub fn linger(self) -> Option<LingerPermit> {
         let (of, lingering) = (self.of.clone(), self.of.lingering.get());
-        (lingering < of.most_lingering || of.closing()).then(|| {
+        (lingering < of.max_lingering || of.is_closing()).then(|| {
             of.lingering.set(lingering + 1);
-            Lingers(of)
+            LingerPermit(of)
         })
     }
 
     pub fn busy(&self) {
-        self.seat.quiet.set(Ms::INFINITY);
+        self.activity.quiet.set(Ms::INFINITY);
         // Another is asked in its stead.
-        self.seat.leave.set(self.of.closing.get());
+        self.activity.close_requested.set(self.of.is_closing.get());
         self.of.press();
     }
 
     /// Something was answered or rolled back; with nothing left open, the place may be asked for.
     pub fn rest(&self, now: Ms, answered: bool, open: bool) {
-        self.seat.answered.set(self.seat.answered() || answered);
+        self.activity
+            .answered
+            .set(self.activity.answered() || answered);
         // One that only takes back what it never asked is no less quiet for it.
-        if !open && (answered || self.seat.quiet.get().is_infinite()) {
-            self.seat.quiet.set(now);
+        if !open && (answered || self.activity.quiet.get().is_infinite()) {
+            self.activity.quiet.set(now);
             self.of.press();
         }
-        self.seat.bell.notify(usize::MAX);
+        self.activity.bell.notify(usize::MAX);
     }
 }
 
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The list's actor: asks the name service and tells the module's actor of changes.
 
-use crate::snapshot_store::Memory;
+use crate::snapshot_store::SnapshotStore;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -29,7 +29,7 @@
 const ANOTHER_SOCKET: u32 = 2 * WAITING as u32;
 
 /// What a new configuration says of the endpoint list: where to ask, and the changes up to then.
-pub struct Moved {
+pub struct DiscoveryUpdate {
     pub names: SocketAddr,
     pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
@@ -37,7 +37,7 @@
     pub index: Frame,
 }
 
-pub struct List {
+pub struct Discovery {
     pub from: IpAddr,
     pub names: SocketAddr,
     pub index: Frame,
@@ -46,11 +46,11 @@
     pub log: Logger,
     pub shared: Rc<Shared>,
     /// Keeps the list for the next process, where there is one.
-    pub memory: Option<Memory>,
+    pub snapshot_store: Option<SnapshotStore>,
 }
 
-impl List {
-    pub async fn follow(mut self, moves: Receiver<Moved>) {
+impl Discovery {
+    pub async fn follow(mut self, moves: Receiver<DiscoveryUpdate>) {
         loop {
             let moved = async { moves.recv().await.ok() };
             // A new address gets a new socket: what the old one still answers finds nobody.
@@ -74,20 +74,20 @@
     /// this is dropped while the module is busy.
     async fn heard(&mut self, rev: u32, lines: BTreeMap<String, DiscoveredEndpoint>) {
         if rev > self.rev {
-            self.memory
+            self.snapshot_store
                 .iter()
                 .for_each(|m| m.keep(rev, &lines, &self.index));
         }
         if rev > self.rev && self.module.send(Event::Endpoints(lines)).await.is_ok() {
             self.rev = rev;
-            self.shared.gauges.serial.set(rev);
+            self.shared.metrics.serial.set(rev);
         }
     }
 
     async fn ask(&mut self) -> std::io::Result<()> {
         let mut socket = Async::<UdpSocket>::bind((self.from, 0))?;
         self.shared
-            .gauges
+            .metrics
             .source
             .replace(format!("dns {}", self.names));
         let (mut query, mut packet) = (Vec::new(), vec![0; dns::ANSWER_MOST]);
@@ -129,7 +129,7 @@
                 if std::mem::take(&mut unanswered) >= SILENT {
                     info!(self.log, "name service answers again");
                 }
-                self.shared.gauges.heard.set(self.shared.clock.now());
+                self.shared.metrics.heard.set(self.shared.clock.now());
                 self.heard(serial, lines).await;
             }
             Timer::at(until).await;
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -290,14 +290,14 @@
             .is_some_and(|held| held.take().is_some())
         {
             self.open -= 1;
-            self.shared.gauges.open.set(self.open);
+            self.shared.metrics.open.set(self.open);
         }
         self.subs.release(request);
     }
 }
 
 /// Where to show what is known, and the names of zones and kinds.
-pub struct Shown {
+pub struct ViewSource {
     pub window: Arc<Window>,
     pub zones: Vec<Arc<str>>,
     pub kinds: Vec<Arc<str>>,
@@ -307,7 +307,7 @@
     mut gateway: Gateway,
     shared: Rc<Shared>,
     events: Receiver<Event>,
-    shown: Option<Shown>,
+    shown: Option<ViewSource>,
     cells: Option<CellDirectory>,
 ) {
     let mut executor = ActionExecutor::new(shared, cells);
@@ -317,7 +317,7 @@
         executor.shared.lease_until.get(),
         &mut executor,
     );
-    gateway.quarantine_keys(executor.shared.gauges.key_quarantine.get());
+    gateway.quarantine_keys(executor.shared.metrics.key_quarantine.get());
     loop {
         let Ok(event) = next(&executor.shared.clock, &events, executor.wake).await else {
             return;
@@ -496,7 +496,7 @@
 }
 
 /// Engines whose figures are as they were keep their entry, so that who reads finds quickly what has changed.
-fn show(gateway: &Gateway, executor: &mut ActionExecutor, shown: &Shown) {
+fn show(gateway: &Gateway, executor: &mut ActionExecutor, shown: &ViewSource) {
     let (window, shared) = (&shown.window, executor.shared.clone());
     let was = window.latest();
     let mut inflight = vec![0u32; executor.engines.len()];
@@ -557,8 +557,8 @@
     let (lent, most) = shared.pool.lent();
     let facts = Facts {
         lease_until: shared.holds_lease(),
-        heard: shared.gauges.heard.get() > 0.0,
-        key_quarantine: shared.gauges.key_quarantine.get(),
+        heard: shared.metrics.heard.get() > 0.0,
+        key_quarantine: shared.metrics.key_quarantine.get(),
         share: executor.share.map(|s| s.taken),
     };
     let (stage, why) = stage(executor.now, &facts);
@@ -566,11 +566,11 @@
         at: executor.now,
         engines,
         classes,
-        source: shared.gauges.source.borrow().clone(),
-        serial: shared.gauges.serial.get(),
-        heard: shared.gauges.heard.get(),
-        connections: shared.gauges.connections.get(),
-        connections_most: shared.gauges.connections_most.get(),
+        source: shared.metrics.source.borrow().clone(),
+        serial: shared.metrics.serial.get(),
+        heard: shared.metrics.heard.get(),
+        connections: shared.metrics.connections.get(),
+        max_client_connections: shared.metrics.max_client_connections.get(),
         open: executor.open as u32,
         lent: lent as u32,
         buffers_most: most as u32,
@@ -603,7 +603,7 @@
         }
     };
     executor.open += 1;
-    executor.shared.gauges.open.set(executor.open);
+    executor.shared.metrics.open.set(executor.open);
     let s = executor.subs.admit(t.id);
     if executor.held.len() <= s {
         executor.held.resize_with(s + 1, || None);
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -14,7 +14,7 @@
         pool: Pool::of(1 << 16),
         classes: Default::default(),
         longest: Cell::new(5000.0),
-        gauges: Default::default(),
+        metrics: Default::default(),
         tenants: false,
         carriage: RefCell::new(Rc::new(Carriage {
             connect_within,
@@ -24,7 +24,7 @@
             longest,
             reports,
         })),
-        links_most: 8,
+        max_engine_connections: 8,
         listed: Cell::new(0),
         lease_until: Cell::new(Ms::INFINITY),
         log: Logger::root(Discard, o!()),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -32,7 +32,7 @@
 
 struct InFlightAttempt {
     of: Rc<Attempt>,
-    link: u64,
+    connection: u64,
     sent: Ms,
     /// Once the engine is done: its pages as they come in, and what it needed.
     pages: Vec<Option<Buffer>>,
@@ -48,7 +48,7 @@
     withdraws: Option<Rc<Attempt>>,
 }
 
-struct Link {
+struct Connection {
     /// Once it is up.
     stream: Option<Rc<Async<TcpStream>>>,
     open: usize,
@@ -73,14 +73,14 @@
     pub shared: Rc<Shared>,
     pub own: Sender<Order>,
     in_flight: BTreeMap<Id, InFlightAttempt>,
-    links: BTreeMap<u64, Link>,
+    connections: BTreeMap<u64, Connection>,
     opened: u64,
     requested: u64,
     events: Vec<Event>,
     /// Connections on which there is something new to write.
     said: Vec<u64>,
     /// How many connections there are, for who looks on.
-    connections: Rc<Cell<u32>>,
+    connection_count: Rc<Cell<u32>>,
 }
 
 fn text(id: &Id) -> &str {
@@ -94,9 +94,9 @@
         address: SocketAddr,
         shared: Rc<Shared>,
         own: Sender<Order>,
-        connections: Rc<Cell<u32>>,
+        connection_count: Rc<Cell<u32>>,
     ) -> Self {
-        let (in_flight, links, events, said) =
+        let (in_flight, connections, events, said) =
             (BTreeMap::new(), BTreeMap::new(), Vec::new(), Vec::new());
         Engine {
             index,
@@ -104,12 +104,12 @@
             shared,
             own,
             in_flight,
-            links,
+            connections,
             opened: 0,
             requested: 0,
             events,
             said,
-            connections,
+            connection_count,
         }
     }
 
@@ -122,12 +122,12 @@
                 Ok(None) => self.expire(),
                 // Closed by the module's actor: this process of the engine is over, and its connections lead nowhere.
                 Err(_) => {
-                    let all: Vec<u64> = self.links.keys().copied().collect();
+                    let all: Vec<u64> = self.connections.keys().copied().collect();
                     all.into_iter()
-                        .for_each(|l| self.drop_link(l, Outcome::Reset));
+                        .for_each(|l| self.drop_connection(l, Outcome::Reset));
                 }
             }
-            self.connections.set(self.links.len() as u32);
+            self.connection_count.set(self.connections.len() as u32);
             for event in self.events.drain(..) {
                 if self.shared.module.send(event).await.is_err() {
                     return;
@@ -142,8 +142,8 @@
     fn follow(&mut self, order: Order) {
         self.heed(order);
         // Behind all that has come in with it: what follows on a connection may show that nothing more is wanted there.
-        for link in std::mem::take(&mut self.said) {
-            self.write(link);
+        for connection in std::mem::take(&mut self.said) {
+            self.write(connection);
         }
     }
 
@@ -162,47 +162,49 @@
                 self.requested += 1;
                 let mut line = Vec::new();
                 lines::report(&mut line, &format!("r{}", self.requested));
-                let link = self.link(None);
-                self.say(link, line);
+                let connection = self.connection(None);
+                self.say(connection, line);
             }
-            Order::Up(link, stream) => {
-                let Some(l) = self.links.get_mut(&link) else {
+            Order::Up(connection, stream) => {
+                let Some(l) = self.connections.get_mut(&connection) else {
                     return;
                 };
                 (l.stream, l.heard) = (Some(stream), self.shared.clock.now());
-                self.write(link);
+                self.write(connection);
             }
-            Order::Writable(link) => self.write(link),
-            Order::Came(link, buffer) => self.came(link, buffer),
-            Order::Down(link, how) => self.drop_link(link, how),
+            Order::Writable(connection) => self.write(connection),
+            Order::Came(connection, buffer) => self.came(connection, buffer),
+            Order::Down(connection, how) => self.drop_connection(connection, how),
         }
     }
 
     /// A connection with nothing open, else a new one: what spoils one loses all that is open on it. Beyond
     /// this engine's part of the descriptors, the connection with the fewest open attempts.
-    fn link(&mut self, of: Option<&Id>) -> u64 {
+    fn connection(&mut self, of: Option<&Id>) -> u64 {
         // Against a machine cut off, whose connections stay open and silent, maybe for good: a new one tells.
         let silent: Vec<u64> = self
             .in_flight
             .values()
             .filter(|f| self.unheard(f))
-            .map(|f| f.link)
+            .map(|f| f.connection)
             .collect();
         let streams = self.shared.carriage().streams;
-        let again = |l: &Link| of.is_some_and(|id| l.given_up.contains(id));
+        let again = |l: &Connection| of.is_some_and(|id| l.given_up.contains(id));
         let room = self
-            .links
+            .connections
             .iter()
             .filter(|l| l.1.open < streams && !again(l.1));
-        let rank = |l: &(&u64, &Link)| {
+        let rank = |l: &(&u64, &Connection)| {
             (
                 l.1.silent || silent.contains(l.0),
                 l.1.open,
                 l.1.stream.is_none(),
             )
         };
-        let most = (self.shared.links_most / self.shared.listed.get().max(1)).clamp(2, LINKS_MOST);
-        let free = |l: &(&u64, &Link)| !rank(l).0 && l.1.open == 0 || self.links.len() >= most;
+        let most = (self.shared.max_engine_connections / self.shared.listed.get().max(1))
+            .clamp(2, LINKS_MOST);
+        let free =
+            |l: &(&u64, &Connection)| !rank(l).0 && l.1.open == 0 || self.connections.len() >= most;
         if let Some(l) = room.min_by_key(rank).filter(free) {
             return *l.0;
         }
@@ -218,7 +220,7 @@
             goes_on,
             self.own.clone(),
         );
-        let link = Link {
+        let connection = Connection {
             stream: None,
             open: 0,
             heard: s.clock.now(),
@@ -231,15 +233,15 @@
             held_back,
             _task: s.executor.spawn(task),
         };
-        self.links.insert(self.opened, link);
+        self.connections.insert(self.opened, connection);
         self.opened
     }
 
     /// Whether its connection has been silent for longer than the attempt was expected to take.
     fn unheard(&self, f: &InFlightAttempt) -> bool {
         let heard = self
-            .links
-            .get(&f.link)
+            .connections
+            .get(&f.connection)
             .filter(|l| l.stream.is_some())
             .map(|l| l.heard.max(f.sent));
         heard.is_some_and(|h| {
@@ -257,18 +259,18 @@
             });
             return;
         }
-        let link = self.link(Some(&id));
+        let connection = self.connection(Some(&id));
         self.in_flight.insert(
             id,
             InFlightAttempt {
                 of: of.clone(),
-                link,
+                connection,
                 sent,
                 pages: Vec::new(),
                 cost: None,
             },
         );
-        if let Some(l) = self.links.get_mut(&link) {
+        if let Some(l) = self.connections.get_mut(&connection) {
             l.open += 1;
             l.out.push_back(Parcel {
                 attempt: Some(of),
@@ -277,15 +279,15 @@
                 withdraws: None,
             });
         }
-        self.write(link);
+        self.write(connection);
     }
 
     /// The one place that writes to a connection, what it takes now; the rest once it takes more. Attempts that may
     /// not begin any more are left out and reported as never run.
-    fn write(&mut self, link: u64) {
+    fn write(&mut self, connection: u64) {
         loop {
             let (now, shared) = (self.shared.clock.now(), self.shared.clone());
-            let Some(l) = self.links.get_mut(&link) else {
+            let Some(l) = self.connections.get_mut(&connection) else {
                 return;
             };
             let (Some(stream), Some(first)) = (&l.stream, l.out.front_mut()) else {
@@ -305,7 +307,7 @@
                     Err(e) => e.kind() != ErrorKind::WouldBlock,
                 };
                 if ended {
-                    return self.drop_link(link, Outcome::Reset);
+                    return self.drop_connection(connection, Outcome::Reset);
                 }
                 if first.bytes.is_empty() {
                     let (left, classes) = ((of.limit - now).max(1.0), shared.classes());
@@ -350,7 +352,7 @@
                     return;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.drop_link(link, Outcome::Reset),
+                Err(_) => return self.drop_connection(connection, Outcome::Reset),
             }
         }
     }
@@ -363,7 +365,7 @@
         let Some(f) = self.in_flight.get(id).filter(|f| Rc::ptr_eq(&f.of, of)) else {
             return;
         };
-        let Some(l) = self.links.get_mut(&f.link) else {
+        let Some(l) = self.connections.get_mut(&f.connection) else {
             return;
         };
         let first = l.out.front().and_then(|p| p.attempt.as_ref());
@@ -372,14 +374,14 @@
         }
         if first.is_some_and(|of| of.id == *id) && l.open == 1 {
             // Half written and held back: closed, it never arrives whole, and never runs.
-            let link = f.link;
-            return self.drop_link(link, Outcome::Unsent);
+            let connection = f.connection;
+            return self.drop_connection(connection, Outcome::Unsent);
         }
         if l.given_up.len() == GIVEN_UP_MOST {
             l.given_up.pop_front();
         }
         l.given_up.push_back(*id);
-        let (link, mut bytes) = (f.link, Vec::new());
+        let (connection, mut bytes) = (f.connection, Vec::new());
         match f.pages.is_empty() {
             true => lines::withdraw(&mut bytes, text(id)),
             false => lines::no_more(&mut bytes, text(id)),
@@ -390,7 +392,7 @@
             written: 0,
             withdraws: Some(of.clone()),
         });
-        self.write(link);
+        self.write(connection);
     }
 
     /// Says something about an attempt, unless it has not begun and the engine never heard of it.
@@ -398,56 +400,60 @@
         let Some(f) = self.in_flight.get(id).filter(|f| f.of.begun.get()) else {
             return;
         };
-        let (link, mut line) = (f.link, Vec::new());
+        let (connection, mut line) = (f.connection, Vec::new());
         write(f, &mut line);
-        self.say(link, line);
+        self.say(connection, line);
     }
 
-    fn say(&mut self, link: u64, bytes: Vec<u8>) {
-        if let Some(l) = self.links.get_mut(&link) {
+    fn say(&mut self, connection: u64, bytes: Vec<u8>) {
+        if let Some(l) = self.connections.get_mut(&connection) {
             l.out.push_back(Parcel {
                 attempt: None,
                 bytes,
                 written: 0,
                 withdraws: None,
             });
-            self.said.push(link);
+            self.said.push(connection);
         }
     }
 
-    fn came(&mut self, link: u64, mut new: Buffer) {
+    fn came(&mut self, connection: u64, mut new: Buffer) {
         let now = self.shared.clock.now();
-        self.links
-            .entry(link)
+        self.connections
+            .entry(connection)
             .and_modify(|l| (l.heard, l.silent) = (now, false));
         // What was left of an answer is completed first; it always fits, as one answer is less than a buffer.
-        while let Some(mut held) = self.links.get_mut(&link).and_then(|l| l.held.take()) {
+        while let Some(mut held) = self
+            .connections
+            .get_mut(&connection)
+            .and_then(|l| l.held.take())
+        {
             let n = held.append(new.bytes());
             new.consume(n);
-            self.heard(link, held);
+            self.heard(connection, held);
             if new.bytes().is_empty() {
                 return;
             }
         }
-        self.heard(link, new);
+        self.heard(connection, new);
     }
 
     /// Goes through the whole answers in the buffer and keeps the rest.
-    fn heard(&mut self, link: u64, mut buffer: Buffer) {
+    fn heard(&mut self, connection: u64, mut buffer: Buffer) {
         let mut whole = false;
-        while self.links.contains_key(&link) {
+        while self.connections.contains_key(&connection) {
             let read = lines::read(buffer.bytes(), |id, word, fields, body| {
-                self.answer(link, id, word, fields, body);
+                self.answer(connection, id, word, fields, body);
             });
             match read {
                 Ok(Some(n)) => buffer.consume(n),
                 Ok(None) => break,
-                Err(e) => return self.spoilt(link, e),
+                Err(e) => return self.spoilt(connection, e),
             }
             whole = true;
         }
         let now = self.shared.clock.now();
-        if let Some(l) = self.links.get_mut(&link) {
+        if let Some(l) = self.connections.get_mut(&connection) {
             let part = !buffer.bytes().is_empty();
             l.part_since = part.then(|| l.part_since.filter(|_| !whole).unwrap_or(now));
             l.held = part.then_some(buffer);
@@ -455,9 +461,9 @@
     }
 
     /// What else still comes on this connection can't be told apart.
-    fn spoilt(&mut self, link: u64, what: &str) {
+    fn spoilt(&mut self, connection: u64, what: &str) {
         warn!(self.shared.log, "engine's answer can't be read"; "what" => what, "from" => self.address);
-        self.drop_link(link, Outcome::Reset);
+        self.drop_connection(connection, Outcome::Reset);
     }
 
     /// By the names told at start; where the engine has others, in the order that it tells them.
@@ -473,7 +479,7 @@
         }
     }
 
-    fn answer(&mut self, link: u64, id: &[u8], word: Word, fields: Fields, body: &[u8]) {
+    fn answer(&mut self, connection: u64, id: &[u8], word: Word, fields: Fields, body: &[u8]) {
         if fields.load().next().is_some() {
             self.report(fields);
         }
@@ -482,7 +488,11 @@
         }
         let Ok(id) = Id::try_from(id) else { return };
         // What was withdrawn or has timed out is answered in vain.
-        let Some(f) = self.in_flight.get_mut(&id).filter(|f| f.link == link) else {
+        let Some(f) = self
+            .in_flight
+            .get_mut(&id)
+            .filter(|f| f.connection == connection)
+        else {
             return;
         };
         let page = match word {
@@ -492,7 +502,7 @@
                 // A good end always tells how many: without it, this is something else.
                 let pages = fields.number("pages").unwrap_or(0.0);
                 if pages.fract() != 0.0 || !(1.0..=PAGES_MOST).contains(&pages) {
-                    return self.spoilt(link, "no number of pages");
+                    return self.spoilt(connection, "no number of pages");
                 }
                 let most = self.shared.work_most();
                 let work = fields.number("cost").filter(|w| (0.0..=most).contains(w));
@@ -531,10 +541,10 @@
                 match at {
                     Some(b) => b.append(body),
                     // No room for it: pages that still come must not be taken for the next attempt's.
-                    None => return self.drop_link(link, Outcome::Swept),
+                    None => return self.drop_connection(connection, Outcome::Swept),
                 };
             }
-            _ => return self.spoilt(link, "no such page"),
+            _ => return self.spoilt(connection, "no such page"),
         }
         if f.pages.iter().all(Option::is_some) {
             let (rows, cost) = (std::mem::take(&mut f.pages), f.cost);
@@ -555,7 +565,7 @@
             return;
         };
         let silent = matches!(what, Outcome::Withdrawn | Outcome::TimedOut) && self.unheard(&f);
-        if let Some(l) = self.links.get_mut(&f.link) {
+        if let Some(l) = self.connections.get_mut(&f.connection) {
             l.open -= 1;
             l.silent |= silent;
             // What has begun is written to its end: half a line would spoil what comes behind it.
@@ -572,15 +582,18 @@
 
     /// One loss speaks against the engine once, by its longest open attempt; what else was open there went
     /// with the connection. What still waited for it was never written.
-    fn drop_link(&mut self, link: u64, how: Outcome) {
-        let Some(l) = self.links.remove(&link) else {
+    fn drop_connection(&mut self, connection: u64, how: Outcome) {
+        let Some(l) = self.connections.remove(&connection) else {
             return;
         };
         // At once, and not only when its task has ended: what is given up here may go out again elsewhere.
         l.stream
             .iter()
             .for_each(|s| drop(s.get_ref().shutdown(Shutdown::Both)));
-        let on = self.in_flight.iter().filter(|f| f.1.link == link);
+        let on = self
+            .in_flight
+            .iter()
+            .filter(|f| f.1.connection == connection);
         let mut on: Vec<(Ms, Id)> = on.map(|f| (f.1.sent, *f.0)).collect();
         on.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (nth, (_, id)) in on.iter().enumerate() {
@@ -594,7 +607,7 @@
         }
     }
 
-    fn idle_until(&self, l: &Link) -> Option<Ms> {
+    fn idle_until(&self, l: &Connection) -> Option<Ms> {
         let rest = if l.silent {
             0.0
         } else {
@@ -604,14 +617,14 @@
     }
 
     /// An answer is written at once: half of one for longer than a connection takes to come up is all of it.
-    fn part_until(&self, l: &Link) -> Option<Ms> {
+    fn part_until(&self, l: &Connection) -> Option<Ms> {
         l.part_since
             .map(|since| since + self.shared.carriage().connect_within)
     }
 
     fn due(&self) -> Option<Ms> {
-        let links = self
-            .links
+        let connections = self
+            .connections
             .values()
             .flat_map(|l| [self.idle_until(l), self.part_until(l)])
             .flatten();
@@ -625,7 +638,7 @@
         self.in_flight
             .values()
             .map(begins)
-            .chain(links)
+            .chain(connections)
             .min_by(f64::total_cmp)
     }
 
@@ -650,18 +663,18 @@
         late.iter()
             .for_each(|id| self.end(id, Outcome::TimedOut, None));
         let half = self
-            .links
+            .connections
             .iter()
             .filter(|l| self.part_until(l.1).is_some_and(|t| t <= now));
         let half: Vec<u64> = half.map(|l| *l.0).collect();
         half.into_iter().for_each(|l| self.spoilt(l, "no end"));
         let idle = self
-            .links
+            .connections
             .iter()
             .filter(|l| self.idle_until(l.1).is_some_and(|t| t <= now));
         let idle: Vec<u64> = idle.map(|l| *l.0).collect();
         idle.into_iter()
-            .for_each(|l| self.drop_link(l, Outcome::Reset));
+            .for_each(|l| self.drop_connection(l, Outcome::Reset));
     }
 }
 
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -8,17 +8,17 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
-pub enum Form {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
 }
 
 /// The least that is logged, by slog's numbers; it may change in service.
-pub type Least = Arc<AtomicUsize>;
+pub type LevelHandle = Arc<AtomicUsize>;
 
 /// Lets through what is as grave as the least that is logged.
-struct Sieve<D>(D, Least);
+struct Sieve<D>(D, LevelHandle);
 
 impl<D: Drain<Ok = (), Err = slog::Never>> Drain for Sieve<D> {
     type Ok = ();
@@ -31,20 +31,20 @@
     }
 }
 
-pub fn open(gateway: &str, form: Form) -> (Logger, slog_async::AsyncGuard, Least) {
+pub fn open(gateway: &str, form: LogFormat) -> (Logger, slog_async::AsyncGuard, LevelHandle) {
     let to = std::io::stderr();
     match form {
-        Form::Text => start(
+        LogFormat::Text => start(
             gateway,
             slog_term::FullFormat::new(slog_term::PlainDecorator::new(to))
                 .build()
                 .fuse(),
         ),
-        Form::Json => start(gateway, slog_json::Json::default(to).fuse()),
+        LogFormat::Json => start(gateway, slog_json::Json::default(to).fuse()),
     }
 }
 
-fn start<D>(gateway: &str, lines: D) -> (Logger, slog_async::AsyncGuard, Least)
+fn start<D>(gateway: &str, lines: D) -> (Logger, slog_async::AsyncGuard, LevelHandle)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -78,7 +78,7 @@
     from: Source,
     /// How the log is written
     #[arg(long, value_enum, default_value_t)]
-    log: log::Form,
+    log: log::LogFormat,
 }
 
 #[derive(Clone, Copy, clap::ValueEnum)]
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -1,6 +1,6 @@
 //! Management on a thread of its own: a busy reader costs the gateway's thread no more than the view it asks for.
 
-use crate::log::Least;
+use crate::log::LevelHandle;
 use crate::operator_config::{self, Management, Operator, Tls};
 use async_channel::{Receiver, Sender};
 use ironstair::Ms;
@@ -140,7 +140,7 @@
         name: &str,
         clock: Clock,
         log: Logger,
-        level: Least,
+        level: LevelHandle,
     ) -> Result<Running, String> {
         let (requests, commands) = async_channel::bounded(MAILBOX);
         let (renew, word) = tokio::sync::mpsc::channel(1);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,11 +1,11 @@
 //! Start and drain.
 
 use crate::config::{self, GatewayConfig};
-use crate::connection_limiter::Places;
-use crate::discovery::{List, Moved};
-use crate::dispatcher::{decide, Shown};
+use crate::connection_limiter::ConnectionLimiter;
+use crate::discovery::{Discovery, DiscoveryUpdate};
+use crate::dispatcher::{decide, ViewSource};
 use crate::operator_config::{self, Operator};
-use crate::snapshot_store::{self, Memory};
+use crate::snapshot_store::{self, SnapshotStore};
 use crate::{client, log, management};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -20,7 +20,7 @@
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::{self, Amendment, ManagementCommand};
-use ironstair_runtime::{Event, Gauges, Shared};
+use ironstair_runtime::{Event, Metrics, Shared};
 use ironstair_settings::Carriage;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -61,10 +61,10 @@
 async fn heed(
     mut signals: Signals,
     config: PathBuf,
-    moves: Sender<Moved>,
+    moves: Sender<DiscoveryUpdate>,
     (renew, settings): (Option<management::Renew>, Settings),
     mut renewal: Renewal,
-    places: Rc<Places>,
+    limiter: Rc<ConnectionLimiter>,
     shared: Rc<Shared>,
 ) {
     while let Some(signal) = signals.next().await {
@@ -111,7 +111,7 @@
                     ..
                 } = config;
                 let _ = moves
-                    .send(Moved {
+                    .send(DiscoveryUpdate {
                         names,
                         known,
                         rev,
@@ -119,10 +119,10 @@
                     })
                     .await;
             }
-            _ if places.begun() => info!(log, "told to end once more"),
+            _ if limiter.is_shutting_down() => info!(log, "told to end once more"),
             _ => {
                 info!(log, "told to end");
-                places.begin();
+                limiter.begin_shutdown();
                 let _ = shared
                     .module
                     .send(Event::Ending(shared.clock.now() + left(&shared)))
@@ -172,7 +172,7 @@
     (made < wanted).then_some((wanted, made))
 }
 
-pub fn serve(path: &Path, operator: Option<Operator>, form: log::Form) -> Result<(), String> {
+pub fn serve(path: &Path, operator: Option<Operator>, form: log::LogFormat) -> Result<(), String> {
     let mut config = config::read(path)?;
     let refused = make_room(config.descriptors);
     let recovery = operator.as_ref().and_then(|o| o.recovery.as_ref());
@@ -220,7 +220,7 @@
         clock: Clock::start(),
         // A third: what else there is grows with it, statements joined and answers being written.
         pool: Pool::of((config.memory_mb * 1e6 / 3.0) as usize),
-        links_most: config.descriptors / 4,
+        max_engine_connections: config.descriptors / 4,
         listed: Cell::new(0),
         // In a fleet nothing is decided before that has said until when.
         lease_until: Cell::new(if in_fleet && !taken_out("start") {
@@ -230,7 +230,7 @@
         }),
         classes: RefCell::new(Rc::new(classes)),
         longest: Cell::new(longest),
-        gauges: Gauges::default(),
+        metrics: Metrics::default(),
         tenants: operator
             .as_ref()
             .and_then(|o| o.cells.as_ref())
@@ -246,12 +246,12 @@
             .for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
         if *rests {
             shared
-                .gauges
+                .metrics
                 .key_quarantine
                 .set(shared.clock.now() + key_quarantine);
         }
     }
-    let memory = begun.map(|begun| Memory::start(begun, shared.clone()));
+    let snapshot_store = begun.map(|begun| SnapshotStore::start(begun, shared.clone()));
     let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
     block_on(executor.run(async {
         // Before it listens: who finds it listening may send it a signal, which would end it without a word.
@@ -261,7 +261,7 @@
         module
             .try_send(Event::Endpoints(config.known))
             .map_err(|e| e.to_string())?;
-        let shown = management.as_ref().map(|m| Shown {
+        let shown = management.as_ref().map(|m| ViewSource {
             window: m.window.clone(),
             zones: config
                 .index
@@ -295,7 +295,7 @@
         let (from, names, index, rev) =
             (config.listen.ip(), config.names, config.index, config.rev);
         let (moves, moved) = async_channel::bounded(1);
-        let list = List {
+        let list = Discovery {
             from,
             names,
             index,
@@ -303,23 +303,24 @@
             module,
             log: log.clone(),
             shared: shared.clone(),
-            memory: memory.clone(),
+            snapshot_store: snapshot_store.clone(),
         };
         executor.spawn(list.follow(moved)).detach();
         // Clients keep to a third of the descriptors.
-        shared.gauges.serial.set(config.rev);
+        shared.metrics.serial.set(config.rev);
         shared
-            .gauges
-            .connections_most
+            .metrics
+            .max_client_connections
             .set((config.descriptors / 2) as u32);
-        let places = Places::new(config.descriptors / 2, shared.gauges.connections.clone());
+        let limiter =
+            ConnectionLimiter::new(config.descriptors / 2, shared.metrics.connections.clone());
         let heeded = heed(
             signals,
             path.into(),
             moves,
             (renew, settings),
             renewal,
-            places.clone(),
+            limiter.clone(),
             shared.clone(),
         );
         executor.spawn(heeded).detach();
@@ -332,10 +333,10 @@
                 match listener.accept().await {
                     Ok((stream, _)) => {
                         waits.set(Some(stream));
-                        let place = places.take(&shared.clock).await;
+                        let permit = limiter.take(&shared.clock).await;
                         let Some(stream) = waits.take() else { continue };
                         executor
-                            .spawn(client::serve(stream, shared.clone(), place))
+                            .spawn(client::serve(stream, shared.clone(), permit))
                             .detach();
                         // Each is heard before the next is let in, which may need its place.
                         yield_now().await;
@@ -344,14 +345,14 @@
                         let later = async {
                             Timer::after(span(NO_DESCRIPTOR)).await;
                         };
-                        or(places.until_given_back(), later).await
+                        or(limiter.until_released(), later).await
                     }
                 }
             }
         };
         let ends = Cell::new(Ms::INFINITY);
         let stop_requested = async {
-            places.until_begun().await;
+            limiter.until_shutting_down().await;
             ends.set(shared.clock.now() + left(&shared) + LAST_WORDS / 2.0);
             Timer::after(span(CLIENTS_COME_FOR)).await;
         };
@@ -365,22 +366,22 @@
                 .ok()
         };
         while let Some(stream) = waits.take().or_else(accepted) {
-            let Some(place) = places.last(&shared.clock) else {
+            let Some(permit) = limiter.last(&shared.clock) else {
                 break;
             };
             executor
-                .spawn(client::serve(stream, shared.clone(), place))
+                .spawn(client::serve(stream, shared.clone(), permit))
                 .detach();
         }
         drop(listener);
-        places.close();
+        limiter.close();
         // What the module gave up is answered by then; who still reads nothing or says half must not hold this up.
         let most = Timer::after(span(ends.get() - shared.clock.now()));
-        or(places.until_empty(), async { _ = most.await }).await;
+        or(limiter.until_empty(), async { _ = most.await }).await;
         info!(log, "all is answered");
-        if let Some(memory) = memory {
+        if let Some(snapshot_store) = snapshot_store {
             // A slow disk has what is left of the time, and a little where nothing is.
-            memory
+            snapshot_store
                 .end((ends.get() - shared.clock.now()).max(LAST_WORDS))
                 .await;
         }
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -28,15 +28,15 @@
 /// Written anew so often, so that the age of the list is known.
 const KEEP_EVERY: Ms = 10_000.0;
 
-enum Mail {
+enum StoreMessage {
     Endpoints(u32, Vec<Engine>),
     End(Sender<()>),
 }
 
 /// To its owner; cloned for who has something to keep.
 #[derive(Clone)]
-pub struct Memory {
-    mail: Sender<Mail>,
+pub struct SnapshotStore {
+    mail: Sender<StoreMessage>,
 }
 
 fn read(folder: &Path) -> Result<Option<Kept>, String> {
@@ -152,15 +152,15 @@
     }
 }
 
-impl Memory {
+impl SnapshotStore {
     /// Must be called before the executor of `shared` runs.
-    pub fn start(begun: Begun, shared: Rc<Shared>) -> Memory {
+    pub fn start(begun: Begun, shared: Rc<Shared>) -> SnapshotStore {
         let (mail, inbox) = bounded(4);
         let executor = shared.executor.clone();
         executor
             .spawn(tend(begun.kept, shared, inbox, begun.writes))
             .detach();
-        Memory { mail }
+        SnapshotStore { mail }
     }
 
     /// The list as it is from now on. Where it can't be taken just now it comes with the next change.
@@ -175,16 +175,17 @@
             draining: p.state != EndpointState::Ready,
             since: p.since,
         };
-        let _ = self
-            .mail
-            .try_send(Mail::Endpoints(rev, lines.iter().map(line).collect()));
+        let _ = self.mail.try_send(StoreMessage::Endpoints(
+            rev,
+            lines.iter().map(line).collect(),
+        ));
     }
 
     /// The process ends: kept is whether anything is out. Waits for the disk for so long, in ms, at most.
     pub async fn end(self, within: Ms) {
         let (done, config) = bounded(1);
         let said = async {
-            if self.mail.send(Mail::End(done)).await.is_ok() {
+            if self.mail.send(StoreMessage::End(done)).await.is_ok() {
                 let _ = config.recv().await;
             }
         };
@@ -200,7 +201,12 @@
 }
 
 /// One mailbox, one owner of what is kept.
-async fn tend(mut kept: Kept, shared: Rc<Shared>, inbox: Receiver<Mail>, writes: Sender<Write>) {
+async fn tend(
+    mut kept: Kept,
+    shared: Rc<Shared>,
+    inbox: Receiver<StoreMessage>,
+    writes: Sender<Write>,
+) {
     let mut first = true;
     loop {
         let mail = async { inbox.recv().await.ok() };
@@ -215,15 +221,17 @@
         };
         let mut done = None;
         match or(mail, again).await {
-            Some(Mail::Endpoints(rev, engines)) => (kept.rev, kept.engines) = (rev, engines),
-            Some(Mail::End(tell)) => {
-                (kept.clean, done) = (shared.gauges.open.get() == 0, Some(tell))
+            Some(StoreMessage::Endpoints(rev, engines)) => {
+                (kept.rev, kept.engines) = (rev, engines)
+            }
+            Some(StoreMessage::End(tell)) => {
+                (kept.clean, done) = (shared.metrics.open.get() == 0, Some(tell))
             }
             None => {}
         }
         (kept.at, kept.heard) = (
             shared.clock.now(),
-            kept.heard.max(shared.gauges.heard.get()),
+            kept.heard.max(shared.metrics.heard.get()),
         );
         if let Ok(bytes) = encode(&kept) {
             // What waits there is older.
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -152,11 +152,11 @@
     /// Whether clients may name their tenant.
     pub tenants: bool,
     /// Connections to all engines, and how many engines there are.
-    pub links_most: usize,
+    pub max_engine_connections: usize,
     pub listed: Cell<usize>,
     /// Until when the terms hold; infinite but in a fleet.
     pub lease_until: Cell<Ms>,
-    pub gauges: Gauges,
+    pub metrics: Metrics,
     pub log: Logger,
     pub module: Sender<Event>,
     pub executor: Rc<LocalExecutor<'static>>,
@@ -164,10 +164,10 @@
 
 /// What actors know that others only show.
 #[derive(Default)]
-pub struct Gauges {
+pub struct Metrics {
     /// Clients' connections.
     pub connections: Rc<Cell<u32>>,
-    pub connections_most: Cell<u32>,
+    pub max_client_connections: Cell<u32>,
     /// Where the list of engines comes from, the number of its last change, and when it was last heard.
     pub source: RefCell<String>,
     pub serial: Cell<u32>,
