--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -183,7 +183,7 @@
             });
             let seen = value as usize - 1;
             until("it holds", || {
-                alone.log(g).matches("new settings hold").count() >= seen
+                alone.log(g).matches("configuration reloaded").count() >= seen
             });
         }
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -56,13 +56,13 @@
             // A new address gets a new socket: what the old one still answers finds nobody.
             let queried = async {
                 if let Err(e) = self.ask().await {
-                    warn!(self.log, "the name service can't be asked"; "why" => %e);
+                    warn!(self.log, "name service unreachable"; "error" => %e);
                     Timer::after(span(ASK_EVERY)).await;
                 }
                 None
             };
             if let Some(moved) = or(moved, queried).await {
-                info!(self.log, "name service has moved"; "to" => moved.names);
+                info!(self.log, "name service address changed"; "address" => moved.names);
                 self.names = moved.names;
                 self.index = moved.index;
                 self.heard(moved.rev, moved.known).await;
@@ -99,7 +99,7 @@
             let _ = socket.send_to(&query, self.names).await;
             unanswered += 1;
             if unanswered == SILENT {
-                warn!(self.log, "name service is silent"; "questions" => unanswered);
+                warn!(self.log, "name service not answering"; "unanswered" => unanswered);
             }
             if unanswered.is_multiple_of(ANOTHER_SOCKET) {
                 // Without a descriptor the old one is better than none.
@@ -122,12 +122,12 @@
                 });
                 let Some(serial) = serial.filter(|_| from == self.names) else {
                     if !std::mem::replace(&mut unread, true) {
-                        warn!(self.log, "an answer of the name service can't be used"; "bytes" => n, "from" => from);
+                        warn!(self.log, "name service answer malformed"; "bytes" => n, "address" => from);
                     }
                     continue;
                 };
                 if std::mem::take(&mut unanswered) >= SILENT {
-                    info!(self.log, "name service answers again");
+                    info!(self.log, "name service answering again");
                 }
                 self.shared.metrics.heard.set(self.shared.clock.now());
                 self.heard(serial, lines).await;
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -167,7 +167,7 @@
             .as_mut()
             .is_some_and(|k| h.engine.is_some() && k.ended(now, tenant, cells))
         {
-            info!(self.shared.log, "tenant {:012x} has moved", tenant);
+            info!(self.shared.log, "tenant migrated"; "tenant" => format!("{tenant:012x}"));
         }
     }
 
@@ -419,7 +419,7 @@
                 .filter(|h| h.engine.is_some());
             is.succeeds(executor.now, was, out.map(|h| (h.tenant, Cells(h.cells))));
             if is.moving() > 0 {
-                info!(executor.shared.log, "tenants move to other cells"; "tenants" => is.moving());
+                info!(executor.shared.log, "tenant migrations started"; "tenants" => is.moving());
             }
         }
         move_tenants(gateway, executor);
@@ -699,7 +699,7 @@
             }
             continue;
         }
-        info!(executor.shared.log, "engine {:012x} is {}", id, name; "zone" => zone, "kind" => kind);
+        info!(executor.shared.log, "endpoint discovered"; "id" => format!("{id:012x}"), "name" => &name, "zone" => zone, "kind" => kind);
         let state = Rc::new(Cell::new(state));
         *known = Some(Known {
             name,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -462,7 +462,7 @@
 
     /// What else still comes on this connection can't be told apart.
     fn spoilt(&mut self, connection: u64, what: &str) {
-        warn!(self.shared.log, "engine's answer can't be read"; "what" => what, "from" => self.address);
+        warn!(self.shared.log, "engine answer malformed, closing connection"; "error" => what, "address" => self.address);
         self.drop_connection(connection, Outcome::Reset);
     }
 
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,10 +1,12 @@
 //! `ironstair`: one gateway on sockets. It translates, times and carries; every decision is the module's.
 
+mod accept;
 mod cli;
 mod client;
 mod config;
 mod connection;
 mod connection_limiter;
+mod descriptors;
 mod discovery;
 mod dispatcher;
 mod engine;
@@ -12,6 +14,8 @@
 mod management;
 mod operator_config;
 mod server;
+mod shutdown;
+mod signals;
 mod snapshot_store;
 
 use clap::{Parser, Subcommand};
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -145,7 +145,7 @@
         let (requests, commands) = async_channel::bounded(MAILBOX);
         let (renew, word) = tokio::sync::mpsc::channel(1);
         let on = self.bound.local_addr().map_err(|e| e.to_string())?;
-        info!(log, "management is served"; "on" => on);
+        info!(log, "management listening"; "address" => on);
         let (name, said) = (name.to_string(), log.clone());
         let (leaves, leave) = std::sync::mpsc::channel();
         let in_fleet = self.fleet.is_some();
@@ -187,7 +187,7 @@
         };
         let work = move || {
             if let Err(why) = serve() {
-                error!(said, "management has ended"; "why" => why);
+                error!(said, "management stopped"; "error" => why);
             }
         };
         std::thread::Builder::new()
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,402 +1,326 @@
-//! Start and drain.
+//! Start-up of the gateway as a list of steps, and its life until the shutdown is over.
 
+use crate::accept::Acceptor;
 use crate::config::{self, GatewayConfig};
 use crate::connection_limiter::ConnectionLimiter;
+use crate::descriptors::{self, DescriptorShortage};
 use crate::discovery::{Discovery, DiscoveryUpdate};
 use crate::dispatcher::{decide, ViewSource};
+use crate::log::LevelHandle;
 use crate::operator_config::{self, Operator};
-use crate::snapshot_store::{self, SnapshotStore};
-use crate::{client, log, management};
-use async_channel::Sender;
+use crate::signals::{self, SettingsSource, SignalHandler};
+use crate::snapshot_store::{self, Begun, SnapshotStore};
+use crate::{log, management, shutdown};
+use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use async_io::{block_on, Async, Timer};
-use async_signal::{Signal, Signals};
-use futures_lite::future::{or, yield_now};
-use futures_lite::StreamExt;
+use async_io::block_on;
+use futures_lite::future::or;
 use ironstair::policy::Gateway;
-use ironstair::Ms;
+use ironstair::{Ms, PolicyConfig};
+use ironstair_cells::CellDirectory;
 use ironstair_config_change::renewal::Renewal;
+use ironstair_fleet_agent::actor::Leave;
 use ironstair_fleet_agent::fault_injection::taken_out;
-use ironstair_runtime::clock::{span, Clock};
+use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
-use ironstair_runtime::window::{self, Amendment, ManagementCommand};
+use ironstair_runtime::window::ClassSummary;
 use ironstair_runtime::{Event, Metrics, Shared};
-use ironstair_settings::Carriage;
-use slog::{info, warn};
+use slog::{info, warn, Logger};
 use std::cell::{Cell, RefCell};
-use std::net::TcpListener;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// After the word to end, clients go on opening connections and sending for up to 0.6 s.
-const CLIENTS_COME_FOR: f64 = 700.0;
-/// After the word to end, a gateway is left the longest hard limit, but not more than this, and `KILLED_AFTER`.
-const AT_MOST: f64 = 3000.0;
-const KILLED_AFTER: f64 = 700.0;
-/// What writing the last answers may take of that.
-const LAST_WORDS: f64 = 200.0;
-/// What may lie in the module's mailbox before peers wait.
-const MAILBOX: usize = 1024;
-/// Descriptors that room is made for at the start: half a megabyte of the kernel's memory.
-const ROOM_MOST: usize = 1 << 16;
-/// How long the fleet may take to hear that this process ends.
-const LEAVE_WITHIN: f64 = 80.0;
-/// Without a free descriptor: how long until the next try.
-const NO_DESCRIPTOR: f64 = 20.0;
+/// What may lie in the dispatcher's queue before peers wait.
+const DISPATCHER_QUEUE: usize = 1024;
+/// Of the memory limit, one part in so many is for buffers: what else there is grows with it, statements joined and
+/// answers being written.
+const MEMORY_PARTS: f64 = 3.0;
+/// Of the descriptors, one in so many is for connections to engines.
+const DESCRIPTORS_PER_ENGINE_CONNECTION: usize = 4;
+/// And one in so many for connections of clients.
+const DESCRIPTORS_PER_CLIENT_CONNECTION: usize = 2;
+const BYTES_PER_MB: f64 = 1e6;
 
-/// How long after the word to end every request is to have its answer.
-fn left(shared: &Shared) -> f64 {
-    shared.longest.get().min(AT_MOST) + KILLED_AFTER - LAST_WORDS
+/// The policy that a start begins with: what was set before the last end comes before what the file says.
+struct InitialPolicy {
+    config: PolicyConfig,
+    classes: Vec<ClassSummary>,
+    /// The longest hard limit.
+    longest: Ms,
 }
 
-/// Where other settings come from while the process serves.
-#[derive(Clone, Copy)]
-enum Settings {
-    File,
-    Management,
-    Fleet,
-}
-
-/// What signals say, for as long as the process lives: also in a drain, none of them ends it at once.
-async fn heed(
-    mut signals: Signals,
-    config: PathBuf,
-    moves: Sender<DiscoveryUpdate>,
-    (renew, settings): (Option<management::Renew>, Settings),
-    mut renewal: Renewal,
-    limiter: Rc<ConnectionLimiter>,
+/// What is read, checked and opened before the executor runs.
+struct Prepared {
+    path: PathBuf,
+    config: GatewayConfig,
+    renewal: Renewal,
+    management: Option<management::Opened>,
+    cells: Option<CellDirectory>,
+    gateway: Gateway,
+    events: Receiver<Event>,
+    snapshot_store: Option<SnapshotStore>,
+    level: LevelHandle,
     shared: Rc<Shared>,
-) {
-    while let Some(signal) = signals.next().await {
-        let log = &shared.log;
-        match signal {
-            Ok(Signal::Hup) => {
-                // One word that waits is enough.
-                if let Some(r) = &renew {
-                    let _ = r.try_send(());
-                }
-                // All of it or none: settings that can't be leave the list where it is, too.
-                let read = config::read(&config).and_then(|t| Ok((renewal.renew(t.file())?, t)));
-                let (new, mut config) = match read {
-                    Ok(read) => read,
-                    Err(e) => {
-                        warn!(log, "the new configuration can't be used, the old one stays"; "why" => e);
-                        continue;
-                    }
-                };
-                // What the carrying alone goes by may change as well.
-                if new.is_some() || config.carriage != *shared.carriage() {
-                    match settings {
-                        Settings::File => {
-                            renewal = new.unwrap_or(renewal);
-                            take_over(&renewal, config.carriage.clone(), &shared).await;
-                        }
-                        Settings::Management => {
-                            warn!(
-                                log,
-                                "settings come by management, those of the file are not taken over"
-                            );
-                        }
-                        Settings::Fleet => {
-                            warn!(log, "settings are the fleet's, those of the file are not taken over: ironstair set --fleet");
-                        }
-                    }
-                }
-                config.under(renewal.frame());
-                let GatewayConfig {
-                    names,
-                    known,
-                    rev,
-                    index,
-                    ..
-                } = config;
-                let _ = moves
-                    .send(DiscoveryUpdate {
-                        names,
-                        known,
-                        rev,
-                        index,
-                    })
-                    .await;
-            }
-            _ if limiter.is_shutting_down() => info!(log, "told to end once more"),
-            _ => {
-                info!(log, "told to end");
-                limiter.begin_shutdown();
-                let _ = shared
-                    .module
-                    .send(Event::Ending(shared.clock.now() + left(&shared)))
-                    .await;
-            }
-        }
-    }
 }
 
-/// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
-async fn take_over(renewal: &Renewal, carriage: Carriage, shared: &Shared) {
-    let policy_config = renewal.policy_config();
-    let (classes, longest) =
-        ironstair_management::classes(renewal.roll(), renewal.document(), &policy_config);
-    let (done, config) = async_channel::bounded(1);
-    let to = Amendment {
-        policy_config,
-        classes,
-        longest,
-        cells: None,
-        carriage: Some(carriage),
-        done,
-    };
-    let _ = shared
-        .module
-        .send(Event::Command(ManagementCommand::Amend(Box::new(to))))
-        .await;
-    if config.recv().await.is_ok() {
-        let open = shared.classes().iter().filter(|b| b.in_service).count();
-        info!(shared.log, "new settings hold"; "bands" => open);
-    }
+/// The ends of the management thread that the gateway's thread holds.
+#[derive(Default)]
+struct ManagementEnds {
+    renew_keys: Option<management::Renew>,
+    leave_fleet: Option<Leave>,
 }
 
-/// Has the kernel make room for so many descriptors, or for as many as it allows; tells how many it refused
-/// and for how many there is room then.
+/// Serves until a signal ends the process and all is answered.
 ///
-/// Against state still for seconds under load: the table grows by doubling, and once several threads share
-/// it, each time a connection is opened that no longer fits waits until all cores have come round
-/// (`synchronize_rcu` in Linux). To be called while the process has one thread.
-fn make_room(descriptors: usize) -> Option<(usize, usize)> {
-    let wanted = descriptors.clamp(1, ROOM_MOST);
-    let mut fewer = std::iter::successors(Some(wanted), |n| Some(n / 2)).take_while(|n| *n > 0);
-    // One copy with the highest number, given back at once: the table keeps its size.
-    let copied =
-        |n: &usize| rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), *n as i32 - 1).is_ok();
-    let made = fewer.find(copied).unwrap_or(0);
-    (made < wanted).then_some((wanted, made))
-}
-
-pub fn serve(path: &Path, operator: Option<Operator>, form: log::LogFormat) -> Result<(), String> {
+/// # Errors
+/// The configuration can't be used, an address or a folder can't be had; one sentence.
+pub fn serve(
+    path: &Path,
+    operator: Option<Operator>,
+    format: log::LogFormat,
+) -> Result<(), String> {
     let mut config = config::read(path)?;
-    let refused = make_room(config.descriptors);
-    let recovery = operator.as_ref().and_then(|o| o.recovery.as_ref());
-    let begun = recovery.map(|r| snapshot_store::begin(&r.state, &mut config));
-    let file = config.file();
-    let management = operator.as_ref().and_then(|o| o.management.as_ref());
-    let cells = operator.as_ref().and_then(|o| o.cells.as_ref());
-    let management = match (management, &operator) {
-        (Some(m), Some(of)) => Some(management::open(m, &config, of)?),
-        _ => None,
-    };
-    let cells = match &management {
-        Some(m) => m.cells(),
-        None => cells.map(operator_config::cell_directory).transpose()?,
-    };
-    let (log, _guard, level) = log::open(&config.name, form);
-    if let Some((wanted, made)) = refused {
-        warn!(log, "there is room for fewer descriptors than told"; "told" => wanted, "room" => made);
-    }
-    let executor = Rc::new(LocalExecutor::new());
-    let (module, events) = async_channel::bounded(MAILBOX);
-    // What was set before the last end comes before what is told.
-    let (policy_config, (classes, longest)) = match &management {
-        Some(m) => (m.policy_config(), m.classes()),
-        None => {
-            let classes = config
-                .classes
-                .iter()
-                .cloned()
-                .zip(&config.policy_config.classes);
-            let classes = classes.map(|(name, b)| window::ClassSummary {
-                name,
-                expected: b.expected,
-                in_service: true,
-            });
-            let classes = classes.collect();
-            (config.policy_config, (classes, config.carriage.longest))
-        }
-    };
+    let shortage = descriptors::reserve(config.descriptors);
+    let snapshot = read_snapshot(operator.as_ref(), &mut config);
+    let renewal = Renewal::new(config.file());
+    let management = open_management(operator.as_ref(), &config)?;
+    let cells = initial_cells(operator.as_ref(), management.as_ref())?;
+    let (log, _guard, level) = log::open(&config.name, format);
+    warn_of_shortage(shortage, &log);
+    let (dispatcher, events) = async_channel::bounded(DISPATCHER_QUEUE);
+    let policy = initial_policy(management.as_ref(), &config);
+    let key_quarantine = policy.config.key_quarantine;
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
-    let key_quarantine = policy_config.key_quarantine;
-    let gateway = Gateway::new(policy_config, config.seed);
-    let renewal = Renewal::new(file);
+    let tenants = names_tenants(operator.as_ref());
+    let gateway = Gateway::new(policy.config, config.seed);
     let shared = Rc::new(Shared {
         clock: Clock::start(),
-        // A third: what else there is grows with it, statements joined and answers being written.
-        pool: Pool::of((config.memory_mb * 1e6 / 3.0) as usize),
-        max_engine_connections: config.descriptors / 4,
+        pool: Pool::of((config.memory_mb * BYTES_PER_MB / MEMORY_PARTS) as usize),
+        max_engine_connections: config.descriptors / DESCRIPTORS_PER_ENGINE_CONNECTION,
         listed: Cell::new(0),
-        // In a fleet nothing is decided before that has said until when.
-        lease_until: Cell::new(if in_fleet && !taken_out("start") {
-            0.0
-        } else {
-            f64::INFINITY
-        }),
-        classes: RefCell::new(Rc::new(classes)),
-        longest: Cell::new(longest),
+        lease_until: Cell::new(initial_lease(in_fleet)),
+        classes: RefCell::new(Rc::new(policy.classes)),
+        longest: Cell::new(policy.longest),
         metrics: Metrics::default(),
-        tenants: operator
-            .as_ref()
+        tenants,
+        carriage: RefCell::new(Rc::new(config.carriage.clone())),
+        log,
+        module: dispatcher,
+        executor: Rc::new(LocalExecutor::new()),
+    });
+    let snapshot_store = snapshot.map(|s| start_snapshot_store(s, key_quarantine, &shared));
+    let executor = shared.executor.clone();
+    let prepared = Prepared {
+        path: path.into(),
+        config,
+        renewal,
+        management,
+        cells,
+        gateway,
+        events,
+        snapshot_store,
+        level,
+        shared,
+    };
+    block_on(executor.run(prepared.run()))
+}
+
+/// What the last process left, where the operator names a folder; its endpoint list goes into the configuration.
+fn read_snapshot(operator: Option<&Operator>, config: &mut GatewayConfig) -> Option<Begun> {
+    let recovery = operator?.recovery.as_ref()?;
+    Some(snapshot_store::begin(&recovery.state, config))
+}
+
+fn open_management(
+    operator: Option<&Operator>,
+    config: &GatewayConfig,
+) -> Result<Option<management::Opened>, String> {
+    let Some(operator) = operator else {
+        return Ok(None);
+    };
+    let section = operator.management.as_ref();
+    section
+        .map(|section| management::open(section, config, operator))
+        .transpose()
+}
+
+fn initial_cells(
+    operator: Option<&Operator>,
+    management: Option<&management::Opened>,
+) -> Result<Option<CellDirectory>, String> {
+    match management {
+        Some(management) => Ok(management.cells()),
+        None => operator
             .and_then(|o| o.cells.as_ref())
-            .is_some_and(|c| c.named_by_clients),
-        carriage: RefCell::new(Rc::new(config.carriage)),
-        log: log.clone(),
-        module: module.clone(),
-        executor: executor.clone(),
+            .map(operator_config::cell_directory)
+            .transpose(),
+    }
+}
+
+fn warn_of_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
+    if let Some(shortage) = shortage {
+        warn!(
+            log, "room for fewer descriptors than configured";
+            "configured" => shortage.requested, "available" => shortage.available
+        );
+    }
+}
+
+fn initial_policy(
+    management: Option<&management::Opened>,
+    config: &GatewayConfig,
+) -> InitialPolicy {
+    if let Some(management) = management {
+        let (classes, longest) = management.classes();
+        return InitialPolicy {
+            config: management.policy_config(),
+            classes,
+            longest,
+        };
+    }
+    let named = config.classes.iter().zip(&config.policy_config.classes);
+    let classes = named.map(|(name, class)| ClassSummary {
+        name: name.clone(),
+        expected: class.expected,
+        in_service: true,
     });
-    if let Some(snapshot_store::Begun { rests, notes, .. }) = &begun {
-        notes
-            .iter()
-            .for_each(|n| warn!(log, "of what the last process kept"; "why" => n));
-        if *rests {
-            shared
-                .metrics
-                .key_quarantine
-                .set(shared.clock.now() + key_quarantine);
-        }
+    InitialPolicy {
+        classes: classes.collect(),
+        config: config.policy_config.clone(),
+        longest: config.carriage.longest,
     }
-    let snapshot_store = begun.map(|begun| SnapshotStore::start(begun, shared.clone()));
-    let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
-    block_on(executor.run(async {
-        // Before it listens: who finds it listening may send it a signal, which would end it without a word.
-        let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-        let signals = signals.map_err(|e| fault("signals", e))?;
-        let listener = Async::<TcpListener>::bind(config.listen).map_err(|e| fault("listen", e))?;
-        module
+}
+
+/// In a fleet nothing is decided before the fleet has said until when.
+fn initial_lease(in_fleet: bool) -> Ms {
+    if in_fleet && !taken_out("start") {
+        0.0
+    } else {
+        Ms::INFINITY
+    }
+}
+
+fn names_tenants(operator: Option<&Operator>) -> bool {
+    operator
+        .and_then(|o| o.cells.as_ref())
+        .is_some_and(|cells| cells.named_by_clients)
+}
+
+fn start_snapshot_store(begun: Begun, key_quarantine: Ms, shared: &Rc<Shared>) -> SnapshotStore {
+    for note in &begun.notes {
+        warn!(shared.log, "snapshot of the last process"; "note" => note);
+    }
+    if begun.rests {
+        let until = shared.clock.now() + key_quarantine;
+        shared.metrics.key_quarantine.set(until);
+    }
+    SnapshotStore::start(begun, shared.clone())
+}
+
+impl Prepared {
+    /// Starts the actors, accepts clients until the shutdown begins, and goes through its phases.
+    async fn run(self) -> Result<(), String> {
+        let signals = signals::register().map_err(|e| format!("signals: {e}"))?;
+        let address = self.config.listen;
+        let listener = Acceptor::bind(address).map_err(|e| format!("listen: {e}"))?;
+        let shared = self.shared;
+        let config = self.config;
+        let view = view_source(self.management.as_ref(), &config);
+        shared
+            .module
             .try_send(Event::Endpoints(config.known))
             .map_err(|e| e.to_string())?;
-        let shown = management.as_ref().map(|m| ViewSource {
-            window: m.window.clone(),
-            zones: config
-                .index
-                .zones
-                .iter()
-                .map(|n| n.as_str().into())
-                .collect(),
-            kinds: config
-                .index
-                .kinds
-                .iter()
-                .map(|n| n.as_str().into())
-                .collect(),
-        });
-        executor
-            .spawn(decide(gateway, shared.clone(), events, shown, cells))
-            .detach();
-        let (mut renew, mut leave) = (None, None);
-        if let Some(m) = management {
-            let running = m.start(&config.name, shared.clock, log.clone(), level)?;
-            (renew, leave) = (Some(running.renew), running.leave);
-            executor
-                .spawn(management::carry(running.commands, module.clone()))
-                .detach();
-        }
-        let settings = match (&renew, &leave) {
-            (None, _) => Settings::File,
-            (Some(_), None) => Settings::Management,
-            (Some(_), Some(_)) => Settings::Fleet,
-        };
-        let (from, names, index, rev) =
-            (config.listen.ip(), config.names, config.index, config.rev);
-        let (moves, moved) = async_channel::bounded(1);
-        let list = Discovery {
-            from,
-            names,
-            index,
-            rev,
-            module,
-            log: log.clone(),
+        let dispatcher = decide(self.gateway, shared.clone(), self.events, view, self.cells);
+        shared.executor.spawn(dispatcher).detach();
+        let ends = start_management(self.management, &config.name, self.level, &shared)?;
+        let discovery = Discovery {
+            from: address.ip(),
+            names: config.names,
+            index: config.index,
+            rev: config.rev,
+            module: shared.module.clone(),
+            log: shared.log.clone(),
             shared: shared.clone(),
-            snapshot_store: snapshot_store.clone(),
+            snapshot_store: self.snapshot_store.clone(),
         };
-        executor.spawn(list.follow(moved)).detach();
-        // Clients keep to a third of the descriptors.
-        shared.metrics.serial.set(config.rev);
-        shared
-            .metrics
-            .max_client_connections
-            .set((config.descriptors / 2) as u32);
-        let limiter =
-            ConnectionLimiter::new(config.descriptors / 2, shared.metrics.connections.clone());
-        let heeded = heed(
+        let updates = start_discovery(discovery, &shared);
+        let limiter = start_limiter(config.rev, config.descriptors, &shared);
+        let handler = SignalHandler {
             signals,
-            path.into(),
-            moves,
-            (renew, settings),
-            renewal,
-            limiter.clone(),
-            shared.clone(),
-        );
-        executor.spawn(heeded).detach();
-        info!(log, "serving"; "on" => config.listen);
-
-        // Accepted, and without a place yet: not dropped with the wait for one.
-        let waits = Cell::new(None);
-        let accept = async {
-            loop {
-                match listener.accept().await {
-                    Ok((stream, _)) => {
-                        waits.set(Some(stream));
-                        let permit = limiter.take(&shared.clock).await;
-                        let Some(stream) = waits.take() else { continue };
-                        executor
-                            .spawn(client::serve(stream, shared.clone(), permit))
-                            .detach();
-                        // Each is heard before the next is let in, which may need its place.
-                        yield_now().await;
-                    }
-                    Err(_) => {
-                        let later = async {
-                            Timer::after(span(NO_DESCRIPTOR)).await;
-                        };
-                        or(limiter.until_released(), later).await
-                    }
-                }
-            }
-        };
-        let ends = Cell::new(Ms::INFINITY);
-        let stop_requested = async {
-            limiter.until_shutting_down().await;
-            ends.set(shared.clock.now() + left(&shared) + LAST_WORDS / 2.0);
-            Timer::after(span(CLIENTS_COME_FOR)).await;
-        };
-        or(accept, stop_requested).await;
-        // What the system has accepted is taken: none of it is left behind when the listener goes.
-        let accepted = || {
-            listener
-                .get_ref()
-                .accept()
-                .and_then(|(stream, _)| Async::new(stream))
-                .ok()
+            config_path: self.path,
+            discovery: updates,
+            source: settings_source(&ends),
+            renew_keys: ends.renew_keys,
+            renewal: self.renewal,
+            limiter: limiter.clone(),
+            shared: shared.clone(),
         };
-        while let Some(stream) = waits.take().or_else(accepted) {
-            let Some(permit) = limiter.last(&shared.clock) else {
-                break;
-            };
-            executor
-                .spawn(client::serve(stream, shared.clone(), permit))
-                .detach();
-        }
-        drop(listener);
-        limiter.close();
-        // What the module gave up is answered by then; who still reads nothing or says half must not hold this up.
-        let most = Timer::after(span(ends.get() - shared.clock.now()));
-        or(limiter.until_empty(), async { _ = most.await }).await;
-        info!(log, "all is answered");
-        if let Some(snapshot_store) = snapshot_store {
-            // A slow disk has what is left of the time, and a little where nothing is.
-            snapshot_store
-                .end((ends.get() - shared.clock.now()).max(LAST_WORDS))
-                .await;
+        shared.executor.spawn(handler.run()).detach();
+        info!(shared.log, "serving"; "address" => address);
+
+        let acceptor = Acceptor::new(listener, limiter.clone(), shared.clone());
+        let accept = async { match acceptor.run().await {} };
+        let deadline = or(accept, shutdown::late_clients(&limiter, &shared)).await;
+        acceptor.finish();
+        shutdown::drain(&limiter, &shared, deadline).await;
+        if let Some(store) = self.snapshot_store {
+            shutdown::write_snapshot(store, &shared, deadline).await;
         }
-        if let Some(leave) = leave {
-            // Who says so needs no lease to run out before its fleet goes on without it.
-            let (done, config) = tokio::sync::oneshot::channel();
-            let said = leave
-                .try_send(ironstair_fleet_agent::actor::AgentMessage::Leave(done))
-                .is_ok();
-            let most = async {
-                Timer::after(span(LEAVE_WITHIN)).await;
-            };
-            or(async { drop(config.await) }, most).await;
-            info!(log, "left the fleet"; "said" => said);
+        if let Some(leave) = ends.leave_fleet {
+            shutdown::leave_fleet(leave, &shared.log).await;
         }
         Ok(())
-    }))
+    }
+}
+
+/// Where the dispatcher shows what it knows; none without management.
+fn view_source(
+    management: Option<&management::Opened>,
+    config: &GatewayConfig,
+) -> Option<ViewSource> {
+    let shared_names = |names: &[String]| names.iter().map(|n| n.as_str().into()).collect();
+    management.map(|management| ViewSource {
+        window: management.window.clone(),
+        zones: shared_names(&config.index.zones),
+        kinds: shared_names(&config.index.kinds),
+    })
+}
+
+fn start_management(
+    management: Option<management::Opened>,
+    name: &str,
+    level: LevelHandle,
+    shared: &Rc<Shared>,
+) -> Result<ManagementEnds, String> {
+    let Some(management) = management else {
+        return Ok(ManagementEnds::default());
+    };
+    let running = management.start(name, shared.clock, shared.log.clone(), level)?;
+    let carried = management::carry(running.commands, shared.module.clone());
+    shared.executor.spawn(carried).detach();
+    Ok(ManagementEnds {
+        renew_keys: Some(running.renew),
+        leave_fleet: running.leave,
+    })
+}
+
+fn settings_source(ends: &ManagementEnds) -> SettingsSource {
+    match (&ends.renew_keys, &ends.leave_fleet) {
+        (None, _) => SettingsSource::File,
+        (Some(_), None) => SettingsSource::Management,
+        (Some(_), Some(_)) => SettingsSource::Fleet,
+    }
+}
+
+fn start_discovery(discovery: Discovery, shared: &Shared) -> Sender<DiscoveryUpdate> {
+    let (updates, received) = async_channel::bounded(1);
+    shared.executor.spawn(discovery.follow(received)).detach();
+    updates
+}
+
+fn start_limiter(serial: u32, descriptors: usize, shared: &Shared) -> Rc<ConnectionLimiter> {
+    let most = descriptors / DESCRIPTORS_PER_CLIENT_CONNECTION;
+    shared.metrics.serial.set(serial);
+    shared.metrics.max_client_connections.set(most as u32);
+    ConnectionLimiter::new(most, shared.metrics.connections.clone())
 }
--- /dev/null
+++ b/crates/gateway/src/shutdown.rs
@@ -0,0 +1,69 @@
+//! The phases of a shutdown, and how long each may take. In order: late clients are still accepted, the accept
+//! backlog is served and the listener closes, connections drain, the snapshot is written, the fleet is told.
+
+use crate::connection_limiter::ConnectionLimiter;
+use crate::snapshot_store::SnapshotStore;
+use async_io::Timer;
+use futures_lite::future::or;
+use ironstair::Ms;
+use ironstair_fleet_agent::actor::{AgentMessage, Leave};
+use ironstair_runtime::clock::span;
+use ironstair_runtime::Shared;
+use slog::{info, Logger};
+
+/// After the signal, clients go on opening connections and sending for up to 600 ms; a little more is granted.
+const LATE_CLIENTS_MS: Ms = 700.0;
+/// The longest hard limit counts up to this much.
+const MAX_REQUEST_TIME_MS: Ms = 3000.0;
+/// How long after the requests' time the process may live on before it is killed.
+const KILLED_AFTER_MS: Ms = 700.0;
+/// Of the time left, what writing the last answers may take.
+const LAST_ANSWERS_MS: Ms = 200.0;
+/// How long the fleet may take to acknowledge that this process leaves.
+const LEAVE_FLEET_MS: Ms = 80.0;
+
+/// How long after the signal every request is to have its answer.
+pub fn answer_budget(shared: &Shared) -> Ms {
+    shared.longest.get().min(MAX_REQUEST_TIME_MS) + KILLED_AFTER_MS - LAST_ANSWERS_MS
+}
+
+/// Phase 1: waits for the signal, then lets late clients come. Returns by when connections must have drained.
+pub async fn late_clients(limiter: &ConnectionLimiter, shared: &Shared) -> Ms {
+    limiter.until_shutting_down().await;
+    let deadline = shared.clock.now() + answer_budget(shared) + LAST_ANSWERS_MS / 2.0;
+    Timer::after(span(LATE_CLIENTS_MS)).await;
+    deadline
+}
+
+/// Phase 3 (the second, the accept backlog, is the acceptor's): connections close as they fall quiet. A client that
+/// reads nothing, or has sent half a message, does not hold this up beyond the deadline.
+pub async fn drain(limiter: &ConnectionLimiter, shared: &Shared, deadline: Ms) {
+    limiter.close();
+    let timeout = Timer::after(span(deadline - shared.clock.now()));
+    let timeout = async {
+        timeout.await;
+    };
+    or(limiter.until_empty(), timeout).await;
+    info!(shared.log, "shutdown complete, all requests answered");
+}
+
+/// Phase 4: writes the snapshot for the next process. A slow disk has what is left of the time, and a little where
+/// nothing is left.
+pub async fn write_snapshot(store: SnapshotStore, shared: &Shared, deadline: Ms) {
+    let budget = (deadline - shared.clock.now()).max(LAST_ANSWERS_MS);
+    store.end(budget).await;
+}
+
+/// Phase 5: tells the fleet that this process ends, so that no lease has to run out before it goes on.
+pub async fn leave_fleet(leave: Leave, log: &Logger) {
+    let (done, acknowledged) = tokio::sync::oneshot::channel();
+    let sent = leave.try_send(AgentMessage::Leave(done)).is_ok();
+    let timeout = async {
+        Timer::after(span(LEAVE_FLEET_MS)).await;
+    };
+    let answer = async {
+        drop(acknowledged.await);
+    };
+    or(answer, timeout).await;
+    info!(log, "left the fleet"; "sent" => sent);
+}
--- /dev/null
+++ b/crates/gateway/src/signals.rs
@@ -0,0 +1,161 @@
+//! Signals: SIGHUP reads the configuration anew, SIGTERM and SIGINT begin the shutdown.
+
+use crate::config::{self, GatewayConfig};
+use crate::connection_limiter::ConnectionLimiter;
+use crate::discovery::DiscoveryUpdate;
+use crate::management::Renew;
+use crate::shutdown::answer_budget;
+use async_channel::Sender;
+use async_signal::{Signal, Signals};
+use futures_lite::StreamExt;
+use ironstair_config_change::renewal::Renewal;
+use ironstair_runtime::window::{Amendment, ManagementCommand};
+use ironstair_runtime::{Event, Shared};
+use ironstair_settings::Carriage;
+use slog::{info, warn};
+use std::io;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// Where other settings come from while the process serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingsSource {
+    /// The configuration file, at SIGHUP.
+    File,
+    /// gNMI; the file's settings are not taken over.
+    Management,
+    /// The fleet's policy; the file's settings are not taken over.
+    Fleet,
+}
+
+/// Registers the signals. Must come before the listener: whoever finds the gateway listening may send one, which
+/// would end the process without a word.
+///
+/// # Errors
+/// The system refuses the handlers.
+pub fn register() -> io::Result<Signals> {
+    Signals::new([Signal::Term, Signal::Int, Signal::Hup])
+}
+
+/// Heeds signals for as long as the process lives: also during a drain none of them ends it at once.
+pub struct SignalHandler {
+    /// The registered signals.
+    pub signals: Signals,
+    /// The configuration file.
+    pub config_path: PathBuf,
+    /// To the discovery actor.
+    pub discovery: Sender<DiscoveryUpdate>,
+    /// To the management thread: read the TLS keys anew.
+    pub renew_keys: Option<Renew>,
+    /// Where other settings come from.
+    pub source: SettingsSource,
+    /// The settings of the file as last taken over.
+    pub renewal: Renewal,
+    /// Knows of the shutdown.
+    pub limiter: Rc<ConnectionLimiter>,
+    /// What all actors share.
+    pub shared: Rc<Shared>,
+}
+
+impl SignalHandler {
+    /// Runs until the process ends.
+    pub async fn run(mut self) {
+        while let Some(signal) = self.signals.next().await {
+            match signal {
+                Ok(Signal::Hup) => self.reload().await,
+                _ if self.limiter.is_shutting_down() => {
+                    info!(self.shared.log, "shutdown requested again");
+                }
+                _ => self.begin_shutdown().await,
+            }
+        }
+    }
+
+    async fn begin_shutdown(&self) {
+        info!(self.shared.log, "shutdown requested");
+        self.limiter.begin_shutdown();
+        let end = self.shared.clock.now() + answer_budget(&self.shared);
+        let _ = self.shared.module.send(Event::Ending(end)).await;
+    }
+
+    async fn reload(&mut self) {
+        if let Some(renew) = &self.renew_keys {
+            // One request that waits is enough.
+            let _ = renew.try_send(());
+        }
+        // All of it or none: settings that can't be used leave the endpoint list as it is, too.
+        let read = config::read(&self.config_path)
+            .and_then(|config| Ok((self.renewal.renew(config.file())?, config)));
+        let (renewed, mut config) = match read {
+            Ok(read) => read,
+            Err(error) => {
+                warn!(self.shared.log, "configuration rejected, the earlier one stays"; "error" => error);
+                return;
+            }
+        };
+        // The connection settings alone may differ as well.
+        if renewed.is_some() || config.carriage != *self.shared.carriage() {
+            self.take_over_settings(renewed, config.carriage.clone())
+                .await;
+        }
+        config.under(self.renewal.frame());
+        self.update_discovery(config).await;
+    }
+
+    async fn take_over_settings(&mut self, renewed: Option<Renewal>, carriage: Carriage) {
+        let log = &self.shared.log;
+        match self.source {
+            SettingsSource::File => {
+                if let Some(renewed) = renewed {
+                    self.renewal = renewed;
+                }
+                self.amend_policy(carriage).await;
+            }
+            SettingsSource::Management => {
+                warn!(log, "settings of the file ignored, they come by management");
+            }
+            SettingsSource::Fleet => {
+                warn!(
+                    log,
+                    "settings of the file ignored, they are the fleet's: ironstair set --fleet"
+                );
+            }
+        }
+    }
+
+    /// Through the dispatcher's queue: before the endpoint list that may rest on the settings, which comes after.
+    async fn amend_policy(&self, carriage: Carriage) {
+        let policy_config = self.renewal.policy_config();
+        let (classes, longest) = ironstair_management::classes(
+            self.renewal.roll(),
+            self.renewal.document(),
+            &policy_config,
+        );
+        let (done, applied) = async_channel::bounded(1);
+        let amendment = Amendment {
+            policy_config,
+            classes,
+            longest,
+            cells: None,
+            carriage: Some(carriage),
+            done,
+        };
+        let command = ManagementCommand::Amend(Box::new(amendment));
+        let _ = self.shared.module.send(Event::Command(command)).await;
+        if applied.recv().await.is_ok() {
+            let classes = self.shared.classes();
+            let in_service = classes.iter().filter(|class| class.in_service).count();
+            info!(self.shared.log, "configuration reloaded"; "classes" => in_service);
+        }
+    }
+
+    async fn update_discovery(&self, config: GatewayConfig) {
+        let update = DiscoveryUpdate {
+            names: config.names,
+            known: config.known,
+            rev: config.rev,
+            index: config.index,
+        };
+        let _ = self.discovery.send(update).await;
+    }
+}
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -252,10 +252,10 @@
     while let Ok(Write { bytes, done, log }) = waiting.recv_blocking() {
         match write(folder, &bytes) {
             Err(why) if !std::mem::replace(&mut fails, true) => {
-                warn!(log, "nothing is kept for the next process"; "why" => why);
+                warn!(log, "snapshot not written"; "error" => why);
             }
             Ok(()) if std::mem::take(&mut fails) => {
-                info!(log, "what the next process needs is kept again")
+                info!(log, "snapshot written again")
             }
             _ => {}
         }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -741,14 +741,14 @@
 #[test]
 fn sighup_with_settings_is_refused_in_a_fleet_and_plain_commands_name_the_right_one() {
     let mut cluster = Cluster::started("sighup", &Plan::default());
-    let sentence = "settings are the fleet's";
+    let sentence = "settings of the file ignored, they are the fleet's";
     cluster.retell(4, |config| config["names"] = json!("127.0.0.1:9"));
     cluster.retell(3, |config| {
         config["settings"]["policy_limits"]["max_attempts"] = json!(2)
     });
     until("it is refused", || cluster.log(3).contains(sentence));
     until("the list moves", || {
-        cluster.log(4).contains("name service has moved")
+        cluster.log(4).contains("name service address changed")
     });
     assert!(
         !cluster.log(4).contains(sentence),
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -411,9 +411,7 @@
         cluster.until_answers(What::Settled, 30);
         let said = |what: &str| cluster.log(0).matches(what).count();
         match name {
-            "file" => until("it says so once", || {
-                said("nothing is kept for the next process") == 1
-            }),
+            "file" => until("it says so once", || said("snapshot not written") == 1),
             "corrupt" => assert_eq!(
                 said("it is no file of a gateway's") + said("of another version"),
                 1
--- a/crates/gateway/tests/switch.rs
+++ b/crates/gateway/tests/switch.rs
@@ -253,19 +253,19 @@
         c.ask_in("report", 1);
         assert_eq!(c.rows().0, 1, "{field}");
     }
-    assert_eq!(count(&lines, "new settings hold"), 0);
+    assert_eq!(count(&lines, "configuration reloaded"), 0);
     put(&g, &config, &good);
-    assert!(said("new settings hold"));
+    assert!(said("configuration reloaded"));
     c.ask_in("load", 2);
     assert_eq!(c.rows().0, 2);
     put(&g, &config, &config["settings"]);
-    assert!(soon(|| count(&lines, "new settings hold") == 2));
+    assert!(soon(|| count(&lines, "configuration reloaded") == 2));
     c.ask_in("load", 3);
     assert_eq!(c.hear()["error"]["code"], -32014, "out of service again");
     put(&g, &config, &config["settings"]);
     c.ask_in("lookup", 4);
     assert_eq!(c.rows().0, 4);
-    assert_eq!(count(&lines, "new settings hold"), 2);
+    assert_eq!(count(&lines, "configuration reloaded"), 2);
 }
 
 #[test]
@@ -282,12 +282,12 @@
     let mut s = config["settings"].clone();
     s["policy_limits"]["max_open"] = json!(1);
     put(&g, &config, &s);
-    assert!(soon(|| count(&lines, "new settings hold") == 1));
+    assert!(soon(|| count(&lines, "configuration reloaded") == 1));
     (1..3).for_each(|call| c.ask(call));
     assert_eq!(c.hear()["error"]["code"], -32014, "one may be open");
     assert_eq!(c.rows().0, 1);
     put(&g, &config, &config["settings"]);
-    assert!(soon(|| count(&lines, "new settings hold") == 2));
+    assert!(soon(|| count(&lines, "configuration reloaded") == 2));
     (3..5).for_each(|call| c.ask(call));
     assert_eq!([c.rows().0, c.rows().0], [3, 4]);
 }
@@ -302,13 +302,16 @@
     let (g, lines) = logged("managed-switch", &config, name_answer, Some(operator));
     let mut c = Client::of(&g);
     put(&g, &config, &other(&config["settings"]));
-    assert!(soon(|| count(&lines, "settings come by management") == 1
-        && count(&lines, "name service has moved") == 1));
+    assert!(soon(|| count(
+        &lines,
+        "settings of the file ignored, they come by management"
+    ) == 1
+        && count(&lines, "name service address changed") == 1));
     c.ask_in("load", 1);
     assert_eq!(c.hear()["error"]["code"], -32601, "never told");
     c.ask_in("lookup", 2);
     assert_eq!(c.rows().0, 2);
-    assert_eq!(count(&lines, "new settings hold"), 0);
+    assert_eq!(count(&lines, "configuration reloaded"), 0);
 }
 
 #[test]
@@ -327,7 +330,7 @@
     let (g, lines) = logged("cells-switch", &config, name_answer, Some(cells));
     let mut c = Client::of(&g);
     put(&g, &config, &other(&config["settings"]));
-    assert!(soon(|| count(&lines, "new settings hold") == 1));
+    assert!(soon(|| count(&lines, "configuration reloaded") == 1));
     for call in 1..20u64 {
         let tenant = ["t1", "t2"][call as usize % 2];
         c.say(&format!(
--- a/crates/gnmi/src/server.rs
+++ b/crates/gnmi/src/server.rs
@@ -76,10 +76,10 @@
         match self.files.read() {
             Ok(new) => {
                 *self.now.lock().unwrap_or_else(PoisonError::into_inner) = new;
-                info!(log, "new keys for management");
+                info!(log, "management TLS keys reloaded");
             }
             Err(why) => {
-                warn!(log, "the new keys for management can't be used, the old ones stay"; "why" => why);
+                warn!(log, "management TLS keys rejected, the earlier ones stay"; "why" => why);
             }
         }
     }
@@ -234,7 +234,7 @@
                     .await,
                 ),
                 Err(why) => {
-                    info!(log, "a management client is not let in"; "from" => from, "why" => why)
+                    info!(log, "management client refused"; "address" => from, "error" => why)
                 }
             }
         });
