--- a/crates/data-tree/src/yang.rs
+++ b/crates/data-tree/src/yang.rs
@@ -163,34 +163,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn strings_comments_and_nesting_are_read() {
-        let text = "module m { // one\n /* two */ leaf \"a\" + 'b' { pattern '[a-z\\-]'; x \"q\\\"\\n\"; } }";
-        let m = parse(text).unwrap();
-        let leaf = m.one("leaf").unwrap();
-        assert_eq!((leaf.argument.as_str(), leaf.line), ("ab", 2));
-        assert_eq!(
-            (leaf.arg("pattern"), leaf.arg("x")),
-            (Some("[a-z\\-]"), Some("q\"\n"))
-        );
-    }
-
-    #[test]
-    fn what_is_no_module_is_refused_with_its_line() {
-        for (text, why) in [
-            ("", "line 1: a word"),
-            ("module m {\n leaf \"a", "line 2: a string without end"),
-            ("module m { /* ", "line 1: a comment"),
-            ("module m { leaf a 'b' }", "line 1: neither"),
-            ("module m { x \"\\z\"; }", "line 1: an escape"),
-            ("module m; more;", "line 1: something behind"),
-        ] {
-            let reported = parse(text).unwrap_err();
-            assert!(reported.starts_with(why), "{text}: {reported}");
-        }
-        assert!(parse(&"a { ".repeat(99)).unwrap_err().contains("too deep"));
-    }
-}
+mod tests;
--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -801,26 +801,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn entries_of_a_list_are_rows_and_the_rest_lines() {
-        let leaf = |text: &str, n: u64| gnmi::Update {
-            path: path(text).ok(),
-            val: Some(TypedValue {
-                value: Some(typed_value::Value::UintVal(n)),
-            }),
-            duplicates: 0,
-        };
-        let all = [
-            leaf("/state/engine[name=e1]/inflight", 3),
-            leaf("/state/engine[name=engine-2]/inflight", 14),
-            leaf("/state/engine[name=engine-2]/cold-left", 7),
-            leaf("/state/list/serial", 9),
-        ];
-        let want = "/state/list/serial 9\nname      inflight  cold-left\ne1        3         -\n\
-                    engine-2  14        7\n(2 of /state/engine)\n";
-        assert_eq!(table(&schema().ok().unwrap(), &all), want);
-    }
-}
+mod tests;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -132,52 +132,7 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    #[test]
-    fn the_endpoint_list_of_the_start_is_that_after_all_its_changes() {
-        let engine = |name: &str, state: &str, port: u16| {
-            json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
-                "cell": 2, "lifecycle": state, "startedAtMs": 5})
-        };
-        let index = Frame {
-            zones: vec!["a".into(), "b".into()],
-            kinds: vec!["std".into()],
-        };
-        let mut known = BTreeMap::from([(
-            "left-over".to_string(),
-            DiscoveredEndpoint {
-                address: ([10, 1, 0, 1], 1).into(),
-                zone: 0,
-                kind: 0,
-                marks: 0,
-                state: EndpointState::Ready,
-                since: 0.0,
-            },
-        )]);
-        let first = json!({"reset": true, "instances": [engine("S-1", "ready", 1), engine("s-2", "ready", 2)]});
-        let then = json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
-        follow(&mut known, &first, &index).unwrap();
-        follow(&mut known, &then, &index).unwrap();
-        let place = DiscoveredEndpoint {
-            address: ([10, 1, 0, 9], 3).into(),
-            zone: 1,
-            kind: u16::MAX,
-            marks: 2,
-            state: EndpointState::Draining,
-            since: 5.0,
-        };
-        assert_eq!(known, BTreeMap::from([("s-1".to_string(), place)]));
-        assert!(follow(
-            &mut known,
-            &json!({"instances": [{"instanceId": "s-3"}]}),
-            &index
-        )
-        .is_err());
-    }
-}
+mod tests;
 
 #[cfg(test)]
 #[path = "config_pinned_tests.rs"]
