--- a/crates/gateway/src/cli/tests.rs
+++ b/crates/gateway/src/cli/tests.rs
@@ -1,4 +1,6 @@
-use super::*;
+use super::encoding::{path, schema};
+use super::output::table;
+use ironstair_gnmi::proto::gnmi::{self, typed_value, TypedValue};
 
 #[test]
 fn entries_of_a_list_are_rows_and_the_rest_lines() {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -49,13 +49,13 @@
     /// Changes a gateway's settings while it serves
     Set(cli::Set),
     /// Keeps a change that waits to be confirmed
-    Confirm(cli::Trial),
+    Confirm(cli::PendingCommit),
     /// Takes back a change that waits to be confirmed
-    Cancel(cli::Trial),
+    Cancel(cli::PendingCommit),
     /// Shows changes as they come
     Watch(cli::Watch),
     /// Shows the cells, and who is kept to which
-    Cells(cli::Endpoint),
+    Cells(cli::Cells),
     /// Moves a tenant to other cells under traffic
     Move(cli::Move),
     /// Shows the last changes of the settings, who made them and what became of them
@@ -150,8 +150,8 @@
         }
         Job::Get(g) => cli::run(cli::get(g)),
         Job::Set(s) => cli::run(cli::set(s)),
-        Job::Confirm(t) => cli::run(cli::trial(t, Action::Confirm(CommitConfirm {}))),
-        Job::Cancel(t) => cli::run(cli::trial(t, Action::Cancel(CommitCancel {}))),
+        Job::Confirm(t) => cli::run(cli::finish_commit(t, Action::Confirm(CommitConfirm {}))),
+        Job::Cancel(t) => cli::run(cli::finish_commit(t, Action::Cancel(CommitCancel {}))),
         Job::Watch(w) => cli::run(cli::watch(w)),
         Job::Cells(l) => cli::run(cli::cells(l)),
         Job::Move(m) => cli::run(cli::move_tenant(m)),
