--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -46,12 +46,15 @@
     pub late: u64,
 }
 
+/// Engines by name; copies share what they have in common.
+pub type EngineMap = imbl::OrdMap<Arc<str>, Engine>;
+
 /// All that the gateway's thread knows at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// Unix time in ms.
     pub at: Ms,
-    pub engines: imbl::OrdMap<Arc<str>, Engine>,
+    pub engines: EngineMap,
     pub classes: Vec<Class>,
     pub source: String,
     pub serial: u32,
--- /dev/null
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -0,0 +1,126 @@
+//! From a request's arrival to its outcome: what clients and engines' actors tell of it.
+
+use super::executor::OpenRequest;
+use super::Dispatcher;
+use async_channel::Sender;
+use ironstair::{Outcome, Request};
+use ironstair_cells::Goes;
+use ironstair_runtime::pool::Chain;
+use ironstair_runtime::{Id, NewRequest, Reply};
+use std::rc::Rc;
+
+impl Dispatcher {
+    /// Takes a request, or turns it away at once: its id is in use, too many are open, or its cells have no ready
+    /// engine.
+    pub(super) fn take(&mut self, new: NewRequest) {
+        if self.executor.ids.find(new.id).is_some() {
+            // Its first bearer keeps the id.
+            let _ = new.client.try_send(Reply::Unusable(new.call));
+            return;
+        }
+        if self.executor.open >= self.executor.shared.carriage().most_open {
+            let _ = new.client.try_send(Reply::Rejected(new.call, 0.0));
+            return;
+        }
+        let now = self.executor.now;
+        let tenant = new.tenant.unwrap_or(new.of.tables);
+        let cells = match self.executor.cells.as_mut().map(|c| c.goes(now, tenant)) {
+            None => 0,
+            Some(Goes::To(cells)) => cells.0,
+            Some(Goes::Rejected { retry_after }) => {
+                let _ = new.client.try_send(Reply::Rejected(new.call, retry_after));
+                return;
+            }
+        };
+        let limit = (new.at + new.of.left).min(self.executor.ends);
+        let request = Request {
+            left: limit - now,
+            cells,
+            ..new.of
+        };
+        let index = self.open(new, tenant, limit);
+        self.gateway.take(now, index, request, &mut self.executor);
+    }
+
+    fn open(&mut self, new: NewRequest, tenant: u64, limit: f64) -> usize {
+        let executor = &mut self.executor;
+        executor.open += 1;
+        executor.shared.metrics.open.set(executor.open);
+        executor.count(new.of.class).taken += 1;
+        let index = executor.ids.admit(new.id);
+        if executor.requests.len() <= index {
+            executor.requests.resize_with(index + 1, || None);
+        }
+        executor.requests[index] = Some(OpenRequest {
+            call: new.call,
+            class: new.of.class,
+            at: new.at,
+            tenant,
+            limit,
+            statement: Rc::new(new.statement),
+            once: new.once,
+            priority: None,
+            client: Some(new.client),
+            waits: new.waits,
+            engine: None,
+            out: None,
+            cells: 0,
+            met: Vec::new(),
+        });
+        index
+    }
+
+    /// The client takes the request back.
+    pub(super) fn cancelled(&mut self, id: Id, client: &Sender<Reply>) {
+        let Some(index) = self.own_request(id, client) else {
+            return;
+        };
+        let Some(request) = self.executor.request(index) else {
+            return;
+        };
+        request.client = None;
+        let class = request.class;
+        self.executor.count(class).left += 1;
+        let now = self.executor.now;
+        self.gateway.left(now, index, &mut self.executor);
+    }
+
+    /// The client has closed, or its own way alone: nothing more begins for the request.
+    pub(super) fn client_closed(&mut self, id: Id, client: &Sender<Reply>) {
+        if let Some(index) = self.own_request(id, client) {
+            let now = self.executor.now;
+            self.gateway.closed(now, index, &mut self.executor);
+        }
+    }
+
+    /// The request under that id, if that client sent it: only its own client takes it back, not who sent another
+    /// under the same id.
+    fn own_request(&mut self, id: Id, client: &Sender<Reply>) -> Option<usize> {
+        let index = self.executor.ids.find(id)?;
+        let request = self.executor.request(index)?;
+        let owner = request.client.as_ref()?;
+        owner.same_channel(client).then_some(index)
+    }
+
+    /// An attempt has ended; `rows` are the whole answer, where there is one.
+    pub(super) fn attempt_ended(&mut self, id: Id, what: Outcome, rows: Option<Chain>) {
+        let executor = &mut self.executor;
+        let Some(index) = executor.ids.find(id) else {
+            return;
+        };
+        executor.attempt_left_cell(index);
+        let is_open = executor.request(index).is_some_and(|request| {
+            request.engine = None;
+            request.out = None;
+            request.client.is_some()
+        });
+        if is_open && rows.is_some() {
+            executor.settled(index);
+        }
+        let answered =
+            rows.is_some_and(|rows| executor.answer(index, |call| Reply::Settled(call, rows)));
+        let now = executor.now;
+        self.gateway
+            .outcome(now, index, what, answered || !is_open, &mut self.executor);
+    }
+}
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -1,10 +1,14 @@
-use super::*;
+use super::executor::{ActionExecutor, KnownEndpoint, OpenRequest};
 use async_executor::LocalExecutor;
+use ironstair::{Actions, EndpointState, Ms};
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
+use ironstair_runtime::{DiscoveredEndpoint, Order, Shared};
 use ironstair_settings::Carriage;
 use slog::{o, Discard, Logger};
+use std::cell::Cell;
 use std::cell::RefCell;
+use std::rc::Rc;
 
 fn executor() -> ActionExecutor {
     let reports = Vec::new();
@@ -50,7 +54,7 @@
 fn a_full_mailbox_swallows_no_withdrawal() {
     let mut executor = executor();
     let (orders, mailbox) = async_channel::bounded(2);
-    let place = DiscoveredEndpoint {
+    let discovered = DiscoveredEndpoint {
         address: ([127, 0, 0, 1], 9).into(),
         zone: 0,
         kind: 0,
@@ -59,16 +63,16 @@
         since: 0.0,
     };
     let (connections, state) = (Rc::default(), Rc::new(Cell::new(EndpointState::Ready)));
-    let known = Known {
+    let known = KnownEndpoint {
         name: "e1".into(),
-        place,
+        discovered,
         orders: Some(orders.clone()),
         connections,
         state,
     };
     executor.engines.push(Some(known));
-    let request = executor.subs.admit(*b"0000000000000001");
-    executor.held.push(Some(Held {
+    let request = executor.ids.admit(*b"0000000000000001");
+    executor.requests.push(Some(OpenRequest {
         call: 1,
         class: 0,
         at: 0.0,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -5,7 +5,7 @@
 use crate::connection_limiter::ConnectionLimiter;
 use crate::descriptors::{self, DescriptorShortage};
 use crate::discovery::{Discovery, DiscoveryUpdate};
-use crate::dispatcher::{decide, ViewSource};
+use crate::dispatcher::{Dispatcher, ViewSource};
 use crate::log::LevelHandle;
 use crate::operator_config::{self, Operator};
 use crate::signals::{self, SettingsSource, SignalHandler};
@@ -230,8 +230,8 @@
             .module
             .try_send(Event::Endpoints(config.known))
             .map_err(|e| e.to_string())?;
-        let dispatcher = decide(self.gateway, shared.clone(), self.events, view, self.cells);
-        shared.executor.spawn(dispatcher).detach();
+        let dispatcher = Dispatcher::new(self.gateway, shared.clone(), view, self.cells);
+        shared.executor.spawn(dispatcher.run(self.events)).detach();
         let ends = start_management(self.management, &config.name, self.level, &shared)?;
         let discovery = Discovery {
             from: address.ip(),
