--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,17 +1,20 @@
 //! A client connection's actor: reads requests, writes answers, each way by itself.
 
+mod call;
+
 use crate::connection_limiter::ConnectionPermit;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
+use call::Fault;
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ironstair::{Ms, Request};
-use ironstair_protocol::{rpc, statement};
+use ironstair::Ms;
+use ironstair_protocol::rpc;
 use ironstair_runtime::pool::{Buffer, Chain, SIZE};
 use ironstair_runtime::wait::{time, until, within};
-use ironstair_runtime::{number, Event, Id, NewRequest, Reply, Shared};
+use ironstair_runtime::{Event, Id, Reply, Shared};
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,28 +24,22 @@
 use std::rc::Rc;
 
 /// Open calls on one connection: clients keep to it.
-const OPEN_MOST: usize = 32;
+const MAX_OPEN_CALLS: usize = 32;
 /// Answers that wait to be written: a client that reads none of so many loses its connection.
-const MAILBOX: usize = 2 * OPEN_MOST;
+const MAILBOX: usize = 2 * MAX_OPEN_CALLS;
 /// What is not understood before the connection is left: against floods, which cost others their answers.
-const FAULTS_MOST: u32 = 16;
+const MAX_FAULTS: u32 = 16;
 /// From connecting to the first answer or open call, and from a message's first byte to its last.
-const WORD_WITHIN: Ms = 2000.0;
+const MESSAGE_TIMEOUT: Ms = 2000.0;
 /// Clients close what is idle after 4 s: what is kept for longer is not used again.
-const IDLE: Ms = 10_000.0;
+const IDLE_TIMEOUT: Ms = 10_000.0;
 /// A client that has closed its way may have closed its connection. What it asked for begins within this, or never.
-const CLOSED_BEGINS: Ms = 50.0;
+const BEGINS_AFTER_CLOSE: Ms = 50.0;
 /// While its buffers are all lent a gateway does not read: how often it looks whether the client is still there.
-const LOOK_EVERY: Ms = 20.0;
+const BLOCKED_READ_INTERVAL: Ms = 20.0;
 /// How long what a client still sends is thrown away, so that the last word reaches it, and how much of it.
-const LAST_WORD: Ms = 300.0;
-const THROWN_AWAY: usize = 16;
-/// Longer than any word by which repeats are known.
-const ONCE_MOST: usize = 64;
-/// Beyond this no figure is meant: memory in MB, tries.
-const MEMORY_MOST: f64 = 1e8;
-const TRIES_MOST: f64 = 1e4;
-
+const LINGER_TIMEOUT: Ms = 300.0;
+const MAX_LINGER_READS: usize = 16;
 type Waits = Rc<Cell<bool>>;
 
 struct Client {
@@ -79,7 +76,7 @@
                 client.quiet().await;
                 Ok(())
             };
-            let _ = within(LAST_WORD, quiet).await;
+            let _ = within(LINGER_TIMEOUT, quiet).await;
         }
         Ok(())
     };
@@ -100,7 +97,7 @@
         return;
     };
     let thrown_away = async {
-        for _ in 0..THROWN_AWAY {
+        for _ in 0..MAX_LINGER_READS {
             stream.readable().await?;
             let Some(mut buffer) = shared.pool.lend() else {
                 break;
@@ -111,22 +108,7 @@
         }
         Ok(())
     };
-    let _ = within(LAST_WORD, thrown_away).await;
-}
-
-fn id(text: &[u8]) -> Option<Id> {
-    Id::try_from(text)
-        .ok()
-        .filter(|id| id.iter().all(u8::is_ascii_hexdigit))
-}
-
-/// A word that fits among the fields of an engine's line.
-fn once(text: &[u8]) -> Option<Rc<str>> {
-    let fits = |c: &u8| c.is_ascii_alphanumeric() || b"-_.:".contains(c);
-    let text = std::str::from_utf8(text)
-        .ok()
-        .filter(|t| t.bytes().all(|c| fits(&c)))?;
-    (1..=ONCE_MOST).contains(&text.len()).then(|| text.into())
+    let _ = within(LINGER_TIMEOUT, thrown_away).await;
 }
 
 impl Client {
@@ -148,7 +130,7 @@
     async fn closed(&self) {
         let soon = time(
             &self.shared.clock,
-            Some(self.shared.clock.now() + CLOSED_BEGINS),
+            Some(self.shared.clock.now() + BEGINS_AFTER_CLOSE),
         );
         or(self.quiet(), soon).await;
         let open: Vec<(Id, Waits)> = self.open.borrow().values().cloned().collect();
@@ -167,7 +149,7 @@
         loop {
             time(
                 &self.shared.clock,
-                Some(self.shared.clock.now() + LOOK_EVERY),
+                Some(self.shared.clock.now() + BLOCKED_READ_INTERVAL),
             )
             .await;
             let mut of = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
@@ -213,9 +195,11 @@
             let quiet = activity.quiet_since();
             let due = match since {
                 _ if activity.is_asked_to_close() && quiet.is_finite() => break,
-                Some(first) if activity.answered() || quiet.is_infinite() => first + WORD_WITHIN,
-                None if activity.answered() => quiet + IDLE,
-                _ => quiet.max(activity.since + WORD_WITHIN),
+                Some(first) if activity.answered() || quiet.is_infinite() => {
+                    first + MESSAGE_TIMEOUT
+                }
+                None if activity.answered() => quiet + IDLE_TIMEOUT,
+                _ => quiet.max(activity.since + MESSAGE_TIMEOUT),
             };
             if due <= self.shared.clock.now() {
                 break;
@@ -339,7 +323,8 @@
         let event = rpc::read(message, |call, method, params| {
             self.call(at, call, method, params)
         });
-        match event.and_then(|event| event) {
+        let event = event.map_err(Fault::from).and_then(|event| event);
+        match event {
             Ok(Some(event)) => self
                 .shared
                 .module
@@ -347,9 +332,9 @@
                 .await
                 .map_err(|_| io::ErrorKind::BrokenPipe.into()),
             Ok(None) => Ok(()),
-            Err((call, code)) => {
+            Err(Fault { call, code }) => {
                 self.fault(call, code);
-                match self.faults.get() < FAULTS_MOST {
+                match self.faults.get() < MAX_FAULTS {
                     true => Ok(()),
                     false => Err(io::ErrorKind::InvalidData.into()),
                 }
@@ -375,132 +360,6 @@
         self.plain(|m| rpc::error(m, call, code, "not understood", 0.0));
     }
 
-    fn call(
-        &self,
-        at: Ms,
-        call: Option<u64>,
-        method: &[u8],
-        p: rpc::Fields,
-    ) -> Result<Option<Event>, (Option<u64>, i32)> {
-        if method == b"interrupt" {
-            let taken_back = p.count("id");
-            let gone = taken_back.and_then(|c| self.open.borrow().get(&c).cloned());
-            self.over(taken_back, false);
-            return Ok(gone.map(|(id, waits)| {
-                waits.set(false);
-                Event::Left(id, self.own.clone())
-            }));
-        }
-        let call = call.filter(|c| *c > 0).ok_or((None, rpc::INVALID))?;
-        if method == b"check" {
-            self.plain(|m| {
-                rpc::fit(
-                    m,
-                    call,
-                    !self.permit.of.is_shutting_down() && self.shared.holds_lease(),
-                )
-            });
-            return Ok(None);
-        }
-        if self.permit.of.is_closing()
-            || self
-                .ended
-                .get()
-                .is_some_and(|since| at - since > CLOSED_BEGINS)
-        {
-            // Sent on now, it might not end before the process does, or would begin long after its client closed.
-            self.no_room(Some(call));
-            return Ok(None);
-        }
-        let classes = self.shared.classes();
-        let named = |service: bool| {
-            classes
-                .iter()
-                .position(|b| b.name.as_bytes() == method && (b.in_service || !service))
-        };
-        // One of the name may be closed behind which another is open, under other terms.
-        let class = named(true).or_else(|| named(false));
-        let class = class.ok_or((Some(call), rpc::UNKNOWN_METHOD))?;
-        if self.open.borrow().contains_key(&call) {
-            // Which of the two an answer is for could not be told: neither gets one.
-            self.faults.set(FAULTS_MOST);
-            return Err((None, rpc::INVALID));
-        }
-        if self.open.borrow().len() >= OPEN_MOST {
-            return Err((Some(call), rpc::INVALID));
-        }
-        let unusable = (Some(call), rpc::INVALID_FIELDS);
-        let id = p.text("id").as_deref().and_then(id).ok_or(unusable)?;
-        // A little more than the longest: clients may count otherwise.
-        let longest = self.shared.longest.get();
-        let left = p
-            .figure("wait", 2.0 * longest)
-            .ok()
-            .flatten()
-            .filter(|l| *l > 0.0)
-            .ok_or(unusable)?;
-        let work = p
-            .figure("cost", self.shared.work_most())
-            .map_err(|_| unusable)?;
-        let memory = p.figure("ram", MEMORY_MOST).map_err(|_| unusable)?;
-        let tries = p.figure("retry", TRIES_MOST).map_err(|_| unusable)?;
-        let once = p
-            .text("once")
-            .map(|t| once(&t).ok_or(unusable))
-            .transpose()?;
-        let text = p.text("bytes").ok_or(unusable)?;
-        let statement = match self.statement(&text) {
-            Ok(statement) => statement.ok_or(unusable)?,
-            // No buffer is left for it, and it has been nowhere yet.
-            Err(_) => {
-                self.no_room(Some(call));
-                return Ok(None);
-            }
-        };
-        let of = Request {
-            class,
-            left,
-            work: work.filter(|w| *w > 0.0),
-            memory_mb: memory.unwrap_or(0.0),
-            tables: statement::tables(&statement.joined()).unwrap_or(0),
-            later_try: tries.is_some_and(|t| t > 0.0),
-            ..Default::default()
-        };
-        let tenant = if self.shared.tenants {
-            p.text("tenant").map(|t| number(&t))
-        } else {
-            None
-        };
-        let waits = Rc::new(Cell::new(true));
-        self.open.borrow_mut().insert(call, (id, waits.clone()));
-        self.permit.busy();
-        Ok(Some(Event::NewRequest(Box::new(NewRequest {
-            id,
-            call,
-            of,
-            tenant,
-            at,
-            statement,
-            once,
-            client: self.own.clone(),
-            waits,
-        }))))
-    }
-
-    /// None when it is no base64; an error when all buffers are lent.
-    fn statement(&self, text: &[u8]) -> io::Result<Option<Chain>> {
-        let mut chain = Chain::default();
-        for part in text.chunks(SIZE / 4 * 4) {
-            let mut b = self.shared.pool.lend().ok_or(io::ErrorKind::OutOfMemory)?;
-            let Ok(n) = STANDARD.decode_slice(part, b.space()) else {
-                return Ok(None);
-            };
-            b.filled(n);
-            chain.0.push(b);
-        }
-        Ok(Some(chain))
-    }
-
     async fn write(&self, stream: &Async<TcpStream>, replies: Receiver<Reply>) -> io::Result<()> {
         let mut out = Vec::new();
         while let Ok(reply) = replies.recv().await {
