--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,10 @@
 //! What the policy remembers of each engine, attempt, request and class. Containers: nothing here decides,
 //! and no tuned value is used here.
 
-use crate::stats::{mix, part, DecayingMean, Estimator};
-use crate::{ClassPolicy, Endpoint, EndpointState, Ms, Request};
-use std::collections::{BTreeMap, VecDeque};
+use crate::stats::{mix, part, DecayingMean, Estimator, Pcg};
+use crate::{ClassPolicy, Endpoint, EndpointState, Ms, PolicyConfig, Request};
+use std::cell::RefCell;
+use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
 
 #[derive(Default)]
@@ -76,3 +77,31 @@
     pub(crate) usual_left: Ms,
     pub(crate) learnt: Ms,
 }
+
+/// All that one gateway's decisions rest on; `policy` holds what is decided by it.
+#[derive(Default)]
+pub struct Gateway {
+    pub(crate) m: PolicyConfig,
+    pub(crate) chance: Pcg,
+    pub(crate) draw: u64, // drawn once
+    pub(crate) now: Ms,
+    pub(crate) engines: Vec<Engine>,
+    pub(crate) subs: Vec<PendingRequest>,
+    pub(crate) in_flight: Vec<usize>,
+    pub(crate) classes: Vec<ClassState>,
+    pub(crate) orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the endpoint list changes
+    pub(crate) work_of_tables: HashMap<u64, DecayingMean>, // work by table group
+    pub(crate) keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
+    pub(crate) taken_at: VecDeque<Ms>,
+    pub(crate) further: VecDeque<Ms>,
+    pub(crate) probes: f64,
+    pub(crate) held: DecayingMean, // threads of a query that an engine holds
+    /// Crowded, the even share of an engine being less than a wide query: engines that may be probed are asked.
+    pub(crate) crowded: bool,
+    pub(crate) asks: bool,
+    pub(crate) share: f64, // of all engines in use: own threads, for as many gateways
+    pub(crate) wake_at: Ms,
+    pub(crate) until: Ms, // the terms hold; infinite where nobody else may change them
+    pub(crate) keys_quarantined_until: Ms, // nothing of a key goes before: an earlier process of this gateway may have left it out
+    pub(crate) subscribe_at: Option<Ms>,
+}
