--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,6 +65,11 @@
 }
 
 impl ClassPolicy {
+    /// Within which a request of this much work, in ms on a thread, is wanted.
+    pub fn latency_objective(&self, work: Ms) -> Ms {
+        self.expected + self.expected_stretch * work / self.threads
+    }
+
     /// Whether an engine's place is among those that the class may go to.
     pub fn fits(&self, line: &Endpoint) -> bool {
         self.zones.as_ref().is_none_or(|z| z.contains(&line.zone))
--- a/src/policy/fair_queueing.rs
+++ b/src/policy/fair_queueing.rs
@@ -1,20 +1,19 @@
 //! Fair queueing: the class with the least charged work for its weight goes first.
 
-use super::{Gateway, FACTOR};
+use super::{Gateway, THREADS_PER_CORE};
 use crate::state::PendingRequest;
 use crate::Actions;
 
 impl Gateway {
     // Lowest charged work over weight first; if that fits nowhere, the next cell's, then the next class's.
     pub(super) fn release(&mut self, out: &mut dyn Actions) -> bool {
-        let cores: f64 = self.engines.iter().filter(|e| e.in_use()).map(|e| e.cores).sum();
-        self.share = (cores * FACTOR / self.m.gateways).max(4.0);
+        self.share = (self.cores_in_use(0) * THREADS_PER_CORE / self.config.gateways).max(4.0);
         let mut order: Vec<usize> = (0..self.classes.len()).collect();
-        order.sort_by(|&a, &b| self.charge(a).total_cmp(&self.charge(b)));
+        order.sort_by(|&a, &b| self.charged_work(a).total_cmp(&self.charged_work(b)));
         for b in order {
-            for sub in self.firsts_in(b) {
-                if let Some(engine) = self.place(sub) {
-                    self.attempt(sub, engine, out);
+            for index in self.candidates(b) {
+                if let Some(engine) = self.choose_engine(index) {
+                    self.attempt(index, engine, out);
                     return true;
                 }
             }
@@ -24,29 +23,25 @@
 
     /// Value for the work it takes; until that is known, value.
     pub(super) fn weight(&self, b: usize) -> f64 {
-        let mut classes = self.classes.iter().zip(&self.m.classes);
+        let mut classes = self.classes.iter().zip(&self.config.classes);
         let known = classes.all(|(class, terms)| terms.closed || class.work.mean().is_some());
-        self.m.classes[b].value / if known { self.usual_work(b) } else { 1.0 }
+        self.config.classes[b].value / if known { self.usual_work(b) } else { 1.0 }
     }
 
-    pub(super) fn charge(&self, b: usize) -> f64 {
+    pub(super) fn charged_work(&self, b: usize) -> f64 {
         let class = &self.classes[b];
         class.charged + (class.threads * self.now - class.started) / self.weight(b)
     }
 
-    pub(super) fn usual_work(&self, b: usize) -> f64 {
-        self.classes[b].work.mean().unwrap_or(self.m.classes[b].expected * self.m.classes[b].threads)
-    }
-
     /// Smallest work first among those that can still make their expected time; the first for each set of
     /// cells, in that order, against one that waits for its cell and holds up all others.
-    pub(super) fn firsts_in(&self, b: usize) -> Vec<usize> {
-        let late = |s: &PendingRequest| self.now + self.service(b, s.of.cells, s.work) > s.aim;
-        let rank = |i: usize| (late(&self.subs[i]), self.subs[i].work);
+    pub(super) fn candidates(&self, b: usize) -> Vec<usize> {
+        let late = |s: &PendingRequest| self.now + self.service(b, s.of.cells, s.work) > s.objective;
+        let rank = |i: usize| (late(&self.requests[i]), self.requests[i].work);
         let less = |x: usize, y: usize| rank(x).partial_cmp(&rank(y)).unwrap_or(std::cmp::Ordering::Equal);
         let mut firsts: Vec<usize> = Vec::new();
-        for i in self.classes[b].line.iter().copied().filter(|&i| self.may_go(i)) {
-            match firsts.iter_mut().find(|f| self.subs[**f].of.cells == self.subs[i].of.cells) {
+        for i in self.classes[b].queue.iter().copied().filter(|&i| self.may_go(i)) {
+            match firsts.iter_mut().find(|f| self.requests[**f].of.cells == self.requests[i].of.cells) {
                 Some(first) if less(i, *first).is_lt() => *first = i,
                 Some(_) => {}
                 None => firsts.push(i),
@@ -56,7 +51,7 @@
         firsts
     }
 
-    pub(super) fn heavy(&self, b: usize) -> bool {
+    pub(super) fn is_heavy(&self, b: usize) -> bool {
         (0..self.classes.len()).any(|o| self.usual_work(o) < self.usual_work(b))
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,14 @@
 //! Every decision of one gateway, without input or output. How it is called: a host builds a [`Gateway`] from
-//! what it was told at start, then hands over each event by `endpoints`, `endpoint_watch_lost`, `take`, `outcome`,
-//! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its terms change, by `lease_until` when it is
+//! its settings, then hands over each event by `update_endpoints`, `endpoint_watch_lost`, `take`, `outcome`,
+//! `report`, `progress`, `left`, `closed` or `due`, by `amend` when its settings change, by `renew_lease` when it is
 //! known how long they hold, by `ending` when it will end. Each call notes what is new and goes through
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Actions`] at once; lib.rs has that and the types that cross.
 
 pub use crate::state::Gateway;
 use crate::state::{ClassState, Engine};
-use crate::stats::{mix, DecayingMean, Pcg};
-use crate::{Actions, ClassPolicy, Endpoint, EndpointState, Load, Ms, Outcome, PolicyConfig};
+use crate::stats::{mix, Pcg};
+use crate::{Actions, Endpoint, EndpointState, Load, Ms, Outcome, PolicyConfig};
 use std::sync::Arc;
 
 mod admission;
@@ -24,23 +24,20 @@
 pub use view::{ClassView, EngineView};
 
 /// Threads a core that all gateways may keep busy on an engine under pressure: not all are busy at once.
-const FACTOR: f64 = 2.5;
+const THREADS_PER_CORE: f64 = 2.5;
 /// Half-lives of paces, long against looks and short against troubles, and of what hardly changes.
-const HALF: Ms = 2000.0;
-const LONG_HALF: Ms = 20_000.0;
+const PACE_HALF_LIFE: Ms = 2000.0;
+const WORK_HALF_LIFE: Ms = 20_000.0;
 /// This many times its peers' pace is a fault of the engine, not of its load; of one attempt, maybe a loss.
-const SLOW: f64 = 2.5;
-/// A ejected engine first gets one small request this often; each that goes well halves it.
+const OUTLIER_PACE: f64 = 2.5;
+/// An ejected engine first gets one small request this often; each that goes well halves it.
 const RECOVERY_PROBE_INTERVAL: Ms = 1000.0;
 /// The weight of a guess that gives way to the first thing learnt.
-const NEARLY_NONE: f64 = 1e-6;
+const NEGLIGIBLE_WEIGHT: f64 = 1e-6;
 /// Outcomes' worth of deviation that a guess starts with.
-const LITTLE: f64 = 3.0;
-
-fn within(terms: &ClassPolicy, work: Ms) -> Ms {
-    terms.expected + terms.expected_stretch * work / terms.threads
-}
+const PRIOR_WEIGHT: f64 = 3.0;
 
+/// In order, from the top again after one that acted, until none does.
 const RULES: [fn(&mut Gateway, &mut dyn Actions) -> bool; 9] = [
     Gateway::subscribe_to_endpoints,
     Gateway::reject_without_lease,
@@ -54,60 +51,57 @@
 ];
 
 impl Gateway {
-    pub fn new(m: PolicyConfig, seed: u64) -> Self {
-        let (chance, draw, subscribe_at) = (Pcg(seed), mix(seed), m.must_subscribe.then_some(0.0));
+    pub fn new(config: PolicyConfig, seed: u64) -> Self {
+        let (chance, draw, subscribe_at) = (Pcg(seed), mix(seed), config.must_subscribe.then_some(0.0));
         let mut new = Gateway { chance, draw, subscribe_at, until: Ms::INFINITY, ..Default::default() };
-        new.adopt(m);
+        new.adopt(config);
         new
     }
 
-    fn adopt(&mut self, mut m: PolicyConfig) {
-        self.classes
-            .resize_with(m.classes.len(), || ClassState { best: f64::INFINITY, ..Default::default() });
-        self.classes.iter_mut().zip(&m.classes).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
-        m.may_probe &= m.reports.iter().any(|r| *r != Load::Other);
-        let widest = m.classes.iter().map(|b| b.threads).fold(0.0, f64::max);
-        let crowded = m.kinds.iter().all(|k| k.cores * FACTOR / m.gateways < widest);
-        (self.crowded, self.asks) = (crowded, crowded && m.may_probe);
-        self.m = m;
+    fn adopt(&mut self, mut config: PolicyConfig) {
+        self.classes.resize_with(config.classes.len(), || ClassState {
+            best_pace: f64::INFINITY,
+            ..Default::default()
+        });
+        self.classes.iter_mut().zip(&config.classes).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
+        config.may_probe &= config.reports.iter().any(|r| *r != Load::Other);
+        let widest = config.classes.iter().map(|b| b.threads).fold(0.0, f64::max);
+        let crowded = config.kinds.iter().all(|k| k.cores * THREADS_PER_CORE / config.gateways < widest);
+        (self.crowded, self.asks) = (crowded, crowded && config.may_probe);
+        self.config = config;
     }
 
     /// Other terms for the same classes, and maybe further classes behind them. What was taken before keeps its
     /// hard limit, its expected time and its order, and of the old terms and the new the stricter. What was
     /// counted stays counted.
-    pub fn amend(&mut self, now: Ms, m: PolicyConfig, out: &mut dyn Actions) {
+    pub fn amend(&mut self, now: Ms, config: PolicyConfig, out: &mut dyn Actions) {
         let before = self.classes.len();
-        self.adopt(m);
-        for e in &mut self.engines {
-            e.cores = self.m.kinds.get(e.endpoint.kind as usize).map_or(1.0, |k| k.cores);
-            e.pace.resize(self.classes.len(), DecayingMean::default());
-            e.fine.resize(self.classes.len(), 0.0);
-        }
+        self.adopt(config);
+        self.engines.iter_mut().for_each(|e| e.adopt(&self.config));
         // Against a class of which nothing came yet: while one's work is unknown, weights leave out all work.
-        for (class, terms) in self.classes.iter_mut().zip(&self.m.classes).skip(before) {
-            class.work.add(now, LONG_HALF, terms.expected * terms.threads * NEARLY_NONE, NEARLY_NONE);
+        for (class, terms) in self.classes.iter_mut().zip(&self.config.classes).skip(before) {
+            let work = terms.expected * terms.threads * NEGLIGIBLE_WEIGHT;
+            class.work.add(now, WORK_HALF_LIFE, work, NEGLIGIBLE_WEIGHT);
         }
         self.due(now, out);
     }
 
-    pub fn update_endpoints(&mut self, now: Ms, full: bool, lines: &[Endpoint], out: &mut dyn Actions) {
+    pub fn update_endpoints(&mut self, now: Ms, full: bool, endpoints: &[Endpoint], out: &mut dyn Actions) {
         self.orders.get_mut().clear();
         if full {
             self.engines.iter_mut().for_each(|e| e.endpoint.state = EndpointState::Gone);
         }
-        for line in lines {
-            if self.engines.len() <= line.engine {
-                self.engines.resize_with(line.engine + 1, Engine::default);
+        for endpoint in endpoints {
+            if self.engines.len() <= endpoint.engine {
+                self.engines.resize_with(endpoint.engine + 1, Engine::default);
             }
-            let e = &mut self.engines[line.engine];
+            let e = &mut self.engines[endpoint.engine];
             // A new start, or another engine under an index given back, leaves nothing worth judging it by.
-            if e.pace.is_empty() || e.endpoint.since != line.since || e.endpoint.id != line.id {
-                let cores = self.m.kinds.get(line.kind as usize).map_or(1.0, |k| k.cores);
-                let (pace, fine) =
-                    (vec![DecayingMean::default(); self.m.classes.len()], vec![0.0; self.m.classes.len()]);
-                *e = Engine { cores, pace, fine, threads: e.threads, ..Default::default() };
+            if e.pace.is_empty() || e.endpoint.since != endpoint.since || e.endpoint.id != endpoint.id {
+                *e = Engine { threads: e.threads, endpoint: *endpoint, ..Default::default() };
+                e.adopt(&self.config);
             }
-            e.endpoint = *line;
+            e.endpoint = *endpoint;
         }
         self.due(now, out);
     }
@@ -115,46 +109,48 @@
     pub fn endpoint_watch_lost(&mut self, now: Ms, out: &mut dyn Actions) {
         // Not at once: all gateways lose the list together and would ask together.
         let later = now + 500.0 + (self.chance.draw() % 1000) as f64;
-        self.subscribe_at = self.m.must_subscribe.then_some(later);
+        self.subscribe_at = self.config.must_subscribe.then_some(later);
         self.due(now, out);
     }
 
     /// From its next attempt on, the request goes to engines of these cells.
-    pub fn confine(&mut self, sub: usize, cells: u64) {
-        self.subs.iter_mut().skip(sub).take(1).for_each(|s| s.of.cells = cells);
+    pub fn confine(&mut self, index: usize, cells: u64) {
+        self.requests.iter_mut().skip(index).take(1).for_each(|s| s.of.cells = cells);
     }
 
-    pub fn outcome(&mut self, now: Ms, sub: usize, what: Outcome, closed: bool, out: &mut dyn Actions) {
+    pub fn outcome(&mut self, now: Ms, index: usize, what: Outcome, closed: bool, out: &mut dyn Actions) {
         self.now = now;
-        let Some(fwd) = self.subs.get_mut(sub).and_then(|s| s.out.take()) else { return };
-        self.in_flight.retain(|&f| f != sub);
-        let (keyed, weight) = (self.keyed(sub), self.weight(self.subs[sub].of.class));
-        let s = &mut self.subs[sub];
-        let (b, elapsed, threads) = (s.of.class, now - fwd.sent, self.m.classes[s.of.class].threads);
+        let Some(fwd) = self.requests.get_mut(index).and_then(|s| s.out.take()) else { return };
+        self.in_flight.retain(|&f| f != index);
+        let (is_keyed, weight) = (self.is_keyed(index), self.weight(self.requests[index].of.class));
+        let s = &mut self.requests[index];
+        let (b, elapsed, threads) = (s.of.class, now - fwd.sent, self.config.classes[s.of.class].threads);
         let class = &mut self.classes[b];
         (class.threads, class.started) = (class.threads - threads, class.started - threads * fwd.sent);
         class.charged += threads * elapsed / weight;
-        self.held.add(now, LONG_HALF, threads * elapsed, elapsed);
+        self.held_threads.add(now, WORK_HALF_LIFE, threads * elapsed, elapsed);
         s.tried.push(fwd.engine);
         if matches!(what, Outcome::Full | Outcome::NoConnection | Outcome::Unsent) {
             // The last alone: an earlier one, sent at the same moment, may have run.
             s.may_have_run.pop();
         }
         // The budget leaves out attempts that were never sent.
-        let unsent = self.further.iter().rposition(|&t| t == fwd.sent).filter(|_| what == Outcome::Unsent);
-        unsent.filter(|_| s.attempts > 1).map(|i| self.further.remove(i));
-        if matches!(what, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn) && keyed {
-            self.keys.entry(s.of.key).or_default().1 = now + self.m.key_quarantine;
+        let unsent = self.retries.iter().rposition(|&t| t == fwd.sent).filter(|_| what == Outcome::Unsent);
+        unsent.filter(|_| s.attempts > 1).map(|i| self.retries.remove(i));
+        if matches!(what, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn)
+            && is_keyed
+        {
+            self.key_queues.entry(s.of.key).or_default().quarantined_until = now + self.config.key_quarantine;
         }
         if let Outcome::Settled(Some(cost)) = what {
             match s.of.work {
-                Some(hint) => class.work_of.add(now, LONG_HALF, hint, cost.work),
-                None => class.work.add(now, LONG_HALF, cost.work, 1.0),
+                Some(hint) => class.work_estimator.add(now, WORK_HALF_LIFE, hint, cost.work),
+                None => class.work.add(now, WORK_HALF_LIFE, cost.work, 1.0),
             }
-            class.memory_of.add(now, LONG_HALF, s.of.memory_mb, cost.memory_mb);
+            class.memory_estimator.add(now, WORK_HALF_LIFE, s.of.memory_mb, cost.memory_mb);
             s.work = cost.work.max(1.0);
         }
-        let (work, open, in_time, cells) = (s.work, s.open, now <= s.aim, s.of.cells);
+        let (work, open, in_time, cells) = (s.work, s.open, now <= s.objective, s.of.cells);
         let usual = self.service(b, cells, work);
         let e = &mut self.engines[fwd.engine];
         e.threads -= threads;
@@ -162,49 +158,49 @@
             _ if fwd.sent < e.endpoint.since => {} // of the process before: no word on this one
             Outcome::Settled(_) => {
                 if !fwd.overdue {
-                    e.fine[b] = e.fine[b].max(fwd.sent);
-                    e.judge(now, elapsed < SLOW * usual || in_time && e.ejected.is_none());
+                    e.on_time_sent[b] = e.on_time_sent[b].max(fwd.sent);
+                    e.judge(now, elapsed < OUTLIER_PACE * usual || in_time && e.ejected.is_none());
                 }
                 self.learn(fwd.engine, b, (now - fwd.counted.0) * threads, work * (1.0 - fwd.counted.1));
             }
             // Among hundreds of gateways, one that rests for less than it meets the engine does not rest.
-            Outcome::Full => self.engines[fwd.engine].full_until = now + self.seldom(),
+            Outcome::Full => self.engines[fwd.engine].full_until = now + self.rest_when_full(),
             Outcome::Error | Outcome::NoConnection | Outcome::Reset => e.judge(now, false),
             _ => {}
         }
         match closed || !open {
-            true => self.close(sub, out),
-            false => self.classes[b].line.push(sub),
+            true => self.close(index, out),
+            false => self.classes[b].queue.push(index),
         }
         self.due(now, out);
     }
 
-    pub fn progress(&mut self, now: Ms, sub: usize, share: f64, out: &mut dyn Actions) {
+    pub fn progress(&mut self, now: Ms, index: usize, share: f64, out: &mut dyn Actions) {
         self.now = now;
-        let s = &mut self.subs[sub];
+        let s = &mut self.requests[index];
         if let Some(f) = s.out.as_mut() {
             let (done, (then, before)) = (share.max(f.counted.1).min(1.0), f.counted);
             f.counted = (now, done);
             let (f, b, part) = (*f, s.of.class, (done - before) * s.work);
             // Against a bad plan, drawn anew with the next attempt: by its notes it would take so long.
-            let (s, whole) = (&self.subs[sub], (now - f.sent) / done.max(NEARLY_NONE));
-            if whole > 2.0 * SLOW * self.service(b, s.of.cells, s.work) && self.may_begin_anew(s) {
-                out.withdraw(sub, s.attempts - 1);
+            let (s, whole) = (&self.requests[index], (now - f.sent) / done.max(NEGLIGIBLE_WEIGHT));
+            if whole > 2.0 * OUTLIER_PACE * self.service(b, s.of.cells, s.work) && self.may_begin_anew(s) {
+                out.withdraw(index, s.attempts - 1);
             } else {
-                self.learn(f.engine, b, (now - then) * self.m.classes[b].threads, part);
+                self.learn(f.engine, b, (now - then) * self.config.classes[b].threads, part);
             }
         }
         self.due(now, out);
     }
 
-    pub fn left(&mut self, now: Ms, sub: usize, out: &mut dyn Actions) {
-        self.close(sub, out);
+    pub fn left(&mut self, now: Ms, index: usize, out: &mut dyn Actions) {
+        self.close(index, out);
         self.due(now, out);
     }
 
     /// Its client has closed, or its own way alone: what is out may still be answered, nothing more begins.
-    pub fn closed(&mut self, now: Ms, sub: usize, out: &mut dyn Actions) {
-        self.subs[sub].most = self.subs[sub].attempts;
+    pub fn closed(&mut self, now: Ms, index: usize, out: &mut dyn Actions) {
+        self.requests[index].max_attempts = self.requests[index].attempts;
         self.due(now, out);
     }
 
@@ -218,10 +214,10 @@
     }
 
     fn wake(&mut self, out: &mut dyn Actions) -> bool {
-        let waiting = self.classes.iter().any(|b| !b.line.is_empty()) || self.subscribe_at.is_some();
+        let waiting = self.classes.iter().any(|b| !b.queue.is_empty()) || self.subscribe_at.is_some();
         if self.wake_at <= self.now && (waiting || !self.in_flight.is_empty()) {
-            self.wake_at = self.now + 2.0 * self.m.tick;
-            out.wake(2.0 * self.m.tick);
+            self.wake_at = self.now + 2.0 * self.config.tick;
+            out.wake(2.0 * self.config.tick);
         }
         false
     }
--- a/src/policy/outliers.rs
+++ b/src/policy/outliers.rs
@@ -1,17 +1,17 @@
 //! Outliers: engines judged by their last outcomes, ejected, and probed until they recover.
 
-use super::{within, Gateway, RECOVERY_PROBE_INTERVAL, SLOW};
+use super::{Gateway, OUTLIER_PACE, RECOVERY_PROBE_INTERVAL};
 use crate::state::{Attempt, Engine};
 use crate::{Actions, EndpointState, Ms};
 
 /// Outcomes by which an engine is judged, and how many of them may fail.
-const RECORD: u32 = 8;
-const BAD: u32 = 5;
+const OUTCOMES_JUDGED: u32 = 8;
+const FAILURES_TO_EJECT: u32 = 5;
 
 impl Engine {
     pub(super) fn judge(&mut self, now: Ms, well: bool) {
-        self.record = (self.record << 1 | !well as u32) & ((1 << RECORD) - 1);
-        self.seen = (self.seen + 1).min(RECORD);
+        self.record = (self.record << 1 | !well as u32) & ((1 << OUTCOMES_JUDGED) - 1);
+        self.seen = (self.seen + 1).min(OUTCOMES_JUDGED);
         if let Some((next, gap)) = self.ejected {
             let gap = if well { gap / 2.0 } else { (gap * 2.0).min(gap.max(RECOVERY_PROBE_INTERVAL * 2.0)) };
             self.ejected = Some((if well { next.min(now + gap) } else { now + gap }, gap));
@@ -28,21 +28,22 @@
     // time is settled, so this says nothing of the pace, and from five times its usual time on goes again.
     pub(super) fn count_the_overdue(&mut self, out: &mut dyn Actions) -> bool {
         for n in 0..self.in_flight.len() {
-            let (sub, now, s) = (self.in_flight[n], self.now, &self.subs[self.in_flight[n]]);
-            let (b, terms) = (s.of.class, &self.m.classes[s.of.class]);
+            let (index, now, s) = (self.in_flight[n], self.now, &self.requests[self.in_flight[n]]);
+            let (b, terms) = (s.of.class, &self.config.classes[s.of.class]);
             let Some(f) = s.out.filter(|f| !f.overdue) else { continue };
             let elapsed = now - f.sent;
-            let overtaken = self.engines[f.engine].fine[b] > (f.sent + now) / 2.0;
-            let lost = overtaken && elapsed > 2.0 * SLOW * self.service(b, s.of.cells, s.work);
-            let (again, late) = (lost && self.may_begin_anew(s), elapsed > within(&s.under, s.work));
+            let overtaken = self.engines[f.engine].on_time_sent[b] > (f.sent + now) / 2.0;
+            let lost = overtaken && elapsed > 2.0 * OUTLIER_PACE * self.service(b, s.of.cells, s.work);
+            let (again, late) =
+                (lost && self.may_begin_anew(s), elapsed > s.class_policy.latency_objective(s.work));
             if again || late {
                 let (nth, spent) = (s.attempts - 1, (now - f.counted.0) * terms.threads);
-                self.subs[sub].out = Some(Attempt { overdue: true, counted: (now, f.counted.1), ..f });
+                self.requests[index].out = Some(Attempt { overdue: true, counted: (now, f.counted.1), ..f });
                 if late {
                     self.engines[f.engine].judge(now, false);
                 }
                 self.learn(f.engine, b, if overtaken { 0.0 } else { spent }, 0.0);
-                again.then(|| out.withdraw(sub, nth));
+                again.then(|| out.withdraw(index, nth));
             }
         }
         false
@@ -58,7 +59,7 @@
         let worse = |e: &Engine| {
             (ejected + 1) * 2 <= n
                 && e.in_use()
-                && e.failures() >= BAD
+                && e.failures() >= FAILURES_TO_EJECT
                 && share(e.failures(), e.seen) > 2.0 * share(bad - e.failures(), seen - e.seen)
         };
         let found = (0..self.engines.len()).filter(|&i| worse(&self.engines[i]));
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -6,8 +6,8 @@
 
 impl Gateway {
     pub(super) fn may_attempt_again(&self, s: &PendingRequest) -> bool {
-        let terms = &self.m.classes[s.of.class];
-        s.attempts < self.m.max_attempts.min(s.most)
+        let terms = &self.config.classes[s.of.class];
+        s.attempts < self.config.max_attempts.min(s.max_attempts)
             && match terms.repeat {
                 Effect::NonIdempotent => s.may_have_run.is_empty(),
                 _ => self.now <= self.window_ends(s),
@@ -15,22 +15,22 @@
     }
 
     pub(super) fn may_begin_anew(&self, s: &PendingRequest) -> bool {
-        let may = self.m.may_withdraw && s.open && self.now < self.until;
-        may && self.may_attempt_again(s) && self.rationed()
+        let may = self.config.may_withdraw && s.open && self.now < self.until;
+        may && self.may_attempt_again(s) && self.has_retry_budget()
     }
 
     /// Until when engines know a further attempt for one of those that may have run.
     pub(super) fn window_ends(&self, s: &PendingRequest) -> Ms {
-        let terms = &self.m.classes[s.of.class];
+        let terms = &self.config.classes[s.of.class];
         let ran = s.may_have_run.iter().filter(|_| matches!(terms.repeat, Effect::Deduplicated(_)));
-        ran.map(|r| r.1 + s.under.window.min(terms.window)).fold(f64::INFINITY, f64::min)
+        ran.map(|r| r.1 + s.class_policy.window.min(terms.window)).fold(f64::INFINITY, f64::min)
     }
 
     /// Whether the budget has one more further attempt, counted exactly over the window.
-    pub(super) fn rationed(&self) -> bool {
-        let Some(r) = self.m.retry_budget else { return true };
-        let further = self.further.iter().filter(|&&t| t >= self.now - r.span).count() as f64;
-        let taken = self.taken_at.iter().filter(|&&t| t > self.now - r.span).count() as f64;
-        further + 1.0 <= r.spare + r.share * taken
+    pub(super) fn has_retry_budget(&self) -> bool {
+        let Some(r) = self.config.retry_budget else { return true };
+        let retries = self.retries.iter().filter(|&&t| t >= self.now - r.span).count() as f64;
+        let taken = self.arrivals.iter().filter(|&&t| t > self.now - r.span).count() as f64;
+        retries + 1.0 <= r.spare + r.share * taken
     }
 }
--- a/src/policy/view.rs
+++ b/src/policy/view.rs
@@ -48,16 +48,16 @@
             seen: e.seen,
             ejected: e.ejected.map(|a| a.0),
             full_until: e.full_until,
-            cold_left: self.cold(e).map(|(share, used)| (share - used).max(0.0)),
+            cold_left: self.warming_up(e).map(|(share, used)| (share - used).max(0.0)),
         })
     }
 
     pub fn class_view(&self, b: usize) -> Option<ClassView> {
         let class = self.classes.get(b)?;
         Some(ClassView {
-            waiting: class.line.len(),
+            waiting: class.queue.len(),
             threads: class.threads,
-            charged: self.charge(b),
+            charged: self.charged_work(b),
             weight: self.weight(b),
             usual: self.usual_work(b),
         })
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,14 +15,21 @@
     pub(crate) record: u32,
     pub(crate) seen: u32,
     pub(crate) pace: Vec<DecayingMean>,
-    pub(crate) fine: Vec<Ms>, // by class: when the latest sent of those settled before they were overdue was sent
+    pub(crate) on_time_sent: Vec<Ms>, // by class: when the latest sent of those settled before they were overdue was sent
     pub(crate) full_until: Ms,
     pub(crate) ejected: Option<(Ms, Ms)>, // when ejected: when the next of the trickle may go, and the gap between
-    pub(crate) cold_sent: VecDeque<(Ms, f64)>,
+    pub(crate) slow_start_sent: VecDeque<(Ms, f64)>,
     pub(crate) report: Option<(Ms, f64)>, // when asked or last reported, and the largest share of it in use
 }
 
 impl Engine {
+    /// Goes by these settings: its cores by its machine type, and room for what is known by class.
+    pub(crate) fn adopt(&mut self, config: &PolicyConfig) {
+        self.cores = config.kinds.get(self.endpoint.kind as usize).map_or(1.0, |k| k.cores);
+        self.pace.resize(config.classes.len(), DecayingMean::default());
+        self.on_time_sent.resize(config.classes.len(), 0.0);
+    }
+
     pub(crate) fn in_use(&self) -> bool {
         self.endpoint.state == EndpointState::Ready && self.ejected.is_none()
     }
@@ -44,11 +51,11 @@
     pub(crate) of: Request,
     pub(crate) work: Ms,
     pub(crate) open: bool,
-    pub(crate) aim: Ms,
-    pub(crate) limit: Ms,
+    pub(crate) objective: Ms,
+    pub(crate) deadline: Ms,
     pub(crate) attempts: u8,
-    pub(crate) under: Arc<ClassPolicy>, // as they were when it was taken, and the most attempts
-    pub(crate) most: u8,
+    pub(crate) class_policy: Arc<ClassPolicy>, // as they were when it was taken, and the most attempts
+    pub(crate) max_attempts: u8,
     pub(crate) out: Option<Attempt>,
     pub(crate) may_have_run: Vec<(usize, Ms)>,
     pub(crate) tried: Vec<usize>,
@@ -65,37 +72,46 @@
 #[derive(Default)]
 pub(crate) struct ClassState {
     pub(crate) terms: Arc<ClassPolicy>,
-    pub(crate) line: Vec<usize>,
+    pub(crate) queue: Vec<usize>,
     pub(crate) charged: f64,
     pub(crate) threads: f64,
     pub(crate) started: f64,
     pub(crate) work: DecayingMean,
-    pub(crate) work_of: Estimator,
-    pub(crate) memory_of: Estimator,
-    pub(crate) fleet: BTreeMap<u64, DecayingMean>, // by the cells of the engines that it was learnt from
-    pub(crate) best: f64,
-    pub(crate) usual_left: Ms,
-    pub(crate) learnt: Ms,
+    pub(crate) work_estimator: Estimator,
+    pub(crate) memory_estimator: Estimator,
+    pub(crate) fleet_pace_by_cells: BTreeMap<u64, DecayingMean>, // by the cells of the engines that it was learnt from
+    pub(crate) best_pace: f64,
+    pub(crate) usual_time_remaining: Ms,
+    pub(crate) best_learnt_at: Ms,
+}
+
+/// The requests that share a key.
+#[derive(Default)]
+pub(crate) struct KeyQueue {
+    /// Who waits, in order.
+    pub(crate) waiting: VecDeque<usize>,
+    /// Nothing of the key goes before: an attempt ended in an unknown way.
+    pub(crate) quarantined_until: Ms,
 }
 
 /// All that one gateway's decisions rest on; `policy` holds what is decided by it.
 #[derive(Default)]
 pub struct Gateway {
-    pub(crate) m: PolicyConfig,
+    pub(crate) config: PolicyConfig,
     pub(crate) chance: Pcg,
     pub(crate) draw: u64, // drawn once
     pub(crate) now: Ms,
     pub(crate) engines: Vec<Engine>,
-    pub(crate) subs: Vec<PendingRequest>,
+    pub(crate) requests: Vec<PendingRequest>,
     pub(crate) in_flight: Vec<usize>,
     pub(crate) classes: Vec<ClassState>,
     pub(crate) orders: RefCell<HashMap<u64, Vec<u32>>>, // by table group, until the endpoint list changes
     pub(crate) work_of_tables: HashMap<u64, DecayingMean>, // work by table group
-    pub(crate) keys: BTreeMap<u64, (VecDeque<usize>, Ms)>, // who waits for a key, in order, and until when it rests
-    pub(crate) taken_at: VecDeque<Ms>,
-    pub(crate) further: VecDeque<Ms>,
+    pub(crate) key_queues: BTreeMap<u64, KeyQueue>,
+    pub(crate) arrivals: VecDeque<Ms>,
+    pub(crate) retries: VecDeque<Ms>,
     pub(crate) probes: f64,
-    pub(crate) held: DecayingMean, // threads of a query that an engine holds
+    pub(crate) held_threads: DecayingMean, // threads of a query that an engine holds
     /// Crowded, the even share of an engine being less than a wide query: engines that may be probed are asked.
     pub(crate) crowded: bool,
     pub(crate) asks: bool,
@@ -105,3 +121,23 @@
     pub(crate) keys_quarantined_until: Ms, // nothing of a key goes before: an earlier process of this gateway may have left it out
     pub(crate) subscribe_at: Option<Ms>,
 }
+
+impl Gateway {
+    /// The work of a usual request of a class, in ms on a thread; until one is known, what its objective allows.
+    pub(crate) fn usual_work(&self, class: usize) -> Ms {
+        let policy = &self.config.classes[class];
+        self.classes[class].work.mean().unwrap_or(policy.expected * policy.threads)
+    }
+
+    /// Whether the order of requests that share a key holds for this one.
+    pub(crate) fn is_keyed(&self, index: usize) -> bool {
+        let request = &self.requests[index].of;
+        request.key != 0 && self.config.classes[request.class].in_order
+    }
+
+    /// Cores of all engines in use that are in one of these cells; of all where none is named.
+    pub(crate) fn cores_in_use(&self, cells: u64) -> f64 {
+        let here = |e: &&Engine| e.in_use() && (cells == 0 || e.endpoint.cells & cells != 0);
+        self.engines.iter().filter(here).map(|e| e.cores).sum()
+    }
+}
