--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,6 +1,6 @@
 //! Who asks: requests that come by chance, and come again when they are rejected. All figures are assumed.
 
-use ironstair::stats::{mix, Pcg};
+use ironstair::random::{mix, Pcg};
 use ironstair::{ClassPolicy, Effect, Kind, Ms, PolicyConfig, RetryBudget};
 
 /// One class: how often it is asked for, and what that takes.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -6,7 +6,7 @@
 use crate::fleet::{GatewayCount, Log, TICK, VOTERS};
 use crate::Figures;
 use ironstair::policy::Gateway;
-use ironstair::stats::{mix, Pcg};
+use ironstair::random::{mix, Pcg};
 use ironstair::{
     Actions, Cost, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request as Asks,
 };
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -11,6 +11,7 @@
 const MAX_PROBES: f64 = 10.0;
 
 impl Gateway {
+    /// A request has come; `index` is its own until the policy forgets it.
     pub fn take(&mut self, now: Ms, index: usize, of: Request, out: &mut dyn Actions) {
         self.now = now;
         // Idle time is not banked: a class that comes back starts level with the lowest active one.
--- a/src/policy/deadlines.rs
+++ b/src/policy/deadlines.rs
@@ -5,11 +5,13 @@
 use crate::{Actions, Ms};
 
 impl Gateway {
+    /// By then the process will have ended.
     pub fn ending(&mut self, now: Ms, at: Ms, out: &mut dyn Actions) {
         self.requests.iter_mut().for_each(|s| s.deadline = s.deadline.min(at));
         self.due(now, out);
     }
 
+    /// The settings hold until then.
     pub fn renew_lease(&mut self, now: Ms, until: Ms, out: &mut dyn Actions) {
         self.until = until;
         self.due(now, out);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,9 +5,9 @@
 //! `RULES` in order, from the top again after one that fired, until none does. Actions leave through
 //! [`Actions`] at once; lib.rs has that and the types that cross.
 
+use crate::random::{mix, Pcg};
 pub use crate::state::Gateway;
 use crate::state::{ClassState, Engine};
-use crate::stats::{mix, Pcg};
 use crate::{Actions, Endpoint, EndpointState, Load, Ms, Outcome, PolicyConfig};
 use std::sync::Arc;
 
@@ -51,6 +51,7 @@
 ];
 
 impl Gateway {
+    /// `seed` is what random draws begin with.
     pub fn new(config: PolicyConfig, seed: u64) -> Self {
         let (chance, draw, subscribe_at) = (Pcg(seed), mix(seed), config.must_subscribe.then_some(0.0));
         let mut new = Gateway { chance, draw, subscribe_at, until: Ms::INFINITY, ..Default::default() };
@@ -59,10 +60,7 @@
     }
 
     fn adopt(&mut self, mut config: PolicyConfig) {
-        self.classes.resize_with(config.classes.len(), || ClassState {
-            best_pace: f64::INFINITY,
-            ..Default::default()
-        });
+        self.classes.resize_with(config.classes.len(), ClassState::new);
         self.classes.iter_mut().zip(&config.classes).for_each(|(b, terms)| b.terms = Arc::new(terms.clone()));
         config.may_probe &= config.reports.iter().any(|r| *r != Load::Other);
         let widest = config.classes.iter().map(|b| b.threads).fold(0.0, f64::max);
@@ -86,6 +84,7 @@
         self.due(now, out);
     }
 
+    /// The endpoint list, or only what changes of it.
     pub fn update_endpoints(&mut self, now: Ms, full: bool, endpoints: &[Endpoint], out: &mut dyn Actions) {
         self.orders.get_mut().clear();
         if full {
@@ -106,6 +105,7 @@
         self.due(now, out);
     }
 
+    /// No further change of the endpoint list will come: it has to be asked for again.
     pub fn endpoint_watch_lost(&mut self, now: Ms, out: &mut dyn Actions) {
         // Not at once: all gateways lose the list together and would ask together.
         let later = now + 500.0 + (self.chance.draw() % 1000) as f64;
@@ -118,6 +118,7 @@
         self.requests.iter_mut().skip(index).take(1).for_each(|s| s.of.cells = cells);
     }
 
+    /// An attempt has ended; `closed`: its client has its answer, or is gone.
     pub fn outcome(&mut self, now: Ms, index: usize, what: Outcome, closed: bool, out: &mut dyn Actions) {
         self.now = now;
         let Some(fwd) = self.requests.get_mut(index).and_then(|s| s.out.take()) else { return };
@@ -137,9 +138,9 @@
         // The budget leaves out attempts that were never sent.
         let unsent = self.retries.iter().rposition(|&t| t == fwd.sent).filter(|_| what == Outcome::Unsent);
         unsent.filter(|_| s.attempts > 1).map(|i| self.retries.remove(i));
-        if matches!(what, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn)
-            && is_keyed
-        {
+        let unknown =
+            matches!(what, Outcome::TimedOut | Outcome::Reset | Outcome::Swept | Outcome::Withdrawn);
+        if unknown && is_keyed {
             self.key_queues.entry(s.of.key).or_default().quarantined_until = now + self.config.key_quarantine;
         }
         if let Outcome::Settled(Some(cost)) = what {
@@ -175,6 +176,7 @@
         self.due(now, out);
     }
 
+    /// An attempt is done to that share.
     pub fn progress(&mut self, now: Ms, index: usize, share: f64, out: &mut dyn Actions) {
         self.now = now;
         let s = &mut self.requests[index];
@@ -193,6 +195,7 @@
         self.due(now, out);
     }
 
+    /// The client has taken the request back.
     pub fn left(&mut self, now: Ms, index: usize, out: &mut dyn Actions) {
         self.close(index, out);
         self.due(now, out);
@@ -204,6 +207,7 @@
         self.due(now, out);
     }
 
+    /// Time has gone on.
     pub fn due(&mut self, now: Ms, out: &mut dyn Actions) {
         self.now = now;
         while RULES.iter().any(|rule| rule(self, out)) {}
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -1,8 +1,8 @@
 //! Routing: a hashed order of engines for each table group, the same at every gateway.
 
 use super::{Gateway, PRIOR_WEIGHT, WORK_HALF_LIFE};
+use crate::random::mix;
 use crate::state::{Attempt, Engine, PendingRequest};
-use crate::stats::mix;
 use crate::{Actions, ClassPolicy, Effect, Endpoint, EndpointState, Within};
 
 /// How many engines of a table group's order are its homes: more would share out its warm data.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: what all gateways together may send to an engine that is warming up.
 
 use super::Gateway;
+use crate::random::{mix, part};
 use crate::state::{Engine, PendingRequest};
-use crate::stats::{mix, part};
 use crate::Ms;
 
 /// Share of the cold allowance used: capacity and the others' sendings are guesses.
--- a/src/policy/view.rs
+++ b/src/policy/view.rs
@@ -6,7 +6,9 @@
 /// One engine as this gateway sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineView {
+    /// Whether it takes attempts.
     pub state: EndpointState,
+    /// Its cores, by its machine type.
     pub cores: f64,
     /// Threads of this gateway's own running attempts there.
     pub threads: f64,
@@ -16,9 +18,11 @@
     pub stretch: f64,
     /// Of how many of its last outcomes were failures.
     pub failures: u32,
+    /// How many of its last outcomes are judged.
     pub seen: u32,
     /// When ejected: when the next of the trickle may go.
     pub ejected: Option<Ms>,
+    /// Nothing goes there before: it said that it is full.
     pub full_until: Ms,
     /// While it is cold: work, in ms on a thread, that this gateway may still send within the span.
     pub cold_left: Option<Ms>,
@@ -27,15 +31,20 @@
 /// One class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClassView {
+    /// Requests in its queue.
     pub waiting: usize,
+    /// Threads of its attempts in flight.
     pub threads: f64,
+    /// Work charged to it, over its weight.
     pub charged: f64,
+    /// Its weight.
     pub weight: f64,
     /// The work of a usual request, in ms on a thread.
     pub usual: Ms,
 }
 
 impl Gateway {
+    /// What is known of an engine.
     pub fn engine_view(&self, engine: usize) -> Option<EngineView> {
         let e = self.engines.get(engine)?;
         Some(EngineView {
@@ -52,6 +61,7 @@
         })
     }
 
+    /// What is known of a class.
     pub fn class_view(&self, b: usize) -> Option<ClassView> {
         let class = self.classes.get(b)?;
         Some(ClassView {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,8 @@
 //! What the policy remembers of each engine, attempt, request and class. Containers: nothing here decides,
 //! and no tuned value is used here.
 
-use crate::stats::{mix, part, DecayingMean, Estimator, Pcg};
+use crate::random::{mix, part, Pcg};
+use crate::stats::{DecayingMean, Estimator};
 use crate::{ClassPolicy, Endpoint, EndpointState, Ms, PolicyConfig, Request};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -85,6 +86,13 @@
     pub(crate) best_learnt_at: Ms,
 }
 
+impl ClassState {
+    /// Nothing is known of its pace yet.
+    pub(crate) fn new() -> Self {
+        ClassState { best_pace: f64::INFINITY, ..Default::default() }
+    }
+}
+
 /// The requests that share a key.
 #[derive(Default)]
 pub(crate) struct KeyQueue {
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,4 +1,4 @@
-//! Arithmetic that the decisions use and that decides nothing: fading sums, guesses, chance. Half-lives and
+//! Arithmetic that the decisions use and that decides nothing: decaying means and estimates. Half-lives and
 //! other tuned values are handed in.
 
 use crate::Ms;
@@ -7,11 +7,13 @@
 #[derive(Clone, Copy, Default)]
 pub struct DecayingMean {
     sum: f64,
+    /// The decayed weight, as of the last addition.
     pub weight: f64,
     at: Ms,
 }
 
 impl DecayingMean {
+    /// Adds to both; what was there has halved with each half-life.
     pub fn add(&mut self, now: Ms, half: Ms, sum: f64, weight: f64) {
         let keep = 0.5f64.powf((now - self.at) / half);
         *self = DecayingMean { sum: self.sum * keep + sum, weight: self.weight * keep + weight, at: now };
@@ -21,6 +23,7 @@
         let keep = 0.5f64.powf((now - self.at) / half);
         (self.sum * keep, self.weight * keep)
     }
+    /// The mean; none while nothing was added.
     pub fn mean(&self) -> Option<f64> {
         (self.weight > 0.0).then(|| self.sum / self.weight)
     }
@@ -35,6 +38,7 @@
 }
 
 impl Estimator {
+    /// Learns that an estimate came to `is`.
     pub fn add(&mut self, now: Ms, half: Ms, estimate: f64, is: f64) {
         if estimate > 0.0 && is > 0.0 {
             let (keep, x, y) = (0.5f64.powf((now - self.at) / half), estimate.ln(), is.ln());
@@ -56,27 +60,3 @@
         (x + (sy - sx) / (n + 1.0) + (slope - 1.0) * (x - sx / n) + above(spread)).exp()
     }
 }
-
-/// Permuted congruential generator, 32 bits out of 64.
-#[derive(Default)]
-pub struct Pcg(pub u64);
-
-impl Pcg {
-    pub fn draw(&mut self) -> u64 {
-        let s = self.0;
-        self.0 = s.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-        ((((s >> 18) ^ s) >> 27) as u32).rotate_right((s >> 59) as u32) as u64
-    }
-}
-
-/// Spreads an engine id and a table group over 64 bits, alike at every gateway.
-pub fn mix(mut x: u64) -> u64 {
-    x = (x ^ (x >> 31)).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    x = (x ^ (x >> 29)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
-    x ^ (x >> 32)
-}
-
-/// What 32 bits are of all there are: evenly in [0, 1).
-pub fn part(bits: u64) -> f64 {
-    bits as u32 as f64 / 4294967296.0
-}
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use ironstair::policy::Gateway;
-use ironstair::stats::{mix, Pcg};
+use ironstair::random::{mix, Pcg};
 use ironstair::*;
 
 fn start(m: PolicyConfig, engines: usize) -> Gateway {
