--- a/crates/gnmi/src/lib.rs
+++ b/crates/gnmi/src/lib.rs
@@ -1,7 +1,7 @@
 //! gNMI before a gateway's tree.
 //!
 //! [`service`] answers Capabilities, Get and Set, [`subscribe`] streams; [`follow`] decides what a subscriber is sent
-//! and when it is cut off, [`masters`] and [`roles`] who may change, all three without input or output.
+//! and when it is cut off, [`arbitration`] and [`roles`] who may change, all three without input or output.
 
 pub mod arbitration;
 mod codec;
