--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -11,6 +11,7 @@
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 use std::io::Read;
+use std::io::Write;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
