--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -54,6 +54,14 @@
     ended: Cell<Option<Ms>>,
 }
 
+/// What is read of a message that is not whole yet.
+struct Partial {
+    buffer: Buffer,
+    /// When its first byte came.
+    since: Ms,
+}
+
+/// Serves one client until either side ends the connection.
 pub async fn serve(stream: Async<TcpStream>, shared: Rc<Shared>, permit: ConnectionPermit) {
     let _ = stream.get_ref().set_nodelay(true);
     let (own, replies) = async_channel::bounded(MAILBOX);
@@ -223,65 +231,85 @@
     }
 
     async fn read(&self, stream: &Async<TcpStream>) -> io::Result<()> {
-        let mut held: Option<(Buffer, Ms)> = None;
+        let mut partial: Option<Partial> = None;
         loop {
-            let (mut buffer, mut since) = match held.take() {
-                Some(held) => held,
-                None => {
-                    or(stream.readable(), self.impatient(stream, None)).await?;
-                    let spare = async { Ok(Some(self.shared.pool.spare().await)) };
-                    let left = async { self.left_unread(stream).await.map(|()| None) };
-                    let Some(buffer) = or(spare, left).await? else {
-                        return Ok(());
-                    };
-                    (buffer, self.shared.clock.now())
-                }
+            let mut read = match partial.take() {
+                Some(partial) => partial,
+                None => match self.wait_for_buffer(stream).await? {
+                    Some(buffer) => buffer,
+                    None => return Ok(()),
+                },
             };
             let n = {
-                let read = async { (&mut &*stream).read(buffer.space()).await };
-                or(read, async {
-                    self.impatient(stream, Some(since)).await.map(|()| 0)
-                })
-                .await?
+                let bytes = async { (&mut &*stream).read(read.buffer.space()).await };
+                let late = async {
+                    self.impatient(stream, Some(read.since)).await?;
+                    Ok(0)
+                };
+                or(bytes, late).await?
             };
             if n == 0 {
                 self.closed().await;
                 self.quiet().await;
                 return Ok(());
             }
-            buffer.filled(n);
-            loop {
-                let (head, length) = match rpc::head(buffer.bytes()) {
-                    Ok(Some(found)) => found,
-                    Ok(None) => break,
-                    Err(e) => {
-                        self.fault(None, rpc::UNREADABLE);
-                        return Err(io::Error::other(e));
-                    }
-                };
-                if head + length > SIZE {
-                    buffer.consume(head);
-                    let read = self.long(stream, &mut buffer, length);
-                    let late = async {
-                        self.impatient(stream, Some(since))
-                            .await
-                            .map(|()| Chain::default())
-                    };
-                    let chain = or(read, late).await?;
-                    self.message(&chain.joined()).await?;
-                } else {
-                    let Some(message) = buffer.bytes().get(head..head + length) else {
-                        break;
-                    };
-                    self.message(message).await?;
-                    buffer.consume(head + length);
-                }
-                since = self.shared.clock.now();
+            read.buffer.filled(n);
+            while self.next_message(stream, &mut read).await? {
+                read.since = self.shared.clock.now();
+            }
+            if !read.buffer.bytes().is_empty() {
+                partial = Some(read);
             }
-            if !buffer.bytes().is_empty() {
-                held = Some((buffer, since));
+        }
+    }
+
+    /// A buffer, once there is something to read; none where the client has left while all buffers are lent.
+    async fn wait_for_buffer(&self, stream: &Async<TcpStream>) -> io::Result<Option<Partial>> {
+        or(stream.readable(), self.impatient(stream, None)).await?;
+        let spare = async { Ok::<_, io::Error>(Some(self.shared.pool.spare().await)) };
+        let left = async {
+            self.left_unread(stream).await?;
+            Ok(None)
+        };
+        let buffer = or(spare, left).await?;
+        Ok(buffer.map(|buffer| Partial {
+            buffer,
+            since: self.shared.clock.now(),
+        }))
+    }
+
+    /// Takes a whole message out of what is read; false where there is none.
+    async fn next_message(
+        &self,
+        stream: &Async<TcpStream>,
+        read: &mut Partial,
+    ) -> io::Result<bool> {
+        let (head, length) = match rpc::head(read.buffer.bytes()) {
+            Ok(Some(found)) => found,
+            Ok(None) => return Ok(false),
+            Err(e) => {
+                self.fault(None, rpc::UNREADABLE);
+                return Err(io::Error::other(e));
             }
+        };
+        if head + length > SIZE {
+            read.buffer.consume(head);
+            let since = read.since;
+            let chain = self.long(stream, &mut read.buffer, length);
+            let late = async {
+                self.impatient(stream, Some(since)).await?;
+                Ok(Chain::default())
+            };
+            let chain = or(chain, late).await?;
+            self.message(&chain.joined()).await?;
+            return Ok(true);
         }
+        let Some(message) = read.buffer.bytes().get(head..head + length) else {
+            return Ok(false);
+        };
+        self.message(message).await?;
+        read.buffer.consume(head + length);
+        Ok(true)
     }
 
     /// A message that is longer than a buffer.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -14,6 +14,7 @@
 const MEMORY_MB: f64 = 192.0;
 const DESCRIPTORS: f64 = 1024.0;
 
+/// What the gateway's configuration file holds, decoded and checked.
 pub struct GatewayConfig {
     pub name: String,
     pub listen: SocketAddr,
@@ -34,6 +35,7 @@
 }
 
 impl GatewayConfig {
+    /// What of it may be taken over in service.
     pub fn file(&self) -> File {
         let (policy_config, names) = (self.policy_config.clone(), self.classes.clone());
         File {
@@ -55,6 +57,10 @@
     }
 }
 
+/// Reads the file.
+///
+/// # Errors
+/// It can't be read, or `decode` refuses it.
 pub fn read(path: &Path) -> Result<GatewayConfig, String> {
     let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
     decode(&text).map_err(|e| format!("{}: {e}", path.display()))
@@ -67,6 +73,10 @@
         .map_err(|_| format!("{key} is no address: {found}"))
 }
 
+/// Decodes the JSON.
+///
+/// # Errors
+/// One sentence that names the field.
 pub fn decode(json: &[u8]) -> Result<GatewayConfig, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -13,6 +13,9 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
+/// Connects, hears and tells the engine's actor what comes, until the connection ends or is not wanted any more.
+///
+/// `nth` is the connection's number, `most` how long connecting may take, `held_back` says that a write would block.
 pub async fn carry(
     nth: u64,
     to: SocketAddr,
--- a/crates/gateway/src/connection_limiter.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! The places for client connections: who holds one, and who leaves when they run short or at the end.
+//! Permits for client connections: who holds one, and who is asked to close when they run short or at the end.
 
 use event_listener::Event as Bell;
 use ironstair::Ms;
@@ -13,6 +13,7 @@
 /// One in so many places may linger beside them.
 const CONNECTIONS_PER_LINGERING: usize = 16;
 
+/// Gives out permits for client connections, and knows of the shutdown.
 pub struct ConnectionLimiter {
     max_connections: usize,
     is_shutting_down: Cell<bool>,
@@ -72,11 +73,13 @@
         self.is_shutting_down.get()
     }
 
+    /// Announces the end.
     pub fn begin_shutdown(&self) {
         self.is_shutting_down.set(true);
         self.bell.notify(usize::MAX);
     }
 
+    /// Until the end is announced.
     pub async fn until_shutting_down(&self) {
         until(&self.bell, || self.is_shutting_down().then_some(())).await
     }
@@ -94,10 +97,12 @@
         }
     }
 
+    /// Whether every connection is to close once it is quiet.
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
+    /// Until no connection is left, lingering ones included.
     pub async fn until_empty(&self) {
         let empty = || self.taken.borrow().is_empty() && self.lingering.get() == 0;
         until(&self.bell, || empty().then_some(())).await
@@ -176,12 +181,15 @@
         self.close_requested.set(true);
         self.bell.notify(usize::MAX);
     }
+    /// Whether the connection is to close once it is quiet.
     pub fn is_asked_to_close(&self) -> bool {
         self.close_requested.get()
     }
+    /// Whether anything was answered on it.
     pub fn answered(&self) -> bool {
         self.answered.get()
     }
+    /// Since when nothing is open on it; infinite while something is.
     pub fn quiet_since(&self) -> Ms {
         self.quiet.get()
     }
@@ -204,6 +212,7 @@
         })
     }
 
+    /// Something is open on it.
     pub fn busy(&self) {
         self.activity.quiet.set(Ms::INFINITY);
         // Another is asked in its stead.
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list's actor: asks the name service and tells the module's actor of changes.
+//! The discovery actor: asks the name service, and tells the dispatcher of changes of the endpoint list.
 
 use crate::snapshot_store::SnapshotStore;
 use async_channel::{Receiver, Sender};
@@ -30,26 +30,38 @@
 
 /// What a new configuration says of the endpoint list: where to ask, and the changes up to then.
 pub struct DiscoveryUpdate {
+    /// The name service's address.
     pub names: SocketAddr,
+    /// The endpoint list.
     pub known: BTreeMap<String, DiscoveredEndpoint>,
+    /// The number of its last change.
     pub rev: u32,
-    /// The names of zones and kinds, in the order that the decisions know.
+    /// The names of zones and machine types, in the order that the policy knows.
     pub index: Frame,
 }
 
+/// Asks the name service, and tells the dispatcher of changes.
 pub struct Discovery {
+    /// The address that questions go out from.
     pub from: IpAddr,
+    /// The name service's address.
     pub names: SocketAddr,
+    /// The names of zones and machine types, in the order that the policy knows.
     pub index: Frame,
+    /// The number of the last change.
     pub rev: u32,
+    /// The dispatcher's queue.
     pub module: Sender<Event>,
+    /// The log.
     pub log: Logger,
+    /// What all actors share.
     pub shared: Rc<Shared>,
     /// Keeps the list for the next process, where there is one.
     pub snapshot_store: Option<SnapshotStore>,
 }
 
 impl Discovery {
+    /// Runs until the process ends.
     pub async fn follow(mut self, moves: Receiver<DiscoveryUpdate>) {
         loop {
             let moved = async { moves.recv().await.ok() };
@@ -86,12 +98,12 @@
 
     async fn ask(&mut self) -> std::io::Result<()> {
         let mut socket = Async::<UdpSocket>::bind((self.from, 0))?;
-        self.shared
-            .metrics
-            .source
-            .replace(format!("dns {}", self.names));
-        let (mut query, mut packet) = (Vec::new(), vec![0; dns::ANSWER_MOST]);
-        let (mut unanswered, mut unread) = (0u32, false);
+        let source = format!("dns {}", self.names);
+        self.shared.metrics.source.replace(source);
+        let mut query = Vec::new();
+        let mut packet = vec![0; dns::ANSWER_MOST];
+        let mut unanswered = 0u32;
+        let mut malformed = false;
         for number in (0..=u16::MAX).cycle() {
             query.clear();
             dns::question(&mut query, number, ZONE);
@@ -103,25 +115,14 @@
             }
             if unanswered.is_multiple_of(ANOTHER_SOCKET) {
                 // Without a descriptor the old one is better than none.
-                Async::<UdpSocket>::bind((self.from, 0))
-                    .into_iter()
-                    .for_each(|another| socket = another);
+                if let Ok(another) = Async::<UdpSocket>::bind((self.from, 0)) {
+                    socket = another;
+                }
             }
             let until = Instant::now() + span(ASK_EVERY);
-            let late = || async {
-                Timer::at(until).await;
-                None
-            };
-            while let Some((n, from)) =
-                or(async { socket.recv_from(&mut packet).await.ok() }, late()).await
-            {
-                let mut lines = BTreeMap::new();
-                let queried = |n: u16| number.wrapping_sub(n) < WAITING;
-                let serial = dns::read(&packet[..n], queried, |h| {
-                    lines.insert(h.name.to_string(), place(&h, &self.index));
-                });
-                let Some(serial) = serial.filter(|_| from == self.names) else {
-                    if !std::mem::replace(&mut unread, true) {
+            while let Some((n, from)) = receive(&socket, &mut packet, until).await {
+                let Some((serial, list)) = self.read(&packet[..n], from, number) else {
+                    if !std::mem::replace(&mut malformed, true) {
                         warn!(self.log, "name service answer malformed"; "bytes" => n, "address" => from);
                     }
                     continue;
@@ -130,15 +131,44 @@
                     info!(self.log, "name service answering again");
                 }
                 self.shared.metrics.heard.set(self.shared.clock.now());
-                self.heard(serial, lines).await;
+                self.heard(serial, list).await;
             }
             Timer::at(until).await;
         }
         Ok(())
     }
+
+    /// The serial and the endpoint list of an answer to one of the last questions.
+    fn read(
+        &self,
+        packet: &[u8],
+        from: SocketAddr,
+        latest: u16,
+    ) -> Option<(u32, BTreeMap<String, DiscoveredEndpoint>)> {
+        let mut list = BTreeMap::new();
+        let is_recent = |number: u16| latest.wrapping_sub(number) < WAITING;
+        let serial = dns::read(packet, is_recent, |host| {
+            list.insert(host.name.to_string(), endpoint(&host, &self.index));
+        });
+        let serial = serial.filter(|_| from == self.names)?;
+        Some((serial, list))
+    }
+}
+
+/// The next packet; none once the time is up.
+async fn receive(
+    socket: &Async<UdpSocket>,
+    packet: &mut [u8],
+    until: Instant,
+) -> Option<(usize, SocketAddr)> {
+    let late = async {
+        Timer::at(until).await;
+        None
+    };
+    or(async { socket.recv_from(packet).await.ok() }, late).await
 }
 
-fn place(h: &dns::Host, index: &Frame) -> DiscoveredEndpoint {
+fn endpoint(h: &dns::Host, index: &Frame) -> DiscoveredEndpoint {
     let number = |name: &str| {
         h.text(name)
             .and_then(|t| t.parse::<f64>().ok())
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -31,6 +31,7 @@
     }
 }
 
+/// Opens the log; it ends with the guard. The handle changes the least level that is logged.
 pub fn open(gateway: &str, form: LogFormat) -> (Logger, slog_async::AsyncGuard, LevelHandle) {
     let to = std::io::stderr();
     match form {
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -240,6 +240,10 @@
     decode(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
+/// Decodes the JSON.
+///
+/// # Errors
+/// One sentence that names the field.
 pub fn decode(json: &[u8]) -> Result<Operator, String> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let found: Operator = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
