--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -9,12 +9,18 @@
 pub mod actor;
 pub mod config;
 pub mod fault_injection;
+mod leader_search;
+pub mod message;
+mod outcome;
 pub mod peer;
+pub mod prepared;
 pub mod server;
 pub mod status;
 
-pub use actor::{Actor, Leave, Opened};
+pub use actor::Actor;
 pub use config::FleetConfig;
+pub use message::Leave;
+pub use prepared::Opened;
 
 /// The messages and the service, from `proto/`.
 pub mod proto {
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -1,6 +1,6 @@
 //! The listener for other gateways: words are looked over and handed to the actor, whose mailbox is bounded.
 
-use crate::actor::{AgentMessage, FleetCommand, Hint};
+use crate::message::{AgentMessage, FleetCommand, Hint};
 use crate::peer::WORD_MOST;
 use crate::proto::fleet_server::{Fleet, FleetServer};
 use crate::proto::Word;
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -6,7 +6,7 @@
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
-use ironstair_fleet_agent::actor::{AgentMessage, CommandResponse, FleetCommand, Hint};
+use ironstair_fleet_agent::message::{AgentMessage, CommandResponse, FleetCommand, Hint};
 use ironstair_fleet_agent::proto::Word;
 use ironstair_fleet_agent::server::{bind, serve, Own};
 use ironstair_fleet_agent::status;
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -38,7 +38,7 @@
     bound: TcpListener,
     streams: usize,
     keys: Option<Arc<Keys>>,
-    fleet: Option<actor::Opened>,
+    fleet: Option<ironstair_fleet_agent::Opened>,
     pub window: Arc<Window>,
 }
 
@@ -69,7 +69,9 @@
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (server::bind(m.listen)?, m.streams);
-    let fleet = fleet_config.map(actor::Opened::open).transpose()?;
+    let fleet = fleet_config
+        .map(ironstair_fleet_agent::Opened::open)
+        .transpose()?;
     Ok(Opened {
         started,
         bound,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -388,7 +388,7 @@
             // Who says so needs no lease to run out before its fleet goes on without it.
             let (done, config) = tokio::sync::oneshot::channel();
             let said = leave
-                .try_send(ironstair_fleet_agent::actor::AgentMessage::Leave(done))
+                .try_send(ironstair_fleet_agent::message::AgentMessage::Leave(done))
                 .is_ok();
             let most = async {
                 Timer::after(span(LEAVE_WITHIN)).await;
