--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -10,10 +10,10 @@
 
 use crate::config::FleetConfig;
 use crate::fault_injection::taken_out;
-use crate::message::{AgentMessage, CommandResponse, Hint, Leave};
-use crate::peer::Way;
-use crate::prepared::{drawn, Opened};
-use crate::server::{self, Own};
+use crate::message::{AgentMessage, CommandResponse, LeaderHint, Leave};
+use crate::peer::VoterConnection;
+use crate::prepared::{random_number, PreparedAgent};
+use crate::server::{self, Identity};
 use ironstair::Ms;
 use ironstair_coordination::history::supersedes;
 use ironstair_coordination::leader::Command;
@@ -33,67 +33,67 @@
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
 /// What may wait for the actor.
-const MAILBOX: usize = 1024;
+const MAILBOX_CAPACITY: usize = 1024;
 
-enum Waits {
-    Own,
-    Other(oneshot::Sender<Result<HeartbeatResponse<Json>, Hint>>),
+enum HeartbeatSource {
+    Local,
+    Remote(oneshot::Sender<Result<HeartbeatResponse<Json>, LeaderHint>>),
 }
 
 /// A voter's log and its disk, which is elsewhere while it writes.
-struct Kept {
+struct Voter {
     replica: Replica<Json>,
     storage: Option<Storage>,
     /// Why the disk is to be left, once it is not being written.
-    older: Option<&'static str>,
+    quarantine_reason: Option<&'static str>,
     join_request_due: Ms,
-    compare_at: Ms,
-    disk_said: bool,
+    generation_check_due: Ms,
+    failure_logged: bool,
 }
 
-struct Pending {
-    ask: Command<Json>,
-    until: Ms,
-    answer: oneshot::Sender<CommandResponse>,
+struct PendingCommand {
+    command: Command<Json>,
+    deadline: Ms,
+    response: oneshot::Sender<CommandResponse>,
 }
 
 pub struct Actor {
     config: FleetConfig,
-    own: Own,
+    identity: Identity,
     clock: Clock,
     log: Logger,
     member: Member,
-    kept: Option<Kept>,
+    voter: Option<Voter>,
     management: ManagementHandle,
-    requests: async_channel::Sender<ManagementCommand>,
-    ways: BTreeMap<String, Way>,
+    gateway_commands: async_channel::Sender<ManagementCommand>,
+    connections: BTreeMap<String, VoterConnection>,
     /// The voter that last answered a heartbeat.
-    speaks_to: Option<String>,
-    inbox: mpsc::Receiver<AgentMessage>,
-    post: mpsc::Sender<AgentMessage>,
-    wanted: mpsc::Receiver<Wanted>,
-    shown: watch::Sender<state::Fleet>,
-    answers: HashMap<u64, Waits>,
-    tokens: u64,
-    heartbeats: usize,
-    pending: Vec<Pending>,
-    leaving: Option<oneshot::Sender<()>>,
+    last_responder: Option<String>,
+    mailbox: mpsc::Receiver<AgentMessage>,
+    sender: mpsc::Sender<AgentMessage>,
+    manager_requests: mpsc::Receiver<Wanted>,
+    status: watch::Sender<state::Fleet>,
+    pending_heartbeats: HashMap<u64, HeartbeatSource>,
+    last_token: u64,
+    heartbeats_in_flight: usize,
+    pending_commands: Vec<PendingCommand>,
+    leave_response: Option<oneshot::Sender<()>>,
     /// Why no leader answered, as last said.
-    unheard: String,
+    last_search_error: String,
     /// Whether it was said that a lease is held.
-    held: bool,
+    lease_logged: bool,
     /// Whether it was said that this voter has a vote.
-    votes: bool,
+    vote_logged: bool,
     /// The revisions as last told to the log.
-    lines: VecDeque<RevisionSummary>,
+    logged_revisions: VecDeque<RevisionSummary>,
     /// The latest history that anybody told of: a member may know more than what is left of the voters.
-    latest: u64,
+    latest_generation: u64,
 }
 
 /// The ends of an actor that others hold.
-pub struct Ends {
-    pub wanted: mpsc::Receiver<Wanted>,
-    pub shown: watch::Sender<state::Fleet>,
+pub struct AgentChannels {
+    pub manager_requests: mpsc::Receiver<Wanted>,
+    pub status: watch::Sender<state::Fleet>,
 }
 
 impl Actor {
@@ -102,25 +102,25 @@
     /// # Errors
     /// The disk holds no voter's log, or an address can't be one.
     pub fn start(
-        opened: Opened,
-        ends: Ends,
+        opened: PreparedAgent,
+        channels: AgentChannels,
         management: ManagementHandle,
-        requests: async_channel::Sender<ManagementCommand>,
+        gateway_commands: async_channel::Sender<ManagementCommand>,
         clock: Clock,
         log: Logger,
     ) -> Result<(Actor, Leave), String> {
-        let Opened {
+        let PreparedAgent {
             config,
             bound,
             storage,
             note,
         } = opened;
-        let own = Own {
+        let identity = Identity {
             fleet: config.fleet.clone(),
             name: config.name.clone(),
-            start: drawn(),
+            start: random_number(),
         };
-        let (post, inbox) = mpsc::channel(MAILBOX);
+        let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
         if let Some(note) = note {
             warn!(log, "the fleet's log here is not what it was"; "why" => note);
         }
@@ -128,15 +128,15 @@
             .voters
             .iter()
             .filter(|(name, _)| **name != config.name);
-        let ways = others.map(|(name, at)| Ok((name.clone(), Way::to(*at)?)));
-        let ways = ways.collect::<Result<BTreeMap<_, _>, String>>()?;
-        let member = Member::new(&config.name, own.start, config.steady, config.lease);
+        let connections = others.map(|(name, at)| Ok((name.clone(), VoterConnection::to(*at)?)));
+        let connections = connections.collect::<Result<BTreeMap<_, _>, String>>()?;
+        let member = Member::new(&config.name, identity.start, config.steady, config.lease);
         let member = member.holding(if taken_out("place") {
             String::new()
         } else {
             server::place(config.listen)
         });
-        let serving = server::serve(bound, own.clone(), post.clone(), log.clone());
+        let serving = server::serve(bound, identity.clone(), sender.clone(), log.clone());
         let said = log.clone();
         tokio::spawn(async move {
             if let Err(why) = serving.await {
@@ -145,34 +145,34 @@
         });
         let mut actor = Actor {
             config,
-            own,
+            identity,
             clock,
             log,
             member,
-            kept: None,
+            voter: None,
             management,
-            requests,
-            ways,
-            speaks_to: None,
-            inbox,
-            post: post.clone(),
-            wanted: ends.wanted,
-            shown: ends.shown,
-            answers: HashMap::new(),
-            tokens: 0,
-            heartbeats: 0,
-            pending: Vec::new(),
-            leaving: None,
-            unheard: String::new(),
-            held: false,
-            votes: false,
-            lines: VecDeque::new(),
-            latest: 0,
+            gateway_commands,
+            connections,
+            last_responder: None,
+            mailbox,
+            sender: sender.clone(),
+            manager_requests: channels.manager_requests,
+            status: channels.status,
+            pending_heartbeats: HashMap::new(),
+            last_token: 0,
+            heartbeats_in_flight: 0,
+            pending_commands: Vec::new(),
+            leave_response: None,
+            last_search_error: String::new(),
+            lease_logged: false,
+            vote_logged: false,
+            logged_revisions: VecDeque::new(),
+            latest_generation: 0,
         };
         if let Some(storage) = storage {
-            actor.keep(storage)?;
+            actor.open_voter(storage)?;
         }
-        Ok((actor, post))
+        Ok((actor, sender))
     }
 
     /// Until the process ends.
@@ -181,39 +181,39 @@
         // After a standstill the library's time goes on from now: it counts ticks, not what the clock says.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            self.go_on();
+            self.advance();
             let due = span(self.member.due() - self.clock.now());
             tokio::select! {
-                mail = self.inbox.recv() => match mail {
-                    Some(mail) => self.take(mail),
+                mail = self.mailbox.recv() => match mail {
+                    Some(mail) => self.handle(mail),
                     None => return,
                 },
-                Some(wanted) = self.wanted.recv() => self.want(wanted),
-                _ = ticks.tick(), if self.kept.is_some() => self.tick(),
+                Some(wanted) = self.manager_requests.recv() => self.handle_manager_request(wanted),
+                _ = ticks.tick(), if self.voter.is_some() => self.tick(),
                 () = sleep(due) => {}
             }
         }
     }
 
-    fn take(&mut self, mail: AgentMessage) {
+    fn handle(&mut self, mail: AgentMessage) {
         let now = self.clock.now();
         match mail {
-            AgentMessage::Heartbeat(heartbeat, to) => match &mut self.kept {
+            AgentMessage::Heartbeat(heartbeat, to) => match &mut self.voter {
                 Some(_) => {
-                    self.hear_of(heartbeat.history);
-                    self.heartbeat(heartbeat, Waits::Other(to));
+                    self.note_generation(heartbeat.history);
+                    self.submit_heartbeat(heartbeat, HeartbeatSource::Remote(to));
                 }
-                None => drop(to.send(Err(Hint::default()))),
+                None => drop(to.send(Err(LeaderHint::default()))),
             },
-            AgentMessage::Agree(from, bytes) => {
+            AgentMessage::RaftMessage(from, bytes) => {
                 let outs = self
-                    .kept
+                    .voter
                     .as_mut()
                     .map(|k| k.replica.message(now, &from, &bytes));
-                self.carry(outs.unwrap_or_default());
+                self.execute(outs.unwrap_or_default());
             }
-            AgentMessage::Join(name, number, to) => {
-                let Some(k) = &mut self.kept else {
+            AgentMessage::JoinRequest(name, number, to) => {
+                let Some(k) = &mut self.voter else {
                     let _ = to.send(self.member.held().0);
                     return;
                 };
@@ -228,49 +228,53 @@
                     of_disk
                 });
             }
-            AgentMessage::Command(asked, to) => self.asked(asked, to),
-            AgentMessage::Answered(answer) => {
-                self.heartbeats -= 1;
+            AgentMessage::Command(asked, to) => self.handle_command(asked, to),
+            AgentMessage::HeartbeatAnswered(answer) => {
+                self.heartbeats_in_flight -= 1;
                 let lost = answer.is_err();
                 match answer {
                     Ok((by, answer)) => {
-                        (self.speaks_to, self.unheard) = (Some(by), String::new());
-                        self.told(answer);
+                        (self.last_responder, self.last_search_error) = (Some(by), String::new());
+                        self.apply_heartbeat_response(answer);
                     }
                     // Once, not with each heartbeat.
-                    Err(why) if !self.member.holds(now) && why != self.unheard => {
+                    Err(why) if !self.member.holds(now) && why != self.last_search_error => {
                         warn!(self.log, "no keeper answers as the fleet's chair"; "why" => &why);
-                        self.unheard = why;
+                        self.last_search_error = why;
                     }
                     Err(_) => {}
                 }
                 if lost {
-                    self.speaks_to = None;
+                    self.last_responder = None;
                 }
             }
-            AgentMessage::Held(mark, how) => {
-                self.act(match how {
+            AgentMessage::PolicyApplied(mark, how) => {
+                self.drive_member(match how {
                     Ok(()) => Input::Applied { mark },
                     Err(why) => Input::Unable { mark, why },
                 });
             }
-            AgentMessage::Examined(number, how) => self.act(Input::Examined { number, how }),
-            AgentMessage::Saved(saved) => self.saved(*saved),
-            AgentMessage::Known(how, document, answer) => self.begin(how, document, answer),
-            AgentMessage::KnownAnew(how, anew) => self.begin_anew(how, anew),
-            AgentMessage::Heard(history) => {
-                self.hear_of(history);
+            AgentMessage::PolicyValidated(number, how) => {
+                self.drive_member(Input::Examined { number, how })
+            }
+            AgentMessage::SaveFinished(saved) => self.finish_save(*saved),
+            AgentMessage::BootstrapChecked(how, document, answer) => {
+                self.finish_bootstrap(how, document, answer)
+            }
+            AgentMessage::RecoveryChecked(how, anew) => self.finish_disaster_recovery(how, anew),
+            AgentMessage::GenerationHeard(history) => {
+                self.note_generation(history);
                 let own = self
-                    .kept
+                    .voter
                     .as_ref()
                     .map_or(0, |k| k.replica.state().fleet.history);
                 if own != 0 && supersedes(history, own) && !taken_out("compare") {
-                    self.leave_the_older("the fleet's history began anew without this keeper");
+                    self.quarantine_log("the fleet's history began anew without this keeper");
                 }
             }
             AgentMessage::Leave(done) => {
-                self.leaving = Some(done);
-                self.act(Input::Leave);
+                self.leave_response = Some(done);
+                self.drive_member(Input::Leave);
             }
         }
     }
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -1,10 +1,10 @@
 //! What operators ask: handed to the leader, decided here where this voter is it.
 
-use super::{Actor, Pending};
+use super::{Actor, PendingCommand};
 use crate::fault_injection::taken_out;
-use crate::message::{AgentMessage, CommandResponse, FleetCommand, Hint};
+use crate::message::{AgentMessage, CommandResponse, FleetCommand, LeaderHint};
 use crate::outcome::{outcome, Outcome};
-use crate::prepared::drawn;
+use crate::prepared::random_number;
 use crate::status;
 use ironstair::Ms;
 use ironstair_coordination::leader::{Command, Refusal};
@@ -15,13 +15,13 @@
 use tokio::sync::oneshot;
 
 /// Asks that may wait for their outcome here.
-const ASKS_MOST: usize = 64;
+const MAX_PENDING_COMMANDS: usize = 64;
 /// How long an operator waits for what becomes of a change, in leases and at least.
-const OUTCOME_LEASES: f64 = 5.0;
-const OUTCOME_LEAST: Ms = 15_000.0;
+const OUTCOME_TIMEOUT_LEASES: f64 = 5.0;
+const MIN_OUTCOME_TIMEOUT: Ms = 15_000.0;
 
 impl Actor {
-    pub(super) fn want(&mut self, wanted: Wanted) {
+    pub(super) fn handle_manager_request(&mut self, wanted: Wanted) {
         let now = self.clock.now();
         let fail = |answer: Responder, why: &str| {
             drop(answer.send(Err(Refused::Fleet(why.into()))));
@@ -38,7 +38,7 @@
                 let commit = commit.filter(|_| !taken_out("trial"));
                 let when = now;
                 let proposal = ChangeProposal {
-                    token: drawn(),
+                    token: random_number(),
                     who,
                     when,
                     what,
@@ -46,18 +46,18 @@
                     document,
                     commit,
                 };
-                self.ask(Command::Change(proposal), answer);
+                self.forward_command(Command::Change(proposal), answer);
             }
-            Wanted::Confirm { id, answer } => self.ask(Command::Confirm { id }, answer),
+            Wanted::Confirm { id, answer } => self.forward_command(Command::Confirm { id }, answer),
             Wanted::Cancel { id, who, answer } => {
-                self.ask(Command::Cancel { id: Some(id), who }, answer)
+                self.forward_command(Command::Cancel { id: Some(id), who }, answer)
             }
             Wanted::Show(answer) => {
-                let (search, own) = (self.search(), self.post.clone());
+                let (search, own) = (self.leader_search(), self.sender.clone());
                 tokio::spawn(async move {
                     let _ = answer.send(
                         match search
-                            .ask(own, FleetCommand::Show, OUTCOME_LEAST / 3.0)
+                            .send_command(own, FleetCommand::Show, MIN_OUTCOME_TIMEOUT / 3.0)
                             .await
                         {
                             CommandResponse::Shown(json) => Ok(json),
@@ -71,10 +71,10 @@
                 document,
                 who,
                 answer,
-            } => self.look_before_anew(document, who, answer),
+            } => self.start_disaster_recovery(document, who, answer),
             Wanted::Begin { document, answer } => {
                 let first = self.config.voters.keys().next();
-                let Some(k) = &self.kept else {
+                let Some(k) = &self.voter else {
                     return fail(answer, "only a keeper begins a history");
                 };
                 if first != Some(&self.config.name) {
@@ -88,12 +88,16 @@
                 if !k.replica.is_blank() || k.storage.is_none() {
                     return fail(answer, "the fleet has a history");
                 }
-                let (ways, own, post) = (self.ways.clone(), self.own.clone(), self.post.clone());
+                let (connections, own, sender) = (
+                    self.connections.clone(),
+                    self.identity.clone(),
+                    self.sender.clone(),
+                );
                 tokio::spawn(async move {
                     let mut how = Ok(());
-                    for (name, way) in ways {
+                    for (name, way) in connections {
                         let known = way
-                            .knock(own.word(b"0".to_vec()), OUTCOME_LEAST / 3.0)
+                            .request_join(own.envelope(b"0".to_vec()), MIN_OUTCOME_TIMEOUT / 3.0)
                             .await;
                         how = how.and(match known.as_ref().map(|w| serde_json::from_slice::<u64>(&w.body)) {
                             Ok(Ok(0)) => Ok(()),
@@ -104,19 +108,23 @@
                             Err(e) => Err(format!("{name} must answer, and does not: {}", e.message())),
                         });
                     }
-                    let _ = post.send(AgentMessage::Known(how, document, answer)).await;
+                    let _ = sender
+                        .send(AgentMessage::BootstrapChecked(how, document, answer))
+                        .await;
                 });
             }
         }
     }
 
     /// Finds the leader for what an operator asks, and hands on the outcome.
-    pub(super) fn ask(&mut self, ask: Command<Json>, answer: Responder) {
-        let (search, own) = (self.search(), self.post.clone());
-        let within = self.outcome_within() + OUTCOME_LEAST / 3.0;
+    pub(super) fn forward_command(&mut self, ask: Command<Json>, answer: Responder) {
+        let (search, own) = (self.leader_search(), self.sender.clone());
+        let within = self.outcome_timeout() + MIN_OUTCOME_TIMEOUT / 3.0;
         tokio::spawn(async move {
-            let told = search.ask(own, FleetCommand::Command(ask), within).await;
-            let _ = answer.send(match told {
+            let apply_heartbeat_response = search
+                .send_command(own, FleetCommand::Command(ask), within)
+                .await;
+            let _ = answer.send(match apply_heartbeat_response {
                 CommandResponse::Done(number) => Ok(number),
                 CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
                 _ => Err(Refused::Fleet("no chair".into())),
@@ -124,17 +132,21 @@
         });
     }
 
-    pub(super) fn outcome_within(&self) -> Ms {
-        (OUTCOME_LEASES * self.config.lease).max(OUTCOME_LEAST)
+    pub(super) fn outcome_timeout(&self) -> Ms {
+        (OUTCOME_TIMEOUT_LEASES * self.config.lease).max(MIN_OUTCOME_TIMEOUT)
     }
 
     /// At this voter: an ask is handed to the leader, and answered once it is known what became of it.
-    pub(super) fn asked(&mut self, asked: FleetCommand, to: oneshot::Sender<CommandResponse>) {
+    pub(super) fn handle_command(
+        &mut self,
+        asked: FleetCommand,
+        to: oneshot::Sender<CommandResponse>,
+    ) {
         let now = self.clock.now();
-        let elsewhere = CommandResponse::Elsewhere(Hint {
+        let elsewhere = CommandResponse::NotLeader(LeaderHint {
             leader: self.leader(),
         });
-        let Some(k) = &mut self.kept else {
+        let Some(k) = &mut self.voter else {
             return drop(to.send(elsewhere));
         };
         let Some(leader) = k.replica.leader() else {
@@ -147,7 +159,7 @@
                 return drop(to.send(CommandResponse::Shown(shown)));
             }
         };
-        if self.pending.len() >= ASKS_MOST {
+        if self.pending_commands.len() >= MAX_PENDING_COMMANDS {
             return drop(to.send(CommandResponse::Refused(Refusal::Busy.to_string())));
         }
         let ask = match ask {
@@ -160,50 +172,50 @@
         // One that comes again by another way stands in the log already.
         if matches!(outcome(&k.replica.state().fleet, &ask), Outcome::Unknown) {
             match k.replica.ask(now, ask.clone()) {
-                Ok(outs) => self.carry(outs),
+                Ok(outs) => self.execute(outs),
                 Err(why) => return drop(to.send(CommandResponse::Refused(why.to_string()))),
             }
         }
-        let until = now + self.outcome_within();
-        self.pending.push(Pending {
-            ask,
-            until,
-            answer: to,
+        let until = now + self.outcome_timeout();
+        self.pending_commands.push(PendingCommand {
+            command: ask,
+            deadline: until,
+            response: to,
         });
     }
 
-    pub(super) fn answer_the_pending(&mut self) {
-        if self.pending.is_empty() {
+    pub(super) fn answer_pending_commands(&mut self) {
+        if self.pending_commands.is_empty() {
             return;
         }
         let now = self.clock.now();
         let leader = self.leader();
         let mut again = Vec::new();
-        for p in std::mem::take(&mut self.pending) {
+        for p in std::mem::take(&mut self.pending_commands) {
             let found = self
-                .kept
+                .voter
                 .as_ref()
                 .and_then(|k| Some((k, k.replica.leader()?)));
             let Some((k, sits)) = found else {
-                let _ = p.answer.send(CommandResponse::Elsewhere(Hint {
+                let _ = p.response.send(CommandResponse::NotLeader(LeaderHint {
                     leader: leader.clone(),
                 }));
                 continue;
             };
             let fleet = &k.replica.state().fleet;
-            let told = match outcome(fleet, &p.ask) {
+            let apply_heartbeat_response = match outcome(fleet, &p.command) {
                 // Who hears that it is done finds it done wherever he looks next.
-                Outcome::Known(CommandResponse::Done(_))
-                    if now < p.until && !sits.all_hold(now, fleet) =>
+                Outcome::Final(CommandResponse::Done(_))
+                    if now < p.deadline && !sits.all_hold(now, fleet) =>
                 {
                     None
                 }
-                Outcome::Known(told) => Some(told),
-                Outcome::Unknown if !sits.waits(&p.ask) => {
+                Outcome::Final(apply_heartbeat_response) => Some(apply_heartbeat_response),
+                Outcome::Unknown if !sits.waits(&p.command) => {
                     again.push(p);
                     continue;
                 }
-                _ if now >= p.until => {
+                _ if now >= p.deadline => {
                     let names = status::waits_for(now, fleet, sits).join(", ");
                     let why = format!(
                         "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
@@ -212,20 +224,20 @@
                 }
                 _ => None,
             };
-            match told {
-                Some(told) => drop(p.answer.send(told)),
-                None => self.pending.push(p),
+            match apply_heartbeat_response {
+                Some(apply_heartbeat_response) => drop(p.response.send(apply_heartbeat_response)),
+                None => self.pending_commands.push(p),
             }
         }
         // Passed over when its turn came, since something else had come before it.
         for p in again {
-            let Some(k) = &mut self.kept else { return };
-            match k.replica.ask(now, p.ask.clone()) {
+            let Some(k) = &mut self.voter else { return };
+            match k.replica.ask(now, p.command.clone()) {
                 Ok(outs) => {
-                    self.carry(outs);
-                    self.pending.push(p);
+                    self.execute(outs);
+                    self.pending_commands.push(p);
                 }
-                Err(why) => drop(p.answer.send(CommandResponse::Refused(why.to_string()))),
+                Err(why) => drop(p.response.send(CommandResponse::Refused(why.to_string()))),
             }
         }
     }
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -1,8 +1,8 @@
 //! Heartbeats of this gateway to the leader, and those of others that this voter answers.
 
-use super::{Actor, Waits};
+use super::{Actor, HeartbeatSource};
 use crate::fault_injection::taken_out;
-use crate::leader_search::Search;
+use crate::leader_search::LeaderSearch;
 use crate::message::AgentMessage;
 use ironstair::Ms;
 use ironstair_coordination::member::{Action, Input};
@@ -17,32 +17,36 @@
 
 impl Actor {
     /// Hands one input to the member, and carries out what it wants.
-    pub(super) fn act(&mut self, input: Input<Json>) {
+    pub(super) fn drive_member(&mut self, input: Input<Json>) {
         for action in self.member.on(self.clock.now(), input) {
             match action {
-                Action::Heartbeat(heartbeat) => self.send(heartbeat),
+                Action::Heartbeat(heartbeat) => self.send_heartbeat(heartbeat),
                 Action::Apply {
                     mark,
                     number,
                     document,
                 } => {
-                    let (management, post) = (self.management.clone(), self.post.clone());
+                    let (management, sender) = (self.management.clone(), self.sender.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("hold") {
                             true => Ok(()),
-                            false => hold(&management, mark, number, document).await,
+                            false => apply_policy(&management, mark, number, document).await,
                         };
-                        let _ = post.send(AgentMessage::Held(mark, how)).await;
+                        let _ = sender.send(AgentMessage::PolicyApplied(mark, how)).await;
                     });
                 }
                 Action::Examine { number, document } => {
-                    let (management, post) = (self.management.clone(), self.post.clone());
+                    let (management, sender) = (self.management.clone(), self.sender.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("examine") {
                             true => Ok(()),
-                            false => readable(&document).and(management.examine(document).await),
+                            false => {
+                                check_readable(&document).and(management.examine(document).await)
+                            }
                         };
-                        let _ = post.send(AgentMessage::Examined(number, how)).await;
+                        let _ = sender
+                            .send(AgentMessage::PolicyValidated(number, how))
+                            .await;
                     });
                 }
                 Action::Hold(until, share) => {
@@ -54,10 +58,10 @@
                     // Against a mailbox that is full just then: a steady one is told once, and for good.
                     let share = Some(share).filter(|_| self.config.counts);
                     if let Err(full) = self
-                        .requests
+                        .gateway_commands
                         .try_send(ManagementCommand::Lease(until, share))
                     {
-                        let requests = self.requests.clone();
+                        let requests = self.gateway_commands.clone();
                         tokio::spawn(async move { drop(requests.send(full.into_inner()).await) });
                     }
                 }
@@ -66,25 +70,25 @@
         }
     }
 
-    pub(super) fn told(&mut self, answer: HeartbeatResponse<Json>) {
-        self.act(Input::Answered(answer));
-        if let Some(done) = self.leaving.take() {
+    pub(super) fn apply_heartbeat_response(&mut self, answer: HeartbeatResponse<Json>) {
+        self.drive_member(Input::Answered(answer));
+        if let Some(done) = self.leave_response.take() {
             let _ = done.send(());
         }
     }
 
     /// The gateway's own heartbeat goes to the leader: here, or by the way to it.
-    pub(super) fn send(&mut self, mut heartbeat: Heartbeat) {
+    pub(super) fn send_heartbeat(&mut self, mut heartbeat: Heartbeat) {
         heartbeat.steady &= !taken_out("says-steady");
         let here = self
-            .kept
+            .voter
             .as_ref()
             .is_some_and(|k| k.replica.leader_name() == Some(&self.config.name));
         if here {
-            return self.heartbeat(heartbeat, Waits::Own);
+            return self.submit_heartbeat(heartbeat, HeartbeatSource::Local);
         }
         // One search at a time: while no voter is the leader, hundreds of members would ask for it together.
-        if self.heartbeats
+        if self.heartbeats_in_flight
             >= if self.leader().is_some() {
                 MAX_HEARTBEATS_IN_FLIGHT
             } else {
@@ -93,52 +97,52 @@
         {
             return;
         }
-        self.heartbeats += 1;
+        self.heartbeats_in_flight += 1;
         let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
-        let (search, post) = (self.search(), self.post.clone());
-        let word = self.own.word(body);
+        let (search, sender) = (self.leader_search(), self.sender.clone());
+        let word = self.identity.envelope(body);
         tokio::spawn(async move {
-            let found = search.heartbeat(word).await;
-            let _ = post.send(AgentMessage::Answered(found)).await;
+            let found = search.send_heartbeat(word).await;
+            let _ = sender.send(AgentMessage::HeartbeatAnswered(found)).await;
         });
     }
 
-    pub(super) fn search(&self) -> Search {
-        let first = self.leader().filter(|c| self.ways.contains_key(c));
-        Search {
-            own: self.own.clone(),
-            ways: self.ways.clone(),
-            first,
+    pub(super) fn leader_search(&self) -> LeaderSearch {
+        let first = self.leader().filter(|c| self.connections.contains_key(c));
+        LeaderSearch {
+            identity: self.identity.clone(),
+            connections: self.connections.clone(),
+            last_leader: first,
             clock: self.clock,
             lease: self.config.lease,
         }
     }
 
     /// A heartbeat at this voter.
-    pub(super) fn heartbeat(&mut self, heartbeat: Heartbeat, waits: Waits) {
-        let Some(k) = &mut self.kept else { return };
-        self.tokens += 1;
-        self.answers.insert(self.tokens, waits);
+    pub(super) fn submit_heartbeat(&mut self, heartbeat: Heartbeat, waits: HeartbeatSource) {
+        let Some(k) = &mut self.voter else { return };
+        self.last_token += 1;
+        self.pending_heartbeats.insert(self.last_token, waits);
         let outs = k
             .replica
-            .heartbeat(self.clock.now(), self.tokens, heartbeat);
-        self.carry(outs);
+            .heartbeat(self.clock.now(), self.last_token, heartbeat);
+        self.execute(outs);
     }
 }
 
 /// Against a version that knows less than what it is handed: the member says so, and nothing is taken over.
-async fn hold(
+async fn apply_policy(
     management: &ManagementHandle,
     mark: u64,
     number: u64,
     document: Json,
 ) -> Result<(), String> {
-    readable(&document)?;
+    check_readable(&document)?;
     management.hold(mark, number, document).await
 }
 
 /// An older version is played by one that can't read a field.
-fn readable(document: &Json) -> Result<(), String> {
+fn check_readable(document: &Json) -> Result<(), String> {
     let knows = !taken_out("advice") || document["advice"].as_u64().unwrap_or(0) == 0;
     knows
         .then_some(())
--- a/crates/fleet-agent/src/config.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -6,9 +6,9 @@
 use std::path::PathBuf;
 
 /// Shorter costs heartbeats and takes pauses for ends; longer makes a change wait longer for who is gone.
-const LEASE_LEAST: Ms = 1000.0;
-const LEASE_MOST: Ms = 60_000.0;
-const NAME_MOST: usize = 64;
+const MIN_LEASE: Ms = 1000.0;
+const MAX_LEASE: Ms = 60_000.0;
+const MAX_NAME_BYTES: usize = 64;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
@@ -36,13 +36,13 @@
     /// What can't be, by its field.
     pub fn checked(self) -> Result<Self, String> {
         let named = |field: &str, name: &str| match name.len() {
-            1..=NAME_MOST if !name.chars().any(char::is_control) => Ok(()),
+            1..=MAX_NAME_BYTES if !name.chars().any(char::is_control) => Ok(()),
             _ => Err(format!(
-                "fleet.{field}: {name:?} is no name of 1 to {NAME_MOST} bytes"
+                "fleet.{field}: {name:?} is no name of 1 to {MAX_NAME_BYTES} bytes"
             )),
         };
         named("name", &self.fleet)?;
-        if self.name.is_empty() || self.name.len() > NAME_MOST {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
             return Err(
                 "fleet: the gateway's own name is empty or too long to be one of a fleet's".into(),
             );
@@ -60,9 +60,9 @@
                 "fleet.keepers.{name}: {at} is another's address too"
             ));
         }
-        if !(LEASE_LEAST..=LEASE_MOST).contains(&self.lease) {
+        if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease) {
             return Err(format!(
-                "fleet.lease_ms: {} is outside {LEASE_LEAST} to {LEASE_MOST}",
+                "fleet.lease_ms: {} is outside {MIN_LEASE} to {MAX_LEASE}",
                 self.lease
             ));
         }
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -20,7 +20,7 @@
 pub use actor::Actor;
 pub use config::FleetConfig;
 pub use message::Leave;
-pub use prepared::Opened;
+pub use prepared::PreparedAgent;
 
 /// The messages and the service, from `proto/`.
 pub mod proto {
@@ -29,4 +29,4 @@
 }
 
 /// How bodies are written.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
--- a/crates/fleet-agent/src/message.rs
+++ b/crates/fleet-agent/src/message.rs
@@ -20,7 +20,7 @@
 
 /// Another voter may be the leader.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Hint {
+pub struct LeaderHint {
     #[serde(rename = "chair")]
     pub leader: Option<String>,
 }
@@ -31,41 +31,42 @@
     Done(u64),
     Refused(String),
     Shown(Json),
-    Elsewhere(Hint),
+    #[serde(rename = "elsewhere")]
+    NotLeader(LeaderHint),
 }
 
 /// To the actor.
 pub enum AgentMessage {
     Heartbeat(
         Heartbeat,
-        oneshot::Sender<Result<HeartbeatResponse<Json>, Hint>>,
+        oneshot::Sender<Result<HeartbeatResponse<Json>, LeaderHint>>,
     ),
-    Agree(String, Vec<u8>),
+    RaftMessage(String, Vec<u8>),
     /// A voter and its voter's number, or 0 where it asks for the history alone.
-    Join(String, u64, oneshot::Sender<u64>),
+    JoinRequest(String, u64, oneshot::Sender<u64>),
     Command(FleetCommand, oneshot::Sender<CommandResponse>),
     /// A heartbeat of this gateway came back, and from whom; or why not.
-    Answered(Result<(String, HeartbeatResponse<Json>), String>),
-    Held(u64, Result<(), String>),
-    Examined(u64, Result<(), String>),
-    Saved(Box<Saved>),
+    HeartbeatAnswered(Result<(String, HeartbeatResponse<Json>), String>),
+    PolicyApplied(u64, Result<(), String>),
+    PolicyValidated(u64, Result<(), String>),
+    SaveFinished(Box<SaveOutcome>),
     /// The histories that the other voters know, before one begins here.
-    Known(Result<(), String>, Json, Responder),
+    BootstrapChecked(Result<(), String>, Json, Responder),
     /// The same before one begins anew: what was found, and by whose word with what.
-    KnownAnew(Result<Vec<u64>, String>, Anew),
+    RecoveryChecked(Result<Vec<u64>, String>, RecoveryRequest),
     /// A history that another voter knows.
-    Heard(u64),
+    GenerationHeard(u64),
     Leave(oneshot::Sender<()>),
 }
 
 /// A history that is to begin anew.
-pub struct Anew {
+pub struct RecoveryRequest {
     pub(crate) document: Json,
     pub(crate) who: String,
     pub(crate) answer: Responder,
 }
 
-pub struct Saved {
+pub struct SaveOutcome {
     pub(crate) storage: Storage,
     pub(crate) save: Save,
     pub(crate) how: Result<(), String>,
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -6,9 +6,9 @@
 use serde_json::Value as Json;
 
 pub(crate) enum Outcome {
-    Known(CommandResponse),
+    Final(CommandResponse),
     /// It stands in the log, and goes on.
-    UnderWay,
+    InProgress,
     Unknown,
 }
 
@@ -33,26 +33,26 @@
     };
     let refused = || {
         let (by, why) = l.refused.clone().unwrap_or_default();
-        Outcome::Known(CommandResponse::Refused(format!(
+        Outcome::Final(CommandResponse::Refused(format!(
             "revision {} was refused by {by}: {why}",
             l.number
         )))
     };
-    let done = Outcome::Known(CommandResponse::Done(l.number));
+    let done = Outcome::Final(CommandResponse::Done(l.number));
     let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
     match (ask, l.state) {
-        (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
+        (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::InProgress,
         (Command::Change(_), RevisionState::Refused) => refused(),
         (Command::Change(_), _) => done,
         (Command::Confirm { .. }, RevisionState::Running) => done,
         (Command::Cancel { .. }, RevisionState::RolledBack) if back_over => done,
-        (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::UnderWay,
+        (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::InProgress,
         (Command::Cancel { .. }, RevisionState::Refused) => done,
         _ => Outcome::Unknown,
     }
 }
 
-pub(crate) fn step(of: RevisionState) -> &'static str {
+pub(crate) fn step_name(of: RevisionState) -> &'static str {
     match of {
         RevisionState::Staged => "staged",
         RevisionState::Binding => "binding",
--- a/crates/fleet-agent/src/prepared.rs
+++ b/crates/fleet-agent/src/prepared.rs
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 
 /// Opened before anything serves: a disk or an address that can't be used is told at once.
-pub struct Opened {
+pub struct PreparedAgent {
     pub(crate) config: FleetConfig,
     pub(crate) bound: TcpListener,
     pub(crate) storage: Option<Storage>,
@@ -16,17 +16,17 @@
 }
 
 /// Not 0, which stands for none.
-pub(crate) fn drawn() -> u64 {
+pub(crate) fn random_number() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
         .finish()
         | 1
 }
 
-impl Opened {
+impl PreparedAgent {
     /// # Errors
     /// The address is not free, or the disk can't be used; one sentence.
-    pub fn open(config: FleetConfig) -> Result<Opened, String> {
+    pub fn open(config: FleetConfig) -> Result<PreparedAgent, String> {
         let bound = server::bind(config.listen)?;
         // Held to the process's end, also where this thread ends before: the gateway's decides by its lease still, and
         // a later process that could listen here would count this one as gone.
@@ -37,16 +37,16 @@
         );
         let storage = config.folder.as_ref();
         let number = if taken_out("number") {
-            named(&config.name)
+            fixed_number(&config.name)
         } else {
-            drawn()
+            random_number()
         };
         let open = |folder| Storage::open(folder, &config.fleet, &config.name, number);
         let storage = storage
             .map(|f| open(f).map_err(|e| format!("fleet.state: {e}")))
             .transpose()?;
         let (storage, note) = storage.map_or((None, None), |a| (Some(a.storage), a.note));
-        Ok(Opened {
+        Ok(PreparedAgent {
             config,
             bound,
             storage,
@@ -56,6 +56,6 @@
 }
 
 /// The number of a voter that would not be drawn anew.
-fn named(name: &str) -> u64 {
+fn fixed_number(name: &str) -> u64 {
     ironstair_runtime::number(name.as_bytes()) | 1
 }
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -1,10 +1,10 @@
 //! The listener for other gateways: words are looked over and handed to the actor, whose mailbox is bounded.
 
-use crate::message::{AgentMessage, FleetCommand, Hint};
-use crate::peer::WORD_MOST;
+use crate::message::{AgentMessage, FleetCommand, LeaderHint};
+use crate::peer::MAX_MESSAGE_BYTES;
 use crate::proto::fleet_server::{Fleet, FleetServer};
-use crate::proto::Word;
-use crate::FORM;
+use crate::proto::Envelope;
+use crate::FORMAT_VERSION;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse};
 use serde_json::Value as Json;
 use slog::{warn, Logger};
@@ -23,26 +23,26 @@
 use tonic::{Request, Response, Status};
 
 /// A peer that answers no ping for so long is gone.
-const PING_EVERY: Duration = Duration::from_secs(5);
-const PING_WITHIN: Duration = Duration::from_secs(5);
-const CALLS_MOST: u32 = 64;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_STREAMS_PER_CONNECTION: u32 = 64;
 /// Connections at once: a member has one to each voter.
-const CONNECTIONS_MOST: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// Without a free descriptor: how long until the next try.
-const NO_DESCRIPTOR: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Who this gateway is among its fleet.
 #[derive(Clone)]
-pub struct Own {
+pub struct Identity {
     pub fleet: String,
     pub name: String,
     pub start: u64,
 }
 
-impl Own {
-    pub fn word(&self, body: Vec<u8>) -> Word {
-        Word {
-            form: FORM,
+impl Identity {
+    pub fn envelope(&self, body: Vec<u8>) -> Envelope {
+        Envelope {
+            format_version: FORMAT_VERSION,
             fleet: self.fleet.clone(),
             from: self.name.clone(),
             start: self.start,
@@ -54,11 +54,11 @@
     ///
     /// # Errors
     /// The sentence that says why not.
-    pub fn looked_over(&self, word: &Word) -> Result<(), String> {
-        if word.form != FORM {
+    pub fn validate(&self, word: &Envelope) -> Result<(), String> {
+        if word.format_version != FORMAT_VERSION {
             return Err(format!(
-                "{} speaks form {}, {} here knows {FORM}",
-                word.from, word.form, self.name
+                "{} speaks form {}, {} here knows {FORMAT_VERSION}",
+                word.from, word.format_version, self.name
             ));
         }
         if word.fleet != self.fleet {
@@ -75,7 +75,7 @@
 }
 
 pub struct Service {
-    own: Own,
+    own: Identity,
     mail: mpsc::Sender<AgentMessage>,
     log: Logger,
     /// The last sentence on a word not taken: said once, not with each heartbeat.
@@ -83,9 +83,9 @@
 }
 
 impl Service {
-    fn body(&self, request: Request<Word>) -> Result<Word, Status> {
+    fn body(&self, request: Request<Envelope>) -> Result<Envelope, Status> {
         let word = request.into_inner();
-        self.own.looked_over(&word).map_err(|why| {
+        self.own.validate(&word).map_err(|why| {
             let mut said = self.said.lock().unwrap_or_else(PoisonError::into_inner);
             if *said != why {
                 warn!(self.log, "a word of another gateway is not taken"; "why" => &why);
@@ -108,49 +108,49 @@
             .map_err(|_| Status::unavailable("not the chair any more"))
     }
 
-    fn word(&self, body: &impl serde::Serialize) -> Result<Response<Word>, Status> {
+    fn word(&self, body: &impl serde::Serialize) -> Result<Response<Envelope>, Status> {
         let body = serde_json::to_vec(body).map_err(|e| Status::internal(e.to_string()))?;
-        Ok(Response::new(self.own.word(body)))
+        Ok(Response::new(self.own.envelope(body)))
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(word: &Word) -> Result<T, Status> {
+fn read<T: serde::de::DeserializeOwned>(word: &Envelope) -> Result<T, Status> {
     serde_json::from_slice(&word.body)
         .map_err(|e| Status::invalid_argument(format!("can't be read: {e}")))
 }
 
 #[tonic::async_trait]
 impl Fleet for Service {
-    async fn beat(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
+    async fn beat(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let word = self.body(request)?;
         let heartbeat: Heartbeat = read(&word)?;
         if (&heartbeat.name, heartbeat.start) != (&word.from, word.start) {
             return Err(Status::invalid_argument("a beat in another's name"));
         }
-        let answer: Result<HeartbeatResponse<Json>, Hint> = self
+        let answer: Result<HeartbeatResponse<Json>, LeaderHint> = self
             .hand(|to| AgentMessage::Heartbeat(heartbeat, to))
             .await?;
         self.word(&answer)
     }
 
-    async fn agree(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
+    async fn agree(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let word = self.body(request)?;
         let _ = self
             .mail
-            .try_send(AgentMessage::Agree(word.from, word.body));
-        Ok(Response::new(self.own.word(Vec::new())))
+            .try_send(AgentMessage::RaftMessage(word.from, word.body));
+        Ok(Response::new(self.own.envelope(Vec::new())))
     }
 
-    async fn knock(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
+    async fn knock(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let word = self.body(request)?;
         let number: u64 = read(&word)?;
         let history = self
-            .hand(|to| AgentMessage::Join(word.from, number, to))
+            .hand(|to| AgentMessage::JoinRequest(word.from, number, to))
             .await?;
         self.word(&history)
     }
 
-    async fn ask(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
+    async fn ask(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let word = self.body(request)?;
         let asked: FleetCommand = read(&word)?;
         let answer = self.hand(|to| AgentMessage::Command(asked, to)).await?;
@@ -196,13 +196,13 @@
 }
 
 async fn accept(listener: TcpListener, to: mpsc::Sender<Link>) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MOST));
+    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(room) = places.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(NO_DESCRIPTOR).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -225,7 +225,7 @@
 /// The listener fails.
 pub async fn serve(
     bound: Bound,
-    own: Own,
+    own: Identity,
     mail: mpsc::Sender<AgentMessage>,
     log: Logger,
 ) -> Result<(), String> {
@@ -238,12 +238,12 @@
     };
     let served = FleetServer::new(service);
     let served = served
-        .max_decoding_message_size(WORD_MOST)
-        .max_encoding_message_size(WORD_MOST);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let server = Server::builder()
-        .http2_keepalive_interval(Some(PING_EVERY))
-        .http2_keepalive_timeout(Some(PING_WITHIN))
-        .max_concurrent_streams(Some(CALLS_MOST))
+        .http2_keepalive_interval(Some(KEEPALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEPALIVE_TIMEOUT))
+        .max_concurrent_streams(Some(MAX_STREAMS_PER_CONNECTION))
         .add_service(served);
     let (to, links) = mpsc::channel(1);
     tokio::spawn(accept(listener, to));
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -6,9 +6,9 @@
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
-use ironstair_fleet_agent::message::{AgentMessage, CommandResponse, FleetCommand, Hint};
-use ironstair_fleet_agent::proto::Word;
-use ironstair_fleet_agent::server::{bind, serve, Own};
+use ironstair_fleet_agent::message::{AgentMessage, CommandResponse, FleetCommand, LeaderHint};
+use ironstair_fleet_agent::proto::Envelope;
+use ironstair_fleet_agent::server::{bind, serve, Identity};
 use ironstair_fleet_agent::status;
 use ironstair_raft_replica::{Out, Replica, TICK};
 use prost::Message;
@@ -98,8 +98,8 @@
 
 /// What the listener is to hand to its owner, and what it is told in return.
 enum Case {
-    Heartbeat(Heartbeat, Result<HeartbeatResponse<Json>, Hint>),
-    Agree(Vec<u8>),
+    Heartbeat(Heartbeat, Result<HeartbeatResponse<Json>, LeaderHint>),
+    RaftMessage(Vec<u8>),
     Join(u64, u64),
     Command(FleetCommand, CommandResponse),
 }
@@ -108,7 +108,7 @@
     fn method(&self) -> &'static str {
         match self {
             Case::Heartbeat(..) => "Beat",
-            Case::Agree(..) => "Agree",
+            Case::RaftMessage(..) => "Agree",
             Case::Join(..) => "Knock",
             Case::Command(..) => "Ask",
         }
@@ -118,7 +118,7 @@
     fn request_body(&self) -> Vec<u8> {
         match self {
             Case::Heartbeat(heartbeat, _) => serde_json::to_vec(heartbeat).unwrap(),
-            Case::Agree(bytes) => bytes.clone(),
+            Case::RaftMessage(bytes) => bytes.clone(),
             Case::Join(number, _) => number.to_string().into_bytes(),
             Case::Command(asked, _) => serde_json::to_vec(asked).unwrap(),
         }
@@ -132,10 +132,10 @@
                 assert_eq!(heartbeat, want);
                 to.send(answer).unwrap();
             }
-            (Case::Agree(want), AgentMessage::Agree(from, bytes)) => {
+            (Case::RaftMessage(want), AgentMessage::RaftMessage(from, bytes)) => {
                 assert_eq!((from.as_str(), bytes), ("g1", want));
             }
-            (Case::Join(want, history), AgentMessage::Join(name, number, to)) => {
+            (Case::Join(want, history), AgentMessage::JoinRequest(name, number, to)) => {
                 assert_eq!((name.as_str(), number), ("g1", want));
                 to.send(history).unwrap();
             }
@@ -150,7 +150,7 @@
 
 /// Every message, with every variant of what it holds.
 fn cases() -> Vec<(&'static str, Case)> {
-    let hint = |leader: Option<&str>| Hint {
+    let hint = |leader: Option<&str>| LeaderHint {
         leader: leader.map(String::from),
     };
     let ask = FleetCommand::Command;
@@ -170,7 +170,10 @@
             "heartbeat where no chair is known",
             Case::Heartbeat(heartbeat(), Err(hint(None))),
         ),
-        ("agreement bytes", Case::Agree(vec![0, 1, 127, 128, 255])),
+        (
+            "agreement bytes",
+            Case::RaftMessage(vec![0, 1, 127, 128, 255]),
+        ),
         ("join", Case::Join(22, 1 << 48 | 7)),
         ("question for the history alone", Case::Join(0, 0)),
         (
@@ -202,7 +205,7 @@
                     id: None,
                     who: who(),
                 }),
-                CommandResponse::Elsewhere(hint(Some("g3"))),
+                CommandResponse::NotLeader(hint(Some("g3"))),
             ),
         ),
         (
@@ -216,12 +219,16 @@
 }
 
 /// A call by its path, with the message's bytes on both sides.
-async fn call(at: std::net::SocketAddr, method: &str, word: Word) -> Result<Word, tonic::Status> {
+async fn call(
+    at: std::net::SocketAddr,
+    method: &str,
+    word: Envelope,
+) -> Result<Envelope, tonic::Status> {
     let endpoint = tonic::transport::Endpoint::from_shared(format!("http://{at}")).unwrap();
     let mut client = tonic::client::Grpc::new(endpoint.connect().await.unwrap());
     client.ready().await.unwrap();
     let path = format!("/ironstair.fleet.Fleet/{method}").parse().unwrap();
-    let codec = tonic_prost::ProstCodec::<Word, Word>::default();
+    let codec = tonic_prost::ProstCodec::<Envelope, Envelope>::default();
     client
         .unary(tonic::Request::new(word), path, codec)
         .await
@@ -229,8 +236,8 @@
 }
 
 /// Five lines a message: its name and method, the request's bytes and the answer's, each with its body as text.
-fn shown_words(name: &str, method: &str, words: [&Word; 2]) -> String {
-    let one = |word: &Word| {
+fn shown_words(name: &str, method: &str, words: [&Envelope; 2]) -> String {
+    let one = |word: &Envelope| {
         let body = String::from_utf8(word.body.clone()).unwrap_or_else(|_| "not a text".into());
         format!("{}\n{body}\n", hex(&word.encode_to_vec()))
     };
@@ -240,7 +247,7 @@
 async fn listener(mail: mpsc::Sender<AgentMessage>) -> std::net::SocketAddr {
     let bound = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = bound.local_addr().unwrap();
-    let own = Own {
+    let own = Identity {
         fleet: "north".into(),
         name: "g2".into(),
         start: 12,
@@ -260,9 +267,9 @@
 #[test]
 fn every_message_is_read_and_answered_as_in_its_sample() {
     let words = block_on(async {
-        let (mail, mut inbox) = mpsc::channel(1);
+        let (mail, mut mailbox) = mpsc::channel(1);
         let at = listener(mail).await;
-        let asker = Own {
+        let asker = Identity {
             fleet: "north".into(),
             name: "g1".into(),
             start: 11,
@@ -272,13 +279,14 @@
         let mut lines = recorded.lines();
         for (name, case) in cases() {
             let method = case.method();
-            let request = asker.word(case.request_body());
+            let request = asker.envelope(case.request_body());
             // The sample's bytes are what is sent, not those of today.
             let (head, line) = (lines.next(), lines.next().unwrap_or_default());
-            let sent = Word::decode(&bytes(line)[..]).unwrap_or_else(|e| panic!("{head:?}: {e}"));
+            let sent =
+                Envelope::decode(&bytes(line)[..]).unwrap_or_else(|e| panic!("{head:?}: {e}"));
             assert_eq!(sent, request, "{name}");
             let (answer, ()) = tokio::join!(call(at, method, sent.clone()), async {
-                case.take(inbox.recv().await.unwrap());
+                case.take(mailbox.recv().await.unwrap());
             });
             all += &shown_words(name, method, [&sent, &answer.unwrap()]);
             lines.by_ref().take(3).for_each(drop);
@@ -303,14 +311,14 @@
     for message in lines.chunks(5) {
         let (at, method) = (message[0], message[0].rsplit(' ').next().unwrap());
         let [request, answer] = [1, 3].map(|line| {
-            let word = Word::decode(&bytes(message[line])[..]).unwrap();
+            let word = Envelope::decode(&bytes(message[line])[..]).unwrap();
             assert_eq!(hex(&word.encode_to_vec()), message[line], "{at}");
             word.body
         });
         let (request_again, answer_again) = match method {
             "Beat" => (
                 again::<Heartbeat>(&request),
-                again::<Result<HeartbeatResponse<Json>, Hint>>(&answer),
+                again::<Result<HeartbeatResponse<Json>, LeaderHint>>(&answer),
             ),
             "Agree" => (request.clone(), Vec::new()),
             "Knock" => (again::<u64>(&request), again::<u64>(&answer)),
@@ -329,22 +337,22 @@
     let refused = block_on(async {
         let (mail, _inbox) = mpsc::channel(1);
         let at = listener(mail).await;
-        let word = Own {
+        let word = Identity {
             fleet: "north".into(),
             name: "g1".into(),
             start: 11,
         }
-        .word(b"0".to_vec());
-        let own_name = Word {
+        .envelope(b"0".to_vec());
+        let own_name = Envelope {
             from: "g2".into(),
             ..word.clone()
         };
         let words = [
-            Word {
-                form: 2,
+            Envelope {
+                format_version: 2,
                 ..word.clone()
             },
-            Word {
+            Envelope {
                 fleet: "south".into(),
                 ..word.clone()
             },
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -38,7 +38,7 @@
     bound: TcpListener,
     streams: usize,
     keys: Option<Arc<Keys>>,
-    fleet: Option<ironstair_fleet_agent::Opened>,
+    fleet: Option<ironstair_fleet_agent::PreparedAgent>,
     pub window: Arc<Window>,
 }
 
@@ -70,7 +70,7 @@
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (server::bind(m.listen)?, m.streams);
     let fleet = fleet_config
-        .map(ironstair_fleet_agent::Opened::open)
+        .map(ironstair_fleet_agent::PreparedAgent::open)
         .transpose()?;
     Ok(Opened {
         started,
@@ -175,9 +175,9 @@
             runtime.block_on(async {
                 tokio::spawn(manager.run());
                 if let Some(opened) = self.fleet {
-                    let ends = actor::Ends {
-                        wanted: wants,
-                        shown,
+                    let ends = actor::AgentChannels {
+                        manager_requests: wants,
+                        status: shown,
                     };
                     let (actor, leave) =
                         Actor::start(opened, ends, management, requests, clock, log.clone())?;
