--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -1,24 +1,30 @@
-//! The owner of a gateway's part in its fleet: one mailbox, one task. What it waits for (a disk, a peer, the
-//! gateway's thread) is waited for by tasks of its own, which post how it ended.
+//! The owner of a gateway's part in its fleet: one task with one mailbox. What it waits for (a disk, a peer, the
+//! gateway's thread) is waited for by tasks of its own, each of which ends with a message to the mailbox.
 
 mod bootstrap;
 mod commands;
+mod disaster_recovery;
 mod heartbeats;
 mod membership;
+mod pending_commands;
+mod policy;
 mod reporting;
 mod storage_tasks;
 
 use crate::config::FleetConfig;
+use crate::envelope::Identity;
+use crate::error::StartError;
 use crate::fault_injection::taken_out;
-use crate::message::{AgentMessage, CommandResponse, LeaderHint, Leave};
+use crate::handle::AgentHandle;
+use crate::leader_search::NoLeader;
+use crate::message::{AgentMessage, CommandResponse, HeartbeatReply};
 use crate::peer::VoterConnection;
-use crate::prepared::{random_number, PreparedAgent};
-use crate::server::{self, Identity};
+use crate::prepared::{exclusive_address, random_number, PreparedAgent};
+use crate::server;
 use ironstair::Ms;
-use ironstair_coordination::history::supersedes;
 use ironstair_coordination::leader::Command;
-use ironstair_coordination::member::Input;
-use ironstair_coordination::{HeartbeatResponse, Member, RevisionSummary};
+use ironstair_coordination::member::{Action, Input};
+use ironstair_coordination::{Member, RevisionSummary};
 use ironstair_data_tree::state;
 use ironstair_management::fleet_channel::Wanted;
 use ironstair_management::ManagementHandle;
@@ -27,42 +33,52 @@
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::window::ManagementCommand;
 use serde_json::Value as Json;
-use slog::{warn, Logger};
+use slog::{error, warn, Logger};
 use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-/// What may wait for the actor.
+/// Messages that may wait for the actor.
 const MAILBOX_CAPACITY: usize = 1024;
 
+/// Who sent a heartbeat that this voter's replica is to answer.
 enum HeartbeatSource {
     Local,
-    Remote(oneshot::Sender<Result<HeartbeatResponse<Json>, LeaderHint>>),
+    Remote(oneshot::Sender<HeartbeatReply>),
 }
 
-/// A voter's log and its disk, which is elsewhere while it writes.
+/// A voter's replica of the log, and its disk.
 struct Voter {
     replica: Replica<Json>,
+    /// None while a task writes to it.
     storage: Option<Storage>,
-    /// Why the disk is to be left, once it is not being written.
+    /// Why the log is to be quarantined, once its disk is not being written.
     quarantine_reason: Option<&'static str>,
+    /// When the next join request is due, in ms.
     join_request_due: Ms,
+    /// When the other voters are asked next which cluster generation they know, in ms.
     generation_check_due: Ms,
+    /// Whether it was logged that the disk takes no write.
     failure_logged: bool,
 }
 
+/// A command whose outcome is awaited here.
 struct PendingCommand {
     command: Command<Json>,
+    /// When its sender is told that it goes on, in ms.
     deadline: Ms,
     response: oneshot::Sender<CommandResponse>,
 }
 
+/// A gateway's part in its fleet. Started by [`Actor::start`], it owns all that it holds until the process ends.
 pub struct Actor {
     config: FleetConfig,
     identity: Identity,
     clock: Clock,
     log: Logger,
     member: Member,
+    /// Where this gateway is a voter.
     voter: Option<Voter>,
     management: ManagementHandle,
     gateway_commands: async_channel::Sender<ManagementCommand>,
@@ -70,79 +86,72 @@
     /// The voter that last answered a heartbeat.
     last_responder: Option<String>,
     mailbox: mpsc::Receiver<AgentMessage>,
-    sender: mpsc::Sender<AgentMessage>,
+    /// To this actor itself, for its tasks.
+    handle: AgentHandle,
     manager_requests: mpsc::Receiver<Wanted>,
     status: watch::Sender<state::Fleet>,
+    /// Heartbeats that the replica is to answer, by their token.
     pending_heartbeats: HashMap<u64, HeartbeatSource>,
     last_token: u64,
+    /// Heartbeats of this gateway under way to other voters.
     heartbeats_in_flight: usize,
     pending_commands: Vec<PendingCommand>,
     leave_response: Option<oneshot::Sender<()>>,
-    /// Why no leader answered, as last said.
-    last_search_error: String,
-    /// Whether it was said that a lease is held.
+    /// Why no leader answered, as last logged.
+    last_search_error: Option<NoLeader>,
+    /// Whether a lease is held, as last logged.
     lease_logged: bool,
-    /// Whether it was said that this voter has a vote.
+    /// Whether this voter has a vote, as last logged.
     vote_logged: bool,
-    /// The revisions as last told to the log.
+    /// The revisions, as last logged.
     logged_revisions: VecDeque<RevisionSummary>,
-    /// The latest history that anybody told of: a member may know more than what is left of the voters.
+    /// The latest cluster generation that any gateway reported: a member may know more than what is left of the
+    /// voters.
     latest_generation: u64,
 }
 
-/// The ends of an actor that others hold.
+/// The channels between the actor and the rest of its process.
 pub struct AgentChannels {
+    /// What the manager wants of the fleet.
     pub manager_requests: mpsc::Receiver<Wanted>,
+    /// Takes what the manager shows of the fleet.
     pub status: watch::Sender<state::Fleet>,
+    /// The manager, which validates and applies policies.
+    pub management: ManagementHandle,
+    /// To the gateway's thread, which is told its lease.
+    pub gateway_commands: async_channel::Sender<ManagementCommand>,
 }
 
 impl Actor {
-    /// Must be called on the runtime that serves it; the listener's task is started here.
+    /// Starts the listener's task and the connections to the voters; the actor itself runs with [`Actor::run`]. Must be
+    /// called on the runtime that serves it.
     ///
     /// # Errors
     /// The disk holds no voter's log, or an address can't be one.
     pub fn start(
-        opened: PreparedAgent,
+        prepared: PreparedAgent,
         channels: AgentChannels,
-        management: ManagementHandle,
-        gateway_commands: async_channel::Sender<ManagementCommand>,
         clock: Clock,
         log: Logger,
-    ) -> Result<(Actor, Leave), String> {
-        let PreparedAgent {
-            config,
-            bound,
-            storage,
-            note,
-        } = opened;
+    ) -> Result<(Actor, AgentHandle), StartError> {
+        let config = prepared.config;
         let identity = Identity {
             fleet: config.fleet.clone(),
             name: config.name.clone(),
             start: random_number(),
         };
-        let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
-        if let Some(note) = note {
-            warn!(log, "the fleet's log here is not what it was"; "why" => note);
+        if let Some(note) = prepared.storage_note {
+            warn!(log, "fleet log damaged at start, mended or quarantined"; "reason" => note);
         }
-        let others = config
-            .voters
-            .iter()
-            .filter(|(name, _)| **name != config.name);
-        let connections = others.map(|(name, at)| Ok((name.clone(), VoterConnection::to(*at)?)));
-        let connections = connections.collect::<Result<BTreeMap<_, _>, String>>()?;
-        let member = Member::new(&config.name, identity.start, config.steady, config.lease);
-        let member = member.holding(if taken_out("place") {
-            String::new()
-        } else {
-            server::place(config.listen)
-        });
-        let serving = server::serve(bound, identity.clone(), sender.clone(), log.clone());
-        let said = log.clone();
-        tokio::spawn(async move {
-            if let Err(why) = serving.await {
-                warn!(said, "the fleet's listener has ended"; "why" => why);
-            }
-        });
+        let connections = connect_to_other_voters(&config)?;
+        let member = new_member(&config, &identity);
+        let (handle, mailbox) = AgentHandle::channel(MAILBOX_CAPACITY);
+        spawn_listener(
+            prepared.listener,
+            identity.clone(),
+            handle.clone(),
+            log.clone(),
+        );
         let mut actor = Actor {
             config,
             identity,
@@ -150,12 +159,12 @@
             log,
             member,
             voter: None,
-            management,
-            gateway_commands,
+            management: channels.management,
+            gateway_commands: channels.gateway_commands,
             connections,
             last_responder: None,
             mailbox,
-            sender: sender.clone(),
+            handle: handle.clone(),
             manager_requests: channels.manager_requests,
             status: channels.status,
             pending_heartbeats: HashMap::new(),
@@ -163,119 +172,137 @@
             heartbeats_in_flight: 0,
             pending_commands: Vec::new(),
             leave_response: None,
-            last_search_error: String::new(),
+            last_search_error: None,
             lease_logged: false,
             vote_logged: false,
             logged_revisions: VecDeque::new(),
             latest_generation: 0,
         };
-        if let Some(storage) = storage {
-            actor.open_voter(storage)?;
+        if let Some(storage) = prepared.storage {
+            actor.open_voter(storage).map_err(StartError::Replica)?;
         }
-        Ok((actor, sender))
+        Ok((actor, handle))
     }
 
-    /// Until the process ends.
+    /// Runs until the process ends.
     pub async fn run(mut self) {
         let mut ticks = interval(span(TICK));
         // After a standstill the library's time goes on from now: it counts ticks, not what the clock says.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.advance();
-            let due = span(self.member.due() - self.clock.now());
+            let until_heartbeat = span(self.member.due() - self.clock.now());
             tokio::select! {
-                mail = self.mailbox.recv() => match mail {
-                    Some(mail) => self.handle(mail),
+                message = self.mailbox.recv() => match message {
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                Some(wanted) = self.manager_requests.recv() => self.handle_manager_request(wanted),
+                Some(request) = self.manager_requests.recv() => self.handle_manager_request(request),
                 _ = ticks.tick(), if self.voter.is_some() => self.tick(),
-                () = sleep(due) => {}
+                () = sleep(until_heartbeat) => {}
             }
         }
     }
 
-    fn handle(&mut self, mail: AgentMessage) {
-        let now = self.clock.now();
-        match mail {
-            AgentMessage::Heartbeat(heartbeat, to) => match &mut self.voter {
-                Some(_) => {
-                    self.note_generation(heartbeat.history);
-                    self.submit_heartbeat(heartbeat, HeartbeatSource::Remote(to));
-                }
-                None => drop(to.send(Err(LeaderHint::default()))),
-            },
-            AgentMessage::RaftMessage(from, bytes) => {
-                let outs = self
-                    .voter
-                    .as_mut()
-                    .map(|k| k.replica.message(now, &from, &bytes));
-                self.execute(outs.unwrap_or_default());
-            }
-            AgentMessage::JoinRequest(name, number, to) => {
-                let Some(k) = &mut self.voter else {
-                    let _ = to.send(self.member.held().0);
-                    return;
-                };
-                if number != 0 && self.config.voters.contains_key(&name) {
-                    k.replica.knocked(name, number);
-                }
-                // A blank one may remember what its disk knows no more.
-                let of_disk = k.replica.state().fleet.history;
-                let _ = to.send(if of_disk == 0 {
-                    self.member.held().0
-                } else {
-                    of_disk
-                });
-            }
-            AgentMessage::Command(asked, to) => self.handle_command(asked, to),
-            AgentMessage::HeartbeatAnswered(answer) => {
-                self.heartbeats_in_flight -= 1;
-                let lost = answer.is_err();
-                match answer {
-                    Ok((by, answer)) => {
-                        (self.last_responder, self.last_search_error) = (Some(by), String::new());
-                        self.apply_heartbeat_response(answer);
-                    }
-                    // Once, not with each heartbeat.
-                    Err(why) if !self.member.holds(now) && why != self.last_search_error => {
-                        warn!(self.log, "no keeper answers as the fleet's chair"; "why" => &why);
-                        self.last_search_error = why;
-                    }
-                    Err(_) => {}
-                }
-                if lost {
-                    self.last_responder = None;
-                }
-            }
-            AgentMessage::PolicyApplied(mark, how) => {
-                self.drive_member(match how {
-                    Ok(()) => Input::Applied { mark },
-                    Err(why) => Input::Unable { mark, why },
-                });
+    fn handle_message(&mut self, message: AgentMessage) {
+        match message {
+            AgentMessage::Heartbeat {
+                heartbeat,
+                response,
+            } => self.handle_heartbeat(heartbeat, response),
+            AgentMessage::RaftMessage { from, bytes } => self.handle_raft_message(&from, &bytes),
+            AgentMessage::JoinRequest(request) => self.handle_join_request(request),
+            AgentMessage::Command { command, response } => self.handle_command(command, response),
+            AgentMessage::HeartbeatAnswered(result) => self.handle_heartbeat_answer(result),
+            AgentMessage::PolicyApplied {
+                applied_index,
+                result,
+            } => self.handle_policy_applied(applied_index, result),
+            AgentMessage::PolicyValidated { revision, result } => {
+                self.handle_policy_validated(revision, result);
             }
-            AgentMessage::PolicyValidated(number, how) => {
-                self.drive_member(Input::Examined { number, how })
+            AgentMessage::SaveFinished(outcome) => self.finish_save(*outcome),
+            AgentMessage::BootstrapChecked { request, result } => {
+                self.finish_bootstrap(request, result);
             }
-            AgentMessage::SaveFinished(saved) => self.finish_save(*saved),
-            AgentMessage::BootstrapChecked(how, document, answer) => {
-                self.finish_bootstrap(how, document, answer)
+            AgentMessage::RecoveryChecked { request, result } => {
+                self.finish_disaster_recovery(request, result);
             }
-            AgentMessage::RecoveryChecked(how, anew) => self.finish_disaster_recovery(how, anew),
-            AgentMessage::GenerationHeard(history) => {
-                self.note_generation(history);
-                let own = self
-                    .voter
-                    .as_ref()
-                    .map_or(0, |k| k.replica.state().fleet.history);
-                if own != 0 && supersedes(history, own) && !taken_out("compare") {
-                    self.quarantine_log("the fleet's history began anew without this keeper");
+            AgentMessage::GenerationHeard(generation) => self.handle_generation(generation),
+            AgentMessage::Leave(response) => self.handle_leave(response),
+        }
+    }
+
+    /// What is due, and what others are to see of it.
+    fn advance(&mut self) {
+        if self.clock.now() >= self.member.due() {
+            self.drive_member(Input::Due);
+        }
+        self.answer_pending_commands();
+        self.log_revision_changes();
+        self.log_vote();
+        self.log_lease();
+        self.publish_status();
+    }
+
+    /// Hands one input to the member, and carries out what it wants.
+    fn drive_member(&mut self, input: Input<Json>) {
+        for action in self.member.on(self.clock.now(), input) {
+            match action {
+                Action::Heartbeat(heartbeat) => self.send_heartbeat(heartbeat),
+                Action::Apply {
+                    mark,
+                    number,
+                    document,
+                } => self.apply_policy(mark, number, document),
+                Action::Examine { number, document } => self.validate_policy(number, document),
+                Action::Hold(until, share) => self.extend_lease(until, share),
+                Action::Say(reason) => {
+                    warn!(self.log, "fleet membership problem"; "reason" => reason);
                 }
             }
-            AgentMessage::Leave(done) => {
-                self.leave_response = Some(done);
-                self.drive_member(Input::Leave);
-            }
         }
     }
+
+    fn handle_leave(&mut self, response: oneshot::Sender<()>) {
+        self.leave_response = Some(response);
+        self.drive_member(Input::Leave);
+    }
+}
+
+fn connect_to_other_voters(
+    config: &FleetConfig,
+) -> Result<BTreeMap<String, VoterConnection>, StartError> {
+    let mut connections = BTreeMap::new();
+    for (name, address) in &config.voters {
+        if *name == config.name {
+            continue;
+        }
+        let connection =
+            VoterConnection::new(*address).map_err(|source| StartError::VoterAddress {
+                voter: name.clone(),
+                source,
+            })?;
+        connections.insert(name.clone(), connection);
+    }
+    Ok(connections)
+}
+
+fn new_member(config: &FleetConfig, identity: &Identity) -> Member {
+    let proof_of_end = if taken_out("place") {
+        String::new()
+    } else {
+        exclusive_address(config.listen)
+    };
+    Member::new(&config.name, identity.start, config.steady, config.lease).holding(proof_of_end)
+}
+
+/// The listener's task, which ends with the process or when the listener fails.
+fn spawn_listener(listener: TcpListener, identity: Identity, handle: AgentHandle, log: Logger) {
+    let serving = server::serve(listener, identity, handle, log.clone());
+    tokio::spawn(async move {
+        if let Err(error) = serving.await {
+            error!(log, "fleet listener ended"; "error" => %error);
+        }
+    });
 }
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -1,8 +1,11 @@
-//! What operators ask: handed to the leader, decided here where this voter is it.
+//! Operators' commands: from this gateway's manager they go to the leader, and at the leader into the log.
 
 use super::{Actor, PendingCommand};
+use crate::error::refuse;
 use crate::fault_injection::taken_out;
-use crate::message::{AgentMessage, CommandResponse, FleetCommand, LeaderHint};
+use crate::message::{
+    BootstrapRequest, CommandResponse, FleetCommand, LeaderHint, RecoveryRequest,
+};
 use crate::outcome::{outcome, Outcome};
 use crate::prepared::random_number;
 use crate::status;
@@ -14,19 +17,19 @@
 use serde_json::Value as Json;
 use tokio::sync::oneshot;
 
-/// Asks that may wait for their outcome here.
+/// Commands that may wait for their outcome here.
 const MAX_PENDING_COMMANDS: usize = 64;
-/// How long an operator waits for what becomes of a change, in leases and at least.
+/// How long an operator waits for what becomes of a change, in leases.
 const OUTCOME_TIMEOUT_LEASES: f64 = 5.0;
+/// And at least, in ms.
 const MIN_OUTCOME_TIMEOUT: Ms = 15_000.0;
+/// How long a call may take that waits for no outcome, and how much longer than the outcome one that does, in ms.
+pub(super) const CALL_TIMEOUT: Ms = MIN_OUTCOME_TIMEOUT / 3.0;
 
 impl Actor {
-    pub(super) fn handle_manager_request(&mut self, wanted: Wanted) {
-        let now = self.clock.now();
-        let fail = |answer: Responder, why: &str| {
-            drop(answer.send(Err(Refused::Fleet(why.into()))));
-        };
-        match wanted {
+    /// What this gateway's manager wants of the fleet.
+    pub(super) fn handle_manager_request(&mut self, request: Wanted) {
+        match request {
             Wanted::Change {
                 who,
                 what,
@@ -35,210 +38,136 @@
                 commit,
                 answer,
             } => {
-                let commit = commit.filter(|_| !taken_out("trial"));
-                let when = now;
                 let proposal = ChangeProposal {
                     token: random_number(),
                     who,
-                    when,
+                    when: self.clock.now(),
                     what,
                     base_revision,
                     document,
-                    commit,
+                    commit: commit.filter(|_| !taken_out("trial")),
                 };
-                self.forward_command(Command::Change(proposal), answer);
+                self.relay_command(Command::Change(proposal), answer);
             }
-            Wanted::Confirm { id, answer } => self.forward_command(Command::Confirm { id }, answer),
+            Wanted::Confirm { id, answer } => self.relay_command(Command::Confirm { id }, answer),
             Wanted::Cancel { id, who, answer } => {
-                self.forward_command(Command::Cancel { id: Some(id), who }, answer)
-            }
-            Wanted::Show(answer) => {
-                let (search, own) = (self.leader_search(), self.sender.clone());
-                tokio::spawn(async move {
-                    let _ = answer.send(
-                        match search
-                            .send_command(own, FleetCommand::Show, MIN_OUTCOME_TIMEOUT / 3.0)
-                            .await
-                        {
-                            CommandResponse::Shown(json) => Ok(json),
-                            CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
-                            _ => Err(Refused::Fleet("no chair".into())),
-                        },
-                    );
-                });
+                self.relay_command(Command::Cancel { id: Some(id), who }, answer);
             }
+            Wanted::Show(answer) => self.relay_status_request(answer),
             Wanted::Anew {
                 document,
                 who,
                 answer,
-            } => self.start_disaster_recovery(document, who, answer),
-            Wanted::Begin { document, answer } => {
-                let first = self.config.voters.keys().next();
-                let Some(k) = &self.voter else {
-                    return fail(answer, "only a keeper begins a history");
-                };
-                if first != Some(&self.config.name) {
-                    // In one place alone, so that no two can begin.
-                    let why = format!(
-                        "a history is begun at the keeper {}",
-                        first.map_or("", |f| f)
-                    );
-                    return fail(answer, &why);
-                }
-                if !k.replica.is_blank() || k.storage.is_none() {
-                    return fail(answer, "the fleet has a history");
-                }
-                let (connections, own, sender) = (
-                    self.connections.clone(),
-                    self.identity.clone(),
-                    self.sender.clone(),
-                );
-                tokio::spawn(async move {
-                    let mut how = Ok(());
-                    for (name, way) in connections {
-                        let known = way
-                            .request_join(own.envelope(b"0".to_vec()), MIN_OUTCOME_TIMEOUT / 3.0)
-                            .await;
-                        how = how.and(match known.as_ref().map(|w| serde_json::from_slice::<u64>(&w.body)) {
-                            Ok(Ok(0)) => Ok(()),
-                            Ok(Ok(_)) => Err(format!(
-                                "{name} knows of a history: this keeper's disk is lost, not the fleet's"
-                            )),
-                            Ok(Err(e)) => Err(format!("{name}: {e}")),
-                            Err(e) => Err(format!("{name} must answer, and does not: {}", e.message())),
-                        });
-                    }
-                    let _ = sender
-                        .send(AgentMessage::BootstrapChecked(how, document, answer))
-                        .await;
-                });
-            }
+            } => self.start_disaster_recovery(RecoveryRequest {
+                document,
+                author: who,
+                responder: answer,
+            }),
+            Wanted::Begin { document, answer } => self.start_bootstrap(BootstrapRequest {
+                document,
+                responder: answer,
+            }),
         }
     }
 
-    /// Finds the leader for what an operator asks, and hands on the outcome.
-    pub(super) fn forward_command(&mut self, ask: Command<Json>, answer: Responder) {
-        let (search, own) = (self.leader_search(), self.sender.clone());
-        let within = self.outcome_timeout() + MIN_OUTCOME_TIMEOUT / 3.0;
+    /// Finds the leader for a command, and hands on the outcome.
+    fn relay_command(&self, command: Command<Json>, responder: Responder) {
+        let search = self.leader_search();
+        let handle = self.handle.clone();
+        let within = self.outcome_timeout() + CALL_TIMEOUT;
+        tokio::spawn(async move {
+            let command = FleetCommand::Command(command);
+            match search.command(handle, command, within).await {
+                CommandResponse::Done(number) => drop(responder.send(Ok(number))),
+                CommandResponse::Refused(why) => refuse(responder, why),
+                _ => refuse(responder, "no leader"),
+            }
+        });
+    }
+
+    /// Finds the leader for the fleet's status.
+    fn relay_status_request(&self, responder: oneshot::Sender<Result<Json, Refused>>) {
+        let search = self.leader_search();
+        let handle = self.handle.clone();
         tokio::spawn(async move {
-            let apply_heartbeat_response = search
-                .send_command(own, FleetCommand::Command(ask), within)
+            let response = search
+                .command(handle, FleetCommand::Show, CALL_TIMEOUT)
                 .await;
-            let _ = answer.send(match apply_heartbeat_response {
-                CommandResponse::Done(number) => Ok(number),
+            let _ = responder.send(match response {
+                CommandResponse::Shown(status) => Ok(status),
                 CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
-                _ => Err(Refused::Fleet("no chair".into())),
+                _ => Err(Refused::Fleet("no leader".into())),
             });
         });
     }
 
-    pub(super) fn outcome_timeout(&self) -> Ms {
+    /// How long the outcome of a command is awaited, in ms.
+    fn outcome_timeout(&self) -> Ms {
         (OUTCOME_TIMEOUT_LEASES * self.config.lease).max(MIN_OUTCOME_TIMEOUT)
     }
 
-    /// At this voter: an ask is handed to the leader, and answered once it is known what became of it.
+    /// A command at this voter: where it is the leader, the command is handed to the log, and answered once it is
+    /// known what became of it.
     pub(super) fn handle_command(
         &mut self,
-        asked: FleetCommand,
-        to: oneshot::Sender<CommandResponse>,
+        command: FleetCommand,
+        response: oneshot::Sender<CommandResponse>,
     ) {
         let now = self.clock.now();
-        let elsewhere = CommandResponse::NotLeader(LeaderHint {
-            leader: self.leader(),
+        let leading = self.voter.as_ref().and_then(|voter| {
+            let leader = voter.replica.leader()?;
+            Some((voter, leader))
         });
-        let Some(k) = &mut self.voter else {
-            return drop(to.send(elsewhere));
-        };
-        let Some(leader) = k.replica.leader() else {
-            return drop(to.send(elsewhere));
+        let Some((voter, leader)) = leading else {
+            let _ = response.send(self.not_leader());
+            return;
         };
-        let ask = match asked {
-            FleetCommand::Command(ask) => ask,
+        let command = match command {
+            FleetCommand::Command(command) => command,
             FleetCommand::Show => {
-                let shown = status::fleet(now, &self.config.name, &k.replica, leader);
-                return drop(to.send(CommandResponse::Shown(shown)));
+                let shown = status::fleet_json(now, &self.config.name, &voter.replica, leader);
+                let _ = response.send(CommandResponse::Shown(shown));
+                return;
             }
         };
-        if self.pending_commands.len() >= MAX_PENDING_COMMANDS {
-            return drop(to.send(CommandResponse::Refused(Refusal::Busy.to_string())));
-        }
-        let ask = match ask {
-            Command::Change(proposal) if taken_out("upon") => Command::Change(ChangeProposal {
-                base_revision: k.replica.state().fleet.mark,
-                ..proposal
+        match self.submit_command(command) {
+            Ok(command) => self.pending_commands.push(PendingCommand {
+                command,
+                deadline: now + self.outcome_timeout(),
+                response,
             }),
-            ask => ask,
-        };
-        // One that comes again by another way stands in the log already.
-        if matches!(outcome(&k.replica.state().fleet, &ask), Outcome::Unknown) {
-            match k.replica.ask(now, ask.clone()) {
-                Ok(outs) => self.execute(outs),
-                Err(why) => return drop(to.send(CommandResponse::Refused(why.to_string()))),
+            Err(refusal) => {
+                let _ = response.send(CommandResponse::Refused(refusal.to_string()));
             }
         }
-        let until = now + self.outcome_timeout();
-        self.pending_commands.push(PendingCommand {
-            command: ask,
-            deadline: until,
-            response: to,
-        });
     }
 
-    pub(super) fn answer_pending_commands(&mut self) {
-        if self.pending_commands.is_empty() {
-            return;
+    /// Hands a command to the replica, where the log does not have it yet.
+    fn submit_command(&mut self, mut command: Command<Json>) -> Result<Command<Json>, Refusal> {
+        if self.pending_commands.len() >= MAX_PENDING_COMMANDS {
+            return Err(Refusal::Busy);
         }
-        let now = self.clock.now();
-        let leader = self.leader();
-        let mut again = Vec::new();
-        for p in std::mem::take(&mut self.pending_commands) {
-            let found = self
-                .voter
-                .as_ref()
-                .and_then(|k| Some((k, k.replica.leader()?)));
-            let Some((k, sits)) = found else {
-                let _ = p.response.send(CommandResponse::NotLeader(LeaderHint {
-                    leader: leader.clone(),
-                }));
-                continue;
-            };
-            let fleet = &k.replica.state().fleet;
-            let apply_heartbeat_response = match outcome(fleet, &p.command) {
-                // Who hears that it is done finds it done wherever he looks next.
-                Outcome::Final(CommandResponse::Done(_))
-                    if now < p.deadline && !sits.all_hold(now, fleet) =>
-                {
-                    None
-                }
-                Outcome::Final(apply_heartbeat_response) => Some(apply_heartbeat_response),
-                Outcome::Unknown if !sits.waits(&p.command) => {
-                    again.push(p);
-                    continue;
-                }
-                _ if now >= p.deadline => {
-                    let names = status::waits_for(now, fleet, sits).join(", ");
-                    let why = format!(
-                        "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
-                    );
-                    Some(CommandResponse::Refused(why))
-                }
-                _ => None,
-            };
-            match apply_heartbeat_response {
-                Some(apply_heartbeat_response) => drop(p.response.send(apply_heartbeat_response)),
-                None => self.pending_commands.push(p),
+        let Some(voter) = &mut self.voter else {
+            return Err(Refusal::NotBegun);
+        };
+        let fleet = &voter.replica.state().fleet;
+        if let Command::Change(proposal) = &mut command {
+            if taken_out("upon") {
+                proposal.base_revision = fleet.mark;
             }
         }
-        // Passed over when its turn came, since something else had come before it.
-        for p in again {
-            let Some(k) = &mut self.voter else { return };
-            match k.replica.ask(now, p.command.clone()) {
-                Ok(outs) => {
-                    self.execute(outs);
-                    self.pending_commands.push(p);
-                }
-                Err(why) => drop(p.response.send(CommandResponse::Refused(why.to_string()))),
-            }
+        // One that comes again from another gateway is in the log already.
+        if matches!(outcome(fleet, &command), Outcome::Unknown) {
+            let outputs = voter.replica.ask(self.clock.now(), command.clone())?;
+            self.execute(outputs);
         }
+        Ok(command)
+    }
+
+    /// The response of a voter that is not the leader.
+    pub(super) fn not_leader(&self) -> CommandResponse {
+        CommandResponse::NotLeader(LeaderHint {
+            leader: self.leader_name(),
+        })
     }
 }
--- /dev/null
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -0,0 +1,180 @@
+//! Disaster recovery: after most voters' disks were lost for good, a new cluster generation begins with what is left
+//! here. It never does while a leader answers.
+
+use super::Actor;
+use crate::envelope::Identity;
+use crate::error::{refuse, BootstrapError, StorageError};
+use crate::handle::AgentHandle;
+use crate::leader_search::LeaderSearch;
+use crate::message::{AgentMessage, CommandResponse, FleetCommand, RecoveryRequest};
+use crate::peer::VoterConnection;
+use crate::prepared::random_number;
+use ironstair::Ms;
+use ironstair_coordination::history::anew;
+use ironstair_coordination::{grace, RevisionState, RevisionSummary};
+use ironstair_raft_replica::Replica;
+use ironstair_runtime::clock::span;
+use serde_json::Value as Json;
+use slog::warn;
+use std::collections::BTreeMap;
+use tokio::time::sleep;
+
+/// A search for a leader, and how long is waited after it, in ms.
+struct LeaderCheck {
+    search: LeaderSearch,
+    then_wait: Ms,
+}
+
+/// What a new cluster generation begins with.
+struct RecoveryPlan {
+    generation: u64,
+    document: Json,
+    revision: RevisionSummary,
+}
+
+impl Actor {
+    /// Looks for a leader, and asks all other voters which cluster generation they know;
+    /// [`Actor::finish_disaster_recovery`] follows.
+    pub(super) fn start_disaster_recovery(&self, request: RecoveryRequest) {
+        if self.voter.is_none() {
+            return refuse(request.responder, BootstrapError::RecoveryNotVoter);
+        }
+        let lease = self.config.lease;
+        // Twice, and between them the longest lease that a leader which ended just now can have left.
+        let checks = [grace(lease), 0.0].map(|then_wait| LeaderCheck {
+            search: self.leader_search(),
+            then_wait,
+        });
+        let connections = self.connections.clone();
+        let identity = self.identity.clone();
+        let handle = self.handle.clone();
+        tokio::spawn(async move {
+            let result = match find_leader(checks, &handle, lease).await {
+                Some(leader) => Err(BootstrapError::LeaderExists(leader)),
+                None => Ok(known_generations(&connections, &identity, lease).await),
+            };
+            let message = AgentMessage::RecoveryChecked { request, result };
+            let _ = handle.send(message).await;
+        });
+    }
+
+    /// Begins a new cluster generation, where no leader was found.
+    pub(super) fn finish_disaster_recovery(
+        &mut self,
+        request: RecoveryRequest,
+        result: Result<Vec<u64>, BootstrapError>,
+    ) {
+        let RecoveryRequest {
+            document,
+            author,
+            responder,
+        } = request;
+        match result.and_then(|known| self.recover(&known, document, author)) {
+            Ok(()) => drop(responder.send(Ok(0))),
+            Err(error) => refuse(responder, error),
+        }
+    }
+
+    fn recover(
+        &mut self,
+        known: &[u64],
+        document: Json,
+        author: String,
+    ) -> Result<(), BootstrapError> {
+        let plan = self.plan_recovery(known, document, author)?;
+        let summary = plan.revision.what.clone();
+        let author = plan.revision.who.clone();
+        let replica_id = random_number();
+        let image = Replica::begin(
+            &self.config.name,
+            replica_id,
+            plan.generation,
+            plan.document,
+            Some(plan.revision),
+        )
+        .map_err(StorageError::new)?;
+        let mut storage = self
+            .voter
+            .as_mut()
+            .and_then(|voter| voter.storage.take())
+            .ok_or(BootstrapError::DiskBusy)?;
+        let written = storage
+            .quarantined(replica_id)
+            .and_then(|_| storage.begin(image))
+            .map_err(StorageError::new);
+        self.reopen_voter(storage, written)?;
+        let generation = format!("{:016x}", plan.generation);
+        warn!(self.log, "disaster recovery done, new cluster generation begins";
+            "author" => author, "summary" => summary, "generation" => generation);
+        Ok(())
+    }
+
+    /// `known` has one cluster generation for each voter that answered; `document` is for a log that has none left.
+    fn plan_recovery(
+        &self,
+        known: &[u64],
+        document: Json,
+        author: String,
+    ) -> Result<RecoveryPlan, BootstrapError> {
+        let voter = self.voter.as_ref().ok_or(BootstrapError::NoLongerVoter)?;
+        if voter.replica.leader().is_some() {
+            return Err(BootstrapError::LeaderExists("this voter".into()));
+        }
+        let left = &voter.replica.state().fleet;
+        let remembered = self.member.held().0;
+        let mut generations = known.to_vec();
+        generations.extend([left.history, remembered, self.latest_generation]);
+        let generation = anew(generations.iter().copied(), random_number())
+            .map_err(|error| BootstrapError::Generation(error.to_string()))?;
+        let (document, with) = match &left.running {
+            Some((number, running)) => (running.clone(), format!("revision {number}")),
+            None => (document, "what this gateway was told at start".to_string()),
+        };
+        let lost = generations.iter().copied().max().unwrap_or(0);
+        let silent = self.connections.len().saturating_sub(known.len());
+        let revision = RevisionSummary {
+            number: 0,
+            token: 0,
+            who: author,
+            when: self.clock.now(),
+            what: format!(
+                "disaster recovery after generation {lost:016x} with {with}: what was decided after that is lost; {silent} voters did not answer"
+            ),
+            state: RevisionState::Running,
+            commit: None,
+            refused: None,
+        };
+        Ok(RecoveryPlan {
+            generation,
+            document,
+            revision,
+        })
+    }
+}
+
+/// The name of a leader that answers.
+async fn find_leader(checks: [LeaderCheck; 2], handle: &AgentHandle, lease: Ms) -> Option<String> {
+    for LeaderCheck { search, then_wait } in checks {
+        let response = search
+            .command(handle.clone(), FleetCommand::Show, lease)
+            .await;
+        if let CommandResponse::Shown(status) = response {
+            return Some(status["chair"].as_str().unwrap_or("one").to_string());
+        }
+        sleep(span(then_wait)).await;
+    }
+    None
+}
+
+/// The cluster generations that the other voters know, one for each that answers within so many ms.
+async fn known_generations(
+    connections: &BTreeMap<String, VoterConnection>,
+    identity: &Identity,
+    within: Ms,
+) -> Vec<u64> {
+    let mut known = Vec::new();
+    for connection in connections.values() {
+        known.extend(connection.known_generation(identity, within).await.ok());
+    }
+    known
+}
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -1,150 +1,120 @@
-//! Heartbeats of this gateway to the leader, and those of others that this voter answers.
+//! Heartbeats of this gateway to the leader, and those of members that this voter answers.
 
 use super::{Actor, HeartbeatSource};
 use crate::fault_injection::taken_out;
-use crate::leader_search::LeaderSearch;
-use crate::message::AgentMessage;
-use ironstair::Ms;
-use ironstair_coordination::member::{Action, Input};
+use crate::leader_search::{LeaderSearch, NoLeader};
+use crate::message::{AgentMessage, HeartbeatAnswer, HeartbeatReply, LeaderHint};
+use ironstair_coordination::member::Input;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse};
-use ironstair_management::ManagementHandle;
-use ironstair_runtime::window::ManagementCommand;
 use serde_json::Value as Json;
 use slog::warn;
+use tokio::sync::oneshot;
 
-/// Heartbeats of this gateway that may be under way, and asks that may wait for their outcome here.
+/// Heartbeats of this gateway that may be under way where a leader is known.
 const MAX_HEARTBEATS_IN_FLIGHT: usize = 4;
+/// The same while none is: hundreds of members would look for it together.
+const MAX_HEARTBEATS_WITHOUT_LEADER: usize = 1;
 
 impl Actor {
-    /// Hands one input to the member, and carries out what it wants.
-    pub(super) fn drive_member(&mut self, input: Input<Json>) {
-        for action in self.member.on(self.clock.now(), input) {
-            match action {
-                Action::Heartbeat(heartbeat) => self.send_heartbeat(heartbeat),
-                Action::Apply {
-                    mark,
-                    number,
-                    document,
-                } => {
-                    let (management, sender) = (self.management.clone(), self.sender.clone());
-                    tokio::spawn(async move {
-                        let how = match taken_out("hold") {
-                            true => Ok(()),
-                            false => apply_policy(&management, mark, number, document).await,
-                        };
-                        let _ = sender.send(AgentMessage::PolicyApplied(mark, how)).await;
-                    });
-                }
-                Action::Examine { number, document } => {
-                    let (management, sender) = (self.management.clone(), self.sender.clone());
-                    tokio::spawn(async move {
-                        let how = match taken_out("examine") {
-                            true => Ok(()),
-                            false => {
-                                check_readable(&document).and(management.examine(document).await)
-                            }
-                        };
-                        let _ = sender
-                            .send(AgentMessage::PolicyValidated(number, how))
-                            .await;
-                    });
-                }
-                Action::Hold(until, share) => {
-                    let until = if taken_out("tenure") {
-                        Ms::INFINITY
-                    } else {
-                        until
-                    };
-                    // Against a mailbox that is full just then: a steady one is told once, and for good.
-                    let share = Some(share).filter(|_| self.config.counts);
-                    if let Err(full) = self
-                        .gateway_commands
-                        .try_send(ManagementCommand::Lease(until, share))
-                    {
-                        let requests = self.gateway_commands.clone();
-                        tokio::spawn(async move { drop(requests.send(full.into_inner()).await) });
-                    }
-                }
-                Action::Say(what) => warn!(self.log, "of the fleet"; "why" => what),
+    /// A member's heartbeat, which this voter may answer.
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        response: oneshot::Sender<HeartbeatReply>,
+    ) {
+        if self.voter.is_none() {
+            let _ = response.send(Err(LeaderHint::default()));
+            return;
+        }
+        self.note_generation(heartbeat.history);
+        self.submit_heartbeat(heartbeat, HeartbeatSource::Remote(response));
+    }
+
+    /// What became of a heartbeat of this gateway.
+    pub(super) fn handle_heartbeat_answer(&mut self, result: Result<HeartbeatAnswer, NoLeader>) {
+        self.heartbeats_in_flight -= 1;
+        match result {
+            Ok(answer) => {
+                self.last_responder = Some(answer.leader);
+                self.last_search_error = None;
+                self.handle_heartbeat_response(answer.response);
+            }
+            Err(error) => {
+                self.last_responder = None;
+                self.log_search_error(error);
             }
         }
     }
 
-    pub(super) fn apply_heartbeat_response(&mut self, answer: HeartbeatResponse<Json>) {
-        self.drive_member(Input::Answered(answer));
-        if let Some(done) = self.leave_response.take() {
-            let _ = done.send(());
+    /// Once, not with each heartbeat.
+    fn log_search_error(&mut self, error: NoLeader) {
+        let is_known = self.last_search_error.as_ref() == Some(&error);
+        if is_known || self.member.holds(self.clock.now()) {
+            return;
+        }
+        warn!(self.log, "no voter answers as the fleet's leader"; "error" => %error);
+        self.last_search_error = Some(error);
+    }
+
+    /// The leader's response to a heartbeat of this gateway.
+    pub(super) fn handle_heartbeat_response(&mut self, response: HeartbeatResponse<Json>) {
+        self.drive_member(Input::Answered(response));
+        if let Some(left) = self.leave_response.take() {
+            let _ = left.send(());
         }
     }
 
-    /// The gateway's own heartbeat goes to the leader: here, or by the way to it.
+    /// Sends this gateway's own heartbeat to the leader: here, or over the network.
     pub(super) fn send_heartbeat(&mut self, mut heartbeat: Heartbeat) {
         heartbeat.steady &= !taken_out("says-steady");
-        let here = self
-            .voter
-            .as_ref()
-            .is_some_and(|k| k.replica.leader_name() == Some(&self.config.name));
-        if here {
+        if self.is_leader() {
             return self.submit_heartbeat(heartbeat, HeartbeatSource::Local);
         }
-        // One search at a time: while no voter is the leader, hundreds of members would ask for it together.
-        if self.heartbeats_in_flight
-            >= if self.leader().is_some() {
-                MAX_HEARTBEATS_IN_FLIGHT
-            } else {
-                1
-            }
-        {
+        let most = match self.leader_name() {
+            Some(_) => MAX_HEARTBEATS_IN_FLIGHT,
+            None => MAX_HEARTBEATS_WITHOUT_LEADER,
+        };
+        if self.heartbeats_in_flight >= most {
             return;
         }
         self.heartbeats_in_flight += 1;
         let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
-        let (search, sender) = (self.leader_search(), self.sender.clone());
-        let word = self.identity.envelope(body);
+        let envelope = self.identity.envelope(body);
+        let search = self.leader_search();
+        let handle = self.handle.clone();
         tokio::spawn(async move {
-            let found = search.send_heartbeat(word).await;
-            let _ = sender.send(AgentMessage::HeartbeatAnswered(found)).await;
+            let result = search.heartbeat(envelope).await;
+            let _ = handle.send(AgentMessage::HeartbeatAnswered(result)).await;
         });
     }
 
+    fn is_leader(&self) -> bool {
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.replica.leader_name() == Some(&self.config.name))
+    }
+
+    /// A search that begins at the leader that is known here.
     pub(super) fn leader_search(&self) -> LeaderSearch {
-        let first = self.leader().filter(|c| self.connections.contains_key(c));
+        let last_leader = self
+            .leader_name()
+            .filter(|name| self.connections.contains_key(name));
         LeaderSearch {
             identity: self.identity.clone(),
             connections: self.connections.clone(),
-            last_leader: first,
+            last_leader,
             clock: self.clock,
             lease: self.config.lease,
         }
     }
 
-    /// A heartbeat at this voter.
-    pub(super) fn submit_heartbeat(&mut self, heartbeat: Heartbeat, waits: HeartbeatSource) {
-        let Some(k) = &mut self.voter else { return };
+    /// Hands a heartbeat to this voter's replica.
+    fn submit_heartbeat(&mut self, heartbeat: Heartbeat, source: HeartbeatSource) {
+        let Some(voter) = &mut self.voter else { return };
         self.last_token += 1;
-        self.pending_heartbeats.insert(self.last_token, waits);
-        let outs = k
-            .replica
-            .heartbeat(self.clock.now(), self.last_token, heartbeat);
-        self.execute(outs);
+        let token = self.last_token;
+        self.pending_heartbeats.insert(token, source);
+        let outputs = voter.replica.heartbeat(self.clock.now(), token, heartbeat);
+        self.execute(outputs);
     }
 }
-
-/// Against a version that knows less than what it is handed: the member says so, and nothing is taken over.
-async fn apply_policy(
-    management: &ManagementHandle,
-    mark: u64,
-    number: u64,
-    document: Json,
-) -> Result<(), String> {
-    check_readable(&document)?;
-    management.hold(mark, number, document).await
-}
-
-/// An older version is played by one that can't read a field.
-fn check_readable(document: &Json) -> Result<(), String> {
-    let knows = !taken_out("advice") || document["advice"].as_u64().unwrap_or(0) == 0;
-    knows
-        .then_some(())
-        .ok_or("this version can't read it: unknown field `advice`".into())
-}
--- a/crates/fleet-agent/src/actor/membership.rs
+++ b/crates/fleet-agent/src/actor/membership.rs
@@ -1,62 +1,117 @@
-//! Which voters there are, and which history they know.
+//! Which voters there are, and which cluster generation they know.
 
 use super::Actor;
-use crate::message::AgentMessage;
+use crate::fault_injection::taken_out;
+use crate::message::{AgentMessage, JoinRequest};
 use ironstair::Ms;
 use ironstair_coordination::history::supersedes;
 
-/// A voter without a history asks to be let in this often.
+/// How often a blank voter asks to join, in ms.
 const JOIN_REQUEST_INTERVAL: Ms = 500.0;
-/// Each voter asks the others so often which history they know.
+/// How long such a request may take, in ms.
+const JOIN_REQUEST_TIMEOUT: Ms = JOIN_REQUEST_INTERVAL * 0.8;
+/// How often each voter asks the others which cluster generation they know, in ms.
 const GENERATION_CHECK_INTERVAL: Ms = 2000.0;
+/// How long such a question may take, in ms.
+const GENERATION_CHECK_TIMEOUT: Ms = GENERATION_CHECK_INTERVAL;
 
 impl Actor {
-    pub(super) fn note_generation(&mut self, history: u64) {
-        if self.latest_generation == 0 || supersedes(history, self.latest_generation) {
-            self.latest_generation = history;
+    /// A voter that wants to join, or to know the cluster generation.
+    pub(super) fn handle_join_request(&mut self, request: JoinRequest) {
+        if let (Some(voter), Some(replica_id)) = (&mut self.voter, request.replica_id) {
+            if self.config.voters.contains_key(&request.voter) {
+                voter.replica.knocked(request.voter, replica_id);
+            }
+        }
+        let _ = request.response.send(self.known_generation());
+    }
+
+    /// The cluster generation that is known here, 0 for none: a blank voter may remember what its disk knows no more.
+    fn known_generation(&self) -> u64 {
+        match self.generation_on_disk() {
+            0 => self.member.held().0,
+            generation => generation,
+        }
+    }
+
+    /// The cluster generation of this voter's log, 0 for none.
+    fn generation_on_disk(&self) -> u64 {
+        self.voter
+            .as_ref()
+            .map_or(0, |voter| voter.replica.state().fleet.history)
+    }
+
+    /// A cluster generation that another voter knows; one that supersedes this voter's ends its log.
+    pub(super) fn handle_generation(&mut self, generation: u64) {
+        self.note_generation(generation);
+        let own = self.generation_on_disk();
+        if own != 0 && supersedes(generation, own) && !taken_out("compare") {
+            self.quarantine_log("disaster recovery took place without this voter");
+        }
+    }
+
+    /// Remembers the latest cluster generation that any gateway reported.
+    pub(super) fn note_generation(&mut self, generation: u64) {
+        if self.latest_generation == 0 || supersedes(generation, self.latest_generation) {
+            self.latest_generation = generation;
         }
     }
 
-    pub(super) fn leader(&self) -> Option<String> {
+    /// The leader as it is known here.
+    pub(super) fn leader_name(&self) -> Option<String> {
         match &self.voter {
-            Some(k) => k.replica.leader_name().map(String::from),
+            Some(voter) => voter.replica.leader_name().map(String::from),
             None => self.last_responder.clone(),
         }
     }
 
+    /// The time of a voter's replica goes on.
     pub(super) fn tick(&mut self) {
         let now = self.clock.now();
-        let Some(k) = &mut self.voter else { return };
-        let outs = k.replica.tick(now);
-        let knock = k.replica.knock().filter(|_| now >= k.join_request_due);
-        if let Some((_, number)) = knock {
-            k.join_request_due = now + JOIN_REQUEST_INTERVAL;
-            for way in self.connections.values() {
-                let (way, word) = (
-                    way.clone(),
-                    self.identity.envelope(number.to_string().into_bytes()),
-                );
-                tokio::spawn(async move {
-                    drop(way.request_join(word, JOIN_REQUEST_INTERVAL * 0.8).await)
-                });
-            }
+        let Some(voter) = &mut self.voter else { return };
+        let outputs = voter.replica.tick(now);
+        let join_request = voter.replica.knock();
+        if let Some((_, replica_id)) = join_request.filter(|_| now >= voter.join_request_due) {
+            voter.join_request_due = now + JOIN_REQUEST_INTERVAL;
+            self.request_join(replica_id);
         }
-        if now >= k.generation_check_due {
-            k.generation_check_due = now + GENERATION_CHECK_INTERVAL;
-            for way in self.connections.values() {
-                let (way, word, sender) = (
-                    way.clone(),
-                    self.identity.envelope(b"0".to_vec()),
-                    self.sender.clone(),
-                );
-                tokio::spawn(async move {
-                    let known = way.request_join(word, GENERATION_CHECK_INTERVAL).await;
-                    if let Some(Ok(history)) = known.ok().map(|w| serde_json::from_slice(&w.body)) {
-                        let _ = sender.send(AgentMessage::GenerationHeard(history)).await;
-                    }
-                });
-            }
+        self.check_generations(now);
+        self.execute(outputs);
+    }
+
+    /// Asks all other voters to let this one join, under that number of its replica.
+    fn request_join(&self, replica_id: u64) {
+        let envelope = self.identity.envelope(replica_id.to_string().into_bytes());
+        for connection in self.connections.values() {
+            let connection = connection.clone();
+            let envelope = envelope.clone();
+            tokio::spawn(async move {
+                let _ = connection
+                    .request_join(envelope, JOIN_REQUEST_TIMEOUT)
+                    .await;
+            });
+        }
+    }
+
+    /// Asks all other voters which cluster generation they know, where it is due.
+    fn check_generations(&mut self, now: Ms) {
+        let Some(voter) = &mut self.voter else { return };
+        if now < voter.generation_check_due {
+            return;
+        }
+        voter.generation_check_due = now + GENERATION_CHECK_INTERVAL;
+        for connection in self.connections.values() {
+            let connection = connection.clone();
+            let identity = self.identity.clone();
+            let handle = self.handle.clone();
+            tokio::spawn(async move {
+                let known = connection
+                    .known_generation(&identity, GENERATION_CHECK_TIMEOUT)
+                    .await;
+                if let Ok(generation) = known {
+                    let _ = handle.send(AgentMessage::GenerationHeard(generation)).await;
+                }
+            });
         }
-        self.execute(outs);
     }
 }
--- /dev/null
+++ b/crates/fleet-agent/src/actor/pending_commands.rs
@@ -0,0 +1,76 @@
+//! Commands that this leader has handed to the log, until it is known what became of them.
+
+use super::{Actor, PendingCommand};
+use crate::message::CommandResponse;
+use crate::outcome::{outcome, Outcome};
+use crate::status;
+use ironstair::Ms;
+
+/// How far a pending command has come.
+enum Progress {
+    Finished(CommandResponse),
+    Waiting,
+    /// Passed over when its turn came, since something else had come before it.
+    PassedOver,
+}
+
+impl Actor {
+    /// Answers the commands whose outcome is known, or whose time is over.
+    pub(super) fn answer_pending_commands(&mut self) {
+        let now = self.clock.now();
+        let mut passed_over = Vec::new();
+        for pending in std::mem::take(&mut self.pending_commands) {
+            match self.progress(now, &pending) {
+                Progress::Finished(response) => drop(pending.response.send(response)),
+                Progress::Waiting => self.pending_commands.push(pending),
+                Progress::PassedOver => passed_over.push(pending),
+            }
+        }
+        for pending in passed_over {
+            self.submit_again(now, pending);
+        }
+    }
+
+    fn progress(&self, now: Ms, pending: &PendingCommand) -> Progress {
+        let Some(voter) = &self.voter else {
+            return Progress::Finished(self.not_leader());
+        };
+        let Some(leader) = voter.replica.leader() else {
+            return Progress::Finished(self.not_leader());
+        };
+        let fleet = &voter.replica.state().fleet;
+        let is_overdue = now >= pending.deadline;
+        match outcome(fleet, &pending.command) {
+            // Who hears that it is done finds it done wherever he looks next.
+            Outcome::Final(CommandResponse::Done(_))
+                if !is_overdue && !leader.all_hold(now, fleet) =>
+            {
+                Progress::Waiting
+            }
+            Outcome::Final(response) => Progress::Finished(response),
+            Outcome::Unknown if !leader.waits(&pending.command) => Progress::PassedOver,
+            _ if is_overdue => {
+                let names = status::waits_for(now, fleet, leader).join(", ");
+                let why = format!(
+                    "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
+                );
+                Progress::Finished(CommandResponse::Refused(why))
+            }
+            _ => Progress::Waiting,
+        }
+    }
+
+    fn submit_again(&mut self, now: Ms, pending: PendingCommand) {
+        let Some(voter) = &mut self.voter else { return };
+        match voter.replica.ask(now, pending.command.clone()) {
+            Ok(outputs) => {
+                self.execute(outputs);
+                self.pending_commands.push(pending);
+            }
+            Err(refusal) => {
+                let refused = CommandResponse::Refused(refusal.to_string());
+                let _ = pending.response.send(refused);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -0,0 +1,112 @@
+//! The fleet's policy at this gateway: validated and applied by management, and valid as long as the lease.
+
+use super::Actor;
+use crate::error::PolicyError;
+use crate::fault_injection::taken_out;
+use crate::message::AgentMessage;
+use ironstair::Ms;
+use ironstair_coordination::member::Input;
+use ironstair_coordination::Share;
+use ironstair_management::ManagementHandle;
+use ironstair_runtime::window::ManagementCommand;
+use serde_json::Value as Json;
+
+/// A field that tests have this version not know, to play an older one.
+const FIELD_OF_LATER_VERSIONS: &str = "advice";
+
+impl Actor {
+    /// Has the gateway's decisions go by a policy.
+    pub(super) fn apply_policy(&self, applied_index: u64, revision: u64, document: Json) {
+        let management = self.management.clone();
+        let handle = self.handle.clone();
+        tokio::spawn(async move {
+            let result = match taken_out("hold") {
+                true => Ok(()),
+                false => apply(&management, applied_index, revision, document).await,
+            };
+            let message = AgentMessage::PolicyApplied {
+                applied_index,
+                result,
+            };
+            let _ = handle.send(message).await;
+        });
+    }
+
+    pub(super) fn handle_policy_applied(&mut self, mark: u64, result: Result<(), PolicyError>) {
+        self.drive_member(match result {
+            Ok(()) => Input::Applied { mark },
+            Err(error) => Input::Unable {
+                mark,
+                why: error.to_string(),
+            },
+        });
+    }
+
+    /// Looks whether a policy could be applied here.
+    pub(super) fn validate_policy(&self, revision: u64, document: Json) {
+        let management = self.management.clone();
+        let handle = self.handle.clone();
+        tokio::spawn(async move {
+            let result = match taken_out("examine") {
+                true => Ok(()),
+                false => validate(&management, document).await,
+            };
+            let message = AgentMessage::PolicyValidated { revision, result };
+            let _ = handle.send(message).await;
+        });
+    }
+
+    pub(super) fn handle_policy_validated(&mut self, number: u64, result: Result<(), PolicyError>) {
+        let how = result.map_err(|error| error.to_string());
+        self.drive_member(Input::Examined { number, how });
+    }
+
+    /// Tells the gateway's thread until when it may decide (in ms of this process's clock), and its share of what all
+    /// gateways share out.
+    pub(super) fn extend_lease(&self, until: Ms, share: Share) {
+        let until = if taken_out("tenure") {
+            Ms::INFINITY
+        } else {
+            until
+        };
+        let share = Some(share).filter(|_| self.config.counts);
+        let lease = ManagementCommand::Lease(until, share);
+        // Against a channel that is full just then: a steady gateway is told once, and for good.
+        if let Err(full) = self.gateway_commands.try_send(lease) {
+            let gateway_commands = self.gateway_commands.clone();
+            tokio::spawn(async move {
+                let _ = gateway_commands.send(full.into_inner()).await;
+            });
+        }
+    }
+}
+
+/// Against a version that knows less than the policy names: the member says so, and nothing is applied.
+async fn apply(
+    management: &ManagementHandle,
+    applied_index: u64,
+    revision: u64,
+    document: Json,
+) -> Result<(), PolicyError> {
+    check_known_fields(&document)?;
+    management
+        .hold(applied_index, revision, document)
+        .await
+        .map_err(PolicyError::rejected)
+}
+
+/// Management is asked in any case, as the order of its work must not depend on the policy.
+async fn validate(management: &ManagementHandle, document: Json) -> Result<(), PolicyError> {
+    let known_fields = check_known_fields(&document);
+    let validated = management.examine(document).await;
+    known_fields.and(validated.map_err(PolicyError::rejected))
+}
+
+/// An older version is played by one that does not know a field.
+fn check_known_fields(document: &Json) -> Result<(), PolicyError> {
+    let field = &document[FIELD_OF_LATER_VERSIONS];
+    if taken_out("advice") && field.as_u64().unwrap_or(0) != 0 {
+        return Err(PolicyError::UnknownField(FIELD_OF_LATER_VERSIONS));
+    }
+    Ok(())
+}
--- a/crates/fleet-agent/src/actor/reporting.rs
+++ b/crates/fleet-agent/src/actor/reporting.rs
@@ -1,77 +1,76 @@
-//! What others see of this gateway's part in the fleet: the log's lines and the tree.
+//! What operators see of this gateway's part in the fleet: log lines, and the state that the manager shows.
 
 use super::Actor;
-use crate::outcome::step_name;
+use crate::outcome::state_name;
 use crate::status;
-use ironstair_coordination::member::Input;
 use ironstair_coordination::RevisionSummary;
 use ironstair_data_tree::state;
 use slog::{info, warn};
 
 impl Actor {
-    /// What is due, and what others are to see.
-    pub(super) fn advance(&mut self) {
-        let now = self.clock.now();
-        if now >= self.member.due() {
-            self.drive_member(Input::Due);
+    /// Logs that this voter has a vote, once it has.
+    pub(super) fn log_vote(&mut self) {
+        let has_vote = self
+            .voter
+            .as_ref()
+            .is_some_and(|voter| !voter.replica.is_blank());
+        if has_vote && !self.vote_logged {
+            info!(self.log, "this voter has a vote");
         }
-        self.answer_pending_commands();
-        self.log_revision_changes();
-        let votes = self.voter.as_ref().is_some_and(|k| !k.replica.is_blank());
-        if votes && !std::mem::replace(&mut self.vote_logged, votes) {
-            info!(self.log, "this keeper has a vote");
+        self.vote_logged = has_vote;
+    }
+
+    /// Logs that a lease is held, or has expired.
+    pub(super) fn log_lease(&mut self) {
+        let holds_lease = self.member.holds(self.clock.now());
+        if holds_lease == self.lease_logged {
+            return;
         }
-        self.vote_logged = votes;
-        let held = self.member.holds(now);
-        if held != self.lease_logged {
-            self.lease_logged = held;
-            match held {
-                true => {
-                    info!(self.log, "the fleet's policy is held"; "revision" => self.member.held().2)
-                }
-                false => {
-                    warn!(
-                        self.log,
-                        "the fleet was not heard for a lease: nothing is forwarded until it is"
-                    );
-                }
-            }
+        self.lease_logged = holds_lease;
+        if holds_lease {
+            let revision = self.member.held().2;
+            info!(self.log, "lease held, fleet policy in force"; "revision" => revision);
+        } else {
+            warn!(self.log, "lease expired, rejecting new requests");
         }
-        let (history, _, revision) = self.member.held();
-        let is = state::Fleet {
+    }
+
+    /// Hands the manager what it shows of the fleet, where that has changed.
+    pub(super) fn publish_status(&self) {
+        let (generation, _, revision) = self.member.held();
+        let voter = self.voter.as_ref();
+        let current = state::Fleet {
             name: self.config.fleet.clone(),
-            history,
+            history: generation,
             revision,
             until: self.member.until(),
             steady: self.config.steady,
-            voter: self.voter.is_some(),
-            leader: self.leader().unwrap_or_default(),
+            voter: voter.is_some(),
+            leader: self.leader_name().unwrap_or_default(),
             share: self.config.counts.then(|| self.member.share()),
-            members: self
-                .voter
-                .as_ref()
-                .map_or(Vec::new(), |k| status::members(&k.replica)),
+            members: voter.map_or(Vec::new(), |voter| status::members(&voter.replica)),
         };
-        self.status.send_if_modified(|was| {
-            let other = *was != is;
-            *was = is;
-            other
+        self.status.send_if_modified(|published| {
+            let has_changed = *published != current;
+            *published = current;
+            has_changed
         });
     }
 
     /// A line in the log for each step of a change, at each voter.
     pub(super) fn log_revision_changes(&mut self) {
-        let Some(k) = &self.voter else { return };
-        let lines = &k.replica.state().fleet.lines;
-        if *lines == self.logged_revisions {
+        let Some(voter) = &self.voter else { return };
+        let revisions = &voter.replica.state().fleet.lines;
+        if *revisions == self.logged_revisions {
             return;
         }
-        let known = |l: &&RevisionSummary| !self.logged_revisions.iter().any(|was| was == *l);
-        for l in lines.iter().filter(known) {
-            let (by, why) = l.refused.clone().unwrap_or_default();
-            info!(self.log, "a change of the fleet's policy"; "step" => step_name(l.state), "revision" => l.number,
-                "who" => &l.who, "what" => &l.what, "refused_by" => by, "why" => why);
+        let is_new = |revision: &&RevisionSummary| !self.logged_revisions.contains(revision);
+        for revision in revisions.iter().filter(is_new) {
+            let (refused_by, reason) = revision.refused.clone().unwrap_or_default();
+            info!(self.log, "fleet policy change"; "state" => state_name(revision.state),
+                "revision" => revision.number, "author" => &revision.who, "summary" => &revision.what,
+                "refused_by" => refused_by, "reason" => reason);
         }
-        self.logged_revisions = lines.clone();
+        self.logged_revisions = revisions.clone();
     }
 }
--- a/crates/fleet-agent/src/actor/storage_tasks.rs
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -1,6 +1,7 @@
-//! A voter's log and its disk, which is elsewhere while it writes.
+//! A voter's replica of the log and its disk, which a task of its own holds while it writes.
 
 use super::{Actor, HeartbeatSource, Voter};
+use crate::error::StorageError;
 use crate::fault_injection::taken_out;
 use crate::message::{AgentMessage, LeaderHint, SaveOutcome};
 use crate::prepared::random_number;
@@ -9,34 +10,34 @@
 use ironstair_raft_storage::Storage;
 use ironstair_runtime::clock::span;
 use serde_json::Value as Json;
-use slog::{info, warn};
+use slog::{error, info, warn};
 use tokio::time::sleep;
 
-/// How long a disk that took nothing is left alone.
+/// How long a disk that took nothing is left alone, in ms.
 const STORAGE_RETRY_DELAY: Ms = 500.0;
+/// How long a write takes to a disk that a test has made slow, in ms.
+const SLOW_DISK_DELAY: Ms = 1000.0;
 
 impl Actor {
-    /// A voter with what its disk holds.
-    pub(super) fn open_voter(&mut self, storage: Storage) -> Result<(), String> {
-        let place = self
-            .config
-            .voters
-            .keys()
-            .position(|k| *k == self.config.name)
-            .unwrap_or(0);
-        let (name, lease, now) = (&self.config.name, self.config.lease, self.clock.now());
-        let replica = Replica::open(name, place, lease, storage.image(), now, &self.log)?;
-        let history = replica.state().fleet.history;
-        info!(self.log, "a keeper of the fleet's log"; "history" => format!("{history:016x}"));
+    /// Makes this gateway a voter with what its disk holds.
+    pub(super) fn open_voter(&mut self, storage: Storage) -> Result<(), StorageError> {
+        let name = &self.config.name;
+        let position = self.config.voters.keys().position(|voter| voter == name);
+        let lease = self.config.lease;
+        let now = self.clock.now();
+        let image = storage.image();
+        let replica = Replica::open(name, position.unwrap_or(0), lease, image, now, &self.log)
+            .map_err(StorageError::new)?;
+        let generation = format!("{:016x}", replica.state().fleet.history);
+        info!(self.log, "voter opened the fleet log"; "generation" => generation);
         // Heartbeats that an earlier one was to answer find nobody, and are sent again.
         self.pending_heartbeats.clear();
         // Only what comes to pass from now on is news.
         self.logged_revisions
             .clone_from(&replica.state().fleet.lines);
-        let storage = Some(storage);
         self.voter = Some(Voter {
             replica,
-            storage,
+            storage: Some(storage),
             quarantine_reason: None,
             join_request_due: now,
             generation_check_due: now,
@@ -45,119 +46,134 @@
         Ok(())
     }
 
-    pub(super) fn execute(&mut self, outs: Vec<Out<Json>>) {
-        for out in outs {
-            match out {
+    /// A message of the Raft library from another voter.
+    pub(super) fn handle_raft_message(&mut self, from: &str, bytes: &[u8]) {
+        let now = self.clock.now();
+        if let Some(voter) = &mut self.voter {
+            let outputs = voter.replica.message(now, from, bytes);
+            self.execute(outputs);
+        }
+    }
+
+    /// Carries out what the replica wants, in its order.
+    pub(super) fn execute(&mut self, outputs: Vec<Out<Json>>) {
+        for output in outputs {
+            match output {
                 Out::Save(save) => self.start_save(save),
                 Out::Send(to, bytes) => {
-                    if let Some(way) = self.connections.get(&to) {
-                        way.agree(self.identity.envelope(bytes));
+                    if let Some(connection) = self.connections.get(&to) {
+                        connection.send_raft_message(self.identity.envelope(bytes));
                     }
                 }
-                Out::HeartbeatResponse(token, answer) => {
+                Out::HeartbeatResponse(token, response) => {
                     match self.pending_heartbeats.remove(&token) {
-                        Some(HeartbeatSource::Local) => self.apply_heartbeat_response(answer),
-                        Some(HeartbeatSource::Remote(to)) => drop(to.send(Ok(answer))),
+                        Some(HeartbeatSource::Local) => self.handle_heartbeat_response(response),
+                        Some(HeartbeatSource::Remote(to)) => drop(to.send(Ok(response))),
                         None => {}
                     }
                 }
                 Out::NotLeader(token, leader) => {
-                    if let Some(HeartbeatSource::Remote(to)) =
-                        self.pending_heartbeats.remove(&token)
-                    {
+                    let source = self.pending_heartbeats.remove(&token);
+                    if let Some(HeartbeatSource::Remote(to)) = source {
                         let _ = to.send(Err(LeaderHint { leader }));
                     }
                 }
-                Out::Older => self.quarantine_log("the fleet's log here is an older copy"),
+                Out::Older => self.quarantine_log("the log here is an older copy"),
             }
         }
     }
 
-    pub(super) fn start_save(&mut self, save: Save) {
-        let Some(mut storage) = self.voter.as_mut().and_then(|k| k.storage.take()) else {
-            return;
-        };
-        let sender = self.sender.clone();
+    fn start_save(&mut self, save: Save) {
+        if let Some(storage) = self.take_storage() {
+            self.spawn_save(storage, save, None);
+        }
+    }
+
+    fn take_storage(&mut self) -> Option<Storage> {
+        self.voter.as_mut().and_then(|voter| voter.storage.take())
+    }
+
+    /// Writes on a thread of its own, after a delay in ms; the disk comes back with the outcome.
+    fn spawn_save(&self, mut storage: Storage, save: Save, delay: Option<Ms>) {
+        let handle = self.handle.clone();
         tokio::spawn(async move {
+            if let Some(delay) = delay {
+                sleep(span(delay)).await;
+            }
             let work = tokio::task::spawn_blocking(move || {
-                let how = write_save(&mut storage, &save);
-                SaveOutcome { storage, save, how }
+                let result = write(&mut storage, &save);
+                SaveOutcome {
+                    storage,
+                    save,
+                    result,
+                }
             });
             // A thread that panicked leaves no disk behind: this voter writes nothing more, and votes on nothing.
-            if let Ok(saved) = work.await {
-                let _ = sender
-                    .send(AgentMessage::SaveFinished(Box::new(saved)))
-                    .await;
+            if let Ok(outcome) = work.await {
+                let message = AgentMessage::SaveFinished(Box::new(outcome));
+                let _ = handle.send(message).await;
             }
         });
     }
 
-    pub(super) fn finish_save(&mut self, SaveOutcome { storage, save, how }: SaveOutcome) {
+    /// A write has ended. After one that failed, the voter votes on nothing and tells nobody until the disk has it.
+    pub(super) fn finish_save(&mut self, outcome: SaveOutcome) {
         let now = self.clock.now();
-        let Some(k) = &mut self.voter else { return };
-        k.storage = Some(storage);
-        if let Some(why) = k.quarantine_reason {
-            return self.quarantine_log(why);
+        let Some(voter) = &mut self.voter else { return };
+        if let Some(reason) = voter.quarantine_reason {
+            voter.storage = Some(outcome.storage);
+            return self.quarantine_log(reason);
         }
-        if let Err(why) = how {
-            // It votes on nothing and tells nobody until the disk has it.
-            if !std::mem::replace(&mut k.failure_logged, true) {
-                warn!(self.log, "the fleet's log can't be kept: this keeper takes no part until it can"; "why" => why);
+        if let Err(error) = outcome.result {
+            if !std::mem::replace(&mut voter.failure_logged, true) {
+                warn!(self.log, "fleet log can't be written, this voter takes no part until it can"; "error" => %error);
             }
-            let sender = self.sender.clone();
-            let Some(mut storage) = k.storage.take() else {
-                return;
-            };
-            tokio::spawn(async move {
-                sleep(span(STORAGE_RETRY_DELAY)).await;
-                let work = tokio::task::spawn_blocking(move || {
-                    let how = write_save(&mut storage, &save);
-                    SaveOutcome { storage, save, how }
-                });
-                if let Ok(saved) = work.await {
-                    let _ = sender
-                        .send(AgentMessage::SaveFinished(Box::new(saved)))
-                        .await;
-                }
-            });
-            return;
+            return self.spawn_save(outcome.storage, outcome.save, Some(STORAGE_RETRY_DELAY));
         }
-        if std::mem::take(&mut k.failure_logged) {
-            info!(self.log, "the fleet's log is kept again");
+        voter.storage = Some(outcome.storage);
+        if std::mem::take(&mut voter.failure_logged) {
+            info!(self.log, "fleet log is written again");
         }
-        let outs = k.replica.saved(now);
-        self.execute(outs);
+        let outputs = voter.replica.saved(now);
+        self.execute(outputs);
     }
 
-    // What this disk once told it had is more than it has: to go on under its number would lose what others rest on.
-    pub(super) fn quarantine_log(&mut self, why: &'static str) {
-        let Some(k) = &mut self.voter else { return };
-        k.quarantine_reason = Some(why);
-        let Some(mut storage) = k.storage.take() else {
+    /// What this disk once told it had is more than it has, or it belongs to a generation that was given up: to go on
+    /// under its number would lose what others rely on. Waits for a write under way.
+    pub(super) fn quarantine_log(&mut self, reason: &'static str) {
+        let Some(voter) = &mut self.voter else { return };
+        voter.quarantine_reason = Some(reason);
+        let Some(mut storage) = voter.storage.take() else {
             return;
         };
-        let how = storage.quarantined(random_number());
+        let quarantined = storage
+            .quarantined(random_number())
+            .map_err(StorageError::new);
         self.voter = None;
-        match how.and_then(|aside| self.open_voter(storage).map(|()| aside)) {
-            Ok(aside) => {
-                warn!(self.log, "{}: put aside, and begun blank", why; "aside" => aside);
+        let reopened = quarantined.and_then(|path| self.open_voter(storage).map(|()| path));
+        match reopened {
+            Ok(path) => {
+                warn!(self.log, "fleet log quarantined, this voter begins blank";
+                    "reason" => reason, "path" => path);
+            }
+            Err(error) => {
+                error!(self.log, "this voter takes no part any more"; "error" => %error);
             }
-            Err(why) => warn!(self.log, "this keeper takes no part any more"; "why" => why),
         }
     }
 }
 
-/// Also a disk that is slow or full, for tests.
-fn write_save(storage: &mut Storage, save: &Save) -> Result<(), String> {
+/// Also to a disk that is slow or full, for tests.
+fn write(storage: &mut Storage, save: &Save) -> Result<(), StorageError> {
     if taken_out("quick-disk") && storage.folder().join("slow").exists() {
-        std::thread::sleep(span(1000.0));
+        std::thread::sleep(span(SLOW_DISK_DELAY));
     }
     if taken_out("room") && storage.folder().join("full").exists() {
         return if taken_out("kept") {
             Ok(())
         } else {
-            Err("No space left on device".into())
+            Err(StorageError::new("No space left on device"))
         };
     }
-    storage.save(save.clone())
+    storage.save(save.clone()).map_err(StorageError::new)
 }
--- a/crates/fleet-agent/src/config.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -1,87 +1,140 @@
-//! What an operator says of a fleet, checked whole at start.
+//! The operator's section `fleet`, validated whole at start.
 
 use ironstair::Ms;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Shorter costs heartbeats and takes pauses for ends; longer makes a change wait longer for who is gone.
+/// The shortest lease in ms: a shorter one costs heartbeats and takes pauses for ends.
 const MIN_LEASE: Ms = 1000.0;
+/// The longest lease in ms: a longer one makes a change wait longer for who is gone.
 const MAX_LEASE: Ms = 60_000.0;
 const MAX_NAME_BYTES: usize = 64;
+/// Numbers of voters of which a majority survives one or two losses.
+const VOTER_COUNTS: [usize; 2] = [3, 5];
 
+/// One gateway's part in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
+    /// The fleet's name.
     pub fleet: String,
     /// This gateway's name in it.
     pub name: String,
+    /// Where other gateways reach this one.
     pub listen: SocketAddr,
     /// Names of the voters, and where each is reached from here.
     pub voters: BTreeMap<String, SocketAddr>,
+    /// The lease's length in ms.
     pub lease: Ms,
     /// Goes on without a lease; no change is decided without it.
     pub steady: bool,
     /// Shares out among the members there are, not among as many as the policy says.
     pub counts: bool,
-    /// Where a voter's log lies.
+    /// The folder of a voter's log.
     pub folder: Option<PathBuf>,
 }
 
+/// What of a [`FleetConfig`] is not valid, by the field in the operator's file.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ConfigError {
+    /// A name is empty, too long, or has control characters.
+    #[error("fleet.{field}: {name:?} is no name of 1 to {MAX_NAME_BYTES} bytes")]
+    Name {
+        /// The field.
+        field: &'static str,
+        /// Its value.
+        name: String,
+    },
+    /// The gateway's own name is empty or too long.
+    #[error("fleet: the gateway's own name is empty or too long to be one of a fleet's")]
+    OwnName,
+    /// There are too few voters, too many, or an even number.
+    #[error("fleet.keepers: 3 or 5 are named, not {0}")]
+    VoterCount(usize),
+    /// Two voters have one address.
+    #[error("fleet.keepers.{voter}: {address} is another's address too")]
+    SharedAddress {
+        /// One of the two.
+        voter: String,
+        /// Their address.
+        address: SocketAddr,
+    },
+    /// The lease is too short or too long, in ms.
+    #[error("fleet.lease_ms: {0} is outside {MIN_LEASE} to {MAX_LEASE}")]
+    Lease(Ms),
+    /// Members are to be counted by one that goes on without a lease.
+    #[error(
+        "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members"
+    )]
+    SteadyCounts,
+    /// A voter has no folder.
+    #[error("fleet.state: {0} is a voter, and needs a folder for its log")]
+    FolderMissing(String),
+    /// A folder is named for one that is no voter.
+    #[error("fleet.state: {0} is not among the voters and has no log")]
+    FolderUnused(String),
+}
+
 impl FleetConfig {
+    /// Whether this gateway is one of the voters.
     pub fn is_voter(&self) -> bool {
         self.voters.contains_key(&self.name)
     }
 
+    /// Checks all fields.
+    ///
     /// # Errors
-    /// What can't be, by its field.
-    pub fn checked(self) -> Result<Self, String> {
-        let named = |field: &str, name: &str| match name.len() {
-            1..=MAX_NAME_BYTES if !name.chars().any(char::is_control) => Ok(()),
-            _ => Err(format!(
-                "fleet.{field}: {name:?} is no name of 1 to {MAX_NAME_BYTES} bytes"
-            )),
-        };
-        named("name", &self.fleet)?;
-        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
-            return Err(
-                "fleet: the gateway's own name is empty or too long to be one of a fleet's".into(),
-            );
-        }
-        self.voters.keys().try_for_each(|k| named("keepers", k))?;
-        if ![3, 5].contains(&self.voters.len()) {
-            return Err(format!(
-                "fleet.keepers: 3 or 5 are named, not {}",
-                self.voters.len()
-            ));
-        }
-        let twice = |at: &SocketAddr| self.voters.values().filter(|a| *a == at).count() > 1;
-        if let Some((name, at)) = self.voters.iter().find(|(_, at)| twice(at)) {
-            return Err(format!(
-                "fleet.keepers.{name}: {at} is another's address too"
-            ));
-        }
+    /// The first field that is not valid.
+    pub fn validated(self) -> Result<Self, ConfigError> {
+        self.validate_names()?;
+        self.validate_voters()?;
         if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease) {
-            return Err(format!(
-                "fleet.lease_ms: {} is outside {MIN_LEASE} to {MAX_LEASE}",
-                self.lease
-            ));
+            return Err(ConfigError::Lease(self.lease));
         }
         if self.counts && self.steady {
-            return Err(
-                "fleet.count: who goes on without a lease goes by what was told, not by members"
-                    .into(),
-            );
+            return Err(ConfigError::SteadyCounts);
         }
         match (self.is_voter(), &self.folder) {
-            (true, None) => Err(format!(
-                "fleet.state: {} is a keeper, and needs a folder for its log",
-                self.name
-            )),
-            (false, Some(_)) => Err(format!(
-                "fleet.state: {} is not among the keepers and keeps no log",
-                self.name
-            )),
+            (true, None) => Err(ConfigError::FolderMissing(self.name)),
+            (false, Some(_)) => Err(ConfigError::FolderUnused(self.name)),
             _ => Ok(self),
         }
     }
+
+    fn validate_names(&self) -> Result<(), ConfigError> {
+        validate_name("name", &self.fleet)?;
+        if !(1..=MAX_NAME_BYTES).contains(&self.name.len()) {
+            return Err(ConfigError::OwnName);
+        }
+        let mut voters = self.voters.keys();
+        voters.try_for_each(|voter| validate_name("keepers", voter))
+    }
+
+    fn validate_voters(&self) -> Result<(), ConfigError> {
+        if !VOTER_COUNTS.contains(&self.voters.len()) {
+            return Err(ConfigError::VoterCount(self.voters.len()));
+        }
+        let is_shared = |address: &SocketAddr| {
+            let same = self.voters.values().filter(|other| *other == address);
+            same.count() > 1
+        };
+        match self.voters.iter().find(|(_, address)| is_shared(address)) {
+            Some((voter, address)) => Err(ConfigError::SharedAddress {
+                voter: voter.clone(),
+                address: *address,
+            }),
+            None => Ok(()),
+        }
+    }
+}
+
+fn validate_name(field: &'static str, name: &str) -> Result<(), ConfigError> {
+    let has_valid_length = (1..=MAX_NAME_BYTES).contains(&name.len());
+    if has_valid_length && !name.chars().any(char::is_control) {
+        return Ok(());
+    }
+    Err(ConfigError::Name {
+        field,
+        name: name.to_string(),
+    })
 }
--- a/crates/fleet-agent/src/leader_search.rs
+++ b/crates/fleet-agent/src/leader_search.rs
@@ -1,150 +1,206 @@
-//! The search for the leader, by the ways to the voters.
+//! The search for the leader among the voters, with a heartbeat or an operator's command.
 
-use crate::message::{AgentMessage, CommandResponse, FleetCommand, LeaderHint};
-use crate::peer::VoterConnection;
+use crate::envelope::Identity;
+use crate::handle::{AgentHandle, RequestError};
+use crate::message::{
+    AgentMessage, CommandResponse, FleetCommand, HeartbeatAnswer, HeartbeatReply, LeaderHint,
+};
+use crate::peer::{CallError, VoterConnection};
 use crate::proto::Envelope;
-use crate::server::Identity;
 use ironstair::Ms;
-use ironstair_coordination::HeartbeatResponse;
 use ironstair_runtime::clock::{span, Clock};
-use serde_json::Value as Json;
 use std::collections::BTreeMap;
-use tokio::sync::{mpsc, oneshot};
+use std::future::Future;
+use tokio::sync::oneshot;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use tonic::Code;
 
 /// While no leader is known each voter is asked so often in a lease.
-const SEARCHES_PER_LEASE: f64 = 10.0;
-/// Between two tries to find the leader for what an operator asks.
-const SEARCH_RETRY_DELAY: Ms = 50.0;
+const ATTEMPTS_PER_LEASE: f64 = 10.0;
+/// Between two attempts to find the leader for an operator's command, in ms.
+const COMMAND_RETRY_DELAY: Ms = 50.0;
 
-/// One search for the leader, by the ways to the voters.
+/// Why no leader answered a heartbeat.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NoLeader {
+    /// No voter answered as the leader.
+    #[error("there is no leader")]
+    NotFound,
+    /// A voter rejected the heartbeat, with this sentence.
+    #[error("{0}")]
+    Rejected(String),
+}
+
+/// One search for the leader.
 pub(crate) struct LeaderSearch {
     pub(crate) identity: Identity,
     pub(crate) connections: BTreeMap<String, VoterConnection>,
+    /// The voter that was last known as the leader, where it is another than this one.
     pub(crate) last_leader: Option<String>,
     pub(crate) clock: Clock,
+    /// The lease's length in ms.
     pub(crate) lease: Ms,
 }
 
+/// What a voter said to a heartbeat.
+struct Attempt {
+    voter: String,
+    result: Result<HeartbeatReply, CallError>,
+}
+
+/// What follows an attempt to hand a command to a voter.
+enum Next {
+    Respond(CommandResponse),
+    /// The voter to try next; none where there is no other.
+    Try(Option<String>),
+}
+
 impl LeaderSearch {
-    /// Who comes after whom, where nobody is named.
-    fn next_after(&self, after: Option<&String>) -> Option<String> {
-        let later = after.and_then(|a| self.connections.keys().find(|k| *k > a));
+    /// The voter after that one, in the order of their names.
+    fn voter_after(&self, voter: Option<&String>) -> Option<String> {
+        let later = voter.and_then(|voter| self.connections.keys().find(|name| *name > voter));
         later.or(self.connections.keys().next()).cloned()
     }
 
-    /// The last leader alone first; then all voters, each asked anew once it has said that it is not the leader. Nobody
-    /// is given up for being slow: what comes within the lease counts.
-    pub(crate) async fn send_heartbeat(
-        self,
-        word: Envelope,
-    ) -> Result<(String, HeartbeatResponse<Json>), String> {
-        let (lease, until) = (self.lease, self.clock.now() + self.lease);
-        let mut why = "there is no chair".to_string();
-        let ask = |to: &String, within: Ms, after: Ms| {
-            let (way, to, word) = (self.connections[to].clone(), to.clone(), word.clone());
-            async move {
-                sleep(span(after)).await;
-                (to, way.heartbeat(word, within).await)
-            }
-        };
-        let mut asked = JoinSet::new();
+    /// Sends a heartbeat to the last leader alone first; then to all voters, each again once it has said that it is
+    /// not the leader. Nobody is given up for being slow: what comes within the lease counts.
+    pub(crate) async fn heartbeat(self, envelope: Envelope) -> Result<HeartbeatAnswer, NoLeader> {
+        let deadline = self.clock.now() + self.lease;
+        let mut error = NoLeader::NotFound;
+        let mut attempts = JoinSet::new();
         match &self.last_leader {
-            Some(first) => drop(asked.spawn(ask(first, lease / 2.0, 0.0))),
-            None => self
-                .connections
-                .keys()
-                .for_each(|to| drop(asked.spawn(ask(to, lease, 0.0)))),
-        }
-        while let Some(Ok((to, said))) = asked.join_next().await {
-            // A sentence of the other side's is worth more than that nobody is there.
-            if let Some(e) = said
-                .as_ref()
-                .err()
-                .filter(|e| e.code() == Code::FailedPrecondition)
-            {
-                why = e.message().to_string();
+            Some(leader) => {
+                attempts.spawn(self.attempt(leader, &envelope, self.lease / 2.0, 0.0));
             }
-            let read = said.ok().map(|w| {
-                serde_json::from_slice::<Result<HeartbeatResponse<Json>, LeaderHint>>(&w.body)
-            });
-            if let Some(Ok(Ok(answer))) = read {
-                return Ok((to, answer));
+            None => self.attempt_all(&mut attempts, &envelope, self.lease),
+        }
+        while let Some(Ok(attempt)) = attempts.join_next().await {
+            match attempt.result {
+                Ok(Ok(response)) => {
+                    return Ok(HeartbeatAnswer {
+                        leader: attempt.voter,
+                        response,
+                    })
+                }
+                // A sentence of the other side's is worth more than that nobody is there.
+                Err(CallError::Status(status)) if status.code() == Code::FailedPrecondition => {
+                    error = NoLeader::Rejected(status.message().to_string());
+                }
+                _ => {}
             }
-            let left = until - self.clock.now();
-            if left <= 0.0 {
+            let remaining = deadline - self.clock.now();
+            if remaining <= 0.0 {
                 break;
             }
-            if asked.is_empty() && self.last_leader.as_ref() == Some(&to) {
-                self.connections
-                    .keys()
-                    .for_each(|to| drop(asked.spawn(ask(to, left, 0.0))));
+            if attempts.is_empty() && self.last_leader.as_ref() == Some(&attempt.voter) {
+                self.attempt_all(&mut attempts, &envelope, remaining);
             } else {
-                asked.spawn(ask(&to, left, lease / SEARCHES_PER_LEASE));
+                let delay = self.lease / ATTEMPTS_PER_LEASE;
+                attempts.spawn(self.attempt(&attempt.voter, &envelope, remaining, delay));
             }
         }
-        Err(why)
+        Err(error)
     }
 
-    /// Here first: this voter may be the leader.
-    pub(crate) async fn send_command(
+    fn attempt_all(&self, attempts: &mut JoinSet<Attempt>, envelope: &Envelope, within: Ms) {
+        for voter in self.connections.keys() {
+            attempts.spawn(self.attempt(voter, envelope, within, 0.0));
+        }
+    }
+
+    /// One heartbeat to one voter, after a delay; both times in ms.
+    fn attempt(
+        &self,
+        voter: &str,
+        envelope: &Envelope,
+        within: Ms,
+        delay: Ms,
+    ) -> impl Future<Output = Attempt> + Send + 'static {
+        let connection = self.connections[voter].clone();
+        let voter = voter.to_string();
+        let envelope = envelope.clone();
+        async move {
+            sleep(span(delay)).await;
+            let result = connection.heartbeat(envelope, within).await;
+            Attempt { voter, result }
+        }
+    }
+
+    /// Hands a command to the leader, and waits for what becomes of it: within so many ms. This gateway is tried
+    /// first, as it may be the leader.
+    pub(crate) async fn command(
         self,
-        here: mpsc::Sender<AgentMessage>,
-        asked: FleetCommand,
+        local: AgentHandle,
+        command: FleetCommand,
         within: Ms,
     ) -> CommandResponse {
-        let until = self.clock.now() + within;
-        let body = serde_json::to_vec(&asked).unwrap_or_default();
-        let mut to = self.last_leader.clone();
-        let mut last = String::from("no keeper answers");
-        while self.clock.now() < until {
-            let (answer, told) = oneshot::channel();
-            if here
-                .send(AgentMessage::Command(asked.clone(), answer))
-                .await
-                .is_err()
-            {
-                break;
+        let deadline = self.clock.now() + within;
+        let body = serde_json::to_vec(&command).unwrap_or_default();
+        let mut candidate = self.last_leader.clone();
+        let mut last_error = String::from("no voter answers");
+        while self.clock.now() < deadline {
+            match self.command_here(&local, &command, candidate).await {
+                Some(Next::Respond(response)) => return response,
+                Some(Next::Try(next)) => candidate = next,
+                None => break,
             }
-            match told.await {
-                Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
-                    // Not over what was found since: this gateway may speak to one that is the leader no more.
-                    to = to
-                        .or(leader.filter(|c| self.connections.contains_key(c)))
-                        .or_else(|| self.next_after(None));
-                }
-                Ok(told) => return told,
-                Err(_) => {}
+            let Some(voter) = candidate else { break };
+            let remaining = deadline - self.clock.now();
+            let envelope = self.identity.envelope(body.clone());
+            let answer = self.connections[&voter].command(envelope, remaining).await;
+            // The same command may be sent again: the log knows it by its token.
+            if let Err(CallError::Status(status)) = &answer {
+                last_error = format!("{voter}: {}", status.message());
             }
-            let Some(at) = to.clone() else { break };
-            let left = until - self.clock.now();
-            let said = self.connections[&at]
-                .ask(self.identity.envelope(body.clone()), left)
-                .await;
-            let read = said.map(|w| serde_json::from_slice::<CommandResponse>(&w.body));
-            to = match read {
-                Ok(Ok(CommandResponse::NotLeader(LeaderHint { leader }))) => {
-                    let other = leader.filter(|c| *c != at && self.connections.contains_key(c));
-                    other.or_else(|| self.next_after(Some(&at)))
-                }
-                Ok(Ok(told)) => return told,
-                Ok(Err(e)) => {
-                    return CommandResponse::Refused(format!(
-                        "{at} answers what can't be read: {e}"
-                    ))
-                }
-                // The same ask may be said again: the log knows it by its token.
-                Err(e) => {
-                    last = format!("{at}: {}", e.message());
-                    self.next_after(Some(&at))
-                }
-            };
-            sleep(span(SEARCH_RETRY_DELAY)).await;
+            match self.after_answer(&voter, answer) {
+                Next::Respond(response) => return response,
+                Next::Try(next) => candidate = next,
+            }
+            sleep(span(COMMAND_RETRY_DELAY)).await;
         }
         CommandResponse::Refused(format!(
-            "the fleet has no chair that answers ({last}); what became of it, `ironstair fleet` shows"
+            "the fleet has no leader that answers ({last_error}): `ironstair fleet` shows what became of the command"
         ))
     }
+
+    /// Hands the command to this gateway's own actor; none where that has ended.
+    async fn command_here(
+        &self,
+        local: &AgentHandle,
+        command: &FleetCommand,
+        candidate: Option<String>,
+    ) -> Option<Next> {
+        let (response, answered) = oneshot::channel();
+        let message = AgentMessage::Command {
+            command: command.clone(),
+            response,
+        };
+        local.send(message).await.ok()?;
+        let next = match answered.await.map_err(|_| RequestError::Dropped) {
+            Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
+                // Not over what was found since: this gateway may speak to one that is the leader no more.
+                let hinted = leader.filter(|name| self.connections.contains_key(name));
+                Next::Try(candidate.or(hinted).or_else(|| self.voter_after(None)))
+            }
+            Ok(response) => Next::Respond(response),
+            Err(_) => Next::Try(candidate),
+        };
+        Some(next)
+    }
+
+    fn after_answer(&self, voter: &String, answer: Result<CommandResponse, CallError>) -> Next {
+        match answer {
+            Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
+                let other =
+                    leader.filter(|name| name != voter && self.connections.contains_key(name));
+                Next::Try(other.or_else(|| self.voter_after(Some(voter))))
+            }
+            Ok(response) => Next::Respond(response),
+            Err(CallError::Body(error)) => Next::Respond(CommandResponse::Refused(format!(
+                "{voter} answers what can't be decoded: {error}"
+            ))),
+            Err(CallError::Status(_)) => Next::Try(self.voter_after(Some(voter))),
+        }
+    }
 }
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -1,15 +1,23 @@
-//! The fleet's actor, on management's thread: the one owner of the links to other gateways and of a voter's disk.
-//! It hands heartbeats, messages, asks and the ends of writes to the decisions (`ironstair-coordination`, `ironstair-raft-replica`)
-//! and carries out what they want; it decides nothing itself but whom to speak to next.
+//! The actor that connects a gateway to its fleet. It runs on management's thread, and alone owns the connections to
+//! the voters and, at a voter, the log's disk. It hands heartbeats, messages, commands and the ends of writes to the
+//! decisions (`ironstair-coordination`, `ironstair-raft-replica`), and carries out what they want; it decides nothing
+//! itself but which voter to speak to next.
 //!
-//! [`config`] is what it is told at start, [`way`] a link to one voter, [`serve`] the listener, [`actor`] the
-//! owner, [`shown`] what operators see, [`variant`] what
-//! tests take out.
+//! [`config`] is the operator's section, [`prepared`] what is opened before anything serves, [`actor`] the owner of
+//! everything, [`message`] and [`handle`] how it is reached, [`server`] the listener for other gateways, [`peer`] a
+//! connection to one voter, [`envelope`] what every message carries, [`status`] what operators see, and
+//! [`fault_injection`] the guards that tests take out.
+
+#![warn(missing_docs, clippy::too_many_lines, clippy::missing_errors_doc)]
 
 pub mod actor;
 pub mod config;
+pub mod envelope;
+pub mod error;
 pub mod fault_injection;
-mod leader_search;
+pub mod handle;
+mod incoming;
+pub mod leader_search;
 pub mod message;
 mod outcome;
 pub mod peer;
@@ -17,16 +25,18 @@
 pub mod server;
 pub mod status;
 
-pub use actor::Actor;
+pub use actor::{Actor, AgentChannels};
 pub use config::FleetConfig;
-pub use message::Leave;
+pub use handle::AgentHandle;
 pub use prepared::PreparedAgent;
 
 /// The messages and the service, from `proto/`.
 pub mod proto {
-    #![allow(clippy::all, missing_docs)]
+    #![allow(
+        clippy::all,
+        clippy::missing_errors_doc,
+        clippy::too_many_lines,
+        missing_docs
+    )]
     tonic::include_proto!("ironstair.fleet");
 }
-
-/// How bodies are written.
-pub const FORMAT_VERSION: u32 = 1;
--- a/crates/fleet-agent/src/message.rs
+++ b/crates/fleet-agent/src/message.rs
@@ -1,5 +1,7 @@
-//! The messages to the actor, and what an operator's command and its response are.
+//! The messages to the actor, and the commands and responses that gateways of one fleet exchange.
 
+use crate::error::{BootstrapError, PolicyError, StorageError};
+use crate::leader_search::NoLeader;
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse};
 use ironstair_management::fleet_channel::Responder;
@@ -7,70 +9,143 @@
 use ironstair_raft_storage::Storage;
 use serde::{Deserialize, Serialize};
 use serde_json::Value as Json;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::oneshot;
 
-/// What an operator asks of the leader.
+/// What an operator wants of the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetCommand {
+    /// A change of the fleet's policy, or what becomes of one.
     #[serde(rename = "ask")]
     Command(Command<Json>),
+    /// The fleet's status.
     Show,
 }
 
-/// Another voter may be the leader.
+/// This voter is not the leader; another may be.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LeaderHint {
+    /// The name of the voter that is believed to be the leader.
     #[serde(rename = "chair")]
     pub leader: Option<String>,
 }
 
+/// What became of a [`FleetCommand`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommandResponse {
+    /// The revision of that number is applied by all members that count.
     Done(u64),
+    /// It was refused; a sentence that says why.
     Refused(String),
+    /// The fleet's status.
     Shown(Json),
+    /// The voter that was asked is not the leader.
     #[serde(rename = "elsewhere")]
     NotLeader(LeaderHint),
 }
 
-/// To the actor.
+/// A voter's reply to a heartbeat: the leader's response, or where the leader may be found.
+pub type HeartbeatReply = Result<HeartbeatResponse<Json>, LeaderHint>;
+
+/// A message to the actor.
 pub enum AgentMessage {
-    Heartbeat(
-        Heartbeat,
-        oneshot::Sender<Result<HeartbeatResponse<Json>, LeaderHint>>,
-    ),
-    RaftMessage(String, Vec<u8>),
-    /// A voter and its voter's number, or 0 where it asks for the history alone.
-    JoinRequest(String, u64, oneshot::Sender<u64>),
-    Command(FleetCommand, oneshot::Sender<CommandResponse>),
-    /// A heartbeat of this gateway came back, and from whom; or why not.
-    HeartbeatAnswered(Result<(String, HeartbeatResponse<Json>), String>),
-    PolicyApplied(u64, Result<(), String>),
-    PolicyValidated(u64, Result<(), String>),
+    /// A member's heartbeat.
+    Heartbeat {
+        /// What the member says of itself.
+        heartbeat: Heartbeat,
+        /// Takes the reply.
+        response: oneshot::Sender<HeartbeatReply>,
+    },
+    /// A message of the Raft library.
+    RaftMessage {
+        /// The sending voter's name.
+        from: String,
+        /// The library's own bytes.
+        bytes: Vec<u8>,
+    },
+    /// A voter that wants to join, or to know which cluster generation is known here.
+    JoinRequest(JoinRequest),
+    /// An operator's command, from here or from another gateway.
+    Command {
+        /// What is wanted.
+        command: FleetCommand,
+        /// Takes what became of it.
+        response: oneshot::Sender<CommandResponse>,
+    },
+    /// What became of a heartbeat of this gateway.
+    HeartbeatAnswered(Result<HeartbeatAnswer, NoLeader>),
+    /// The gateway's decisions took over the fleet's policy, or can't.
+    PolicyApplied {
+        /// The applied index that the policy belongs to.
+        applied_index: u64,
+        /// Why it can't be applied.
+        result: Result<(), PolicyError>,
+    },
+    /// A policy that the fleet is about to decide on was validated here.
+    PolicyValidated {
+        /// The revision's number.
+        revision: u64,
+        /// Why it is not valid here.
+        result: Result<(), PolicyError>,
+    },
+    /// A write to the log's disk has ended.
     SaveFinished(Box<SaveOutcome>),
-    /// The histories that the other voters know, before one begins here.
-    BootstrapChecked(Result<(), String>, Json, Responder),
-    /// The same before one begins anew: what was found, and by whose word with what.
-    RecoveryChecked(Result<Vec<u64>, String>, RecoveryRequest),
-    /// A history that another voter knows.
+    /// The other voters were asked whether they know a cluster generation, before a bootstrap.
+    BootstrapChecked {
+        /// The operator's request.
+        request: BootstrapRequest,
+        /// Why the fleet can't be bootstrapped.
+        result: Result<(), BootstrapError>,
+    },
+    /// The same before a disaster recovery.
+    RecoveryChecked {
+        /// The operator's request.
+        request: RecoveryRequest,
+        /// The generations that the other voters know, one for each that answered.
+        result: Result<Vec<u64>, BootstrapError>,
+    },
+    /// A cluster generation that another voter knows; 0 is none.
     GenerationHeard(u64),
+    /// This process ends; the sender is told once the fleet knows.
     Leave(oneshot::Sender<()>),
 }
 
-/// A history that is to begin anew.
+/// A voter's request to join, or to be told the cluster generation alone.
+pub struct JoinRequest {
+    /// The requesting gateway's name.
+    pub voter: String,
+    /// The number of the voter's replica; none where it asks for the generation alone.
+    pub replica_id: Option<u64>,
+    /// Takes the cluster generation that is known here; 0 is none.
+    pub response: oneshot::Sender<u64>,
+}
+
+/// The leader's response to a heartbeat of this gateway.
+pub struct HeartbeatAnswer {
+    /// The voter that responded.
+    pub leader: String,
+    /// Its response.
+    pub response: HeartbeatResponse<Json>,
+}
+
+/// An operator's request to bootstrap the fleet.
+pub struct BootstrapRequest {
+    pub(crate) document: Json,
+    pub(crate) responder: Responder,
+}
+
+/// An operator's request for a disaster recovery: a new cluster generation from what is left here.
 pub struct RecoveryRequest {
+    /// The policy to begin with where nothing is left.
     pub(crate) document: Json,
-    pub(crate) who: String,
-    pub(crate) answer: Responder,
+    pub(crate) author: String,
+    pub(crate) responder: Responder,
 }
 
+/// How a write to the log's disk ended, with the disk that the task gives back.
 pub struct SaveOutcome {
     pub(crate) storage: Storage,
     pub(crate) save: Save,
-    pub(crate) how: Result<(), String>,
+    pub(crate) result: Result<(), StorageError>,
 }
-
-/// Says that the process ends, once all is answered; told when the fleet knows.
-pub type Leave = mpsc::Sender<AgentMessage>;
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -1,65 +1,69 @@
-//! What became of a command, by the fleet's log.
+//! What became of a command, as the fleet's replicated log has it.
 
 use crate::message::CommandResponse;
 use ironstair_coordination::leader::Command;
-use ironstair_coordination::RevisionState;
+use ironstair_coordination::{Fleet, RevisionState, RevisionSummary};
 use serde_json::Value as Json;
 
+/// What became of a command.
 pub(crate) enum Outcome {
+    /// It has ended.
     Final(CommandResponse),
-    /// It stands in the log, and goes on.
+    /// It is in the log, and goes on.
     InProgress,
+    /// The log does not have it.
     Unknown,
 }
 
-/// What became of an ask, by the log.
-pub(crate) fn outcome(fleet: &ironstair_coordination::Fleet<Json>, ask: &Command<Json>) -> Outcome {
-    let line = match ask {
-        Command::Change(proposal) => fleet.lines.iter().find(|l| l.token == proposal.token),
-        Command::Confirm { id } => fleet
-            .lines
-            .iter()
-            .rev()
-            .find(|l| l.commit.as_ref() == Some(id)),
-        Command::Cancel { id: Some(id), .. } => fleet
-            .lines
-            .iter()
-            .rev()
-            .find(|l| l.commit.as_ref() == Some(id)),
-        Command::Cancel { id: None, .. } => None,
-    };
-    let Some(l) = line else {
+/// What became of a command, by the revisions that the log has.
+pub(crate) fn outcome(fleet: &Fleet<Json>, command: &Command<Json>) -> Outcome {
+    let Some(revision) = revision_of(fleet, command) else {
         return Outcome::Unknown;
     };
-    let refused = || {
-        let (by, why) = l.refused.clone().unwrap_or_default();
-        Outcome::Final(CommandResponse::Refused(format!(
-            "revision {} was refused by {by}: {why}",
-            l.number
-        )))
-    };
-    let done = Outcome::Final(CommandResponse::Done(l.number));
-    let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
-    match (ask, l.state) {
+    let done = Outcome::Final(CommandResponse::Done(revision.number));
+    let rollback_ended = fleet.change.as_ref().is_none_or(|change| !change.back);
+    match (command, revision.state) {
         (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::InProgress,
-        (Command::Change(_), RevisionState::Refused) => refused(),
+        (Command::Change(_), RevisionState::Refused) => refused(revision),
         (Command::Change(_), _) => done,
         (Command::Confirm { .. }, RevisionState::Running) => done,
-        (Command::Cancel { .. }, RevisionState::RolledBack) if back_over => done,
+        (Command::Cancel { .. }, RevisionState::RolledBack) if rollback_ended => done,
         (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::InProgress,
         (Command::Cancel { .. }, RevisionState::Refused) => done,
         _ => Outcome::Unknown,
     }
 }
 
-pub(crate) fn step_name(of: RevisionState) -> &'static str {
-    match of {
+fn revision_of<'a>(fleet: &'a Fleet<Json>, command: &Command<Json>) -> Option<&'a RevisionSummary> {
+    let revisions = &fleet.lines;
+    let last_under = |id: &String| {
+        let mut newest_first = revisions.iter().rev();
+        newest_first.find(|revision| revision.commit.as_ref() == Some(id))
+    };
+    match command {
+        Command::Change(proposal) => revisions.iter().find(|r| r.token == proposal.token),
+        Command::Confirm { id } => last_under(id),
+        Command::Cancel { id, .. } => id.as_ref().and_then(last_under),
+    }
+}
+
+fn refused(revision: &RevisionSummary) -> Outcome {
+    let (by, why) = revision.refused.clone().unwrap_or_default();
+    let number = revision.number;
+    Outcome::Final(CommandResponse::Refused(format!(
+        "revision {number} was refused by {by}: {why}"
+    )))
+}
+
+/// A revision's state as the log line names it.
+pub(crate) fn state_name(state: RevisionState) -> &'static str {
+    match state {
         RevisionState::Staged => "staged",
         RevisionState::Binding => "binding",
         RevisionState::Running => "running",
         RevisionState::Unconfirmed => "unconfirmed",
         RevisionState::Replaced => "replaced",
-        RevisionState::RolledBack => "taken back",
+        RevisionState::RolledBack => "rolled back",
         RevisionState::Refused => "refused",
     }
 }
--- a/crates/fleet-agent/src/peer.rs
+++ b/crates/fleet-agent/src/peer.rs
@@ -1,10 +1,13 @@
-//! The way to one voter: words go there by a connection that is made anew when it fails, and what can't go in its
-//! time is dropped, since whoever speaks says it again. Nobody waits for a peer but the task that speaks to it.
+//! The connection to one voter. It is made anew when it fails; what can't be sent in time is dropped, since every
+//! sender repeats itself. Only the task that calls a voter waits for it.
 
+use crate::envelope::{Identity, MAX_MESSAGE_BYTES};
+use crate::message::{CommandResponse, HeartbeatReply};
 use crate::proto::fleet_client::FleetClient;
 use crate::proto::Envelope;
 use ironstair::Ms;
 use ironstair_runtime::clock::span;
+use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::{mpsc, Semaphore};
@@ -12,84 +15,139 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// Messages of the agreement library that may wait for a voter, that may be under way to it, and for how long.
+/// Messages of the Raft library that may wait for a voter.
 const MAX_QUEUED_MESSAGES: usize = 128;
+/// Messages of the Raft library that may be under way to a voter.
 const MAX_MESSAGES_IN_FLIGHT: usize = 32;
+/// How long one of them may be under way, in ms.
 const RAFT_MESSAGE_TIMEOUT: Ms = 2000.0;
+/// How long a connection may take to come up, in ms.
 const CONNECT_TIMEOUT: Ms = 500.0;
-/// A connection on which no ping comes back for so long is a broken one.
+/// How often a connection is probed, in ms.
 const KEEPALIVE_INTERVAL: Ms = 1000.0;
+/// A connection whose probe is not answered for so long is broken, in ms.
 const KEEPALIVE_TIMEOUT: Ms = 1000.0;
-/// Of one word: a whole log's state with hundreds of members is below a megabyte.
-pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// The body of a join request that asks for the cluster generation alone.
+const GENERATION_QUERY: &[u8] = b"0";
 
+/// The connection to one voter; clones share it.
 #[derive(Clone)]
 pub struct VoterConnection {
     client: FleetClient<Channel>,
-    agree: mpsc::Sender<Envelope>,
+    raft_messages: mpsc::Sender<Envelope>,
 }
 
+/// Why a call to a voter brought no answer that can be used.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The call failed, or the voter rejected it.
+    #[error("{}", .0.message())]
+    Status(Box<Status>),
+    /// The answer's body can't be decoded.
+    #[error(transparent)]
+    Body(#[from] serde_json::Error),
+}
+
+type TimedResponse = Result<Result<tonic::Response<Envelope>, Status>, tokio::time::error::Elapsed>;
+
 impl VoterConnection {
-    /// Must be called on the runtime that serves it.
+    /// A connection that comes up with its first call. Must be called on the runtime that serves it: it starts the
+    /// task that sends the Raft library's messages, which ends with the last clone.
     ///
     /// # Errors
     /// The address can't be one.
-    pub fn to(at: SocketAddr) -> Result<VoterConnection, String> {
-        let endpoint = Endpoint::from_shared(format!("http://{at}")).map_err(|e| e.to_string())?;
-        let endpoint = endpoint
+    pub fn new(address: SocketAddr) -> Result<VoterConnection, tonic::transport::Error> {
+        let endpoint = Endpoint::from_shared(format!("http://{address}"))?
             .connect_timeout(span(CONNECT_TIMEOUT))
             .http2_keep_alive_interval(span(KEEPALIVE_INTERVAL))
             .keep_alive_timeout(span(KEEPALIVE_TIMEOUT))
             .tcp_nodelay(true);
-        let client = FleetClient::new(endpoint.connect_lazy());
-        let client = client
+        let client = FleetClient::new(endpoint.connect_lazy())
             .max_decoding_message_size(MAX_MESSAGE_BYTES)
             .max_encoding_message_size(MAX_MESSAGE_BYTES);
-        let (agree, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
-        tokio::spawn(pass_on(client.clone(), waiting));
-        Ok(VoterConnection { client, agree })
+        let (raft_messages, queue) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        tokio::spawn(send_raft_messages(client.clone(), queue));
+        Ok(VoterConnection {
+            client,
+            raft_messages,
+        })
     }
 
-    /// A message of the agreement library, in its order after those before it; dropped where too many wait.
-    pub fn agree(&self, word: Envelope) {
-        let _ = self.agree.try_send(word);
+    /// Sends a message of the Raft library after those before it; dropped where too many wait.
+    pub fn send_raft_message(&self, envelope: Envelope) {
+        let _ = self.raft_messages.try_send(envelope);
     }
 
-    pub async fn heartbeat(&self, word: Envelope, within: Ms) -> Result<Envelope, Status> {
+    /// Sends a heartbeat, with a timeout in ms.
+    ///
+    /// # Errors
+    /// No answer in time, or none that can be used.
+    pub async fn heartbeat(
+        &self,
+        envelope: Envelope,
+        within: Ms,
+    ) -> Result<HeartbeatReply, CallError> {
         let mut client = self.client.clone();
-        answered(timeout(span(within), client.beat(word)).await)
+        decoded(timeout(span(within), client.beat(envelope)).await)
     }
 
-    pub async fn request_join(&self, word: Envelope, within: Ms) -> Result<Envelope, Status> {
+    /// Sends a request to join, with a timeout in ms; the cluster generation that the voter knows, 0 for none.
+    ///
+    /// # Errors
+    /// No answer in time, or none that can be used.
+    pub async fn request_join(&self, envelope: Envelope, within: Ms) -> Result<u64, CallError> {
         let mut client = self.client.clone();
-        answered(timeout(span(within), client.knock(word)).await)
+        decoded(timeout(span(within), client.knock(envelope)).await)
     }
 
-    pub async fn ask(&self, word: Envelope, within: Ms) -> Result<Envelope, Status> {
+    /// The cluster generation that the voter knows, 0 for none; with a timeout in ms.
+    ///
+    /// # Errors
+    /// No answer in time, or none that can be used.
+    pub async fn known_generation(
+        &self,
+        identity: &Identity,
+        within: Ms,
+    ) -> Result<u64, CallError> {
+        let query = identity.envelope(GENERATION_QUERY.to_vec());
+        self.request_join(query, within).await
+    }
+
+    /// Sends an operator's command, with a timeout in ms.
+    ///
+    /// # Errors
+    /// No answer in time, or none that can be used.
+    pub async fn command(
+        &self,
+        envelope: Envelope,
+        within: Ms,
+    ) -> Result<CommandResponse, CallError> {
         let mut client = self.client.clone();
-        answered(timeout(span(within), client.ask(word)).await)
+        decoded(timeout(span(within), client.ask(envelope)).await)
     }
 }
 
-type Timed = Result<Result<tonic::Response<Envelope>, Status>, tokio::time::error::Elapsed>;
-
-fn answered(how: Timed) -> Result<Envelope, Status> {
-    let how = how.map_err(|_| Status::new(Code::DeadlineExceeded, "no answer in time"))?;
-    how.map(tonic::Response::into_inner)
+fn decoded<T: DeserializeOwned>(response: TimedResponse) -> Result<T, CallError> {
+    let response = response.map_err(|_| Status::new(Code::DeadlineExceeded, "no answer in time"));
+    let envelope = response
+        .and_then(|answered| answered)
+        .map_err(|status| CallError::Status(Box::new(status)))?
+        .into_inner();
+    Ok(serde_json::from_slice(&envelope.body)?)
 }
 
-/// In their order, and without waiting for the answer to one before the next: a way that takes long carries as many.
-async fn pass_on(client: FleetClient<Channel>, mut waiting: mpsc::Receiver<Envelope>) {
-    let under_way = Arc::new(Semaphore::new(MAX_MESSAGES_IN_FLIGHT));
-    while let Some(word) = waiting.recv().await {
-        // A peer that takes nothing is sent nothing more: the library says it anew.
-        let Ok(place) = under_way.clone().try_acquire_owned() else {
+/// In their order, and without waiting for the answer to one before the next: a slow path carries as many.
+async fn send_raft_messages(client: FleetClient<Channel>, mut queue: mpsc::Receiver<Envelope>) {
+    let in_flight = Arc::new(Semaphore::new(MAX_MESSAGES_IN_FLIGHT));
+    while let Some(envelope) = queue.recv().await {
+        // A peer that takes nothing is sent nothing more: the library repeats it.
+        let Ok(permit) = in_flight.clone().try_acquire_owned() else {
             continue;
         };
         let mut client = client.clone();
         tokio::spawn(async move {
-            let _ = timeout(span(RAFT_MESSAGE_TIMEOUT), client.agree(word)).await;
-            drop(place);
+            let _ = timeout(span(RAFT_MESSAGE_TIMEOUT), client.agree(envelope)).await;
+            drop(permit);
         });
     }
 }
--- a/crates/fleet-agent/src/prepared.rs
+++ b/crates/fleet-agent/src/prepared.rs
@@ -1,61 +1,86 @@
-//! What is opened before anything serves: the listener and the disk.
+//! What is opened before anything serves: the listener and the log's disk. An address or a disk that can't be used is
+//! reported at once.
 
 use crate::config::FleetConfig;
+use crate::error::{StartError, StorageError};
 use crate::fault_injection::taken_out;
 use crate::server;
 use ironstair_raft_storage::Storage;
 use std::hash::{BuildHasher, Hasher};
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
 
-/// Opened before anything serves: a disk or an address that can't be used is told at once.
+/// A gateway's part in its fleet, opened but not started.
 pub struct PreparedAgent {
     pub(crate) config: FleetConfig,
-    pub(crate) bound: TcpListener,
+    pub(crate) listener: TcpListener,
+    /// A voter's disk.
     pub(crate) storage: Option<Storage>,
-    pub(crate) note: Option<String>,
-}
-
-/// Not 0, which stands for none.
-pub(crate) fn random_number() -> u64 {
-    std::collections::hash_map::RandomState::new()
-        .build_hasher()
-        .finish()
-        | 1
+    /// What was found wrong with the log and mended.
+    pub(crate) storage_note: Option<String>,
 }
 
 impl PreparedAgent {
+    /// Binds the listener, and opens the log of a voter.
+    ///
     /// # Errors
-    /// The address is not free, or the disk can't be used; one sentence.
-    pub fn open(config: FleetConfig) -> Result<PreparedAgent, String> {
-        let bound = server::bind(config.listen)?;
-        // Held to the process's end, also where this thread ends before: the gateway's decides by its lease still, and
-        // a later process that could listen here would count this one as gone.
-        std::mem::forget(
-            bound
-                .try_clone()
-                .map_err(|e| format!("fleet.listen: {e}"))?,
-        );
-        let storage = config.folder.as_ref();
-        let number = if taken_out("number") {
-            fixed_number(&config.name)
+    /// The address is not free, or the disk can't be used.
+    pub fn open(config: FleetConfig) -> Result<PreparedAgent, StartError> {
+        let listener = server::bind(config.listen)?;
+        // Held until the process ends, also where this thread ends before: the gateway still decides by its lease, and
+        // a later process that could listen here would take this one for ended.
+        std::mem::forget(listener.try_clone().map_err(StartError::HoldListener)?);
+        let mut prepared = PreparedAgent {
+            config,
+            listener,
+            storage: None,
+            storage_note: None,
+        };
+        if let Some(folder) = prepared.config.folder.clone() {
+            prepared.open_storage(&folder)?;
+        }
+        Ok(prepared)
+    }
+
+    fn open_storage(&mut self, folder: &Path) -> Result<(), StartError> {
+        let fleet = &self.config.fleet;
+        let name = &self.config.name;
+        let replica_id = if taken_out("number") {
+            fixed_replica_id(name)
         } else {
             random_number()
         };
-        let open = |folder| Storage::open(folder, &config.fleet, &config.name, number);
-        let storage = storage
-            .map(|f| open(f).map_err(|e| format!("fleet.state: {e}")))
-            .transpose()?;
-        let (storage, note) = storage.map_or((None, None), |a| (Some(a.storage), a.note));
-        Ok(PreparedAgent {
-            config,
-            bound,
-            storage,
-            note,
-        })
+        let opened = Storage::open(folder, fleet, name, replica_id)
+            .map_err(|e| StartError::Log(StorageError::new(e)))?;
+        self.storage = Some(opened.storage);
+        self.storage_note = opened.note;
+        Ok(())
+    }
+}
+
+/// What this process holds for itself alone as long as it lives, its listener's address: on this machine since it
+/// started, in this network namespace. A stopped process holds it, and one whose threads have not all ended. Empty
+/// where the system does not tell both.
+pub(crate) fn exclusive_address(listen: SocketAddr) -> String {
+    let machine = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
+    let network = std::fs::read_link("/proc/self/ns/net");
+    match (machine, network) {
+        (Ok(machine), Ok(network)) if listen.port() != 0 => {
+            format!("{} {} {listen}", machine.trim(), network.display())
+        }
+        _ => String::new(),
     }
 }
 
-/// The number of a voter that would not be drawn anew.
-fn fixed_number(name: &str) -> u64 {
+/// A random number other than 0, which stands for none.
+pub(crate) fn random_number() -> u64 {
+    std::collections::hash_map::RandomState::new()
+        .build_hasher()
+        .finish()
+        | 1
+}
+
+/// A replica's number that is the same at each start, for tests.
+fn fixed_replica_id(name: &str) -> u64 {
     ironstair_runtime::number(name.as_bytes()) | 1
 }
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of a fleet, as its leader knows it.
+//! What operators see of a fleet, as its leader knows it: JSON for the command line, and members for the state tree.
+//! The JSON's keys are a form that is kept, whatever the code calls their values.
 
 use ironstair::Ms;
 use ironstair_coordination::fleet::{Change, Step};
@@ -8,87 +9,104 @@
 use ironstair_raft_replica::Replica;
 use serde_json::{json, Value as Json};
 
-fn member(
+/// All that the leader knows of its fleet.
+pub fn fleet_json(now: Ms, name: &str, replica: &Replica<Json>, leader: &Leader<Json>) -> Json {
+    let state = replica.state();
+    let fleet = &state.fleet;
+    let member_json =
+        |(name, session): (&String, &Session)| member_json(now, fleet, leader, name, session);
+    let change_json = |change| change_json(now, fleet, leader, change);
+    json!({
+        "history": format!("{:016x}", fleet.history),
+        "revision": fleet.running.as_ref().map(|r| r.0),
+        "chair": name,
+        "keepers": state.voters.keys().collect::<Vec<_>>(),
+        "joining": state.joining.keys().collect::<Vec<_>>(),
+        "replacing": replica.replacing(),
+        "change": fleet.change.as_ref().map(change_json),
+        "counted": leader.sharing().map(|s| s.0.round()),
+        "sharing": leader.sharing().map(|s| s.1),
+        "unconfirmed": fleet.trial.as_ref().map(|t| &t.id),
+        "members": fleet.members.iter().map(member_json).collect::<Vec<_>>(),
+        "revisions": fleet.lines.iter().map(revision_json).collect::<Vec<_>>(),
+    })
+}
+
+fn member_json(
     now: Ms,
     fleet: &Fleet<Json>,
     leader: &Leader<Json>,
-    (name, seat): (&String, &Session),
+    name: &str,
+    session: &Session,
 ) -> Json {
     let seen = leader.seen(name);
-    let left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
-    let cut_off = if seat.steady { "steady" } else { "strict" };
+    let lease_left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
+    let cut_off = if session.steady { "steady" } else { "strict" };
     json!({
         "name": name,
         "cut-off": cut_off,
         "heard-ms-ago": seen.map(|s| (now - s.0).round()),
-        "lease-left-ms": left.round(),
+        "lease-left-ms": lease_left.round(),
         "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.mark),
         "counts": leader.counts(now, fleet, name),
     })
 }
 
-/// Who is in, for the tree.
+fn change_json(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>, change: &Change<Json>) -> Json {
+    json!({
+        "number": change.number,
+        "step": change.step,
+        "takes-back": change.back,
+        "waits-for": waits_for(now, fleet, leader),
+    })
+}
+
+fn revision_json(revision: &RevisionSummary) -> Json {
+    let mut shown = json!({
+        "number": revision.number,
+        "who": revision.who,
+        "when": revision.when.round(),
+        "what": revision.what,
+        "outcome": revision.state,
+    });
+    if let Some(commit) = &revision.commit {
+        shown["commit"] = json!(commit);
+    }
+    if let Some((refused_by, reason)) = &revision.refused {
+        shown["refused-by"] = json!(refused_by);
+        shown["why"] = json!(reason);
+    }
+    shown
+}
+
+/// The members for the state tree; none where this voter is not the leader.
 pub fn members(replica: &Replica<Json>) -> Vec<state::Member> {
-    let (fleet, Some(leader)) = (&replica.state().fleet, replica.leader()) else {
+    let Some(leader) = replica.leader() else {
         return Vec::new();
     };
-    let one = |(name, seat): (&String, &Session)| {
+    let fleet = &replica.state().fleet;
+    let member = |(name, session): (&String, &Session)| {
         let (heard, mark, until) = leader.seen(name).unwrap_or_default();
-        let holds = mark == fleet.mark;
         state::Member {
             name: name.clone(),
-            steady: seat.steady,
+            steady: session.steady,
             heard,
             until,
-            holds,
+            holds: mark == fleet.mark,
         }
     };
-    fleet.members.iter().map(one).collect()
+    fleet.members.iter().map(member).collect()
 }
 
-fn line(l: &RevisionSummary) -> Json {
-    let mut shown = json!({"number": l.number, "who": l.who, "when": l.when.round(), "what": l.what, "outcome": l.state});
-    if let Some(commit) = &l.commit {
-        shown["commit"] = json!(commit);
-    }
-    if let Some((by, why)) = &l.refused {
-        shown["refused-by"] = json!(by);
-        shown["why"] = json!(why);
-    }
-    shown
-}
-
-fn change(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>, c: &Change<Json>) -> Json {
-    json!({"number": c.number, "step": c.step, "takes-back": c.back, "waits-for": waits_for(now, fleet, leader)})
-}
-
-/// Who a change under way waits for.
+/// The names of the members that a change under way waits for.
 pub fn waits_for(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>) -> Vec<String> {
-    let lacks = |name: &String| match fleet.change.as_ref() {
-        Some(c) if c.step == Step::Staged => !leader.examined(name, c.number),
-        Some(_) => leader.seen(name).is_none_or(|s| s.1 != fleet.mark),
-        None => false,
+    let Some(change) = &fleet.change else {
+        return Vec::new();
     };
-    let waits = |name: &&String| leader.counts(now, fleet, name) && lacks(name);
+    let has_done_its_part = |name: &str| match change.step {
+        Step::Staged => leader.examined(name, change.number),
+        _ => leader.seen(name).is_some_and(|s| s.1 == fleet.mark),
+    };
+    let waits = |name: &&String| leader.counts(now, fleet, name) && !has_done_its_part(name);
     fleet.members.keys().filter(waits).cloned().collect()
 }
-
-/// All of it, at the leader.
-pub fn fleet(now: Ms, name: &str, replica: &Replica<Json>, leader: &Leader<Json>) -> Json {
-    let state = replica.state();
-    let f = &state.fleet;
-    json!({
-        "history": format!("{:016x}", f.history),
-        "revision": f.running.as_ref().map(|r| r.0),
-        "chair": name,
-        "keepers": state.voters.keys().collect::<Vec<_>>(),
-        "joining": state.joining.keys().collect::<Vec<_>>(),
-        "replacing": replica.replacing(),
-        "change": f.change.as_ref().map(|c| change(now, f, leader, c)),
-        "counted": leader.sharing().map(|s| s.0.round()),
-        "sharing": leader.sharing().map(|s| s.1),
-        "unconfirmed": f.trial.as_ref().map(|t| &t.id),
-        "members": f.members.iter().map(|m| member(now, f, leader, m)).collect::<Vec<_>>(),
-        "revisions": f.lines.iter().map(line).collect::<Vec<_>>(),
-    })
-}
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -6,16 +6,18 @@
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
-use ironstair_fleet_agent::message::{AgentMessage, CommandResponse, FleetCommand, LeaderHint};
+use ironstair_fleet_agent::envelope::Identity;
+use ironstair_fleet_agent::message::{
+    AgentMessage, CommandResponse, FleetCommand, HeartbeatReply, LeaderHint,
+};
 use ironstair_fleet_agent::proto::Envelope;
-use ironstair_fleet_agent::server::{bind, serve, Identity};
-use ironstair_fleet_agent::status;
+use ironstair_fleet_agent::server::{bind, serve};
+use ironstair_fleet_agent::{status, AgentHandle};
 use ironstair_raft_replica::{Out, Replica, TICK};
 use prost::Message;
 use serde_json::{json, Value as Json};
 use slog::{o, Discard, Logger};
 use std::path::Path;
-use tokio::sync::mpsc;
 
 fn sample(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -98,7 +100,7 @@
 
 /// What the listener is to hand to its owner, and what it is told in return.
 enum Case {
-    Heartbeat(Heartbeat, Result<HeartbeatResponse<Json>, LeaderHint>),
+    Heartbeat(Heartbeat, HeartbeatReply),
     RaftMessage(Vec<u8>),
     Join(u64, u64),
     Command(FleetCommand, CommandResponse),
@@ -128,20 +130,30 @@
     fn take(self, mail: AgentMessage) {
         let text = |asked: &FleetCommand| format!("{asked:?}");
         match (self, mail) {
-            (Case::Heartbeat(want, answer), AgentMessage::Heartbeat(heartbeat, to)) => {
+            (
+                Case::Heartbeat(want, answer),
+                AgentMessage::Heartbeat {
+                    heartbeat,
+                    response,
+                },
+            ) => {
                 assert_eq!(heartbeat, want);
-                to.send(answer).unwrap();
+                response.send(answer).unwrap();
             }
-            (Case::RaftMessage(want), AgentMessage::RaftMessage(from, bytes)) => {
+            (Case::RaftMessage(want), AgentMessage::RaftMessage { from, bytes }) => {
                 assert_eq!((from.as_str(), bytes), ("g1", want));
             }
-            (Case::Join(want, history), AgentMessage::JoinRequest(name, number, to)) => {
-                assert_eq!((name.as_str(), number), ("g1", want));
-                to.send(history).unwrap();
+            (Case::Join(want, generation), AgentMessage::JoinRequest(request)) => {
+                let wanted_id = (want != 0).then_some(want);
+                assert_eq!(
+                    (request.voter.as_str(), request.replica_id),
+                    ("g1", wanted_id)
+                );
+                request.response.send(generation).unwrap();
             }
-            (Case::Command(want, told), AgentMessage::Command(asked, to)) => {
-                assert_eq!(text(&asked), text(&want));
-                to.send(told).unwrap();
+            (Case::Command(want, told), AgentMessage::Command { command, response }) => {
+                assert_eq!(text(&command), text(&want));
+                response.send(told).unwrap();
             }
             (case, _) => panic!("{} was handed on as something else", case.method()),
         }
@@ -244,7 +256,7 @@
     format!("# {name}: {method}\n{}{}", one(words[0]), one(words[1]))
 }
 
-async fn listener(mail: mpsc::Sender<AgentMessage>) -> std::net::SocketAddr {
+async fn listener(agent: AgentHandle) -> std::net::SocketAddr {
     let bound = bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = bound.local_addr().unwrap();
     let own = Identity {
@@ -252,7 +264,7 @@
         name: "g2".into(),
         start: 12,
     };
-    tokio::spawn(serve(bound, own, mail, log()));
+    tokio::spawn(serve(bound, own, agent, log()));
     at
 }
 
@@ -267,8 +279,8 @@
 #[test]
 fn every_message_is_read_and_answered_as_in_its_sample() {
     let words = block_on(async {
-        let (mail, mut mailbox) = mpsc::channel(1);
-        let at = listener(mail).await;
+        let (agent, mut mailbox) = AgentHandle::channel(1);
+        let at = listener(agent).await;
         let asker = Identity {
             fleet: "north".into(),
             name: "g1".into(),
@@ -318,7 +330,7 @@
         let (request_again, answer_again) = match method {
             "Beat" => (
                 again::<Heartbeat>(&request),
-                again::<Result<HeartbeatResponse<Json>, LeaderHint>>(&answer),
+                again::<HeartbeatReply>(&answer),
             ),
             "Agree" => (request.clone(), Vec::new()),
             "Knock" => (again::<u64>(&request), again::<u64>(&answer)),
@@ -335,8 +347,8 @@
 #[test]
 fn a_message_of_another_form_or_fleet_is_refused_with_the_same_status() {
     let refused = block_on(async {
-        let (mail, _inbox) = mpsc::channel(1);
-        let at = listener(mail).await;
+        let (agent, _mailbox) = AgentHandle::channel(1);
+        let at = listener(agent).await;
         let word = Identity {
             fleet: "north".into(),
             name: "g1".into(),
@@ -422,7 +434,13 @@
 
     fn shown(&self) -> String {
         let leader = self.replica.leader().unwrap();
-        serde_json::to_string(&status::fleet(self.now + 20.0, "a", &self.replica, leader)).unwrap()
+        serde_json::to_string(&status::fleet_json(
+            self.now + 20.0,
+            "a",
+            &self.replica,
+            leader,
+        ))
+        .unwrap()
             + "\n"
     }
 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -4,7 +4,7 @@
 use crate::operator_config::{self, Management, Operator, Tls};
 use async_channel::{Receiver, Sender};
 use ironstair::Ms;
-use ironstair_fleet_agent::{actor, Actor, Leave};
+use ironstair_fleet_agent::{Actor, AgentChannels, AgentHandle, PreparedAgent};
 use ironstair_gnmi::roles::Roles;
 use ironstair_gnmi::server::{self, Keys};
 use ironstair_gnmi::tls::Files;
@@ -29,7 +29,7 @@
     pub asked: Receiver<ManagementCommand>,
     pub renew: Renew,
     /// In a fleet: by which it is told that this process ends.
-    pub leave: Option<Leave>,
+    pub leave: Option<AgentHandle>,
 }
 
 /// Opened before anything serves; started once the gateway's thread runs.
@@ -38,7 +38,7 @@
     bound: TcpListener,
     streams: usize,
     keys: Option<Arc<Keys>>,
-    fleet: Option<ironstair_fleet_agent::PreparedAgent>,
+    fleet: Option<PreparedAgent>,
     pub window: Arc<Window>,
 }
 
@@ -70,8 +70,9 @@
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (server::bind(m.listen)?, m.streams);
     let fleet = fleet_config
-        .map(ironstair_fleet_agent::PreparedAgent::open)
-        .transpose()?;
+        .map(PreparedAgent::open)
+        .transpose()
+        .map_err(|e| e.to_string())?;
     Ok(Opened {
         started,
         bound,
@@ -175,12 +176,14 @@
             runtime.block_on(async {
                 tokio::spawn(manager.run());
                 if let Some(opened) = self.fleet {
-                    let ends = actor::AgentChannels {
+                    let ends = AgentChannels {
                         manager_requests: wants,
                         status: shown,
+                        management,
+                        gateway_commands: requests,
                     };
-                    let (actor, leave) =
-                        Actor::start(opened, ends, management, requests, clock, log.clone())?;
+                    let (actor, leave) = Actor::start(opened, ends, clock, log.clone())
+                        .map_err(|e| e.to_string())?;
                     let _ = leaves.send(leave);
                     tokio::spawn(actor.run());
                 }
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -98,7 +98,7 @@
         counts: f.count == Count::Members,
         folder: f.state.clone(),
     };
-    config.checked()
+    config.validated().map_err(|e| e.to_string())
 }
 
 /// Cells; every gateway of a fleet is to be told the same.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -386,14 +386,17 @@
         }
         if let Some(leave) = leave {
             // Who says so needs no lease to run out before its fleet goes on without it.
-            let (done, config) = tokio::sync::oneshot::channel();
-            let said = leave
-                .try_send(ironstair_fleet_agent::message::AgentMessage::Leave(done))
-                .is_ok();
+            let left = leave.announce_leave();
+            let said = left.is_some();
             let most = async {
                 Timer::after(span(LEAVE_WITHIN)).await;
             };
-            or(async { drop(config.await) }, most).await;
+            let told = async {
+                if let Some(left) = left {
+                    drop(left.await);
+                }
+            };
+            or(told, most).await;
             info!(log, "left the fleet"; "said" => said);
         }
         Ok(())
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -411,7 +411,7 @@
     cluster.until_answers(What::Settled, 200);
     // The wiped one has a vote again, as at its first start: without the first voter, the fleet goes on.
     until("it votes", || {
-        cluster.log(1).matches("this keeper has a vote").count() == 2
+        cluster.log(1).matches("this voter has a vote").count() == 2
     });
     cluster.kill(0);
     cluster.until_answers(What::Settled, 200);
@@ -493,11 +493,11 @@
     std::fs::write(cluster.state_folder(2).join("full"), "").unwrap();
     well(cluster.set(3, &[ATTEMPTS, "4"]));
     until("it says so", || {
-        cluster.log(2).contains("the fleet's log can't be kept")
+        cluster.log(2).contains("fleet log can't be written")
     });
     std::fs::remove_file(cluster.state_folder(2).join("full")).unwrap();
     until("it has room again", || {
-        cluster.log(2).contains("the fleet's log is kept again")
+        cluster.log(2).contains("fleet log is written again")
     });
     well(cluster.set(2, &[ATTEMPTS, "5"]));
     all_hold(&cluster, 3);
@@ -512,7 +512,7 @@
     let change = cluster.cli_meanwhile(3, &["set", ATTEMPTS, "3", "--fleet"]);
     until("it is made, or two say that they keep nothing", || {
         change.is_finished()
-            || (1..3).all(|k| cluster.log(k).contains("the fleet's log can't be kept"))
+            || (1..3).all(|k| cluster.log(k).contains("fleet log can't be written"))
     });
     (0..3).for_each(|k| cluster.kill(k));
     cluster.wipe(0);
@@ -575,7 +575,7 @@
     cluster.until_answers_of(4, What::Settled, 100);
     assert!(cluster.fit(4) && !cluster.fit(3));
     let said = cluster.set(3, &[ATTEMPTS, "5"]);
-    assert!(said.code == 3 && said.err.contains("no chair"), "{said:?}");
+    assert!(said.code == 3 && said.err.contains("no leader"), "{said:?}");
     cluster.start(0);
     cluster.start(1);
     all_hold(&cluster, 0);
@@ -616,7 +616,7 @@
     until("it has no lease", || {
         cluster
             .log(3)
-            .contains("the fleet was not heard for a lease")
+            .contains("lease expired, rejecting new requests")
     });
     cluster.until_answers_of(3, What::Settled, 100);
 }
@@ -699,7 +699,7 @@
     });
     assert!((0..3).any(|k| cluster
         .log(k)
-        .contains("a word of another gateway is not taken")));
+        .contains("message of another gateway rejected")));
     let names = |cluster: &Cluster| -> Vec<String> {
         let members = cluster.shown(0)["members"]
             .as_array()
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -51,21 +51,23 @@
     // Not by a first beginning: one disk knows better.
     let first = cluster.cli(0, &["fleet", "begin"]);
     assert!(
-        first.code == 3 && first.err.contains("g3 knows of a history"),
+        first.code == 3 && first.err.contains("g3 knows a cluster generation"),
         "{first:?}"
     );
     let anew = cluster.cli(2, &["fleet", "begin-anew"]);
     well(&anew);
     assert!(
-        anew.out.contains("with revision 1") && anew.out.contains("0 keepers did not answer"),
+        anew.out.contains("with revision 1") && anew.out.contains("0 voters did not answer"),
         "{anew:?}"
     );
     all_have(&cluster, &json!(5));
     assert!(cluster
         .cli(1, &["revisions", "--fleet"])
         .out
-        .contains("begun anew after history"));
-    assert!(cluster.log(2).contains("the fleet's history begins anew"));
+        .contains("disaster recovery after generation"));
+    assert!(cluster
+        .log(2)
+        .contains("disaster recovery done, new cluster generation begins"));
     cluster.until_answers(What::Settled, 200);
     until("all keepers vote", || {
         cluster.shown(3)["keepers"]
@@ -80,7 +82,7 @@
         again.code == 3
             && again
                 .err
-                .contains("is the chair: the fleet's history is not lost"),
+                .contains("is the leader: the fleet's state is not lost"),
         "{again:?}"
     );
     cluster.over();
@@ -148,7 +150,7 @@
     cluster.kill(1);
     let anew = cluster.cli(2, &["fleet", "begin-anew"]);
     well(&anew);
-    assert!(anew.out.contains("2 keepers did not answer"), "{anew:?}");
+    assert!(anew.out.contains("2 voters did not answer"), "{anew:?}");
     (2..cluster.size()).for_each(|g| cluster.until_fit(g));
     well(&cluster.set(3, &[ATTEMPTS, "2"]));
     cluster.start(0);
@@ -164,7 +166,7 @@
         (0..2).all(|k| {
             cluster
                 .log(k)
-                .contains("the fleet's history began anew without this keeper")
+                .contains("disaster recovery took place without this voter")
         })
     });
     until("all keepers vote", || {
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -195,7 +195,7 @@
     pub fn begin_alone(&self) {
         until("the history begins", || {
             let said = self.command(0, &["fleet"], &["begin"]);
-            said.code == 0 || said.err.contains("has a history")
+            said.code == 0 || said.err.contains("the fleet is bootstrapped already")
         });
         until("every keeper votes", || {
             self.shown(0)["keepers"]
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -133,7 +133,7 @@
             Fault::Wipe(k) => {
                 // A further disk, lost before the last one's voter has a vote again, is one too many.
                 let votes = |cluster: &Cluster, k: usize| {
-                    cluster.log(k).matches("this keeper has a vote").count()
+                    cluster.log(k).matches("this voter has a vote").count()
                 };
                 until("the keeper whose disk was lost has a vote", || {
                     lost.is_none_or(|(lost, before)| votes(cluster, lost) > before)
