--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -14,7 +14,7 @@
 use crate::config::FleetConfig;
 use crate::envelope::Identity;
 use crate::error::StartError;
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::handle::AgentHandle;
 use crate::leader_search::NoLeader;
 use crate::message::{AgentMessage, CommandResponse, HeartbeatReply};
@@ -289,7 +289,7 @@
 }
 
 fn new_member(config: &FleetConfig, identity: &Identity) -> Member {
-    let proof_of_end = if taken_out("place") {
+    let proof_of_end = if is_disabled(Guard::ProofOfEnd) {
         String::new()
     } else {
         exclusive_address(config.listen)
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -2,7 +2,7 @@
 
 use super::{Actor, PendingCommand};
 use crate::error::refuse;
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::message::{
     BootstrapRequest, CommandResponse, FleetCommand, LeaderHint, RecoveryRequest,
 };
@@ -45,7 +45,7 @@
                     what,
                     base_revision,
                     document,
-                    commit: commit.filter(|_| !taken_out("trial")),
+                    commit: commit.filter(|_| !is_disabled(Guard::ConfirmTimeout)),
                 };
                 self.relay_command(Command::Change(proposal), answer);
             }
@@ -152,7 +152,7 @@
         };
         let fleet = &voter.replica.state().fleet;
         if let Command::Change(proposal) = &mut command {
-            if taken_out("upon") {
+            if is_disabled(Guard::BaseRevision) {
                 proposal.base_revision = fleet.mark;
             }
         }
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of this gateway to the leader, and those of members that this voter answers.
 
 use super::{Actor, HeartbeatSource};
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::leader_search::{LeaderSearch, NoLeader};
 use crate::message::{AgentMessage, HeartbeatAnswer, HeartbeatReply, LeaderHint};
 use ironstair_coordination::member::Input;
@@ -66,7 +66,7 @@
 
     /// Sends this gateway's own heartbeat to the leader: here, or over the network.
     pub(super) fn send_heartbeat(&mut self, mut heartbeat: Heartbeat) {
-        heartbeat.steady &= !taken_out("says-steady");
+        heartbeat.steady &= !is_disabled(Guard::SteadyReported);
         if self.is_leader() {
             return self.submit_heartbeat(heartbeat, HeartbeatSource::Local);
         }
--- a/crates/fleet-agent/src/actor/membership.rs
+++ b/crates/fleet-agent/src/actor/membership.rs
@@ -1,7 +1,7 @@
 //! Which voters there are, and which cluster generation they know.
 
 use super::Actor;
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::message::{AgentMessage, JoinRequest};
 use ironstair::Ms;
 use ironstair_coordination::history::supersedes;
@@ -45,7 +45,7 @@
     pub(super) fn handle_generation(&mut self, generation: u64) {
         self.note_generation(generation);
         let own = self.generation_on_disk();
-        if own != 0 && supersedes(generation, own) && !taken_out("compare") {
+        if own != 0 && supersedes(generation, own) && !is_disabled(Guard::GenerationCheck) {
             self.quarantine_log("disaster recovery took place without this voter");
         }
     }
--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -2,7 +2,7 @@
 
 use super::Actor;
 use crate::error::PolicyError;
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::message::AgentMessage;
 use ironstair::Ms;
 use ironstair_coordination::member::Input;
@@ -20,7 +20,7 @@
         let management = self.management.clone();
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            let result = match taken_out("hold") {
+            let result = match is_disabled(Guard::PolicyApplied) {
                 true => Ok(()),
                 false => apply(&management, applied_index, revision, document).await,
             };
@@ -47,7 +47,7 @@
         let management = self.management.clone();
         let handle = self.handle.clone();
         tokio::spawn(async move {
-            let result = match taken_out("examine") {
+            let result = match is_disabled(Guard::PolicyValidated) {
                 true => Ok(()),
                 false => validate(&management, document).await,
             };
@@ -64,7 +64,7 @@
     /// Tells the gateway's thread until when it may decide (in ms of this process's clock), and its share of what all
     /// gateways share out.
     pub(super) fn extend_lease(&self, until: Ms, share: Share) {
-        let until = if taken_out("tenure") {
+        let until = if is_disabled(Guard::LeaseExpiry) {
             Ms::INFINITY
         } else {
             until
@@ -105,7 +105,7 @@
 /// An older version is played by one that does not know a field.
 fn check_known_fields(document: &Json) -> Result<(), PolicyError> {
     let field = &document[FIELD_OF_LATER_VERSIONS];
-    if taken_out("advice") && field.as_u64().unwrap_or(0) != 0 {
+    if is_disabled(Guard::KnownFields) && field.as_u64().unwrap_or(0) != 0 {
         return Err(PolicyError::UnknownField(FIELD_OF_LATER_VERSIONS));
     }
     Ok(())
--- a/crates/fleet-agent/src/actor/storage_tasks.rs
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::{Actor, HeartbeatSource, Voter};
 use crate::error::StorageError;
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::message::{AgentMessage, LeaderHint, SaveOutcome};
 use crate::prepared::random_number;
 use ironstair::Ms;
@@ -165,11 +165,11 @@
 
 /// Also to a disk that is slow or full, for tests.
 fn write(storage: &mut Storage, save: &Save) -> Result<(), StorageError> {
-    if taken_out("quick-disk") && storage.folder().join("slow").exists() {
+    if is_disabled(Guard::FastDisk) && storage.folder().join("slow").exists() {
         std::thread::sleep(span(SLOW_DISK_DELAY));
     }
-    if taken_out("room") && storage.folder().join("full").exists() {
-        return if taken_out("kept") {
+    if is_disabled(Guard::DiskSpace) && storage.folder().join("full").exists() {
+        return if is_disabled(Guard::WriteErrors) {
             Ok(())
         } else {
             Err(StorageError::new("No space left on device"))
--- a/crates/fleet-agent/src/config.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -9,6 +9,7 @@
 const MIN_LEASE: Ms = 1000.0;
 /// The longest lease in ms: a longer one makes a change wait longer for who is gone.
 const MAX_LEASE: Ms = 60_000.0;
+/// The longest name in bytes.
 const MAX_NAME_BYTES: usize = 64;
 /// Numbers of voters of which a majority survives one or two losses.
 const VOTER_COUNTS: [usize; 2] = [3, 5];
--- a/crates/fleet-agent/src/fault_injection.rs
+++ b/crates/fleet-agent/src/fault_injection.rs
@@ -1,9 +1,67 @@
-//! Guards that a test takes out to see that its case falls without them, and faults of a disk that no test can make
-//! otherwise. A release build has none of it.
+//! Guards that a test disables to see that its case fails without them, and faults of a disk that no test can make
+//! otherwise. A release build can disable none.
 
-/// Whether the variable `IRONSTAIR_TAKEN_OUT` names it, in a debug build.
-pub fn taken_out(what: &str) -> bool {
+/// The variable that names the disabled guards, separated by commas.
+const VARIABLE: &str = "IRONSTAIR_DISABLED_GUARDS";
+
+/// A guard that a test can disable in a debug build.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Guard {
+    /// A gateway of a fleet starts without a lease.
+    NoLeaseAtStart,
+    /// A lease expires.
+    LeaseExpiry,
+    /// A policy is applied before the member says so.
+    PolicyApplied,
+    /// A policy is validated before the fleet decides on it.
+    PolicyValidated,
+    /// A policy with a field that this version does not know is rejected.
+    KnownFields,
+    /// A gateway that goes on without a lease says so.
+    SteadyReported,
+    /// A change that is not confirmed in time is rolled back.
+    ConfirmTimeout,
+    /// A change made from an older revision than the running one is refused.
+    BaseRevision,
+    /// A replica's number is drawn anew with each blank log.
+    RandomReplicaId,
+    /// Voters compare their cluster generations.
+    GenerationCheck,
+    /// A process proves that the one before it has ended.
+    ProofOfEnd,
+    /// The disk is fast, also with a file `slow` in its folder.
+    FastDisk,
+    /// The disk has space, also with a file `full` in its folder.
+    DiskSpace,
+    /// A write that a full disk did not take is reported as failed.
+    WriteErrors,
+}
+
+impl Guard {
+    /// The guard's name in the variable.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Guard::NoLeaseAtStart => "no-lease-at-start",
+            Guard::LeaseExpiry => "lease-expiry",
+            Guard::PolicyApplied => "policy-applied",
+            Guard::PolicyValidated => "policy-validated",
+            Guard::KnownFields => "known-fields",
+            Guard::SteadyReported => "steady-reported",
+            Guard::ConfirmTimeout => "confirm-timeout",
+            Guard::BaseRevision => "base-revision",
+            Guard::RandomReplicaId => "random-replica-id",
+            Guard::GenerationCheck => "generation-check",
+            Guard::ProofOfEnd => "proof-of-end",
+            Guard::FastDisk => "fast-disk",
+            Guard::DiskSpace => "disk-space",
+            Guard::WriteErrors => "write-errors",
+        }
+    }
+}
+
+/// Whether the environment variable `IRONSTAIR_DISABLED_GUARDS` names the guard, in a debug build.
+pub fn is_disabled(guard: Guard) -> bool {
     cfg!(debug_assertions)
-        && std::env::var("IRONSTAIR_TAKEN_OUT")
-            .is_ok_and(|all| all.split(',').any(|word| word == what))
+        && std::env::var(VARIABLE)
+            .is_ok_and(|names| names.split(',').any(|name| name == guard.as_str()))
 }
--- a/crates/fleet-agent/src/prepared.rs
+++ b/crates/fleet-agent/src/prepared.rs
@@ -3,7 +3,7 @@
 
 use crate::config::FleetConfig;
 use crate::error::{StartError, StorageError};
-use crate::fault_injection::taken_out;
+use crate::fault_injection::{is_disabled, Guard};
 use crate::server;
 use ironstair_raft_storage::Storage;
 use std::hash::{BuildHasher, Hasher};
@@ -45,7 +45,7 @@
     fn open_storage(&mut self, folder: &Path) -> Result<(), StartError> {
         let fleet = &self.config.fleet;
         let name = &self.config.name;
-        let replica_id = if taken_out("number") {
+        let replica_id = if is_disabled(Guard::RandomReplicaId) {
             fixed_replica_id(name)
         } else {
             random_number()
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -16,7 +16,7 @@
 use ironstair::policy::Gateway;
 use ironstair::Ms;
 use ironstair_config_change::renewal::Renewal;
-use ironstair_fleet_agent::fault_injection::taken_out;
+use ironstair_fleet_agent::fault_injection::{is_disabled, Guard};
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::{self, Amendment, ManagementCommand};
@@ -223,7 +223,7 @@
         links_most: config.descriptors / 4,
         listed: Cell::new(0),
         // In a fleet nothing is decided before that has said until when.
-        lease_until: Cell::new(if in_fleet && !taken_out("start") {
+        lease_until: Cell::new(if in_fleet && !is_disabled(Guard::NoLeaseAtStart) {
             0.0
         } else {
             f64::INFINITY
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::or;
 use ironstair::{EndpointState, Ms};
 use ironstair_config_change::Frame;
-use ironstair_fleet_agent::fault_injection::taken_out;
+use ironstair_fleet_agent::fault_injection::{is_disabled, Guard};
 use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
 use ironstair_recovery::{begin as found, Engine, Kept};
 use ironstair_runtime::clock::span;
@@ -66,7 +66,7 @@
 
 /// A folder that is slow, for tests.
 fn disk_takes_its_time(folder: &Path) {
-    if taken_out("quick-disk") && folder.join("slow").exists() {
+    if is_disabled(Guard::FastDisk) && folder.join("slow").exists() {
         thread::sleep(READ_WITHIN * 2);
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -95,7 +95,7 @@
 
 #[test]
 fn control_1_who_decides_before_it_has_learned_decides_by_the_old_policy() {
-    let mut cluster = down_at_a_change("control-1", without("start"));
+    let mut cluster = down_at_a_change("control-1", without("no-lease-at-start"));
     cluster.until_answers(What::Settled, 300);
     assert!(left(&cluster.end_of_load(), 4));
 }
@@ -105,7 +105,7 @@
     let mut cluster = loaded(
         "control-1b",
         Plan {
-            without: vec![(Some(4), "hold")],
+            without: vec![(Some(4), "policy-applied")],
             ..Plan::default()
         },
     );
@@ -201,7 +201,7 @@
 #[test]
 fn control_3_without_an_end_of_its_lease_it_does() {
     assert!(left(
-        &cut_off_one_way("control-3", without("tenure")).end_of_load(),
+        &cut_off_one_way("control-3", without("lease-expiry")).end_of_load(),
         4
     ));
 }
@@ -230,7 +230,7 @@
 #[test]
 fn control_4_without_an_end_of_its_lease_it_does() {
     assert!(left(
-        &stopped_over_a_change("control-4", without("tenure")).end_of_load(),
+        &stopped_over_a_change("control-4", without("lease-expiry")).end_of_load(),
         3
     ));
 }
@@ -280,7 +280,7 @@
 fn control_5_unexamined_it_holds_at_some() {
     let plan = Plan {
         edit: Some(narrow),
-        without: vec![(Some(4), "examine")],
+        without: vec![(Some(4), "policy-validated")],
         ..Plan::default()
     };
     let cluster = loaded("control-5", plan);
@@ -360,7 +360,7 @@
 #[test]
 fn control_6_without_looking_upon_what_it_was_made_the_first_change_is_undone() {
     // One operator's change is made while a gateway hears nothing; another's there, of what that still knows.
-    let cluster = Cluster::started("control-6", &without("upon"));
+    let cluster = Cluster::started("control-6", &without("base-revision"));
     cluster.cut_off(4, false, true);
     well(cluster.set(0, &[ATTEMPTS, "3"]));
     let args = [
@@ -421,7 +421,7 @@
 
 #[test]
 fn control_7_a_wiped_voter_that_keeps_its_number_brings_the_old_policy_back() {
-    let mut cluster = wiped_and_old("control-7", without("number"));
+    let mut cluster = wiped_and_old("control-7", without("random-replica-id"));
     cluster.until_fit(2);
     cluster.until_answers(What::Settled, 100);
     let found = cluster.end_of_load();
@@ -433,7 +433,7 @@
     let mut cluster = loaded(
         "case-8",
         Plan {
-            without: vec![(Some(4), "advice")],
+            without: vec![(Some(4), "known-fields")],
             ..Plan::default()
         },
     );
@@ -462,7 +462,7 @@
 #[test]
 fn control_8_unexamined_it_is_decided_and_the_older_is_out() {
     let plan = Plan {
-        without: vec![(Some(4), "advice"), (Some(4), "examine")],
+        without: vec![(Some(4), "known-fields"), (Some(4), "policy-validated")],
         ..Plan::default()
     };
     let cluster = Cluster::started("control-8", &plan);
@@ -477,7 +477,7 @@
 
 #[test]
 fn case_10_a_slow_disk_and_a_full_one_at_a_voter_cost_the_fleet_nothing() {
-    let slow_and_full = vec![(Some(1), "quick-disk"), (Some(2), "room")];
+    let slow_and_full = vec![(Some(1), "fast-disk"), (Some(2), "disk-space")];
     let mut cluster = loaded(
         "case-10",
         Plan {
@@ -523,7 +523,7 @@
 }
 
 fn room() -> Vec<(Option<usize>, &'static str)> {
-    vec![(Some(1), "room"), (Some(2), "room")]
+    vec![(Some(1), "disk-space"), (Some(2), "disk-space")]
 }
 
 #[test]
@@ -546,7 +546,11 @@
 
 #[test]
 fn control_10_and_2_a_voter_that_counts_as_kept_what_is_not_loses_a_decided_change() {
-    let without = [room(), vec![(Some(1), "kept"), (Some(2), "kept")]].concat();
+    let without = [
+        room(),
+        vec![(Some(1), "write-errors"), (Some(2), "write-errors")],
+    ]
+    .concat();
     let (cluster, said) = full_over_a_change(
         "control-10",
         Plan {
@@ -610,7 +614,7 @@
 
 #[test]
 fn control_without_an_end_of_its_lease_it_decides_on_without_most_voters() {
-    let mut cluster = loaded("control-majority", without("tenure"));
+    let mut cluster = loaded("control-majority", without("lease-expiry"));
     cluster.kill(0);
     cluster.kill(1);
     until("it has no lease", || {
@@ -627,7 +631,7 @@
         "control-steady",
         Plan {
             steady: vec![4],
-            ..without("says-steady")
+            ..without("steady-reported")
         },
     );
     cluster.cut_off(4, true, true);
@@ -638,7 +642,7 @@
 
 #[test]
 fn control_without_its_time_a_trial_stays_unconfirmed_for_good() {
-    let cluster = Cluster::started("control-trial", &without("trial"));
+    let cluster = Cluster::started("control-trial", &without("confirm-timeout"));
     well(cluster.set(0, &[ATTEMPTS, "2", "--confirm-within", "1s"]));
     assert_eq!(
         last(&cluster, 0)["outcome"],
--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -181,7 +181,7 @@
 #[test]
 fn control_earlier_where_no_histories_are_compared_two_live_side_by_side() {
     let plan = Plan {
-        without: vec![(None, "compare")],
+        without: vec![(None, "generation-check")],
         ..Plan::default()
     };
     let cluster = back_after_anew("control-earlier", &plan);
@@ -257,7 +257,7 @@
     let cluster = killed_within_a_lease(
         "no-proof",
         Plan {
-            without: vec![(None, "place")],
+            without: vec![(None, "proof-of-end")],
             ..Plan::default()
         },
     );
@@ -402,7 +402,7 @@
             gateways: 3,
             ..Plan::default()
         };
-        without.without = vec![(None, "quick-disk")];
+        without.without = vec![(None, "fast-disk")];
         let mut cluster = Cluster::laid_out(&format!("folder-{name}"), &without);
         cluster.reoperate(0, |operator| {
             *operator = json!({"recovery": {"state": own(name)}})
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -34,7 +34,7 @@
     pub steady: Vec<usize>,
     /// How long an engine takes, in ms.
     pub takes_ms: u64,
-    /// What is taken out of whom, by `IRONSTAIR_TAKEN_OUT`; of all under no number.
+    /// Guards that are disabled at a gateway, by `IRONSTAIR_DISABLED_GUARDS`; at all under no number.
     pub without: Vec<(Option<usize>, &'static str)>,
     pub edit: Option<Edit>,
 }
@@ -176,7 +176,7 @@
             .arg("--operator")
             .arg(gate.dir.join("operator.json"));
         if !gate.without.is_empty() {
-            serve.env("IRONSTAIR_TAKEN_OUT", gate.without.join(","));
+            serve.env("IRONSTAIR_DISABLED_GUARDS", gate.without.join(","));
         }
         serve
             .stdin(Stdio::null())
