--- a/crates/fleet-agent/src/actor/disaster_recovery.rs
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -128,7 +128,10 @@
             .map_err(|error| BootstrapError::Generation(error.to_string()))?;
         let (document, with) = match &left.running {
             Some((number, running)) => (running.clone(), format!("revision {number}")),
-            None => (document, "the settings that this gateway started with".to_string()),
+            None => (
+                document,
+                "the settings that this gateway started with".to_string(),
+            ),
         };
         let lost = generations.iter().copied().max().unwrap_or(0);
         let silent = self.connections.len().saturating_sub(known.len());
