--- /dev/null
+++ b/crates/fleet-agent/tests/config.rs
@@ -0,0 +1,126 @@
+//! What of an operator's section is not valid, and the sentence that says so.
+
+use ironstair_fleet_agent::config::ConfigError;
+use ironstair_fleet_agent::FleetConfig;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+/// A member that is no voter.
+fn member() -> FleetConfig {
+    FleetConfig {
+        fleet: "north".into(),
+        name: "g4".into(),
+        listen: address(4),
+        voters: BTreeMap::from([
+            ("g1".into(), address(1)),
+            ("g2".into(), address(2)),
+            ("g3".into(), address(3)),
+        ]),
+        lease: 5000.0,
+        steady: false,
+        counts: false,
+        folder: None,
+    }
+}
+
+fn voter() -> FleetConfig {
+    FleetConfig {
+        name: "g1".into(),
+        folder: Some("log".into()),
+        ..member()
+    }
+}
+
+fn error(config: FleetConfig) -> ConfigError {
+    config.validated().expect_err("not valid")
+}
+
+#[test]
+fn a_member_and_a_voter_are_valid_up_to_the_bounds() {
+    for lease in [1000.0, 60_000.0] {
+        let config = FleetConfig { lease, ..member() };
+        assert_eq!(config.clone().validated(), Ok(config));
+    }
+    let longest_name = FleetConfig {
+        name: "n".repeat(64),
+        ..member()
+    };
+    assert!(longest_name.validated().is_ok());
+    assert!(voter().is_voter() && !member().is_voter());
+    assert_eq!(voter().validated(), Ok(voter()));
+}
+
+#[test]
+fn each_field_that_is_not_valid_is_named_with_its_value() {
+    let nameless = FleetConfig {
+        fleet: String::new(),
+        ..member()
+    };
+    let unprintable = FleetConfig {
+        fleet: "a\nb".into(),
+        ..member()
+    };
+    let long_own_name = FleetConfig {
+        name: "n".repeat(65),
+        ..member()
+    };
+    let mut two_voters = member();
+    two_voters.voters.remove("g3");
+    let mut shared_address = member();
+    shared_address.voters.insert("g2".into(), address(1));
+    let short_lease = FleetConfig {
+        lease: 999.0,
+        ..member()
+    };
+    let steady_counts = FleetConfig {
+        steady: true,
+        counts: true,
+        ..member()
+    };
+    let no_folder = FleetConfig {
+        folder: None,
+        ..voter()
+    };
+    let unused_folder = FleetConfig {
+        folder: Some("log".into()),
+        ..member()
+    };
+    for (config, sentence) in [
+        (nameless, r#"fleet.name: "" is no name of 1 to 64 bytes"#),
+        (
+            unprintable,
+            r#"fleet.name: "a\nb" is no name of 1 to 64 bytes"#,
+        ),
+        (
+            long_own_name,
+            "fleet: the gateway's own name is empty or too long to be one of a fleet's",
+        ),
+        (two_voters, "fleet.keepers: 3 or 5 are named, not 2"),
+        (
+            shared_address,
+            "fleet.keepers.g1: 127.0.0.1:1 is another's address too",
+        ),
+        (
+            short_lease,
+            "fleet.lease_ms: 999 is outside 1000 to 60000",
+        ),
+        (
+            steady_counts,
+            "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members",
+        ),
+        (
+            no_folder,
+            "fleet.state: g1 is a voter, and needs a folder for its log",
+        ),
+        (
+            unused_folder,
+            "fleet.state: g4 is not among the voters and has no log",
+        ),
+    ] {
+        assert_eq!(error(config).to_string(), sentence);
+    }
+}
