--- /dev/null
+++ b/crates/fleet-agent/tests/pinned_forms/cases.rs
@@ -0,0 +1,174 @@
+//! Every message between gateways, with every variant of what it holds.
+
+use crate::{document, proposal};
+use ironstair_coordination::leader::Command;
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
+use ironstair_fleet_agent::message::{
+    AgentMessage, CommandResponse, FleetCommand, HeartbeatReply, LeaderHint,
+};
+use serde_json::{json, Value as Json};
+
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
+        name: "g1".into(),
+        start: 11,
+        sent: 1000.25,
+        history: 1 << 48 | 7,
+        mark: 9,
+        heard: 900.0,
+        steady: false,
+        examined: Some((5, Err("no such engine".into()))),
+        leaving: false,
+        place: "boot net addr".into(),
+        shares: true,
+    }
+}
+
+fn answer() -> HeartbeatResponse<Json> {
+    HeartbeatResponse {
+        start: 11,
+        sent: 1000.25,
+        history: 1 << 48 | 7,
+        mark: 9,
+        hold: Some((4, document(50))),
+        offer: None,
+        lease: Some(5000.0),
+        why: None,
+        soon: true,
+        share: Some(Share {
+            among: 2.5,
+            taken: true,
+        }),
+    }
+}
+
+/// What the listener is to hand to its owner, and how that responds.
+pub(crate) enum Case {
+    Heartbeat(Heartbeat, HeartbeatReply),
+    RaftMessage(Vec<u8>),
+    Join(u64, u64),
+    Command(FleetCommand, CommandResponse),
+}
+
+impl Case {
+    pub(crate) fn method(&self) -> &'static str {
+        match self {
+            Case::Heartbeat(..) => "Beat",
+            Case::RaftMessage(..) => "Agree",
+            Case::Join(..) => "Knock",
+            Case::Command(..) => "Ask",
+        }
+    }
+
+    /// As the gateway that asks writes it.
+    pub(crate) fn request_body(&self) -> Vec<u8> {
+        match self {
+            Case::Heartbeat(heartbeat, _) => serde_json::to_vec(heartbeat).unwrap(),
+            Case::RaftMessage(bytes) => bytes.clone(),
+            Case::Join(number, _) => number.to_string().into_bytes(),
+            Case::Command(command, _) => serde_json::to_vec(command).unwrap(),
+        }
+    }
+
+    /// Checks what the listener read, and responds.
+    pub(crate) fn take(self, message: AgentMessage) {
+        let text = |command: &FleetCommand| format!("{command:?}");
+        match (self, message) {
+            (
+                Case::Heartbeat(want, answer),
+                AgentMessage::Heartbeat {
+                    heartbeat,
+                    response,
+                },
+            ) => {
+                assert_eq!(heartbeat, want);
+                response.send(answer).unwrap();
+            }
+            (Case::RaftMessage(want), AgentMessage::RaftMessage { from, bytes }) => {
+                assert_eq!((from.as_str(), bytes), ("g1", want));
+            }
+            (Case::Join(want, generation), AgentMessage::JoinRequest(request)) => {
+                let wanted_id = (want != 0).then_some(want);
+                assert_eq!(
+                    (request.voter.as_str(), request.replica_id),
+                    ("g1", wanted_id)
+                );
+                request.response.send(generation).unwrap();
+            }
+            (Case::Command(want, wanted_response), AgentMessage::Command { command, response }) => {
+                assert_eq!(text(&command), text(&want));
+                response.send(wanted_response).unwrap();
+            }
+            (case, _) => panic!("{} was handed on as something else", case.method()),
+        }
+    }
+}
+
+/// Every message, in the order of the samples.
+pub(crate) fn cases() -> Vec<(&'static str, Case)> {
+    let mut all = heartbeat_cases();
+    all.extend(replica_cases());
+    all.extend(command_cases());
+    all
+}
+
+fn hint(leader: Option<&str>) -> LeaderHint {
+    LeaderHint {
+        leader: leader.map(String::from),
+    }
+}
+
+fn heartbeat_cases() -> Vec<(&'static str, Case)> {
+    let leader_elsewhere = Err(hint(Some("g3")));
+    let leader_unknown = Err(hint(None));
+    vec![
+        (
+            "heartbeat answered",
+            Case::Heartbeat(heartbeat(), Ok(answer())),
+        ),
+        (
+            "heartbeat to a keeper that is not the chair",
+            Case::Heartbeat(heartbeat(), leader_elsewhere),
+        ),
+        (
+            "heartbeat where no chair is known",
+            Case::Heartbeat(heartbeat(), leader_unknown),
+        ),
+    ]
+}
+
+fn replica_cases() -> Vec<(&'static str, Case)> {
+    vec![
+        (
+            "agreement bytes",
+            Case::RaftMessage(vec![0, 1, 127, 128, 255]),
+        ),
+        ("join", Case::Join(22, 1 << 48 | 7)),
+        ("question for the history alone", Case::Join(0, 0)),
+    ]
+}
+
+fn command_cases() -> Vec<(&'static str, Case)> {
+    let id = || "trial-1".to_string();
+    let change = || Command::Change(proposal(3, Some((id(), 60_000.0))));
+    let cancel = |id| Command::Cancel {
+        id,
+        who: "operator".to_string(),
+    };
+    let case = |command, response| Case::Command(FleetCommand::Command(command), response);
+    let done = || CommandResponse::Done(5);
+    let refused = CommandResponse::Refused("no such engine".into());
+    let not_leader = CommandResponse::NotLeader(hint(Some("g3")));
+    let status = CommandResponse::Shown(json!({"chair": "g2"}));
+    vec![
+        ("change done", case(change(), done())),
+        ("change refused", case(change(), refused)),
+        ("confirmation", case(Command::Confirm { id: id() }, done())),
+        ("cancellation by id", case(cancel(Some(id())), done())),
+        (
+            "cancellation, to another keeper",
+            case(cancel(None), not_leader),
+        ),
+        ("status", Case::Command(FleetCommand::Show, status)),
+    ]
+}
