--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -69,7 +69,7 @@
         } else {
             until
         };
-        let share = Some(share).filter(|_| self.config.counts);
+        let share = Some(share).filter(|_| self.config.counts_members);
         let lease = ManagementCommand::Lease(until, share);
         // Against a channel that is full just then: a steady gateway is told once, and for good.
         if let Err(full) = self.gateway_commands.try_send(lease) {
--- a/crates/fleet-agent/src/actor/reporting.rs
+++ b/crates/fleet-agent/src/actor/reporting.rs
@@ -47,7 +47,7 @@
             steady: self.config.steady,
             voter: voter.is_some(),
             leader: self.leader_name().unwrap_or_default(),
-            share: self.config.counts.then(|| self.member.share()),
+            share: self.config.counts_members.then(|| self.member.share()),
             members: voter.map_or(Vec::new(), |voter| status::members(&voter.replica)),
         };
         self.status.send_if_modified(|published| {
--- a/crates/fleet-agent/src/config.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -30,9 +30,9 @@
     /// Goes on without a lease; no change is decided without it.
     pub steady: bool,
     /// Shares out among the members there are, not among as many as the policy says.
-    pub counts: bool,
+    pub counts_members: bool,
     /// The folder of a voter's log.
-    pub folder: Option<PathBuf>,
+    pub log_folder: Option<PathBuf>,
 }
 
 /// What of a [`FleetConfig`] is not valid, by the field in the operator's file.
@@ -92,10 +92,10 @@
         if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease) {
             return Err(ConfigError::Lease(self.lease));
         }
-        if self.counts && self.steady {
+        if self.counts_members && self.steady {
             return Err(ConfigError::SteadyCounts);
         }
-        match (self.is_voter(), &self.folder) {
+        match (self.is_voter(), &self.log_folder) {
             (true, None) => Err(ConfigError::FolderMissing(self.name)),
             (false, Some(_)) => Err(ConfigError::FolderUnused(self.name)),
             _ => Ok(self),
--- a/crates/fleet-agent/src/prepared.rs
+++ b/crates/fleet-agent/src/prepared.rs
@@ -36,7 +36,7 @@
             storage: None,
             storage_note: None,
         };
-        if let Some(folder) = prepared.config.folder.clone() {
+        if let Some(folder) = prepared.config.log_folder.clone() {
             prepared.open_storage(&folder)?;
         }
         Ok(prepared)
--- a/crates/fleet-agent/tests/config.rs
+++ b/crates/fleet-agent/tests/config.rs
@@ -22,15 +22,15 @@
         ]),
         lease: 5000.0,
         steady: false,
-        counts: false,
-        folder: None,
+        counts_members: false,
+        log_folder: None,
     }
 }
 
 fn voter() -> FleetConfig {
     FleetConfig {
         name: "g1".into(),
-        folder: Some("log".into()),
+        log_folder: Some("log".into()),
         ..member()
     }
 }
@@ -78,15 +78,15 @@
     };
     let steady_counts = FleetConfig {
         steady: true,
-        counts: true,
+        counts_members: true,
         ..member()
     };
     let no_folder = FleetConfig {
-        folder: None,
+        log_folder: None,
         ..voter()
     };
     let unused_folder = FleetConfig {
-        folder: Some("log".into()),
+        log_folder: Some("log".into()),
         ..member()
     };
     for (config, sentence) in [
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -95,8 +95,8 @@
         voters: f.voters.clone(),
         lease: f.lease_ms as f64,
         steady: f.cut_off == CutOff::Steady,
-        counts: f.count == Count::Members,
-        folder: f.state.clone(),
+        counts_members: f.count == Count::Members,
+        log_folder: f.state.clone(),
     };
     config.validated().map_err(|e| e.to_string())
 }
