--- a/crates/gateway/tests/recovery.rs
+++ b/crates/gateway/tests/recovery.rs
@@ -121,7 +121,8 @@
     let anew = cluster.cli(1, &["fleet", "begin-anew"]);
     well(&anew);
     assert!(
-        anew.out.contains("with the settings that this gateway started with"),
+        anew.out
+            .contains("with the settings that this gateway started with"),
         "{anew:?}"
     );
     // As it was told at start.
