--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -333,14 +333,14 @@
             (
                 r#""state": "s""#,
                 "d",
-                "fleet.state: d is not among the keepers",
+                "fleet.state: d is not among the voters",
             ),
-            (r#""lease_ms": 3000"#, "a", "fleet.state: a is a keeper"),
+            (r#""lease_ms": 3000"#, "a", "fleet.state: a is a voter"),
             (r#""lease_ms": 3000"#, "", "fleet: the gateway's own name"),
             (
                 r#""count": "members", "cut_off": "steady""#,
                 "d",
-                "fleet.count: who goes on",
+                "fleet.count: a steady gateway",
             ),
         ] {
             let config = fleet_config(&read(more), name).unwrap_err();
