--- a/crates/fleet-agent/tests/config.rs
+++ b/crates/fleet-agent/tests/config.rs
@@ -1,6 +1,5 @@
 //! What of an operator's section is not valid, and the sentence that says so.
 
-use ironstair_fleet_agent::config::ConfigError;
 use ironstair_fleet_agent::FleetConfig;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -35,10 +34,6 @@
     }
 }
 
-fn error(config: FleetConfig) -> ConfigError {
-    config.validated().expect_err("not valid")
-}
-
 #[test]
 fn a_member_and_a_voter_are_valid_up_to_the_bounds() {
     for lease in [1000.0, 60_000.0] {
@@ -54,24 +49,54 @@
     assert_eq!(voter().validated(), Ok(voter()));
 }
 
+fn assert_invalid<const N: usize>(cases: [(FleetConfig, &str); N]) {
+    for (config, sentence) in cases {
+        let error = config.validated().expect_err(sentence);
+        assert_eq!(error.to_string(), sentence);
+    }
+}
+
 #[test]
-fn each_field_that_is_not_valid_is_named_with_its_value() {
-    let nameless = FleetConfig {
-        fleet: String::new(),
-        ..member()
-    };
-    let unprintable = FleetConfig {
-        fleet: "a\nb".into(),
+fn a_name_that_is_not_valid_is_named_with_its_value() {
+    let fleet_named = |fleet: &str| FleetConfig {
+        fleet: fleet.into(),
         ..member()
     };
     let long_own_name = FleetConfig {
         name: "n".repeat(65),
         ..member()
     };
+    let own_name = "fleet: the gateway's own name is empty or too long to be one of a fleet's";
+    assert_invalid([
+        (
+            fleet_named(""),
+            r#"fleet.name: "" is no name of 1 to 64 bytes"#,
+        ),
+        (
+            fleet_named("a\nb"),
+            r#"fleet.name: "a\nb" is no name of 1 to 64 bytes"#,
+        ),
+        (long_own_name, own_name),
+    ]);
+}
+
+#[test]
+fn voters_that_are_too_few_or_share_an_address_are_not_valid() {
     let mut two_voters = member();
     two_voters.voters.remove("g3");
     let mut shared_address = member();
     shared_address.voters.insert("g2".into(), address(1));
+    assert_invalid([
+        (two_voters, "fleet.keepers: 3 or 5 are named, not 2"),
+        (
+            shared_address,
+            "fleet.keepers.g1: 127.0.0.1:1 is another's address too",
+        ),
+    ]);
+}
+
+#[test]
+fn a_lease_a_count_or_a_folder_that_does_not_fit_is_not_valid() {
     let short_lease = FleetConfig {
         lease: 999.0,
         ..member()
@@ -89,25 +114,8 @@
         log_folder: Some("log".into()),
         ..member()
     };
-    for (config, sentence) in [
-        (nameless, r#"fleet.name: "" is no name of 1 to 64 bytes"#),
-        (
-            unprintable,
-            r#"fleet.name: "a\nb" is no name of 1 to 64 bytes"#,
-        ),
-        (
-            long_own_name,
-            "fleet: the gateway's own name is empty or too long to be one of a fleet's",
-        ),
-        (two_voters, "fleet.keepers: 3 or 5 are named, not 2"),
-        (
-            shared_address,
-            "fleet.keepers.g1: 127.0.0.1:1 is another's address too",
-        ),
-        (
-            short_lease,
-            "fleet.lease_ms: 999 is outside 1000 to 60000",
-        ),
+    assert_invalid([
+        (short_lease, "fleet.lease_ms: 999 is outside 1000 to 60000"),
         (
             steady_counts,
             "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members",
@@ -120,7 +128,5 @@
             unused_folder,
             "fleet.state: g4 is not among the voters and has no log",
         ),
-    ] {
-        assert_eq!(error(config).to_string(), sentence);
-    }
+    ]);
 }
