--- /dev/null
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -0,0 +1,120 @@
+//! Heartbeats of this gateway to the leader, and those of members that this voter answers.
+
+use super::{Actor, HeartbeatSource};
+use crate::fault_injection::{is_disabled, Guard};
+use crate::leader_search::{LeaderSearch, NoLeader};
+use crate::message::{AgentMessage, HeartbeatAnswer, HeartbeatReply, LeaderHint};
+use ironstair_coordination::member::Input;
+use ironstair_coordination::{Heartbeat, HeartbeatResponse};
+use serde_json::Value as Json;
+use slog::warn;
+use tokio::sync::oneshot;
+
+/// Heartbeats of this gateway that may be under way where a leader is known.
+const MAX_HEARTBEATS_IN_FLIGHT: usize = 4;
+/// The same while none is: hundreds of members would look for it together.
+const MAX_HEARTBEATS_WITHOUT_LEADER: usize = 1;
+
+impl Actor {
+    /// A member's heartbeat, which this voter may answer.
+    pub(super) fn handle_heartbeat(
+        &mut self,
+        heartbeat: Heartbeat,
+        response: oneshot::Sender<HeartbeatReply>,
+    ) {
+        if self.voter.is_none() {
+            let _ = response.send(Err(LeaderHint::default()));
+            return;
+        }
+        self.note_generation(heartbeat.history);
+        self.submit_heartbeat(heartbeat, HeartbeatSource::Remote(response));
+    }
+
+    /// What became of a heartbeat of this gateway.
+    pub(super) fn handle_heartbeat_answer(&mut self, result: Result<HeartbeatAnswer, NoLeader>) {
+        self.heartbeats_in_flight -= 1;
+        match result {
+            Ok(answer) => {
+                self.last_responder = Some(answer.leader);
+                self.last_search_error = None;
+                self.handle_heartbeat_response(answer.response);
+            }
+            Err(error) => {
+                self.last_responder = None;
+                self.log_search_error(error);
+            }
+        }
+    }
+
+    /// Once, not with each heartbeat.
+    fn log_search_error(&mut self, error: NoLeader) {
+        let is_known = self.last_search_error.as_ref() == Some(&error);
+        if is_known || self.member.holds(self.clock.now()) {
+            return;
+        }
+        warn!(self.log, "no voter answers as the fleet's leader"; "error" => %error);
+        self.last_search_error = Some(error);
+    }
+
+    /// The leader's response to a heartbeat of this gateway.
+    pub(super) fn handle_heartbeat_response(&mut self, response: HeartbeatResponse<Json>) {
+        self.drive_member(Input::Answered(response));
+        if let Some(left) = self.leave_response.take() {
+            let _ = left.send(());
+        }
+    }
+
+    /// Sends this gateway's own heartbeat to the leader: here, or over the network.
+    pub(super) fn send_heartbeat(&mut self, mut heartbeat: Heartbeat) {
+        heartbeat.steady &= !is_disabled(Guard::SteadyReported);
+        if self.is_leader() {
+            return self.submit_heartbeat(heartbeat, HeartbeatSource::Local);
+        }
+        let most = match self.leader_name() {
+            Some(_) => MAX_HEARTBEATS_IN_FLIGHT,
+            None => MAX_HEARTBEATS_WITHOUT_LEADER,
+        };
+        if self.heartbeats_in_flight >= most {
+            return;
+        }
+        self.heartbeats_in_flight += 1;
+        let body = serde_json::to_vec(&heartbeat).unwrap_or_default();
+        let envelope = self.identity.envelope(body);
+        let search = self.leader_search();
+        let handle = self.handle.clone();
+        tokio::spawn(async move {
+            let result = search.heartbeat(envelope).await;
+            let _ = handle.send(AgentMessage::HeartbeatAnswered(result)).await;
+        });
+    }
+
+    fn is_leader(&self) -> bool {
+        self.voter
+            .as_ref()
+            .is_some_and(|voter| voter.replica.leader_name() == Some(&self.config.name))
+    }
+
+    /// A search that begins at the leader that is known here.
+    pub(super) fn leader_search(&self) -> LeaderSearch {
+        let last_leader = self
+            .leader_name()
+            .filter(|name| self.connections.contains_key(name));
+        LeaderSearch {
+            identity: self.identity.clone(),
+            connections: self.connections.clone(),
+            last_leader,
+            clock: self.clock,
+            lease: self.config.lease,
+        }
+    }
+
+    /// Hands a heartbeat to this voter's replica.
+    fn submit_heartbeat(&mut self, heartbeat: Heartbeat, source: HeartbeatSource) {
+        let Some(voter) = &mut self.voter else { return };
+        self.last_token += 1;
+        let token = self.last_token;
+        self.pending_heartbeats.insert(token, source);
+        let outputs = voter.replica.heartbeat(self.clock.now(), token, heartbeat);
+        self.execute(outputs);
+    }
+}
--- /dev/null
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -0,0 +1,179 @@
+//! A voter's replica of the log and its disk, which a task of its own holds while it writes.
+
+use super::{Actor, HeartbeatSource, Voter};
+use crate::error::StorageError;
+use crate::fault_injection::{is_disabled, Guard};
+use crate::message::{AgentMessage, LeaderHint, SaveOutcome};
+use crate::prepared::random_number;
+use ironstair::Ms;
+use ironstair_raft_replica::{Out, Replica, Save};
+use ironstair_raft_storage::Storage;
+use ironstair_runtime::clock::span;
+use serde_json::Value as Json;
+use slog::{error, info, warn};
+use tokio::time::sleep;
+
+/// How long a disk that took nothing is left alone, in ms.
+const STORAGE_RETRY_DELAY: Ms = 500.0;
+/// How long a write takes to a disk that a test has made slow, in ms.
+const SLOW_DISK_DELAY: Ms = 1000.0;
+
+impl Actor {
+    /// Makes this gateway a voter with what its disk holds.
+    pub(super) fn open_voter(&mut self, storage: Storage) -> Result<(), StorageError> {
+        let name = &self.config.name;
+        let position = self.config.voters.keys().position(|voter| voter == name);
+        let lease = self.config.lease;
+        let now = self.clock.now();
+        let image = storage.image();
+        let replica = Replica::open(name, position.unwrap_or(0), lease, image, now, &self.log)
+            .map_err(StorageError::new)?;
+        let generation = format!("{:016x}", replica.state().fleet.history);
+        info!(self.log, "voter opened the fleet log"; "generation" => generation);
+        // Heartbeats that an earlier one was to answer find nobody, and are sent again.
+        self.pending_heartbeats.clear();
+        // Only what comes to pass from now on is news.
+        self.logged_revisions
+            .clone_from(&replica.state().fleet.lines);
+        self.voter = Some(Voter {
+            replica,
+            storage: Some(storage),
+            quarantine_reason: None,
+            join_request_due: now,
+            generation_check_due: now,
+            failure_logged: false,
+        });
+        Ok(())
+    }
+
+    /// A message of the Raft library from another voter.
+    pub(super) fn handle_raft_message(&mut self, from: &str, bytes: &[u8]) {
+        let now = self.clock.now();
+        if let Some(voter) = &mut self.voter {
+            let outputs = voter.replica.message(now, from, bytes);
+            self.execute(outputs);
+        }
+    }
+
+    /// Carries out what the replica wants, in its order.
+    pub(super) fn execute(&mut self, outputs: Vec<Out<Json>>) {
+        for output in outputs {
+            match output {
+                Out::Save(save) => self.start_save(save),
+                Out::Send(to, bytes) => {
+                    if let Some(connection) = self.connections.get(&to) {
+                        connection.send_raft_message(self.identity.envelope(bytes));
+                    }
+                }
+                Out::HeartbeatResponse(token, response) => {
+                    match self.pending_heartbeats.remove(&token) {
+                        Some(HeartbeatSource::Local) => self.handle_heartbeat_response(response),
+                        Some(HeartbeatSource::Remote(to)) => drop(to.send(Ok(response))),
+                        None => {}
+                    }
+                }
+                Out::NotLeader(token, leader) => {
+                    let source = self.pending_heartbeats.remove(&token);
+                    if let Some(HeartbeatSource::Remote(to)) = source {
+                        let _ = to.send(Err(LeaderHint { leader }));
+                    }
+                }
+                Out::Older => self.quarantine_log("the log here is an older copy"),
+            }
+        }
+    }
+
+    fn start_save(&mut self, save: Save) {
+        if let Some(storage) = self.take_storage() {
+            self.spawn_save(storage, save, None);
+        }
+    }
+
+    fn take_storage(&mut self) -> Option<Storage> {
+        self.voter.as_mut().and_then(|voter| voter.storage.take())
+    }
+
+    /// Writes on a thread of its own, after a delay in ms; the disk comes back with the outcome.
+    fn spawn_save(&self, mut storage: Storage, save: Save, delay: Option<Ms>) {
+        let handle = self.handle.clone();
+        tokio::spawn(async move {
+            if let Some(delay) = delay {
+                sleep(span(delay)).await;
+            }
+            let work = tokio::task::spawn_blocking(move || {
+                let result = write(&mut storage, &save);
+                SaveOutcome {
+                    storage,
+                    save,
+                    result,
+                }
+            });
+            // A thread that panicked leaves no disk behind: this voter writes nothing more, and votes on nothing.
+            if let Ok(outcome) = work.await {
+                let message = AgentMessage::SaveFinished(Box::new(outcome));
+                let _ = handle.send(message).await;
+            }
+        });
+    }
+
+    /// A write has ended. After one that failed, the voter votes on nothing and tells nobody until the disk has it.
+    pub(super) fn finish_save(&mut self, outcome: SaveOutcome) {
+        let now = self.clock.now();
+        let Some(voter) = &mut self.voter else { return };
+        if let Some(reason) = voter.quarantine_reason {
+            voter.storage = Some(outcome.storage);
+            return self.quarantine_log(reason);
+        }
+        if let Err(error) = outcome.result {
+            if !std::mem::replace(&mut voter.failure_logged, true) {
+                warn!(self.log, "fleet log can't be written, this voter takes no part until it can"; "error" => %error);
+            }
+            return self.spawn_save(outcome.storage, outcome.save, Some(STORAGE_RETRY_DELAY));
+        }
+        voter.storage = Some(outcome.storage);
+        if std::mem::take(&mut voter.failure_logged) {
+            info!(self.log, "fleet log is written again");
+        }
+        let outputs = voter.replica.saved(now);
+        self.execute(outputs);
+    }
+
+    /// What this disk once told it had is more than it has, or it belongs to a generation that was given up: to go on
+    /// under its number would lose what others rely on. Waits for a write under way.
+    pub(super) fn quarantine_log(&mut self, reason: &'static str) {
+        let Some(voter) = &mut self.voter else { return };
+        voter.quarantine_reason = Some(reason);
+        let Some(mut storage) = voter.storage.take() else {
+            return;
+        };
+        let quarantined = storage
+            .quarantined(random_number())
+            .map_err(StorageError::new);
+        self.voter = None;
+        let reopened = quarantined.and_then(|path| self.open_voter(storage).map(|()| path));
+        match reopened {
+            Ok(path) => {
+                warn!(self.log, "fleet log quarantined, this voter begins blank";
+                    "reason" => reason, "path" => path);
+            }
+            Err(error) => {
+                error!(self.log, "this voter takes no part any more"; "error" => %error);
+            }
+        }
+    }
+}
+
+/// Also to a disk that is slow or full, for tests.
+fn write(storage: &mut Storage, save: &Save) -> Result<(), StorageError> {
+    if is_disabled(Guard::FastDisk) && storage.folder().join("slow").exists() {
+        std::thread::sleep(span(SLOW_DISK_DELAY));
+    }
+    if is_disabled(Guard::DiskSpace) && storage.folder().join("full").exists() {
+        return if is_disabled(Guard::WriteErrors) {
+            Ok(())
+        } else {
+            Err(StorageError::new("No space left on device"))
+        };
+    }
+    storage.save(save.clone()).map_err(StorageError::new)
+}
--- /dev/null
+++ b/crates/fleet-agent/src/leader_search.rs
@@ -0,0 +1,206 @@
+//! The search for the leader among the voters, with a heartbeat or an operator's command.
+
+use crate::envelope::Identity;
+use crate::handle::{AgentHandle, RequestError};
+use crate::message::{
+    AgentMessage, CommandResponse, FleetCommand, HeartbeatAnswer, HeartbeatReply, LeaderHint,
+};
+use crate::peer::{CallError, VoterConnection};
+use crate::proto::Envelope;
+use ironstair::Ms;
+use ironstair_runtime::clock::{span, Clock};
+use std::collections::BTreeMap;
+use std::future::Future;
+use tokio::sync::oneshot;
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+use tonic::Code;
+
+/// While no leader is known each voter is asked so often in a lease.
+const ATTEMPTS_PER_LEASE: f64 = 10.0;
+/// Between two attempts to find the leader for an operator's command, in ms.
+const COMMAND_RETRY_DELAY: Ms = 50.0;
+
+/// Why no leader answered a heartbeat.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum NoLeader {
+    /// No voter answered as the leader.
+    #[error("there is no leader")]
+    NotFound,
+    /// A voter rejected the heartbeat, with this sentence.
+    #[error("{0}")]
+    Rejected(String),
+}
+
+/// One search for the leader.
+pub(crate) struct LeaderSearch {
+    pub(crate) identity: Identity,
+    pub(crate) connections: BTreeMap<String, VoterConnection>,
+    /// The voter that was last known as the leader, where it is another than this one.
+    pub(crate) last_leader: Option<String>,
+    pub(crate) clock: Clock,
+    /// The lease's length in ms.
+    pub(crate) lease: Ms,
+}
+
+/// What a voter said to a heartbeat.
+struct Attempt {
+    voter: String,
+    result: Result<HeartbeatReply, CallError>,
+}
+
+/// What follows an attempt to hand a command to a voter.
+enum Next {
+    Respond(CommandResponse),
+    /// The voter to try next; none where there is no other.
+    Try(Option<String>),
+}
+
+impl LeaderSearch {
+    /// The voter after that one, in the order of their names.
+    fn voter_after(&self, voter: Option<&String>) -> Option<String> {
+        let later = voter.and_then(|voter| self.connections.keys().find(|name| *name > voter));
+        later.or(self.connections.keys().next()).cloned()
+    }
+
+    /// Sends a heartbeat to the last leader alone first; then to all voters, each again once it has said that it is
+    /// not the leader. Nobody is given up for being slow: what comes within the lease counts.
+    pub(crate) async fn heartbeat(self, envelope: Envelope) -> Result<HeartbeatAnswer, NoLeader> {
+        let deadline = self.clock.now() + self.lease;
+        let mut error = NoLeader::NotFound;
+        let mut attempts = JoinSet::new();
+        match &self.last_leader {
+            Some(leader) => {
+                attempts.spawn(self.attempt(leader, &envelope, self.lease / 2.0, 0.0));
+            }
+            None => self.attempt_all(&mut attempts, &envelope, self.lease),
+        }
+        while let Some(Ok(attempt)) = attempts.join_next().await {
+            match attempt.result {
+                Ok(Ok(response)) => {
+                    return Ok(HeartbeatAnswer {
+                        leader: attempt.voter,
+                        response,
+                    })
+                }
+                // A sentence of the other side's is worth more than that nobody is there.
+                Err(CallError::Status(status)) if status.code() == Code::FailedPrecondition => {
+                    error = NoLeader::Rejected(status.message().to_string());
+                }
+                _ => {}
+            }
+            let remaining = deadline - self.clock.now();
+            if remaining <= 0.0 {
+                break;
+            }
+            if attempts.is_empty() && self.last_leader.as_ref() == Some(&attempt.voter) {
+                self.attempt_all(&mut attempts, &envelope, remaining);
+            } else {
+                let delay = self.lease / ATTEMPTS_PER_LEASE;
+                attempts.spawn(self.attempt(&attempt.voter, &envelope, remaining, delay));
+            }
+        }
+        Err(error)
+    }
+
+    fn attempt_all(&self, attempts: &mut JoinSet<Attempt>, envelope: &Envelope, within: Ms) {
+        for voter in self.connections.keys() {
+            attempts.spawn(self.attempt(voter, envelope, within, 0.0));
+        }
+    }
+
+    /// One heartbeat to one voter, after a delay; both times in ms.
+    fn attempt(
+        &self,
+        voter: &str,
+        envelope: &Envelope,
+        within: Ms,
+        delay: Ms,
+    ) -> impl Future<Output = Attempt> + Send + 'static {
+        let connection = self.connections[voter].clone();
+        let voter = voter.to_string();
+        let envelope = envelope.clone();
+        async move {
+            sleep(span(delay)).await;
+            let result = connection.heartbeat(envelope, within).await;
+            Attempt { voter, result }
+        }
+    }
+
+    /// Hands a command to the leader, and waits for what becomes of it: within so many ms. This gateway is tried
+    /// first, as it may be the leader.
+    pub(crate) async fn command(
+        self,
+        local: AgentHandle,
+        command: FleetCommand,
+        within: Ms,
+    ) -> CommandResponse {
+        let deadline = self.clock.now() + within;
+        let body = serde_json::to_vec(&command).unwrap_or_default();
+        let mut candidate = self.last_leader.clone();
+        let mut last_error = String::from("no voter answers");
+        while self.clock.now() < deadline {
+            match self.command_here(&local, &command, candidate).await {
+                Some(Next::Respond(response)) => return response,
+                Some(Next::Try(next)) => candidate = next,
+                None => break,
+            }
+            let Some(voter) = candidate else { break };
+            let remaining = deadline - self.clock.now();
+            let envelope = self.identity.envelope(body.clone());
+            let answer = self.connections[&voter].command(envelope, remaining).await;
+            // The same command may be sent again: the log knows it by its token.
+            if let Err(CallError::Status(status)) = &answer {
+                last_error = format!("{voter}: {}", status.message());
+            }
+            match self.after_answer(&voter, answer) {
+                Next::Respond(response) => return response,
+                Next::Try(next) => candidate = next,
+            }
+            sleep(span(COMMAND_RETRY_DELAY)).await;
+        }
+        CommandResponse::Refused(format!(
+            "the fleet has no leader that answers ({last_error}): `ironstair fleet` shows what became of the command"
+        ))
+    }
+
+    /// Hands the command to this gateway's own actor; none where that has ended.
+    async fn command_here(
+        &self,
+        local: &AgentHandle,
+        command: &FleetCommand,
+        candidate: Option<String>,
+    ) -> Option<Next> {
+        let (response, answered) = oneshot::channel();
+        let message = AgentMessage::Command {
+            command: command.clone(),
+            response,
+        };
+        local.send(message).await.ok()?;
+        let next = match answered.await.map_err(|_| RequestError::Dropped) {
+            Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
+                // Not over what was found since: this gateway may speak to one that is the leader no more.
+                let hinted = leader.filter(|name| self.connections.contains_key(name));
+                Next::Try(candidate.or(hinted).or_else(|| self.voter_after(None)))
+            }
+            Ok(response) => Next::Respond(response),
+            Err(_) => Next::Try(candidate),
+        };
+        Some(next)
+    }
+
+    fn after_answer(&self, voter: &String, answer: Result<CommandResponse, CallError>) -> Next {
+        match answer {
+            Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
+                let other =
+                    leader.filter(|name| name != voter && self.connections.contains_key(name));
+                Next::Try(other.or_else(|| self.voter_after(Some(voter))))
+            }
+            Ok(response) => Next::Respond(response),
+            Err(CallError::Body(error)) => Next::Respond(CommandResponse::Refused(format!(
+                "{voter} answers what can't be decoded: {error}"
+            ))),
+            Err(CallError::Status(_)) => Next::Try(self.voter_after(Some(voter))),
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet-agent/tests/config.rs
@@ -0,0 +1,132 @@
+//! What of an operator's section is not valid, and the sentence that says so.
+
+use ironstair_fleet_agent::FleetConfig;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+fn address(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+/// A member that is no voter.
+fn member() -> FleetConfig {
+    FleetConfig {
+        fleet: "north".into(),
+        name: "g4".into(),
+        listen: address(4),
+        voters: BTreeMap::from([
+            ("g1".into(), address(1)),
+            ("g2".into(), address(2)),
+            ("g3".into(), address(3)),
+        ]),
+        lease: 5000.0,
+        steady: false,
+        counts_members: false,
+        log_folder: None,
+    }
+}
+
+fn voter() -> FleetConfig {
+    FleetConfig {
+        name: "g1".into(),
+        log_folder: Some("log".into()),
+        ..member()
+    }
+}
+
+#[test]
+fn a_member_and_a_voter_are_valid_up_to_the_bounds() {
+    for lease in [1000.0, 60_000.0] {
+        let config = FleetConfig { lease, ..member() };
+        assert_eq!(config.clone().validated(), Ok(config));
+    }
+    let longest_name = FleetConfig {
+        name: "n".repeat(64),
+        ..member()
+    };
+    assert!(longest_name.validated().is_ok());
+    assert!(voter().is_voter() && !member().is_voter());
+    assert_eq!(voter().validated(), Ok(voter()));
+}
+
+fn assert_invalid<const N: usize>(cases: [(FleetConfig, &str); N]) {
+    for (config, sentence) in cases {
+        let error = config.validated().expect_err(sentence);
+        assert_eq!(error.to_string(), sentence);
+    }
+}
+
+#[test]
+fn a_name_that_is_not_valid_is_named_with_its_value() {
+    let fleet_named = |fleet: &str| FleetConfig {
+        fleet: fleet.into(),
+        ..member()
+    };
+    let long_own_name = FleetConfig {
+        name: "n".repeat(65),
+        ..member()
+    };
+    let own_name = "fleet: the gateway's own name is empty or too long to be one of a fleet's";
+    assert_invalid([
+        (
+            fleet_named(""),
+            r#"fleet.name: "" is no name of 1 to 64 bytes"#,
+        ),
+        (
+            fleet_named("a\nb"),
+            r#"fleet.name: "a\nb" is no name of 1 to 64 bytes"#,
+        ),
+        (long_own_name, own_name),
+    ]);
+}
+
+#[test]
+fn voters_that_are_too_few_or_share_an_address_are_not_valid() {
+    let mut two_voters = member();
+    two_voters.voters.remove("g3");
+    let mut shared_address = member();
+    shared_address.voters.insert("g2".into(), address(1));
+    assert_invalid([
+        (two_voters, "fleet.keepers: 3 or 5 are named, not 2"),
+        (
+            shared_address,
+            "fleet.keepers.g1: 127.0.0.1:1 is another's address too",
+        ),
+    ]);
+}
+
+#[test]
+fn a_lease_a_count_or_a_folder_that_does_not_fit_is_not_valid() {
+    let short_lease = FleetConfig {
+        lease: 999.0,
+        ..member()
+    };
+    let steady_counts = FleetConfig {
+        steady: true,
+        counts_members: true,
+        ..member()
+    };
+    let no_folder = FleetConfig {
+        log_folder: None,
+        ..voter()
+    };
+    let unused_folder = FleetConfig {
+        log_folder: Some("log".into()),
+        ..member()
+    };
+    assert_invalid([
+        (short_lease, "fleet.lease_ms: 999 is outside 1000 to 60000"),
+        (
+            steady_counts,
+            "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members",
+        ),
+        (
+            no_folder,
+            "fleet.state: g1 is a voter, and needs a folder for its log",
+        ),
+        (
+            unused_folder,
+            "fleet.state: g4 is not among the voters and has no log",
+        ),
+    ]);
+}
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -95,10 +95,10 @@
         voters: f.voters.clone(),
         lease: f.lease_ms as f64,
         steady: f.cut_off == CutOff::Steady,
-        counts: f.count == Count::Members,
-        folder: f.state.clone(),
+        counts_members: f.count == Count::Members,
+        log_folder: f.state.clone(),
     };
-    config.checked()
+    config.validated().map_err(|e| e.to_string())
 }
 
 /// Cells; every gateway of a fleet is to be told the same.
@@ -295,7 +295,3 @@
 
 #[cfg(test)]
 mod tests;
-
-#[cfg(test)]
-#[path = "operator_config_pinned_tests.rs"]
-mod pinned_tests;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -19,8 +19,8 @@
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
 use ironstair_config_change::renewal::Renewal;
-use ironstair_fleet_agent::actor::Leave;
-use ironstair_fleet_agent::fault_injection::taken_out;
+use ironstair_fleet_agent::fault_injection::{is_disabled, Guard};
+use ironstair_fleet_agent::handle::AgentHandle;
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::ClassSummary;
@@ -67,7 +67,7 @@
 #[derive(Default)]
 struct ManagementEnds {
     renew_keys: Option<management::Renew>,
-    leave_fleet: Option<Leave>,
+    leave_fleet: Option<AgentHandle>,
 }
 
 /// Serves until a signal ends the process and all is answered.
@@ -193,7 +193,7 @@
 
 /// In a fleet nothing is decided before the fleet has said until when.
 fn initial_lease(in_fleet: bool) -> Ms {
-    if in_fleet && !taken_out("start") {
+    if in_fleet && !is_disabled(Guard::NoLeaseAtStart) {
         0.0
     } else {
         Ms::INFINITY
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use ironstair::Ms;
-use ironstair_fleet_agent::actor::{AgentMessage, Leave};
+use ironstair_fleet_agent::handle::AgentHandle;
 use ironstair_runtime::clock::span;
 use ironstair_runtime::Shared;
 use slog::{info, Logger};
@@ -55,14 +55,16 @@
 }
 
 /// Phase 5: tells the fleet that this process ends, so that no lease has to run out before it goes on.
-pub async fn leave_fleet(leave: Leave, log: &Logger) {
-    let (done, acknowledged) = tokio::sync::oneshot::channel();
-    let sent = leave.try_send(AgentMessage::Leave(done)).is_ok();
+pub async fn leave_fleet(agent: AgentHandle, log: &Logger) {
+    let acknowledged = agent.announce_leave();
+    let sent = acknowledged.is_some();
     let timeout = async {
         Timer::after(span(LEAVE_FLEET_MS)).await;
     };
     let answer = async {
-        drop(acknowledged.await);
+        if let Some(acknowledged) = acknowledged {
+            drop(acknowledged.await);
+        }
     };
     or(answer, timeout).await;
     info!(log, "left the fleet"; "sent" => sent);
