--- a/crates/gateway/tests/manage.rs
+++ b/crates/gateway/tests/manage.rs
@@ -1315,5 +1315,8 @@
         (&line["msg"], &line["level"], &line["gateway"]),
         (&json!("serving"), &json!("INFO"), &json!("n0"))
     );
-    assert!(line["ts"].is_string() && line["on"].is_string(), "{line}");
+    assert!(
+        line["ts"].is_string() && line["address"].is_string(),
+        "{line}"
+    );
 }
