--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Again {
+pub enum RepeatSafety {
     Repeatable,
     Tagged,
     OnceOnly,
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Group {
+pub enum DeduplicationScope {
     #[default]
     All,
     Zone,
@@ -89,9 +89,9 @@
     pub value: Decimal<6>,
     #[serde(default = "one")]
     pub threads: u16,
-    pub repeat: Again,
+    pub repeat: RepeatSafety,
     #[serde(default)]
-    pub within: Group,
+    pub within: DeduplicationScope,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window: Option<u32>,
     #[serde(default)]
@@ -116,7 +116,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Cold {
+pub struct SlowStart {
     pub from: Decimal<4>,
     #[serde(rename = "warm-after")]
     pub slow_start_duration: u32,
@@ -178,9 +178,9 @@
     ///
     /// # Errors
     /// A cell that is not there, too many, or a shard that can't be; by its path.
-    pub fn cell_directory(&self, number: fn(&[u8]) -> u64) -> Result<CellDirectory, Fault> {
-        let at = |field: &str, why: &dyn fmt::Display| {
-            fault(format!("/settings/cells/{field}"), why.to_string())
+    pub fn cell_directory(&self, number: fn(&[u8]) -> u64) -> Result<CellDirectory, Violation> {
+        let at = |field: &str, reason: &dyn fmt::Display| {
+            violation(format!("/settings/cells/{field}"), reason.to_string())
         };
         let mut cells: Vec<(String, f64)> = self
             .cell
@@ -240,7 +240,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "ration")]
     pub retry_budget: Option<RetryBudget>,
-    pub cold: Cold,
+    #[serde(rename = "cold")]
+    pub slow_start: SlowStart,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<Cells>,
     #[serde(default)]
@@ -249,12 +250,12 @@
 
 /// The names under which zones and kinds of machine come, by the index that the decisions know.
 #[derive(Clone, Debug, Default)]
-pub struct Frame {
+pub struct NameIndex {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
 }
 
-impl Frame {
+impl NameIndex {
     /// The number of a zone's name; one that was not told gets a number that no rule allows.
     pub fn zone(&self, name: &str) -> u16 {
         Self::index(&self.zones, name).unwrap_or(u16::MAX)
@@ -273,21 +274,22 @@
 
 /// Why a document or a change of it can't be, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fault {
+pub struct Violation {
     pub path: String,
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.why)
+        write!(f, "{}: {}", self.path, self.reason)
     }
 }
 
-pub(crate) fn fault(path: impl Into<String>, why: impl Into<String>) -> Fault {
-    Fault {
+pub(crate) fn violation(path: impl Into<String>, reason: impl Into<String>) -> Violation {
+    Violation {
         path: path.into(),
-        why: why.into(),
+        reason: reason.into(),
     }
 }
 
@@ -298,7 +300,12 @@
 impl Document {
     /// The document of what a gateway was told; figures with more digits than the tree has are rounded.
     /// `limits` are the classes' hard limits, in ms.
-    pub fn told(m: &PolicyConfig, names: &[String], limits: &[Ms], frame: &Frame) -> Document {
+    pub fn configured(
+        m: &PolicyConfig,
+        names: &[String],
+        limits: &[Ms],
+        name_index: &NameIndex,
+    ) -> Document {
         let whole = |x: Ms| x.round().clamp(0.0, u32::MAX as f64) as u32;
         let named = |of: &Option<Vec<u16>>, names: &[String]| -> Vec<String> {
             let of = of.iter().flatten();
@@ -323,19 +330,19 @@
                 value: Decimal::of(t.value),
                 threads: t.threads as u16,
                 repeat: match t.repeat {
-                    Effect::Idempotent => Again::Repeatable,
-                    Effect::Deduplicated(_) => Again::Tagged,
-                    Effect::NonIdempotent => Again::OnceOnly,
+                    Effect::Idempotent => RepeatSafety::Repeatable,
+                    Effect::Deduplicated(_) => RepeatSafety::Tagged,
+                    Effect::NonIdempotent => RepeatSafety::OnceOnly,
                 },
                 within: match t.repeat {
-                    Effect::Deduplicated(Within::Zone) => Group::Zone,
-                    Effect::Deduplicated(Within::MarkGroup) => Group::MarkGroup,
-                    _ => Group::All,
+                    Effect::Deduplicated(Within::Zone) => DeduplicationScope::Zone,
+                    Effect::Deduplicated(Within::MarkGroup) => DeduplicationScope::MarkGroup,
+                    _ => DeduplicationScope::All,
                 },
                 window: matches!(t.repeat, Effect::Deduplicated(_)).then(|| whole(t.window)),
                 in_order: t.in_order,
-                zone: named(&t.zones, &frame.zones),
-                kind: named(&t.kinds, &frame.kinds),
+                zone: named(&t.zones, &name_index.zones),
+                kind: named(&t.kinds, &name_index.kinds),
             });
         Document {
             class: class.collect(),
@@ -347,7 +354,7 @@
                 share: Decimal::of(r.share),
                 span: whole(r.span),
             }),
-            cold: Cold {
+            slow_start: SlowStart {
                 from: Decimal::of(m.slow_start_from),
                 slow_start_duration: whole(m.slow_start_duration),
                 multiple: Decimal::of(m.fall_multiple),
@@ -360,11 +367,11 @@
 
     /// All that the types and ranges of the tree do not say: its `must` statements, and names that the gateway
     /// was not told.
-    pub fn faults(&self, frame: &Frame) -> Vec<Fault> {
+    pub fn violations(&self, name_index: &NameIndex) -> Vec<Violation> {
         let mut found = Vec::new();
-        let mut check = |ok: bool, path: String, why: &str| {
+        let mut check = |ok: bool, path: String, reason: &str| {
             if !ok {
-                found.push(fault(path, why));
+                found.push(violation(path, reason));
             }
         };
         check(
@@ -381,9 +388,9 @@
                 at("hard-limit"),
                 "the hard limit is shorter than the expected time",
             );
-            let tagged = b.repeat == Again::Tagged;
+            let tagged = b.repeat == RepeatSafety::Tagged;
             check(
-                tagged || b.within == Group::All,
+                tagged || b.within == DeduplicationScope::All,
                 at("within"),
                 "within is for tagged bands",
             );
@@ -398,13 +405,13 @@
                 "a tagged band needs its window",
             );
             for (field, names, known) in [
-                ("zone", &b.zone, &frame.zones),
-                ("kind", &b.kind, &frame.kinds),
+                ("zone", &b.zone, &name_index.zones),
+                ("kind", &b.kind, &name_index.kinds),
             ] {
                 for name in names {
-                    let told = Frame::index(known, name).is_some();
+                    let configured = NameIndex::index(known, name).is_some();
                     check(
-                        told,
+                        configured,
                         at(field),
                         &format!("{name} is not among those told at start"),
                     );
--- a/crates/config-change/src/stricter.rs
+++ b/crates/config-change/src/intersection.rs
@@ -1,8 +1,8 @@
 //! What is safe beside two policies at once: while a change goes through a fleet, some gateways hold the one and
 //! some the other, and what they do in sum must break no rule by either.
 
-use crate::document::{Class, Cold, Decimal, Document, RetryBudget};
-use crate::plan::Slot;
+use crate::document::{Class, Decimal, Document, RetryBudget, SlowStart};
+use crate::plan::ClassSlot;
 
 /// Names, none of them for any: those in both, or none where there is no such.
 fn in_both(a: &[String], b: &[String]) -> Option<Vec<String>> {
@@ -47,7 +47,7 @@
 fn class(a: &Class, b: &Class) -> Option<Class> {
     let (zone, kind) = (in_both(&a.zone, &b.zone)?, in_both(&a.kind, &b.kind)?);
     let window = a.window.zip(b.window).map(|(a, b)| a.min(b)).or(a.window);
-    (Slot::of(a) == Slot::of(b)).then(|| Class {
+    (ClassSlot::of(a) == ClassSlot::of(b)).then(|| Class {
         zone,
         kind,
         window,
@@ -58,7 +58,7 @@
 impl Document {
     /// The stricter of both, field by field where gateways' sums are bounded; the rest is as here. None where no
     /// class is left that both have.
-    pub fn stricter(&self, other: &Document) -> Option<Document> {
+    pub fn intersection(&self, other: &Document) -> Option<Document> {
         let same = |a: &Class| {
             other
                 .class
@@ -66,14 +66,14 @@
                 .find(|b| b.name == a.name)
                 .and_then(|b| class(a, b))
         };
-        let (a, b) = (&self.cold, &other.cold);
+        let (a, b) = (&self.slow_start, &other.slow_start);
         let left: Vec<Class> = self.class.iter().filter_map(same).collect();
         (!left.is_empty()).then(|| Document {
             class: left,
             gateways: self.gateways.max(other.gateways),
             max_attempts: self.max_attempts.min(other.max_attempts),
             retry_budget: retry_budget(self.retry_budget, other.retry_budget),
-            cold: Cold {
+            slow_start: SlowStart {
                 from: least(a.from, b.from),
                 slow_start_duration: a.slow_start_duration.max(b.slow_start_duration),
                 multiple: least(a.multiple, b.multiple),
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -4,24 +4,27 @@
 //! A record is its length (4 bytes, little end first), the CRC-32C of those 4 bytes and of what follows, and JSON.
 //! A journal begins with a [`Record::Whole`].
 
-use crate::revisions::{RevisionState, REMEMBERED};
+use crate::revisions::{RevisionState, MAX_REVISIONS};
 use ironstair::Ms;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
 /// The longest record; a length beyond it is no length.
-pub const RECORD_MOST: usize = 4 << 20;
+pub const MAX_RECORD_BYTES: usize = 4 << 20;
 const HEAD: usize = 8;
 
 /// One revision as it is shown and remembered, without its document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionSummary {
     pub number: u64,
-    pub who: String,
+    #[serde(rename = "who")]
+    pub author: String,
     /// Unix time in ms.
-    pub when: Ms,
-    pub what: String,
+    #[serde(rename = "when")]
+    pub created_at: Ms,
+    #[serde(rename = "what")]
+    pub summary: String,
     #[serde(rename = "standing")]
     pub state: RevisionState,
     pub commit: Option<String>,
@@ -32,9 +35,10 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
     /// All that is known: what the configuration file said, what runs, and the revisions remembered.
-    Whole(Kept<D>),
+    Whole(PersistedState<D>),
     Set {
-        line: RevisionSummary,
+        #[serde(rename = "line")]
+        revision: RevisionSummary,
         document: D,
     },
     Confirmed {
@@ -48,19 +52,21 @@
 
 /// What a start goes by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept<D> {
+pub struct PersistedState<D> {
     /// The settings of the configuration file, when this was written.
-    pub told: D,
+    #[serde(rename = "told")]
+    pub configured: D,
     pub running: D,
     /// The number of the revision that runs, 0 for what was told, and of the next.
     pub number: u64,
     pub next: u64,
-    pub lines: VecDeque<RevisionSummary>,
+    #[serde(rename = "lines")]
+    pub revisions: VecDeque<RevisionSummary>,
 }
 
 /// What a start found worth a line in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum StartOutcome {
     /// Nothing was kept: what is told runs.
     Nothing,
     /// The told file is as it was: the last confirmed revision runs.
@@ -71,75 +77,81 @@
     RolledBack(u64),
 }
 
-impl<D: Clone + PartialEq> Kept<D> {
-    pub fn told(told: D) -> Self {
-        Kept {
-            running: told.clone(),
-            told,
+impl<D: Clone + PartialEq> PersistedState<D> {
+    pub fn configured(configured: D) -> Self {
+        PersistedState {
+            running: configured.clone(),
+            configured,
             number: 0,
             next: 1,
-            lines: VecDeque::new(),
+            revisions: VecDeque::new(),
         }
     }
 
     /// What a journal's records come to, beside what the configuration file says now.
-    pub fn open(records: Vec<Record<D>>, told: D) -> (Kept<D>, Found) {
-        let mut kept: Option<Kept<D>> = None;
-        let mut trial: Option<(u64, (u64, D))> = None;
+    pub fn open(records: Vec<Record<D>>, configured: D) -> (PersistedState<D>, StartOutcome) {
+        let mut persisted: Option<PersistedState<D>> = None;
+        let mut pending_confirmation: Option<(u64, (u64, D))> = None;
         for record in records {
-            match (record, &mut kept) {
-                (Record::Whole(whole), _) => (kept, trial) = (Some(whole), None),
-                (Record::Set { line, document }, Some(kept)) => {
+            match (record, &mut persisted) {
+                (Record::Whole(whole), _) => {
+                    (persisted, pending_confirmation) = (Some(whole), None)
+                }
+                (Record::Set { revision, document }, Some(persisted)) => {
                     // Nothing is set upon a trial: that one was rolled back, and the record of it was lost.
-                    if let Some((_, before)) = trial.take() {
-                        kept.take_back(before);
+                    if let Some((_, before)) = pending_confirmation.take() {
+                        persisted.take_back(before);
                     }
-                    let number = line.number;
-                    let unconfirmed = line.state == RevisionState::Unconfirmed;
-                    kept.mark(RevisionState::Replaced);
-                    kept.lines.push_back(line);
-                    if kept.lines.len() > REMEMBERED {
-                        kept.lines.pop_front();
+                    let number = revision.number;
+                    let unconfirmed = revision.state == RevisionState::Unconfirmed;
+                    persisted.mark(RevisionState::Replaced);
+                    persisted.revisions.push_back(revision);
+                    if persisted.revisions.len() > MAX_REVISIONS {
+                        persisted.revisions.pop_front();
                     }
-                    let before = std::mem::replace(&mut kept.running, document);
-                    let before = (std::mem::replace(&mut kept.number, number), before);
-                    kept.next = number + 1;
-                    trial = unconfirmed.then_some((number, before));
+                    let before = std::mem::replace(&mut persisted.running, document);
+                    let before = (std::mem::replace(&mut persisted.number, number), before);
+                    persisted.next = number + 1;
+                    pending_confirmation = unconfirmed.then_some((number, before));
                 }
-                (Record::Confirmed { number }, Some(kept)) => {
-                    if trial.take_if(|t| t.0 == number).is_some() {
-                        kept.mark(RevisionState::Running);
+                (Record::Confirmed { number }, Some(persisted)) => {
+                    if pending_confirmation.take_if(|t| t.0 == number).is_some() {
+                        persisted.mark(RevisionState::Running);
                     }
                 }
-                (Record::RolledBack { number }, Some(kept)) => {
-                    if let Some((_, before)) = trial.take_if(|t| t.0 == number) {
-                        kept.take_back(before);
+                (Record::RolledBack { number }, Some(persisted)) => {
+                    if let Some((_, before)) = pending_confirmation.take_if(|t| t.0 == number) {
+                        persisted.take_back(before);
                     }
                 }
                 // Nothing can be made of a revision upon nothing.
                 (_, None) => {}
             }
         }
-        let Some(mut kept) = kept else {
-            return (Kept::told(told), Found::Nothing);
+        let Some(mut persisted) = persisted else {
+            return (
+                PersistedState::configured(configured),
+                StartOutcome::Nothing,
+            );
         };
-        let mut found = Found::Revision(kept.number);
-        if let Some((number, before)) = trial {
-            kept.take_back(before);
-            found = Found::RolledBack(number);
+        let mut found = StartOutcome::Revision(persisted.number);
+        if let Some((number, before)) = pending_confirmation {
+            persisted.take_back(before);
+            found = StartOutcome::RolledBack(number);
         }
-        if kept.told != told {
-            kept.mark(RevisionState::Replaced);
-            (kept.told, kept.running, kept.number) = (told.clone(), told, 0);
-            found = Found::Reconfigured;
+        if persisted.configured != configured {
+            persisted.mark(RevisionState::Replaced);
+            (persisted.configured, persisted.running, persisted.number) =
+                (configured.clone(), configured, 0);
+            found = StartOutcome::Reconfigured;
         }
-        (kept, found)
+        (persisted, found)
     }
 
     /// Gives the revision that runs another state.
     fn mark(&mut self, state: RevisionState) {
         let number = self.number;
-        self.lines
+        self.revisions
             .iter_mut()
             .filter(|l| l.number == number)
             .for_each(|l| l.state = state);
@@ -155,7 +167,7 @@
 /// A record's bytes.
 pub fn encode<D: Serialize>(record: &Record<D>) -> Result<Vec<u8>, String> {
     let body = serde_json::to_vec(record).map_err(|e| e.to_string())?;
-    if body.len() > RECORD_MOST {
+    if body.len() > MAX_RECORD_BYTES {
         return Err(format!("a record of {} bytes is too long", body.len()));
     }
     let length = (body.len() as u32).to_le_bytes();
@@ -176,7 +188,7 @@
                 records.push(record);
                 at += n;
             }
-            Err(why) => return (records, at, Some(why)),
+            Err(reason) => return (records, at, Some(reason)),
         }
     }
 }
@@ -189,7 +201,7 @@
             .map(u32::from_le_bytes)
     };
     let (length, sum) = word(0).zip(word(4)).ok_or("torn")?;
-    if length as usize > RECORD_MOST {
+    if length as usize > MAX_RECORD_BYTES {
         return Err("no length");
     }
     let body = bytes.get(HEAD..HEAD + length as usize).ok_or("torn")?;
--- a/crates/config-change/src/lib.rs
+++ b/crates/config-change/src/lib.rs
@@ -4,13 +4,13 @@
 //! [`revisions`] which document runs, and [`journal`] how revisions outlive the process.
 
 pub mod document;
+mod intersection;
 pub mod journal;
 pub mod plan;
-pub mod renewal;
 pub mod revisions;
-mod stricter;
+pub mod running_config;
 
 pub use document::{
-    Cell, Cells, Class, Cold, Decimal, Document, EnginePin, Fault, Frame, Log, RetryBudget,
-    TenantPin,
+    Cell, Cells, Class, Decimal, Document, EnginePin, Log, NameIndex, RetryBudget, SlowStart,
+    TenantPin, Violation,
 };
--- a/crates/config-change/src/revisions.rs
+++ b/crates/config-change/src/revisions.rs
@@ -1,16 +1,16 @@
 //! Which settings run: revisions, confirmed commits and what survives a restart, as a state machine.
 //!
-//! One input at a time is handed to [`Ledger::on`], which goes through `RULES` in order after each until none
+//! One input at a time is handed to [`RevisionTracker::on`], which goes through `RULES` in order after each until none
 //! fires. What it asks for is carried out in its order: a record is on the disk before its revision is applied or
 //! its caller answered, but for a change that is rolled back, which waits for no disk.
 
-use crate::journal::{Kept, Record, RevisionSummary};
+use crate::journal::{PersistedState, Record, RevisionSummary};
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
 /// Revisions that are remembered.
-pub const REMEMBERED: usize = 32;
+pub const MAX_REVISIONS: usize = 32;
 
 /// How long a change waits to be confirmed where its client does not say, and the least and most that may be said:
 /// less is over before a person has looked, more is forgotten.
@@ -22,8 +22,8 @@
 ///
 /// # Errors
 /// It is out of bounds, as a sentence's end.
-pub fn confirm_within(asked: Option<Ms>) -> Result<Ms, String> {
-    let span = asked.unwrap_or(CONFIRM_WITHIN);
+pub fn confirm_within(command: Option<Ms>) -> Result<Ms, String> {
+    let span = command.unwrap_or(CONFIRM_WITHIN);
     if (CONFIRM_LEAST..=CONFIRM_MOST).contains(&span) {
         return Ok(span);
     }
@@ -49,8 +49,8 @@
 pub enum Command<D> {
     /// Other settings, at once; to be confirmed under that id within that time, or for good.
     Set {
-        who: String,
-        what: String,
+        author: String,
+        summary: String,
         document: D,
         commit: Option<(String, Ms)>,
     },
@@ -84,7 +84,7 @@
     /// Nothing waits to be confirmed under that id.
     NoSuchCommit { id: String },
     /// The disk did not take it; nothing has changed.
-    NotKept { why: String },
+    NotPersisted { reason: String },
     /// An ask was not answered yet.
     Busy,
 }
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Write<D> {
     Set {
-        line: RevisionSummary,
+        revision: RevisionSummary,
         document: D,
         commit: Option<(String, Ms)>,
     },
@@ -123,22 +123,22 @@
 
 /// The revisions of one gateway.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ledger<D> {
+pub struct RevisionTracker<D> {
     running: D,
     number: u64,
     next: u64,
-    lines: VecDeque<RevisionSummary>,
-    trial: Option<PendingConfirmation<D>>,
+    revisions: VecDeque<RevisionSummary>,
+    pending_confirmation: Option<PendingConfirmation<D>>,
     durable: bool,
     now: Ms,
-    asked: Option<Command<D>>,
+    command: Option<Command<D>>,
     writing: Option<Write<D>>,
     written: Option<Result<(), String>>,
 }
 
-type Rule<D> = fn(&mut Ledger<D>, &mut Vec<Action<D>>) -> bool;
+type Rule<D> = fn(&mut RevisionTracker<D>, &mut Vec<Action<D>>) -> bool;
 
-impl<D: Clone + PartialEq> Ledger<D> {
+impl<D: Clone + PartialEq> RevisionTracker<D> {
     /// What an ask comes to, in order: a write that has ended, the time that has run out, then what is asked.
     const RULES: [Rule<D>; 8] = [
         Self::answer_what_was_not_kept,
@@ -151,17 +151,17 @@
         Self::cancel_or_extend,
     ];
 
-    /// `durable`: whether there is a disk to write to. `kept` is what a journal says, see [`Kept::open`].
-    pub fn new(kept: Kept<D>, durable: bool) -> Self {
-        Ledger {
-            running: kept.running,
-            number: kept.number,
-            next: kept.next,
-            lines: kept.lines,
-            trial: None,
+    /// `durable`: whether there is a disk to write to. `persisted` is what a journal says, see [`PersistedState::open`].
+    pub fn new(persisted: PersistedState<D>, durable: bool) -> Self {
+        RevisionTracker {
+            running: persisted.running,
+            number: persisted.number,
+            next: persisted.next,
+            revisions: persisted.revisions,
+            pending_confirmation: None,
             durable,
             now: 0.0,
-            asked: None,
+            command: None,
             writing: None,
             written: None,
         }
@@ -171,8 +171,8 @@
         &self.running
     }
 
-    pub fn lines(&self) -> &VecDeque<RevisionSummary> {
-        &self.lines
+    pub fn revisions(&self) -> &VecDeque<RevisionSummary> {
+        &self.revisions
     }
 
     /// The number of the revision that runs, 0 for what was told at start.
@@ -186,26 +186,28 @@
     }
 
     /// What would run after a restart now, its number, and the revisions as they would stand then.
-    pub fn firm(&self) -> (u64, D, VecDeque<RevisionSummary>) {
-        let Some(trial) = &self.trial else {
-            return (self.number, self.running.clone(), self.lines.clone());
+    pub fn after_restart(&self) -> (u64, D, VecDeque<RevisionSummary>) {
+        let Some(pending_confirmation) = &self.pending_confirmation else {
+            return (self.number, self.running.clone(), self.revisions.clone());
         };
         let mut after = self.clone();
-        let (number, running) = trial.before.clone();
+        let (number, running) = pending_confirmation.before.clone();
         after.mark(RevisionState::RolledBack);
         after.number = number;
         after.mark(RevisionState::Running);
-        (number, running, after.lines)
+        (number, running, after.revisions)
     }
 
     /// What waits to be confirmed: its id, and until when.
-    pub fn trial(&self) -> Option<(&str, Ms)> {
-        self.trial.as_ref().map(|t| (t.id.as_str(), t.until))
+    pub fn pending_confirmation(&self) -> Option<(&str, Ms)> {
+        self.pending_confirmation
+            .as_ref()
+            .map(|t| (t.id.as_str(), t.until))
     }
 
     /// When `Due` is wanted next.
     pub fn due(&self) -> Option<Ms> {
-        self.trial
+        self.pending_confirmation
             .as_ref()
             .filter(|_| self.writing.is_none())
             .map(|t| t.until)
@@ -215,10 +217,10 @@
         let mut actions = Vec::new();
         self.now = now;
         match input {
-            Input::Command(_) if self.asked.is_some() || self.writing.is_some() => {
+            Input::Command(_) if self.command.is_some() || self.writing.is_some() => {
                 actions.push(Action::Answer(Err(Refusal::Busy)));
             }
-            Input::Command(ask) => self.asked = Some(ask),
+            Input::Command(command) => self.command = Some(command),
             Input::Written(how) => self.written = self.writing.is_some().then_some(how),
             Input::Due => {}
         }
@@ -228,7 +230,7 @@
 
     /// Gives the revision that runs another state.
     fn mark(&mut self, state: RevisionState) {
-        if let Some(l) = self.lines.iter_mut().find(|l| l.number == self.number) {
+        if let Some(l) = self.revisions.iter_mut().find(|l| l.number == self.number) {
             (l.state, l.until) = (state, None);
         }
     }
@@ -242,11 +244,11 @@
     }
 
     fn answer_what_was_not_kept(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(why) = self.written.take_if(|w| w.is_err()).and_then(Result::err) else {
+        let Some(reason) = self.written.take_if(|w| w.is_err()).and_then(Result::err) else {
             return false;
         };
         self.writing = None;
-        actions.push(Action::Answer(Err(Refusal::NotKept { why })));
+        actions.push(Action::Answer(Err(Refusal::NotPersisted { reason })));
         true
     }
 
@@ -256,22 +258,23 @@
         };
         match self.writing.take() {
             Some(Write::Set {
-                line,
+                revision,
                 document,
                 commit,
             }) => {
                 self.mark(RevisionState::Replaced);
-                let number = line.number;
+                let number = revision.number;
                 // The time runs from here, where the settings begin to: a slow disk does not eat it up.
                 let until = commit.as_ref().map(|c| self.now + c.1);
-                self.lines.push_back(RevisionSummary { until, ..line });
-                if self.lines.len() > REMEMBERED {
-                    self.lines.pop_front();
+                self.revisions
+                    .push_back(RevisionSummary { until, ..revision });
+                if self.revisions.len() > MAX_REVISIONS {
+                    self.revisions.pop_front();
                 }
                 let before = std::mem::replace(&mut self.running, document.clone());
                 let before = (std::mem::replace(&mut self.number, number), before);
                 self.next = number + 1;
-                self.trial = commit.map(|(id, span)| PendingConfirmation {
+                self.pending_confirmation = commit.map(|(id, span)| PendingConfirmation {
                     id,
                     until: self.now + span,
                     before,
@@ -280,7 +283,7 @@
                 actions.push(Action::Answer(Ok(number)));
             }
             Some(Write::Confirm) => {
-                self.trial = None;
+                self.pending_confirmation = None;
                 self.mark(RevisionState::Running);
                 actions.push(Action::Answer(Ok(self.number)));
             }
@@ -291,18 +294,21 @@
 
     // A confirmation that came in time and is being written counts.
     fn take_back_the_overdue(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let overdue =
-            self.writing.is_none() && self.trial.as_ref().is_some_and(|t| t.until <= self.now);
+        let overdue = self.writing.is_none()
+            && self
+                .pending_confirmation
+                .as_ref()
+                .is_some_and(|t| t.until <= self.now);
         overdue && self.take_back(actions)
     }
 
     fn take_back(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(trial) = self.trial.take() else {
+        let Some(pending_confirmation) = self.pending_confirmation.take() else {
             return false;
         };
         let number = self.number;
         self.mark(RevisionState::RolledBack);
-        (self.number, self.running) = trial.before;
+        (self.number, self.running) = pending_confirmation.before;
         self.mark(RevisionState::Running);
         actions.push(Action::Apply {
             number: self.number,
@@ -315,11 +321,11 @@
     }
 
     fn refuse_a_second(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let Some(trial) = &self.trial else {
+        let Some(pending_confirmation) = &self.pending_confirmation else {
             return false;
         };
         if self
-            .asked
+            .command
             .take_if(|a| matches!(a, Command::Set { .. }))
             .is_none()
         {
@@ -327,41 +333,45 @@
         }
         let refusal = Refusal::Unconfirmed {
             number: self.number,
-            id: trial.id.clone(),
+            id: pending_confirmation.id.clone(),
         };
         actions.push(Action::Answer(Err(refusal)));
         true
     }
 
     fn refuse_an_unknown_commit(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let known = |id: &String| self.trial.as_ref().is_some_and(|t| t.id == *id);
+        let known = |id: &String| {
+            self.pending_confirmation
+                .as_ref()
+                .is_some_and(|t| t.id == *id)
+        };
         let unknown =
-            match &self.asked {
+            match &self.command {
                 Some(
                     Command::Confirm { id } | Command::Cancel { id } | Command::Extend { id, .. },
                 ) if !known(id) => id.clone(),
                 _ => return false,
             };
-        self.asked = None;
+        self.command = None;
         actions.push(Action::Answer(Err(Refusal::NoSuchCommit { id: unknown })));
         true
     }
 
     fn set(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let Some(Command::Set {
-            who,
-            what,
+            author,
+            summary,
             document,
             commit,
-        }) = self.asked.take_if(|a| matches!(a, Command::Set { .. }))
+        }) = self.command.take_if(|a| matches!(a, Command::Set { .. }))
         else {
             return false;
         };
-        let line = RevisionSummary {
+        let revision = RevisionSummary {
             number: self.next,
-            who,
-            when: self.now,
-            what,
+            author,
+            created_at: self.now,
+            summary,
             state: if commit.is_some() {
                 RevisionState::Unconfirmed
             } else {
@@ -371,12 +381,12 @@
             until: None,
         };
         let record = Record::Set {
-            line: line.clone(),
+            revision: revision.clone(),
             document: document.clone(),
         };
         self.record(
             Write::Set {
-                line,
+                revision,
                 document,
                 commit,
             },
@@ -388,7 +398,7 @@
 
     fn confirm(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         if self
-            .asked
+            .command
             .take_if(|a| matches!(a, Command::Confirm { .. }))
             .is_none()
         {
@@ -402,11 +412,13 @@
     }
 
     fn cancel_or_extend(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        match self.asked.take() {
+        match self.command.take() {
             Some(Command::Extend { span, .. }) => {
                 let (until, number) = (self.now + span, self.number);
-                self.trial.iter_mut().for_each(|t| t.until = until);
-                self.lines
+                self.pending_confirmation
+                    .iter_mut()
+                    .for_each(|t| t.until = until);
+                self.revisions
                     .iter_mut()
                     .filter(|l| l.number == number)
                     .for_each(|l| l.until = Some(until));
--- a/crates/config-change/src/renewal.rs
+++ b/crates/config-change/src/running_config.rs
@@ -4,45 +4,45 @@
 //! So whatever had an index keeps it: a class that the file no longer names, or names with other threads, order
 //! or repeats, is closed rather than forgotten, and is opened again under its index when a file brings it back.
 
-use crate::document::{Document, Frame};
-use crate::plan::{Origin, Roll, Slot, ROLL_MOST};
+use crate::document::{Document, NameIndex};
+use crate::plan::{ClassRegistry, ClassSlot, Origin, MAX_CLASSES};
 use ironstair::{Kind, Ms, PolicyConfig};
 
 /// What one file says, decoded.
 #[derive(Clone, Debug)]
-pub struct File {
+pub struct ConfigFile {
     pub policy_config: PolicyConfig,
     /// The classes' names and hard limits, in ms, in their order.
     pub names: Vec<String>,
     pub limits: Vec<Ms>,
-    pub frame: Frame,
+    pub name_index: NameIndex,
 }
 
 /// The file that runs, under the indices that all files before it gave.
 #[derive(Clone)]
-pub struct Renewal {
+pub struct RunningConfig {
     origin: Origin,
-    roll: Roll,
+    registry: ClassRegistry,
 }
 
-impl Renewal {
+impl RunningConfig {
     /// The first file's order is that of the indices.
-    pub fn new(file: File) -> Renewal {
-        let File {
+    pub fn new(file: ConfigFile) -> RunningConfig {
+        let ConfigFile {
             policy_config,
             names,
             limits,
-            frame,
+            name_index,
         } = file;
-        let document = Document::told(&policy_config, &names, &limits, &frame);
-        let roll = Roll::of(&document);
-        Renewal {
+        let document = Document::configured(&policy_config, &names, &limits, &name_index);
+        let registry = ClassRegistry::of(&document);
+        RunningConfig {
             origin: Origin {
                 policy_config,
                 document,
-                frame,
+                name_index,
             },
-            roll,
+            registry,
         }
     }
 
@@ -50,16 +50,16 @@
     ///
     /// # Errors
     /// The sentence names the field; nothing has changed then.
-    pub fn renew(&self, file: File) -> Result<Option<Renewal>, String> {
+    pub fn reload(&self, file: ConfigFile) -> Result<Option<RunningConfig>, String> {
         let was = &self.origin;
-        let zones = united(&was.frame.zones, &file.frame.zones);
-        let kinds = united(&was.frame.kinds, &file.frame.kinds);
-        let frame = Frame { zones, kinds };
+        let zones = united(&was.name_index.zones, &file.name_index.zones);
+        let kinds = united(&was.name_index.kinds, &file.name_index.kinds);
+        let name_index = NameIndex { zones, kinds };
         let place = |known: &[String], names: &[String], i: u16| {
             let name = names
                 .get(i as usize)
                 .ok_or_else(|| format!("index {i} is past the {} told", names.len()));
-            name.map(|n| Frame::index(known, n).unwrap_or(u16::MAX))
+            name.map(|n| NameIndex::index(known, n).unwrap_or(u16::MAX))
         };
         let mut policy_config = file.policy_config;
         for (terms, name) in policy_config.classes.iter_mut().zip(&file.names) {
@@ -67,14 +67,14 @@
                 (
                     "dcs_allowed",
                     &mut terms.zones,
-                    &frame.zones,
-                    &file.frame.zones,
+                    &name_index.zones,
+                    &file.name_index.zones,
                 ),
                 (
                     "machine_types_allowed",
                     &mut terms.kinds,
-                    &frame.kinds,
-                    &file.frame.kinds,
+                    &name_index.kinds,
+                    &file.name_index.kinds,
                 ),
             ] {
                 let moved = at
@@ -83,67 +83,68 @@
                     .map(|&i| place(known, names, i))
                     .collect::<Result<_, _>>();
                 let moved =
-                    moved.map_err(|why| format!("settings: class {name}: {field}: {why}"))?;
+                    moved.map_err(|reason| format!("settings: class {name}: {field}: {reason}"))?;
                 *at = at.is_some().then_some(moved);
             }
         }
-        let told = |name: &String| {
-            Frame::index(&file.frame.kinds, name).map(|i| policy_config.kinds[i as usize])
+        let configured = |name: &String| {
+            NameIndex::index(&file.name_index.kinds, name).map(|i| policy_config.kinds[i as usize])
         };
-        let kept = |i: usize| {
+        let persisted = |i: usize| {
             was.policy_config.kinds.get(i).copied().unwrap_or(Kind {
                 cores: 1.0,
                 memory_mb: 0.0,
             })
         };
-        let all = frame.kinds.iter().enumerate();
+        let all = name_index.kinds.iter().enumerate();
         policy_config.kinds = all
-            .map(|(i, name)| told(name).unwrap_or_else(|| kept(i)))
+            .map(|(i, name)| configured(name).unwrap_or_else(|| persisted(i)))
             .collect();
         if !policy_config.classes.iter().any(|b| b.in_order) {
             // Those still open in a class that is closed keep their order, and its rest after doubt.
             policy_config.key_quarantine = was.policy_config.key_quarantine;
         }
-        let document = Document::told(&policy_config, &file.names, &file.limits, &frame);
+        let document = Document::configured(&policy_config, &file.names, &file.limits, &name_index);
         // Before the checks: a file that only moves the list does what it did at the start.
         if policy_config == was.policy_config && document == was.document {
             return Ok(None);
         }
-        let faults: Vec<String> = document
-            .faults(&frame)
+        let violations: Vec<String> = document
+            .violations(&name_index)
             .iter()
             .map(|f| f.to_string())
             .collect();
-        if !faults.is_empty() {
-            return Err(faults.join("; "));
+        if !violations.is_empty() {
+            return Err(violations.join("; "));
         }
-        let mut roll = self.roll.clone();
-        for slot in document.class.iter().map(Slot::of) {
-            if !roll.0.contains(&slot) {
-                roll.0.push(slot);
+        let mut registry = self.registry.clone();
+        for slot in document.class.iter().map(ClassSlot::of) {
+            if !registry.0.contains(&slot) {
+                registry.0.push(slot);
             }
         }
-        if roll.0.len() > ROLL_MOST {
+        if registry.0.len() > MAX_CLASSES {
             return Err(format!(
-                "settings: classes: more than {ROLL_MOST} since the start: it takes a restart"
+                "settings: classes: more than {MAX_CLASSES} since the start: it takes a restart"
             ));
         }
         let origin = Origin {
             policy_config,
             document,
-            frame,
+            name_index,
         };
-        Ok(Some(Renewal { origin, roll }))
+        Ok(Some(RunningConfig { origin, registry }))
     }
 
     /// For the decisions, by the indices kept.
     pub fn policy_config(&self) -> PolicyConfig {
-        self.origin.policy_config(&self.origin.document, &self.roll)
+        self.origin
+            .policy_config(&self.origin.document, &self.registry)
     }
 
     /// All classes by index; which are in service, the policy config says.
-    pub fn roll(&self) -> &Roll {
-        &self.roll
+    pub fn registry(&self) -> &ClassRegistry {
+        &self.registry
     }
 
     /// What the file says of those in service.
@@ -152,8 +153,8 @@
     }
 
     /// The names of zones and kinds by index.
-    pub fn frame(&self) -> &Frame {
-        &self.origin.frame
+    pub fn name_index(&self) -> &NameIndex {
+        &self.origin.name_index
     }
 }
 
@@ -161,7 +162,7 @@
 fn united(known: &[String], names: &[String]) -> Vec<String> {
     let mut all = known.to_vec();
     for name in names {
-        if Frame::index(&all, name).is_none() {
+        if NameIndex::index(&all, name).is_none() {
             all.push(name.clone());
         }
     }
--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -3,9 +3,9 @@
 //! earlier version of the program; journals on disk and clients hold the same forms, so they have to be read and
 //! written without a difference.
 
-use ironstair_config_change::journal::{decode, encode, Kept, Record};
-use ironstair_config_change::plan::{plan, Roll, Step, When};
-use ironstair_config_change::{Document, Frame};
+use ironstair_config_change::journal::{decode, encode, PersistedState, Record};
+use ironstair_config_change::plan::{plan, ClassRegistry, FieldChange, TakesEffect};
+use ironstair_config_change::{Document, NameIndex};
 use serde_json::Value;
 use std::path::Path;
 
@@ -37,8 +37,8 @@
     serde_json::from_str(&pinned(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
 }
 
-fn frame() -> Frame {
-    Frame {
+fn name_index() -> NameIndex {
+    NameIndex {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into(), "big".into()],
     }
@@ -57,7 +57,7 @@
         ("document-defaults.json", "document-defaults.json"),
     ] {
         same(written, &text(&document(read)));
-        assert_eq!(document(read).faults(&frame()).len(), 0, "{read}");
+        assert_eq!(document(read).violations(&name_index()).len(), 0, "{read}");
     }
 }
 
@@ -78,10 +78,13 @@
     ] {
         let mut spoilt = full.clone();
         spoilt.pointer_mut(at).unwrap()["unknown-field"] = 1.into();
-        let why = serde_json::from_value::<Document>(spoilt)
+        let reason = serde_json::from_value::<Document>(spoilt)
             .unwrap_err()
             .to_string();
-        assert!(why.contains("unknown field `unknown-field`"), "{at}: {why}");
+        assert!(
+            reason.contains("unknown field `unknown-field`"),
+            "{at}: {reason}"
+        );
         seen += 1;
     }
     for (at, field) in [
@@ -115,12 +118,12 @@
             .unwrap()
             .remove(field)
             .unwrap();
-        let why = serde_json::from_value::<Document>(spoilt)
+        let reason = serde_json::from_value::<Document>(spoilt)
             .unwrap_err()
             .to_string();
         assert!(
-            why.contains(&format!("missing field `{field}`")),
-            "{at}/{field}: {why}"
+            reason.contains(&format!("missing field `{field}`")),
+            "{at}/{field}: {reason}"
         );
         seen += 1;
     }
@@ -153,8 +156,8 @@
         (read.clone(), bytes.len(), None)
     );
 
-    let (kept, _) = Kept::open(read, document("document-least.json"));
-    same("journal-opened.json", &text(&kept));
+    let (persisted, _) = PersistedState::open(read, document("document-least.json"));
+    same("journal-opened.json", &text(&persisted));
 }
 
 #[test]
@@ -163,28 +166,33 @@
         document("document-full.json"),
         document("document-lend.json"),
     );
-    let step = |s: &Step| {
+    let step = |s: &FieldChange| {
         let value = |v: &Option<String>| match v {
             None => "none".to_string(),
             // Written for people, from the program's own names: no form that anything reads.
             Some(_) if s.path == "/settings/cells" => "some".to_string(),
             Some(text) => format!("{text:?}"),
         };
-        let when = match s.when {
-            When::AtOnce => "at once",
-            When::NewOnly => "for new ones only",
-            When::OpenFirst => "when those open are over",
+        let takes_effect = match s.takes_effect {
+            TakesEffect::Immediately => "at once",
+            TakesEffect::ForNewRequests => "for new ones only",
+            TakesEffect::AfterOpenRequests => "when those open are over",
         };
         format!(
-            "{}: {} -> {}, {when}\n",
+            "{}: {} -> {}, {takes_effect}\n",
             s.path,
             value(&s.from),
             value(&s.to)
         )
     };
-    let shown = |from: &Document, to: &Document| match plan(from, to, &Roll::of(from), &frame()) {
-        Ok(plan) => plan.steps.iter().map(step).collect(),
-        Err(faults) => faults
+    let shown = |from: &Document, to: &Document| match plan(
+        from,
+        to,
+        &ClassRegistry::of(from),
+        &name_index(),
+    ) {
+        Ok(plan) => plan.changes.iter().map(step).collect(),
+        Err(violations) => violations
             .iter()
             .map(|f| format!("refused {}\n", f.path))
             .collect::<String>(),
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,8 +1,8 @@
 //! What a change does and when, and what it can't be.
 
 use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig, RetryBudget, Within};
-use ironstair_config_change::document::{Document, Frame};
-use ironstair_config_change::plan::{plan, Origin, Roll, When, ROLL_MOST};
+use ironstair_config_change::document::{Document, NameIndex};
+use ironstair_config_change::plan::{plan, ClassRegistry, Origin, TakesEffect, MAX_CLASSES};
 use ironstair_config_change::Decimal;
 
 fn origin() -> Origin {
@@ -36,46 +36,57 @@
         }),
         ..PolicyConfig::default()
     };
-    let frame = Frame {
+    let name_index = NameIndex {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
     };
     let names = ["lookup".to_string(), "post".to_string()];
-    let document = Document::told(&policy_config, &names, &[5e3, 20e3], &frame);
+    let document = Document::configured(&policy_config, &names, &[5e3, 20e3], &name_index);
     Origin {
         policy_config,
         document,
-        frame,
+        name_index,
     }
 }
 
-type Tried = Result<(Vec<(String, When)>, PolicyConfig), Vec<String>>;
+type Tried = Result<(Vec<(String, TakesEffect)>, PolicyConfig), Vec<String>>;
 type Change<'a> = &'a dyn Fn(&mut Document);
 
 fn tried(change: impl Fn(&mut Document)) -> Tried {
     let o = origin();
     let mut to = o.document.clone();
     change(&mut to);
-    match plan(&o.document, &to, &Roll::of(&o.document), &o.frame) {
+    match plan(
+        &o.document,
+        &to,
+        &ClassRegistry::of(&o.document),
+        &o.name_index,
+    ) {
         Ok(p) => Ok((
-            p.steps.into_iter().map(|s| (s.path, s.when)).collect(),
-            o.policy_config(&to, &p.roll),
+            p.changes
+                .into_iter()
+                .map(|s| (s.path, s.takes_effect))
+                .collect(),
+            o.policy_config(&to, &p.registry),
         )),
-        Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect()),
+        Err(violations) => Err(violations.iter().map(|f| f.to_string()).collect()),
     }
 }
 
 #[test]
 fn what_is_not_changed_keeps_its_figure_to_the_last_digit() {
-    let told = origin().policy_config;
-    let (steps, same) = tried(|_| {}).unwrap();
-    assert_eq!((steps.len(), format!("{same:?}")), (0, format!("{told:?}")));
-    let (steps, new) = tried(|d| d.class[0].value = Decimal::of(2.0)).unwrap();
+    let configured = origin().policy_config;
+    let (changes, same) = tried(|_| {}).unwrap();
     assert_eq!(
-        steps,
+        (changes.len(), format!("{same:?}")),
+        (0, format!("{configured:?}"))
+    );
+    let (changes, new) = tried(|d| d.class[0].value = Decimal::of(2.0)).unwrap();
+    assert_eq!(
+        changes,
         [(
             "/settings/band[name=lookup]/payoff".to_string(),
-            When::AtOnce
+            TakesEffect::Immediately
         )]
     );
     assert_eq!(
@@ -91,7 +102,7 @@
 
 #[test]
 fn each_field_says_when_it_takes_effect() {
-    let (steps, new) = tried(|d| {
+    let (changes, new) = tried(|d| {
         d.class[0].expected = 700;
         d.class[0].zone = vec!["b".into()];
         d.class.remove(1);
@@ -99,13 +110,19 @@
         d.gateways = 4;
     })
     .unwrap();
-    let at = |path: &str| steps.iter().find(|s| s.0.ends_with(path)).map(|s| s.1);
-    assert_eq!(at("band[name=lookup]/expected"), Some(When::NewOnly));
-    assert_eq!(at("band[name=lookup]/zone"), Some(When::AtOnce));
-    assert_eq!(at("band[name=post]"), Some(When::OpenFirst));
+    let at = |path: &str| changes.iter().find(|s| s.0.ends_with(path)).map(|s| s.1);
+    assert_eq!(
+        at("band[name=lookup]/expected"),
+        Some(TakesEffect::ForNewRequests)
+    );
+    assert_eq!(at("band[name=lookup]/zone"), Some(TakesEffect::Immediately));
+    assert_eq!(at("band[name=post]"), Some(TakesEffect::AfterOpenRequests));
     assert_eq!(
         (at("gateways"), at("ration/share")),
-        (Some(When::AtOnce), Some(When::AtOnce))
+        (
+            Some(TakesEffect::Immediately),
+            Some(TakesEffect::Immediately)
+        )
     );
     assert_eq!(
         (new.classes[0].zones.clone(), new.gateways),
@@ -152,11 +169,11 @@
         ),
         (&|d| d.class.clear(), "/settings/band: there must be a band"),
     ];
-    for (change, why) in cases {
-        let faults = tried(change).unwrap_err();
+    for (change, reason) in cases {
+        let violations = tried(change).unwrap_err();
         assert!(
-            faults.iter().any(|f| f.starts_with(why)),
-            "{why}: {faults:?}"
+            violations.iter().any(|f| f.starts_with(reason)),
+            "{reason}: {violations:?}"
         );
     }
 }
@@ -166,10 +183,15 @@
     let o = origin();
     let (mut out, mut back) = (o.document.clone(), o.document.clone());
     let post = out.class.remove(1);
-    let roll = plan(&o.document, &out, &Roll::of(&o.document), &o.frame)
-        .unwrap()
-        .roll;
-    assert_eq!(roll.find("post"), Some(1));
+    let registry = plan(
+        &o.document,
+        &out,
+        &ClassRegistry::of(&o.document),
+        &o.name_index,
+    )
+    .unwrap()
+    .registry;
+    assert_eq!(registry.find("post"), Some(1));
     back.class.insert(
         0,
         ironstair_config_change::Class {
@@ -177,31 +199,31 @@
             ..post.clone()
         },
     );
-    let p = plan(&out, &back, &roll, &o.frame).unwrap();
+    let p = plan(&out, &back, &registry, &o.name_index).unwrap();
     assert_eq!(
-        (p.roll.find("post"), p.roll.find("audit")),
+        (p.registry.find("post"), p.registry.find("audit")),
         (Some(1), Some(2))
     );
-    let m = o.policy_config(&back, &p.roll);
+    let m = o.policy_config(&back, &p.registry);
     assert_eq!(
         (m.classes.len(), m.classes[1].window, m.classes[2].window),
         (3, 900.4, 900.0)
     );
     back.class[2].threads = 9;
-    assert!(plan(&out, &back, &p.roll, &o.frame).is_err());
+    assert!(plan(&out, &back, &p.registry, &o.name_index).is_err());
 }
 
 #[test]
 fn classes_that_come_and_go_by_other_names_are_bounded() {
     let o = origin();
-    let (mut from, mut roll) = (o.document.clone(), Roll::of(&o.document));
-    for nth in 2..=ROLL_MOST {
+    let (mut from, mut registry) = (o.document.clone(), ClassRegistry::of(&o.document));
+    for nth in 2..=MAX_CLASSES {
         let mut to = o.document.clone();
         to.class[1].name = format!("b{nth}");
-        match plan(&from, &to, &roll, &o.frame) {
-            Ok(p) => (from, roll) = (to, p.roll),
-            Err(faults) => {
-                assert_eq!((nth, faults.len()), (ROLL_MOST, 1));
+        match plan(&from, &to, &registry, &o.name_index) {
+            Ok(p) => (from, registry) = (to, p.registry),
+            Err(violations) => {
+                assert_eq!((nth, violations.len()), (MAX_CLASSES, 1));
                 return;
             }
         }
@@ -238,15 +260,15 @@
             "3",
         ),
         (
-            &|d| d.cold.from = Decimal::of(0.1),
+            &|d| d.slow_start.from = Decimal::of(0.1),
             &|_| {},
-            |d| d.cold.from.to_string(),
+            |d| d.slow_start.from.to_string(),
             "0.1",
         ),
         (
-            &|d| d.cold.slow_start_duration = 9,
+            &|d| d.slow_start.slow_start_duration = 9,
             &|_| {},
-            |d| d.cold.slow_start_duration.to_string(),
+            |d| d.slow_start.slow_start_duration.to_string(),
             "15000",
         ),
         (
@@ -288,15 +310,19 @@
     };
     for (one, other, seen, want) in cases {
         let (a, b) = (changed(one), changed(other));
-        assert_eq!(seen(&a.stricter(&b).unwrap()), want);
-        assert_eq!(seen(&b.stricter(&a).unwrap()), want, "the other way round");
+        assert_eq!(seen(&a.intersection(&b).unwrap()), want);
+        assert_eq!(
+            seen(&b.intersection(&a).unwrap()),
+            want,
+            "the other way round"
+        );
     }
     let (a, b) = (
         changed(&|d| drop(d.class.pop())),
         changed(&|d| drop(d.class.remove(0))),
     );
     assert!(
-        a.stricter(&b).is_none() && b.stricter(&a).is_none(),
+        a.intersection(&b).is_none() && b.intersection(&a).is_none(),
         "no band in both"
     );
 }
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -1,8 +1,10 @@
 //! Revisions under commits, confirmations, time-outs, writes that fail, crashes and restarts in every order
 //! (model checked), and the plain cases by hand.
 
-use ironstair_config_change::journal::{Kept, Record};
-use ironstair_config_change::revisions::{Action, Command, Input, Ledger, Refusal, RevisionState};
+use ironstair_config_change::journal::{PersistedState, Record};
+use ironstair_config_change::revisions::{
+    Action, Command, Input, Refusal, RevisionState, RevisionTracker,
+};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
@@ -13,16 +15,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 struct World {
-    ledger: Option<Ledger<u8>>,
+    tracker: Option<RevisionTracker<u8>>,
     disk: Vec<Record<u8>>,
     /// Not on the disk yet: the record that is waited for, and those that nothing waits for.
     writing: Option<Record<u8>>,
     notes: Vec<Record<u8>>,
-    ask: Option<Command<u8>>,
+    command: Option<Command<u8>>,
     /// What the decision module runs.
     applied: u8,
     /// What callers were told is for good; and what may be, since a crash met its write.
-    firm: u8,
+    after_restart: u8,
     maybe: Option<u8>,
     left: (usize, usize, usize),
     broken: Option<&'static str>,
@@ -49,15 +51,15 @@
 
 struct Days;
 
-fn asked(what: &str, document: u8) -> Command<u8> {
+fn command(summary: &str, document: u8) -> Command<u8> {
     let id = || "c".to_string();
     let set = |commit| Command::Set {
-        who: "op".into(),
-        what: what.into(),
+        author: "op".into(),
+        summary: summary.into(),
         document,
         commit,
     };
-    match what {
+    match summary {
         "set" => set(None),
         "try" => set(Some((id(), 1.0))),
         "confirm" => Command::Confirm { id: id() },
@@ -76,30 +78,34 @@
 
     fn hand(&mut self, input: Input<u8>) {
         let now = self.now();
-        let Some(ledger) = self.ledger.as_mut() else {
+        let Some(tracker) = self.tracker.as_mut() else {
             return;
         };
-        if let Input::Command(ask) = &input {
-            self.ask = Some(ask.clone());
+        if let Input::Command(command) = &input {
+            self.command = Some(command.clone());
         }
-        for action in ledger.on(now, input) {
+        for action in tracker.on(now, input) {
             match action {
                 Action::Write(record) => self.writing = Some(record),
                 Action::Note(record) => self.notes.push(record),
                 Action::Apply { document, .. } => self.applied = document,
                 Action::Answer(how) => {
-                    let tried = ledger.trial().is_some();
-                    match (self.ask.take(), how) {
+                    let tried = tracker.pending_confirmation().is_some();
+                    match (self.command.take(), how) {
                         (Some(Command::Set { .. }), Ok(_)) if tried => {}
-                        (Some(Command::Set { document, .. }), Ok(_)) => self.firm = document,
-                        (Some(Command::Confirm { .. }), Ok(_)) => self.firm = *ledger.running(),
+                        (Some(Command::Set { document, .. }), Ok(_)) => {
+                            self.after_restart = document
+                        }
+                        (Some(Command::Confirm { .. }), Ok(_)) => {
+                            self.after_restart = *tracker.running()
+                        }
                         (None, _) => self.broken = Some("an answer to nobody"),
                         _ => {}
                     }
                 }
             }
         }
-        if ledger.trial().is_none() && *ledger.running() != self.firm {
+        if tracker.pending_confirmation().is_none() && *tracker.running() != self.after_restart {
             self.broken = Some("what runs was never confirmed");
         }
     }
@@ -111,13 +117,13 @@
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            ledger: Some(Ledger::new(Kept::told(0), true)),
-            disk: vec![Record::Whole(Kept::told(0))],
+            tracker: Some(RevisionTracker::new(PersistedState::configured(0), true)),
+            disk: vec![Record::Whole(PersistedState::configured(0))],
             writing: None,
             notes: Vec::new(),
-            ask: None,
+            command: None,
             applied: 0,
-            firm: 0,
+            after_restart: 0,
             maybe: None,
             left: (ASKS, CRASHES, TICKS),
             broken: None,
@@ -125,7 +131,7 @@
     }
 
     fn actions(&self, w: &World, steps: &mut Vec<Step>) {
-        if w.ledger.is_none() {
+        if w.tracker.is_none() {
             return steps.push(Step::Start);
         }
         if w.left.0 > 0 && w.writing.is_none() {
@@ -148,34 +154,36 @@
     fn next_state(&self, was: &World, step: Step) -> Option<World> {
         let mut w = was.clone();
         match step {
-            Step::Command(what) => {
+            Step::Command(summary) => {
                 w.left.0 -= 1;
                 let document = (ASKS - w.left.0) as u8;
-                w.hand(Input::Command(asked(what, document)));
+                w.hand(Input::Command(command(summary, document)));
             }
             Step::Tick => {
                 w.left.2 -= 1;
                 w.hand(Input::Due);
             }
-            Step::Noted(kept) => {
+            Step::Noted(persisted) => {
                 let note = w.notes.remove(0);
-                w.disk.extend(kept.then_some(note));
+                w.disk.extend(persisted.then_some(note));
             }
-            Step::Wrote(kept) => {
+            Step::Wrote(persisted) => {
                 let record = w.writing.take()?;
-                w.disk.extend(kept.then_some(record));
-                w.hand(Input::Written(if kept {
+                w.disk.extend(persisted.then_some(record));
+                w.hand(Input::Written(if persisted {
                     Ok(())
                 } else {
                     Err("full".into())
                 }));
             }
-            Step::Crash(kept) => {
+            Step::Crash(persisted) => {
                 w.left.1 -= 1;
-                let tried = w.ledger.take()?.trial().is_some();
-                if let Some(record) = w.writing.take().filter(|_| kept && w.notes.is_empty()) {
+                let tried = w.tracker.take()?.pending_confirmation().is_some();
+                if let Some(record) = w.writing.take().filter(|_| persisted && w.notes.is_empty()) {
                     w.maybe = match &record {
-                        Record::Set { line, document } if line.state == RevisionState::Running => {
+                        Record::Set { revision, document }
+                            if revision.state == RevisionState::Running =>
+                        {
                             Some(*document)
                         }
                         Record::Confirmed { .. } if tried => Some(was.applied),
@@ -183,17 +191,17 @@
                     };
                     w.disk.push(record);
                 }
-                (w.notes, w.ask) = (Vec::new(), None);
+                (w.notes, w.command) = (Vec::new(), None);
             }
             Step::Start => {
-                let (kept, _) = Kept::open(w.disk.clone(), 0);
-                let ledger = Ledger::new(kept, true);
-                w.applied = *ledger.running();
-                if w.applied != w.firm && w.maybe != Some(w.applied) {
+                let (persisted, _) = PersistedState::open(w.disk.clone(), 0);
+                let tracker = RevisionTracker::new(persisted, true);
+                w.applied = *tracker.running();
+                if w.applied != w.after_restart && w.maybe != Some(w.applied) {
                     w.broken = Some("a start runs what was never for good");
                 }
-                (w.firm, w.maybe) = (w.applied, None);
-                w.ledger = Some(ledger);
+                (w.after_restart, w.maybe) = (w.applied, None);
+                w.tracker = Some(tracker);
             }
         }
         Some(w)
@@ -203,26 +211,30 @@
         vec![
             Property::always(
                 "one revision runs, and it is the ledger's",
-                |_, w: &World| w.ledger.as_ref().is_none_or(|l| *l.running() == w.applied),
+                |_, w: &World| w.tracker.as_ref().is_none_or(|l| *l.running() == w.applied),
             ),
             Property::always("at most one line runs or waits", |_, w: &World| {
                 let open = |s: &RevisionState| {
                     matches!(s, RevisionState::Running | RevisionState::Unconfirmed)
                 };
-                let lines = |l: &Ledger<u8>| l.lines().iter().filter(|l| open(&l.state)).count();
-                w.ledger.as_ref().is_none_or(|l| lines(l) <= 1)
+                let revisions = |l: &RevisionTracker<u8>| {
+                    l.revisions().iter().filter(|l| open(&l.state)).count()
+                };
+                w.tracker.as_ref().is_none_or(|l| revisions(l) <= 1)
             }),
             Property::always(
                 "unconfirmed ones never survive, confirmed ones are never lost",
                 |_, w: &World| w.broken.is_none(),
             ),
             Property::always("no trial outlives its time", |_, w: &World| {
-                let late = |l: &Ledger<u8>| l.trial().is_some_and(|t| t.1 <= w.now());
-                w.writing.is_some() || w.ledger.as_ref().is_none_or(|l| !late(l))
+                let late = |l: &RevisionTracker<u8>| {
+                    l.pending_confirmation().is_some_and(|t| t.1 <= w.now())
+                };
+                w.writing.is_some() || w.tracker.as_ref().is_none_or(|l| !late(l))
             }),
             Property::sometimes("a trial is confirmed after a restart", |_, w: &World| {
                 w.left.1 < CRASHES
-                    && w.firm > 0
+                    && w.after_restart > 0
                     && w.disk.iter().any(|r| matches!(r, Record::Confirmed { .. }))
             }),
         ]
@@ -255,9 +267,9 @@
 
 #[test]
 fn a_trial_is_taken_back_at_its_time_and_a_second_change_meanwhile_is_refused() {
-    let mut l = Ledger::new(Kept::told(0), false);
+    let mut l = RevisionTracker::new(PersistedState::configured(0), false);
     assert_eq!(
-        answers(l.on(10.0, Input::Command(asked("try", 7)))),
+        answers(l.on(10.0, Input::Command(command("try", 7)))),
         [Ok(1)]
     );
     assert_eq!((l.due(), *l.running()), (Some(11.0), 7));
@@ -266,11 +278,11 @@
         id: "c".into(),
     };
     assert_eq!(
-        answers(l.on(10.1, Input::Command(asked("set", 8)))),
+        answers(l.on(10.1, Input::Command(command("set", 8)))),
         [Err(refused)]
     );
     assert_eq!(
-        answers(l.on(10.2, Input::Command(asked("extend", 0)))),
+        answers(l.on(10.2, Input::Command(command("extend", 0)))),
         [Ok(1)]
     );
     assert_eq!((l.on(11.0, Input::Due), l.due()), (vec![], Some(12.2)));
@@ -282,12 +294,12 @@
         }]
     );
     assert_eq!(
-        (l.number(), l.lines()[0].state),
+        (l.number(), l.revisions()[0].state),
         (0, RevisionState::RolledBack)
     );
     let none = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
-        answers(l.on(12.3, Input::Command(asked("confirm", 0)))),
+        answers(l.on(12.3, Input::Command(command("confirm", 0)))),
         [Err(none)],
         "too late"
     );
@@ -295,21 +307,24 @@
 
 #[test]
 fn a_confirmation_that_is_being_written_at_its_time_counts_and_a_lost_one_does_not() {
-    for kept in [true, false] {
-        let mut l = Ledger::new(Kept::told(0), true);
-        l.on(0.0, Input::Command(asked("try", 7)));
+    for persisted in [true, false] {
+        let mut l = RevisionTracker::new(PersistedState::configured(0), true);
+        l.on(0.0, Input::Command(command("try", 7)));
         l.on(0.5, Input::Written(Ok(())));
-        assert_eq!(answers(l.on(1.4, Input::Command(asked("confirm", 0)))), []);
+        assert_eq!(
+            answers(l.on(1.4, Input::Command(command("confirm", 0)))),
+            []
+        );
         assert_eq!((l.on(1.6, Input::Due), l.due()), (vec![], None));
-        let how = if kept {
+        let how = if persisted {
             Ok(())
         } else {
             Err("full".to_string())
         };
         let then = l.on(1.7, Input::Written(how));
         assert_eq!(
-            (*l.running(), l.trial()),
-            (if kept { 7 } else { 0 }, None),
+            (*l.running(), l.pending_confirmation()),
+            (if persisted { 7 } else { 0 }, None),
             "{then:?}"
         );
     }
--- a/crates/config-change/tests/renewal.rs
+++ b/crates/config-change/tests/running_config.rs
@@ -1,8 +1,8 @@
 //! A replaced file, there and back, without a gateway.
 
 use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig};
-use ironstair_config_change::renewal::{File, Renewal};
-use ironstair_config_change::Frame;
+use ironstair_config_change::running_config::{ConfigFile, RunningConfig};
+use ironstair_config_change::NameIndex;
 
 fn class(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> ClassPolicy {
     let (expected, value) = (500.0, 1.0);
@@ -16,7 +16,7 @@
     }
 }
 
-fn file(classes: Vec<(&str, ClassPolicy)>, kinds: &[(&str, f64)]) -> File {
+fn file(classes: Vec<(&str, ClassPolicy)>, kinds: &[(&str, f64)]) -> ConfigFile {
     let (names, classes): (Vec<_>, Vec<_>) =
         classes.into_iter().map(|(n, t)| (n.to_string(), t)).unzip();
     let limits = vec![2000.0; classes.len()];
@@ -31,19 +31,19 @@
         max_attempts: 3,
         ..Default::default()
     };
-    let frame = Frame {
+    let name_index = NameIndex {
         zones: vec![],
         kinds: kinds.iter().map(|k| k.0.to_string()).collect(),
     };
-    File {
+    ConfigFile {
         policy_config,
         names,
         limits,
-        frame,
+        name_index,
     }
 }
 
-fn first() -> File {
+fn first() -> ConfigFile {
     let safe = Effect::Idempotent;
     file(
         vec![
@@ -54,7 +54,7 @@
     )
 }
 
-fn second() -> File {
+fn second() -> ConfigFile {
     let load = ClassPolicy {
         in_order: true,
         ..class(2.0, Effect::NonIdempotent, None)
@@ -72,15 +72,20 @@
 #[test]
 fn what_had_an_index_keeps_it_and_the_way_back_ends_where_it_began() {
     // Against charges, order and places of open requests that change hands with an index.
-    let start = Renewal::new(first());
+    let start = RunningConfig::new(first());
     assert_eq!(
         start.policy_config(),
         first().policy_config,
         "to the last digit"
     );
-    let there = start.renew(second()).unwrap().expect("other settings");
+    let there = start.reload(second()).unwrap().expect("other settings");
     assert_eq!(
-        there.roll().0.iter().map(|s| &*s.name).collect::<Vec<_>>(),
+        there
+            .registry()
+            .0
+            .iter()
+            .map(|s| &*s.name)
+            .collect::<Vec<_>>(),
         ["lookup", "report", "load", "report"]
     );
     let m = there.policy_config();
@@ -91,7 +96,7 @@
         "the report of four threads is closed, one of two is open"
     );
     assert_eq!((m.classes[1].threads, m.classes[3].threads), (4.0, 2.0));
-    assert_eq!(there.frame().kinds, ["s", "l", "new"]);
+    assert_eq!(there.name_index().kinds, ["s", "l", "new"]);
     assert_eq!(
         m.kinds.iter().map(|k| k.cores).collect::<Vec<_>>(),
         [8.0, 12.0, 4.0]
@@ -101,7 +106,7 @@
         Some(vec![1]),
         "kind l under its old index"
     );
-    let back = there.renew(first()).unwrap().expect("other settings");
+    let back = there.reload(first()).unwrap().expect("other settings");
     let (m, was) = (back.policy_config(), start.policy_config());
     assert_eq!(m.classes[..2], was.classes[..]);
     assert!(m.classes[2].closed && m.classes[3].closed && m.classes[2].in_order);
@@ -110,44 +115,44 @@
         "what is open in order still rests after doubt"
     );
     assert_eq!((m.kinds[0], m.kinds[1]), (was.kinds[0], was.kinds[1]));
-    let again = back.renew(second()).unwrap().unwrap().policy_config();
+    let again = back.reload(second()).unwrap().unwrap().policy_config();
     assert_eq!(again, there.policy_config(), "the same step once more");
 }
 
 #[test]
 fn the_same_file_again_changes_nothing_and_a_bad_one_is_refused_whole() {
-    let start = Renewal::new(first());
-    assert!(start.renew(first()).unwrap().is_none());
+    let start = RunningConfig::new(first());
+    assert!(start.reload(first()).unwrap().is_none());
     let mut bad = second();
     bad.policy_config.classes[1].kinds = Some(vec![7]);
-    let why = start.renew(bad).err().unwrap();
+    let reason = start.reload(bad).err().unwrap();
     assert!(
-        why.contains("report: machine_types_allowed: index 7"),
-        "{why}"
+        reason.contains("report: machine_types_allowed: index 7"),
+        "{reason}"
     );
     let mut bad = second();
     bad.limits[0] = 100.0;
-    let why = start.renew(bad).err().unwrap();
-    assert!(why.contains("hard-limit"), "{why}");
+    let reason = start.reload(bad).err().unwrap();
+    assert!(reason.contains("hard-limit"), "{reason}");
 }
 
 #[test]
 fn classes_that_come_and_go_for_ever_are_refused_in_the_end() {
     // Against memory that grows with every file.
-    let mut now = Renewal::new(first());
+    let mut now = RunningConfig::new(first());
     let many = |n: usize| {
         file(
             vec![(&*format!("b{n}"), class(1.0, Effect::Idempotent, None))],
             &[("s", 8.0)],
         )
     };
-    let end = (0..400).find_map(|n| match now.renew(many(n)) {
+    let end = (0..400).find_map(|n| match now.reload(many(n)) {
         Ok(next) => {
             now = next.unwrap();
             None
         }
-        Err(why) => Some((n, why)),
+        Err(reason) => Some((n, reason)),
     });
-    let (n, why) = end.expect("a bound");
-    assert!(n < 256 && why.contains("restart"), "{n} {why}");
+    let (n, reason) = end.expect("a bound");
+    assert!(n < 256 && reason.contains("restart"), "{n} {reason}");
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -31,7 +31,7 @@
 
 impl Policy for ironstair_config_change::Document {
     fn stricter(&self, other: &Self) -> Option<Self> {
-        ironstair_config_change::Document::stricter(self, other)
+        ironstair_config_change::Document::intersection(self, other)
     }
 
     fn gateways(&self) -> f64 {
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -314,9 +314,9 @@
         let number = l.number.to_string();
         let mut n = at(&mut new, [step("revision", Some(&number))]);
         n.wide("number", l.number);
-        n.text("who", &l.who);
-        n.set("when", moment(l.when));
-        n.text("what", &l.what);
+        n.text("who", &l.author);
+        n.set("when", moment(l.created_at));
+        n.text("what", &l.summary);
         let outcome = match l.state {
             revisions::RevisionState::Running => "running",
             revisions::RevisionState::Unconfirmed => "unconfirmed",
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -213,9 +213,9 @@
     ];
     let line = |(number, state)| RevisionSummary {
         number,
-        who: "CN=op".into(),
-        when: 1.8e12 + number as f64,
-        what: "/settings/advice".into(),
+        author: "CN=op".into(),
+        created_at: 1.8e12 + number as f64,
+        summary: "/settings/advice".into(),
         state,
         commit: (state == Unconfirmed).then(|| "c1".into()),
         until: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,8 +1,8 @@
 //! What a gateway is told at start, decoded once.
 
 use ironstair::{EndpointState, Ms, PolicyConfig};
-use ironstair_config_change::renewal::File;
-use ironstair_config_change::Frame;
+use ironstair_config_change::running_config::ConfigFile;
+use ironstair_config_change::NameIndex;
 use ironstair_runtime::DiscoveredEndpoint;
 use ironstair_settings::{carriage, classes, kinds, limits, policy_config, word, zones, Carriage};
 use serde_json::Value;
@@ -27,25 +27,25 @@
     pub classes: Vec<String>,
     /// The classes' hard limits.
     pub limits: Vec<Ms>,
-    pub index: Frame,
+    pub index: NameIndex,
     /// The endpoint list up to now, and the number of its last change.
     pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
 }
 
 impl GatewayConfig {
-    pub fn file(&self) -> File {
+    pub fn file(&self) -> ConfigFile {
         let (policy_config, names) = (self.policy_config.clone(), self.classes.clone());
-        File {
+        ConfigFile {
             policy_config,
             names,
             limits: self.limits.clone(),
-            frame: self.index.clone(),
+            name_index: self.index.clone(),
         }
     }
 
     /// The endpoint list with its zones and kinds under other indices.
-    pub fn under(&mut self, index: &Frame) {
+    pub fn under(&mut self, index: &NameIndex) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
         for place in self.known.values_mut() {
             place.zone = index.zone(&named(&self.index.zones, place.zone));
@@ -71,7 +71,7 @@
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
     let seed = word(&v, "seed")?;
-    let index = Frame {
+    let index = NameIndex {
         zones: zones(settings)?,
         kinds: kinds(settings)?,
     };
@@ -102,7 +102,7 @@
 fn follow(
     known: &mut BTreeMap<String, DiscoveredEndpoint>,
     pool: &Value,
-    index: &Frame,
+    index: &NameIndex,
 ) -> Result<(), String> {
     if pool["reset"].as_bool().unwrap_or(false) {
         known.clear();
@@ -142,7 +142,7 @@
             json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
                 "cell": 2, "lifecycle": state, "startedAtMs": 5})
         };
-        let index = Frame {
+        let index = NameIndex {
             zones: vec!["a".into(), "b".into()],
             kinds: vec!["std".into()],
         };
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use ironstair::EndpointState;
-use ironstair_config_change::Frame;
+use ironstair_config_change::NameIndex;
 use ironstair_protocol::dns;
 use ironstair_runtime::clock::span;
 use ironstair_runtime::{DiscoveredEndpoint, Event, Shared};
@@ -34,13 +34,13 @@
     pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
     /// The names of zones and kinds, in the order that the decisions know.
-    pub index: Frame,
+    pub index: NameIndex,
 }
 
 pub struct List {
     pub from: IpAddr,
     pub names: SocketAddr,
-    pub index: Frame,
+    pub index: NameIndex,
     pub rev: u32,
     pub module: Sender<Event>,
     pub log: Logger,
@@ -138,7 +138,7 @@
     }
 }
 
-fn place(h: &dns::Host, index: &Frame) -> DiscoveredEndpoint {
+fn place(h: &dns::Host, index: &NameIndex) -> DiscoveredEndpoint {
     let number = |name: &str| {
         h.text(name)
             .and_then(|t| t.parse::<f64>().ok())
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -15,7 +15,7 @@
 use futures_lite::StreamExt;
 use ironstair::policy::Gateway;
 use ironstair::Ms;
-use ironstair_config_change::renewal::Renewal;
+use ironstair_config_change::running_config::RunningConfig;
 use ironstair_fleet_agent::fault_injection::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
@@ -63,7 +63,7 @@
     config: PathBuf,
     moves: Sender<Moved>,
     (renew, settings): (Option<management::Renew>, Settings),
-    mut renewal: Renewal,
+    mut running_config: RunningConfig,
     places: Rc<Places>,
     shared: Rc<Shared>,
 ) {
@@ -76,7 +76,8 @@
                     let _ = r.try_send(());
                 }
                 // All of it or none: settings that can't be leave the list where it is, too.
-                let read = config::read(&config).and_then(|t| Ok((renewal.renew(t.file())?, t)));
+                let read =
+                    config::read(&config).and_then(|t| Ok((running_config.reload(t.file())?, t)));
                 let (new, mut config) = match read {
                     Ok(read) => read,
                     Err(e) => {
@@ -88,8 +89,8 @@
                 if new.is_some() || config.carriage != *shared.carriage() {
                     match settings {
                         Settings::File => {
-                            renewal = new.unwrap_or(renewal);
-                            take_over(&renewal, config.carriage.clone(), &shared).await;
+                            running_config = new.unwrap_or(running_config);
+                            take_over(&running_config, config.carriage.clone(), &shared).await;
                         }
                         Settings::Management => {
                             warn!(
@@ -102,7 +103,7 @@
                         }
                     }
                 }
-                config.under(renewal.frame());
+                config.under(running_config.name_index());
                 let GatewayConfig {
                     names,
                     known,
@@ -133,10 +134,13 @@
 }
 
 /// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
-async fn take_over(renewal: &Renewal, carriage: Carriage, shared: &Shared) {
-    let policy_config = renewal.policy_config();
-    let (classes, longest) =
-        ironstair_management::classes(renewal.roll(), renewal.document(), &policy_config);
+async fn take_over(running_config: &RunningConfig, carriage: Carriage, shared: &Shared) {
+    let policy_config = running_config.policy_config();
+    let (classes, longest) = ironstair_management::classes(
+        running_config.registry(),
+        running_config.document(),
+        &policy_config,
+    );
     let (done, config) = async_channel::bounded(1);
     let to = Amendment {
         policy_config,
@@ -215,7 +219,7 @@
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
     let key_quarantine = policy_config.key_quarantine;
     let gateway = Gateway::new(policy_config, config.seed);
-    let renewal = Renewal::new(file);
+    let running_config = RunningConfig::new(file);
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         // A third: what else there is grows with it, statements joined and answers being written.
@@ -318,7 +322,7 @@
             path.into(),
             moves,
             (renew, settings),
-            renewal,
+            running_config,
             places.clone(),
             shared.clone(),
         );
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use ironstair::{EndpointState, Ms};
-use ironstair_config_change::Frame;
+use ironstair_config_change::NameIndex;
 use ironstair_fleet_agent::fault_injection::taken_out;
 use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
 use ironstair_recovery::{begin as found, Engine, Kept};
@@ -164,7 +164,7 @@
     }
 
     /// The list as it is from now on. Where it can't be taken just now it comes with the next change.
-    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, DiscoveredEndpoint>, index: &Frame) {
+    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, DiscoveredEndpoint>, index: &NameIndex) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
         let line = |(name, p): (&String, &DiscoveredEndpoint)| Engine {
             name: name.clone(),
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -80,7 +80,7 @@
         Refused::Not(Refusal::Unconfirmed { .. } | Refusal::NoSuchCommit { .. }) => {
             Status::failed_precondition(text)
         }
-        Refused::Not(Refusal::NotKept { .. }) => Status::resource_exhausted(text),
+        Refused::Not(Refusal::NotPersisted { .. }) => Status::resource_exhausted(text),
         Refused::Not(Refusal::Busy) => Status::aborted(text),
         Refused::Fleet(_) => Status::failed_precondition(text),
         Refused::Ending => Status::unavailable(text),
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -8,9 +8,9 @@
 use ironstair_cells::moves::may_move;
 use ironstair_cells::Cells;
 use ironstair_config_change::document::Level;
-use ironstair_config_change::journal::{Kept, Record};
-use ironstair_config_change::plan::{plan, Origin, Roll};
-use ironstair_config_change::revisions::{Action, Command, Input, Ledger, Refusal};
+use ironstair_config_change::journal::{PersistedState, Record};
+use ironstair_config_change::plan::{plan, ClassRegistry, Origin};
+use ironstair_config_change::revisions::{Action, Command, Input, Refusal, RevisionTracker};
 use ironstair_config_change::Document;
 use ironstair_data_tree::state::{self, Snapshot};
 use ironstair_data_tree::{Edit, Leaves, Path, Schema};
@@ -75,7 +75,7 @@
                     "nothing waits to be confirmed under {id:?}: it was confirmed or taken back already"
                 )
             }
-            Refused::Not(Refusal::NotKept { why }) => {
+            Refused::Not(Refusal::NotPersisted { reason: why }) => {
                 write!(f, "the change can't be kept, and was not made: {why}")
             }
             Refused::Not(Refusal::Busy) => f.write_str("another change is being made"),
@@ -146,9 +146,9 @@
 
     /// The tree as it is now, or as it was last seen where the gateway's thread does not answer.
     pub async fn look(&self) -> Arc<Tree> {
-        let (tell, told) = oneshot::channel();
+        let (tell, configured) = oneshot::channel();
         let asked = self.orders.send(Order::Look(tell)).await.is_ok();
-        match told.await {
+        match configured.await {
             Ok(tree) if asked => tree,
             _ => self.trees.borrow().clone(),
         }
@@ -184,7 +184,7 @@
                 answer,
             }))
         };
-        self.told(asks).await.unwrap_or(Err(Refused::Ending))
+        self.configured(asks).await.unwrap_or(Err(Refused::Ending))
     }
 
     /// Confirms, cancels or extends what waits to be confirmed.
@@ -203,7 +203,7 @@
             scope,
             answer,
         };
-        self.told(asks).await.unwrap_or(Err(Refused::Ending))
+        self.configured(asks).await.unwrap_or(Err(Refused::Ending))
     }
 
     /// Begins the fleet's history with what this gateway was told; or anew, with what is left of it here.
@@ -211,7 +211,7 @@
     /// # Errors
     /// It is in no fleet, a history has begun, or it is not lost.
     pub async fn begin(&self, anew: bool, who: String) -> Result<u64, Refused> {
-        self.told(|answer| Order::Begin { anew, who, answer })
+        self.configured(|answer| Order::Begin { anew, who, answer })
             .await
             .unwrap_or(Err(Refused::Ending))
     }
@@ -221,7 +221,9 @@
     /// # Errors
     /// It is in no fleet, or no leader answers.
     pub async fn show(&self) -> Result<Json, Refused> {
-        self.told(Order::Show).await.unwrap_or(Err(Refused::Ending))
+        self.configured(Order::Show)
+            .await
+            .unwrap_or(Err(Refused::Ending))
     }
 
     /// Whether this gateway could hold a policy of the fleet.
@@ -229,7 +231,7 @@
     /// # Errors
     /// Why not.
     pub async fn examine(&self, document: Json) -> Result<(), String> {
-        self.told(|answer| Order::Examine(document, answer))
+        self.configured(|answer| Order::Examine(document, answer))
             .await
             .unwrap_or(Err("it ends".into()))
     }
@@ -245,13 +247,13 @@
             document,
             answer,
         };
-        self.told(hold).await.unwrap_or(Err("it ends".into()))
+        self.configured(hold).await.unwrap_or(Err("it ends".into()))
     }
 
-    async fn told<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Order) -> Option<T> {
-        let (answer, told) = oneshot::channel();
+    async fn configured<T>(&self, order: impl FnOnce(oneshot::Sender<T>) -> Order) -> Option<T> {
+        let (answer, configured) = oneshot::channel();
         self.orders.send(order(answer)).await.ok()?;
-        told.await.ok()
+        configured.await.ok()
     }
 }
 
@@ -259,9 +261,9 @@
 pub struct Manager {
     schema: Arc<Schema>,
     origin: Origin,
-    ledger: Ledger<Document>,
-    told: Document,
-    roll: Roll,
+    tracker: RevisionTracker<Document>,
+    configured: Document,
+    registry: ClassRegistry,
     journal: Option<Journal>,
     leaves: Leaves,
     was: Arc<Snapshot>,
@@ -302,16 +304,16 @@
         let Started {
             schema,
             origin,
-            ledger,
-            told,
-            roll,
+            tracker,
+            configured,
+            registry,
             leaves,
             journal,
             notes,
         } = from;
         notes.iter().for_each(|n| info!(log, "{}", n));
         let leaves = leaves.union(state::process(name, env!("CARGO_PKG_VERSION")));
-        let leaves = state::revisions(&leaves, ledger.lines().iter());
+        let leaves = state::revisions(&leaves, tracker.revisions().iter());
         let (schema, watching) = (Arc::new(schema), Arc::new(AtomicUsize::new(0)));
         let (tell, orders) = mpsc::channel(MAILBOX);
         let first = Arc::new(Tree {
@@ -328,9 +330,9 @@
         let manager = Manager {
             schema,
             origin,
-            ledger,
-            told,
-            roll,
+            tracker,
+            configured,
+            registry,
             journal,
             leaves,
             was: Arc::new(Snapshot::default()),
@@ -354,7 +356,7 @@
     pub async fn run(mut self) {
         loop {
             let now = self.clock.now();
-            let due = self.ledger.due().map_or(Ms::INFINITY, |d| d - now);
+            let due = self.tracker.due().map_or(Ms::INFINITY, |d| d - now);
             let look = match self.watching.load(Ordering::Relaxed) {
                 0 => Ms::INFINITY,
                 _ => (self.looked + LOOK_EVERY - now).max(0.0),
@@ -403,7 +405,7 @@
                 },
                 Some(Order::Begin { anew, who, answer }) => match self.meant(Scope::Fleet) {
                     Ok(Some(fleet)) => {
-                        let document = serde_json::to_value(&self.told).unwrap_or_default();
+                        let document = serde_json::to_value(&self.configured).unwrap_or_default();
                         want(fleet, answer, |answer| match anew {
                             true => Wanted::Anew {
                                 document,
@@ -477,8 +479,8 @@
         let Some(fleet) = &self.fleet else {
             let how = self
                 .hand(Input::Command(Command::Set {
-                    who,
-                    what,
+                    author: who,
+                    summary: what,
                     document,
                     commit,
                 }))
@@ -504,16 +506,21 @@
     fn running(&self) -> &Document {
         self.held
             .as_ref()
-            .map_or(self.ledger.running(), |h| &h.document)
+            .map_or(self.tracker.running(), |h| &h.document)
     }
 
     fn examine(&self, document: Json) -> Result<Document, String> {
         let read = serde_json::from_value::<Document>(document);
         let document = read.map_err(|e| format!("this version can't read it: {e}"))?;
         self.schema.settings(&document).map_err(|m| m.to_string())?;
-        match plan(self.running(), &document, &self.roll, &self.origin.frame) {
+        match plan(
+            self.running(),
+            &document,
+            &self.registry,
+            &self.origin.name_index,
+        ) {
             Ok(_) => Ok(document),
-            Err(faults) => Err(faults
+            Err(violations) => Err(violations
                 .iter()
                 .map(|f| f.to_string())
                 .collect::<Vec<_>>()
@@ -545,9 +552,14 @@
         let document = self.schema.document(&new);
         let document =
             document.map_err(|all| all.iter().map(|m| m.to_string()).collect::<Vec<_>>())?;
-        match plan(self.running(), &document, &self.roll, &self.origin.frame) {
+        match plan(
+            self.running(),
+            &document,
+            &self.registry,
+            &self.origin.name_index,
+        ) {
             Ok(_) => Ok(document),
-            Err(faults) => Err(faults.iter().map(|f| f.to_string()).collect()),
+            Err(violations) => Err(violations.iter().map(|f| f.to_string()).collect()),
         }
     }
 
@@ -586,9 +598,9 @@
     /// Hands one input to the ledger and carries out what it asks for, up to its answer.
     async fn hand(&mut self, input: Input<Document>) -> Result<u64, Refused> {
         let mut inputs = vec![input];
-        let mut answer = Ok(self.ledger.number());
+        let mut answer = Ok(self.tracker.number());
         while let Some(input) = inputs.pop() {
-            for action in self.ledger.on(self.clock.now(), input) {
+            for action in self.tracker.on(self.clock.now(), input) {
                 match action {
                     Action::Write(record) => inputs.push(Input::Written(self.write(record).await)),
                     Action::Note(record) => {
@@ -601,7 +613,7 @@
                 }
             }
         }
-        self.leaves = state::revisions(&self.leaves, self.ledger.lines().iter());
+        self.leaves = state::revisions(&self.leaves, self.tracker.revisions().iter());
         self.publish();
         answer
     }
@@ -612,11 +624,13 @@
             return Err("no journal".into());
         };
         // Not while one waits to be confirmed: what is written anew would not hold it.
-        let anew = journal.wants_anew() && self.ledger.trial().is_none();
-        let kept = anew.then(|| self.kept());
+        let anew = journal.wants_anew() && self.tracker.pending_confirmation().is_none();
+        let persisted = anew.then(|| self.persisted());
         let work = tokio::task::spawn_blocking(move || {
-            let how = match kept {
-                Some(kept) => journal.anew(&kept).and_then(|()| journal.append(&record)),
+            let how = match persisted {
+                Some(persisted) => journal
+                    .anew(&persisted)
+                    .and_then(|()| journal.append(&record)),
                 None => journal.append(&record),
             };
             (journal, how)
@@ -627,15 +641,15 @@
     }
 
     /// All that a start needs. An unconfirmed one is left out: its time has no meaning for another process.
-    fn kept(&self) -> Kept<Document> {
-        let (number, running, lines) = self.ledger.firm();
-        let next = self.ledger.next();
-        Kept {
-            told: self.told.clone(),
+    fn persisted(&self) -> PersistedState<Document> {
+        let (number, running, revisions) = self.tracker.after_restart();
+        let next = self.tracker.next();
+        PersistedState {
+            configured: self.configured.clone(),
             running,
             number,
             next,
-            lines,
+            revisions,
         }
     }
 
@@ -649,12 +663,17 @@
                 return false;
             }
         };
-        if let Ok(p) = plan(&document, &document, &self.roll, &self.origin.frame) {
-            self.roll = p.roll;
+        if let Ok(p) = plan(
+            &document,
+            &document,
+            &self.registry,
+            &self.origin.name_index,
+        ) {
+            self.registry = p.registry;
         }
-        let policy_config = self.origin.policy_config(&document, &self.roll);
-        let (classes, longest) = classes(&self.roll, &document, &policy_config);
-        let (done, told) = async_channel::bounded(1);
+        let policy_config = self.origin.policy_config(&document, &self.registry);
+        let (classes, longest) = classes(&self.registry, &document, &policy_config);
+        let (done, configured) = async_channel::bounded(1);
         let cells = Some(cell_directory(&document));
         let amendment = Amendment {
             policy_config,
@@ -669,7 +688,11 @@
             .send(ManagementCommand::Amend(Box::new(amendment)))
             .await
             .is_ok();
-        let taken = asked && matches!(timeout(span(AMEND_WITHIN), told.recv()).await, Ok(Ok(())));
+        let taken = asked
+            && matches!(
+                timeout(span(AMEND_WITHIN), configured.recv()).await,
+                Ok(Ok(()))
+            );
         if asked && !taken {
             warn!(self.log, "the gateway's thread is slow to take over the settings"; "revision" => number);
         }
--- a/crates/management/src/file.rs
+++ b/crates/management/src/file.rs
@@ -1,6 +1,6 @@
 //! The journal's file: appended to and brought to the disk before anything rests on it.
 
-use ironstair_config_change::journal::{decode, encode, Kept, Record};
+use ironstair_config_change::journal::{decode, encode, PersistedState, Record};
 use ironstair_config_change::Document;
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -60,14 +60,14 @@
     ///
     /// # Errors
     /// As the disk has it.
-    pub fn begin(folder: &Path, kept: &Kept<Document>) -> Result<Journal, String> {
+    pub fn begin(folder: &Path, persisted: &PersistedState<Document>) -> Result<Journal, String> {
         let mut journal = Journal {
             folder: folder.to_path_buf(),
             file: None,
             whole: 0,
             records: 0,
         };
-        journal.anew(kept)?;
+        journal.anew(persisted)?;
         Ok(journal)
     }
 
@@ -85,8 +85,8 @@
         self.file.is_none() || self.records > RECORDS_MOST
     }
 
-    pub fn anew(&mut self, kept: &Kept<Document>) -> Result<(), String> {
-        let bytes = encode(&Record::Whole(kept.clone()))?;
+    pub fn anew(&mut self, persisted: &PersistedState<Document>) -> Result<(), String> {
+        let bytes = encode(&Record::Whole(persisted.clone()))?;
         let file = ironstair_atomic_file::replace(&self.folder, FILE, "revisions.new", &bytes);
         let file = file.map_err(|e| format!("{}: {e}", Self::path(&self.folder).display()))?;
         (self.file, self.whole, self.records) = (Some(file), bytes.len() as u64, 0);
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -3,10 +3,10 @@
 use crate::file::Journal;
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
-use ironstair_config_change::journal::{Found, Kept};
-use ironstair_config_change::plan::{plan, Origin, Roll};
-use ironstair_config_change::revisions::Ledger;
-use ironstair_config_change::{Cells, Document, Frame};
+use ironstair_config_change::journal::{PersistedState, StartOutcome};
+use ironstair_config_change::plan::{plan, ClassRegistry, Origin};
+use ironstair_config_change::revisions::RevisionTracker;
+use ironstair_config_change::{Cells, Document, NameIndex};
 use ironstair_data_tree::{Leaves, Schema};
 use ironstair_runtime::number;
 use ironstair_runtime::window::ClassSummary;
@@ -16,9 +16,9 @@
 pub struct Started {
     pub schema: Schema,
     pub origin: Origin,
-    pub ledger: Ledger<Document>,
-    pub told: Document,
-    pub roll: Roll,
+    pub tracker: RevisionTracker<Document>,
+    pub configured: Document,
+    pub registry: ClassRegistry,
     pub leaves: Leaves,
     pub journal: Option<Journal>,
     /// Worth a line each in the log.
@@ -33,87 +33,95 @@
     policy_config: PolicyConfig,
     names: &[String],
     limits: &[Ms],
-    frame: Frame,
+    name_index: NameIndex,
     cells: Option<Cells>,
     folder: Option<&Path>,
 ) -> Result<Started, String> {
     let schema = Schema::shipped()?;
-    let told = Document {
+    let configured = Document {
         cells,
-        ..Document::told(&policy_config, names, limits, &frame)
+        ..Document::configured(&policy_config, names, limits, &name_index)
     };
     // What is read and set must be able to say what runs.
     let leaves = schema
-        .settings(&told)
+        .settings(&configured)
         .map_err(|m| format!("the settings do not fit the tree: {m}"))?;
-    if let Err(faults) = plan(&told, &told, &Roll::of(&told), &frame) {
-        let faults: Vec<String> = faults.iter().map(|f| f.to_string()).collect();
+    if let Err(violations) = plan(
+        &configured,
+        &configured,
+        &ClassRegistry::of(&configured),
+        &name_index,
+    ) {
+        let violations: Vec<String> = violations.iter().map(|f| f.to_string()).collect();
         return Err(format!(
             "the settings do not fit the tree: {}",
-            faults.join("; ")
+            violations.join("; ")
         ));
     }
     let origin = Origin {
         policy_config,
-        document: told.clone(),
-        frame,
+        document: configured.clone(),
+        name_index,
     };
     let mut notes = Vec::new();
-    let (mut kept, mut roll) = (Kept::told(told.clone()), Roll::of(&told));
+    let (mut persisted, mut registry) = (
+        PersistedState::configured(configured.clone()),
+        ClassRegistry::of(&configured),
+    );
     let mut new_leaves = leaves;
     if let Some(folder) = folder {
         let (records, torn) = Journal::read(folder)?;
         notes.extend(torn.map(|t| format!("the journal of revisions is recovered: {t}")));
-        let (found, how) = Kept::open(records, told.clone());
-        let fits = plan(&told, &found.running, &roll, &origin.frame);
+        let (found, how) = PersistedState::open(records, configured.clone());
+        let fits = plan(&configured, &found.running, &registry, &origin.name_index);
         match (fits, schema.settings(&found.running)) {
             (Ok(p), Ok(leaves)) => {
                 match how {
-                    Found::Nothing | Found::Revision(0) => {}
-                    Found::Revision(n) => notes.push(format!("revision {n} runs")),
-                    Found::RolledBack(n) => {
+                    StartOutcome::Nothing | StartOutcome::Revision(0) => {}
+                    StartOutcome::Revision(n) => notes.push(format!("revision {n} runs")),
+                    StartOutcome::RolledBack(n) => {
                         notes.push(format!(
                             "revision {n} was not confirmed and is taken back; {} runs",
                             found.number
                         ));
                     }
-                    Found::Reconfigured => {
+                    StartOutcome::Reconfigured => {
                         notes.push(
                             "the told settings have changed: they run, earlier revisions do not"
                                 .into(),
                         );
                     }
                 }
-                (kept, roll, new_leaves) = (found, p.roll, leaves);
+                (persisted, registry, new_leaves) = (found, p.registry, leaves);
             }
             _ => {
                 let n = found.number;
                 notes.push(format!(
                     "revision {n} does not fit what is told any more: that runs"
                 ));
-                kept = Kept {
+                persisted = PersistedState {
                     next: found.next,
-                    ..kept
+                    ..persisted
                 };
             }
         }
     }
     let mut journal = None;
     if let Some(folder) = folder {
-        journal = Some(Journal::begin(folder, &kept).unwrap_or_else(|why| {
+        journal = Some(Journal::begin(folder, &persisted).unwrap_or_else(|why| {
             notes.push(format!(
                 "revisions can't be kept, changes are refused: {why}"
             ));
             Journal::closed(folder)
         }));
     }
-    let ledger = Ledger::new(kept, journal.is_some());
+    let tracker = RevisionTracker::new(persisted, journal.is_some());
     Ok(Started {
         schema,
         origin,
-        ledger,
-        told,
-        roll,
+        tracker,
+        configured,
+        registry,
         leaves: new_leaves,
         journal,
         notes,
@@ -123,15 +131,20 @@
 impl Started {
     /// What the decision module begins with.
     pub fn policy_config(&self) -> PolicyConfig {
-        self.origin.policy_config(self.ledger.running(), &self.roll)
+        self.origin
+            .policy_config(self.tracker.running(), &self.registry)
     }
 
     pub fn cells(&self) -> Option<CellDirectory> {
-        cell_directory(self.ledger.running())
+        cell_directory(self.tracker.running())
     }
 
     pub fn classes(&self) -> (Vec<ClassSummary>, Ms) {
-        classes(&self.roll, self.ledger.running(), &self.policy_config())
+        classes(
+            &self.registry,
+            self.tracker.running(),
+            &self.policy_config(),
+        )
     }
 }
 
@@ -145,11 +158,11 @@
 
 /// The classes by index, and the longest hard limit.
 pub fn classes(
-    roll: &Roll,
+    registry: &ClassRegistry,
     document: &Document,
     policy_config: &PolicyConfig,
 ) -> (Vec<ClassSummary>, Ms) {
-    let told = roll
+    let configured = registry
         .0
         .iter()
         .zip(&policy_config.classes)
@@ -163,5 +176,5 @@
         .iter()
         .map(|b| b.hard_limit as f64)
         .fold(1.0, f64::max);
-    (told.collect(), longest)
+    (configured.collect(), longest)
 }
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,13 +1,13 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
 use ironstair::{ClassPolicy, Kind, PolicyConfig};
-use ironstair_config_change::journal::{encode, Kept, Record, RevisionSummary};
+use ironstair_config_change::journal::{encode, PersistedState, Record, RevisionSummary};
 use ironstair_config_change::revisions::RevisionState;
-use ironstair_config_change::{Document, Frame};
+use ironstair_config_change::{Document, NameIndex};
 use ironstair_management::{open, Journal};
 use std::path::Path;
 
-fn told() -> (PolicyConfig, Vec<String>, Vec<f64>, Frame) {
+fn configured() -> (PolicyConfig, Vec<String>, Vec<f64>, NameIndex) {
     let terms = ClassPolicy {
         expected: 1000.0,
         value: 1.0,
@@ -28,37 +28,45 @@
         fall_span: 1e3,
         ..PolicyConfig::default()
     };
-    let frame = Frame {
+    let name_index = NameIndex {
         zones: vec!["a".into()],
         kinds: vec!["m".into()],
     };
-    (policy_config, vec!["lookup".into()], vec![5e3], frame)
+    (policy_config, vec!["lookup".into()], vec![5e3], name_index)
 }
 
 fn advice_after(folder: &Path) -> (u32, Vec<String>) {
-    let (policy_config, names, limits, frame) = told();
-    let started = open(policy_config, &names, &limits, frame, None, Some(folder)).unwrap();
+    let (policy_config, names, limits, name_index) = configured();
+    let started = open(
+        policy_config,
+        &names,
+        &limits,
+        name_index,
+        None,
+        Some(folder),
+    )
+    .unwrap();
     // What the decision module begins with is what the ledger says runs.
     assert_eq!(
         started.policy_config().max_retry_after,
-        started.ledger.running().advice as f64
+        started.tracker.running().advice as f64
     );
-    (started.ledger.running().advice, started.notes)
+    (started.tracker.running().advice, started.notes)
 }
 
 fn set(number: u64, advice: u32, state: RevisionState, base: &Document) -> Record<Document> {
-    let (who, what) = ("op".to_string(), String::new());
-    let line = RevisionSummary {
+    let (author, summary) = ("op".to_string(), String::new());
+    let revision = RevisionSummary {
         number,
-        who,
-        when: 1e12,
-        what,
+        author,
+        created_at: 1e12,
+        summary,
         state,
         commit: None,
         until: None,
     };
     Record::Set {
-        line,
+        revision,
         document: Document {
             advice,
             ..base.clone()
@@ -68,10 +76,10 @@
 
 #[test]
 fn cut_at_every_byte_of_its_last_records_a_start_runs_the_last_whole_revision() {
-    let (policy_config, names, limits, frame) = told();
-    let base = Document::told(&policy_config, &names, &limits, &frame);
+    let (policy_config, names, limits, name_index) = configured();
+    let base = Document::configured(&policy_config, &names, &limits, &name_index);
     let records = [
-        Record::Whole(Kept::told(base.clone())),
+        Record::Whole(PersistedState::configured(base.clone())),
         set(1, 10, RevisionState::Running, &base),
         set(2, 20, RevisionState::Unconfirmed, &base),
         Record::Confirmed { number: 2 },
@@ -92,8 +100,8 @@
         let (advice, notes) = advice_after(folder.path());
         assert_eq!(advice, runs[whole], "{cut}");
         let torn = parts[..whole].concat().len() < cut;
-        let lines = notes.iter().filter(|n| n.contains("left out")).count();
-        assert_eq!(lines, torn as usize, "one line, at {cut}: {notes:?}");
+        let revisions = notes.iter().filter(|n| n.contains("left out")).count();
+        assert_eq!(revisions, torn as usize, "one line, at {cut}: {notes:?}");
         // The start wrote it anew: the next one finds it whole and the same.
         let (again, notes) = advice_after(folder.path());
         assert_eq!(
@@ -106,10 +114,11 @@
 
 #[test]
 fn a_journal_goes_on_after_a_start_and_is_written_anew_when_it_grows() {
-    let (policy_config, names, limits, frame) = told();
-    let base = Document::told(&policy_config, &names, &limits, &frame);
+    let (policy_config, names, limits, name_index) = configured();
+    let base = Document::configured(&policy_config, &names, &limits, &name_index);
     let folder = tempfile::tempdir().unwrap();
-    let mut journal = Journal::begin(folder.path(), &Kept::told(base.clone())).unwrap();
+    let mut journal =
+        Journal::begin(folder.path(), &PersistedState::configured(base.clone())).unwrap();
     let mut number = 0;
     while !journal.wants_anew() {
         number += 1;
@@ -125,9 +134,9 @@
 
 #[test]
 fn what_is_given_and_does_not_fit_the_tree_is_refused_by_its_field() {
-    let (mut policy_config, names, limits, frame) = told();
+    let (mut policy_config, names, limits, name_index) = configured();
     policy_config.classes[0].value = 0.0;
-    let why = open(policy_config, &names, &limits, frame, None, None)
+    let why = open(policy_config, &names, &limits, name_index, None, None)
         .err()
         .unwrap();
     assert!(
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -2,8 +2,8 @@
 //! under `pinned` was written by an earlier version of the program; a gateway that is updated starts with it, so it has
 //! to be read whole, go on with the same revision, and be written without a difference.
 
-use ironstair_config_change::journal::{Kept, Record};
-use ironstair_config_change::{Document, Frame};
+use ironstair_config_change::journal::{PersistedState, Record};
+use ironstair_config_change::{Document, NameIndex};
 use ironstair_management::Journal;
 use std::path::Path;
 
@@ -80,14 +80,14 @@
     let Record::Whole(first) = &records[0] else {
         panic!("{:?}", records[0])
     };
-    let (kept, _) = Kept::open(records.clone(), first.told.clone());
-    assert_eq!((kept.number, kept.next), (5, 7));
-    let running = serde_json::to_value(&kept.running).unwrap();
+    let (persisted, _) = PersistedState::open(records.clone(), first.configured.clone());
+    assert_eq!((persisted.number, persisted.next), (5, 7));
+    let running = serde_json::to_value(&persisted.running).unwrap();
     let want: serde_json::Value = serde_json::from_str(&pinned("running.json")).unwrap();
     assert_eq!(running, want);
-    let frame = Frame {
+    let name_index = NameIndex {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
     };
-    assert_eq!(kept.running.faults(&frame), Vec::new());
+    assert_eq!(persisted.running.violations(&name_index), Vec::new());
 }
