--- /dev/null
+++ b/crates/config-change/src/decimal.rs
@@ -0,0 +1,57 @@
+//! Decimal numbers with a fixed count of fraction digits, as in YANG.
+
+use serde::de::Error;
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use std::fmt;
+
+/// A decimal64 with that many fraction digits; text in JSON.
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+pub struct Decimal<const DIGITS: u32>(pub(crate) f64);
+
+impl<const DIGITS: u32> Decimal<DIGITS> {
+    /// The nearest number that has no more digits.
+    pub fn of(x: f64) -> Self {
+        let scale = 10f64.powi(DIGITS as i32);
+        Decimal((x * scale).round() / scale)
+    }
+
+    /// The number.
+    pub fn get(self) -> f64 {
+        self.0
+    }
+
+    /// The smaller of both.
+    pub(crate) fn min(self, other: Self) -> Self {
+        if other < self {
+            other
+        } else {
+            self
+        }
+    }
+}
+
+impl<const DIGITS: u32> fmt::Display for Decimal<DIGITS> {
+    /// The canonical form of RFC 7950: no trailing zeros but one.
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let text = format!("{:.*}", DIGITS as usize, self.0);
+        let short = text.trim_end_matches('0');
+        f.write_str(short)?;
+        f.write_str(if short.ends_with('.') { "0" } else { "" })
+    }
+}
+
+impl<const DIGITS: u32> Serialize for Decimal<DIGITS> {
+    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
+        to.collect_str(self)
+    }
+}
+
+impl<'de, const DIGITS: u32> Deserialize<'de> for Decimal<DIGITS> {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(from)?;
+        let number = text.parse::<f64>().ok().filter(|x| x.is_finite());
+        number
+            .map(Self::of)
+            .ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
+    }
+}
--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -1,103 +1,104 @@
-//! The settings document: what of a gateway's policy config may be read and set. Its JSON is that of the YANG module
-//! (RFC 7951), so that neither has to be mapped to the other.
+//! The settings document: the part of a gateway's policy config that may be read and set. Its JSON is that of the YANG
+//! module (RFC 7951), so that neither has to be mapped to the other.
 
-use ironstair::{Effect, Ms, PolicyConfig, Within};
-use ironstair_cells::assign::Wrong;
-use ironstair_cells::{Assignment, CellDirectory, Choice};
-use serde::de::Error;
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
-use std::collections::BTreeSet;
-use std::fmt;
+mod cells;
+mod convert;
+mod validate;
 
-/// A decimal64 with so many fraction digits, as text in JSON.
-#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
-pub struct Decimal<const DIGITS: u32>(f64);
+pub use cells::{Cell, Cells, EnginePin, TenantPin};
+pub use validate::Violation;
 
-impl<const DIGITS: u32> Decimal<DIGITS> {
-    /// The nearest that has no more digits.
-    pub fn of(x: f64) -> Self {
-        let tens = 10f64.powi(DIGITS as i32);
-        Decimal((x * tens).round() / tens)
-    }
-    pub fn get(self) -> f64 {
-        self.0
-    }
-}
-
-impl<const DIGITS: u32> fmt::Display for Decimal<DIGITS> {
-    /// The canonical form of RFC 7950: no zeros behind but one.
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let text = format!("{:.*}", DIGITS as usize, self.0);
-        let short = text.trim_end_matches('0');
-        f.write_str(short)?;
-        f.write_str(if short.ends_with('.') { "0" } else { "" })
-    }
-}
-
-impl<const DIGITS: u32> Serialize for Decimal<DIGITS> {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
-    }
-}
+pub(crate) use validate::violation;
 
-impl<'de, const DIGITS: u32> Deserialize<'de> for Decimal<DIGITS> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
-        let number = text.parse::<f64>().ok().filter(|x| x.is_finite());
-        number
-            .map(Self::of)
-            .ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
-    }
-}
+use crate::decimal::Decimal;
+use serde::{Deserialize, Serialize};
 
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatSafety {
+    /// It may run any number of times.
     Repeatable,
+    /// It may be repeated under its token: engines recognize the repeat within a window.
     Tagged,
+    /// It may run once.
     OnceOnly,
 }
 
+/// Among which engines a repeat is recognized by its token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeduplicationScope {
+    /// Every engine recognizes it.
     #[default]
     All,
+    /// Engines of the same zone do.
     Zone,
+    /// Engines of the same deduplication domain do.
     MarkGroup,
 }
 
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
+    /// What ended.
     Error,
+    /// What an operator may have to act on.
     Warning,
+    /// Changes of state.
     #[default]
     Info,
+    /// Everything.
     Debug,
 }
 
+impl Level {
+    /// The level's name in the settings.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Level::Error => "error",
+            Level::Warning => "warning",
+            Level::Info => "info",
+            Level::Debug => "debug",
+        }
+    }
+}
+
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Class {
+    /// Unique among the classes.
     pub name: String,
+    /// Latency objective, ms.
     pub expected: u32,
+    /// How far the latency objective may stretch under load.
     #[serde(default)]
     pub expected_stretch: Decimal<3>,
+    /// Deadline of a request, ms after it came in.
     pub hard_limit: u32,
+    /// Priority weight: what a request is worth that meets its objective.
     #[serde(rename = "payoff")]
     pub value: Decimal<6>,
+    /// Threads that a request takes at its engine.
     #[serde(default = "one")]
     pub threads: u16,
+    /// Whether it may run more than once.
     pub repeat: RepeatSafety,
+    /// Among which engines a repeat is recognized.
     #[serde(default)]
     pub within: DeduplicationScope,
+    /// For how long a repeat is recognized, ms; only where requests carry a token.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window: Option<u32>,
+    /// Whether requests of the same key run in the order they came in.
     #[serde(default)]
     pub in_order: bool,
+    /// Zones whose engines may run it; none for any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zone: Vec<String>,
+    /// Kinds of machine that may run it; none for any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub kind: Vec<String>,
 }
@@ -106,164 +107,91 @@
     1
 }
 
+/// How many retries a gateway may make within any span: `spare`, and `share` of the requests taken.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RetryBudget {
+    /// Retries whatever the number of requests.
     pub spare: u32,
+    /// Retries a request.
     pub share: Decimal<4>,
+    /// The span that is counted over, ms.
     pub span: u32,
 }
 
+/// How engines that have just started are spared, and when one counts as overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SlowStart {
+    /// Share of its capacity that an engine has at its start.
     pub from: Decimal<4>,
+    /// Until it has its whole capacity, ms.
     #[serde(rename = "warm-after")]
     pub slow_start_duration: u32,
+    /// Times its capacity that overload an engine, all gateways together.
     pub multiple: Decimal<3>,
+    /// The span over which overload is counted, ms.
     pub span: u32,
 }
 
-/// Tenants confined to a part of the engines.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Cells {
-    #[serde(default = "single")]
-    pub shard: u8,
-    pub cell: Vec<Cell>,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub engine: Vec<EnginePin>,
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub tenant: Vec<TenantPin>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "turn-back")]
-    pub retry_after: Option<u32>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lend: Option<Decimal<4>>,
-}
-
-fn single() -> u8 {
-    1
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct Cell {
-    pub name: String,
-    #[serde(default = "whole")]
-    pub weight: Decimal<3>,
-}
-
-fn whole() -> Decimal<3> {
-    Decimal(1.0)
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct EnginePin {
-    pub name: String,
-    pub cell: String,
-}
-
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct TenantPin {
-    pub name: String,
-    #[serde(default)]
-    pub cell: Vec<String>,
-}
-
-impl Cells {
-    /// What a gateway keeps of them. `number` spreads a name over 64 bits, alike at every gateway.
-    ///
-    /// # Errors
-    /// A cell that is not there, too many, or a shard that can't be; by its path.
-    pub fn cell_directory(&self, number: fn(&[u8]) -> u64) -> Result<CellDirectory, Violation> {
-        let at = |field: &str, reason: &dyn fmt::Display| {
-            violation(format!("/settings/cells/{field}"), reason.to_string())
-        };
-        let mut cells: Vec<(String, f64)> = self
-            .cell
-            .iter()
-            .map(|c| (c.name.clone(), c.weight.get()))
-            .collect();
-        // Alike from whatever order they were told in.
-        cells.sort_by(|a, b| a.0.cmp(&b.0));
-        let made = Assignment::new(1, &cells, self.shard as usize);
-        let field = |e: &Wrong| {
-            if matches!(e, Wrong::Shard(_)) {
-                "shard"
-            } else {
-                "cell"
-            }
-        };
-        let mut a = made.map_err(|e| at(field(&e), &e))?;
-        for pin in &self.engine {
-            // In lower case, like the names that the list brings.
-            let id = number(pin.name.to_ascii_lowercase().as_bytes());
-            let pinned = a.pin_engine(id, Some(&pin.cell));
-            a = pinned.map_err(|e| at(&format!("engine[name={}]/cell", pin.name), &e))?;
-        }
-        for pin in &self.tenant {
-            let names: Vec<&str> = pin.cell.iter().map(String::as_str).collect();
-            let pinned = a.pin_tenant(number(pin.name.as_bytes()), Some(&names));
-            a = pinned.map_err(|e| at(&format!("tenant[name={}]/cell", pin.name), &e))?;
-        }
-        let choice = match (self.retry_after, self.lend) {
-            (Some(_), Some(_)) => return Err(at("lend", &"either turn-back or lend")),
-            (_, Some(share)) => Choice::Lend { share: share.get() },
-            (ms, None) => Choice::Reject {
-                retry_after: ms.unwrap_or(0) as f64,
-            },
-        };
-        Ok(CellDirectory::new(a, choice))
-    }
-}
-
+/// What is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Log {
+    /// The least severe level that is logged.
     #[serde(default)]
     pub level: Level,
 }
 
+/// All settings that may change in service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Document {
+    /// The classes of requests in service.
     #[serde(rename = "band")]
     pub class: Vec<Class>,
+    /// How many gateways share the engines.
     pub gateways: u32,
+    /// The most attempts of one request.
     #[serde(rename = "forwards-most")]
     pub max_attempts: u8,
-    #[serde(default)]
-    pub advice: u32,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "ration")]
+    /// The longest retry-after that a rejected request is told, ms; 0: none is told.
+    #[serde(default, rename = "advice")]
+    pub max_retry_after: u32,
+    /// The bound of retries; none: unbounded.
+    #[serde(default, rename = "ration", skip_serializing_if = "Option::is_none")]
     pub retry_budget: Option<RetryBudget>,
+    /// How engines that have just started are spared.
     #[serde(rename = "cold")]
     pub slow_start: SlowStart,
+    /// Tenants confined to a part of the engines; none: no tenant is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cells: Option<Cells>,
+    /// What is logged.
     #[serde(default)]
     pub log: Log,
 }
 
-/// The names under which zones and kinds of machine come, by the index that the decisions know.
+/// The names of zones and kinds of machine, by the index that the policy knows them under.
 #[derive(Clone, Debug, Default)]
 pub struct NameIndex {
+    /// Zones by index.
     pub zones: Vec<String>,
+    /// Kinds of machine by index.
     pub kinds: Vec<String>,
 }
 
 impl NameIndex {
-    /// The number of a zone's name; one that was not told gets a number that no rule allows.
+    /// The index of a zone's name; `u16::MAX`, which no rule allows, for one that is not configured.
     pub fn zone(&self, name: &str) -> u16 {
         Self::index(&self.zones, name).unwrap_or(u16::MAX)
     }
-    /// The number of a kind's name, likewise.
+
+    /// The index of a kind's name, likewise.
     pub fn kind(&self, name: &str) -> u16 {
         Self::index(&self.kinds, name).unwrap_or(u16::MAX)
     }
+
     pub(crate) fn index(names: &[String], name: &str) -> Option<u16> {
         names
             .iter()
@@ -272,158 +200,7 @@
     }
 }
 
-/// Why a document or a change of it can't be, and where.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Violation {
-    pub path: String,
-    #[serde(rename = "why")]
-    pub reason: String,
-}
-
-impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {}", self.path, self.reason)
-    }
-}
-
-pub(crate) fn violation(path: impl Into<String>, reason: impl Into<String>) -> Violation {
-    Violation {
-        path: path.into(),
-        reason: reason.into(),
-    }
-}
-
+/// The path of a class's field in the tree.
 pub(crate) fn class_path(name: &str, field: &str) -> String {
     format!("/settings/band[name={name}]/{field}")
 }
-
-impl Document {
-    /// The document of what a gateway was told; figures with more digits than the tree has are rounded.
-    /// `limits` are the classes' hard limits, in ms.
-    pub fn configured(
-        m: &PolicyConfig,
-        names: &[String],
-        limits: &[Ms],
-        name_index: &NameIndex,
-    ) -> Document {
-        let whole = |x: Ms| x.round().clamp(0.0, u32::MAX as f64) as u32;
-        let named = |of: &Option<Vec<u16>>, names: &[String]| -> Vec<String> {
-            let of = of.iter().flatten();
-            of.map(|&i| {
-                names
-                    .get(i as usize)
-                    .cloned()
-                    .unwrap_or_else(|| format!("unknown-{i}"))
-            })
-            .collect()
-        };
-        let class = m
-            .classes
-            .iter()
-            .zip(names)
-            .zip(limits)
-            .map(|((t, name), &limit)| Class {
-                name: name.clone(),
-                expected: whole(t.expected),
-                expected_stretch: Decimal::of(t.expected_stretch),
-                hard_limit: whole(limit),
-                value: Decimal::of(t.value),
-                threads: t.threads as u16,
-                repeat: match t.repeat {
-                    Effect::Idempotent => RepeatSafety::Repeatable,
-                    Effect::Deduplicated(_) => RepeatSafety::Tagged,
-                    Effect::NonIdempotent => RepeatSafety::OnceOnly,
-                },
-                within: match t.repeat {
-                    Effect::Deduplicated(Within::Zone) => DeduplicationScope::Zone,
-                    Effect::Deduplicated(Within::MarkGroup) => DeduplicationScope::MarkGroup,
-                    _ => DeduplicationScope::All,
-                },
-                window: matches!(t.repeat, Effect::Deduplicated(_)).then(|| whole(t.window)),
-                in_order: t.in_order,
-                zone: named(&t.zones, &name_index.zones),
-                kind: named(&t.kinds, &name_index.kinds),
-            });
-        Document {
-            class: class.collect(),
-            gateways: m.gateways as u32,
-            max_attempts: m.max_attempts,
-            advice: whole(m.max_retry_after),
-            retry_budget: m.retry_budget.map(|r| RetryBudget {
-                spare: r.spare.round() as u32,
-                share: Decimal::of(r.share),
-                span: whole(r.span),
-            }),
-            slow_start: SlowStart {
-                from: Decimal::of(m.slow_start_from),
-                slow_start_duration: whole(m.slow_start_duration),
-                multiple: Decimal::of(m.fall_multiple),
-                span: whole(m.fall_span),
-            },
-            cells: None,
-            log: Log::default(),
-        }
-    }
-
-    /// All that the types and ranges of the tree do not say: its `must` statements, and names that the gateway
-    /// was not told.
-    pub fn violations(&self, name_index: &NameIndex) -> Vec<Violation> {
-        let mut found = Vec::new();
-        let mut check = |ok: bool, path: String, reason: &str| {
-            if !ok {
-                found.push(violation(path, reason));
-            }
-        };
-        check(
-            !self.class.is_empty(),
-            "/settings/band".into(),
-            "there must be a band",
-        );
-        let mut names = BTreeSet::new();
-        for b in &self.class {
-            let at = |field: &str| class_path(&b.name, field);
-            check(names.insert(&b.name), at("name"), "the name is there twice");
-            check(
-                b.hard_limit >= b.expected,
-                at("hard-limit"),
-                "the hard limit is shorter than the expected time",
-            );
-            let tagged = b.repeat == RepeatSafety::Tagged;
-            check(
-                tagged || b.within == DeduplicationScope::All,
-                at("within"),
-                "within is for tagged bands",
-            );
-            check(
-                tagged || b.window.is_none(),
-                at("window"),
-                "window is for tagged bands",
-            );
-            check(
-                !tagged || b.window.is_some(),
-                at("window"),
-                "a tagged band needs its window",
-            );
-            for (field, names, known) in [
-                ("zone", &b.zone, &name_index.zones),
-                ("kind", &b.kind, &name_index.kinds),
-            ] {
-                for name in names {
-                    let configured = NameIndex::index(known, name).is_some();
-                    check(
-                        configured,
-                        at(field),
-                        &format!("{name} is not among those told at start"),
-                    );
-                }
-            }
-        }
-        // Which names are meant matters here, not what they are spread over.
-        found.extend(
-            self.cells
-                .iter()
-                .filter_map(|c| c.cell_directory(|name| name.len() as u64).err()),
-        );
-        found
-    }
-}
--- a/crates/config-change/src/lib.rs
+++ b/crates/config-change/src/lib.rs
@@ -1,16 +1,38 @@
 //! Changes of a gateway's settings, decided without input, output, clock or thread.
 //!
-//! [`document`] is the settings document, [`plan`] says what a change of it does and when, or why it can't be,
-//! [`revisions`] which document runs, and [`journal`] how revisions outlive the process.
+//! [`Document`] is the settings document, [`plan()`] says what a change of it does and when, or why it is not possible,
+//! [`RevisionTracker`] which document runs, and [`journal`] how revisions outlive the process. [`RunningConfig`] is what
+//! becomes of the configuration file when it is replaced.
 
-pub mod document;
+#![warn(missing_docs, clippy::too_many_lines, clippy::missing_errors_doc)]
+
+mod command;
+mod decimal;
+mod document;
 mod intersection;
 pub mod journal;
-pub mod plan;
-pub mod revisions;
-pub mod running_config;
+mod origin;
+mod plan;
+mod record;
+mod registry;
+mod replay;
+mod revision;
+mod running_config;
+mod tracker;
 
+pub use command::{
+    confirm_within, Action, Command, ConfirmWithinError, Confirmation, Input, Refusal, WriteError,
+};
+pub use decimal::Decimal;
 pub use document::{
-    Cell, Cells, Class, Decimal, Document, EnginePin, Log, NameIndex, RetryBudget, SlowStart,
-    TenantPin, Violation,
+    Cell, Cells, Class, DeduplicationScope, Document, EnginePin, Level, Log, NameIndex,
+    RepeatSafety, RetryBudget, SlowStart, TenantPin, Violation,
 };
+pub use origin::Origin;
+pub use plan::{plan, FieldChange, Plan, TakesEffect};
+pub use record::{PersistedState, Record};
+pub use registry::{ClassRegistry, ClassSlot, MAX_CLASSES};
+pub use replay::StartOutcome;
+pub use revision::{RevisionState, RevisionSummary, MAX_REVISIONS};
+pub use running_config::{ConfigFile, ReloadError, RunningConfig};
+pub use tracker::RevisionTracker;
--- /dev/null
+++ b/crates/config-change/src/origin.rs
@@ -0,0 +1,181 @@
+//! From a settings document back to the policy config.
+
+use crate::document::{Class, DeduplicationScope, Document, NameIndex, RepeatSafety};
+use crate::registry::{ClassRegistry, ClassSlot};
+use ironstair::{ClassPolicy, Effect, Ms, PolicyConfig, RetryBudget, Within};
+
+/// What the gateway is configured with and the document made of that. Every policy config is made from both, so that
+/// what was not changed keeps its number to the last digit, also after a change was rolled back.
+#[derive(Clone)]
+pub struct Origin {
+    /// As it was configured.
+    pub policy_config: PolicyConfig,
+    /// The document of that.
+    pub document: Document,
+    /// The names of zones and kinds by index.
+    pub name_index: NameIndex,
+}
+
+impl Origin {
+    /// The policy config of a document that [`crate::plan()`] let through, with the classes in the registry's order.
+    pub fn policy_config(&self, to: &Document, registry: &ClassRegistry) -> PolicyConfig {
+        let configured = &self.policy_config;
+        let before = &self.document;
+        let slow_start = &to.slow_start;
+        let slow_start_before = &before.slow_start;
+        let classes = registry.0.iter().map(|slot| self.class_policy(slot, to));
+        PolicyConfig {
+            gateways: if to.gateways == before.gateways {
+                configured.gateways
+            } else {
+                to.gateways as f64
+            },
+            classes: classes.collect(),
+            max_retry_after: if to.max_retry_after == before.max_retry_after {
+                configured.max_retry_after
+            } else {
+                to.max_retry_after as f64
+            },
+            max_attempts: to.max_attempts,
+            slow_start_from: if slow_start.from == slow_start_before.from {
+                configured.slow_start_from
+            } else {
+                slow_start.from.get()
+            },
+            slow_start_duration: if slow_start.slow_start_duration
+                == slow_start_before.slow_start_duration
+            {
+                configured.slow_start_duration
+            } else {
+                slow_start.slow_start_duration as f64
+            },
+            fall_multiple: if slow_start.multiple == slow_start_before.multiple {
+                configured.fall_multiple
+            } else {
+                slow_start.multiple.get()
+            },
+            fall_span: if slow_start.span == slow_start_before.span {
+                configured.fall_span
+            } else {
+                slow_start.span as f64
+            },
+            retry_budget: self.retry_budget(to),
+            ..configured.clone()
+        }
+    }
+
+    fn retry_budget(&self, to: &Document) -> Option<RetryBudget> {
+        if to.retry_budget == self.document.retry_budget {
+            return self.policy_config.retry_budget;
+        }
+        to.retry_budget.map(|budget| RetryBudget {
+            spare: budget.spare as f64,
+            share: budget.share.get(),
+            span: budget.span as f64,
+        })
+    }
+
+    fn class_policy(&self, slot: &ClassSlot, to: &Document) -> ClassPolicy {
+        let is_slot = |class: &&Class| ClassSlot::of(class) == *slot;
+        let configured = self
+            .document
+            .class
+            .iter()
+            .zip(&self.policy_config.classes)
+            .find(|(class, _)| is_slot(class));
+        let Some(class) = to.class.iter().find(is_slot) else {
+            return closed(slot, configured.map(|(_, policy)| policy));
+        };
+        let mut policy = self.policy_of(class);
+        if let Some((before, configured)) = configured {
+            keep_unchanged(&mut policy, class, before, configured);
+        }
+        policy
+    }
+
+    fn policy_of(&self, class: &Class) -> ClassPolicy {
+        ClassPolicy {
+            expected: class.expected as f64,
+            expected_stretch: class.expected_stretch.get(),
+            value: class.value.get(),
+            threads: class.threads as f64,
+            repeat: effect(class.repeat, class.within),
+            window: class.window.unwrap_or(0) as f64,
+            in_order: class.in_order,
+            zones: indices(&class.zone, &self.name_index.zones),
+            kinds: indices(&class.kind, &self.name_index.kinds),
+            holds: false,
+            closed: false,
+        }
+    }
+}
+
+/// A class that is out of service. What it was does not matter for new requests; open ones go by what they were taken
+/// under.
+fn closed(slot: &ClassSlot, configured: Option<&ClassPolicy>) -> ClassPolicy {
+    let before = configured.cloned().unwrap_or_default();
+    ClassPolicy {
+        closed: true,
+        threads: slot.threads as f64,
+        repeat: effect(slot.repeat, slot.within),
+        window: Ms::INFINITY,
+        zones: None,
+        kinds: None,
+        expected: before.expected.max(1.0),
+        value: if before.value > 0.0 {
+            before.value
+        } else {
+            1.0
+        },
+        in_order: slot.in_order,
+        ..before
+    }
+}
+
+/// Takes what the document has no field for, and what it did not change, as it was configured.
+fn keep_unchanged(
+    policy: &mut ClassPolicy,
+    class: &Class,
+    before: &Class,
+    configured: &ClassPolicy,
+) {
+    policy.holds = configured.holds;
+    if class.expected == before.expected {
+        policy.expected = configured.expected;
+    }
+    if class.expected_stretch == before.expected_stretch {
+        policy.expected_stretch = configured.expected_stretch;
+    }
+    if class.value == before.value {
+        policy.value = configured.value;
+    }
+    if class.window == before.window {
+        policy.window = configured.window;
+    }
+    if class.zone == before.zone {
+        policy.zones = configured.zones.clone();
+    }
+    if class.kind == before.kind {
+        policy.kinds = configured.kinds.clone();
+    }
+}
+
+fn indices(names: &[String], known: &[String]) -> Option<Vec<u16>> {
+    let found = names
+        .iter()
+        .filter_map(|name| NameIndex::index(known, name))
+        .collect();
+    (!names.is_empty()).then_some(found)
+}
+
+fn effect(repeat: RepeatSafety, within: DeduplicationScope) -> Effect {
+    match repeat {
+        RepeatSafety::Repeatable => Effect::Idempotent,
+        RepeatSafety::OnceOnly => Effect::NonIdempotent,
+        RepeatSafety::Tagged => Effect::Deduplicated(match within {
+            DeduplicationScope::All => Within::All,
+            DeduplicationScope::Zone => Within::Zone,
+            DeduplicationScope::MarkGroup => Within::MarkGroup,
+        }),
+    }
+}
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -1,9 +1,9 @@
 //! Journals that are torn, spoilt or foreign at every byte.
 
-use ironstair_config_change::journal::{
-    decode, encode, PersistedState, Record, RevisionSummary, StartOutcome, MAX_RECORD_BYTES,
+use ironstair_config_change::journal::{decode, encode, DecodeError, Decoded, MAX_RECORD_BYTES};
+use ironstair_config_change::{
+    PersistedState, Record, RevisionState, RevisionSummary, StartOutcome,
 };
-use ironstair_config_change::revisions::RevisionState;
 use proptest::prelude::*;
 
 fn revision(number: u64, state: RevisionState) -> RevisionSummary {
@@ -52,10 +52,14 @@
             Some(*at)
         });
         let whole = ends.clone().filter(|&e| e <= cut).count();
-        let (records, n, reason) = decode::<u8>(&all[..cut]);
+        let Decoded {
+            records,
+            whole_bytes,
+            error,
+        } = decode::<u8>(&all[..cut]);
         assert_eq!(
-            (records.len(), reason.is_none()),
-            (whole, n == cut),
+            (records.len(), error.is_none()),
+            (whole, whole_bytes == cut),
             "{cut}"
         );
         let (persisted, found) = PersistedState::open(records, 0);
@@ -77,18 +81,27 @@
     for at in 0..all.len() {
         let mut spoilt = all.clone();
         spoilt[at] ^= 0x20;
-        let (records, n, reason) = decode::<u8>(&spoilt);
-        assert!(reason.is_some() && n <= at, "{at}");
-        assert_eq!(records, day()[..records.len()]);
+        let decoded = decode::<u8>(&spoilt);
+        assert!(decoded.error.is_some() && decoded.whole_bytes <= at, "{at}");
+        assert_eq!(decoded.records, day()[..decoded.records.len()]);
     }
 }
 
 #[test]
 fn zeros_and_long_lengths_are_no_records() {
-    let (records, n, reason) = decode::<u8>(&[0; 64]);
-    assert_eq!((records.len(), n, reason), (0, 0, Some("checksum differs")));
+    let none = |error| Decoded {
+        records: Vec::new(),
+        whole_bytes: 0,
+        error: Some(error),
+    };
+    assert_eq!(decode::<u8>(&[0; 64]), none(DecodeError::Checksum));
+    assert_eq!(DecodeError::Checksum.to_string(), "checksum differs");
     let long = (MAX_RECORD_BYTES as u32 + 1).to_le_bytes();
-    assert_eq!(decode::<u8>(&[long, long].concat()).2, Some("no length"));
+    assert_eq!(
+        decode::<u8>(&[long, long].concat()),
+        none(DecodeError::Length)
+    );
+    assert_eq!(DecodeError::Length.to_string(), "no length");
 }
 
 #[test]
@@ -138,7 +151,7 @@
     #[test]
     fn any_bytes_behind_a_journal_do_it_no_harm(tail in proptest::collection::vec(any::<u8>(), 0..64)) {
         let all = bytes(&day()).concat();
-        let (records, n, _) = decode::<u8>(&[all.clone(), tail].concat());
-        prop_assert_eq!((records, n), (day(), all.len()));
+        let decoded = decode::<u8>(&[all.clone(), tail].concat());
+        prop_assert_eq!((decoded.records, decoded.whole_bytes), (day(), all.len()));
     }
 }
--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -3,9 +3,10 @@
 //! earlier version of the program; journals on disk and clients hold the same forms, so they have to be read and
 //! written without a difference.
 
-use ironstair_config_change::journal::{decode, encode, PersistedState, Record};
-use ironstair_config_change::plan::{plan, ClassRegistry, FieldChange, TakesEffect};
-use ironstair_config_change::{Document, NameIndex};
+use ironstair_config_change::journal::{decode, encode, Decoded};
+use ironstair_config_change::{
+    plan, ClassRegistry, Document, FieldChange, NameIndex, PersistedState, Record, TakesEffect,
+};
 use serde_json::Value;
 use std::path::Path;
 
@@ -153,7 +154,11 @@
     let bytes = unhex(&pinned("journal.hex"));
     assert_eq!(
         decode::<Document>(&bytes),
-        (read.clone(), bytes.len(), None)
+        Decoded {
+            records: read.clone(),
+            whole_bytes: bytes.len(),
+            error: None
+        }
     );
 
     let (persisted, _) = PersistedState::open(read, document("document-least.json"));
@@ -169,7 +174,7 @@
     let step = |s: &FieldChange| {
         let value = |v: &Option<String>| match v {
             None => "none".to_string(),
-            // Written for people, from the program's own names: no form that anything reads.
+            // Its text has a test of its own, in `plan.rs`.
             Some(_) if s.path == "/settings/cells" => "some".to_string(),
             Some(text) => format!("{text:?}"),
         };
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,9 +1,9 @@
 //! What a change does and when, and what it can't be.
 
 use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig, RetryBudget, Within};
-use ironstair_config_change::document::{Document, NameIndex};
-use ironstair_config_change::plan::{plan, ClassRegistry, Origin, TakesEffect, MAX_CLASSES};
-use ironstair_config_change::Decimal;
+use ironstair_config_change::{
+    plan, Cells, ClassRegistry, Decimal, Document, NameIndex, Origin, TakesEffect, MAX_CLASSES,
+};
 
 fn origin() -> Origin {
     let terms = |expected: f64, repeat| ClassPolicy {
@@ -326,3 +326,38 @@
         "no band in both"
     );
 }
+
+#[test]
+fn a_change_of_the_cells_is_shown_in_the_text_it_always_had() {
+    // From the time when it followed the names in the code; readers of a plan know this text.
+    let cells = |json: &str| serde_json::from_str::<Cells>(json).unwrap();
+    let full = cells(
+        r#"{"shard": 2, "cell": [{"name": "n", "weight": "1.5"}, {"name": "s"}],
+            "engine": [{"name": "e\"1", "cell": "n"}],
+            "tenant": [{"name": "t 1", "cell": ["s", "n"]}, {"name": "t 2"}], "turn-back": 500}"#,
+    );
+    let lend = cells(r#"{"cell": [{"name": "n"}], "lend": "0.25"}"#);
+    let origin = origin();
+    let from = Document {
+        cells: Some(full),
+        ..origin.document.clone()
+    };
+    let to = Document {
+        cells: Some(lend),
+        ..origin.document.clone()
+    };
+    let registry = ClassRegistry::of(&from);
+    let changes = plan(&from, &to, &registry, &origin.name_index)
+        .unwrap()
+        .changes;
+    assert_eq!(changes.len(), 1);
+    assert_eq!(changes[0].path, "/settings/cells");
+    assert_eq!(
+        changes[0].from.as_deref().unwrap(),
+        r#"Cells { shard: 2, cell: [Cell { name: "n", weight: Decimal(1.5) }, Cell { name: "s", weight: Decimal(1.0) }], engine: [EnginePin { name: "e\"1", cell: "n" }], tenant: [TenantPin { name: "t 1", cell: ["s", "n"] }, TenantPin { name: "t 2", cell: [] }], turn_back: Some(500), lend: None }"#
+    );
+    assert_eq!(
+        changes[0].to.as_deref().unwrap(),
+        r#"Cells { shard: 1, cell: [Cell { name: "n", weight: Decimal(1.0) }], engine: [], tenant: [], turn_back: None, lend: Some(Decimal(0.25)) }"#
+    );
+}
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -1,9 +1,9 @@
 //! Revisions under commits, confirmations, time-outs, writes that fail, crashes and restarts in every order
 //! (model checked), and the plain cases by hand.
 
-use ironstair_config_change::journal::{PersistedState, Record};
-use ironstair_config_change::revisions::{
-    Action, Command, Input, Refusal, RevisionState, RevisionTracker,
+use ironstair_config_change::{
+    Action, Command, Confirmation, Input, PersistedState, Record, Refusal, RevisionState,
+    RevisionTracker, WriteError,
 };
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -61,7 +61,10 @@
     };
     match summary {
         "set" => set(None),
-        "try" => set(Some((id(), 1.0))),
+        "try" => set(Some(Confirmation {
+            id: id(),
+            within: 1.0,
+        })),
         "confirm" => Command::Confirm { id: id() },
         "cancel" => Command::Cancel { id: id() },
         _ => Command::Extend {
@@ -173,7 +176,7 @@
                 w.hand(Input::Written(if persisted {
                     Ok(())
                 } else {
-                    Err("full".into())
+                    Err(WriteError("full".into()))
                 }));
             }
             Step::Crash(persisted) => {
@@ -319,7 +322,7 @@
         let how = if persisted {
             Ok(())
         } else {
-            Err("full".to_string())
+            Err(WriteError("full".to_string()))
         };
         let then = l.on(1.7, Input::Written(how));
         assert_eq!(
--- a/crates/config-change/tests/running_config.rs
+++ b/crates/config-change/tests/running_config.rs
@@ -1,8 +1,7 @@
 //! A replaced file, there and back, without a gateway.
 
 use ironstair::{ClassPolicy, Effect, Kind, PolicyConfig};
-use ironstair_config_change::running_config::{ConfigFile, RunningConfig};
-use ironstair_config_change::NameIndex;
+use ironstair_config_change::{ConfigFile, NameIndex, RunningConfig};
 
 fn class(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> ClassPolicy {
     let (expected, value) = (500.0, 1.0);
@@ -125,14 +124,14 @@
     assert!(start.reload(first()).unwrap().is_none());
     let mut bad = second();
     bad.policy_config.classes[1].kinds = Some(vec![7]);
-    let reason = start.reload(bad).err().unwrap();
+    let reason = start.reload(bad).err().unwrap().to_string();
     assert!(
         reason.contains("report: machine_types_allowed: index 7"),
         "{reason}"
     );
     let mut bad = second();
     bad.limits[0] = 100.0;
-    let reason = start.reload(bad).err().unwrap();
+    let reason = start.reload(bad).err().unwrap().to_string();
     assert!(reason.contains("hard-limit"), "{reason}");
 }
 
@@ -151,7 +150,7 @@
             now = next.unwrap();
             None
         }
-        Err(reason) => Some((n, reason)),
+        Err(reason) => Some((n, reason.to_string())),
     });
     let (n, reason) = end.expect("a bound");
     assert!(n < 256 && reason.contains("restart"), "{n} {reason}");
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -5,8 +5,7 @@
 use crate::schema::Value;
 use ironstair::policy::{ClassView, EngineView};
 use ironstair::{EndpointState, Ms};
-use ironstair_config_change::journal::RevisionSummary;
-use ironstair_config_change::revisions;
+use ironstair_config_change::{RevisionState, RevisionSummary};
 use ironstair_coordination::Share;
 use std::sync::Arc;
 
@@ -318,10 +317,10 @@
         n.set("when", moment(l.created_at));
         n.text("what", &l.summary);
         let outcome = match l.state {
-            revisions::RevisionState::Running => "running",
-            revisions::RevisionState::Unconfirmed => "unconfirmed",
-            revisions::RevisionState::Replaced => "replaced",
-            revisions::RevisionState::RolledBack => "taken-back",
+            RevisionState::Running => "running",
+            RevisionState::Unconfirmed => "unconfirmed",
+            RevisionState::Replaced => "replaced",
+            RevisionState::RolledBack => "taken-back",
         };
         n.text("outcome", outcome);
         if let Some(until) = l.until {
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -4,8 +4,7 @@
 
 use ironstair::policy::{ClassView, EngineView};
 use ironstair::EndpointState;
-use ironstair_config_change::journal::RevisionSummary;
-use ironstair_config_change::{revisions, Document};
+use ironstair_config_change::{Document, RevisionState, RevisionSummary};
 use ironstair_coordination::Share;
 use ironstair_data_tree::leaves::select;
 use ironstair_data_tree::schema::{Kind, Node, Type};
@@ -204,7 +203,7 @@
 }
 
 fn lines() -> Vec<RevisionSummary> {
-    use revisions::RevisionState::{Replaced, RolledBack, Running, Unconfirmed};
+    use RevisionState::{Replaced, RolledBack, Running, Unconfirmed};
     let all = [
         (1, Replaced),
         (2, Running),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,8 +1,7 @@
 //! What a gateway is told at start, decoded once.
 
 use ironstair::{EndpointState, Ms, PolicyConfig};
-use ironstair_config_change::running_config::ConfigFile;
-use ironstair_config_change::NameIndex;
+use ironstair_config_change::{ConfigFile, NameIndex};
 use ironstair_runtime::DiscoveredEndpoint;
 use ironstair_settings::{carriage, classes, kinds, limits, policy_config, word, zones, Carriage};
 use serde_json::Value;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -15,7 +15,7 @@
 use futures_lite::StreamExt;
 use ironstair::policy::Gateway;
 use ironstair::Ms;
-use ironstair_config_change::running_config::RunningConfig;
+use ironstair_config_change::RunningConfig;
 use ironstair_fleet_agent::fault_injection::taken_out;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::pool::Pool;
@@ -76,8 +76,10 @@
                     let _ = r.try_send(());
                 }
                 // All of it or none: settings that can't be leave the list where it is, too.
-                let read =
-                    config::read(&config).and_then(|t| Ok((running_config.reload(t.file())?, t)));
+                let read = config::read(&config).and_then(|t| {
+                    let new = running_config.reload(t.file()).map_err(|e| e.to_string())?;
+                    Ok((new, t))
+                });
                 let (new, mut config) = match read {
                     Ok(read) => read,
                     Err(e) => {
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -7,7 +7,7 @@
 use crate::proto::gnmi::{self, get_request::DataType, update_result::Operation};
 use crate::proto::gnmi_ext::{commit::Action, extension::Ext, Commit, Extension};
 use ironstair::Ms;
-use ironstair_config_change::revisions::{confirm_within, Command, Refusal};
+use ironstair_config_change::{confirm_within, Command, Confirmation, Refusal};
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
@@ -410,7 +410,7 @@
                     return Err(wrong("a commit without a change"));
                 }
                 let what = said(&edits);
-                let commit = Some((id, span));
+                let commit = Some(Confirmation { id, within: span });
                 return self
                     .management
                     .set(edits, who.name, what, commit, scope)
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -7,11 +7,10 @@
 use ironstair::Ms;
 use ironstair_cells::moves::may_move;
 use ironstair_cells::Cells;
-use ironstair_config_change::document::Level;
-use ironstair_config_change::journal::{PersistedState, Record};
-use ironstair_config_change::plan::{plan, ClassRegistry, Origin};
-use ironstair_config_change::revisions::{Action, Command, Input, Refusal, RevisionTracker};
-use ironstair_config_change::Document;
+use ironstair_config_change::{
+    plan, Action, ClassRegistry, Command, Confirmation, Document, Input, Level, Origin,
+    PersistedState, Record, Refusal, RevisionTracker, WriteError,
+};
 use ironstair_data_tree::state::{self, Snapshot};
 use ironstair_data_tree::{Edit, Leaves, Path, Schema};
 use ironstair_runtime::clock::{span, Clock};
@@ -66,19 +65,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Refused::Wrong(all) => f.write_str(&all.join("; ")),
-            Refused::Not(Refusal::Unconfirmed { number, id }) => {
-                write!(f, "revision {number} waits to be confirmed under {id:?}: confirm or cancel it first")
-            }
-            Refused::Not(Refusal::NoSuchCommit { id }) => {
-                write!(
-                    f,
-                    "nothing waits to be confirmed under {id:?}: it was confirmed or taken back already"
-                )
-            }
-            Refused::Not(Refusal::NotPersisted { reason: why }) => {
-                write!(f, "the change can't be kept, and was not made: {why}")
-            }
-            Refused::Not(Refusal::Busy) => f.write_str("another change is being made"),
+            Refused::Not(refusal) => refusal.fmt(f),
             Refused::Fleet(why) => f.write_str(why),
             Refused::Ending => f.write_str("the gateway is about to end"),
         }
@@ -113,7 +100,7 @@
     edits: Vec<Edit>,
     who: String,
     what: String,
-    commit: Option<(String, Ms)>,
+    commit: Option<Confirmation>,
     scope: Scope,
     answer: Responder,
 }
@@ -171,7 +158,7 @@
         edits: Vec<Edit>,
         who: String,
         what: String,
-        commit: Option<(String, Ms)>,
+        commit: Option<Confirmation>,
         scope: Scope,
     ) -> Result<u64, Refused> {
         let asks = |answer| {
@@ -497,7 +484,7 @@
             what,
             document,
             base_revision,
-            commit,
+            commit: commit.map(|c| (c.id, c.within)),
             answer,
         });
     }
@@ -605,7 +592,7 @@
                     Action::Write(record) => inputs.push(Input::Written(self.write(record).await)),
                     Action::Note(record) => {
                         if let Err(why) = self.write(record).await {
-                            warn!(self.log, "a change taken back could not be noted"; "why" => why);
+                            warn!(self.log, "a change taken back could not be noted"; "why" => %why);
                         }
                     }
                     Action::Apply { number, document } => drop(self.apply(number, document).await),
@@ -619,9 +606,9 @@
     }
 
     /// On a thread of its own: a slow disk holds up nobody who reads.
-    async fn write(&mut self, record: Record<Document>) -> Result<(), String> {
+    async fn write(&mut self, record: Record<Document>) -> Result<(), WriteError> {
         let Some(mut journal) = self.journal.take() else {
-            return Err("no journal".into());
+            return Err(WriteError("no journal".into()));
         };
         // Not while one waits to be confirmed: what is written anew would not hold it.
         let anew = journal.wants_anew() && self.tracker.pending_confirmation().is_none();
@@ -635,22 +622,14 @@
             };
             (journal, how)
         });
-        let (journal, how) = work.await.map_err(|e| e.to_string())?;
+        let (journal, how) = work.await.map_err(|e| WriteError(e.to_string()))?;
         self.journal = Some(journal);
-        how
+        how.map_err(WriteError)
     }
 
     /// All that a start needs. An unconfirmed one is left out: its time has no meaning for another process.
     fn persisted(&self) -> PersistedState<Document> {
-        let (number, running, revisions) = self.tracker.after_restart();
-        let next = self.tracker.next();
-        PersistedState {
-            configured: self.configured.clone(),
-            running,
-            number,
-            next,
-            revisions,
-        }
+        self.tracker.after_restart(self.configured.clone())
     }
 
     /// Whether the gateway's thread has taken it over by the end.
--- a/crates/management/src/file.rs
+++ b/crates/management/src/file.rs
@@ -1,7 +1,7 @@
 //! The journal's file: appended to and brought to the disk before anything rests on it.
 
-use ironstair_config_change::journal::{decode, encode, PersistedState, Record};
-use ironstair_config_change::Document;
+use ironstair_config_change::journal::{decode, encode, Decoded};
+use ironstair_config_change::{Document, PersistedState, Record};
 use std::fs::File;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
@@ -45,7 +45,11 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => {}
             Err(e) => return Err(fault(e)),
         }
-        let (records, whole, why) = decode(&bytes);
+        let Decoded {
+            records,
+            whole_bytes: whole,
+            error: why,
+        } = decode(&bytes);
         let lost = bytes.len() - whole;
         let note = why.map(|why| {
             format!(
@@ -86,7 +90,7 @@
     }
 
     pub fn anew(&mut self, persisted: &PersistedState<Document>) -> Result<(), String> {
-        let bytes = encode(&Record::Whole(persisted.clone()))?;
+        let bytes = encode(&Record::Whole(persisted.clone())).map_err(|e| e.to_string())?;
         let file = ironstair_atomic_file::replace(&self.folder, FILE, "revisions.new", &bytes);
         let file = file.map_err(|e| format!("{}: {e}", Self::path(&self.folder).display()))?;
         (self.file, self.whole, self.records) = (Some(file), bytes.len() as u64, 0);
@@ -96,7 +100,7 @@
     /// Appends a record and waits until the disk has it. One that it did not take is cut off again; where that
     /// fails too, nothing more is appended until the file could be written anew.
     pub fn append(&mut self, record: &Record<Document>) -> Result<(), String> {
-        let bytes = encode(record)?;
+        let bytes = encode(record).map_err(|e| e.to_string())?;
         let file = self.file.as_mut().ok_or("the journal is not open")?;
         match file.write_all(&bytes).and_then(|()| file.sync_data()) {
             Ok(()) => {
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -3,10 +3,10 @@
 use crate::file::Journal;
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
-use ironstair_config_change::journal::{PersistedState, StartOutcome};
-use ironstair_config_change::plan::{plan, ClassRegistry, Origin};
-use ironstair_config_change::revisions::RevisionTracker;
-use ironstair_config_change::{Cells, Document, NameIndex};
+use ironstair_config_change::{
+    plan, Cells, ClassRegistry, Document, NameIndex, Origin, PersistedState, RevisionTracker,
+    StartOutcome,
+};
 use ironstair_data_tree::{Leaves, Schema};
 use ironstair_runtime::number;
 use ironstair_runtime::window::ClassSummary;
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,9 +1,10 @@
 //! A journal's file, cut at every byte of its last records by a kill in the middle of a write: the start after it.
 
 use ironstair::{ClassPolicy, Kind, PolicyConfig};
-use ironstair_config_change::journal::{encode, PersistedState, Record, RevisionSummary};
-use ironstair_config_change::revisions::RevisionState;
-use ironstair_config_change::{Document, NameIndex};
+use ironstair_config_change::journal::encode;
+use ironstair_config_change::{
+    Document, NameIndex, PersistedState, Record, RevisionState, RevisionSummary,
+};
 use ironstair_management::{open, Journal};
 use std::path::Path;
 
@@ -49,12 +50,17 @@
     // What the decision module begins with is what the ledger says runs.
     assert_eq!(
         started.policy_config().max_retry_after,
-        started.tracker.running().advice as f64
+        started.tracker.running().max_retry_after as f64
     );
-    (started.tracker.running().advice, started.notes)
+    (started.tracker.running().max_retry_after, started.notes)
 }
 
-fn set(number: u64, advice: u32, state: RevisionState, base: &Document) -> Record<Document> {
+fn set(
+    number: u64,
+    max_retry_after: u32,
+    state: RevisionState,
+    base: &Document,
+) -> Record<Document> {
     let (author, summary) = ("op".to_string(), String::new());
     let revision = RevisionSummary {
         number,
@@ -68,7 +74,7 @@
     Record::Set {
         revision,
         document: Document {
-            advice,
+            max_retry_after,
             ..base.clone()
         },
     }
@@ -97,8 +103,8 @@
             .rev()
             .find(|&n| parts[..n].concat().len() <= cut)
             .unwrap();
-        let (advice, notes) = advice_after(folder.path());
-        assert_eq!(advice, runs[whole], "{cut}");
+        let (max_retry_after, notes) = advice_after(folder.path());
+        assert_eq!(max_retry_after, runs[whole], "{cut}");
         let torn = parts[..whole].concat().len() < cut;
         let revisions = notes.iter().filter(|n| n.contains("left out")).count();
         assert_eq!(revisions, torn as usize, "one line, at {cut}: {notes:?}");
@@ -106,7 +112,7 @@
         let (again, notes) = advice_after(folder.path());
         assert_eq!(
             (again, notes.iter().any(|n| n.contains("left out"))),
-            (advice, false),
+            (max_retry_after, false),
             "{cut}"
         );
     }
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -2,8 +2,7 @@
 //! under `pinned` was written by an earlier version of the program; a gateway that is updated starts with it, so it has
 //! to be read whole, go on with the same revision, and be written without a difference.
 
-use ironstair_config_change::journal::{PersistedState, Record};
-use ironstair_config_change::{Document, NameIndex};
+use ironstair_config_change::{Document, NameIndex, PersistedState, Record};
 use ironstair_management::Journal;
 use std::path::Path;
 
