--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,9 @@
 use ironstair::{EndpointState, Ms, PolicyConfig};
 use ironstair_config_change::{ConfigFile, NameIndex};
 use ironstair_runtime::DiscoveredEndpoint;
-use ironstair_settings::{carriage, classes, kinds, limits, policy_config, word, zones, Carriage};
+use ironstair_settings::{
+    classes, kinds, limits, policy_config, text, transport_config, zones, TransportConfig,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,7 +24,7 @@
     pub memory_mb: f64,
     pub descriptors: usize,
     pub policy_config: PolicyConfig,
-    pub carriage: Carriage,
+    pub transport_config: TransportConfig,
     pub classes: Vec<String>,
     /// The classes' hard limits.
     pub limits: Vec<Ms>,
@@ -60,7 +62,7 @@
 }
 
 fn address(v: &Value, key: &str) -> Result<SocketAddr, String> {
-    let found = word(v, key)?;
+    let found = text(v, key)?;
     found
         .parse()
         .map_err(|_| format!("{key} is no address: {found}"))
@@ -69,7 +71,7 @@
 pub fn decode(json: &[u8]) -> Result<GatewayConfig, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
-    let seed = word(&v, "seed")?;
+    let seed = text(&v, "seed")?;
     let index = NameIndex {
         zones: zones(settings)?,
         kinds: kinds(settings)?,
@@ -80,7 +82,7 @@
         follow(&mut known, &notice["pool"], &index)?;
     }
     Ok(GatewayConfig {
-        name: word(&v, "name")?.to_string(),
+        name: text(&v, "name")?.to_string(),
         listen: address(&v, "listen")?,
         names: address(&v, "names")?,
         seed: u64::from_str_radix(seed, 16)
@@ -88,7 +90,7 @@
         memory_mb: v["limits"]["memory_mb"].as_f64().unwrap_or(MEMORY_MB),
         descriptors: v["limits"]["sockets"].as_f64().unwrap_or(DESCRIPTORS) as usize,
         policy_config: policy_config(settings).map_err(|e| format!("settings: {e}"))?,
-        carriage: carriage(settings).map_err(|e| format!("settings: {e}"))?,
+        transport_config: transport_config(settings).map_err(|e| format!("settings: {e}"))?,
         classes: classes(settings).map_err(|e| format!("settings: {e}"))?,
         limits: limits(settings).map_err(|e| format!("settings: {e}"))?,
         index,
@@ -108,8 +110,8 @@
     }
     for e in pool["instances"].as_array().into_iter().flatten() {
         // In lower case, like the names that DNS brings.
-        let name = word(e, "instanceId")?.to_ascii_lowercase();
-        let state = match word(e, "lifecycle")? {
+        let name = text(e, "instanceId")?.to_ascii_lowercase();
+        let state = match text(e, "lifecycle")? {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             _ => {
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -403,8 +403,11 @@
 fn amend(gateway: &mut Gateway, executor: &mut ActionExecutor, to: Amendment) {
     executor.shared.classes.replace(Rc::new(to.classes));
     executor.shared.longest.set(to.longest);
-    if let Some(carriage) = to.carriage {
-        executor.shared.carriage.replace(Rc::new(carriage));
+    if let Some(transport_config) = to.transport_config {
+        executor
+            .shared
+            .transport_config
+            .replace(Rc::new(transport_config));
     }
     if let Some(cells) = to
         .cells
@@ -587,7 +590,7 @@
         let _ = t.client.try_send(Reply::Unusable(t.call));
         return;
     }
-    if executor.open >= executor.shared.carriage().most_open {
+    if executor.open >= executor.shared.transport_config().max_open_requests {
         // The bound on open requests that the settings name: at the door, before it is the module's.
         let _ = t.client.try_send(Reply::Rejected(t.call, 0.0));
         return;
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -2,13 +2,14 @@
 use async_executor::LocalExecutor;
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 
 fn executor() -> ActionExecutor {
     let reports = Vec::new();
-    let (connect_within, idle, streams, most_open, longest) = (250.0, 3e4, 32, 100, 5000.0);
+    let (connect_timeout, idle, streams, max_open_requests, longest) =
+        (250.0, 3e4, 32, 100, 5000.0);
     let shared = Rc::new(Shared {
         clock: Clock::start(),
         pool: Pool::of(1 << 16),
@@ -16,11 +17,11 @@
         longest: Cell::new(5000.0),
         gauges: Default::default(),
         tenants: false,
-        carriage: RefCell::new(Rc::new(Carriage {
-            connect_within,
+        transport_config: RefCell::new(Rc::new(TransportConfig {
+            connect_timeout,
             idle,
             streams,
-            most_open,
+            max_open_requests,
             longest,
             reports,
         })),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -188,7 +188,7 @@
             .filter(|f| self.unheard(f))
             .map(|f| f.link)
             .collect();
-        let streams = self.shared.carriage().streams;
+        let streams = self.shared.transport_config().streams;
         let again = |l: &Link| of.is_some_and(|id| l.given_up.contains(id));
         let room = self
             .links
@@ -209,7 +209,7 @@
         self.opened += 1;
         let (held_back, goes_on) = async_channel::bounded(1);
         let s = &self.shared;
-        let within = s.carriage().connect_within;
+        let within = s.transport_config().connect_timeout;
         let task = carry(
             self.opened,
             self.address,
@@ -463,7 +463,13 @@
     /// By the names told at start; where the engine has others, in the order that it tells them.
     fn report(&mut self, fields: Fields) {
         let named = |n: &String| fields.load().find(|l| l.0 == n.as_bytes()).map(|l| l.1);
-        let values: Option<Vec<f64>> = self.shared.carriage().reports.iter().map(named).collect();
+        let values: Option<Vec<f64>> = self
+            .shared
+            .transport_config()
+            .reports
+            .iter()
+            .map(named)
+            .collect();
         let values = values.unwrap_or_else(|| fields.load().map(|l| l.1).collect());
         if !values.is_empty() {
             self.events.push(Event::Report {
@@ -598,7 +604,7 @@
         let rest = if l.silent {
             0.0
         } else {
-            self.shared.carriage().idle * IDLE_SHARE
+            self.shared.transport_config().idle * IDLE_SHARE
         };
         (l.stream.is_some() && l.open == 0).then_some(l.idle_since + rest)
     }
@@ -606,7 +612,7 @@
     /// An answer is written at once: half of one for longer than a connection takes to come up is all of it.
     fn part_until(&self, l: &Link) -> Option<Ms> {
         l.part_since
-            .map(|since| since + self.shared.carriage().connect_within)
+            .map(|since| since + self.shared.transport_config().connect_timeout)
     }
 
     fn due(&self) -> Option<Ms> {
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -7,7 +7,7 @@
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::ClassSummary;
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use slog::{o, Discard, Logger};
 use std::cell::RefCell;
 use std::io::Read;
@@ -25,12 +25,12 @@
 
 fn bench(streams: usize) -> Bench {
     let (module, events) = async_channel::unbounded();
-    let (connect_within, idle, longest) = (1000.0, 3e4, 5000.0);
-    let carriage = Carriage {
-        connect_within,
+    let (connect_timeout, idle, longest) = (1000.0, 3e4, 5000.0);
+    let transport_config = TransportConfig {
+        connect_timeout,
         idle,
         streams,
-        most_open: 100,
+        max_open_requests: 100,
         longest,
         reports: Vec::new(),
     };
@@ -45,7 +45,7 @@
         longest: Cell::new(longest),
         gauges: Default::default(),
         tenants: false,
-        carriage: RefCell::new(Rc::new(carriage)),
+        transport_config: RefCell::new(Rc::new(transport_config)),
         links_most: 2,
         listed: Cell::new(1),
         lease_until: Cell::new(Ms::INFINITY),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -21,7 +21,7 @@
 use ironstair_runtime::pool::Pool;
 use ironstair_runtime::window::{self, Amendment, ManagementCommand};
 use ironstair_runtime::{Event, Gauges, Shared};
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::net::TcpListener;
@@ -88,11 +88,12 @@
                     }
                 };
                 // What the carrying alone goes by may change as well.
-                if new.is_some() || config.carriage != *shared.carriage() {
+                if new.is_some() || config.transport_config != *shared.transport_config() {
                     match settings {
                         Settings::File => {
                             running_config = new.unwrap_or(running_config);
-                            take_over(&running_config, config.carriage.clone(), &shared).await;
+                            take_over(&running_config, config.transport_config.clone(), &shared)
+                                .await;
                         }
                         Settings::Management => {
                             warn!(
@@ -136,7 +137,11 @@
 }
 
 /// Other settings, through the module's mailbox: before the list that may rest on them, which comes after.
-async fn take_over(running_config: &RunningConfig, carriage: Carriage, shared: &Shared) {
+async fn take_over(
+    running_config: &RunningConfig,
+    transport_config: TransportConfig,
+    shared: &Shared,
+) {
     let policy_config = running_config.policy_config();
     let (classes, longest) = ironstair_management::classes(
         running_config.registry(),
@@ -149,7 +154,7 @@
         classes,
         longest,
         cells: None,
-        carriage: Some(carriage),
+        transport_config: Some(transport_config),
         done,
     };
     let _ = shared
@@ -215,7 +220,10 @@
                 in_service: true,
             });
             let classes = classes.collect();
-            (config.policy_config, (classes, config.carriage.longest))
+            (
+                config.policy_config,
+                (classes, config.transport_config.longest),
+            )
         }
     };
     let in_fleet = management.as_ref().is_some_and(|m| m.in_fleet());
@@ -241,7 +249,7 @@
             .as_ref()
             .and_then(|o| o.cells.as_ref())
             .is_some_and(|c| c.named_by_clients),
-        carriage: RefCell::new(Rc::new(config.carriage)),
+        transport_config: RefCell::new(Rc::new(config.transport_config)),
         log: log.clone(),
         module: module.clone(),
         executor: executor.clone(),
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -659,7 +659,7 @@
             classes,
             longest,
             cells,
-            carriage: None,
+            transport_config: None,
             done,
         };
         let asked = self
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use clock::Clock;
 use ironstair::{EndpointState, Ms, Outcome, Request};
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use pool::{Buffer, Chain, Pool};
 use slog::Logger;
 use std::cell::{Cell, RefCell};
@@ -148,7 +148,7 @@
     /// The longest hard limit.
     pub longest: Cell<Ms>,
     /// Replaced whole when a file brings other figures.
-    pub carriage: RefCell<Rc<Carriage>>,
+    pub transport_config: RefCell<Rc<TransportConfig>>,
     /// Whether clients may name their tenant.
     pub tenants: bool,
     /// Connections to all engines, and how many engines there are.
@@ -182,8 +182,8 @@
         self.classes.borrow().clone()
     }
 
-    pub fn carriage(&self) -> Rc<Carriage> {
-        self.carriage.borrow().clone()
+    pub fn transport_config(&self) -> Rc<TransportConfig> {
+        self.transport_config.borrow().clone()
     }
 
     /// Whether the terms hold now.
--- a/crates/runtime/src/window.rs
+++ b/crates/runtime/src/window.rs
@@ -7,7 +7,7 @@
 use ironstair_cells::CellDirectory;
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::Snapshot;
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use std::sync::Arc;
 
 /// From another thread, to the module's actor.
@@ -30,7 +30,7 @@
     /// None leaves them as they are.
     pub cells: Option<Option<CellDirectory>>,
     /// Other figures of the carrying, where a file brings some.
-    pub carriage: Option<Carriage>,
+    pub transport_config: Option<TransportConfig>,
     /// Told once it is done.
     pub done: Sender<()>,
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,7 +35,7 @@
 }
 
 /// A text that must be there.
-pub fn word<'a>(v: &'a Value, path: &str) -> Result<&'a str, String> {
+pub fn text<'a>(v: &'a Value, path: &str) -> Result<&'a str, String> {
     at(v, path)
         .and_then(Value::as_str)
         .ok_or_else(|| format!("{path} is missing or no text"))
@@ -66,7 +66,7 @@
         Some("cell") => Within::MarkGroup,
         Some(other) => return Err(format!("group {other} is unknown")),
     };
-    let repeat = match word(c, "semantics")? {
+    let repeat = match text(c, "semantics")? {
         "pure" => Effect::Idempotent,
         "token" => Effect::Deduplicated(within),
         "side_effect" => Effect::NonIdempotent,
@@ -121,21 +121,21 @@
 /// What the carrying goes by: how long to connect, how long an idle connection lives, how many attempts share
 /// one, how many requests may be open, the longest hard limit, and what an engine's report names.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Carriage {
-    pub connect_within: Ms,
+pub struct TransportConfig {
+    pub connect_timeout: Ms,
     pub idle: Ms,
     pub streams: usize,
-    pub most_open: usize,
+    pub max_open_requests: usize,
     pub longest: Ms,
     pub reports: Vec<String>,
 }
 
-pub fn carriage(v: &Value) -> Result<Carriage, String> {
-    Ok(Carriage {
-        connect_within: time(v, "policy_limits.connect_timeout_ns")?,
+pub fn transport_config(v: &Value) -> Result<TransportConfig, String> {
+    Ok(TransportConfig {
+        connect_timeout: time(v, "policy_limits.connect_timeout_ns")?,
         idle: time(v, "policy_limits.keepalive_ns")?,
         streams: number(v, "policy_limits.multiplex")?.max(1.0) as usize,
-        most_open: number_or(v, "policy_limits.max_open", f64::MAX)? as usize,
+        max_open_requests: number_or(v, "policy_limits.max_open", f64::MAX)? as usize,
         reports: names(v, "report.fields").unwrap_or_default(),
         longest: list(v, "classes")?
             .iter()
@@ -155,7 +155,7 @@
 pub fn classes(v: &Value) -> Result<Vec<String>, String> {
     list(v, "classes")?
         .iter()
-        .map(|c| word(c, "name").map(String::from))
+        .map(|c| text(c, "name").map(String::from))
         .collect()
 }
 
@@ -243,7 +243,7 @@
         priorities_heeded: flag(v, "family_info.lanes_count")?,
         lines_up: match at(v, "family_info.when_short") {
             None => true,
-            Some(_) => match word(v, "family_info.when_short")? {
+            Some(_) => match text(v, "family_info.when_short")? {
                 "line_up" => true,
                 "cut" | "overcommit" => false,
                 other => return Err(format!("family_info.when_short {other} is unknown")),
@@ -259,7 +259,7 @@
             0.0
         },
         max_attempts: number(v, "policy_limits.max_attempts")?.clamp(0.0, 255.0) as u8,
-        must_subscribe: word(v, "registry_mode")? == "subscribe",
+        must_subscribe: text(v, "registry_mode")? == "subscribe",
         slow_start_from: number(v, "guarantees.cold_from")?,
         slow_start_duration: time(v, "guarantees.warm_after_ns")?,
         fall_multiple: number(v, "guarantees.overload_factor")?,
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -4,7 +4,9 @@
 //! project, so no key may change.
 
 use ironstair::{ClassPolicy, Effect, Kind, Load, PolicyConfig, RetryBudget, Within};
-use ironstair_settings::{carriage, classes, kinds, limits, policy_config, read, zones, Carriage};
+use ironstair_settings::{
+    classes, kinds, limits, policy_config, read, transport_config, zones, TransportConfig,
+};
 use serde_json::{json, Value};
 use std::path::Path;
 
@@ -113,17 +115,17 @@
     assert_eq!(zones(&settings), texts(&["a", "b"]));
     assert_eq!(kinds(&settings), texts(&["std", "big"]));
     assert_eq!(limits(&settings), Ok(vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]));
-    let want = Carriage {
-        connect_within: 250.0,
+    let want = TransportConfig {
+        connect_timeout: 250.0,
         idle: 30_000.0,
         streams: 32,
-        most_open: 5000,
+        max_open_requests: 5000,
         longest: 9000.0,
         reports: ["concurrent", "load_share", "x0", "x1", "disk"]
             .map(String::from)
             .to_vec(),
     };
-    assert_eq!(carriage(&settings), Ok(want));
+    assert_eq!(transport_config(&settings), Ok(want));
 }
 
 #[test]
@@ -163,16 +165,16 @@
         tick: 2.0,
     };
     assert_eq!(policy_config(&settings), Ok(want));
-    let most_open = f64::MAX as usize;
-    let want = Carriage {
-        connect_within: 6.0,
+    let max_open_requests = f64::MAX as usize;
+    let want = TransportConfig {
+        connect_timeout: 6.0,
         idle: 7.0,
         streams: 1,
-        most_open,
+        max_open_requests,
         longest: 2.0,
         reports: Vec::new(),
     };
-    assert_eq!(carriage(&settings), Ok(want));
+    assert_eq!(transport_config(&settings), Ok(want));
 }
 
 #[test]
@@ -182,18 +184,18 @@
         *settings.pointer_mut(at).unwrap() = value;
         policy_config(&settings).unwrap()
     };
-    for (word, lines_up) in [("line_up", true), ("cut", false), ("overcommit", false)] {
+    for (text, lines_up) in [("line_up", true), ("cut", false), ("overcommit", false)] {
         assert_eq!(
-            with("/family_info/when_short", json!(word)).lines_up,
+            with("/family_info/when_short", json!(text)).lines_up,
             lines_up,
-            "{word}"
+            "{text}"
         );
     }
-    for (word, must) in [("subscribe", true), ("automatic", false)] {
+    for (text, must) in [("subscribe", true), ("automatic", false)] {
         assert_eq!(
-            with("/registry_mode", json!(word)).must_subscribe,
+            with("/registry_mode", json!(text)).must_subscribe,
             must,
-            "{word}"
+            "{text}"
         );
     }
     assert_eq!(
@@ -391,7 +393,7 @@
             zones(&settings).err(),
             kinds(&settings).err(),
             policy_config(&settings).err(),
-            carriage(&settings).err(),
+            transport_config(&settings).err(),
             classes(&settings).err(),
         ];
         let why = all
