--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -62,7 +62,7 @@
 }
 
 fn address(v: &Value, key: &str) -> Result<SocketAddr, String> {
-    let found = text(v, key)?;
+    let found = text(v, key).map_err(|e| e.to_string())?;
     found
         .parse()
         .map_err(|_| format!("{key} is no address: {found}"))
@@ -71,10 +71,10 @@
 pub fn decode(json: &[u8]) -> Result<GatewayConfig, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
-    let seed = text(&v, "seed")?;
+    let seed = text(&v, "seed").map_err(|e| e.to_string())?;
     let index = NameIndex {
-        zones: zones(settings)?,
-        kinds: kinds(settings)?,
+        zones: zones(settings).map_err(|e| e.to_string())?,
+        kinds: kinds(settings).map_err(|e| e.to_string())?,
     };
     let mut known = BTreeMap::new();
     let notices = v["known"]["notices"].as_array();
@@ -82,7 +82,7 @@
         follow(&mut known, &notice["pool"], &index)?;
     }
     Ok(GatewayConfig {
-        name: text(&v, "name")?.to_string(),
+        name: text(&v, "name").map_err(|e| e.to_string())?.to_string(),
         listen: address(&v, "listen")?,
         names: address(&v, "names")?,
         seed: u64::from_str_radix(seed, 16)
@@ -110,8 +110,10 @@
     }
     for e in pool["instances"].as_array().into_iter().flatten() {
         // In lower case, like the names that DNS brings.
-        let name = text(e, "instanceId")?.to_ascii_lowercase();
-        let state = match text(e, "lifecycle")? {
+        let name = text(e, "instanceId")
+            .map_err(|e| e.to_string())?
+            .to_ascii_lowercase();
+        let state = match text(e, "lifecycle").map_err(|e| e.to_string())? {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             _ => {
--- /dev/null
+++ b/crates/settings/src/class.rs
@@ -0,0 +1,114 @@
+//! The classes of requests.
+
+use crate::error::SettingsError;
+use crate::fields::{
+    duration, flag, flag_of_class, indices, list, list_length, number, number_of_list, number_or,
+    text, unknown,
+};
+use ironstair::{ClassPolicy, Effect, Ms, Within};
+use serde_json::Value;
+
+/// Threads of a request where nothing is said of its class.
+const DEFAULT_THREADS: f64 = 1.0;
+
+/// The classes' names, in the order of the classes.
+///
+/// # Errors
+/// There is no list of classes, or one has no name.
+pub fn classes(settings: &Value) -> Result<Vec<String>, SettingsError> {
+    let name = |class| text(class, "name").map(String::from);
+    list(settings, "classes")?.iter().map(name).collect()
+}
+
+/// The classes' hard limits, in ms, in the order of the classes.
+///
+/// # Errors
+/// There is no list of classes, or one has no hard limit.
+pub fn limits(settings: &Value) -> Result<Vec<Ms>, SettingsError> {
+    let limit = |class| duration(class, "give_up_ns");
+    list(settings, "classes")?.iter().map(limit).collect()
+}
+
+pub(crate) fn class_policies(settings: &Value) -> Result<Vec<ClassPolicy>, SettingsError> {
+    let classes = list(settings, "classes")?.iter().enumerate();
+    classes
+        .map(|(index, class)| {
+            let holds = flag_of_class(settings, "family_info.class_load", index);
+            let path = "family_info.threads_by_class";
+            let threads = number_of_list(settings, path, index, DEFAULT_THREADS)?;
+            let holds = holds?;
+            let in_class = |e| SettingsError::Class {
+                index,
+                source: Box::new(e),
+            };
+            let policy = class_policy(class, threads, holds).map_err(in_class)?;
+            check_indices(settings, &policy).map_err(in_class)?;
+            Ok(policy)
+        })
+        .collect()
+}
+
+fn class_policy(class: &Value, threads: f64, holds: bool) -> Result<ClassPolicy, SettingsError> {
+    let repeat = effect(class)?;
+    let window = match repeat {
+        Effect::Deduplicated(_) => duration(class, "window_ns")?,
+        _ => 0.0,
+    };
+    Ok(ClassPolicy {
+        expected: duration(class, "slo_ns")?,
+        expected_stretch: number_or(class, "aim_stretch", 0.0)?,
+        value: number(class, "worth")?,
+        threads,
+        repeat,
+        window,
+        in_order: flag(class, "by_arrival")?,
+        holds,
+        zones: indices(class, "dcs_allowed")?,
+        kinds: indices(class, "machine_types_allowed")?,
+        closed: false,
+    })
+}
+
+fn effect(class: &Value) -> Result<Effect, SettingsError> {
+    let within = match class.get("group").and_then(Value::as_str) {
+        None | Some("all") => Within::All,
+        Some("zone") => Within::Zone,
+        Some("cell") => Within::MarkGroup,
+        Some(other) => return Err(unknown("group", other)),
+    };
+    match text(class, "semantics")? {
+        "pure" => Ok(Effect::Idempotent),
+        "token" => Ok(Effect::Deduplicated(within)),
+        "side_effect" => Ok(Effect::NonIdempotent),
+        other => Err(unknown("semantics", other)),
+    }
+}
+
+/// Whether all zones and kinds that a class allows are there.
+fn check_indices(settings: &Value, policy: &ClassPolicy) -> Result<(), SettingsError> {
+    check(settings, "dcs_allowed", &policy.zones, "dcs")?;
+    check(
+        settings,
+        "machine_types_allowed",
+        &policy.kinds,
+        "machine_types",
+    )
+}
+
+fn check(
+    settings: &Value,
+    path: &str,
+    indices: &Option<Vec<u16>>,
+    names: &str,
+) -> Result<(), SettingsError> {
+    let count = list_length(settings, names);
+    match indices.iter().flatten().find(|x| **x as usize >= count) {
+        None => Ok(()),
+        Some(&index) => Err(SettingsError::IndexPastNames {
+            path: path.into(),
+            index,
+            names: names.into(),
+            count,
+        }),
+    }
+}
--- /dev/null
+++ b/crates/settings/src/policy.rs
@@ -0,0 +1,136 @@
+//! What the policy decides by.
+
+use crate::class::class_policies;
+use crate::error::SettingsError;
+use crate::fields::{
+    at, duration, flag, flag_or, list_length, names, number, number_of_list, number_or, text,
+    unknown,
+};
+use ironstair::{ClassPolicy, Kind, Load, Ms, PolicyConfig, RetryBudget};
+use serde_json::Value;
+
+/// The most attempts of a request that can be set.
+const MAX_ATTEMPTS: f64 = 255.0;
+
+/// The zones' names by index.
+///
+/// # Errors
+/// There is no list of names.
+pub fn zones(settings: &Value) -> Result<Vec<String>, SettingsError> {
+    names(settings, "dcs")
+}
+
+/// The names of the kinds of machine by index.
+///
+/// # Errors
+/// There is no list of names.
+pub fn kinds(settings: &Value) -> Result<Vec<String>, SettingsError> {
+    names(settings, "machine_types")
+}
+
+/// The policy config of a settings object's JSON.
+///
+/// # Errors
+/// It is no JSON, or a field is missing or wrong.
+pub fn read(json: &[u8]) -> Result<PolicyConfig, SettingsError> {
+    policy_config(&serde_json::from_slice(json)?)
+}
+
+/// The policy config of a settings object.
+///
+/// # Errors
+/// A field is missing or wrong.
+pub fn policy_config(settings: &Value) -> Result<PolicyConfig, SettingsError> {
+    let classes = class_policies(settings)?;
+    let retry_budget = retry_budget(settings)?;
+    let key_quarantine = key_quarantine(settings, &classes)?;
+    let is_retry_after_told = flag(settings, "policy_limits.retry_after")?;
+    Ok(PolicyConfig {
+        gateways: number(settings, "fleet_size")?.max(1.0),
+        classes,
+        kinds: machine_kinds(settings)?,
+        most_grant: number_or(settings, "family_info.largest_share", 1.0)?,
+        grants_heeded: flag(settings, "family_info.takes_grants")?,
+        priorities_heeded: flag(settings, "family_info.lanes_count")?,
+        lines_up: lines_up(settings)?,
+        tries_marked: flag_or(settings, "callers.marks_retry", true)?,
+        may_withdraw: flag(settings, "policy_limits.may_cancel")?,
+        may_probe: flag(settings, "policy_limits.probes")?,
+        reports: reports(settings),
+        max_retry_after: if is_retry_after_told {
+            duration(settings, "policy_limits.max_retry_after_ns")?
+        } else {
+            0.0
+        },
+        max_attempts: number(settings, "policy_limits.max_attempts")?.clamp(0.0, MAX_ATTEMPTS)
+            as u8,
+        must_subscribe: text(settings, "registry_mode")? == "subscribe",
+        slow_start_from: number(settings, "guarantees.cold_from")?,
+        slow_start_duration: duration(settings, "guarantees.warm_after_ns")?,
+        fall_multiple: number(settings, "guarantees.overload_factor")?,
+        fall_span: duration(settings, "guarantees.fall_ns")?,
+        retry_budget,
+        key_quarantine,
+        tick: duration(settings, "resolution_ns")?,
+    })
+}
+
+fn retry_budget(settings: &Value) -> Result<Option<RetryBudget>, SettingsError> {
+    if at(settings, "guarantees.budget_span_ns").is_none() {
+        return Ok(None);
+    }
+    Ok(Some(RetryBudget {
+        spare: number(settings, "guarantees.spare_attempts")?,
+        share: number(settings, "guarantees.repeat_ratio")?,
+        span: duration(settings, "guarantees.budget_span_ns")?,
+    }))
+}
+
+/// How long a key is held after an unknown outcome; of use only where a class runs in order.
+fn key_quarantine(settings: &Value, classes: &[ClassPolicy]) -> Result<Ms, SettingsError> {
+    if classes.iter().any(|class| class.in_order) {
+        duration(settings, "guarantees.settle_after_doubt_ns")
+    } else {
+        Ok(0.0)
+    }
+}
+
+fn machine_kinds(settings: &Value) -> Result<Vec<Kind>, SettingsError> {
+    let kind = |index| {
+        Ok(Kind {
+            cores: number_of_list(settings, "family_info.size_cores", index, 1.0)?,
+            memory_mb: number_of_list(settings, "family_info.ram_of_kind_mb", index, 0.0)?,
+        })
+    };
+    (0..list_length(settings, "machine_types"))
+        .map(kind)
+        .collect()
+}
+
+/// Whether a query waits at its engine where memory is short.
+fn lines_up(settings: &Value) -> Result<bool, SettingsError> {
+    let path = "family_info.when_short";
+    if at(settings, path).is_none() {
+        return Ok(true);
+    }
+    match text(settings, path)? {
+        "line_up" => Ok(true),
+        "cut" | "overcommit" => Ok(false),
+        other => Err(unknown(path, other)),
+    }
+}
+
+/// What each number of an engine's report means.
+fn reports(settings: &Value) -> Vec<Load> {
+    let fields = at(settings, "report.fields")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten();
+    fields
+        .map(|field| match field.as_str() {
+            Some("load_share" | "x0" | "x1") => Load::Share,
+            Some("concurrent") => Load::Held,
+            _ => Load::Other,
+        })
+        .collect()
+}
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -19,7 +19,7 @@
 }
 
 fn full() -> PolicyConfig {
-    let terms = |expected: f64, value: f64, threads: f64, repeat: Effect| ClassPolicy {
+    let class_policy = |expected: f64, value: f64, threads: f64, repeat: Effect| ClassPolicy {
         expected,
         expected_stretch: 0.0,
         value,
@@ -41,24 +41,24 @@
                 in_order: true,
                 zones: Some(vec![0, 1]),
                 kinds: Some(vec![1]),
-                ..terms(1000.0, 1.25, 1.0, Effect::Idempotent)
+                ..class_policy(1000.0, 1.25, 1.0, Effect::Idempotent)
             },
             ClassPolicy {
                 window: 3000.0,
                 holds: true,
-                ..terms(2000.0, 6.0, 4.0, tagged(Within::Zone))
+                ..class_policy(2000.0, 6.0, 4.0, tagged(Within::Zone))
             },
             ClassPolicy {
                 window: 4.0,
-                ..terms(3.0, 0.5, 2.0, tagged(Within::MarkGroup))
+                ..class_policy(3.0, 0.5, 2.0, tagged(Within::MarkGroup))
             },
             ClassPolicy {
                 window: 5.0,
-                ..terms(1e-6, 1.0, 1.0, tagged(Within::All))
+                ..class_policy(1e-6, 1.0, 1.0, tagged(Within::All))
             },
             ClassPolicy {
                 holds: true,
-                ..terms(7.0, 3.0, 1.0, Effect::NonIdempotent)
+                ..class_policy(7.0, 3.0, 1.0, Effect::NonIdempotent)
             },
         ],
         kinds: vec![
@@ -105,16 +105,19 @@
 #[test]
 fn every_key_is_read_with_the_pinned_value() {
     let settings = pinned("settings.json");
-    assert_eq!(policy_config(&settings), Ok(full()));
-    assert_eq!(read(settings.to_string().as_bytes()), Ok(full()));
-    let texts = |all: &[&str]| Ok(all.iter().map(|t| t.to_string()).collect::<Vec<_>>());
+    assert_eq!(policy_config(&settings).unwrap(), full());
+    assert_eq!(read(settings.to_string().as_bytes()).unwrap(), full());
+    let texts = |all: &[&str]| all.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     assert_eq!(
-        classes(&settings),
+        classes(&settings).unwrap(),
         texts(&["lookup", "post", "mark", "all", "once"])
     );
-    assert_eq!(zones(&settings), texts(&["a", "b"]));
-    assert_eq!(kinds(&settings), texts(&["std", "big"]));
-    assert_eq!(limits(&settings), Ok(vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]));
+    assert_eq!(zones(&settings).unwrap(), texts(&["a", "b"]));
+    assert_eq!(kinds(&settings).unwrap(), texts(&["std", "big"]));
+    assert_eq!(
+        limits(&settings).unwrap(),
+        vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]
+    );
     let want = TransportConfig {
         connect_timeout: 250.0,
         idle: 30_000.0,
@@ -125,13 +128,13 @@
             .map(String::from)
             .to_vec(),
     };
-    assert_eq!(transport_config(&settings), Ok(want));
+    assert_eq!(transport_config(&settings).unwrap(), want);
 }
 
 #[test]
 fn what_is_not_given_has_the_pinned_value() {
     let settings = pinned("settings-least.json");
-    let terms = ClassPolicy {
+    let class_policy = ClassPolicy {
         expected: 1.0,
         value: 1.0,
         threads: 1.0,
@@ -140,7 +143,7 @@
     };
     let want = PolicyConfig {
         gateways: 1.0,
-        classes: vec![terms],
+        classes: vec![class_policy],
         kinds: vec![Kind {
             cores: 1.0,
             memory_mb: 0.0,
@@ -164,7 +167,7 @@
         key_quarantine: 0.0,
         tick: 2.0,
     };
-    assert_eq!(policy_config(&settings), Ok(want));
+    assert_eq!(policy_config(&settings).unwrap(), want);
     let max_open_requests = f64::MAX as usize;
     let want = TransportConfig {
         connect_timeout: 6.0,
@@ -174,11 +177,11 @@
         longest: 2.0,
         reports: Vec::new(),
     };
-    assert_eq!(transport_config(&settings), Ok(want));
+    assert_eq!(transport_config(&settings).unwrap(), want);
 }
 
 #[test]
-fn the_words_of_a_choice_are_read_as_pinned() {
+fn the_texts_of_a_choice_are_read_as_pinned() {
     let with = |at: &str, value: Value| {
         let mut settings = pinned("settings.json");
         *settings.pointer_mut(at).unwrap() = value;
@@ -400,7 +403,8 @@
             .into_iter()
             .flatten()
             .next()
-            .unwrap_or_else(|| panic!("{at} is taken as {value:?}"));
+            .unwrap_or_else(|| panic!("{at} is taken as {value:?}"))
+            .to_string();
         assert!(why.starts_with(field), "{at}: {why}");
     }
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -204,6 +204,7 @@
     let facts = FACTS.replace("\"cold_from\": 0.3, ", "");
     assert!(read_policy_config(facts.as_bytes())
         .unwrap_err()
+        .to_string()
         .contains("guarantees.cold_from"));
     let (result, frames) = replies(&batch(1, &[provision(&facts)]));
     assert_eq!(result, Ok(()));
