--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -9,7 +9,7 @@
 use ironstair_cells::{CellDirectory, Cells, Goes};
 use ironstair_coordination::Share;
 use ironstair_data_tree::state::{self, Counts, Snapshot};
-use ironstair_recovery::stage::{stage, Facts};
+use ironstair_recovery::{stage, Facts};
 use ironstair_runtime::pool::Chain;
 use ironstair_runtime::wait::next;
 use ironstair_runtime::window::{Amendment, ManagementCommand, Window};
@@ -559,10 +559,10 @@
     let classes = classes.collect();
     let (lent, most) = shared.pool.lent();
     let facts = Facts {
-        lease_until: shared.holds_lease(),
-        heard: shared.gauges.heard.get() > 0.0,
+        has_lease: shared.holds_lease(),
+        has_heard_list: shared.gauges.heard.get() > 0.0,
         key_quarantine: shared.gauges.key_quarantine.get(),
-        share: executor.share.map(|s| s.taken),
+        has_slow_start_share: executor.share.map(|s| s.taken),
     };
     let (stage, why) = stage(executor.now, &facts);
     let view = Snapshot {
@@ -579,7 +579,7 @@
         buffers_most: most as u32,
         started: shared.clock.started(),
         ending: executor.ends.is_finite(),
-        stage: (stage.word(), why),
+        stage: (stage.as_str(), why.unwrap_or_default()),
     };
     window.show(view);
 }
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -8,8 +8,7 @@
 use ironstair::{EndpointState, Ms};
 use ironstair_config_change::NameIndex;
 use ironstair_fleet_agent::fault_injection::taken_out;
-use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
-use ironstair_recovery::{begin as found, Engine, Kept};
+use ironstair_recovery::{decode, encode, recover, Engine, Snapshot, MAX_BYTES};
 use ironstair_runtime::clock::span;
 use ironstair_runtime::{DiscoveredEndpoint, Shared};
 use slog::{info, warn, Logger};
@@ -39,27 +38,27 @@
     mail: Sender<Mail>,
 }
 
-fn read(folder: &Path) -> Result<Option<Kept>, String> {
+fn read(folder: &Path) -> Result<Option<Snapshot>, String> {
     let path = folder.join(FILE);
     let fault = |e: String| format!("{}: {e}", path.display());
     match std::fs::metadata(&path) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(fault(e.to_string())),
-        Ok(m) if m.len() > BYTES_MOST => {
+        Ok(m) if m.len() > MAX_BYTES => {
             return Err(fault(format!("{} bytes are none of ours", m.len())))
         }
         Ok(_) => {}
     }
     disk_takes_its_time(folder);
     let bytes = std::fs::read(&path).map_err(|e| fault(e.to_string()))?;
-    let mut kept = decode(&bytes).map_err(fault)?;
-    if kept.clean {
+    let mut kept = decode(&bytes).map_err(|e| fault(e.to_string()))?;
+    if kept.ended_cleanly {
         // Before anything is out: the next start must not find that word of the process before this one.
-        let spent = encode(&Kept {
-            clean: false,
+        let spent = encode(&Snapshot {
+            ended_cleanly: false,
             ..kept.clone()
         });
-        kept.clean = spent.and_then(|bytes| write(folder, &bytes)).is_ok();
+        kept.ended_cleanly = spent.is_ok_and(|bytes| write(folder, &bytes).is_ok());
     }
     Ok(Some(kept))
 }
@@ -85,7 +84,7 @@
     pub rests: bool,
     /// Worth a line in the log.
     pub notes: Vec<String>,
-    kept: Kept,
+    kept: Snapshot,
     writes: Sender<Write>,
 }
 
@@ -114,14 +113,15 @@
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let begun = found(kept, &config.name, unix.as_secs_f64() * 1000.0, config.rev);
+    let begun = recover(kept, &config.name, unix.as_secs_f64() * 1000.0, config.rev);
     let mut notes: Vec<String> = begun.note.into_iter().collect();
-    let mut kept = Kept {
+    let mut kept = Snapshot {
         gateway: config.name.clone(),
-        ..Kept::default()
+        ..Snapshot::default()
     };
-    if let Some((rev, age, engines)) = begun.endpoints {
-        (kept.rev, kept.heard, kept.engines) =
+    if let Some(list) = begun.endpoints {
+        let (rev, age, engines) = (list.serial, list.age, list.engines);
+        (kept.serial, kept.heard_at, kept.engines) =
             (rev, unix.as_secs_f64() * 1000.0 - age, engines.clone());
         notes.push(format!(
             "{} engines as the last process heard of them, {age:.0} ms ago",
@@ -145,7 +145,7 @@
         (config.rev, config.known) = (rev, engines.into_iter().map(place).collect());
     }
     Begun {
-        rests: begun.rests,
+        rests: begun.needs_key_quarantine,
         notes,
         kept,
         writes,
@@ -200,7 +200,12 @@
 }
 
 /// One mailbox, one owner of what is kept.
-async fn tend(mut kept: Kept, shared: Rc<Shared>, inbox: Receiver<Mail>, writes: Sender<Write>) {
+async fn tend(
+    mut kept: Snapshot,
+    shared: Rc<Shared>,
+    inbox: Receiver<Mail>,
+    writes: Sender<Write>,
+) {
     let mut first = true;
     loop {
         let mail = async { inbox.recv().await.ok() };
@@ -215,15 +220,15 @@
         };
         let mut done = None;
         match or(mail, again).await {
-            Some(Mail::Endpoints(rev, engines)) => (kept.rev, kept.engines) = (rev, engines),
+            Some(Mail::Endpoints(rev, engines)) => (kept.serial, kept.engines) = (rev, engines),
             Some(Mail::End(tell)) => {
-                (kept.clean, done) = (shared.gauges.open.get() == 0, Some(tell))
+                (kept.ended_cleanly, done) = (shared.gauges.open.get() == 0, Some(tell))
             }
             None => {}
         }
-        (kept.at, kept.heard) = (
+        (kept.written_at, kept.heard_at) = (
             shared.clock.now(),
-            kept.heard.max(shared.gauges.heard.get()),
+            kept.heard_at.max(shared.gauges.heard.get()),
         );
         if let Ok(bytes) = encode(&kept) {
             // What waits there is older.
@@ -233,7 +238,7 @@
                 log: shared.log.clone(),
             });
         }
-        if kept.clean {
+        if kept.ended_cleanly {
             return;
         }
     }
--- a/crates/gateway/tests/pinned_forms.rs
+++ b/crates/gateway/tests/pinned_forms.rs
@@ -453,12 +453,11 @@
     *gateway.name_answer.lock().unwrap() = answer(2, &[("e1", at_engine, 0)]);
     until("it is written", || names() == ["gateway.kept"]);
     let kept = || {
-        ironstair_recovery::kept::decode(&std::fs::read(folder.join("gateway.kept")).unwrap())
-            .unwrap()
+        ironstair_recovery::decode(&std::fs::read(folder.join("gateway.kept")).unwrap()).unwrap()
     };
     until("with its engine", || kept().engines.len() == 1);
     let kept = kept();
-    assert_eq!((kept.gateway.as_str(), kept.clean), ("n0", false));
+    assert_eq!((kept.gateway.as_str(), kept.ended_cleanly), ("n0", false));
     let e = &kept.engines[0];
     assert_eq!(
         (e.name.as_str(), e.address, e.draining),
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,9 +1,13 @@
-//! What a gateway keeps for its next process ([`kept`]), what that process may rest on ([`start`]), and how far it has
-//! come back ([`stage`]): without I/O, clock or thread. The promises stand in `docs/design/recovery.md`.
+//! What a gateway persists for its next process ([`Snapshot`]), what that process may use of it ([`recover()`]), and how
+//! far it has come back ([`stage()`]): without I/O, clock or thread. What is guaranteed is said in
+//! `docs/design/recovery.md`.
 
-pub mod kept;
-pub mod stage;
-pub mod start;
+#![warn(missing_docs, clippy::too_many_lines, clippy::missing_errors_doc)]
 
-pub use kept::{Engine, Kept};
-pub use start::{begin, Begun};
+mod recover;
+mod snapshot;
+mod stage;
+
+pub use recover::{recover, RecoveredList, Recovery, MAX_LIST_AGE};
+pub use snapshot::{decode, encode, DecodeError, EncodeError, Engine, Snapshot, MAX_BYTES};
+pub use stage::{stage, Facts, Stage};
--- a/crates/recovery/src/recover.rs
+++ b/crates/recovery/src/recover.rs
@@ -1,80 +1,118 @@
-//! What a process may rest on of what its last one kept.
+//! What a process may use of what the last one persisted.
 
-use crate::{Engine, Kept};
+use crate::snapshot::{Engine, Snapshot};
 use ironstair::Ms;
+use std::fmt::Display;
 
-/// A list older than this is none: engines have moved since.
-pub const OLDEST: Ms = 60_000.0;
+/// A list that is older is not used: engines have moved since.
+pub const MAX_LIST_AGE: Ms = 60_000.0;
 /// A clock may go back so far without meaning anything.
-const SLACK: Ms = 1000.0;
+const CLOCK_TOLERANCE: Ms = 1000.0;
 
+/// What a process starts with.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Begun {
-    /// The list that holds until the name service answers: the number of its last change, its age, its engines
-    /// without those that were draining.
-    pub endpoints: Option<(u32, Ms, Vec<Engine>)>,
-    /// What the last process had out is not known: keys rest.
-    pub rests: bool,
-    /// Worth a line in the log: why something was not used.
+pub struct Recovery {
+    /// The list that is used until the name service answers.
+    pub endpoints: Option<RecoveredList>,
+    /// Whether what the last process had out is unknown: keys are held back.
+    pub needs_key_quarantine: bool,
+    /// Why something was not used, for the log.
     pub note: Option<String>,
 }
 
+/// The endpoint list of the last process.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RecoveredList {
+    /// The number of its last change.
+    pub serial: u32,
+    /// How long ago it was heard, ms.
+    pub age: Ms,
+    /// Its engines without those that were draining.
+    pub engines: Vec<Engine>,
+}
+
+impl Recovery {
+    /// Without anything of the last process, which may have had anything out.
+    fn nothing(note: Option<String>) -> Recovery {
+        Recovery {
+            endpoints: None,
+            needs_key_quarantine: true,
+            note,
+        }
+    }
+}
+
 /// What was found and what this process knows, for the rules.
-struct Found<'a> {
-    kept: &'a Kept,
-    gateway: &'a str,
+struct Start<'a> {
+    snapshot: &'a Snapshot,
     now: Ms,
-    rev: u32,
+    /// The number of the list's last change in the configuration file.
+    serial: u32,
 }
 
-/// Why a list is none, each with its condition, in order.
-type Reason = (fn(&Found) -> bool, &'static str);
+/// Why a list is not used.
+struct Rejection {
+    applies: fn(&Start) -> bool,
+    reason: &'static str,
+}
 
-const NOT_OURS: Reason = (|f| f.kept.gateway != f.gateway, "it is another gateway's");
-const LIST_IS_NONE: [Reason; 4] = [
-    (
-        |f| f.kept.at > f.now + SLACK,
-        "it is of the future: a clock went back",
-    ),
-    (|f| f.now - f.kept.heard > OLDEST, "its list is too old"),
-    (|f| f.rev > f.kept.rev, "what is told at start is newer"),
-    (|f| f.kept.engines.is_empty(), "it lists no engine"),
+/// In order; the first that applies is the reason.
+const LIST_REJECTIONS: [Rejection; 4] = [
+    Rejection {
+        applies: |start| start.snapshot.written_at > start.now + CLOCK_TOLERANCE,
+        reason: "it is of the future: a clock went back",
+    },
+    Rejection {
+        applies: |start| start.now - start.snapshot.heard_at > MAX_LIST_AGE,
+        reason: "its list is too old",
+    },
+    Rejection {
+        applies: |start| start.serial > start.snapshot.serial,
+        reason: "the configuration file's list is newer",
+    },
+    Rejection {
+        applies: |start| start.snapshot.engines.is_empty(),
+        reason: "it lists no engine",
+    },
 ];
 
-/// `rev` is the number of the last change that is told at start; `now` is Unix time in ms.
-pub fn begin(kept: Result<Option<Kept>, String>, gateway: &str, now: Ms, rev: u32) -> Begun {
-    // Without a word of the last process it may have had anything out.
-    let blank = |note: Option<String>| Begun {
-        endpoints: None,
-        rests: true,
-        note,
-    };
-    let kept = match kept {
-        Ok(Some(kept)) => kept,
-        Ok(None) => return blank(None),
-        Err(why) => return blank(Some(why)),
+/// What the process of the gateway of that name may use. `serial` is the number of the endpoint list's last change in
+/// the configuration file; `now` is Unix time in ms.
+pub fn recover<E: Display>(
+    found: Result<Option<Snapshot>, E>,
+    gateway: &str,
+    now: Ms,
+    serial: u32,
+) -> Recovery {
+    let snapshot = match found {
+        Ok(Some(snapshot)) => snapshot,
+        Ok(None) => return Recovery::nothing(None),
+        Err(error) => return Recovery::nothing(Some(error.to_string())),
     };
-    let found = Found {
-        kept: &kept,
-        gateway,
+    if snapshot.gateway != gateway {
+        return Recovery::nothing(Some("it is another gateway's".into()));
+    }
+    let start = Start {
+        snapshot: &snapshot,
         now,
-        rev,
+        serial,
     };
-    if (NOT_OURS.0)(&found) {
-        return blank(Some(NOT_OURS.1.into()));
-    }
-    let clean = kept.clean && kept.at <= now + SLACK;
-    if let Some((_, why)) = LIST_IS_NONE.iter().find(|(so, _)| so(&found)) {
-        return Begun {
-            rests: !clean,
-            ..blank(Some(why.to_string()))
-        };
-    }
-    let age = (now - kept.heard).max(0.0);
-    let engines = kept.engines.into_iter().filter(|e| !e.draining).collect();
-    Begun {
-        endpoints: Some((kept.rev, age, engines)),
-        rests: !clean,
-        note: None,
+    let rejection = LIST_REJECTIONS.iter().find(|r| (r.applies)(&start));
+    // A clock that went back: how long ago that process ended is not known.
+    let is_of_the_past = snapshot.written_at <= now + CLOCK_TOLERANCE;
+    let needs_key_quarantine = !(snapshot.ended_cleanly && is_of_the_past);
+    let mut recovery = Recovery {
+        endpoints: None,
+        needs_key_quarantine,
+        note: rejection.map(|r| r.reason.into()),
+    };
+    if rejection.is_none() {
+        let engines = snapshot.engines.into_iter().filter(|e| !e.draining);
+        recovery.endpoints = Some(RecoveredList {
+            serial: snapshot.serial,
+            age: (now - snapshot.heard_at).max(0.0),
+            engines: engines.collect(),
+        });
     }
+    recovery
 }
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -1,19 +1,22 @@
-//! How far a gateway has come back: for who looks on, and for the oracle of a test. Nothing is decided by it.
+//! How far a gateway has come back: for operators, and for the invariant checker of a test. No decision relies on it.
 
 use ironstair::Ms;
 
+/// How far a gateway has come back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// It may not decide: rejected with advice.
+    /// It may not decide: requests are rejected with a retry-after.
     #[default]
     CatchingUp,
     /// It decides, and holds something back.
     Cautious,
+    /// It is back.
     Full,
 }
 
 impl Stage {
-    pub fn word(self) -> &'static str {
+    /// The stage's name in the tree.
+    pub fn as_str(self) -> &'static str {
         match self {
             Stage::CatchingUp => "catching-up",
             Stage::Cautious => "cautious",
@@ -22,48 +25,52 @@
     }
 }
 
-/// What the stages go by.
+/// What the stage follows from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Facts {
-    /// Whether the terms hold.
-    pub lease_until: bool,
-    /// Whether the list was heard since the start.
-    pub heard: bool,
-    /// Until when keys rest.
+    /// Whether its lease is valid.
+    pub has_lease: bool,
+    /// Whether the endpoint list was heard since the start.
+    pub has_heard_list: bool,
+    /// Until when keys are held back; Unix time in ms.
     pub key_quarantine: Ms,
-    /// Whether it takes its share of cold engines, where the fleet counts.
-    pub share: Option<bool>,
+    /// Whether it has its share of engines in slow start, where the fleet counts its members.
+    pub has_slow_start_share: Option<bool>,
 }
 
-/// Whether it is so, where a gateway stands then, and why not further.
-type Reason = (fn(Ms, &Facts) -> bool, Stage, &'static str);
+/// A condition that holds a gateway back.
+struct Restriction {
+    applies: fn(Ms, &Facts) -> bool,
+    stage: Stage,
+    reason: &'static str,
+}
 
-/// In order; the first that holds is the reason.
-const REASONS: [Reason; 4] = [
-    (
-        |_, f| !f.lease_until,
-        Stage::CatchingUp,
-        "the fleet's policy is not known",
-    ),
-    (
-        |_, f| !f.heard,
-        Stage::Cautious,
-        "the list of engines was not heard since the start",
-    ),
-    (
-        |now, f| now < f.key_quarantine,
-        Stage::Cautious,
-        "keys rest: what the last process had out is not known",
-    ),
-    (
-        |_, f| f.share == Some(false),
-        Stage::Cautious,
-        "no share of cold engines yet",
-    ),
+/// In order; the first that applies is the reason.
+const RESTRICTIONS: [Restriction; 4] = [
+    Restriction {
+        applies: |_, facts| !facts.has_lease,
+        stage: Stage::CatchingUp,
+        reason: "the fleet's policy is not known",
+    },
+    Restriction {
+        applies: |_, facts| !facts.has_heard_list,
+        stage: Stage::Cautious,
+        reason: "the list of engines was not heard since the start",
+    },
+    Restriction {
+        applies: |now, facts| now < facts.key_quarantine,
+        stage: Stage::Cautious,
+        reason: "keys rest: what the last process had out is not known",
+    },
+    Restriction {
+        applies: |_, facts| facts.has_slow_start_share == Some(false),
+        stage: Stage::Cautious,
+        reason: "no share of cold engines yet",
+    },
 ];
 
-/// Where it stands, and why not further; an empty reason where it is back.
-pub fn stage(now: Ms, facts: &Facts) -> (Stage, &'static str) {
-    let first = REASONS.iter().find(|r| r.0(now, facts));
-    first.map_or((Stage::Full, ""), |r| (r.1, r.2))
+/// The stage at `now` (Unix time in ms), and why it is not a further one; no reason where the gateway is back.
+pub fn stage(now: Ms, facts: &Facts) -> (Stage, Option<&'static str>) {
+    let first = RESTRICTIONS.iter().find(|r| (r.applies)(now, facts));
+    first.map_or((Stage::Full, None), |r| (r.stage, Some(r.reason)))
 }
--- a/crates/recovery/tests/pinned_forms.rs
+++ b/crates/recovery/tests/pinned_forms.rs
@@ -1,10 +1,8 @@
-//! The bytes of the file that a gateway keeps for its next process (`gateway.kept`), and the words of its stages. The
+//! The bytes of the file that a gateway keeps for its next process (`gateway.kept`), and the names of its stages. The
 //! files under `pinned` were written by an earlier version of the program: a gateway that is updated reads the file of
 //! the one before it, so every field has to keep its place, its type and its meaning.
 
-use ironstair_recovery::kept::{decode, encode};
-use ironstair_recovery::stage::Stage;
-use ironstair_recovery::{Engine, Kept};
+use ironstair_recovery::{decode, encode, Engine, Snapshot, Stage};
 use std::path::Path;
 
 fn pinned(name: &str) -> String {
@@ -31,7 +29,7 @@
 }
 
 /// Every field with a value of its own, so that none can stand in another's place.
-fn full() -> Kept {
+fn full() -> Snapshot {
     let first = Engine {
         name: "engine-1".into(),
         address: "10.1.2.3:9001".parse().unwrap(),
@@ -50,30 +48,30 @@
         draining: true,
         since: 0.0,
     };
-    Kept {
+    Snapshot {
         gateway: "gateway-1".into(),
-        at: 1.8e12 + 0.25,
-        heard: 1.8e12 - 1500.5,
-        rev: 70_001,
-        clean: false,
+        written_at: 1.8e12 + 0.25,
+        heard_at: 1.8e12 - 1500.5,
+        serial: 70_001,
+        ended_cleanly: false,
         engines: vec![first, second],
     }
 }
 
 #[test]
 fn what_is_kept_for_the_next_process_is_read_and_written_in_the_pinned_bytes() {
-    let clean = Kept {
-        clean: true,
+    let clean = Snapshot {
+        ended_cleanly: true,
         engines: Vec::new(),
         ..full()
     };
-    for (name, kept) in [
+    for (name, snapshot) in [
         ("full.hex", full()),
         ("clean.hex", clean),
-        ("blank.hex", Kept::default()),
+        ("blank.hex", Snapshot::default()),
     ] {
-        same(name, &format!("{}\n", hex(&encode(&kept).unwrap())));
-        assert_eq!(decode(&unhex(&pinned(name))), Ok(kept), "{name}");
+        same(name, &format!("{}\n", hex(&encode(&snapshot).unwrap())));
+        assert_eq!(decode(&unhex(&pinned(name))), Ok(snapshot), "{name}");
     }
 }
 
@@ -83,18 +81,21 @@
     assert_eq!(
         &bytes[..8],
         b"irst\x01\0\0\0",
-        "the word at the front and the number of the form"
+        "the magic number and the number of the form"
     );
     let mut other = bytes.clone();
     other[4] = 2;
-    assert!(decode(&other).unwrap_err().contains("its form 2 "));
+    assert!(decode(&other)
+        .unwrap_err()
+        .to_string()
+        .contains("its form 2 "));
     let mut other = bytes;
     other[0] = b'x';
     assert!(decode(&other).is_err());
 }
 
 #[test]
-fn stages_have_the_pinned_words() {
-    let words = [Stage::CatchingUp, Stage::Cautious, Stage::Full].map(Stage::word);
-    assert_eq!(words, ["catching-up", "cautious", "full"]);
+fn stages_have_the_pinned_names() {
+    let names = [Stage::CatchingUp, Stage::Cautious, Stage::Full].map(Stage::as_str);
+    assert_eq!(names, ["catching-up", "cautious", "full"]);
 }
--- a/crates/recovery/tests/recover.rs
+++ b/crates/recovery/tests/recover.rs
@@ -1,8 +1,6 @@
 //! What a process rests on after a start, by what it finds.
 
-use ironstair_recovery::kept::{decode, encode};
-use ironstair_recovery::stage::{stage, Facts, Stage};
-use ironstair_recovery::{begin, Engine, Kept};
+use ironstair_recovery::{decode, encode, recover, stage, Engine, Facts, Snapshot, Stage};
 
 const NOW: f64 = 1.8e12;
 
@@ -20,36 +18,36 @@
     }
 }
 
-fn kept() -> Kept {
+fn snapshot() -> Snapshot {
     let engines = vec![engine("e1", false), engine("e2", true)];
-    Kept {
+    Snapshot {
         gateway: "g1".into(),
-        at: NOW - 900.0,
-        heard: NOW - 1000.0,
-        rev: 7,
-        clean: false,
+        written_at: NOW - 900.0,
+        heard_at: NOW - 1000.0,
+        serial: 7,
+        ended_cleanly: false,
         engines,
     }
 }
 
 #[test]
 fn each_thing_found_has_its_stated_end() {
-    let old = Kept {
-        heard: NOW - 61_000.0,
-        ..kept()
+    let old = Snapshot {
+        heard_at: NOW - 61_000.0,
+        ..snapshot()
     };
-    let future = Kept {
-        at: NOW + 5000.0,
-        heard: NOW + 5000.0,
-        clean: true,
-        ..kept()
+    let future = Snapshot {
+        written_at: NOW + 5000.0,
+        heard_at: NOW + 5000.0,
+        ended_cleanly: true,
+        ..snapshot()
     };
-    for (found, rev, endpoints, rests, note) in [
-        (Ok(Some(kept())), 7, true, true, None),
+    for (found, serial, endpoints, needs_key_quarantine, note) in [
+        (Ok(Some(snapshot())), 7, true, true, None),
         (
-            Ok(Some(Kept {
-                clean: true,
-                ..kept()
+            Ok(Some(Snapshot {
+                ended_cleanly: true,
+                ..snapshot()
             })),
             7,
             true,
@@ -57,11 +55,11 @@
             None,
         ),
         (
-            Ok(Some(kept())),
+            Ok(Some(snapshot())),
             8,
             false,
             true,
-            Some("what is told at start is newer"),
+            Some("the configuration file's list is newer"),
         ),
         (
             Ok(Some(old.clone())),
@@ -71,7 +69,10 @@
             Some("its list is too old"),
         ),
         (
-            Ok(Some(Kept { clean: true, ..old })),
+            Ok(Some(Snapshot {
+                ended_cleanly: true,
+                ..old
+            })),
             0,
             false,
             false,
@@ -86,10 +87,10 @@
             Some("it is of the future: a clock went back"),
         ),
         (
-            Ok(Some(Kept {
+            Ok(Some(Snapshot {
                 gateway: "g2".into(),
-                clean: true,
-                ..kept()
+                ended_cleanly: true,
+                ..snapshot()
             })),
             0,
             false,
@@ -97,9 +98,9 @@
             Some("it is another gateway's"),
         ),
         (
-            Ok(Some(Kept {
+            Ok(Some(Snapshot {
                 engines: vec![],
-                ..kept()
+                ..snapshot()
             })),
             0,
             false,
@@ -115,16 +116,16 @@
             Some("it is not what was written"),
         ),
     ] {
-        let begun = begin(found.clone(), "g1", NOW, rev);
+        let recovery = recover(found.clone(), "g1", NOW, serial);
         assert_eq!(
-            (begun.endpoints.is_some(), begun.rests),
-            (endpoints, rests),
+            (recovery.endpoints.is_some(), recovery.needs_key_quarantine),
+            (endpoints, needs_key_quarantine),
             "{found:?}"
         );
-        assert_eq!(begun.note.as_deref(), note, "{found:?}");
-        if let Some((rev, age, engines)) = begun.endpoints {
+        assert_eq!(recovery.note.as_deref(), note, "{found:?}");
+        if let Some(list) = recovery.endpoints {
             assert_eq!(
-                (rev, age, engines),
+                (list.serial, list.age, list.engines),
                 (7, 1000.0, vec![engine("e1", false)]),
                 "draining ones are left out"
             );
@@ -134,8 +135,8 @@
 
 #[test]
 fn bytes_cut_or_changed_anywhere_are_named_and_never_used() {
-    let bytes = encode(&kept()).unwrap();
-    assert_eq!(decode(&bytes), Ok(kept()));
+    let bytes = encode(&snapshot()).unwrap();
+    assert_eq!(decode(&bytes), Ok(snapshot()));
     (0..bytes.len()).for_each(|n| assert!(decode(&bytes[..n]).is_err(), "cut at {n}"));
     for n in 0..bytes.len() {
         for bit in 0..8 {
@@ -149,31 +150,31 @@
 #[test]
 fn a_stage_has_its_first_reason() {
     let back = Facts {
-        lease_until: true,
-        heard: true,
+        has_lease: true,
+        has_heard_list: true,
         key_quarantine: 0.0,
-        share: Some(true),
+        has_slow_start_share: Some(true),
     };
     for (facts, want) in [
         (back, Stage::Full),
         (
             Facts {
-                share: None,
+                has_slow_start_share: None,
                 ..back
             },
             Stage::Full,
         ),
         (
             Facts {
-                lease_until: false,
-                heard: false,
+                has_lease: false,
+                has_heard_list: false,
                 ..back
             },
             Stage::CatchingUp,
         ),
         (
             Facts {
-                heard: false,
+                has_heard_list: false,
                 ..back
             },
             Stage::Cautious,
@@ -187,7 +188,7 @@
         ),
         (
             Facts {
-                share: Some(false),
+                has_slow_start_share: Some(false),
                 ..back
             },
             Stage::Cautious,
@@ -195,7 +196,7 @@
     ] {
         let (is, why) = stage(1.0, &facts);
         assert_eq!(
-            (is, why.is_empty()),
+            (is, why.is_none()),
             (want, want == Stage::Full),
             "{facts:?}"
         );
