--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -16,7 +16,7 @@
     grace, Heartbeat, HeartbeatResponse, Member, RevisionState, RevisionSummary,
 };
 use ironstair_data_tree::state;
-use ironstair_management::fleet_channel::Wanted;
+use ironstair_management::fleet_channel::FleetRequest;
 use ironstair_management::{ManagementHandle, Refused};
 use ironstair_raft_replica::{Out, Replica, Save, TICK};
 use ironstair_raft_storage::Storage;
@@ -205,7 +205,7 @@
     speaks_to: Option<String>,
     inbox: mpsc::Receiver<AgentMessage>,
     post: mpsc::Sender<AgentMessage>,
-    wanted: mpsc::Receiver<Wanted>,
+    wanted: mpsc::Receiver<FleetRequest>,
     shown: watch::Sender<state::Fleet>,
     answers: HashMap<u64, Waits>,
     tokens: u64,
@@ -226,7 +226,7 @@
 
 /// The ends of an actor that others hold.
 pub struct Ends {
-    pub wanted: mpsc::Receiver<Wanted>,
+    pub wanted: mpsc::Receiver<FleetRequest>,
     pub shown: watch::Sender<state::Fleet>,
 }
 
@@ -554,7 +554,7 @@
                     tokio::spawn(async move {
                         let how = match taken_out("examine") {
                             true => Ok(()),
-                            false => readable(&document).and(management.examine(document).await),
+                            false => readable(&document).and(management.validate(document).await),
                         };
                         let _ = post.send(AgentMessage::Examined(number, how)).await;
                     });
@@ -732,13 +732,13 @@
         }
     }
 
-    fn want(&mut self, wanted: Wanted) {
+    fn want(&mut self, wanted: FleetRequest) {
         let now = self.clock.now();
         let fail = |answer: ironstair_management::fleet_channel::Responder, why: &str| {
             drop(answer.send(Err(Refused::Fleet(why.into()))));
         };
         match wanted {
-            Wanted::Change {
+            FleetRequest::Change {
                 who,
                 what,
                 document,
@@ -759,11 +759,11 @@
                 };
                 self.ask(Command::Change(proposal), answer);
             }
-            Wanted::Confirm { id, answer } => self.ask(Command::Confirm { id }, answer),
-            Wanted::Cancel { id, who, answer } => {
+            FleetRequest::Confirm { id, answer } => self.ask(Command::Confirm { id }, answer),
+            FleetRequest::Cancel { id, who, answer } => {
                 self.ask(Command::Cancel { id: Some(id), who }, answer)
             }
-            Wanted::Show(answer) => {
+            FleetRequest::Show(answer) => {
                 let (search, own) = (self.search(), self.post.clone());
                 tokio::spawn(async move {
                     let _ = answer.send(
@@ -778,12 +778,12 @@
                     );
                 });
             }
-            Wanted::Anew {
+            FleetRequest::RecoverFromDisaster {
                 document,
                 who,
                 answer,
             } => self.look_before_anew(document, who, answer),
-            Wanted::Begin { document, answer } => {
+            FleetRequest::Bootstrap { document, answer } => {
                 let first = self.config.voters.keys().next();
                 let Some(k) = &self.kept else {
                     return fail(answer, "only a keeper begins a history");
@@ -1091,7 +1091,7 @@
     document: Json,
 ) -> Result<(), String> {
     readable(&document)?;
-    management.hold(mark, number, document).await
+    management.apply(mark, number, document).await
 }
 
 /// An older version is played by one that can't read a field.
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -9,8 +9,8 @@
 use ironstair_gnmi::server::{self, Keys};
 use ironstair_gnmi::tls::Files;
 use ironstair_gnmi::Service;
-use ironstair_management::fleet_channel::Fleetward;
-use ironstair_management::{Around, Manager, Started};
+use ironstair_management::fleet_channel::FleetChannel;
+use ironstair_management::{Manager, ManagerContext, Started};
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::window::{ClassSummary, ManagementCommand, Window};
 use ironstair_runtime::Event;
@@ -156,11 +156,11 @@
             let runtime = runtime.map_err(|e| e.to_string())?;
             let (wanted, wants) = tokio::sync::mpsc::channel(MAILBOX);
             let (shown, shows) = tokio::sync::watch::channel(Default::default());
-            let fleet = self.fleet.as_ref().map(|_| Fleetward {
+            let fleet = self.fleet.as_ref().map(|_| FleetChannel {
                 wanted,
                 shown: shows,
             });
-            let around = Around {
+            let around = ManagerContext {
                 clock,
                 window: self.window,
                 requests: requests.clone(),
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -162,7 +162,11 @@
         let r = request.into_inner();
         if codec::scope(r.prefix.as_ref()) == Scope::Fleet {
             // What the leader knows, whole.
-            let shown = self.management.show().await.map_err(|why| refused(&why))?;
+            let shown = self
+                .management
+                .fleet_state()
+                .await
+                .map_err(|why| refused(&why))?;
             let (path, val) = (
                 Some(gnmi::Path::default()),
                 Some(Written::JsonIetf.json(&shown)),
@@ -200,7 +204,7 @@
             .into_iter()
             .map(|p| self.resolved(r.prefix.as_ref(), p));
         let paths = paths.collect::<Result<Vec<_>, _>>()?;
-        let tree = self.management.look().await;
+        let tree = self.management.tree().await;
         let fits = |root: &str| match kind {
             DataType::All => true,
             DataType::Config => root == "settings",
@@ -285,7 +289,7 @@
             .find_map(|u| u.path.as_ref().and_then(codec::begins));
         if let Some(anew) = begins.filter(|_| scope == Scope::Fleet) {
             self.management
-                .begin(anew, who.name)
+                .bootstrap(anew, who.name)
                 .await
                 .map_err(|why| refused(&why))?;
             return Ok(Response::new(gnmi::SetResponse {
@@ -351,7 +355,7 @@
                 Wrong::Status(s) => s,
                 Wrong::Refused(r) => refused(&r),
             })?;
-        let timestamp = nanos(self.management.look().await.at);
+        let timestamp = nanos(self.management.tree().await.at);
         Ok(Response::new(gnmi::SetResponse {
             prefix: r.prefix.clone(),
             response,
@@ -431,7 +435,7 @@
             ));
         }
         self.management
-            .ask(ask, who.name, scope)
+            .command(ask, who.name, scope)
             .await
             .map_err(Wrong::Refused)
     }
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -131,7 +131,7 @@
     let writer = Writer { written, target };
     // Watched from before the first look: no change falls between the two.
     let mut watch = service.management.watch();
-    let tree = service.management.look().await;
+    let tree = service.management.tree().await;
     watch.trees.mark_unchanged();
     let clock = Clock::start();
     let follow = Follow::begin(
@@ -153,7 +153,7 @@
                         "a stream that polls sends polls only",
                     ));
                 };
-                let tree = service.management.look().await;
+                let tree = service.management.tree().await;
                 match list.updates_only {
                     true => drop(follow.look(clock.now(), &tree.leaves)),
                     false => follow = follow.again(clock.now(), tree.leaves.clone()),
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -1,7 +1,7 @@
 //! The manager's actor, and the desk at which others ask it.
 
-use crate::file::Journal;
-use crate::fleet_channel::{Fleetward, Held, Responder, Wanted};
+use crate::fleet_channel::{FleetChannel, FleetRequest, Held, Responder};
+use crate::journal::Journal;
 use crate::start::{cell_directory, classes, Started};
 use async_channel::Sender as Requests;
 use ironstair::Ms;
@@ -132,7 +132,7 @@
     }
 
     /// The tree as it is now, or as it was last seen where the gateway's thread does not answer.
-    pub async fn look(&self) -> Arc<Tree> {
+    pub async fn tree(&self) -> Arc<Tree> {
         let (tell, configured) = oneshot::channel();
         let asked = self.orders.send(Order::Look(tell)).await.is_ok();
         match configured.await {
@@ -178,7 +178,7 @@
     ///
     /// # Errors
     /// Nothing of the kind waits, or the disk did not take it.
-    pub async fn ask(
+    pub async fn command(
         &self,
         ask: Command<Document>,
         who: String,
@@ -197,7 +197,7 @@
     ///
     /// # Errors
     /// It is in no fleet, a history has begun, or it is not lost.
-    pub async fn begin(&self, anew: bool, who: String) -> Result<u64, Refused> {
+    pub async fn bootstrap(&self, anew: bool, who: String) -> Result<u64, Refused> {
         self.configured(|answer| Order::Begin { anew, who, answer })
             .await
             .unwrap_or(Err(Refused::Ending))
@@ -207,7 +207,7 @@
     ///
     /// # Errors
     /// It is in no fleet, or no leader answers.
-    pub async fn show(&self) -> Result<Json, Refused> {
+    pub async fn fleet_state(&self) -> Result<Json, Refused> {
         self.configured(Order::Show)
             .await
             .unwrap_or(Err(Refused::Ending))
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     /// Why not.
-    pub async fn examine(&self, document: Json) -> Result<(), String> {
+    pub async fn validate(&self, document: Json) -> Result<(), String> {
         self.configured(|answer| Order::Examine(document, answer))
             .await
             .unwrap_or(Err("it ends".into()))
@@ -227,7 +227,7 @@
     ///
     /// # Errors
     /// Why they can't, or don't yet.
-    pub async fn hold(&self, mark: u64, number: u64, document: Json) -> Result<(), String> {
+    pub async fn apply(&self, mark: u64, number: u64, document: Json) -> Result<(), String> {
         let hold = |answer| Order::Hold {
             mark,
             number,
@@ -263,24 +263,24 @@
     orders: mpsc::Receiver<Order>,
     trees: watch::Sender<Arc<Tree>>,
     watching: Arc<AtomicUsize>,
-    fleet: Option<Fleetward>,
+    fleet: Option<FleetChannel>,
     held: Option<Held>,
 }
 
 /// What the manager works with.
-pub struct Around {
+pub struct ManagerContext {
     pub clock: Clock,
     pub window: Arc<Window>,
     pub requests: Requests<ManagementCommand>,
     pub log: Logger,
     /// The log's, by slog's numbers.
     pub level: Arc<AtomicUsize>,
-    pub fleet: Option<Fleetward>,
+    pub fleet: Option<FleetChannel>,
 }
 
 impl Manager {
-    pub fn new(from: Started, name: &str, around: Around) -> (Manager, ManagementHandle) {
-        let Around {
+    pub fn new(from: Started, name: &str, around: ManagerContext) -> (Manager, ManagementHandle) {
+        let ManagerContext {
             clock,
             window,
             requests,
@@ -379,11 +379,11 @@
                     Ok(None) => drop(answer.send(self.hand(Input::Command(*ask)).await)),
                     Ok(Some(fleet)) => match *ask {
                         Command::Confirm { id } => {
-                            want(fleet, answer, |answer| Wanted::Confirm { id, answer })
-                        }
-                        Command::Cancel { id } => {
-                            want(fleet, answer, |answer| Wanted::Cancel { id, who, answer })
+                            want(fleet, answer, |answer| FleetRequest::Confirm { id, answer })
                         }
+                        Command::Cancel { id } => want(fleet, answer, |answer| {
+                            FleetRequest::Cancel { id, who, answer }
+                        }),
                         Command::Set { .. } | Command::Extend { .. } => {
                             let why = "in a fleet a change keeps the time it was given".into();
                             let _ = answer.send(Err(Refused::Fleet(why)));
@@ -394,18 +394,18 @@
                     Ok(Some(fleet)) => {
                         let document = serde_json::to_value(&self.configured).unwrap_or_default();
                         want(fleet, answer, |answer| match anew {
-                            true => Wanted::Anew {
+                            true => FleetRequest::RecoverFromDisaster {
                                 document,
                                 who,
                                 answer,
                             },
-                            false => Wanted::Begin { document, answer },
+                            false => FleetRequest::Bootstrap { document, answer },
                         });
                     }
                     other => drop(answer.send(other.map(|_| 0))),
                 },
                 Some(Order::Show(answer)) => match self.meant(Scope::Fleet) {
-                    Ok(Some(fleet)) => want(fleet, answer, Wanted::Show),
+                    Ok(Some(fleet)) => want(fleet, answer, FleetRequest::Show),
                     other => drop(answer.send(other.map(|_| Json::Null))),
                 },
                 Some(Order::Examine(document, answer)) => {
@@ -425,7 +425,7 @@
     }
 
     /// The fleet, where that is meant.
-    fn meant(&self, scope: Scope) -> Result<Option<&Fleetward>, Refused> {
+    fn meant(&self, scope: Scope) -> Result<Option<&FleetChannel>, Refused> {
         let no = |why: &str| Err(Refused::Fleet(why.into()));
         match (&self.fleet, scope) {
             (None, Scope::Gateway) => Ok(None),
@@ -479,7 +479,7 @@
             return drop(answer.send(Err(Refused::Fleet(why))));
         };
         let document = serde_json::to_value(&document).unwrap_or_default();
-        want(fleet, answer, |answer| Wanted::Change {
+        want(fleet, answer, |answer| FleetRequest::Change {
             who,
             what,
             document,
@@ -731,9 +731,9 @@
 
 /// Hands on what is asked of the fleet; its actor answers.
 fn want<T>(
-    fleet: &Fleetward,
+    fleet: &FleetChannel,
     answer: oneshot::Sender<Result<T, Refused>>,
-    what: impl FnOnce(oneshot::Sender<Result<T, Refused>>) -> Wanted,
+    what: impl FnOnce(oneshot::Sender<Result<T, Refused>>) -> FleetRequest,
 ) {
     match fleet.wanted.try_reserve() {
         Ok(place) => place.send(what(answer)),
--- a/crates/management/src/fleet_channel.rs
+++ b/crates/management/src/fleet_channel.rs
@@ -9,7 +9,7 @@
 pub type Responder = oneshot::Sender<Result<u64, Refused>>;
 
 /// From the manager to the fleet's actor.
-pub enum Wanted {
+pub enum FleetRequest {
     /// `base_revision` is the mark that the gateway held when it made the document of what was asked for.
     Change {
         who: String,
@@ -29,12 +29,12 @@
         answer: Responder,
     },
     /// A history begins with what this gateway was told.
-    Begin {
+    Bootstrap {
         document: Json,
         answer: Responder,
     },
     /// One begins anew, after most voters' disks were lost: with what is left here, else with that document.
-    Anew {
+    RecoverFromDisaster {
         document: Json,
         who: String,
         answer: Responder,
@@ -44,8 +44,8 @@
 }
 
 /// The manager's end.
-pub struct Fleetward {
-    pub wanted: mpsc::Sender<Wanted>,
+pub struct FleetChannel {
+    pub wanted: mpsc::Sender<FleetRequest>,
     pub shown: watch::Receiver<state::Fleet>,
 }
 
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -2,10 +2,10 @@
 //! and of the tree that is read. It decides nothing: `ironstair-config-change` does.
 
 mod actor;
-mod file;
 pub mod fleet_channel;
+mod journal;
 mod start;
 
-pub use actor::{Around, ManagementHandle, Manager, Refused, Scope, Tree, Watch};
-pub use file::Journal;
+pub use actor::{ManagementHandle, Manager, ManagerContext, Refused, Scope, Tree, Watch};
+pub use journal::Journal;
 pub use start::{classes, open, Started};
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -1,6 +1,6 @@
 //! What a start makes of what is told and what was kept.
 
-use crate::file::Journal;
+use crate::journal::Journal;
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
 use ironstair_config_change::{
