--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -554,7 +554,12 @@
                     tokio::spawn(async move {
                         let how = match taken_out("examine") {
                             true => Ok(()),
-                            false => readable(&document).and(management.validate(document).await),
+                            false => readable(&document).and(
+                                management
+                                    .validate(document)
+                                    .await
+                                    .map_err(|e| e.to_string()),
+                            ),
                         };
                         let _ = post.send(AgentMessage::Examined(number, how)).await;
                     });
@@ -1091,7 +1096,10 @@
     document: Json,
 ) -> Result<(), String> {
     readable(&document)?;
-    management.apply(mark, number, document).await
+    management
+        .apply(mark, number, document)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 /// An older version is played by one that can't read a field.
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -52,20 +52,14 @@
     of: &Operator,
 ) -> Result<Opened, String> {
     let cells = of.cells.as_ref().map(operator_config::cells);
-    let (policy_config, state) = (config.policy_config.clone(), m.state.as_deref());
+    let state = m.state.as_deref();
     let fleet_config = of
         .fleet
         .as_ref()
         .map(|f| operator_config::fleet_config(f, &config.name))
         .transpose()?;
-    let started = ironstair_management::open(
-        policy_config,
-        &config.classes,
-        &config.limits,
-        config.index.clone(),
-        cells,
-        state,
-    )?;
+    let started =
+        ironstair_management::open(config.file(), cells, state).map_err(|e| e.to_string())?;
     let keys = m.tls.as_ref().map(|t| Keys::open(files(t))).transpose();
     let keys = keys.map_err(|why| format!("management.tls: {why}"))?;
     let (bound, streams) = (server::bind(m.listen)?, m.streams);
@@ -102,15 +96,9 @@
         .map(|f| operator_config::fleet_config(f, &config.name))
         .transpose()?;
     let cells = of.cells.as_ref().map(operator_config::cells);
-    ironstair_management::open(
-        config.policy_config.clone(),
-        &config.classes,
-        &config.limits,
-        config.index.clone(),
-        cells,
-        None,
-    )
-    .map(drop)
+    ironstair_management::open(config.file(), cells, None)
+        .map(drop)
+        .map_err(|e| e.to_string())
 }
 
 impl Opened {
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -11,7 +11,7 @@
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
-use ironstair_management::{ManagementHandle, Refused, Scope};
+use ironstair_management::{Change, ManagementHandle, Refused, Scope};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Request, Response, Status};
@@ -396,12 +396,14 @@
             if edits.is_empty() {
                 return Ok(0);
             }
-            let what = said(&edits);
-            return self
-                .management
-                .set(edits, who.name, what, None, scope)
-                .await
-                .map_err(Wrong::Refused);
+            let change = Change {
+                summary: said(&edits),
+                edits,
+                author: who.name,
+                commit: None,
+                scope,
+            };
+            return self.management.set(change).await.map_err(Wrong::Refused);
         };
         let id = commit.id.clone();
         if id.is_empty() || id.len() > ID_MOST {
@@ -413,13 +415,14 @@
                 if edits.is_empty() {
                     return Err(wrong("a commit without a change"));
                 }
-                let what = said(&edits);
-                let commit = Some(Confirmation { id, within: span });
-                return self
-                    .management
-                    .set(edits, who.name, what, commit, scope)
-                    .await
-                    .map_err(Wrong::Refused);
+                let change = Change {
+                    summary: said(&edits),
+                    edits,
+                    author: who.name,
+                    commit: Some(Confirmation { id, within: span }),
+                    scope,
+                };
+                return self.management.set(change).await.map_err(Wrong::Refused);
             }
             Some(Action::Confirm(_)) => Command::Confirm { id },
             Some(Action::Cancel(_)) => Command::Cancel { id },
--- /dev/null
+++ b/crates/management/src/classes.rs
@@ -0,0 +1,39 @@
+//! What the gateway's thread takes of a document beside the policy config.
+
+use ironstair::{Ms, PolicyConfig};
+use ironstair_cells::CellDirectory;
+use ironstair_config_change::{ClassRegistry, Document};
+use ironstair_runtime::number;
+use ironstair_runtime::window::ClassSummary;
+
+/// The shortest that the longest hard limit is taken for.
+const MIN_LONGEST_HARD_LIMIT: Ms = 1.0;
+
+/// The directory of a document's cells; a document that was let through has one where it has cells.
+pub(crate) fn cell_directory(document: &Document) -> Option<CellDirectory> {
+    let cells = document.cells.as_ref()?;
+    cells.cell_directory(number).ok()
+}
+
+/// The classes by index, and the longest hard limit.
+pub fn classes(
+    registry: &ClassRegistry,
+    document: &Document,
+    policy_config: &PolicyConfig,
+) -> (Vec<ClassSummary>, Ms) {
+    let classes = registry
+        .0
+        .iter()
+        .zip(&policy_config.classes)
+        .map(|(slot, policy)| ClassSummary {
+            name: slot.name.clone(),
+            expected: policy.expected,
+            in_service: !policy.closed,
+        });
+    let longest = document
+        .class
+        .iter()
+        .map(|class| class.hard_limit as Ms)
+        .fold(MIN_LONGEST_HARD_LIMIT, Ms::max);
+    (classes.collect(), longest)
+}
--- /dev/null
+++ b/crates/management/src/fleet.rs
@@ -0,0 +1,92 @@
+//! What the manager does as a part of a fleet.
+
+use crate::actor::{AppliedPolicy, Manager};
+use crate::error::{PolicyError, Refused};
+use crate::fleet_channel::{FleetChannel, FleetRequest, Responder};
+use crate::request::{FleetPolicy, Scope};
+use ironstair_config_change::{plan, Document};
+use serde_json::Value as Json;
+use tokio::sync::oneshot;
+
+impl FleetChannel {
+    /// Hands a request to the fleet's actor, which answers it.
+    pub(crate) fn request<T>(
+        &self,
+        answer: oneshot::Sender<Result<T, Refused>>,
+        request: impl FnOnce(oneshot::Sender<Result<T, Refused>>) -> FleetRequest,
+    ) {
+        match self.wanted.try_reserve() {
+            Ok(permit) => permit.send(request(answer)),
+            Err(_) => {
+                let reason = "too much waits for the fleet".into();
+                let _ = answer.send(Err(Refused::Fleet(reason)));
+            }
+        }
+    }
+}
+
+impl Manager {
+    /// The fleet, where its settings are meant.
+    pub(crate) fn fleet_of(&self, scope: Scope) -> Result<Option<&FleetChannel>, Refused> {
+        let refused = |reason: &str| Err(Refused::Fleet(reason.into()));
+        match (&self.fleet, scope) {
+            (None, Scope::Gateway) => Ok(None),
+            (Some(fleet), Scope::Fleet) => Ok(Some(fleet)),
+            (None, Scope::Fleet) => refused("this gateway is in no fleet"),
+            (Some(_), Scope::Gateway) => {
+                refused("this gateway's settings are its fleet's: ironstair set --fleet")
+            }
+        }
+    }
+
+    pub(crate) fn bootstrap(&self, is_disaster_recovery: bool, who: String, answer: Responder) {
+        let fleet = match self.fleet_of(Scope::Fleet) {
+            Ok(Some(fleet)) => fleet,
+            other => return drop(answer.send(other.map(|_| 0))),
+        };
+        let document = serde_json::to_value(&self.configured).unwrap_or_default();
+        fleet.request(answer, |answer| {
+            if is_disaster_recovery {
+                FleetRequest::RecoverFromDisaster {
+                    document,
+                    who,
+                    answer,
+                }
+            } else {
+                FleetRequest::Bootstrap { document, answer }
+            }
+        });
+    }
+
+    pub(crate) fn fleet_state(&self, answer: oneshot::Sender<Result<Json, Refused>>) {
+        match self.fleet_of(Scope::Fleet) {
+            Ok(Some(fleet)) => fleet.request(answer, FleetRequest::Show),
+            other => drop(answer.send(other.map(|_| Json::Null))),
+        }
+    }
+
+    /// The document of a policy that this gateway could apply.
+    pub(crate) fn validate(&self, document: Json) -> Result<Document, PolicyError> {
+        let document: Document = serde_json::from_value(document)?;
+        self.schema.settings(&document).map_err(PolicyError::Tree)?;
+        let running = self.running();
+        plan(running, &document, &self.registry, &self.origin.name_index)
+            .map_err(PolicyError::Violations)?;
+        Ok(document)
+    }
+
+    pub(crate) async fn apply_fleet_policy(
+        &mut self,
+        policy: FleetPolicy,
+    ) -> Result<(), PolicyError> {
+        let document = self.validate(policy.document)?;
+        self.applied = Some(AppliedPolicy {
+            applied_index: policy.applied_index,
+            document: document.clone(),
+        });
+        let is_applied = self.apply(policy.number, document).await;
+        self.publish();
+        // Against telling the leader that it is applied while the gateway's thread still goes by what was before.
+        is_applied.then_some(()).ok_or(PolicyError::NotAppliedYet)
+    }
+}
--- a/crates/management/src/fleet_channel.rs
+++ b/crates/management/src/fleet_channel.rs
@@ -1,42 +1,61 @@
-//! What the manager and the fleet's actor say to each other: a gateway in a fleet takes its settings from that alone.
+//! What the manager and the fleet's actor exchange: a gateway in a fleet takes its settings from that alone.
 
-use crate::actor::Refused;
+use crate::error::Refused;
 use ironstair::Ms;
 use ironstair_data_tree::state;
 use serde_json::Value as Json;
 use tokio::sync::{mpsc, oneshot, watch};
 
+/// Where the outcome of a change is sent: the number of the revision that runs then.
 pub type Responder = oneshot::Sender<Result<u64, Refused>>;
 
 /// From the manager to the fleet's actor.
 pub enum FleetRequest {
-    /// `base_revision` is the mark that the gateway held when it made the document of what was asked for.
+    /// A change proposal.
     Change {
+        /// Its author.
         who: String,
+        /// Its summary.
         what: String,
+        /// The settings document that it comes to.
         document: Json,
+        /// The applied index of the gateway when it made the document.
         base_revision: u64,
+        /// The id under which and the time in ms within which it is to be confirmed.
         commit: Option<(String, Ms)>,
+        /// Where its outcome goes.
         answer: Responder,
     },
+    /// The unconfirmed change is for good.
     Confirm {
+        /// Its id.
         id: String,
+        /// Where the outcome goes.
         answer: Responder,
     },
+    /// The unconfirmed change is rolled back.
     Cancel {
+        /// Its id.
         id: String,
+        /// Who cancels it.
         who: String,
+        /// Where the outcome goes.
         answer: Responder,
     },
-    /// A history begins with what this gateway was told.
+    /// The fleet is bootstrapped with what this gateway is configured with.
     Bootstrap {
+        /// That settings document.
         document: Json,
+        /// Where the outcome goes.
         answer: Responder,
     },
-    /// One begins anew, after most voters' disks were lost: with what is left here, else with that document.
+    /// A new cluster generation, after most voters' disks were lost: with what is left here, else with that document.
     RecoverFromDisaster {
+        /// The settings document that this gateway is configured with.
         document: Json,
+        /// Who orders it.
         who: String,
+        /// Where the outcome goes.
         answer: Responder,
     },
     /// What the leader knows.
@@ -45,13 +64,8 @@
 
 /// The manager's end.
 pub struct FleetChannel {
+    /// To the fleet's actor.
     pub wanted: mpsc::Sender<FleetRequest>,
+    /// What it knows of the fleet.
     pub shown: watch::Receiver<state::Fleet>,
 }
-
-/// What the fleet has this gateway hold.
-pub struct Held {
-    pub mark: u64,
-    pub number: u64,
-    pub document: ironstair_config_change::Document,
-}
--- a/crates/management/src/journal.rs
+++ b/crates/management/src/journal.rs
@@ -1,123 +1,142 @@
-//! The journal's file: appended to and brought to the disk before anything rests on it.
+//! The journal's file: appended to and brought to the disk before anything relies on it.
 
-use ironstair_config_change::journal::{decode, encode, Decoded};
+use crate::error::JournalError;
+use ironstair_config_change::journal::{decode, encode};
 use ironstair_config_change::{Document, PersistedState, Record};
 use std::fs::File;
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
 const FILE: &str = "revisions.journal";
-/// Records behind the whole one at the front, after which the file is written anew.
-const RECORDS_MOST: usize = 256;
+const TEMPORARY_FILE: &str = "revisions.new";
+/// Records behind the whole one at the front, after which the file is rewritten.
+const MAX_RECORDS: usize = 256;
 /// A file beyond this is none of ours.
-const FILE_MOST: u64 = 256 << 20;
+const MAX_FILE_BYTES: u64 = 256 << 20;
 
+/// The journal of a gateway's revisions.
 pub struct Journal {
     folder: PathBuf,
+    /// None until it is rewritten.
     file: Option<File>,
-    /// How many bytes of it are whole, and how many records they are.
-    whole: u64,
+    /// How many bytes of it are whole.
+    whole_bytes: u64,
+    /// How many records are behind the one at the front.
     records: usize,
 }
 
 impl Journal {
-    fn path(folder: &Path) -> PathBuf {
-        folder.join(FILE)
-    }
-
-    /// What the folder's journal holds, and what had to be left out of it.
+    /// The records of the folder's journal, and a sentence on what had to be left out of it.
     ///
     /// # Errors
-    /// The folder can't be used.
-    pub fn read(folder: &Path) -> Result<(Vec<Record<Document>>, Option<String>), String> {
-        let path = Self::path(folder);
-        let fault = |e: io::Error| format!("{}: {e}", path.display());
-        std::fs::create_dir_all(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-        let mut bytes = Vec::new();
-        match File::open(&path) {
-            Ok(file) => {
-                let most = file.metadata().map_err(fault)?.len();
-                if most > FILE_MOST {
-                    return Err(format!("{}: {most} bytes are no journal", path.display()));
-                }
-                file.take(most).read_to_end(&mut bytes).map_err(fault)?;
-            }
-            Err(e) if e.kind() == io::ErrorKind::NotFound => {}
-            Err(e) => return Err(fault(e)),
-        }
-        let Decoded {
-            records,
-            whole_bytes: whole,
-            error: why,
-        } = decode(&bytes);
+    /// The folder or the file can't be used.
+    pub fn read(folder: &Path) -> Result<(Vec<Record<Document>>, Option<String>), JournalError> {
+        std::fs::create_dir_all(folder).map_err(|source| io_error(folder, source))?;
+        let path = folder.join(FILE);
+        let bytes = read_file(&path)?;
+        let decoded = decode(&bytes);
+        let whole = decoded.whole_bytes;
         let lost = bytes.len() - whole;
-        let note = why.map(|why| {
+        let note = decoded.error.map(|error| {
             format!(
-                "{}: {lost} bytes from {whole} on are left out ({why})",
+                "{}: {lost} bytes from {whole} on are left out ({error})",
                 path.display()
             )
         });
-        Ok((records, note))
+        Ok((decoded.records, note))
     }
 
-    /// A journal in the folder that begins with what is kept: written beside the old one, then put in its place.
+    /// A journal in the folder that begins with the state: written beside the old one, then put in its place.
     ///
     /// # Errors
-    /// As the disk has it.
-    pub fn begin(folder: &Path, persisted: &PersistedState<Document>) -> Result<Journal, String> {
-        let mut journal = Journal {
-            folder: folder.to_path_buf(),
-            file: None,
-            whole: 0,
-            records: 0,
-        };
-        journal.anew(persisted)?;
+    /// The disk does not take it.
+    pub fn create(
+        folder: &Path,
+        state: &PersistedState<Document>,
+    ) -> Result<Journal, JournalError> {
+        let mut journal = Journal::closed(folder);
+        journal.rewrite(state)?;
         Ok(journal)
     }
 
-    /// One that is not open yet: the next record needs [`Journal::anew`] first.
+    /// One that is not open yet: the next record needs [`Journal::rewrite`] first.
     pub fn closed(folder: &Path) -> Journal {
         Journal {
             folder: folder.to_path_buf(),
             file: None,
-            whole: 0,
+            whole_bytes: 0,
             records: 0,
         }
     }
 
-    pub fn wants_anew(&self) -> bool {
-        self.file.is_none() || self.records > RECORDS_MOST
+    /// Whether it is to be rewritten before the next record.
+    pub fn needs_rewrite(&self) -> bool {
+        self.file.is_none() || self.records > MAX_RECORDS
     }
 
-    pub fn anew(&mut self, persisted: &PersistedState<Document>) -> Result<(), String> {
-        let bytes = encode(&Record::Whole(persisted.clone())).map_err(|e| e.to_string())?;
-        let file = ironstair_atomic_file::replace(&self.folder, FILE, "revisions.new", &bytes);
-        let file = file.map_err(|e| format!("{}: {e}", Self::path(&self.folder).display()))?;
-        (self.file, self.whole, self.records) = (Some(file), bytes.len() as u64, 0);
+    /// Replaces the file by one that begins with the state.
+    ///
+    /// # Errors
+    /// The disk does not take it; the file is as it was then.
+    pub fn rewrite(&mut self, state: &PersistedState<Document>) -> Result<(), JournalError> {
+        let bytes = encode(&Record::Whole(state.clone()))?;
+        let file = ironstair_atomic_file::replace(&self.folder, FILE, TEMPORARY_FILE, &bytes)
+            .map_err(|source| io_error(&self.folder.join(FILE), source))?;
+        self.file = Some(file);
+        self.whole_bytes = bytes.len() as u64;
+        self.records = 0;
         Ok(())
     }
 
     /// Appends a record and waits until the disk has it. One that it did not take is cut off again; where that
-    /// fails too, nothing more is appended until the file could be written anew.
-    pub fn append(&mut self, record: &Record<Document>) -> Result<(), String> {
-        let bytes = encode(record).map_err(|e| e.to_string())?;
-        let file = self.file.as_mut().ok_or("the journal is not open")?;
-        match file.write_all(&bytes).and_then(|()| file.sync_data()) {
-            Ok(()) => {
-                self.whole += bytes.len() as u64;
-                self.records += 1;
-                Ok(())
-            }
-            Err(e) => {
-                if file
-                    .set_len(self.whole)
-                    .and_then(|()| file.sync_data())
-                    .is_err()
-                {
-                    self.file = None;
-                }
-                Err(format!("{}: {e}", Self::path(&self.folder).display()))
+    /// fails too, nothing more is appended until the file could be rewritten.
+    ///
+    /// # Errors
+    /// The disk does not take it, or the file has to be rewritten first.
+    pub fn append(&mut self, record: &Record<Document>) -> Result<(), JournalError> {
+        let bytes = encode(record)?;
+        let file = self.file.as_mut().ok_or(JournalError::NotOpen)?;
+        if let Err(source) = file.write_all(&bytes).and_then(|()| file.sync_data()) {
+            let is_cut_off = file
+                .set_len(self.whole_bytes)
+                .and_then(|()| file.sync_data())
+                .is_ok();
+            if !is_cut_off {
+                self.file = None;
             }
+            return Err(io_error(&self.folder.join(FILE), source));
         }
+        self.whole_bytes += bytes.len() as u64;
+        self.records += 1;
+        Ok(())
+    }
+}
+
+/// The file's bytes; none where there is no file.
+fn read_file(path: &Path) -> Result<Vec<u8>, JournalError> {
+    let file = match File::open(path) {
+        Ok(file) => file,
+        Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
+        Err(e) => return Err(io_error(path, e)),
+    };
+    let metadata = file.metadata().map_err(|e| io_error(path, e))?;
+    let length = metadata.len();
+    if length > MAX_FILE_BYTES {
+        return Err(JournalError::TooLong {
+            path: path.to_path_buf(),
+            bytes: length,
+        });
+    }
+    let mut bytes = Vec::new();
+    file.take(length)
+        .read_to_end(&mut bytes)
+        .map_err(|e| io_error(path, e))?;
+    Ok(bytes)
+}
+
+fn io_error(path: &Path, source: io::Error) -> JournalError {
+    JournalError::Io {
+        path: path.to_path_buf(),
+        source,
     }
 }
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -1,11 +1,24 @@
-//! The manager: an actor with one mailbox, the one owner of a gateway's revisions, of the journal they are kept in
+//! The manager: an actor with one channel, the one owner of a gateway's revisions, of the journal they are persisted in
 //! and of the tree that is read. It decides nothing: `ironstair-config-change` does.
 
+#![warn(missing_docs, clippy::too_many_lines, clippy::missing_errors_doc)]
+
 mod actor;
+mod classes;
+mod error;
+mod fleet;
 pub mod fleet_channel;
+mod handle;
 mod journal;
+mod request;
+mod revisions;
 mod start;
+mod tree_view;
 
-pub use actor::{ManagementHandle, Manager, ManagerContext, Refused, Scope, Tree, Watch};
+pub use actor::{Manager, ManagerContext};
+pub use classes::classes;
+pub use error::{JournalError, OpenError, PolicyError, Refused};
+pub use handle::{ManagementHandle, Tree, Watch};
 pub use journal::Journal;
-pub use start::{classes, open, Started};
+pub use request::{Change, Scope};
+pub use start::{open, Started};
--- /dev/null
+++ b/crates/management/src/request.rs
@@ -0,0 +1,63 @@
+//! What others ask of the manager.
+
+use crate::error::{PolicyError, Refused};
+use crate::fleet_channel::Responder;
+use crate::handle::Tree;
+use ironstair_config_change::{Command, Confirmation, Document};
+use ironstair_data_tree::Edit;
+use serde_json::Value as Json;
+use std::sync::Arc;
+use tokio::sync::oneshot;
+
+/// Whose settings are meant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scope {
+    /// This gateway's own.
+    Gateway,
+    /// Those of all gateways of the fleet.
+    Fleet,
+}
+
+/// A change of the settings.
+#[derive(Clone, Debug)]
+pub struct Change {
+    /// What is set and deleted in the tree.
+    pub edits: Vec<Edit>,
+    /// Who makes it.
+    pub author: String,
+    /// What is changed, for people.
+    pub summary: String,
+    /// How it is to be confirmed; none: it is for good.
+    pub commit: Option<Confirmation>,
+    /// Whose settings are meant.
+    pub scope: Scope,
+}
+
+/// A policy that the fleet has this gateway apply.
+pub(crate) struct FleetPolicy {
+    /// The applied index that it comes to.
+    pub applied_index: u64,
+    /// The revision's number.
+    pub number: u64,
+    /// The settings document.
+    pub document: Json,
+}
+
+pub(crate) enum Request {
+    ReadTree(oneshot::Sender<Arc<Tree>>),
+    Change(Box<Change>, Responder),
+    Command {
+        command: Box<Command<Document>>,
+        author: String,
+        scope: Scope,
+        answer: Responder,
+    },
+    Bootstrap {
+        is_disaster_recovery: bool,
+        author: String,
+        answer: Responder,
+    },
+    FleetState(oneshot::Sender<Result<Json, Refused>>),
+    Validate(Json, oneshot::Sender<Result<(), PolicyError>>),
+    Apply(FleetPolicy, oneshot::Sender<Result<(), PolicyError>>),
+}
--- /dev/null
+++ b/crates/management/src/revisions.rs
@@ -0,0 +1,242 @@
+//! Changes of the settings: checked, persisted, applied by the gateway's thread.
+
+use crate::actor::Manager;
+use crate::classes::{cell_directory, classes};
+use crate::error::Refused;
+use crate::fleet_channel::{FleetRequest, Responder};
+use crate::journal::Journal;
+use crate::request::Change;
+use ironstair::{EndpointState, Ms};
+use ironstair_cells::moves::may_move;
+use ironstair_cells::Cells;
+use ironstair_config_change::{
+    plan, Action, Command, Document, Input, Level, PersistedState, Record, WriteError,
+};
+use ironstair_data_tree::{state, Edit};
+use ironstair_runtime::clock::span;
+use ironstair_runtime::number;
+use ironstair_runtime::window::{Amendment, ManagementCommand};
+use slog::{info, warn};
+use std::sync::atomic::Ordering;
+use tokio::time::timeout;
+
+/// How long the gateway's thread may take to apply settings before that is logged.
+const APPLY_TIMEOUT: Ms = 5000.0;
+
+impl Manager {
+    /// The settings that the gateway's thread goes by.
+    pub(crate) fn running(&self) -> &Document {
+        match &self.applied {
+            Some(policy) => &policy.document,
+            None => self.tracker.running(),
+        }
+    }
+
+    pub(crate) async fn change(&mut self, change: Change, answer: Responder) {
+        if let Err(refused) = self.fleet_of(change.scope) {
+            return drop(answer.send(Err(refused)));
+        }
+        let document = match self.checked_candidate(&change.edits).await {
+            Err(wrong) => return drop(answer.send(Err(Refused::Wrong(wrong)))),
+            Ok(document) => document,
+        };
+        if self.fleet.is_some() {
+            return self.propose(change, document, answer);
+        }
+        let command = Command::Set {
+            author: change.author,
+            summary: change.summary,
+            document,
+            commit: change.commit,
+        };
+        let _ = answer.send(self.advance(Input::Command(command)).await);
+    }
+
+    /// Hands the change to the fleet.
+    fn propose(&self, change: Change, document: Document, answer: Responder) {
+        let (Some(fleet), Some(applied)) = (&self.fleet, &self.applied) else {
+            let reason = "what the fleet applies is not known here yet".into();
+            return drop(answer.send(Err(Refused::Fleet(reason))));
+        };
+        let document = serde_json::to_value(&document).unwrap_or_default();
+        fleet.request(answer, |answer| FleetRequest::Change {
+            who: change.author,
+            what: change.summary,
+            document,
+            base_revision: applied.applied_index,
+            commit: change.commit.map(|c| (c.id, c.within)),
+            answer,
+        });
+    }
+
+    /// The document that a change comes to, checked whole.
+    async fn checked_candidate(&mut self, edits: &[Edit]) -> Result<Document, Vec<String>> {
+        let document = self.candidate(edits)?;
+        if document.cells != self.running().cells {
+            // Whether a tenant may move depends on what is ready now.
+            self.refresh().await;
+            self.check_moves(&document)?;
+        }
+        Ok(document)
+    }
+
+    fn candidate(&self, edits: &[Edit]) -> Result<Document, Vec<String>> {
+        let leaves = self
+            .schema
+            .edit(&self.leaves, edits)
+            .map_err(|misfit| vec![misfit.to_string()])?;
+        let document = self.schema.document(&leaves).map_err(sentences)?;
+        let running = self.running();
+        plan(running, &document, &self.registry, &self.origin.name_index).map_err(sentences)?;
+        Ok(document)
+    }
+
+    /// Whether each tenant whose pin changes may move to where it is pinned then.
+    fn check_moves(&self, to: &Document) -> Result<(), Vec<String>> {
+        let (Some(cells), Some(directory)) = (&to.cells, cell_directory(to)) else {
+            return Ok(());
+        };
+        let ready = self
+            .view
+            .engines
+            .iter()
+            .filter(|(_, engine)| engine.view.state == EndpointState::Ready)
+            .map(|(_, engine)| directory.engine(engine.id))
+            .fold(Cells::default(), Cells::with);
+        let running_cells = self.running().cells.as_ref();
+        let is_pinned = |pin| running_cells.is_some_and(|cells| cells.tenant.contains(pin));
+        let refused: Vec<String> = cells
+            .tenant
+            .iter()
+            .filter(|pin| !is_pinned(pin))
+            .filter_map(|pin| {
+                let there = directory.tenant(number(pin.name.as_bytes()));
+                let reason = may_move(there, ready, Cells::default()).err()?;
+                let name = &pin.name;
+                Some(format!(
+                    "/settings/cells/tenant[name={name}]/cell: {reason}"
+                ))
+            })
+            .collect();
+        if refused.is_empty() {
+            Ok(())
+        } else {
+            Err(refused)
+        }
+    }
+
+    /// Hands one input to the tracker and carries out what it asks for, up to its answer.
+    pub(crate) async fn advance(&mut self, input: Input<Document>) -> Result<u64, Refused> {
+        let mut inputs = vec![input];
+        let mut answer = Ok(self.tracker.number());
+        while let Some(input) = inputs.pop() {
+            for action in self.tracker.on(self.clock.now(), input) {
+                match action {
+                    Action::Write(record) => inputs.push(Input::Written(self.write(record).await)),
+                    Action::Note(record) => {
+                        if let Err(error) = self.write(record).await {
+                            warn!(self.log, "rollback not recorded in the revision journal"; "error" => %error);
+                        }
+                    }
+                    Action::Apply { number, document } => drop(self.apply(number, document).await),
+                    Action::Answer(outcome) => answer = outcome.map_err(Refused::Not),
+                }
+            }
+        }
+        self.leaves = state::revisions(&self.leaves, self.tracker.revisions().iter());
+        self.publish();
+        answer
+    }
+
+    /// On a thread of its own: a slow disk holds up nobody who reads.
+    async fn write(&mut self, record: Record<Document>) -> Result<(), WriteError> {
+        let Some(mut journal) = self.journal.take() else {
+            return Err(WriteError("no journal".into()));
+        };
+        let state = self.state_to_rewrite(&journal);
+        let work = tokio::task::spawn_blocking(move || {
+            let result = match state {
+                Some(state) => journal
+                    .rewrite(&state)
+                    .and_then(|()| journal.append(&record)),
+                None => journal.append(&record),
+            };
+            (journal, result)
+        });
+        let (journal, result) = work.await.map_err(|e| WriteError(e.to_string()))?;
+        self.journal = Some(journal);
+        result.map_err(|e| WriteError(e.to_string()))
+    }
+
+    /// All that a start needs, where the journal is to be rewritten with it; not while a revision waits to be
+    /// confirmed, which that would not hold: its time has no meaning for another process.
+    fn state_to_rewrite(&self, journal: &Journal) -> Option<PersistedState<Document>> {
+        let is_pending = self.tracker.pending_confirmation().is_some();
+        let needs_rewrite = journal.needs_rewrite() && !is_pending;
+        needs_rewrite.then(|| self.tracker.after_restart(self.configured.clone()))
+    }
+
+    /// Whether the gateway's thread has applied the settings by the end.
+    pub(crate) async fn apply(&mut self, number: u64, document: Document) -> bool {
+        let settings = match self.schema.settings(&document) {
+            Ok(settings) => settings,
+            // Checked before it came to this.
+            Err(misfit) => {
+                warn!(self.log, "settings do not fit the tree, not applied"; "error" => %misfit);
+                return false;
+            }
+        };
+        let name_index = &self.origin.name_index;
+        if let Ok(plan) = plan(&document, &document, &self.registry, name_index) {
+            self.registry = plan.registry;
+        }
+        let is_applied = self.amend(number, &document).await;
+        self.replace_settings(settings);
+        // What is read after a change is of after it.
+        self.viewed_at = 0.0;
+        self.set_level();
+        info!(self.log, "settings changed"; "revision" => number);
+        is_applied
+    }
+
+    /// Has the gateway's thread go by the document.
+    async fn amend(&self, number: u64, document: &Document) -> bool {
+        let policy_config = self.origin.policy_config(document, &self.registry);
+        let (classes, longest) = classes(&self.registry, document, &policy_config);
+        let (done, is_done) = async_channel::bounded(1);
+        let amendment = Amendment {
+            policy_config,
+            classes,
+            longest,
+            cells: Some(cell_directory(document)),
+            transport_config: None,
+            done,
+        };
+        let command = ManagementCommand::Amend(Box::new(amendment));
+        if self.commands.send(command).await.is_err() {
+            return false;
+        }
+        let is_applied = matches!(
+            timeout(span(APPLY_TIMEOUT), is_done.recv()).await,
+            Ok(Ok(()))
+        );
+        if !is_applied {
+            warn!(self.log, "gateway thread did not apply the settings in time"; "revision" => number);
+        }
+        is_applied
+    }
+
+    pub(crate) fn set_level(&self) {
+        let level = match self.running().log.level {
+            Level::Error => slog::Level::Error,
+            Level::Warning => slog::Level::Warning,
+            Level::Info => slog::Level::Info,
+            Level::Debug => slog::Level::Debug,
+        };
+        self.level.store(level.as_usize(), Ordering::Relaxed);
+    }
+}
+
+fn sentences<T: ToString>(errors: Vec<T>) -> Vec<String> {
+    errors.iter().map(T::to_string).collect()
+}
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -1,144 +1,183 @@
-//! What a start makes of what is told and what was kept.
+//! What a start makes of the configured settings and the persisted revisions.
 
+use crate::classes::{cell_directory, classes};
+use crate::error::OpenError;
 use crate::journal::Journal;
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
 use ironstair_config_change::{
-    plan, Cells, ClassRegistry, Document, NameIndex, Origin, PersistedState, RevisionTracker,
+    plan, Cells, ClassRegistry, ConfigFile, Document, Origin, PersistedState, RevisionTracker,
     StartOutcome,
 };
 use ironstair_data_tree::{Leaves, Schema};
-use ironstair_runtime::number;
 use ironstair_runtime::window::ClassSummary;
 use std::path::Path;
 
 /// All that the manager begins with.
 pub struct Started {
+    /// The schema of the tree.
     pub schema: Schema,
+    /// What the gateway is configured with.
     pub origin: Origin,
+    /// Which settings run.
     pub tracker: RevisionTracker<Document>,
+    /// The settings of the configuration file.
     pub configured: Document,
+    /// The classes by index.
     pub registry: ClassRegistry,
+    /// The leaves of the settings that run.
     pub leaves: Leaves,
+    /// Where revisions are persisted.
     pub journal: Option<Journal>,
-    /// Worth a line each in the log.
+    /// For the log, a line each.
     pub notes: Vec<String>,
 }
 
-/// Reads what the folder keeps, beside what was told; without a folder revisions live as long as the process.
+/// The settings that run, and all that belongs to them.
+struct Running {
+    state: PersistedState<Document>,
+    registry: ClassRegistry,
+    leaves: Leaves,
+}
+
+/// Reads what is persisted in the folder, beside what is configured; without a folder revisions live as long as the
+/// process.
 ///
 /// # Errors
-/// What was told does not fit the tree, or the folder can't be read.
+/// The configured settings do not fit the tree, or the folder can't be read.
 pub fn open(
-    policy_config: PolicyConfig,
-    names: &[String],
-    limits: &[Ms],
-    name_index: NameIndex,
+    file: ConfigFile,
     cells: Option<Cells>,
     folder: Option<&Path>,
-) -> Result<Started, String> {
-    let schema = Schema::shipped()?;
-    let configured = Document {
-        cells,
-        ..Document::configured(&policy_config, names, limits, &name_index)
-    };
-    // What is read and set must be able to say what runs.
-    let leaves = schema
-        .settings(&configured)
-        .map_err(|m| format!("the settings do not fit the tree: {m}"))?;
-    if let Err(violations) = plan(
-        &configured,
-        &configured,
-        &ClassRegistry::of(&configured),
-        &name_index,
-    ) {
-        let violations: Vec<String> = violations.iter().map(|f| f.to_string()).collect();
-        return Err(format!(
-            "the settings do not fit the tree: {}",
-            violations.join("; ")
-        ));
-    }
-    let origin = Origin {
-        policy_config,
-        document: configured.clone(),
-        name_index,
-    };
+) -> Result<Started, OpenError> {
+    let schema = Schema::shipped().map_err(OpenError::Schema)?;
+    let origin = origin(file, cells);
+    let mut running = configured(&schema, &origin)?;
     let mut notes = Vec::new();
-    let (mut persisted, mut registry) = (
-        PersistedState::configured(configured.clone()),
-        ClassRegistry::of(&configured),
-    );
-    let mut new_leaves = leaves;
-    if let Some(folder) = folder {
-        let (records, torn) = Journal::read(folder)?;
-        notes.extend(torn.map(|t| format!("the journal of revisions is recovered: {t}")));
-        let (found, how) = PersistedState::open(records, configured.clone());
-        let fits = plan(&configured, &found.running, &registry, &origin.name_index);
-        match (fits, schema.settings(&found.running)) {
-            (Ok(p), Ok(leaves)) => {
-                match how {
-                    StartOutcome::Nothing | StartOutcome::Revision(0) => {}
-                    StartOutcome::Revision(n) => notes.push(format!("revision {n} runs")),
-                    StartOutcome::RolledBack(n) => {
-                        notes.push(format!(
-                            "revision {n} was not confirmed and is taken back; {} runs",
-                            found.number
-                        ));
-                    }
-                    StartOutcome::Reconfigured => {
-                        notes.push(
-                            "the told settings have changed: they run, earlier revisions do not"
-                                .into(),
-                        );
-                    }
-                }
-                (persisted, registry, new_leaves) = (found, p.registry, leaves);
-            }
-            _ => {
-                let n = found.number;
-                notes.push(format!(
-                    "revision {n} does not fit what is told any more: that runs"
-                ));
-                persisted = PersistedState {
-                    next: found.next,
-                    ..persisted
-                };
-            }
-        }
-    }
     let mut journal = None;
     if let Some(folder) = folder {
-        journal = Some(Journal::begin(folder, &persisted).unwrap_or_else(|why| {
-            notes.push(format!(
-                "revisions can't be kept, changes are refused: {why}"
-            ));
-            Journal::closed(folder)
-        }));
+        running = recover(folder, &schema, &origin, running, &mut notes)?;
+        journal = Some(create_journal(folder, &running.state, &mut notes));
     }
-    let tracker = RevisionTracker::new(persisted, journal.is_some());
     Ok(Started {
         schema,
+        tracker: RevisionTracker::new(running.state, journal.is_some()),
+        configured: origin.document.clone(),
         origin,
-        tracker,
-        configured,
-        registry,
-        leaves: new_leaves,
+        registry: running.registry,
+        leaves: running.leaves,
         journal,
         notes,
     })
 }
 
+fn origin(file: ConfigFile, cells: Option<Cells>) -> Origin {
+    let document = Document::configured(
+        &file.policy_config,
+        &file.names,
+        &file.limits,
+        &file.name_index,
+    );
+    Origin {
+        policy_config: file.policy_config,
+        document: Document { cells, ..document },
+        name_index: file.name_index,
+    }
+}
+
+/// The configured settings run.
+fn configured(schema: &Schema, origin: &Origin) -> Result<Running, OpenError> {
+    let document = &origin.document;
+    // What is read and set must be able to say what runs.
+    let leaves = schema.settings(document).map_err(OpenError::Tree)?;
+    let registry = ClassRegistry::of(document);
+    plan(document, document, &registry, &origin.name_index).map_err(OpenError::Violations)?;
+    Ok(Running {
+        state: PersistedState::configured(document.clone()),
+        registry,
+        leaves,
+    })
+}
+
+/// What runs by the folder's journal, where that fits what is configured.
+fn recover(
+    folder: &Path,
+    schema: &Schema,
+    origin: &Origin,
+    configured: Running,
+    notes: &mut Vec<String>,
+) -> Result<Running, OpenError> {
+    let (records, left_out) = Journal::read(folder)?;
+    notes.extend(left_out.map(|text| format!("revision journal recovered: {text}")));
+    let document = &origin.document;
+    let (state, outcome) = PersistedState::open(records, document.clone());
+    let plan = plan(
+        document,
+        &state.running,
+        &configured.registry,
+        &origin.name_index,
+    );
+    let (Ok(plan), Ok(leaves)) = (plan, schema.settings(&state.running)) else {
+        notes.push(format!(
+            "revision {} does not fit the configured settings any more: those run",
+            state.number
+        ));
+        return Ok(Running {
+            state: PersistedState {
+                next: state.next,
+                ..configured.state
+            },
+            ..configured
+        });
+    };
+    notes.extend(note(&outcome, state.number));
+    Ok(Running {
+        state,
+        registry: plan.registry,
+        leaves,
+    })
+}
+
+/// What the log says of a start.
+fn note(outcome: &StartOutcome, running: u64) -> Option<String> {
+    match outcome {
+        StartOutcome::Nothing | StartOutcome::Revision(0) => None,
+        StartOutcome::Revision(number) => Some(format!("revision {number} runs")),
+        StartOutcome::RolledBack(number) => Some(format!(
+            "revision {number} was not confirmed and is rolled back; {running} runs"
+        )),
+        StartOutcome::Reconfigured => {
+            Some("the configured settings have changed: they run, earlier revisions do not".into())
+        }
+    }
+}
+
+fn create_journal(
+    folder: &Path,
+    state: &PersistedState<Document>,
+    notes: &mut Vec<String>,
+) -> Journal {
+    Journal::create(folder, state).unwrap_or_else(|error| {
+        notes.push(format!(
+            "revisions can't be persisted, changes are refused: {error}"
+        ));
+        Journal::closed(folder)
+    })
+}
+
 impl Started {
-    /// What the decision module begins with.
+    /// What the policy begins with.
     pub fn policy_config(&self) -> PolicyConfig {
         self.origin
             .policy_config(self.tracker.running(), &self.registry)
     }
 
+    /// The cells that it begins with.
     pub fn cells(&self) -> Option<CellDirectory> {
         cell_directory(self.tracker.running())
     }
 
+    /// The classes by index, and the longest hard limit.
     pub fn classes(&self) -> (Vec<ClassSummary>, Ms) {
         classes(
             &self.registry,
@@ -147,34 +186,3 @@
         )
     }
 }
-
-/// What is kept of a document's cells; one that was let through can be kept.
-pub fn cell_directory(document: &Document) -> Option<CellDirectory> {
-    document
-        .cells
-        .as_ref()
-        .and_then(|c| c.cell_directory(number).ok())
-}
-
-/// The classes by index, and the longest hard limit.
-pub fn classes(
-    registry: &ClassRegistry,
-    document: &Document,
-    policy_config: &PolicyConfig,
-) -> (Vec<ClassSummary>, Ms) {
-    let configured = registry
-        .0
-        .iter()
-        .zip(&policy_config.classes)
-        .map(|(slot, terms)| ClassSummary {
-            name: slot.name.clone(),
-            expected: terms.expected,
-            in_service: !terms.closed,
-        });
-    let longest = document
-        .class
-        .iter()
-        .map(|b| b.hard_limit as f64)
-        .fold(1.0, f64::max);
-    (configured.collect(), longest)
-}
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -3,12 +3,12 @@
 use ironstair::{ClassPolicy, Kind, PolicyConfig};
 use ironstair_config_change::journal::encode;
 use ironstair_config_change::{
-    Document, NameIndex, PersistedState, Record, RevisionState, RevisionSummary,
+    ConfigFile, Document, NameIndex, PersistedState, Record, RevisionState, RevisionSummary,
 };
 use ironstair_management::{open, Journal};
 use std::path::Path;
 
-fn configured() -> (PolicyConfig, Vec<String>, Vec<f64>, NameIndex) {
+fn configured() -> ConfigFile {
     let terms = ClassPolicy {
         expected: 1000.0,
         value: 1.0,
@@ -33,20 +33,26 @@
         zones: vec!["a".into()],
         kinds: vec!["m".into()],
     };
-    (policy_config, vec!["lookup".into()], vec![5e3], name_index)
-}
-
-fn advice_after(folder: &Path) -> (u32, Vec<String>) {
-    let (policy_config, names, limits, name_index) = configured();
-    let started = open(
+    ConfigFile {
         policy_config,
-        &names,
-        &limits,
+        names: vec!["lookup".into()],
+        limits: vec![5e3],
         name_index,
-        None,
-        Some(folder),
+    }
+}
+
+fn base() -> Document {
+    let file = configured();
+    Document::configured(
+        &file.policy_config,
+        &file.names,
+        &file.limits,
+        &file.name_index,
     )
-    .unwrap();
+}
+
+fn advice_after(folder: &Path) -> (u32, Vec<String>) {
+    let started = open(configured(), None, Some(folder)).unwrap();
     // What the decision module begins with is what the ledger says runs.
     assert_eq!(
         started.policy_config().max_retry_after,
@@ -82,8 +88,7 @@
 
 #[test]
 fn cut_at_every_byte_of_its_last_records_a_start_runs_the_last_whole_revision() {
-    let (policy_config, names, limits, name_index) = configured();
-    let base = Document::configured(&policy_config, &names, &limits, &name_index);
+    let base = base();
     let records = [
         Record::Whole(PersistedState::configured(base.clone())),
         set(1, 10, RevisionState::Running, &base),
@@ -119,14 +124,13 @@
 }
 
 #[test]
-fn a_journal_goes_on_after_a_start_and_is_written_anew_when_it_grows() {
-    let (policy_config, names, limits, name_index) = configured();
-    let base = Document::configured(&policy_config, &names, &limits, &name_index);
+fn a_journal_goes_on_after_a_start_and_is_rewritten_when_it_grows() {
+    let base = base();
     let folder = tempfile::tempdir().unwrap();
     let mut journal =
-        Journal::begin(folder.path(), &PersistedState::configured(base.clone())).unwrap();
+        Journal::create(folder.path(), &PersistedState::configured(base.clone())).unwrap();
     let mut number = 0;
-    while !journal.wants_anew() {
+    while !journal.needs_rewrite() {
         number += 1;
         journal
             .append(&set(number, number as u32, RevisionState::Running, &base))
@@ -140,11 +144,9 @@
 
 #[test]
 fn what_is_given_and_does_not_fit_the_tree_is_refused_by_its_field() {
-    let (mut policy_config, names, limits, name_index) = configured();
-    policy_config.classes[0].value = 0.0;
-    let why = open(policy_config, &names, &limits, name_index, None, None)
-        .err()
-        .unwrap();
+    let mut file = configured();
+    file.policy_config.classes[0].value = 0.0;
+    let why = open(file, None, None).err().unwrap().to_string();
     assert!(
         why.contains("/settings/band[name=lookup]/payoff: 0.0 is outside"),
         "{why}"
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -59,7 +59,7 @@
     let Record::Whole(first) = &records[0] else {
         panic!("{:?}", records[0])
     };
-    let mut journal = Journal::begin(other.path(), first).unwrap();
+    let mut journal = Journal::create(other.path(), first).unwrap();
     for record in &records[1..] {
         journal.append(record).unwrap();
     }
