--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -256,7 +256,7 @@
     let said = cluster.set(0, &[ZONE, r#"["b"]"#]);
     assert_eq!(said.code, 3, "{said:?}");
     assert!(
-        said.err.contains("g5") && said.err.contains("b is not among those told"),
+        said.err.contains("g5") && said.err.contains("b is not among those configured"),
         "{said:?}"
     );
     let line = last(&cluster, 1);
--- a/crates/recovery/tests/recover.rs
+++ b/crates/recovery/tests/recover.rs
@@ -30,107 +30,102 @@
     }
 }
 
+type Found = Result<Option<Snapshot>, String>;
+
+/// What is expected of a start.
+struct Want {
+    has_list: bool,
+    needs_key_quarantine: bool,
+    note: Option<&'static str>,
+}
+
+fn without_list(needs_key_quarantine: bool, note: &'static str) -> Want {
+    Want {
+        has_list: false,
+        needs_key_quarantine,
+        note: Some(note),
+    }
+}
+
+fn assert_recovery(found: Found, serial: u32, want: &Want) {
+    let recovery = recover(found.clone(), "g1", NOW, serial);
+    assert_eq!(
+        (recovery.endpoints.is_some(), recovery.needs_key_quarantine),
+        (want.has_list, want.needs_key_quarantine),
+        "{found:?}"
+    );
+    assert_eq!(recovery.note.as_deref(), want.note, "{found:?}");
+    if let Some(list) = recovery.endpoints {
+        assert_eq!(
+            (list.serial, list.age, list.engines),
+            (7, 1000.0, vec![engine("e1", false)]),
+            "draining ones are left out"
+        );
+    }
+}
+
+fn ended_cleanly(snapshot: Snapshot) -> Snapshot {
+    Snapshot {
+        ended_cleanly: true,
+        ..snapshot
+    }
+}
+
+#[test]
+fn a_recent_list_is_used_and_keys_are_held_back_but_after_a_clean_end() {
+    for (found, needs_key_quarantine) in [(snapshot(), true), (ended_cleanly(snapshot()), false)] {
+        let want = Want {
+            has_list: true,
+            needs_key_quarantine,
+            note: None,
+        };
+        assert_recovery(Ok(Some(found)), 7, &want);
+    }
+}
+
 #[test]
-fn each_thing_found_has_its_stated_end() {
+fn a_list_that_is_not_used_is_left_out_with_the_stated_reason() {
+    let newer = without_list(true, "the configuration file's list is newer");
+    assert_recovery(Ok(Some(snapshot())), 8, &newer);
     let old = Snapshot {
         heard_at: NOW - 61_000.0,
         ..snapshot()
     };
+    let too_old = |needs_key_quarantine| without_list(needs_key_quarantine, "its list is too old");
+    assert_recovery(Ok(Some(old.clone())), 0, &too_old(true));
+    assert_recovery(Ok(Some(ended_cleanly(old))), 0, &too_old(false));
+    // A clock that went back: how long ago that was is not known.
     let future = Snapshot {
         written_at: NOW + 5000.0,
         heard_at: NOW + 5000.0,
-        ended_cleanly: true,
+        ..ended_cleanly(snapshot())
+    };
+    let went_back = without_list(true, "it is of the future: a clock went back");
+    assert_recovery(Ok(Some(future)), 0, &went_back);
+    let empty = Snapshot {
+        engines: vec![],
         ..snapshot()
     };
-    for (found, serial, endpoints, needs_key_quarantine, note) in [
-        (Ok(Some(snapshot())), 7, true, true, None),
-        (
-            Ok(Some(Snapshot {
-                ended_cleanly: true,
-                ..snapshot()
-            })),
-            7,
-            true,
-            false,
-            None,
-        ),
-        (
-            Ok(Some(snapshot())),
-            8,
-            false,
-            true,
-            Some("the configuration file's list is newer"),
-        ),
-        (
-            Ok(Some(old.clone())),
-            0,
-            false,
-            true,
-            Some("its list is too old"),
-        ),
-        (
-            Ok(Some(Snapshot {
-                ended_cleanly: true,
-                ..old
-            })),
-            0,
-            false,
-            false,
-            Some("its list is too old"),
-        ),
-        // A clock that went back: how long ago that was is not known.
-        (
-            Ok(Some(future)),
-            0,
-            false,
-            true,
-            Some("it is of the future: a clock went back"),
-        ),
-        (
-            Ok(Some(Snapshot {
-                gateway: "g2".into(),
-                ended_cleanly: true,
-                ..snapshot()
-            })),
-            0,
-            false,
-            true,
-            Some("it is another gateway's"),
-        ),
-        (
-            Ok(Some(Snapshot {
-                engines: vec![],
-                ..snapshot()
-            })),
-            0,
-            false,
-            true,
-            Some("it lists no engine"),
-        ),
-        (Ok(None), 0, false, true, None),
-        (
-            Err("it is not what was written".to_string()),
-            0,
-            false,
-            true,
-            Some("it is not what was written"),
-        ),
-    ] {
-        let recovery = recover(found.clone(), "g1", NOW, serial);
-        assert_eq!(
-            (recovery.endpoints.is_some(), recovery.needs_key_quarantine),
-            (endpoints, needs_key_quarantine),
-            "{found:?}"
-        );
-        assert_eq!(recovery.note.as_deref(), note, "{found:?}");
-        if let Some(list) = recovery.endpoints {
-            assert_eq!(
-                (list.serial, list.age, list.engines),
-                (7, 1000.0, vec![engine("e1", false)]),
-                "draining ones are left out"
-            );
-        }
-    }
+    let no_engine = without_list(true, "it lists no engine");
+    assert_recovery(Ok(Some(empty)), 0, &no_engine);
+}
+
+#[test]
+fn without_a_snapshot_of_its_own_a_gateway_starts_with_nothing() {
+    let other = Snapshot {
+        gateway: "g2".into(),
+        ..ended_cleanly(snapshot())
+    };
+    let not_its_own = without_list(true, "it is another gateway's");
+    assert_recovery(Ok(Some(other)), 0, &not_its_own);
+    let nothing = Want {
+        has_list: false,
+        needs_key_quarantine: true,
+        note: None,
+    };
+    assert_recovery(Ok(None), 0, &nothing);
+    let damaged = without_list(true, "it is not what was written");
+    assert_recovery(Err("it is not what was written".to_string()), 0, &damaged);
 }
 
 #[test]
