--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -26,7 +26,7 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Member, RevisionSummary};
 use ironstair_data_tree::state;
-use ironstair_management::fleet_channel::Wanted;
+use ironstair_management::fleet_channel::FleetRequest;
 use ironstair_management::ManagementHandle;
 use ironstair_raft_replica::{Replica, TICK};
 use ironstair_raft_storage::Storage;
@@ -88,7 +88,7 @@
     mailbox: mpsc::Receiver<AgentMessage>,
     /// To this actor itself, for its tasks.
     handle: AgentHandle,
-    manager_requests: mpsc::Receiver<Wanted>,
+    manager_requests: mpsc::Receiver<FleetRequest>,
     status: watch::Sender<state::Fleet>,
     /// Heartbeats that the replica is to answer, by their token.
     pending_heartbeats: HashMap<u64, HeartbeatSource>,
@@ -113,7 +113,7 @@
 /// The channels between the actor and the rest of its process.
 pub struct AgentChannels {
     /// What the manager wants of the fleet.
-    pub manager_requests: mpsc::Receiver<Wanted>,
+    pub manager_requests: mpsc::Receiver<FleetRequest>,
     /// Takes what the manager shows of the fleet.
     pub status: watch::Sender<state::Fleet>,
     /// The manager, which validates and applies policies.
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -12,7 +12,7 @@
 use ironstair::Ms;
 use ironstair_coordination::leader::{Command, Refusal};
 use ironstair_coordination::record::ChangeProposal;
-use ironstair_management::fleet_channel::{Responder, Wanted};
+use ironstair_management::fleet_channel::{FleetRequest, Responder};
 use ironstair_management::Refused;
 use serde_json::Value as Json;
 use tokio::sync::oneshot;
@@ -28,9 +28,9 @@
 
 impl Actor {
     /// What this gateway's manager wants of the fleet.
-    pub(super) fn handle_manager_request(&mut self, request: Wanted) {
+    pub(super) fn handle_manager_request(&mut self, request: FleetRequest) {
         match request {
-            Wanted::Change {
+            FleetRequest::Change {
                 who,
                 what,
                 document,
@@ -49,12 +49,14 @@
                 };
                 self.relay_command(Command::Change(proposal), answer);
             }
-            Wanted::Confirm { id, answer } => self.relay_command(Command::Confirm { id }, answer),
-            Wanted::Cancel { id, who, answer } => {
+            FleetRequest::Confirm { id, answer } => {
+                self.relay_command(Command::Confirm { id }, answer)
+            }
+            FleetRequest::Cancel { id, who, answer } => {
                 self.relay_command(Command::Cancel { id: Some(id), who }, answer);
             }
-            Wanted::Show(answer) => self.relay_status_request(answer),
-            Wanted::Anew {
+            FleetRequest::Show(answer) => self.relay_status_request(answer),
+            FleetRequest::RecoverFromDisaster {
                 document,
                 who,
                 answer,
@@ -63,10 +65,12 @@
                 author: who,
                 responder: answer,
             }),
-            Wanted::Begin { document, answer } => self.start_bootstrap(BootstrapRequest {
-                document,
-                responder: answer,
-            }),
+            FleetRequest::Bootstrap { document, answer } => {
+                self.start_bootstrap(BootstrapRequest {
+                    document,
+                    responder: answer,
+                })
+            }
         }
     }
 
--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -90,7 +90,7 @@
 ) -> Result<(), PolicyError> {
     check_known_fields(&document)?;
     management
-        .hold(applied_index, revision, document)
+        .apply(applied_index, revision, document)
         .await
         .map_err(PolicyError::rejected)
 }
@@ -98,7 +98,7 @@
 /// Management is asked in any case, as the order of its work must not depend on the policy.
 async fn validate(management: &ManagementHandle, document: Json) -> Result<(), PolicyError> {
     let known_fields = check_known_fields(&document);
-    let validated = management.examine(document).await;
+    let validated = management.validate(document).await;
     known_fields.and(validated.map_err(PolicyError::rejected))
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,10 +1,11 @@
 //! What a gateway is told at start, decoded once.
 
 use ironstair::{EndpointState, Ms, PolicyConfig};
-use ironstair_config_change::renewal::File;
-use ironstair_config_change::Frame;
+use ironstair_config_change::{ConfigFile, NameIndex};
 use ironstair_runtime::DiscoveredEndpoint;
-use ironstair_settings::{carriage, classes, kinds, limits, policy_config, word, zones, Carriage};
+use ironstair_settings::{
+    classes, kinds, limits, policy_config, text, transport_config, zones, TransportConfig,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,11 +25,11 @@
     pub memory_mb: f64,
     pub descriptors: usize,
     pub policy_config: PolicyConfig,
-    pub carriage: Carriage,
+    pub transport_config: TransportConfig,
     pub classes: Vec<String>,
     /// The classes' hard limits.
     pub limits: Vec<Ms>,
-    pub index: Frame,
+    pub index: NameIndex,
     /// The endpoint list up to now, and the number of its last change.
     pub known: BTreeMap<String, DiscoveredEndpoint>,
     pub rev: u32,
@@ -36,18 +37,18 @@
 
 impl GatewayConfig {
     /// What of it may be taken over in service.
-    pub fn file(&self) -> File {
+    pub fn file(&self) -> ConfigFile {
         let (policy_config, names) = (self.policy_config.clone(), self.classes.clone());
-        File {
+        ConfigFile {
             policy_config,
             names,
             limits: self.limits.clone(),
-            frame: self.index.clone(),
+            name_index: self.index.clone(),
         }
     }
 
     /// The endpoint list with its zones and kinds under other indices.
-    pub fn under(&mut self, index: &Frame) {
+    pub fn under(&mut self, index: &NameIndex) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
         for place in self.known.values_mut() {
             place.zone = index.zone(&named(&self.index.zones, place.zone));
@@ -67,7 +68,7 @@
 }
 
 fn address(v: &Value, key: &str) -> Result<SocketAddr, String> {
-    let found = word(v, key)?;
+    let found = text(v, key).map_err(|e| e.to_string())?;
     found
         .parse()
         .map_err(|_| format!("{key} is no address: {found}"))
@@ -80,10 +81,10 @@
 pub fn decode(json: &[u8]) -> Result<GatewayConfig, String> {
     let v: Value = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let settings = &v["settings"];
-    let seed = word(&v, "seed")?;
-    let index = Frame {
-        zones: zones(settings)?,
-        kinds: kinds(settings)?,
+    let seed = text(&v, "seed").map_err(|e| e.to_string())?;
+    let index = NameIndex {
+        zones: zones(settings).map_err(|e| e.to_string())?,
+        kinds: kinds(settings).map_err(|e| e.to_string())?,
     };
     let mut known = BTreeMap::new();
     let notices = v["known"]["notices"].as_array();
@@ -91,7 +92,7 @@
         follow(&mut known, &notice["pool"], &index)?;
     }
     Ok(GatewayConfig {
-        name: word(&v, "name")?.to_string(),
+        name: text(&v, "name").map_err(|e| e.to_string())?.to_string(),
         listen: address(&v, "listen")?,
         names: address(&v, "names")?,
         seed: u64::from_str_radix(seed, 16)
@@ -99,7 +100,7 @@
         memory_mb: v["limits"]["memory_mb"].as_f64().unwrap_or(MEMORY_MB),
         descriptors: v["limits"]["sockets"].as_f64().unwrap_or(DESCRIPTORS) as usize,
         policy_config: policy_config(settings).map_err(|e| format!("settings: {e}"))?,
-        carriage: carriage(settings).map_err(|e| format!("settings: {e}"))?,
+        transport_config: transport_config(settings).map_err(|e| format!("settings: {e}"))?,
         classes: classes(settings).map_err(|e| format!("settings: {e}"))?,
         limits: limits(settings).map_err(|e| format!("settings: {e}"))?,
         index,
@@ -112,15 +113,17 @@
 fn follow(
     known: &mut BTreeMap<String, DiscoveredEndpoint>,
     pool: &Value,
-    index: &Frame,
+    index: &NameIndex,
 ) -> Result<(), String> {
     if pool["reset"].as_bool().unwrap_or(false) {
         known.clear();
     }
     for e in pool["instances"].as_array().into_iter().flatten() {
         // In lower case, like the names that DNS brings.
-        let name = word(e, "instanceId")?.to_ascii_lowercase();
-        let state = match word(e, "lifecycle")? {
+        let name = text(e, "instanceId")
+            .map_err(|e| e.to_string())?
+            .to_ascii_lowercase();
+        let state = match text(e, "lifecycle").map_err(|e| e.to_string())? {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             _ => {
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -7,7 +7,7 @@
         json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
             "cell": 2, "lifecycle": state, "startedAtMs": 5})
     };
-    let index = Frame {
+    let index = NameIndex {
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
     };
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use ironstair::EndpointState;
-use ironstair_config_change::Frame;
+use ironstair_config_change::NameIndex;
 use ironstair_protocol::dns;
 use ironstair_runtime::clock::span;
 use ironstair_runtime::{DiscoveredEndpoint, Event, Shared};
@@ -37,7 +37,7 @@
     /// The number of its last change.
     pub rev: u32,
     /// The names of zones and machine types, in the order that the policy knows.
-    pub index: Frame,
+    pub index: NameIndex,
 }
 
 /// Asks the name service, and tells the dispatcher of changes.
@@ -47,7 +47,7 @@
     /// The name service's address.
     pub names: SocketAddr,
     /// The names of zones and machine types, in the order that the policy knows.
-    pub index: Frame,
+    pub index: NameIndex,
     /// The number of the last change.
     pub rev: u32,
     /// The dispatcher's queue.
@@ -168,7 +168,7 @@
     or(async { socket.recv_from(packet).await.ok() }, late).await
 }
 
-fn endpoint(h: &dns::Host, index: &Frame) -> DiscoveredEndpoint {
+fn endpoint(h: &dns::Host, index: &NameIndex) -> DiscoveredEndpoint {
     let number = |name: &str| {
         h.text(name)
             .and_then(|t| t.parse::<f64>().ok())
--- a/crates/gateway/src/dispatcher/amendment.rs
+++ b/crates/gateway/src/dispatcher/amendment.rs
@@ -14,8 +14,8 @@
         let shared = self.executor.shared.clone();
         shared.classes.replace(Rc::new(to.classes));
         shared.longest.set(to.longest);
-        if let Some(carriage) = to.carriage {
-            shared.carriage.replace(Rc::new(carriage));
+        if let Some(transport_config) = to.transport_config {
+            shared.transport_config.replace(Rc::new(transport_config));
         }
         if let Some(cells) = to.cells {
             self.replace_cells(cells);
--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -18,7 +18,7 @@
             let _ = new.client.try_send(Reply::Unusable(new.call));
             return;
         }
-        if self.executor.open >= self.executor.shared.carriage().most_open {
+        if self.executor.open >= self.executor.shared.transport_config().max_open_requests {
             let _ = new.client.try_send(Reply::Rejected(new.call, 0.0));
             return;
         }
--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use ironstair_data_tree::state::{self, Snapshot};
-use ironstair_recovery::stage::{stage, Facts};
+use ironstair_recovery::{stage, Facts};
 use ironstair_runtime::window::Window;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -39,10 +39,10 @@
         let metrics = &shared.metrics;
         let (lent, most) = shared.pool.lent();
         let facts = Facts {
-            lease_until: shared.holds_lease(),
-            heard: metrics.heard.get() > 0.0,
+            has_lease: shared.holds_lease(),
+            has_heard_list: metrics.heard.get() > 0.0,
             key_quarantine: metrics.key_quarantine.get(),
-            share: executor.share.map(|share| share.taken),
+            has_slow_start_share: executor.share.map(|share| share.taken),
         };
         let (stage, reason) = stage(executor.now, &facts);
         Snapshot {
@@ -59,7 +59,7 @@
             buffers_most: most as u32,
             started: shared.clock.started(),
             ending: executor.ends.is_finite(),
-            stage: (stage.word(), reason),
+            stage: (stage.as_str(), reason.unwrap_or_default()),
         }
     }
 
--- a/crates/gateway/src/engine/answers.rs
+++ b/crates/gateway/src/engine/answers.rs
@@ -67,7 +67,13 @@
     /// By the names told at start; where the engine has others, in the order that it tells them.
     fn report(&mut self, fields: Fields) {
         let named = |n: &String| fields.load().find(|l| l.0 == n.as_bytes()).map(|l| l.1);
-        let values: Option<Vec<f64>> = self.shared.carriage().reports.iter().map(named).collect();
+        let values: Option<Vec<f64>> = self
+            .shared
+            .transport_config()
+            .reports
+            .iter()
+            .map(named)
+            .collect();
         let values = values.unwrap_or_else(|| fields.load().map(|l| l.1).collect());
         if !values.is_empty() {
             self.events.push(Event::Report {
--- a/crates/gateway/src/engine/connections.rs
+++ b/crates/gateway/src/engine/connections.rs
@@ -24,7 +24,7 @@
             .filter(|f| self.unheard(f))
             .map(|f| f.connection)
             .collect();
-        let streams = self.shared.carriage().streams;
+        let streams = self.shared.transport_config().streams;
         let again = |l: &Connection| of.is_some_and(|id| l.given_up.contains(id));
         let room = self
             .connections
@@ -47,7 +47,7 @@
         self.opened += 1;
         let (held_back, goes_on) = async_channel::bounded(1);
         let s = &self.shared;
-        let within = s.carriage().connect_within;
+        let within = s.transport_config().connect_timeout;
         let task = carry(
             self.opened,
             self.address,
@@ -116,7 +116,7 @@
         let rest = if l.silent {
             0.0
         } else {
-            self.shared.carriage().idle * IDLE_SHARE
+            self.shared.transport_config().idle * IDLE_SHARE
         };
         (l.stream.is_some() && l.open == 0).then_some(l.idle_since + rest)
     }
@@ -124,7 +124,7 @@
     /// An answer is written at once: half of one for longer than a connection takes to come up is all of it.
     pub(super) fn part_until(&self, l: &Connection) -> Option<Ms> {
         l.part_since
-            .map(|since| since + self.shared.carriage().connect_within)
+            .map(|since| since + self.shared.transport_config().connect_timeout)
     }
 
     pub(super) fn due(&self) -> Option<Ms> {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -18,7 +18,7 @@
 use ironstair::policy::Gateway;
 use ironstair::{Ms, PolicyConfig};
 use ironstair_cells::CellDirectory;
-use ironstair_config_change::renewal::Renewal;
+use ironstair_config_change::RunningConfig;
 use ironstair_fleet_agent::fault_injection::{is_disabled, Guard};
 use ironstair_fleet_agent::handle::AgentHandle;
 use ironstair_runtime::clock::Clock;
@@ -53,7 +53,7 @@
 struct Prepared {
     path: PathBuf,
     config: GatewayConfig,
-    renewal: Renewal,
+    running_config: RunningConfig,
     management: Option<management::Opened>,
     cells: Option<CellDirectory>,
     gateway: Gateway,
@@ -82,7 +82,7 @@
     let mut config = config::read(path)?;
     let shortage = descriptors::reserve(config.descriptors);
     let snapshot = read_snapshot(operator.as_ref(), &mut config);
-    let renewal = Renewal::new(config.file());
+    let running_config = RunningConfig::new(config.file());
     let management = open_management(operator.as_ref(), &config)?;
     let cells = initial_cells(operator.as_ref(), management.as_ref())?;
     let (log, _guard, level) = log::open(&config.name, format);
@@ -103,7 +103,7 @@
         longest: Cell::new(policy.longest),
         metrics: Metrics::default(),
         tenants,
-        carriage: RefCell::new(Rc::new(config.carriage.clone())),
+        transport_config: RefCell::new(Rc::new(config.transport_config.clone())),
         log,
         module: dispatcher,
         executor: Rc::new(LocalExecutor::new()),
@@ -113,7 +113,7 @@
     let prepared = Prepared {
         path: path.into(),
         config,
-        renewal,
+        running_config,
         management,
         cells,
         gateway,
@@ -187,7 +187,7 @@
     InitialPolicy {
         classes: classes.collect(),
         config: config.policy_config.clone(),
-        longest: config.carriage.longest,
+        longest: config.transport_config.longest,
     }
 }
 
@@ -251,7 +251,7 @@
             discovery: updates,
             source: settings_source(&ends),
             renew_keys: ends.renew_keys,
-            renewal: self.renewal,
+            running_config: self.running_config,
             limiter: limiter.clone(),
             shared: shared.clone(),
         };
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -8,10 +8,10 @@
 use async_channel::Sender;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use ironstair_config_change::renewal::Renewal;
+use ironstair_config_change::RunningConfig;
 use ironstair_runtime::window::{Amendment, ManagementCommand};
 use ironstair_runtime::{Event, Shared};
-use ironstair_settings::Carriage;
+use ironstair_settings::TransportConfig;
 use slog::{info, warn};
 use std::io;
 use std::path::PathBuf;
@@ -50,7 +50,7 @@
     /// Where other settings come from.
     pub source: SettingsSource,
     /// The settings of the file as last taken over.
-    pub renewal: Renewal,
+    pub running_config: RunningConfig,
     /// Knows of the shutdown.
     pub limiter: Rc<ConnectionLimiter>,
     /// What all actors share.
@@ -79,14 +79,16 @@
     }
 
     async fn reload(&mut self) {
-        if let Some(renew) = &self.renew_keys {
+        if let Some(reload) = &self.renew_keys {
             // One request that waits is enough.
-            let _ = renew.try_send(());
+            let _ = reload.try_send(());
         }
         // All of it or none: settings that can't be used leave the endpoint list as it is, too.
-        let read = config::read(&self.config_path)
-            .and_then(|config| Ok((self.renewal.renew(config.file())?, config)));
-        let (renewed, mut config) = match read {
+        let read = config::read(&self.config_path).and_then(|config| {
+            let reloaded = self.running_config.reload(config.file());
+            Ok((reloaded.map_err(|e| e.to_string())?, config))
+        });
+        let (reloaded, mut config) = match read {
             Ok(read) => read,
             Err(error) => {
                 warn!(self.shared.log, "configuration rejected, the earlier one stays"; "error" => error);
@@ -94,22 +96,26 @@
             }
         };
         // The connection settings alone may differ as well.
-        if renewed.is_some() || config.carriage != *self.shared.carriage() {
-            self.take_over_settings(renewed, config.carriage.clone())
+        if reloaded.is_some() || config.transport_config != *self.shared.transport_config() {
+            self.take_over_settings(reloaded, config.transport_config.clone())
                 .await;
         }
-        config.under(self.renewal.frame());
+        config.under(self.running_config.name_index());
         self.update_discovery(config).await;
     }
 
-    async fn take_over_settings(&mut self, renewed: Option<Renewal>, carriage: Carriage) {
+    async fn take_over_settings(
+        &mut self,
+        reloaded: Option<RunningConfig>,
+        transport_config: TransportConfig,
+    ) {
         let log = &self.shared.log;
         match self.source {
             SettingsSource::File => {
-                if let Some(renewed) = renewed {
-                    self.renewal = renewed;
+                if let Some(reloaded) = reloaded {
+                    self.running_config = reloaded;
                 }
-                self.amend_policy(carriage).await;
+                self.amend_policy(transport_config).await;
             }
             SettingsSource::Management => {
                 warn!(log, "settings of the file ignored, they come by management");
@@ -124,11 +130,11 @@
     }
 
     /// Through the dispatcher's queue: before the endpoint list that may rest on the settings, which comes after.
-    async fn amend_policy(&self, carriage: Carriage) {
-        let policy_config = self.renewal.policy_config();
+    async fn amend_policy(&self, transport_config: TransportConfig) {
+        let policy_config = self.running_config.policy_config();
         let (classes, longest) = ironstair_management::classes(
-            self.renewal.roll(),
-            self.renewal.document(),
+            self.running_config.registry(),
+            self.running_config.document(),
             &policy_config,
         );
         let (done, applied) = async_channel::bounded(1);
@@ -137,7 +143,7 @@
             classes,
             longest,
             cells: None,
-            carriage: Some(carriage),
+            transport_config: Some(transport_config),
             done,
         };
         let command = ManagementCommand::Amend(Box::new(amendment));
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -6,10 +6,9 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use ironstair::{EndpointState, Ms};
-use ironstair_config_change::Frame;
+use ironstair_config_change::NameIndex;
 use ironstair_fleet_agent::fault_injection::{is_disabled, Guard};
-use ironstair_recovery::kept::{decode, encode, BYTES_MOST};
-use ironstair_recovery::{begin as found, Engine, Kept};
+use ironstair_recovery::{decode, encode, recover, Engine, Snapshot, MAX_BYTES};
 use ironstair_runtime::clock::span;
 use ironstair_runtime::{DiscoveredEndpoint, Shared};
 use slog::{info, warn, Logger};
@@ -39,27 +38,27 @@
     mail: Sender<StoreMessage>,
 }
 
-fn read(folder: &Path) -> Result<Option<Kept>, String> {
+fn read(folder: &Path) -> Result<Option<Snapshot>, String> {
     let path = folder.join(FILE);
     let fault = |e: String| format!("{}: {e}", path.display());
     match std::fs::metadata(&path) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(fault(e.to_string())),
-        Ok(m) if m.len() > BYTES_MOST => {
+        Ok(m) if m.len() > MAX_BYTES => {
             return Err(fault(format!("{} bytes are none of ours", m.len())))
         }
         Ok(_) => {}
     }
     disk_takes_its_time(folder);
     let bytes = std::fs::read(&path).map_err(|e| fault(e.to_string()))?;
-    let mut kept = decode(&bytes).map_err(fault)?;
-    if kept.clean {
+    let mut kept = decode(&bytes).map_err(|e| fault(e.to_string()))?;
+    if kept.ended_cleanly {
         // Before anything is out: the next start must not find that word of the process before this one.
-        let spent = encode(&Kept {
-            clean: false,
+        let spent = encode(&Snapshot {
+            ended_cleanly: false,
             ..kept.clone()
         });
-        kept.clean = spent.and_then(|bytes| write(folder, &bytes)).is_ok();
+        kept.ended_cleanly = spent.is_ok_and(|bytes| write(folder, &bytes).is_ok());
     }
     Ok(Some(kept))
 }
@@ -85,7 +84,7 @@
     pub rests: bool,
     /// Worth a line in the log.
     pub notes: Vec<String>,
-    kept: Kept,
+    kept: Snapshot,
     writes: Sender<Write>,
 }
 
@@ -114,14 +113,15 @@
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    let begun = found(kept, &config.name, unix.as_secs_f64() * 1000.0, config.rev);
+    let begun = recover(kept, &config.name, unix.as_secs_f64() * 1000.0, config.rev);
     let mut notes: Vec<String> = begun.note.into_iter().collect();
-    let mut kept = Kept {
+    let mut kept = Snapshot {
         gateway: config.name.clone(),
-        ..Kept::default()
+        ..Snapshot::default()
     };
-    if let Some((rev, age, engines)) = begun.endpoints {
-        (kept.rev, kept.heard, kept.engines) =
+    if let Some(list) = begun.endpoints {
+        let (rev, age, engines) = (list.serial, list.age, list.engines);
+        (kept.serial, kept.heard_at, kept.engines) =
             (rev, unix.as_secs_f64() * 1000.0 - age, engines.clone());
         notes.push(format!(
             "{} engines as the last process heard of them, {age:.0} ms ago",
@@ -145,7 +145,7 @@
         (config.rev, config.known) = (rev, engines.into_iter().map(place).collect());
     }
     Begun {
-        rests: begun.rests,
+        rests: begun.needs_key_quarantine,
         notes,
         kept,
         writes,
@@ -164,7 +164,7 @@
     }
 
     /// The list as it is from now on. Where it can't be taken just now it comes with the next change.
-    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, DiscoveredEndpoint>, index: &Frame) {
+    pub fn keep(&self, rev: u32, lines: &BTreeMap<String, DiscoveredEndpoint>, index: &NameIndex) {
         let named = |names: &[String], i: u16| names.get(i as usize).cloned().unwrap_or_default();
         let line = |(name, p): (&String, &DiscoveredEndpoint)| Engine {
             name: name.clone(),
@@ -202,7 +202,7 @@
 
 /// One mailbox, one owner of what is kept.
 async fn tend(
-    mut kept: Kept,
+    mut kept: Snapshot,
     shared: Rc<Shared>,
     inbox: Receiver<StoreMessage>,
     writes: Sender<Write>,
@@ -222,16 +222,16 @@
         let mut done = None;
         match or(mail, again).await {
             Some(StoreMessage::Endpoints(rev, engines)) => {
-                (kept.rev, kept.engines) = (rev, engines)
+                (kept.serial, kept.engines) = (rev, engines)
             }
             Some(StoreMessage::End(tell)) => {
-                (kept.clean, done) = (shared.metrics.open.get() == 0, Some(tell))
+                (kept.ended_cleanly, done) = (shared.metrics.open.get() == 0, Some(tell))
             }
             None => {}
         }
-        (kept.at, kept.heard) = (
+        (kept.written_at, kept.heard_at) = (
             shared.clock.now(),
-            kept.heard.max(shared.metrics.heard.get()),
+            kept.heard_at.max(shared.metrics.heard.get()),
         );
         if let Ok(bytes) = encode(&kept) {
             // What waits there is older.
@@ -241,7 +241,7 @@
                 log: shared.log.clone(),
             });
         }
-        if kept.clean {
+        if kept.ended_cleanly {
             return;
         }
     }
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -7,11 +7,11 @@
 use crate::proto::gnmi::{self, get_request::DataType, update_result::Operation};
 use crate::proto::gnmi_ext::{commit::Action, extension::Ext, Commit, Extension};
 use ironstair::Ms;
-use ironstair_config_change::revisions::{confirm_within, Command, Refusal};
+use ironstair_config_change::{confirm_within, Command, Confirmation, Refusal};
 use ironstair_data_tree::leaves::{nodes, select};
 use ironstair_data_tree::path::Wanted;
 use ironstair_data_tree::{Edit, Pattern};
-use ironstair_management::{ManagementHandle, Refused, Scope};
+use ironstair_management::{Change, ManagementHandle, Refused, Scope};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tonic::{Request, Response, Status};
@@ -80,7 +80,7 @@
         Refused::Not(Refusal::Unconfirmed { .. } | Refusal::NoSuchCommit { .. }) => {
             Status::failed_precondition(text)
         }
-        Refused::Not(Refusal::NotKept { .. }) => Status::resource_exhausted(text),
+        Refused::Not(Refusal::NotPersisted { .. }) => Status::resource_exhausted(text),
         Refused::Not(Refusal::Busy) => Status::aborted(text),
         Refused::Fleet(_) => Status::failed_precondition(text),
         Refused::Ending => Status::unavailable(text),
@@ -162,7 +162,11 @@
         let r = request.into_inner();
         if codec::scope(r.prefix.as_ref()) == Scope::Fleet {
             // What the leader knows, whole.
-            let shown = self.management.show().await.map_err(|why| refused(&why))?;
+            let shown = self
+                .management
+                .fleet_state()
+                .await
+                .map_err(|why| refused(&why))?;
             let (path, val) = (
                 Some(gnmi::Path::default()),
                 Some(Written::JsonIetf.json(&shown)),
@@ -200,7 +204,7 @@
             .into_iter()
             .map(|p| self.resolved(r.prefix.as_ref(), p));
         let paths = paths.collect::<Result<Vec<_>, _>>()?;
-        let tree = self.management.look().await;
+        let tree = self.management.tree().await;
         let fits = |root: &str| match kind {
             DataType::All => true,
             DataType::Config => root == "settings",
@@ -285,7 +289,7 @@
             .find_map(|u| u.path.as_ref().and_then(codec::begins));
         if let Some(anew) = begins.filter(|_| scope == Scope::Fleet) {
             self.management
-                .begin(anew, who.name)
+                .bootstrap(anew, who.name)
                 .await
                 .map_err(|why| refused(&why))?;
             return Ok(Response::new(gnmi::SetResponse {
@@ -351,7 +355,7 @@
                 Wrong::Status(s) => s,
                 Wrong::Refused(r) => refused(&r),
             })?;
-        let timestamp = nanos(self.management.look().await.at);
+        let timestamp = nanos(self.management.tree().await.at);
         Ok(Response::new(gnmi::SetResponse {
             prefix: r.prefix.clone(),
             response,
@@ -392,12 +396,14 @@
             if edits.is_empty() {
                 return Ok(0);
             }
-            let what = said(&edits);
-            return self
-                .management
-                .set(edits, who.name, what, None, scope)
-                .await
-                .map_err(Wrong::Refused);
+            let change = Change {
+                summary: said(&edits),
+                edits,
+                author: who.name,
+                commit: None,
+                scope,
+            };
+            return self.management.set(change).await.map_err(Wrong::Refused);
         };
         let id = commit.id.clone();
         if id.is_empty() || id.len() > ID_MOST {
@@ -409,13 +415,14 @@
                 if edits.is_empty() {
                     return Err(wrong("a commit without a change"));
                 }
-                let what = said(&edits);
-                let commit = Some((id, span));
-                return self
-                    .management
-                    .set(edits, who.name, what, commit, scope)
-                    .await
-                    .map_err(Wrong::Refused);
+                let change = Change {
+                    summary: said(&edits),
+                    edits,
+                    author: who.name,
+                    commit: Some(Confirmation { id, within: span }),
+                    scope,
+                };
+                return self.management.set(change).await.map_err(Wrong::Refused);
             }
             Some(Action::Confirm(_)) => Command::Confirm { id },
             Some(Action::Cancel(_)) => Command::Cancel { id },
@@ -431,7 +438,7 @@
             ));
         }
         self.management
-            .ask(ask, who.name, scope)
+            .command(ask, who.name, scope)
             .await
             .map_err(Wrong::Refused)
     }
