--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -24,43 +24,50 @@
     pub step: Step,
     pub commit: Option<(String, Ms)>,
     /// To what ran before: nobody can refuse it.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub is_rollback: bool,
 }
 
 /// What runs and waits to be confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingConfirmation<D> {
     pub id: String,
-    pub span: Ms,
+    #[serde(rename = "span")]
+    pub confirm_within: Ms,
     /// What ran before, and under which number.
-    pub before: (u64, D),
+    #[serde(rename = "before")]
+    pub previous: (u64, D),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fleet<D> {
     /// Drawn when it began; 0 before.
-    pub history: u64,
+    #[serde(rename = "history")]
+    pub generation: u64,
     pub running: Option<(u64, D)>,
     /// Grows whenever what is to be held changes.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub policy_index: u64,
     pub change: Option<Change<D>>,
-    pub trial: Option<PendingConfirmation<D>>,
+    #[serde(rename = "trial")]
+    pub pending_confirmation: Option<PendingConfirmation<D>>,
     pub members: BTreeMap<String, Session>,
-    pub lines: VecDeque<RevisionSummary>,
+    #[serde(rename = "lines")]
+    pub revisions: VecDeque<RevisionSummary>,
     pub next: u64,
 }
 
 impl<D> Default for Fleet<D> {
     fn default() -> Self {
-        let (lines, members) = Default::default();
+        let (revisions, members) = Default::default();
         Fleet {
-            history: 0,
+            generation: 0,
             running: None,
-            mark: 0,
+            policy_index: 0,
             change: None,
-            trial: None,
+            pending_confirmation: None,
             members,
-            lines,
+            revisions,
             next: 1,
         }
     }
@@ -72,7 +79,7 @@
     pub fn held(&self) -> Option<(u64, D)> {
         let (number, running) = self.running.as_ref()?;
         match self.change.as_ref().filter(|c| c.step == Step::Binding) {
-            Some(change) => Some((*number, running.stricter(&change.document)?)),
+            Some(change) => Some((*number, running.intersection(&change.document)?)),
             None => Some((*number, running.clone())),
         }
     }
@@ -84,8 +91,8 @@
             .filter(|c| c.number == number && c.step == step)
     }
 
-    fn mark(&mut self, number: u64, state: RevisionState) {
-        self.lines
+    fn set_state(&mut self, number: u64, state: RevisionState) {
+        self.revisions
             .iter_mut()
             .filter(|l| l.number == number)
             .for_each(|l| l.state = state);
@@ -94,42 +101,46 @@
     /// Takes one more record; whether it had an effect.
     pub fn apply(&mut self, record: Record<D>) -> bool {
         match record {
-            Record::Begun {
-                history,
+            Record::Bootstrapped {
+                generation,
                 document,
-                line,
-            } if self.history == 0 && history != 0 => {
-                (self.history, self.running, self.mark) = (history, Some((0, document)), 1);
-                self.lines.extend(line);
+                revision,
+            } if self.generation == 0 && generation != 0 => {
+                (self.generation, self.running, self.policy_index) =
+                    (generation, Some((0, document)), 1);
+                self.revisions.extend(revision);
             }
             Record::Members { joined, left } => return self.seat(joined, left),
             Record::Staged(proposal) => return self.stage(proposal),
-            Record::Refused { number, by, why } => {
-                let Some(change) = self.change.take_if(|c| c.number == number && !c.back) else {
+            Record::Refused { number, by, reason } => {
+                let Some(change) = self
+                    .change
+                    .take_if(|c| c.number == number && !c.is_rollback)
+                else {
                     return false;
                 };
                 // What is held already is the stricter of both: who holds that goes back.
-                self.mark += (change.step == Step::Binding) as u64;
-                self.mark(number, RevisionState::Refused);
-                let line = self.lines.iter_mut().find(|l| l.number == number);
+                self.policy_index += (change.step == Step::Binding) as u64;
+                self.set_state(number, RevisionState::Refused);
+                let line = self.revisions.iter_mut().find(|l| l.number == number);
                 line.into_iter()
-                    .for_each(|l| l.refused = Some((by.clone(), why.clone())));
+                    .for_each(|l| l.refused = Some((by.clone(), reason.clone())));
             }
             Record::Binding { number } if self.at(number, Step::Staged).is_some() => {
                 self.change.iter_mut().for_each(|c| c.step = Step::Binding);
-                self.mark += 1;
-                self.mark(number, RevisionState::Binding);
+                self.policy_index += 1;
+                self.set_state(number, RevisionState::Binding);
             }
             Record::Decided { number } if self.at(number, Step::Binding).is_some() => self.decide(),
             Record::Confirmed { number } if self.tried(number) => {
-                self.trial = None;
-                self.mark(number, RevisionState::Running);
+                self.pending_confirmation = None;
+                self.set_state(number, RevisionState::Running);
             }
             Record::RolledBack { number } if self.tried(number) => {
                 let Some(PendingConfirmation {
-                    before: (to, document),
+                    previous: (to, document),
                     ..
-                }) = self.trial.take()
+                }) = self.pending_confirmation.take()
                 else {
                     return false;
                 };
@@ -138,10 +149,10 @@
                     document,
                     step: Step::Binding,
                     commit: None,
-                    back: true,
+                    is_rollback: true,
                 });
-                self.mark += 1;
-                self.mark(number, RevisionState::RolledBack);
+                self.policy_index += 1;
+                self.set_state(number, RevisionState::RolledBack);
             }
             _ => return false,
         }
@@ -149,7 +160,7 @@
     }
 
     fn tried(&self, number: u64) -> bool {
-        self.trial.is_some() && self.running.as_ref().is_some_and(|r| r.0 == number)
+        self.pending_confirmation.is_some() && self.running.as_ref().is_some_and(|r| r.0 == number)
     }
 
     fn seat(&mut self, joined: Vec<(String, Session)>, left: Vec<(String, u64)>) -> bool {
@@ -165,9 +176,9 @@
 
     fn stage(&mut self, proposal: ChangeProposal<D>) -> bool {
         if self.running.is_none()
-            || self.mark != proposal.base_revision
+            || self.policy_index != proposal.base_revision
             || self.change.is_some()
-            || self.trial.is_some()
+            || self.pending_confirmation.is_some()
         {
             return false;
         }
@@ -175,9 +186,9 @@
             number,
             ChangeProposal {
                 token,
-                who,
-                when,
-                what,
+                author,
+                created_at,
+                summary,
                 document,
                 commit,
                 ..
@@ -186,25 +197,25 @@
         self.next += 1;
         let id = commit.as_ref().map(|c| c.0.clone());
         let state = RevisionState::Staged;
-        self.lines.push_back(RevisionSummary {
+        self.revisions.push_back(RevisionSummary {
             number,
             token,
-            who,
-            when,
-            what,
+            author,
+            created_at,
+            summary,
             state,
             commit: id,
             refused: None,
         });
-        if self.lines.len() > REMEMBERED {
-            self.lines.pop_front();
+        if self.revisions.len() > REMEMBERED {
+            self.revisions.pop_front();
         }
         self.change = Some(Change {
             number,
             document,
             step: Step::Staged,
             commit,
-            back: false,
+            is_rollback: false,
         });
         true
     }
@@ -214,15 +225,19 @@
             return;
         };
         let was = self.running.replace((change.number, change.document));
-        self.mark += 1;
-        if let Some((number, _)) = was.as_ref().filter(|_| !change.back) {
-            self.mark(*number, RevisionState::Replaced);
+        self.policy_index += 1;
+        if let Some((number, _)) = was.as_ref().filter(|_| !change.is_rollback) {
+            self.set_state(*number, RevisionState::Replaced);
         }
         let tried = change.commit.is_some();
-        self.trial = was
-            .zip(change.commit)
-            .map(|(before, (id, span))| PendingConfirmation { id, span, before });
-        self.mark(
+        self.pending_confirmation =
+            was.zip(change.commit)
+                .map(|(previous, (id, confirm_within))| PendingConfirmation {
+                    id,
+                    confirm_within,
+                    previous,
+                });
+        self.set_state(
             change.number,
             if tried {
                 RevisionState::Unconfirmed
--- a/crates/coordination/src/history.rs
+++ b/crates/coordination/src/generation.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// There were too many.
-pub fn anew(known: impl IntoIterator<Item = u64>, drawn: u64) -> Result<u64, String> {
+pub fn successor(known: impl IntoIterator<Item = u64>, drawn: u64) -> Result<u64, String> {
     // Never of the first generation: two operators who begin anew at once draw numbers of which one goes before.
     let next = known.into_iter().map(|h| h >> DRAWN_BITS).fold(1, u64::max) + 1;
     (next < 1 << (64 - DRAWN_BITS))
@@ -27,9 +27,9 @@
 
 /// Whether a history goes before another: of a later generation, or, where two were begun anew at once, with the larger
 /// number. Two of the first generation are strangers: neither does.
-pub fn supersedes(history: u64, other: u64) -> bool {
-    let (its, others) = (history >> DRAWN_BITS, other >> DRAWN_BITS);
-    its > others || its == others && its > 1 && history > other
+pub fn supersedes(generation: u64, other: u64) -> bool {
+    let (its, others) = (generation >> DRAWN_BITS, other >> DRAWN_BITS);
+    its > others || its == others && its > 1 && generation > other
 }
 
 #[cfg(test)]
@@ -38,20 +38,20 @@
 
     #[test]
     fn the_one_begun_anew_goes_before_all_that_were_known_and_none_before_it() {
-        let old = [first(7), anew([first(7)], 1).unwrap(), 0, 9];
-        let new = anew(old, u64::MAX).unwrap();
+        let old = [first(7), successor([first(7)], 1).unwrap(), 0, 9];
+        let new = successor(old, u64::MAX).unwrap();
         assert!(old
             .iter()
             .all(|h| supersedes(new, *h) && !supersedes(*h, new)));
         assert!(!supersedes(first(1), first(2)) && !supersedes(new, new));
         // Two begun anew at once, also where nothing of an earlier one was known: one of them goes before.
         for known in [vec![], vec![first(3)], old.to_vec()] {
-            let two = [1, 2].map(|drawn| anew(known.clone(), drawn).unwrap());
+            let two = [1, 2].map(|drawn| successor(known.clone(), drawn).unwrap());
             assert!(
                 supersedes(two[1], two[0]) && !supersedes(two[0], two[1]),
                 "{known:?}"
             );
         }
-        assert!(anew([u64::MAX], 1).is_err());
+        assert!(successor([u64::MAX], 1).is_err());
     }
 }
--- a/crates/coordination/src/leader.rs
+++ b/crates/coordination/src/leader.rs
@@ -1,9 +1,9 @@
 //! What the fleet's leader does next: who is let in, who still counts, and when a change takes its next step. Its
 //! memory is of one term: a later leader knows only the log, and waits until no lease of the earlier can be left.
 
-use crate::count::Count;
 use crate::fleet::{Fleet, Step};
 use crate::record::{ChangeProposal, Record, Session};
+use crate::share_counter::ShareCounter;
 use crate::{grace, Heartbeat, HeartbeatResponse, Policy};
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -27,22 +27,23 @@
     /// A change that waits to be confirmed, or one under way.
     Cancel {
         id: Option<String>,
-        who: String,
+        #[serde(rename = "who")]
+        author: String,
     },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
     /// No history has begun.
-    NotBegun,
+    NotBootstrapped,
     /// One is under way, or waits to be confirmed.
-    UnderWay { number: u64, who: String },
+    InProgress { number: u64, author: String },
     /// It was made upon what runs no more.
-    Outdated { runs: u64 },
+    StaleBaseRevision { runs: u64 },
     /// Nothing is safe beside both.
-    Apart,
+    NoIntersection,
     /// Nothing of the kind waits.
-    Nothing,
+    NothingPending,
     /// Too many wait.
     Busy,
 }
@@ -50,17 +51,17 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refusal::NotBegun => f.write_str("the fleet has no history, or no chair, yet"),
-            Refusal::UnderWay { number, who } => {
-                write!(f, "revision {number} by {who} is under way, or waits to be confirmed")
+            Refusal::NotBootstrapped => f.write_str("the fleet has no history, or no chair, yet"),
+            Refusal::InProgress { number, author } => {
+                write!(f, "revision {number} by {author} is under way, or waits to be confirmed")
             }
-            Refusal::Outdated { runs } => {
+            Refusal::StaleBaseRevision { runs } => {
                 write!(f, "revision {runs} runs by now, and the change was made upon another: look, and ask again")
             }
-            Refusal::Apart => f.write_str(
+            Refusal::NoIntersection => f.write_str(
                 "nothing is safe beside what runs and what is asked for, or this version can't read it: make it in two changes",
             ),
-            Refusal::Nothing => f.write_str("nothing of the kind waits: it was confirmed or taken back already"),
+            Refusal::NothingPending => f.write_str("nothing of the kind waits: it was confirmed or taken back already"),
             Refusal::Busy => f.write_str("too many changes wait"),
         }
     }
@@ -71,10 +72,10 @@
 struct Heard {
     start: u64,
     at: Ms,
-    mark: u64,
+    policy_index: u64,
     /// No lease granted by this leader runs longer.
     until: Ms,
-    examined: Option<(u64, Result<(), String>)>,
+    validated: Option<(u64, Result<(), String>)>,
     leaving: bool,
 }
 
@@ -82,7 +83,7 @@
 pub struct Leader<D> {
     since: Ms,
     lease: Ms,
-    heard: BTreeMap<String, Heard>,
+    last_answered: BTreeMap<String, Heard>,
     knocking: BTreeMap<String, Session>,
     asks: Vec<Command<D>>,
     /// Something was handed to the log: nothing more until that has taken it.
@@ -92,9 +93,9 @@
     going: BTreeMap<String, u64>,
     /// Since when this leader knows of a process.
     seated: BTreeMap<String, (u64, Ms)>,
-    trial: Option<(u64, Ms)>,
+    pending_confirmation: Option<(u64, Ms)>,
     /// From the first look at the log on.
-    count: Option<Count>,
+    count: Option<ShareCounter>,
 }
 
 type Rule<D> = fn(&Leader<D>, Ms, &Fleet<D>) -> Option<Record<D>>;
@@ -110,17 +111,17 @@
     ];
 
     pub fn new(now: Ms, lease: Ms) -> Self {
-        let (heard, knocking, asks, going, seated) = Default::default();
+        let (last_answered, knocking, asks, going, seated) = Default::default();
         Leader {
             since: now,
             lease,
-            heard,
+            last_answered,
             knocking,
             asks,
             written: false,
             going,
             seated,
-            trial: None,
+            pending_confirmation: None,
             count: None,
         }
     }
@@ -134,12 +135,17 @@
         let Some(seat) = fleet.members.get(name) else {
             return false;
         };
-        let heard = self.heard.get(name).filter(|h| h.start == seat.start);
-        if heard.is_some_and(|h| h.leaving) {
+        let last_answered = self
+            .last_answered
+            .get(name)
+            .filter(|h| h.start == seat.start);
+        if last_answered.is_some_and(|h| h.leaving) {
             return false;
         }
         // Leases of an earlier leader are known to nobody.
-        seat.steady || now < self.since + self.grace() || heard.is_some_and(|h| h.until > now)
+        seat.steady
+            || now < self.since + self.grace()
+            || last_answered.is_some_and(|h| h.until > now)
     }
 
     /// A heartbeat, once a quorum has confirmed this leader since it came.
@@ -149,41 +155,41 @@
         fleet: &Fleet<D>,
         heartbeat: &Heartbeat,
     ) -> HeartbeatResponse<D> {
-        let known = heartbeat.history == fleet.history;
-        let mark = if known { heartbeat.mark } else { 0 };
+        let known = heartbeat.generation == fleet.generation;
+        let policy_index = if known { heartbeat.policy_index } else { 0 };
         let mut answer = HeartbeatResponse {
             start: heartbeat.start,
             sent: heartbeat.sent,
-            history: fleet.history,
-            mark: fleet.mark,
-            hold: fleet.held().filter(|_| mark != fleet.mark),
+            generation: fleet.generation,
+            policy_index: fleet.policy_index,
+            hold: fleet.held().filter(|_| policy_index != fleet.policy_index),
             offer: None,
             lease: None,
-            why: None,
-            soon: fleet.change.is_some(),
+            reason: None,
+            heartbeat_soon: fleet.change.is_some(),
             share: None,
         };
-        if fleet.history == 0 {
-            answer.soon = true;
-            answer.why = Some("the fleet has no history yet: an operator begins it".into());
+        if fleet.generation == 0 {
+            answer.heartbeat_soon = true;
+            answer.reason = Some("the fleet has no history yet: an operator begins it".into());
             return answer;
         }
         let staged = fleet.change.as_ref().filter(|c| c.step == Step::Staged);
-        let seen = heartbeat.examined.as_ref().map(|e| e.0);
+        let seen = heartbeat.validated.as_ref().map(|e| e.0);
         answer.offer = staged
             .filter(|c| seen != Some(c.number))
             .map(|c| (c.number, c.document.clone()));
         let seat = Session {
             start: heartbeat.start,
             steady: heartbeat.steady,
-            place: heartbeat.place.clone(),
+            exclusive_resource: heartbeat.exclusive_resource.clone(),
         };
         match fleet.members.get(&heartbeat.name) {
             Some(s) if *s == seat => {}
             // Not beside a process of that name that may still decide.
             Some(s) if self.may_live(now, fleet, s, &seat, &heartbeat.name) => {
-                answer.soon = true;
-                answer.why = Some(format!(
+                answer.heartbeat_soon = true;
+                answer.reason = Some(format!(
                     "another process is {} in this fleet, or was until a moment ago",
                     heartbeat.name
                 ));
@@ -192,7 +198,7 @@
             _ => {
                 if !heartbeat.leaving {
                     self.knocking.insert(heartbeat.name.clone(), seat);
-                    answer.soon = true;
+                    answer.heartbeat_soon = true;
                 }
                 return answer;
             }
@@ -201,67 +207,77 @@
         let fresh = Heard {
             start: heartbeat.start,
             at: now,
-            mark: 0,
+            policy_index: 0,
             until: 0.0,
-            examined: None,
+            validated: None,
             leaving: false,
         };
         let h = self
-            .heard
+            .last_answered
             .entry(heartbeat.name.clone())
             .or_insert(fresh.clone());
         if h.start != heartbeat.start {
             *h = fresh;
         }
         // Heartbeats come late and twice: what a process holds and has examined only grows.
-        (h.at, h.mark, h.leaving) = (now, h.mark.max(mark), h.leaving || heartbeat.leaving);
-        if seen > h.examined.as_ref().map(|e| e.0) {
-            h.examined = heartbeat.examined.clone();
+        (h.at, h.policy_index, h.leaving) = (
+            now,
+            h.policy_index.max(policy_index),
+            h.leaving || heartbeat.leaving,
+        );
+        if seen > h.validated.as_ref().map(|e| e.0) {
+            h.validated = heartbeat.validated.clone();
         }
         // Against a member that is heard and hears nothing: it would count for good, and hold up every change.
-        let hears = heartbeat.sent - heartbeat.heard <= self.lease;
-        if mark == fleet.mark && hears && !h.leaving && !self.going.contains_key(&heartbeat.name) {
+        let hears = heartbeat.sent - heartbeat.last_answered <= self.lease;
+        if policy_index == fleet.policy_index
+            && hears
+            && !h.leaving
+            && !self.going.contains_key(&heartbeat.name)
+        {
             h.until = h.until.max(now + grace);
             answer.lease = Some(self.lease);
             answer.share = Some(self.count(fleet).share(
                 now,
                 &heartbeat.name,
                 heartbeat.start,
-                heartbeat.shares,
+                heartbeat.takes_share,
             ));
         }
         answer
     }
 
-    fn count(&mut self, fleet: &Fleet<D>) -> &mut Count {
+    fn count(&mut self, fleet: &Fleet<D>) -> &mut ShareCounter {
         // No earlier leader told more than there are members, or than it began with.
         let told = fleet.running.as_ref().map_or(1.0, |r| r.1.gateways());
         let most = told.max(fleet.members.len() as f64);
         let (since, lease, grace) = (self.since, self.lease, self.grace());
         self.count
-            .get_or_insert_with(|| Count::new(since, lease, grace, most))
+            .get_or_insert_with(|| ShareCounter::new(since, lease, grace, most))
     }
 
     /// How many gateways share, and how many of them have their share by now.
     pub fn sharing(&self) -> Option<(f64, usize)> {
-        self.count.as_ref().map(Count::shown)
+        self.count.as_ref().map(ShareCounter::totals)
     }
 
     /// What this leader knows of a member: when it was last heard, what it holds, until when its lease may run.
     pub fn seen(&self, name: &str) -> Option<(Ms, u64, Ms)> {
-        self.heard.get(name).map(|h| (h.at, h.mark, h.until))
+        self.last_answered
+            .get(name)
+            .map(|h| (h.at, h.policy_index, h.until))
     }
 
     /// Whether a member has said what it makes of a change.
-    pub fn examined(&self, name: &str, number: u64) -> bool {
-        self.heard
+    pub fn validated(&self, name: &str, number: u64) -> bool {
+        self.last_answered
             .get(name)
-            .is_some_and(|h| h.examined.as_ref().is_some_and(|e| e.0 == number))
+            .is_some_and(|h| h.validated.as_ref().is_some_and(|e| e.0 == number))
     }
 
     /// Whether all that may still decide hold what is to be held.
     pub fn all_hold(&self, now: Ms, fleet: &Fleet<D>) -> bool {
-        self.all(now, fleet, |h| h.mark == fleet.mark)
+        self.all(now, fleet, |h| h.policy_index == fleet.policy_index)
     }
 
     /// Whether an ask still waits for the log, or something does that may be it.
@@ -283,16 +299,16 @@
     }
 
     fn fits(&self, fleet: &Fleet<D>, ask: &Command<D>) -> Result<(), Refusal> {
-        let (runs, running) = fleet.running.as_ref().ok_or(Refusal::NotBegun)?;
-        let id = fleet.trial.as_ref().map(|t| &t.id);
+        let (runs, running) = fleet.running.as_ref().ok_or(Refusal::NotBootstrapped)?;
+        let id = fleet.pending_confirmation.as_ref().map(|t| &t.id);
         match ask {
             Command::Change(proposal) => {
                 let asked = |a: &&Command<D>| matches!(a, Command::Change(_));
                 if let Some(Command::Change(w)) = self.asks.iter().find(asked).filter(|a| *a != ask)
                 {
-                    return Err(Refusal::UnderWay {
+                    return Err(Refusal::InProgress {
                         number: fleet.next,
-                        who: w.who.clone(),
+                        author: w.author.clone(),
                     });
                 }
                 let number = fleet
@@ -301,21 +317,21 @@
                     .map(|c| c.number)
                     .or(id.map(|_| *runs));
                 if let Some(number) = number {
-                    let line = fleet.lines.iter().find(|l| l.number == number);
-                    let who = line.map(|l| l.who.clone()).unwrap_or_default();
-                    return Err(Refusal::UnderWay { number, who });
+                    let line = fleet.revisions.iter().find(|l| l.number == number);
+                    let author = line.map(|l| l.author.clone()).unwrap_or_default();
+                    return Err(Refusal::InProgress { number, author });
                 }
-                if proposal.base_revision != fleet.mark {
-                    return Err(Refusal::Outdated { runs: *runs });
+                if proposal.base_revision != fleet.policy_index {
+                    return Err(Refusal::StaleBaseRevision { runs: *runs });
                 }
                 running
-                    .stricter(&proposal.document)
+                    .intersection(&proposal.document)
                     .map(drop)
-                    .ok_or(Refusal::Apart)
+                    .ok_or(Refusal::NoIntersection)
             }
             Command::Confirm { id: asked } if id == Some(asked) => Ok(()),
             Command::Cancel { id: asked, .. } => {
-                let way = fleet.change.as_ref().is_some_and(|c| !c.back);
+                let way = fleet.change.as_ref().is_some_and(|c| !c.is_rollback);
                 let which = asked.as_ref().is_none_or(|a| {
                     id == Some(a)
                         || fleet
@@ -326,10 +342,10 @@
                 if which && (way || id.is_some()) {
                     Ok(())
                 } else {
-                    Err(Refusal::Nothing)
+                    Err(Refusal::NothingPending)
                 }
             }
-            Command::Confirm { .. } => Err(Refusal::Nothing),
+            Command::Confirm { .. } => Err(Refusal::NothingPending),
         }
     }
 
@@ -347,7 +363,7 @@
         }
         self.knocking
             .retain(|name, seat| fleet.members.get(name) != Some(seat));
-        self.heard
+        self.last_answered
             .retain(|name, _| fleet.members.contains_key(name));
         self.seated
             .retain(|name, at| fleet.members.get(name).is_some_and(|s| s.start == at.0));
@@ -356,8 +372,15 @@
         }
         // Its time begins when this leader first sees it run.
         let runs = fleet.running.as_ref().map_or(0, |r| r.0);
-        let trial = fleet.trial.as_ref().map(|t| (runs, now + t.span));
-        self.trial = trial.map(|new| self.trial.filter(|old| old.0 == new.0).unwrap_or(new));
+        let pending_confirmation = fleet
+            .pending_confirmation
+            .as_ref()
+            .map(|t| (runs, now + t.confirm_within));
+        self.pending_confirmation = pending_confirmation.map(|new| {
+            self.pending_confirmation
+                .filter(|old| old.0 == new.0)
+                .unwrap_or(new)
+        });
         let record = Self::RULES.iter().find_map(|rule| rule(self, now, fleet));
         let record = record.or_else(|| self.asked(fleet))?;
         if let Record::Members { joined, left } = &record {
@@ -404,11 +427,14 @@
     // Before their first lease, so that a later leader knows of them.
     fn seat(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let gone = |(name, seat): &(&String, &Session)| {
-            let heard = self.heard.get(*name).filter(|h| h.start == seat.start);
+            let last_answered = self
+                .last_answered
+                .get(*name)
+                .filter(|h| h.start == seat.start);
             let since = self.seated.get(*name).map_or(now, |s| s.1);
-            let last = heard.map_or(since, |h| h.at);
+            let last = last_answered.map_or(since, |h| h.at);
             let long = now >= last + FORGOTTEN * self.lease && !seat.steady;
-            heard.is_some_and(|h| h.leaving) || long && !self.counts(now, fleet, name)
+            last_answered.is_some_and(|h| h.leaving) || long && !self.counts(now, fleet, name)
         };
         let left = fleet
             .members
@@ -440,7 +466,7 @@
             .iter()
             .filter(|(name, _)| self.counts(now, fleet, name));
         counted.all(|(name, seat)| {
-            self.heard
+            self.last_answered
                 .get(name)
                 .is_some_and(|h| h.start == seat.start && so(h))
         })
@@ -449,33 +475,33 @@
     fn refuse(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Staged)?.number;
         let counted = self
-            .heard
+            .last_answered
             .iter()
             .filter(|(name, _)| self.counts(now, fleet, name));
-        let mut faults = counted.filter_map(|(name, h)| match &h.examined {
-            Some((n, Err(why))) if *n == number => Some((name.clone(), why.clone())),
+        let mut faults = counted.filter_map(|(name, h)| match &h.validated {
+            Some((n, Err(reason))) if *n == number => Some((name.clone(), reason.clone())),
             _ => None,
         });
         faults
             .next()
-            .map(|(by, why)| Record::Refused { number, by, why })
+            .map(|(by, reason)| Record::Refused { number, by, reason })
     }
 
     fn bind(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Staged)?.number;
-        let fit = |h: &Heard| h.examined == Some((number, Ok(())));
+        let fit = |h: &Heard| h.validated == Some((number, Ok(())));
         self.all(now, fleet, fit)
             .then_some(Record::Binding { number })
     }
 
     fn decide(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
         let number = self.staged(fleet, Step::Binding)?.number;
-        self.all(now, fleet, |h| h.mark == fleet.mark)
+        self.all(now, fleet, |h| h.policy_index == fleet.policy_index)
             .then_some(Record::Decided { number })
     }
 
     fn take_back_the_overdue(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
-        let (number, until) = self.trial?;
+        let (number, until) = self.pending_confirmation?;
         (fleet.change.is_none() && now >= until).then_some(Record::RolledBack { number })
     }
 
@@ -489,11 +515,11 @@
             return Some(match ask {
                 Command::Change(proposal) => Record::Staged(proposal),
                 Command::Confirm { .. } => Record::Confirmed { number },
-                Command::Cancel { who, .. } => match &fleet.change {
+                Command::Cancel { author, .. } => match &fleet.change {
                     Some(c) => Record::Refused {
                         number: c.number,
-                        by: who,
-                        why: "taken back".into(),
+                        by: author,
+                        reason: "taken back".into(),
                     },
                     None => Record::RolledBack { number },
                 },
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -2,18 +2,18 @@
 //! its leader does next ([`leader`]), and what a member holds and until when ([`member`]). The promises stand in
 //! `docs/design/fleet.md`.
 
-pub mod count;
 pub mod fleet;
-pub mod history;
+pub mod generation;
 pub mod leader;
 pub mod member;
 pub mod record;
+pub mod share_counter;
 
-pub use count::Share;
 pub use fleet::Fleet;
 pub use leader::Leader;
 pub use member::Member;
 pub use record::{Record, RevisionState, RevisionSummary};
+pub use share_counter::Share;
 
 use ironstair::Ms;
 use serde::{Deserialize, Serialize};
@@ -21,7 +21,7 @@
 /// What a fleet agrees on.
 pub trait Policy: Clone + PartialEq {
     /// What is safe beside both, in sum over all gateways; none where nothing is.
-    fn stricter(&self, other: &Self) -> Option<Self>;
+    fn intersection(&self, other: &Self) -> Option<Self>;
 
     /// How many gateways it was made for.
     fn gateways(&self) -> f64 {
@@ -30,7 +30,7 @@
 }
 
 impl Policy for ironstair_config_change::Document {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         ironstair_config_change::Document::stricter(self, other)
     }
 
@@ -41,7 +41,7 @@
 
 /// As it crosses between gateways: a version that can't read a field of it can still say so.
 impl Policy for serde_json::Value {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         let read = |of: &Self| {
             serde_json::from_value::<ironstair_config_change::Document>(of.clone()).ok()
         };
@@ -70,21 +70,27 @@
     /// By the member's own clock; comes back with the answer.
     pub sent: Ms,
     /// The history that it knows, 0 for none, and what of it the member holds.
-    pub history: u64,
-    pub mark: u64,
+    #[serde(rename = "history")]
+    pub generation: u64,
+    #[serde(rename = "mark")]
+    pub policy_index: u64,
     /// The latest of its heartbeats to which it heard an answer, by `sent`.
-    pub heard: Ms,
+    #[serde(rename = "heard")]
+    pub last_answered: Ms,
     /// Goes on without a lease.
     pub steady: bool,
     /// What it makes of a change that is staged: its number, and why it can't be here.
-    pub examined: Option<(u64, Result<(), String>)>,
+    #[serde(rename = "examined")]
+    pub validated: Option<(u64, Result<(), String>)>,
     pub leaving: bool,
     /// What its process holds for itself alone as long as it lives; empty where nothing is.
     #[serde(default)]
-    pub place: String,
+    #[serde(rename = "place")]
+    pub exclusive_resource: String,
     /// Takes a share of what all share out, by a lease that it holds.
     #[serde(default)]
-    pub shares: bool,
+    #[serde(rename = "shares")]
+    pub takes_share: bool,
 }
 
 /// What the leader says to that, once a quorum has confirmed that it is the leader.
@@ -92,20 +98,24 @@
 pub struct HeartbeatResponse<D> {
     pub start: u64,
     pub sent: Ms,
-    pub history: u64,
+    #[serde(rename = "history")]
+    pub generation: u64,
     /// What is to be held; the policy and its revision, where the member does not hold it yet.
-    pub mark: u64,
+    #[serde(rename = "mark")]
+    pub policy_index: u64,
     pub hold: Option<(u64, D)>,
     /// A staged change, to be examined.
     pub offer: Option<(u64, D)>,
     /// From when the heartbeat was sent.
     pub lease: Option<Ms>,
     /// Why there is no lease, where that is not for the mark alone.
-    pub why: Option<String>,
+    #[serde(rename = "why")]
+    pub reason: Option<String>,
     /// The next step goes out with the next heartbeat, which is wanted soon: a change is under way, or the member is not in
     /// yet.
     #[serde(default)]
-    pub soon: bool,
+    #[serde(rename = "soon")]
+    pub heartbeat_soon: bool,
     /// Goes with the lease.
     #[serde(default)]
     pub share: Option<Share>,
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -1,6 +1,6 @@
 //! What one gateway of a fleet holds, and until when it may decide by it.
 
-use crate::history::supersedes;
+use crate::generation::supersedes;
 use crate::{Heartbeat, HeartbeatResponse, Share};
 use ironstair::Ms;
 
@@ -16,14 +16,14 @@
     Answered(HeartbeatResponse<D>),
     /// The decisions go by it from now on.
     Applied {
-        mark: u64,
+        policy_index: u64,
     },
     /// It can't be applied here: no lease without it.
     Unable {
-        mark: u64,
-        why: String,
+        policy_index: u64,
+        reason: String,
     },
-    Examined {
+    Validated {
         number: u64,
         how: Result<(), String>,
     },
@@ -36,18 +36,18 @@
     Heartbeat(Heartbeat),
     /// To be handed to the decisions, then `Applied`.
     Apply {
-        mark: u64,
+        policy_index: u64,
         number: u64,
         document: D,
     },
-    Examine {
+    Validate {
         number: u64,
         document: D,
     },
     /// The decisions may go on until then, by the member's own clock, with that share of what all share out.
-    Hold(Ms, Share),
+    SetLease(Ms, Share),
     /// Worth a line in the log, said once.
-    Say(String),
+    LogWarning(String),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -56,18 +56,18 @@
     start: u64,
     steady: bool,
     lease: Ms,
-    history: u64,
-    mark: u64,
+    generation: u64,
+    policy_index: u64,
     number: u64,
     applying: Option<u64>,
     until: Ms,
-    examined: Option<(u64, Result<(), String>)>,
+    validated: Option<(u64, Result<(), String>)>,
     heartbeat_due: Ms,
-    heard: Ms,
+    last_answered: Ms,
     leaving: bool,
     said: Option<String>,
     share: Share,
-    place: String,
+    exclusive_resource: String,
 }
 
 impl Member {
@@ -78,25 +78,25 @@
             start,
             steady,
             lease,
-            history: 0,
-            mark: 0,
+            generation: 0,
+            policy_index: 0,
             number: 0,
             applying: None,
             until: 0.0,
-            examined: None,
+            validated: None,
             heartbeat_due: 0.0,
-            heard: 0.0,
+            last_answered: 0.0,
             leaving: false,
             said: None,
             share: Share::default(),
-            place: String::new(),
+            exclusive_resource: String::new(),
         }
     }
 
     /// What this process holds for itself alone as long as it lives: a later one of its name that holds it needs not
     /// wait for this one's lease.
-    pub fn holding(mut self, place: String) -> Self {
-        self.place = place;
+    pub fn holding(mut self, exclusive_resource: String) -> Self {
+        self.exclusive_resource = exclusive_resource;
         self
     }
 
@@ -112,7 +112,7 @@
 
     /// What of which history it holds, and the revision's number.
     pub fn held(&self) -> (u64, u64, u64) {
-        (self.history, self.mark, self.number)
+        (self.generation, self.policy_index, self.number)
     }
 
     /// One of how many it is, and whether it takes that share.
@@ -131,25 +131,28 @@
             Input::Due => {}
             Input::Answered(a) if a.start == self.start => self.answered(now, a, &mut actions),
             Input::Answered(_) => {}
-            Input::Applied { mark } => {
-                if self.applying.take_if(|m| *m == mark).is_some() {
-                    (self.mark, self.heartbeat_due) = (mark, now);
+            Input::Applied { policy_index } => {
+                if self.applying.take_if(|m| *m == policy_index).is_some() {
+                    (self.policy_index, self.heartbeat_due) = (policy_index, now);
                 }
             }
-            Input::Unable { mark, why } => {
-                if self.applying.take_if(|m| *m == mark).is_some() {
+            Input::Unable {
+                policy_index,
+                reason,
+            } => {
+                if self.applying.take_if(|m| *m == policy_index).is_some() {
                     self.say(
-                        format!("what the fleet holds can't be held here: {why}"),
+                        format!("what the fleet holds can't be held here: {reason}"),
                         &mut actions,
                     );
                 }
             }
-            Input::Examined { number, how } => {
-                (self.examined, self.heartbeat_due) = (Some((number, how)), now);
+            Input::Validated { number, how } => {
+                (self.validated, self.heartbeat_due) = (Some((number, how)), now);
             }
             Input::Leave => {
                 (self.leaving, self.heartbeat_due, self.until) = (true, now, 0.0);
-                actions.push(Action::Hold(0.0, Share::default()));
+                actions.push(Action::SetLease(0.0, Share::default()));
             }
         }
         if now >= self.heartbeat_due {
@@ -158,24 +161,24 @@
                 name: self.name.clone(),
                 start: self.start,
                 sent: now,
-                history: self.history,
-                mark: self.mark,
-                heard: self.heard,
+                generation: self.generation,
+                policy_index: self.policy_index,
+                last_answered: self.last_answered,
                 steady: self.steady,
-                examined: self.examined.clone(),
+                validated: self.validated.clone(),
                 leaving: self.leaving,
-                place: self.place.clone(),
+                exclusive_resource: self.exclusive_resource.clone(),
                 // A share is over with the lease that it came with.
-                shares: self.share.taken && self.holds(now),
+                takes_share: self.share.taken && self.holds(now),
             }));
         }
         actions
     }
 
-    fn say<D>(&mut self, what: String, actions: &mut Vec<Action<D>>) {
-        if self.said.as_ref() != Some(&what) {
-            self.said = Some(what.clone());
-            actions.push(Action::Say(what));
+    fn say<D>(&mut self, summary: String, actions: &mut Vec<Action<D>>) {
+        if self.said.as_ref() != Some(&summary) {
+            self.said = Some(summary.clone());
+            actions.push(Action::LogWarning(summary));
         }
     }
 
@@ -186,44 +189,47 @@
         a: HeartbeatResponse<D>,
         actions: &mut Vec<Action<D>>,
     ) {
-        self.heard = self.heard.max(a.sent);
-        if a.soon {
+        self.last_answered = self.last_answered.max(a.sent);
+        if a.heartbeat_soon {
             self.heartbeat_due = self
                 .heartbeat_due
                 .min(now + self.lease / HEARTBEATS_PER_LEASE_DURING_CHANGE);
         }
-        if let Some(why) = a.why {
-            self.say(why, actions);
+        if let Some(reason) = a.reason {
+            self.say(reason, actions);
         }
-        if a.history != self.history {
+        if a.generation != self.generation {
             // A steady one holds for good: it goes over as soon as it hears of a later history.
-            let over = !self.holds(now) || self.steady && supersedes(a.history, self.history);
-            if a.history == 0
-                || supersedes(self.history, a.history)
+            let over = !self.holds(now) || self.steady && supersedes(a.generation, self.generation);
+            if a.generation == 0
+                || supersedes(self.generation, a.generation)
                 || !over
                 || self.applying.is_some()
             {
                 return;
             }
-            (self.history, self.mark, self.examined) = (a.history, 0, None);
+            (self.generation, self.policy_index, self.validated) = (a.generation, 0, None);
         }
         if let Some((number, document)) = a
             .hold
-            .filter(|_| a.mark > self.mark && self.applying.is_none())
+            .filter(|_| a.policy_index > self.policy_index && self.applying.is_none())
         {
-            (self.applying, self.number) = (Some(a.mark), number);
+            (self.applying, self.number) = (Some(a.policy_index), number);
             actions.push(Action::Apply {
-                mark: a.mark,
+                policy_index: a.policy_index,
                 number,
                 document,
             });
         }
         if let Some((number, document)) = a.offer {
-            if self.examined.as_ref().is_none_or(|e| e.0 < number) {
-                actions.push(Action::Examine { number, document });
+            if self.validated.as_ref().is_none_or(|e| e.0 < number) {
+                actions.push(Action::Validate { number, document });
             }
         }
-        if let Some(lease) = a.lease.filter(|_| a.mark == self.mark && !self.leaving) {
+        if let Some(lease) = a
+            .lease
+            .filter(|_| a.policy_index == self.policy_index && !self.leaving)
+        {
             let until = if self.steady {
                 Ms::INFINITY
             } else {
@@ -231,7 +237,7 @@
             };
             if until > self.until {
                 (self.until, self.share) = (until, a.share.unwrap_or_default());
-                actions.push(Action::Hold(until, self.share));
+                actions.push(Action::SetLease(until, self.share));
             }
             self.said = None;
         }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -8,10 +8,13 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
     /// A history begins, by an operator's word, with what one gateway was told; or anew, with what its line says.
-    Begun {
-        history: u64,
+    #[serde(rename = "begun")]
+    Bootstrapped {
+        #[serde(rename = "history")]
+        generation: u64,
         document: D,
-        line: Option<RevisionSummary>,
+        #[serde(rename = "line")]
+        revision: Option<RevisionSummary>,
     },
     /// Members come in with a process, instead of an earlier one of that name, and go.
     Members {
@@ -24,7 +27,8 @@
     Refused {
         number: u64,
         by: String,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The stricter of both holds from here.
     Binding { number: u64 },
@@ -46,13 +50,16 @@
     /// What it holds for itself alone as long as it lives: who holds that after it knows that it is no more. Empty where
     /// that is not known.
     #[serde(default)]
-    pub place: String,
+    #[serde(rename = "place")]
+    pub exclusive_resource: String,
 }
 
 impl Session {
     /// Whether another process of that name proves by what it holds that this one has ended.
     pub fn ended_before(&self, other: &Session) -> bool {
-        !self.place.is_empty() && self.place == other.place && self.start != other.start
+        !self.exclusive_resource.is_empty()
+            && self.exclusive_resource == other.exclusive_resource
+            && self.start != other.start
     }
 }
 
@@ -61,10 +68,13 @@
 pub struct ChangeProposal<D> {
     /// By which its asker finds it again.
     pub token: u64,
-    pub who: String,
+    #[serde(rename = "who")]
+    pub author: String,
     /// Unix time in ms, where it was asked for.
-    pub when: Ms,
-    pub what: String,
+    #[serde(rename = "when")]
+    pub created_at: Ms,
+    #[serde(rename = "what")]
+    pub summary: String,
     /// The mark that its asker held: what it was made of is what runs, not the stricter of two.
     #[serde(rename = "upon")]
     pub base_revision: u64,
@@ -91,9 +101,12 @@
 pub struct RevisionSummary {
     pub number: u64,
     pub token: u64,
-    pub who: String,
-    pub when: Ms,
-    pub what: String,
+    #[serde(rename = "who")]
+    pub author: String,
+    #[serde(rename = "when")]
+    pub created_at: Ms,
+    #[serde(rename = "what")]
+    pub summary: String,
     #[serde(rename = "standing")]
     pub state: RevisionState,
     pub commit: Option<String>,
--- a/crates/coordination/src/count.rs
+++ b/crates/coordination/src/share_counter.rs
@@ -42,7 +42,7 @@
 
 /// The leader's.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Count {
+pub struct ShareCounter {
     /// From when on no lease of an earlier leader is left.
     alone_from: Ms,
     lease: Ms,
@@ -54,11 +54,11 @@
     sharing: BTreeMap<String, u64>,
 }
 
-impl Count {
+impl ShareCounter {
     /// Of a leader that sits since then; `most` is no less than any earlier leader can have told.
     pub fn new(since: Ms, lease: Ms, grace: Ms, most: f64) -> Self {
         let (told, sharing) = Default::default();
-        Count {
+        ShareCounter {
             alone_from: since + grace,
             lease,
             grace,
@@ -107,7 +107,7 @@
     }
 
     /// Told to members, and how many of them take a share.
-    pub fn shown(&self) -> (f64, usize) {
+    pub fn totals(&self) -> (f64, usize) {
         (self.used, self.sharing.len())
     }
 }
--- a/crates/coordination/tests/leader.rs
+++ b/crates/coordination/tests/leader.rs
@@ -1,8 +1,8 @@
 //! What a leader grants and writes, case by case.
 
-use ironstair_coordination::count::Count;
 use ironstair_coordination::leader::{Command, Refusal};
 use ironstair_coordination::record::ChangeProposal;
+use ironstair_coordination::share_counter::ShareCounter;
 use ironstair_coordination::{
     Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record, RevisionState,
 };
@@ -14,7 +14,7 @@
 
 impl Policy for Pol {
     // Nothing is safe beside the ninth.
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         (self.0 != 9 && other.0 != 9).then(|| Pol(self.0.max(other.0)))
     }
 }
@@ -30,10 +30,10 @@
     /// With these members in, each of start 1, holding the first policy.
     fn of(names: &[&str], steady: bool) -> LeaderHarness {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 7,
+        fleet.apply(Record::Bootstrapped {
+            generation: 7,
             document: Pol(1),
-            line: None,
+            revision: None,
         });
         let mut d = LeaderHarness {
             now: 100_000.0,
@@ -56,21 +56,22 @@
     }
 
     fn of_start(&self, name: &str, start: u64) -> Heartbeat {
-        let (history, mark, sent) = (7, self.fleet.mark, self.now);
-        let (name, heard, steady, examined, leaving) = (name.into(), sent, false, None, false);
-        let (shares, place) = (false, String::new());
+        let (generation, policy_index, sent) = (7, self.fleet.policy_index, self.now);
+        let (name, last_answered, steady, validated, leaving) =
+            (name.into(), sent, false, None, false);
+        let (takes_share, exclusive_resource) = (false, String::new());
         Heartbeat {
             name,
             start,
             sent,
-            history,
-            mark,
-            heard,
+            generation,
+            policy_index,
+            last_answered,
             steady,
-            examined,
+            validated,
             leaving,
-            shares,
-            place,
+            takes_share,
+            exclusive_resource,
         }
     }
 
@@ -90,14 +91,14 @@
     }
 
     fn ask(&mut self, to: u8, commit: Option<f64>) -> Result<(), Refusal> {
-        let (who, what) = (format!("op{to}"), "set".to_string());
-        let base_revision = self.fleet.mark;
+        let (author, summary) = (format!("op{to}"), "set".to_string());
+        let base_revision = self.fleet.policy_index;
         let commit = commit.map(|span| ("c".to_string(), span));
         let proposal = ChangeProposal {
             token: 1,
-            who,
-            when: 0.0,
-            what,
+            author,
+            created_at: 0.0,
+            summary,
             base_revision,
             document: Pol(to),
             commit,
@@ -110,7 +111,7 @@
         self.write();
         let number = self.fleet.change.as_ref().unwrap().number;
         let yes = Heartbeat {
-            examined: Some((number, Ok(()))),
+            validated: Some((number, Ok(()))),
             ..self.of_start(name, 1)
         };
         self.say(&yes);
@@ -129,7 +130,7 @@
 
     fn state(&self, number: u64) -> RevisionState {
         self.fleet
-            .lines
+            .revisions
             .iter()
             .find(|l| l.number == number)
             .unwrap()
@@ -171,14 +172,14 @@
     let mut d = LeaderHarness::of(&["a"], false);
     let second = d.of_start("a", 2);
     let told = d.say(&second);
-    assert!(told.lease.is_none() && told.why.unwrap().starts_with("another process is a"));
+    assert!(told.lease.is_none() && told.reason.unwrap().starts_with("another process is a"));
     assert_eq!(d.write(), []);
     d.now += LEASE * 1.1;
     d.say(&second);
     d.write();
     assert_eq!(d.say(&second).lease, Some(LEASE));
     let first = d.of_start("a", 1);
-    assert!(d.say(&first).why.is_some());
+    assert!(d.say(&first).reason.is_some());
     // One that says that it leaves makes room at once.
     let bye = Heartbeat {
         leaving: true,
@@ -200,19 +201,19 @@
     ] {
         let mut d = LeaderHarness::of(&["b"], false);
         let first = Heartbeat {
-            place: held.into(),
+            exclusive_resource: held.into(),
             ..d.of_start("a", 1)
         };
         d.say(&first);
         d.write();
         assert_eq!(d.say(&first).lease, Some(LEASE));
         let second = Heartbeat {
-            place: holds.into(),
+            exclusive_resource: holds.into(),
             ..d.of_start("a", 2)
         };
         let told = d.say(&second);
         assert_eq!(
-            (told.lease, told.why.is_some(), told.soon),
+            (told.lease, told.reason.is_some(), told.heartbeat_soon),
             (None, waits, true),
             "{held:?}, {holds:?}"
         );
@@ -226,24 +227,24 @@
 #[test]
 fn one_change_at_a_time_and_none_that_has_nothing_in_common() {
     let mut d = LeaderHarness::of(&["a"], false);
-    assert_eq!(d.ask(9, None), Err(Refusal::Apart));
+    assert_eq!(d.ask(9, None), Err(Refusal::NoIntersection));
     assert_eq!(d.ask(2, None), Ok(()));
-    let under_way = |who: &str| {
-        Err(Refusal::UnderWay {
+    let under_way = |author: &str| {
+        Err(Refusal::InProgress {
             number: 1,
-            who: who.into(),
+            author: author.into(),
         })
     };
     assert_eq!(d.ask(3, None), under_way("op2"), "before the log has it");
     d.write();
     assert_eq!(d.ask(3, None), under_way("op2"));
     let no = Heartbeat {
-        examined: Some((1, Err("it lacks a kind".into()))),
+        validated: Some((1, Err("it lacks a kind".into()))),
         ..d.of_start("a", 1)
     };
     d.say(&no);
     d.write();
-    let line = d.fleet.lines[0].clone();
+    let line = d.fleet.revisions[0].clone();
     assert_eq!(
         line.refused,
         Some(("a".to_string(), "it lacks a kind".to_string()))
@@ -276,7 +277,7 @@
         "the stricter of both first"
     );
     let late = Command::Confirm { id: "c".into() };
-    assert_eq!(d.leader.ask(&d.fleet, late), Err(Refusal::Nothing));
+    assert_eq!(d.leader.ask(&d.fleet, late), Err(Refusal::NothingPending));
     d.hold("a");
     assert_eq!(
         (d.state(1), d.fleet.held()),
@@ -292,7 +293,7 @@
         d.now += 5.0 * LEASE;
         d.write();
         let yes = Heartbeat {
-            examined: Some((1, Ok(()))),
+            validated: Some((1, Ok(()))),
             steady,
             ..d.of_start("a", 1)
         };
@@ -317,12 +318,12 @@
     // Against a way that is cut one way only: its heartbeats come, no answer arrives, and it would count for good.
     let mut d = LeaderHarness::of(&["a"], false);
     let deaf = Heartbeat {
-        heard: d.now - 3.5 * LEASE,
+        last_answered: d.now - 3.5 * LEASE,
         ..d.of_start("a", 1)
     };
     assert_eq!(d.say(&deaf).lease, None);
     let hears = Heartbeat {
-        heard: d.now - 0.5 * LEASE,
+        last_answered: d.now - 0.5 * LEASE,
         ..d.of_start("a", 1)
     };
     assert_eq!(d.say(&hears).lease, Some(LEASE));
@@ -331,9 +332,9 @@
 #[test]
 fn the_count_shrinks_slowly_and_who_comes_back_finds_its_place_and_who_comes_beyond_it_waits() {
     let grace = 1.1 * LEASE;
-    let mut count = Count::new(0.0, LEASE, grace, 5.0);
+    let mut count = ShareCounter::new(0.0, LEASE, grace, 5.0);
     let names = ["a", "b", "c", "d", "e", "f"];
-    let takes = |count: &mut Count, now: f64, nth: usize, start| {
+    let takes = |count: &mut ShareCounter, now: f64, nth: usize, start| {
         count.share(now, names[nth], start, false).taken
     };
     // Nobody new before no lease of an earlier leader is left.
@@ -342,14 +343,14 @@
     assert!((0..4).all(|nth| takes(&mut count, grace, nth, 1)));
     // Three of five end; a lease later nearly all places are kept.
     count.look(grace + LEASE, 2, |name, _| ["a", "b"].contains(&name));
-    let (used, sharing) = count.shown();
+    let (used, sharing) = count.totals();
     assert!(sharing == 2 && (4.7..4.9).contains(&used), "{used}");
     assert!(takes(&mut count, grace + LEASE, 2, 2) && takes(&mut count, grace + LEASE, 3, 2));
     // One more than the count: it grows at once, and the last waits for a grace.
     let now = grace + LEASE + 1.0;
     count.look(now, 6, |_, _| true);
     assert_eq!(
-        (count.shown().0, takes(&mut count, now, 4, 1)),
+        (count.totals().0, takes(&mut count, now, 4, 1)),
         (6.0, false)
     );
     count.look(now + grace, 6, |_, _| true);
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -90,7 +90,7 @@
         let Some(record) = self.writing.take() else {
             return;
         };
-        let (mark, change) = (self.fleet.mark, self.fleet.change.clone());
+        let (policy_index, change) = (self.fleet.policy_index, self.fleet.change.clone());
         let refused = matches!(record, Record::Refused { .. });
         if self.fleet.apply(record) && refused {
             self.refused.extend(change.map(|c| c.document.1));
@@ -98,7 +98,7 @@
         self.decided
             .extend(self.fleet.running.iter().map(|r| r.1 .0));
         self.decided.dedup();
-        if self.fleet.mark != mark {
+        if self.fleet.policy_index != policy_index {
             self.marked = self.now;
         }
         self.leader.applied();
@@ -119,10 +119,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 1,
+        fleet.apply(Record::Bootstrapped {
+            generation: 1,
             document: Pol(0, 0),
-            line: None,
+            revision: None,
         });
         let mut w = World {
             now: 0.0,
@@ -259,7 +259,7 @@
                 w.left.asks -= 1;
                 let to = if w.left.asks == 0 { 1 } else { UNREAD };
                 w.fleet.running.as_ref()?;
-                let base_revision = w.fleet.mark;
+                let base_revision = w.fleet.policy_index;
                 let _ = w
                     .leader
                     .ask(&w.fleet, Command::Change(proposal(to, base_revision)));
@@ -270,7 +270,7 @@
                     &w.fleet,
                     Command::Cancel {
                         id: None,
-                        who: "op".into(),
+                        author: "op".into(),
                     },
                 );
             }
@@ -284,7 +284,7 @@
                 played::apart(w.deciding(days.out))
             }),
             Property::always("together", |days: &Days, w: &World| {
-                let old = |g: &Gate| g.member.held().1 < w.fleet.mark;
+                let old = |g: &Gate| g.member.held().1 < w.fleet.policy_index;
                 w.now < w.marked + LEASE || !w.deciding(days.out).any(old)
             }),
             Property::always("all or none", |_, w: &World| {
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -47,20 +47,20 @@
     json!({"gateways": 2, "limit": 10.5})
 }
 
-fn seat(start: u64, steady: bool, place: &str) -> Session {
+fn seat(start: u64, steady: bool, exclusive_resource: &str) -> Session {
     Session {
         start,
         steady,
-        place: place.into(),
+        exclusive_resource: exclusive_resource.into(),
     }
 }
 
 fn proposal(commit: Option<(String, f64)>) -> ChangeProposal<Json> {
     ChangeProposal {
         token: 42,
-        who: "operator".into(),
-        when: 1_700_000_000_000.5,
-        what: "a new limit".into(),
+        author: "operator".into(),
+        created_at: 1_700_000_000_000.5,
+        summary: "a new limit".into(),
         base_revision: 3,
         document: document(),
         commit,
@@ -71,13 +71,13 @@
     let refused =
         (state == RevisionState::Refused).then(|| ("g2".to_string(), "no such engine".to_string()));
     let commit = (state == RevisionState::Unconfirmed).then(|| "trial-1".to_string());
-    let (who, what) = ("operator".into(), "a new limit".into());
+    let (author, summary) = ("operator".into(), "a new limit".into());
     RevisionSummary {
         number,
         token: 42,
-        who,
-        when: 1_700_000_000_000.5,
-        what,
+        author,
+        created_at: 1_700_000_000_000.5,
+        summary,
         state,
         commit,
         refused,
@@ -96,15 +96,15 @@
 
 fn records() -> Vec<Record<Json>> {
     vec![
-        Record::Begun {
-            history: 1 << 48 | 7,
+        Record::Bootstrapped {
+            generation: 1 << 48 | 7,
             document: document(),
-            line: None,
+            revision: None,
         },
-        Record::Begun {
-            history: 2 << 48,
+        Record::Bootstrapped {
+            generation: 2 << 48,
             document: document(),
-            line: Some(line(0, RevisionState::Running)),
+            revision: Some(line(0, RevisionState::Running)),
         },
         Record::Members {
             joined: vec![
@@ -118,7 +118,7 @@
         Record::Refused {
             number: 4,
             by: "g2".into(),
-            why: "no such engine".into(),
+            reason: "no such engine".into(),
         },
         Record::Binding { number: 5 },
         Record::Decided { number: 6 },
@@ -130,7 +130,7 @@
 /// A further variant does not compile until it stands here, and in the list above.
 fn place_in_list(record: &Record<Json>) -> usize {
     match record {
-        Record::Begun { .. } => 0,
+        Record::Bootstrapped { .. } => 0,
         Record::Members { .. } => 1,
         Record::Staged(_) => 2,
         Record::Refused { .. } => 3,
@@ -142,45 +142,45 @@
 }
 
 fn fleets() -> Vec<Fleet<Json>> {
-    let change = |step, commit, back| Change {
+    let change = |step, commit, is_rollback| Change {
         number: 5,
         document: document(),
         step,
         commit,
-        back,
+        is_rollback,
     };
     let members = BTreeMap::from([
         ("g1".to_string(), seat(11, true, "")),
         ("g2".to_string(), seat(12, false, "boot net addr")),
     ]);
     let full = Fleet {
-        history: 1 << 48 | 7,
+        generation: 1 << 48 | 7,
         running: Some((4, document())),
-        mark: 9,
+        policy_index: 9,
         change: Some(change(
             Step::Staged,
             Some(("trial-1".to_string(), 60_000.0)),
             false,
         )),
-        trial: None,
+        pending_confirmation: None,
         members,
-        lines: REVISION_STATES
+        revisions: REVISION_STATES
             .iter()
             .zip(1..)
             .map(|(s, n)| line(n, *s))
             .collect::<VecDeque<_>>(),
         next: 8,
     };
-    let trial = Some(PendingConfirmation {
+    let pending_confirmation = Some(PendingConfirmation {
         id: "trial-1".into(),
-        span: 60_000.0,
-        before: (3, json!({"gateways": 1})),
+        confirm_within: 60_000.0,
+        previous: (3, json!({"gateways": 1})),
     });
     let binding = Some(change(Step::Binding, None, true));
     vec![
         Fleet::default(),
         Fleet {
-            trial,
+            pending_confirmation,
             change: None,
             ..full.clone()
         },
@@ -197,29 +197,29 @@
         name: "g1".into(),
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
-        heard: 900.0,
+        generation: 1 << 48 | 7,
+        policy_index: 9,
+        last_answered: 900.0,
         steady: false,
-        examined: None,
+        validated: None,
         leaving: false,
-        place: "boot net addr".into(),
-        shares: true,
+        exclusive_resource: "boot net addr".into(),
+        takes_share: true,
     };
     vec![
         Heartbeat {
-            examined: Some((5, Ok(()))),
+            validated: Some((5, Ok(()))),
             ..heartbeat.clone()
         },
         Heartbeat {
-            examined: Some((5, Err("no such engine".into()))),
+            validated: Some((5, Err("no such engine".into()))),
             steady: true,
             ..heartbeat.clone()
         },
         Heartbeat {
             leaving: true,
-            place: String::new(),
-            shares: false,
+            exclusive_resource: String::new(),
+            takes_share: false,
             ..heartbeat.clone()
         },
         heartbeat,
@@ -230,21 +230,21 @@
     let none = HeartbeatResponse {
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
+        generation: 1 << 48 | 7,
+        policy_index: 9,
         hold: None,
         offer: None,
         lease: None,
-        why: Some("the history is another".into()),
-        soon: false,
+        reason: Some("the history is another".into()),
+        heartbeat_soon: false,
         share: None,
     };
     let full = HeartbeatResponse {
         hold: Some((4, document())),
         offer: Some((5, document())),
         lease: Some(5000.0),
-        why: None,
-        soon: true,
+        reason: None,
+        heartbeat_soon: true,
         share: Some(Share {
             among: 2.5,
             taken: true,
@@ -262,11 +262,11 @@
         },
         Command::Cancel {
             id: Some("trial-1".into()),
-            who: "operator".into(),
+            author: "operator".into(),
         },
         Command::Cancel {
             id: None,
-            who: "operator".into(),
+            author: "operator".into(),
         },
     ]
 }
@@ -301,8 +301,8 @@
     assert_eq!(
         read,
         Heartbeat {
-            place: String::new(),
-            shares: false,
+            exclusive_resource: String::new(),
+            takes_share: false,
             ..heartbeats().remove(0)
         }
     );
@@ -310,7 +310,7 @@
     assert_eq!(
         read,
         HeartbeatResponse {
-            soon: false,
+            heartbeat_soon: false,
             share: None,
             ..answers().remove(0)
         }
--- a/crates/coordination/tests/played/mod.rs
+++ b/crates/coordination/tests/played/mod.rs
@@ -33,7 +33,7 @@
 pub struct Pol(pub u8, pub u8);
 
 impl Policy for Pol {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(Pol(self.0.min(other.0), self.1.max(other.1)))
     }
 
@@ -82,25 +82,33 @@
                     Action::Heartbeat(heartbeat) => {
                         (self.heartbeat, self.unsent) = (Some(heartbeat), true)
                     }
-                    Action::Apply { mark, document, .. } if unread(document) => {
+                    Action::Apply {
+                        policy_index,
+                        document,
+                        ..
+                    } if unread(document) => {
                         inputs.push(Input::Unable {
-                            mark,
-                            why: "a newer version".into(),
+                            policy_index,
+                            reason: "a newer version".into(),
                         });
                     }
-                    Action::Apply { mark, document, .. } => {
+                    Action::Apply {
+                        policy_index,
+                        document,
+                        ..
+                    } => {
                         self.holding = document;
-                        inputs.push(Input::Applied { mark });
+                        inputs.push(Input::Applied { policy_index });
                     }
-                    Action::Examine { number, document } => {
+                    Action::Validate { number, document } => {
                         let how = if unread(document) {
                             Err("a newer version".into())
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Examined { number, how });
+                        inputs.push(Input::Validated { number, how });
                     }
-                    Action::Hold(..) | Action::Say(_) => {}
+                    Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
             }
         }
@@ -165,12 +173,12 @@
 }
 
 pub fn proposal(to: u8, base_revision: u64) -> ChangeProposal<Pol> {
-    let (who, what) = ("op".to_string(), "set".to_string());
+    let (author, summary) = ("op".to_string(), "set".to_string());
     ChangeProposal {
         token: to as u64,
-        who,
-        when: 0.0,
-        what,
+        author,
+        created_at: 0.0,
+        summary,
         base_revision,
         document: Pol(to, to),
         commit: None,
--- a/crates/coordination/tests/count.rs
+++ b/crates/coordination/tests/share_counter.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    fn shares(&self) -> impl Iterator<Item = f64> + '_ {
+    fn takes_share(&self) -> impl Iterator<Item = f64> + '_ {
         let decides = self
             .gates
             .iter()
@@ -81,10 +81,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 1,
+        fleet.apply(Record::Bootstrapped {
+            generation: 1,
             document: Pol(0, 0),
-            line: None,
+            revision: None,
         });
         let leader = Leader::new(-9.0, LEASE);
         let left = Budget {
@@ -110,7 +110,7 @@
         {
             w = self.next_state(&w, step).unwrap_or(w);
         }
-        assert_eq!(w.shares().sum::<f64>(), 1.0);
+        assert_eq!(w.takes_share().sum::<f64>(), 1.0);
         w.left = self.budget;
         vec![w]
     }
@@ -168,10 +168,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no more than the whole", |_, w: &World| {
-                w.shares().sum::<f64>() <= 1.0 + 1e-9
+                w.takes_share().sum::<f64>() <= 1.0 + 1e-9
             }),
             Property::sometimes("the third has its share", |_, w: &World| {
-                w.shares().count() == GATES
+                w.takes_share().count() == GATES
             }),
         ]
     }
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -128,10 +128,10 @@
 
 fn begun() -> Fleet<Pol> {
     let mut fleet = Fleet::default();
-    fleet.apply(Record::Begun {
-        history: 1,
+    fleet.apply(Record::Bootstrapped {
+        generation: 1,
         document: Pol(0, 0),
-        line: None,
+        revision: None,
     });
     fleet
 }
@@ -465,7 +465,7 @@
                 let to = 1 + w.left.asks;
                 w.sits(k)?;
                 let seat = w.voters[k].sits.as_mut()?;
-                let base_revision = seat.fleet.mark;
+                let base_revision = seat.fleet.policy_index;
                 seat.leader
                     .ask(&seat.fleet, Command::Change(proposal(to, base_revision)))
                     .ok()?;
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -72,7 +72,7 @@
 pub struct Fleet {
     pub name: String,
     /// Of the history, 0 before there is one; and of the revision that it holds.
-    pub history: u64,
+    pub generation: u64,
     pub revision: u64,
     /// Until when it may decide by that.
     pub until: Ms,
@@ -117,7 +117,7 @@
     }
     let mut n = at(&mut new, [step("fleet", None)]);
     n.text("name", &is.name);
-    n.text("history", &format!("{:016x}", is.history));
+    n.text("history", &format!("{:016x}", is.generation));
     n.wide("revision", is.revision);
     n.set("held-until", moment(is.until.min(MOMENT_MOST)));
     n.text("cut-off", cut_off(is.steady));
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -233,7 +233,7 @@
     };
     Fleet {
         name: "north".into(),
-        history: 0xfeed,
+        generation: 0xfeed,
         revision: 21,
         until: 1.8e12 + 2000.0,
         steady: false,
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -8,7 +8,7 @@
 use crate::server::{self, Own};
 use crate::status;
 use ironstair::Ms;
-use ironstair_coordination::history::{anew, first, supersedes};
+use ironstair_coordination::generation::{first, successor, supersedes};
 use ironstair_coordination::leader::{Command, Refusal};
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::ChangeProposal;
@@ -90,7 +90,7 @@
     /// A heartbeat of this gateway came back, and from whom; or why not.
     Answered(Result<(String, HeartbeatResponse<Json>), String>),
     Held(u64, Result<(), String>),
-    Examined(u64, Result<(), String>),
+    Validated(u64, Result<(), String>),
     Saved(Box<Saved>),
     /// The histories that the other voters know, before one begins here.
     Known(
@@ -219,7 +219,7 @@
     /// Whether it was said that this voter has a vote.
     votes: bool,
     /// The revisions as last told to the log.
-    lines: VecDeque<RevisionSummary>,
+    revisions: VecDeque<RevisionSummary>,
     /// The latest history that anybody told of: a member may know more than what is left of the voters.
     latest: u64,
 }
@@ -300,7 +300,7 @@
             unheard: String::new(),
             held: false,
             votes: false,
-            lines: VecDeque::new(),
+            revisions: VecDeque::new(),
             latest: 0,
         };
         if let Some(storage) = storage {
@@ -319,12 +319,12 @@
             .unwrap_or(0);
         let (name, lease, now) = (&self.config.name, self.config.lease, self.clock.now());
         let replica = Replica::open(name, place, lease, storage.image(), now, &self.log)?;
-        let history = replica.state().fleet.history;
-        info!(self.log, "a keeper of the fleet's log"; "history" => format!("{history:016x}"));
+        let generation = replica.state().fleet.generation;
+        info!(self.log, "a keeper of the fleet's log"; "history" => format!("{generation:016x}"));
         // Heartbeats that an earlier one was to answer find nobody, and are sent again.
         self.answers.clear();
         // Only what comes to pass from now on is news.
-        self.lines.clone_from(&replica.state().fleet.lines);
+        self.revisions.clone_from(&replica.state().fleet.revisions);
         let storage = Some(storage);
         self.kept = Some(Kept {
             replica,
@@ -362,7 +362,7 @@
         match mail {
             AgentMessage::Heartbeat(heartbeat, to) => match &mut self.kept {
                 Some(_) => {
-                    self.hear_of(heartbeat.history);
+                    self.hear_of(heartbeat.generation);
                     self.heartbeat(heartbeat, Waits::Other(to));
                 }
                 None => drop(to.send(Err(Hint::default()))),
@@ -383,7 +383,7 @@
                     k.replica.knocked(name, number);
                 }
                 // A blank one may remember what its disk knows no more.
-                let of_disk = k.replica.state().fleet.history;
+                let of_disk = k.replica.state().fleet.generation;
                 let _ = to.send(if of_disk == 0 {
                     self.member.held().0
                 } else {
@@ -410,23 +410,26 @@
                     self.speaks_to = None;
                 }
             }
-            AgentMessage::Held(mark, how) => {
+            AgentMessage::Held(policy_index, how) => {
                 self.act(match how {
-                    Ok(()) => Input::Applied { mark },
-                    Err(why) => Input::Unable { mark, why },
+                    Ok(()) => Input::Applied { policy_index },
+                    Err(why) => Input::Unable {
+                        policy_index,
+                        reason: why,
+                    },
                 });
             }
-            AgentMessage::Examined(number, how) => self.act(Input::Examined { number, how }),
+            AgentMessage::Validated(number, how) => self.act(Input::Validated { number, how }),
             AgentMessage::Saved(saved) => self.saved(*saved),
             AgentMessage::Known(how, document, answer) => self.begin(how, document, answer),
-            AgentMessage::KnownAnew(how, anew) => self.begin_anew(how, anew),
-            AgentMessage::Heard(history) => {
-                self.hear_of(history);
+            AgentMessage::KnownAnew(how, successor) => self.begin_anew(how, successor),
+            AgentMessage::Heard(generation) => {
+                self.hear_of(generation);
                 let own = self
                     .kept
                     .as_ref()
-                    .map_or(0, |k| k.replica.state().fleet.history);
-                if own != 0 && supersedes(history, own) && !taken_out("compare") {
+                    .map_or(0, |k| k.replica.state().fleet.generation);
+                if own != 0 && supersedes(generation, own) && !taken_out("compare") {
                     self.leave_the_older("the fleet's history began anew without this keeper");
                 }
             }
@@ -437,9 +440,9 @@
         }
     }
 
-    fn hear_of(&mut self, history: u64) {
-        if self.latest == 0 || supersedes(history, self.latest) {
-            self.latest = history;
+    fn hear_of(&mut self, generation: u64) {
+        if self.latest == 0 || supersedes(generation, self.latest) {
+            self.latest = generation;
         }
     }
 
@@ -471,10 +474,10 @@
                 }
             }
         }
-        let (history, _, revision) = self.member.held();
+        let (generation, _, revision) = self.member.held();
         let is = state::Fleet {
             name: self.config.fleet.clone(),
-            history,
+            generation,
             revision,
             until: self.member.until(),
             steady: self.config.steady,
@@ -521,8 +524,10 @@
                     (way.clone(), self.own.word(b"0".to_vec()), self.post.clone());
                 tokio::spawn(async move {
                     let known = way.knock(word, COMPARE_EVERY).await;
-                    if let Some(Ok(history)) = known.ok().map(|w| serde_json::from_slice(&w.body)) {
-                        let _ = post.send(AgentMessage::Heard(history)).await;
+                    if let Some(Ok(generation)) =
+                        known.ok().map(|w| serde_json::from_slice(&w.body))
+                    {
+                        let _ = post.send(AgentMessage::Heard(generation)).await;
                     }
                 });
             }
@@ -536,7 +541,7 @@
             match action {
                 Action::Heartbeat(heartbeat) => self.send(heartbeat),
                 Action::Apply {
-                    mark,
+                    policy_index,
                     number,
                     document,
                 } => {
@@ -544,22 +549,22 @@
                     tokio::spawn(async move {
                         let how = match taken_out("hold") {
                             true => Ok(()),
-                            false => hold(&management, mark, number, document).await,
+                            false => hold(&management, policy_index, number, document).await,
                         };
-                        let _ = post.send(AgentMessage::Held(mark, how)).await;
+                        let _ = post.send(AgentMessage::Held(policy_index, how)).await;
                     });
                 }
-                Action::Examine { number, document } => {
+                Action::Validate { number, document } => {
                     let (management, post) = (self.management.clone(), self.post.clone());
                     tokio::spawn(async move {
                         let how = match taken_out("examine") {
                             true => Ok(()),
                             false => readable(&document).and(management.examine(document).await),
                         };
-                        let _ = post.send(AgentMessage::Examined(number, how)).await;
+                        let _ = post.send(AgentMessage::Validated(number, how)).await;
                     });
                 }
-                Action::Hold(until, share) => {
+                Action::SetLease(until, share) => {
                     let until = if taken_out("tenure") {
                         Ms::INFINITY
                     } else {
@@ -575,7 +580,7 @@
                         tokio::spawn(async move { drop(requests.send(full.into_inner()).await) });
                     }
                 }
-                Action::Say(what) => warn!(self.log, "of the fleet"; "why" => what),
+                Action::LogWarning(what) => warn!(self.log, "of the fleet"; "why" => what),
             }
         }
     }
@@ -750,9 +755,9 @@
                 let when = now;
                 let proposal = ChangeProposal {
                     token: drawn(),
-                    who,
-                    when,
-                    what,
+                    author: who,
+                    created_at: when,
+                    summary: what,
                     base_revision,
                     document,
                     commit,
@@ -760,9 +765,13 @@
                 self.ask(Command::Change(proposal), answer);
             }
             Wanted::Confirm { id, answer } => self.ask(Command::Confirm { id }, answer),
-            Wanted::Cancel { id, who, answer } => {
-                self.ask(Command::Cancel { id: Some(id), who }, answer)
-            }
+            Wanted::Cancel { id, who, answer } => self.ask(
+                Command::Cancel {
+                    id: Some(id),
+                    author: who,
+                },
+                answer,
+            ),
             Wanted::Show(answer) => {
                 let (search, own) = (self.search(), self.post.clone());
                 tokio::spawn(async move {
@@ -919,8 +928,8 @@
             let left = &k.replica.state().fleet;
             let remembered = self.member.held().0;
             let silent = self.ways.len() - known.len().min(self.ways.len());
-            known.extend([left.history, remembered, self.latest]);
-            let history = anew(known.iter().copied(), drawn())?;
+            known.extend([left.generation, remembered, self.latest]);
+            let generation = successor(known.iter().copied(), drawn())?;
             let (document, with) = match &left.running {
                 Some((number, running)) => (running.clone(), format!("revision {number}")),
                 None => (document, "what this gateway was told at start".to_string()),
@@ -932,15 +941,15 @@
             let (who, when, state) = (who, self.clock.now(), RevisionState::Running);
             let (number, token, commit, refused) = (0, 0, None, None);
             let said = (who.clone(), what.clone());
-            let line = RevisionSummary { number, token, who, when, what, state, commit, refused };
+            let line = RevisionSummary { number, token, author: who, created_at: when, summary: what, state, commit, refused };
             let id = drawn();
-            let image = Replica::begin(&self.config.name, id, history, document, Some(line))?;
+            let image = Replica::begin(&self.config.name, id, generation, document, Some(line))?;
             let mut storage = k.storage.take().ok_or("the disk is being written")?;
             let begun = storage.quarantined(id).and_then(|_| storage.begin(image));
             self.kept = None;
             self.keep(storage).and(begun)?;
             warn!(self.log, "the fleet's history begins anew"; "who" => said.0, "what" => said.1,
-                "history" => format!("{history:016x}"));
+                "history" => format!("{generation:016x}"));
             Ok(0)
         });
         let _ = answer.send(made.map_err(Refused::Fleet));
@@ -988,7 +997,7 @@
         }
         let ask = match ask {
             Command::Change(proposal) if taken_out("upon") => Command::Change(ChangeProposal {
-                base_revision: k.replica.state().fleet.mark,
+                base_revision: k.replica.state().fleet.policy_index,
                 ..proposal
             }),
             ask => ask,
@@ -1069,29 +1078,29 @@
     /// A line in the log for each step of a change, at each voter.
     fn say_what_came_to_pass(&mut self) {
         let Some(k) = &self.kept else { return };
-        let lines = &k.replica.state().fleet.lines;
-        if *lines == self.lines {
+        let revisions = &k.replica.state().fleet.revisions;
+        if *revisions == self.revisions {
             return;
         }
-        let known = |l: &&RevisionSummary| !self.lines.iter().any(|was| was == *l);
-        for l in lines.iter().filter(known) {
+        let known = |l: &&RevisionSummary| !self.revisions.iter().any(|was| was == *l);
+        for l in revisions.iter().filter(known) {
             let (by, why) = l.refused.clone().unwrap_or_default();
             info!(self.log, "a change of the fleet's policy"; "step" => step(l.state), "revision" => l.number,
-                "who" => &l.who, "what" => &l.what, "refused_by" => by, "why" => why);
+                "who" => &l.author, "what" => &l.summary, "refused_by" => by, "why" => why);
         }
-        self.lines = lines.clone();
+        self.revisions = revisions.clone();
     }
 }
 
 /// Against a version that knows less than what it is handed: the member says so, and nothing is taken over.
 async fn hold(
     management: &ManagementHandle,
-    mark: u64,
+    policy_index: u64,
     number: u64,
     document: Json,
 ) -> Result<(), String> {
     readable(&document)?;
-    management.hold(mark, number, document).await
+    management.hold(policy_index, number, document).await
 }
 
 /// An older version is played by one that can't read a field.
@@ -1137,21 +1146,21 @@
 enum Outcome {
     Known(CommandResponse),
     /// It stands in the log, and goes on.
-    UnderWay,
+    InProgress,
     Unknown,
 }
 
 /// What became of an ask, by the log.
 fn outcome(fleet: &ironstair_coordination::Fleet<Json>, ask: &Command<Json>) -> Outcome {
     let line = match ask {
-        Command::Change(proposal) => fleet.lines.iter().find(|l| l.token == proposal.token),
+        Command::Change(proposal) => fleet.revisions.iter().find(|l| l.token == proposal.token),
         Command::Confirm { id } => fleet
-            .lines
+            .revisions
             .iter()
             .rev()
             .find(|l| l.commit.as_ref() == Some(id)),
         Command::Cancel { id: Some(id), .. } => fleet
-            .lines
+            .revisions
             .iter()
             .rev()
             .find(|l| l.commit.as_ref() == Some(id)),
@@ -1168,14 +1177,14 @@
         )))
     };
     let done = Outcome::Known(CommandResponse::Done(l.number));
-    let back_over = fleet.change.as_ref().is_none_or(|c| !c.back);
+    let back_over = fleet.change.as_ref().is_none_or(|c| !c.is_rollback);
     match (ask, l.state) {
-        (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::UnderWay,
+        (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::InProgress,
         (Command::Change(_), RevisionState::Refused) => refused(),
         (Command::Change(_), _) => done,
         (Command::Confirm { .. }, RevisionState::Running) => done,
         (Command::Cancel { .. }, RevisionState::RolledBack) if back_over => done,
-        (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::UnderWay,
+        (Command::Cancel { .. }, RevisionState::RolledBack) => Outcome::InProgress,
         (Command::Cancel { .. }, RevisionState::Refused) => done,
         _ => Outcome::Unknown,
     }
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -144,10 +144,10 @@
     async fn knock(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
         let word = self.body(request)?;
         let number: u64 = read(&word)?;
-        let history = self
+        let generation = self
             .hand(|to| AgentMessage::Join(word.from, number, to))
             .await?;
-        self.word(&history)
+        self.word(&generation)
     }
 
     async fn ask(&self, request: Request<Word>) -> Result<Response<Word>, Status> {
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -22,7 +22,7 @@
         "cut-off": cut_off,
         "heard-ms-ago": seen.map(|s| (now - s.0).round()),
         "lease-left-ms": left.round(),
-        "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.mark),
+        "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.policy_index),
         "counts": leader.counts(now, fleet, name),
     })
 }
@@ -33,8 +33,8 @@
         return Vec::new();
     };
     let one = |(name, seat): (&String, &Session)| {
-        let (heard, mark, until) = leader.seen(name).unwrap_or_default();
-        let holds = mark == fleet.mark;
+        let (heard, policy_index, until) = leader.seen(name).unwrap_or_default();
+        let holds = policy_index == fleet.policy_index;
         state::Member {
             name: name.clone(),
             steady: seat.steady,
@@ -47,7 +47,7 @@
 }
 
 fn line(l: &RevisionSummary) -> Json {
-    let mut shown = json!({"number": l.number, "who": l.who, "when": l.when.round(), "what": l.what, "outcome": l.state});
+    let mut shown = json!({"number": l.number, "who": l.author, "when": l.created_at.round(), "what": l.summary, "outcome": l.state});
     if let Some(commit) = &l.commit {
         shown["commit"] = json!(commit);
     }
@@ -59,14 +59,14 @@
 }
 
 fn change(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>, c: &Change<Json>) -> Json {
-    json!({"number": c.number, "step": c.step, "takes-back": c.back, "waits-for": waits_for(now, fleet, leader)})
+    json!({"number": c.number, "step": c.step, "takes-back": c.is_rollback, "waits-for": waits_for(now, fleet, leader)})
 }
 
 /// Who a change under way waits for.
 pub fn waits_for(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>) -> Vec<String> {
     let lacks = |name: &String| match fleet.change.as_ref() {
-        Some(c) if c.step == Step::Staged => !leader.examined(name, c.number),
-        Some(_) => leader.seen(name).is_none_or(|s| s.1 != fleet.mark),
+        Some(c) if c.step == Step::Staged => !leader.validated(name, c.number),
+        Some(_) => leader.seen(name).is_none_or(|s| s.1 != fleet.policy_index),
         None => false,
     };
     let waits = |name: &&String| leader.counts(now, fleet, name) && lacks(name);
@@ -78,7 +78,7 @@
     let state = replica.state();
     let f = &state.fleet;
     json!({
-        "history": format!("{:016x}", f.history),
+        "history": format!("{:016x}", f.generation),
         "revision": f.running.as_ref().map(|r| r.0),
         "chair": name,
         "keepers": state.voters.keys().collect::<Vec<_>>(),
@@ -87,8 +87,8 @@
         "change": f.change.as_ref().map(|c| change(now, f, leader, c)),
         "counted": leader.sharing().map(|s| s.0.round()),
         "sharing": leader.sharing().map(|s| s.1),
-        "unconfirmed": f.trial.as_ref().map(|t| &t.id),
+        "unconfirmed": f.pending_confirmation.as_ref().map(|t| &t.id),
         "members": f.members.iter().map(|m| member(now, f, leader, m)).collect::<Vec<_>>(),
-        "revisions": f.lines.iter().map(line).collect::<Vec<_>>(),
+        "revisions": f.revisions.iter().map(line).collect::<Vec<_>>(),
     })
 }
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -54,14 +54,14 @@
         name: "g1".into(),
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
-        heard: 900.0,
+        generation: 1 << 48 | 7,
+        policy_index: 9,
+        last_answered: 900.0,
         steady: false,
-        examined: Some((5, Err("no such engine".into()))),
+        validated: Some((5, Err("no such engine".into()))),
         leaving: false,
-        place: "boot net addr".into(),
-        shares: true,
+        exclusive_resource: "boot net addr".into(),
+        takes_share: true,
     }
 }
 
@@ -69,13 +69,13 @@
     HeartbeatResponse {
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
+        generation: 1 << 48 | 7,
+        policy_index: 9,
         hold: Some((4, document(50))),
         offer: None,
         lease: Some(5000.0),
-        why: None,
-        soon: true,
+        reason: None,
+        heartbeat_soon: true,
         share: Some(Share {
             among: 2.5,
             taken: true,
@@ -87,9 +87,9 @@
     let (who, what) = ("operator".into(), "a new limit".into());
     ChangeProposal {
         token: 42,
-        who,
-        when: 1_700_000_000_000.5,
-        what,
+        author: who,
+        created_at: 1_700_000_000_000.5,
+        summary: what,
         base_revision,
         document: document(60),
         commit,
@@ -135,9 +135,9 @@
             (Case::Agree(want), AgentMessage::Agree(from, bytes)) => {
                 assert_eq!((from.as_str(), bytes), ("g1", want));
             }
-            (Case::Join(want, history), AgentMessage::Join(name, number, to)) => {
+            (Case::Join(want, generation), AgentMessage::Join(name, number, to)) => {
                 assert_eq!((name.as_str(), number), ("g1", want));
-                to.send(history).unwrap();
+                to.send(generation).unwrap();
             }
             (Case::Command(want, told), AgentMessage::Command(asked, to)) => {
                 assert_eq!(text(&asked), text(&want));
@@ -190,7 +190,7 @@
             Case::Command(
                 ask(Command::Cancel {
                     id: Some(id()),
-                    who: who(),
+                    author: who(),
                 }),
                 CommandResponse::Done(5),
             ),
@@ -200,7 +200,7 @@
             Case::Command(
                 ask(Command::Cancel {
                     id: None,
-                    who: who(),
+                    author: who(),
                 }),
                 CommandResponse::Elsewhere(hint(Some("g3"))),
             ),
@@ -381,7 +381,7 @@
         }
     }
 
-    fn go_on(&mut self, ticks: usize, examined: &Result<(), String>) {
+    fn go_on(&mut self, ticks: usize, validated: &Result<(), String>) {
         for _ in 0..ticks {
             self.now += TICK;
             let outs = self.replica.tick(self.now);
@@ -392,14 +392,14 @@
                     name: name.into(),
                     start,
                     sent: self.now,
-                    heard: self.now - TICK,
-                    history: fleet.history,
-                    mark: fleet.mark,
+                    last_answered: self.now - TICK,
+                    generation: fleet.generation,
+                    policy_index: fleet.policy_index,
                     steady,
-                    examined: fleet.change.as_ref().map(|c| (c.number, examined.clone())),
+                    validated: fleet.change.as_ref().map(|c| (c.number, validated.clone())),
                     leaving: false,
-                    place: String::new(),
-                    shares: true,
+                    exclusive_resource: String::new(),
+                    takes_share: true,
                 };
                 let outs = self.replica.heartbeat(self.now, start, heartbeat);
                 self.carry(outs);
@@ -428,19 +428,22 @@
     // Begun; staged; waiting to be confirmed; rolled back; refused by a member; with a voter that is to join.
     alone.go_on(60, &fits);
     let mut all = alone.shown();
-    let mark = |alone: &Alone| alone.replica.state().fleet.mark;
-    let ask = Command::Change(wish(mark(&alone), Some(("trial-1".into(), 60_000.0))));
+    let policy_index = |alone: &Alone| alone.replica.state().fleet.policy_index;
+    let ask = Command::Change(wish(
+        policy_index(&alone),
+        Some(("trial-1".into(), 60_000.0)),
+    ));
     alone.ask(ask);
     all += &alone.shown();
     alone.go_on(10, &fits);
     all += &alone.shown();
     alone.ask(Command::Cancel {
         id: Some("trial-1".into()),
-        who: "operator".into(),
+        author: "operator".into(),
     });
     alone.go_on(10, &fits);
     all += &alone.shown();
-    let ask = Command::Change(wish(mark(&alone), None));
+    let ask = Command::Change(wish(policy_index(&alone), None));
     alone.ask(ask);
     alone.go_on(10, &Err("no such engine".into()));
     alone.replica.knocked("b".into(), 22);
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -257,8 +257,8 @@
                         bytes += serde_json::to_vec(&answer).unwrap().len();
                         let member = &mut all[m as usize];
                         for action in member.on(now, Input::Answered(answer)) {
-                            if let Action::Apply { mark, .. } = action {
-                                member.on::<Value>(now, Input::Applied { mark });
+                            if let Action::Apply { policy_index, .. } = action {
+                                member.on::<Value>(now, Input::Applied { policy_index });
                             }
                         }
                     }
--- a/crates/raft-replica/src/lib.rs
+++ b/crates/raft-replica/src/lib.rs
@@ -128,15 +128,15 @@
     pub fn begin(
         name: &str,
         id: u64,
-        history: u64,
+        generation: u64,
         document: D,
-        line: Option<RevisionSummary>,
+        revision: Option<RevisionSummary>,
     ) -> Result<Image, Fault> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history,
+        fleet.apply(Record::Bootstrapped {
+            generation,
             document,
-            line,
+            revision,
         });
         let voters = BTreeMap::from([(name.to_string(), id)]);
         let state = State {
@@ -308,7 +308,7 @@
     /// It can't be as things stand, or this voter is not the leader.
     pub fn ask(&mut self, now: Ms, ask: Command<D>) -> Result<Vec<Out<D>>, Refusal> {
         self.now = now;
-        let (_, leader) = self.leader.as_mut().ok_or(Refusal::NotBegun)?;
+        let (_, leader) = self.leader.as_mut().ok_or(Refusal::NotBootstrapped)?;
         leader.ask(&self.state.fleet, ask)?;
         self.look = true;
         Ok(self.go_on())
--- a/crates/raft-replica/tests/knock.rs
+++ b/crates/raft-replica/tests/knock.rs
@@ -9,7 +9,7 @@
 struct Pol(u8);
 
 impl Policy for Pol {
-    fn stricter(&self, _: &Self) -> Option<Self> {
+    fn intersection(&self, _: &Self) -> Option<Self> {
         Some(self.clone())
     }
 }
--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -43,16 +43,16 @@
 }
 
 impl Policy for Limit {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(Limit {
             limit: self.limit.min(other.limit),
         })
     }
 }
 
-fn open(name: &str, place: usize, image: &Image, now: f64) -> Replica<Limit> {
+fn open(name: &str, election_rank: usize, image: &Image, now: f64) -> Replica<Limit> {
     let log = Logger::root(Discard, o!());
-    Replica::open(name, place, LEASE, image, now, &log).unwrap()
+    Replica::open(name, election_rank, LEASE, image, now, &log).unwrap()
 }
 
 /// Voters joined by links that lose nothing, and what they wrote.
@@ -80,10 +80,10 @@
 }
 
 impl Run {
-    fn add(&mut self, name: &'static str, place: usize, image: Image) {
+    fn add(&mut self, name: &'static str, election_rank: usize, image: Image) {
         self.lines.extend(disk_lines(name, &image.step()));
         self.voters
-            .insert(name, open(name, place, &image, self.now));
+            .insert(name, open(name, election_rank, &image, self.now));
         self.images.insert(name, image);
     }
 
@@ -138,19 +138,19 @@
 
     fn heartbeat(&mut self) {
         let fleet = &self.voters["a"].state().fleet;
-        let examined = fleet.change.as_ref().map(|c| (c.number, Ok(())));
+        let validated = fleet.change.as_ref().map(|c| (c.number, Ok(())));
         let heartbeat = Heartbeat {
             name: "g1".into(),
             start: 11,
             sent: self.now,
-            history: fleet.history,
-            mark: fleet.mark,
-            heard: self.now - TICK,
+            generation: fleet.generation,
+            policy_index: fleet.policy_index,
+            last_answered: self.now - TICK,
             steady: true,
-            examined,
+            validated,
             leaving: false,
-            place: "place".into(),
-            shares: false,
+            exclusive_resource: "place".into(),
+            takes_share: false,
         };
         let outs = self
             .voters
@@ -171,13 +171,13 @@
     }
 }
 
-fn change(mark: u64, token: u64) -> Command<Limit> {
+fn change(policy_index: u64, token: u64) -> Command<Limit> {
     Command::Change(ChangeProposal {
         token,
-        who: "operator".into(),
-        when: 1_700_000_000_000.0,
-        what: "a lower limit".into(),
-        base_revision: mark,
+        author: "operator".into(),
+        created_at: 1_700_000_000_000.0,
+        summary: "a lower limit".into(),
+        base_revision: policy_index,
         document: Limit {
             limit: 10.0 - token as f64,
         },
@@ -205,8 +205,8 @@
     run.add("b", 1, Image::blank(22));
     run.go_on(30, true);
     for token in 1..=3 {
-        run.ask(change(run.voters["a"].state().fleet.mark, token));
-        let (id, who) = (format!("trial-{token}"), "operator".to_string());
+        run.ask(change(run.voters["a"].state().fleet.policy_index, token));
+        let (id, author) = (format!("trial-{token}"), "operator".to_string());
         match token {
             1 => {
                 run.go_on(10, true);
@@ -214,12 +214,15 @@
             }
             2 => {
                 run.go_on(10, true);
-                run.ask(Command::Cancel { id: Some(id), who });
+                run.ask(Command::Cancel {
+                    id: Some(id),
+                    author,
+                });
             }
             // The member is not heard: the change waits for what it makes of it.
             _ => {
                 run.go_on(2, false);
-                run.ask(Command::Cancel { id: None, who });
+                run.ask(Command::Cancel { id: None, author });
             }
         }
         run.go_on(10, true);
@@ -272,7 +275,7 @@
             let record: Record<Limit> = serde_json::from_slice(entry.get_data()).unwrap();
             assert_eq!(serde_json::to_vec(&record).unwrap(), entry.get_data());
             match record {
-                Record::Begun { .. } => "begun",
+                Record::Bootstrapped { .. } => "begun",
                 Record::Members { .. } => "members",
                 Record::Staged(_) => "staged",
                 Record::Refused { .. } => "refused",
@@ -301,16 +304,16 @@
     }
     assert_eq!(written, text);
     // Two disks as the sample has them are those of the run, and a voter reads them.
-    for (name, place, id) in [("a", 0, 1), ("b", 1, 22)] {
+    for (name, election_rank, id) in [("a", 0, 1), ("b", 1, 22)] {
         let image = disk(&text, name, id);
         assert_eq!(image, run.images[name], "{name}");
-        let state = open(name, place, &image, run.now).state().clone();
+        let state = open(name, election_rank, &image, run.now).state().clone();
         assert_eq!(
             state.voters,
             BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 22)]),
             "{name}"
         );
-        assert_eq!(state.fleet.history, HISTORY, "{name}");
+        assert_eq!(state.fleet.generation, HISTORY, "{name}");
     }
 }
 
@@ -386,15 +389,15 @@
 #[test]
 fn the_replicated_state_is_read_and_written_as_in_its_sample() {
     let mut fleet = Fleet::default();
-    assert!(fleet.apply(Record::Begun {
-        history: HISTORY,
+    assert!(fleet.apply(Record::Bootstrapped {
+        generation: HISTORY,
         document: Limit { limit: 10.5 },
-        line: None
+        revision: None
     }));
     let seat = Session {
         start: 11,
         steady: true,
-        place: "place".into(),
+        exclusive_resource: "place".into(),
     };
     assert!(fleet.apply(Record::Members {
         joined: vec![("g1".into(), seat)],
--- a/crates/raft-replica/tests/seeded.rs
+++ b/crates/raft-replica/tests/seeded.rs
@@ -22,7 +22,7 @@
 struct Pol(u64, u64);
 
 impl Policy for Pol {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(Pol(self.0.min(other.0), self.1.max(other.1)))
     }
 }
@@ -46,7 +46,7 @@
     holding: Option<Pol>,
     speaks_to: usize,
     heartbeat: Option<Heartbeat>,
-    heard: f64,
+    last_answered: f64,
     /// Until when it is down or stopped.
     down: f64,
     stopped: f64,
@@ -152,20 +152,24 @@
                         self.all[i].heartbeat = Some(heartbeat.clone());
                         self.send(i, to, Mail::Heartbeat(i as u64, heartbeat));
                     }
-                    Action::Apply { mark, document, .. } => {
+                    Action::Apply {
+                        policy_index,
+                        document,
+                        ..
+                    } => {
                         self.all[i].holding = Some(document);
-                        inputs.push(Input::Applied { mark });
+                        inputs.push(Input::Applied { policy_index });
                     }
-                    Action::Examine { number, .. } => {
+                    Action::Validate { number, .. } => {
                         // One in twelve is refused, by whoever.
                         let how = if self.below(12) == 0 {
                             Err("no".to_string())
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Examined { number, how });
+                        inputs.push(Input::Validated { number, how });
                     }
-                    Action::Hold(..) | Action::Say(_) => {}
+                    Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
             }
         }
@@ -229,7 +233,7 @@
                 .as_ref()
                 .is_some_and(|m| m.due() <= self.now)
             {
-                if self.now > self.all[i].heard + LEASE / 2.0 {
+                if self.now > self.all[i].last_answered + LEASE / 2.0 {
                     self.all[i].speaks_to = (self.all[i].speaks_to + 1) % VOTERS;
                 }
                 self.hand(i, Input::Due);
@@ -242,12 +246,12 @@
         let now = self.now;
         match mail {
             Mail::HeartbeatResponse(answer) => {
-                self.all[to].heard = now;
+                self.all[to].last_answered = now;
                 self.hand(to, Input::Answered(answer));
             }
             Mail::NotLeader(at) => {
                 let at = at.and_then(|n| NAMES.iter().position(|m| **m == n));
-                self.all[to].heard = now;
+                self.all[to].last_answered = now;
                 self.all[to].speaks_to = at.unwrap_or((from + 1) % VOTERS);
                 // Who knows the leader tells it: the heartbeat goes on there.
                 if let Some((at, heartbeat)) = at.zip(self.all[to].heartbeat.clone()) {
@@ -280,7 +284,7 @@
     fn look(&mut self) {
         for k in self.all[..VOTERS].iter().filter_map(|p| p.replica.as_ref()) {
             let fleet = &k.state().fleet;
-            self.marks.entry(fleet.mark).or_insert(self.now);
+            self.marks.entry(fleet.policy_index).or_insert(self.now);
             if let Some((number, pol)) = fleet.running {
                 let was = *self.decided.entry(number).or_insert(pol);
                 assert_eq!(was, pol, "two policies were decided as revision {number}");
@@ -344,19 +348,19 @@
     fn ask(&mut self, commit: bool) -> bool {
         let Some(i) = self.leader() else { return false };
         let (now, replica) = (self.now, self.all[i].replica.as_mut().unwrap());
-        let base_revision = replica.state().fleet.mark;
+        let base_revision = replica.state().fleet.policy_index;
         self.asked += 1;
         let commit = commit.then(|| ("c".to_string(), 5000.0));
-        let (who, what, document) = (
+        let (author, summary, document) = (
             "op".to_string(),
             "set".to_string(),
             Pol(self.asked, self.asked),
         );
         let proposal = ChangeProposal {
             token: self.asked,
-            who,
-            when: now,
-            what,
+            author,
+            created_at: now,
+            summary,
             base_revision,
             document,
             commit,
@@ -370,14 +374,14 @@
 
     /// One fault or one operator's word.
     fn trouble(&mut self) {
-        let (what, i, ms) = (
+        let (event, i, ms) = (
             self.below(12),
             self.below(ALL as u64) as usize,
             self.below(6000) as f64,
         );
-        match what {
+        match event {
             0..=2 => {
-                self.ask(what == 2);
+                self.ask(event == 2);
             }
             3 => {
                 let id = if self.below(2) == 0 {
@@ -390,7 +394,7 @@
                         Some(id) => Command::Confirm { id },
                         None => Command::Cancel {
                             id: None,
-                            who: "op".into(),
+                            author: "op".into(),
                         },
                     };
                     let now = self.now;
@@ -519,7 +523,7 @@
         w.run(500.0);
     }
     w.run(500.0);
-    let mark = *w.marks.last_key_value().unwrap().0;
+    let policy_index = *w.marks.last_key_value().unwrap().0;
     w.crash(leader, 1e9, false);
     w.crash(blank, 0.0, true);
     w.cut = Default::default();
@@ -527,9 +531,16 @@
     while w.now < end {
         w.step();
         // A leader without what was decided: history has been lost.
-        if w.leader()
-            .is_some_and(|c| w.all[c].replica.as_ref().unwrap().state().fleet.mark < mark)
-        {
+        if w.leader().is_some_and(|c| {
+            w.all[c]
+                .replica
+                .as_ref()
+                .unwrap()
+                .state()
+                .fleet
+                .policy_index
+                < policy_index
+        }) {
             return true;
         }
     }
@@ -542,9 +553,9 @@
     // Under the old number either history is lost, or the voter is found to have told of more than its disk has:
     // no other end of the control counts.
     let control = std::panic::catch_unwind(|| decided_then_lost(true));
-    let lost = control.unwrap_or_else(|why| {
-        let why = why.downcast_ref::<&str>().copied().unwrap_or_default();
-        assert!(why.contains("an older copy"), "{why}");
+    let lost = control.unwrap_or_else(|reason| {
+        let reason = reason.downcast_ref::<&str>().copied().unwrap_or_default();
+        assert!(reason.contains("an older copy"), "{reason}");
         true
     });
     assert!(lost, "the control");
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -16,7 +16,7 @@
 pub struct Told(pub f64);
 
 impl Policy for Told {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(Told(self.0.max(other.0)))
     }
     fn gateways(&self) -> f64 {
@@ -36,10 +36,10 @@
 impl Log {
     pub fn new(gateways: f64, lease: Ms) -> Log {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 1 << 48,
+        fleet.apply(Record::Bootstrapped {
+            generation: 1 << 48,
             document: Told(gateways),
-            line: None,
+            revision: None,
         });
         Log {
             fleet,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -736,13 +736,15 @@
                             Event::HeartbeatArrives(g, process, Box::new(heartbeat), now),
                         );
                     }
-                    Action::Apply { mark, .. } => inputs.push(Input::Applied { mark }),
-                    Action::Examine { number, .. } => inputs.push(Input::Examined {
+                    Action::Apply { policy_index, .. } => {
+                        inputs.push(Input::Applied { policy_index })
+                    }
+                    Action::Validate { number, .. } => inputs.push(Input::Validated {
                         number,
                         how: Ok(()),
                     }),
-                    Action::Hold(until, share) => self.holds(g, until, share),
-                    Action::Say(_) => {}
+                    Action::SetLease(until, share) => self.holds(g, until, share),
+                    Action::LogWarning(_) => {}
                 }
             }
         }
