--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the fleet's log says up to here: the same at every voter that has read as far.
+//! The replicated state: the same at every voter that has applied the same records.
 
 use crate::record::{ChangeProposal, Record, RevisionState, RevisionSummary, Session};
 use crate::Policy;
@@ -6,172 +6,172 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Revisions that are remembered.
-pub const REMEMBERED: usize = 32;
+/// How many revisions are remembered.
+pub const MAX_REVISIONS: usize = 32;
 
-/// How far a change has come.
+/// How far a change in progress has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
+    /// Members validate it.
     Staged,
+    /// Members apply its intersection with the running policy.
     Binding,
 }
 
+/// The change in progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change<D> {
+    /// Its revision number.
     pub number: u64,
+    /// The proposed policy.
     pub document: D,
+    /// How far it has come.
     pub step: Step,
+    /// Where it has to be confirmed: the id to confirm it by, and within how many ms.
     pub commit: Option<(String, Ms)>,
-    /// To what ran before: nobody can refuse it.
+    /// Whether it rolls back to the policy before an unconfirmed one; such a change can't be rejected.
     #[serde(rename = "back")]
     pub is_rollback: bool,
 }
 
-/// What runs and waits to be confirmed.
+/// The running revision, where it is pending confirmation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PendingConfirmation<D> {
+    /// The id to confirm it by.
     pub id: String,
+    /// It is rolled back if it is not confirmed within so many ms.
     #[serde(rename = "span")]
     pub confirm_within: Ms,
-    /// What ran before, and under which number.
+    /// The number and policy of the revision before it.
     #[serde(rename = "before")]
     pub previous: (u64, D),
 }
 
+/// The replicated state of a cluster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fleet<D> {
-    /// Drawn when it began; 0 before.
+    /// The number of the generation, 0 before the bootstrap.
     #[serde(rename = "history")]
     pub generation: u64,
+    /// The number and policy of the running revision; none before the bootstrap.
     pub running: Option<(u64, D)>,
-    /// Grows whenever what is to be held changes.
+    /// The index of the policy that members have to apply: grows whenever that policy changes.
     #[serde(rename = "mark")]
     pub policy_index: u64,
+    /// The change in progress.
     pub change: Option<Change<D>>,
+    /// Set while the running revision is pending confirmation.
     #[serde(rename = "trial")]
     pub pending_confirmation: Option<PendingConfirmation<D>>,
+    /// The members by name.
     pub members: BTreeMap<String, Session>,
+    /// The latest revisions, oldest first.
     #[serde(rename = "lines")]
     pub revisions: VecDeque<RevisionSummary>,
-    pub next: u64,
+    /// The number of the next revision.
+    #[serde(rename = "next")]
+    pub next_number: u64,
 }
 
 impl<D> Default for Fleet<D> {
     fn default() -> Self {
-        let (revisions, members) = Default::default();
         Fleet {
             generation: 0,
             running: None,
             policy_index: 0,
             change: None,
             pending_confirmation: None,
-            members,
-            revisions,
-            next: 1,
+            members: BTreeMap::new(),
+            revisions: VecDeque::new(),
+            next_number: 1,
         }
     }
 }
 
-impl<D: Policy> Fleet<D> {
-    /// What every member is to hold now, and its revision's number. None where this version can't read what is
-    /// to come: a leader that can't tell what is safe beside both tells nobody anything.
-    pub fn held(&self) -> Option<(u64, D)> {
-        let (number, running) = self.running.as_ref()?;
-        match self.change.as_ref().filter(|c| c.step == Step::Binding) {
-            Some(change) => Some((*number, running.intersection(&change.document)?)),
-            None => Some((*number, running.clone())),
-        }
+impl<D> Fleet<D> {
+    /// The number of the running revision, 0 before the bootstrap.
+    pub fn running_number(&self) -> u64 {
+        self.running.as_ref().map_or(0, |(number, _)| *number)
     }
 
-    /// The change of that number at that step.
-    fn at(&self, number: u64, step: Step) -> Option<&Change<D>> {
-        self.change
-            .as_ref()
-            .filter(|c| c.number == number && c.step == step)
+    /// The change in progress, where it is at that step.
+    pub fn change_at(&self, step: Step) -> Option<&Change<D>> {
+        self.change.as_ref().filter(|change| change.step == step)
     }
 
-    fn set_state(&mut self, number: u64, state: RevisionState) {
-        self.revisions
-            .iter_mut()
-            .filter(|l| l.number == number)
-            .for_each(|l| l.state = state);
+    /// The remembered revision of that number.
+    pub fn revision(&self, number: u64) -> Option<&RevisionSummary> {
+        self.revisions.iter().find(|r| r.number == number)
+    }
+}
+
+impl<D: Policy> Fleet<D> {
+    /// The policy that every member has to apply now, and the number of the running revision. None before the bootstrap,
+    /// and where this version can't intersect the running policy with the change: such a leader hands out no policy.
+    pub fn effective_policy(&self) -> Option<(u64, D)> {
+        let (number, running) = self.running.as_ref()?;
+        let policy = match self.change_at(Step::Binding) {
+            Some(change) => running.intersection(&change.document)?,
+            None => running.clone(),
+        };
+        Some((*number, policy))
     }
 
-    /// Takes one more record; whether it had an effect.
+    /// Applies one more record; returns whether it had an effect.
     pub fn apply(&mut self, record: Record<D>) -> bool {
         match record {
             Record::Bootstrapped {
                 generation,
                 document,
                 revision,
-            } if self.generation == 0 && generation != 0 => {
-                (self.generation, self.running, self.policy_index) =
-                    (generation, Some((0, document)), 1);
-                self.revisions.extend(revision);
-            }
-            Record::Members { joined, left } => return self.seat(joined, left),
-            Record::Staged(proposal) => return self.stage(proposal),
-            Record::Refused { number, by, reason } => {
-                let Some(change) = self
-                    .change
-                    .take_if(|c| c.number == number && !c.is_rollback)
-                else {
-                    return false;
-                };
-                // What is held already is the stricter of both: who holds that goes back.
-                self.policy_index += (change.step == Step::Binding) as u64;
-                self.set_state(number, RevisionState::Refused);
-                let line = self.revisions.iter_mut().find(|l| l.number == number);
-                line.into_iter()
-                    .for_each(|l| l.refused = Some((by.clone(), reason.clone())));
-            }
-            Record::Binding { number } if self.at(number, Step::Staged).is_some() => {
-                self.change.iter_mut().for_each(|c| c.step = Step::Binding);
-                self.policy_index += 1;
-                self.set_state(number, RevisionState::Binding);
-            }
-            Record::Decided { number } if self.at(number, Step::Binding).is_some() => self.decide(),
-            Record::Confirmed { number } if self.tried(number) => {
-                self.pending_confirmation = None;
-                self.set_state(number, RevisionState::Running);
-            }
-            Record::RolledBack { number } if self.tried(number) => {
-                let Some(PendingConfirmation {
-                    previous: (to, document),
-                    ..
-                }) = self.pending_confirmation.take()
-                else {
-                    return false;
-                };
-                self.change = Some(Change {
-                    number: to,
-                    document,
-                    step: Step::Binding,
-                    commit: None,
-                    is_rollback: true,
-                });
-                self.policy_index += 1;
-                self.set_state(number, RevisionState::RolledBack);
-            }
-            _ => return false,
+            } => self.bootstrap(generation, document, revision),
+            Record::Members { joined, left } => self.update_members(joined, left),
+            Record::Staged(proposal) => self.stage(proposal),
+            Record::Refused { number, by, reason } => self.refuse(number, by, reason),
+            Record::Binding { number } => self.bind(number),
+            Record::Decided { number } => self.decide(number),
+            Record::Confirmed { number } => self.confirm(number),
+            Record::RolledBack { number } => self.roll_back(number),
         }
-        true
     }
 
-    fn tried(&self, number: u64) -> bool {
-        self.pending_confirmation.is_some() && self.running.as_ref().is_some_and(|r| r.0 == number)
+    fn has_change(&self, number: u64, step: Step) -> bool {
+        self.change_at(step).is_some_and(|c| c.number == number)
     }
 
-    fn seat(&mut self, joined: Vec<(String, Session)>, left: Vec<(String, u64)>) -> bool {
-        let was = self.members.clone();
+    fn set_state(&mut self, number: u64, state: RevisionState) {
+        self.revisions
+            .iter_mut()
+            .filter(|revision| revision.number == number)
+            .for_each(|revision| revision.state = state);
+    }
+
+    fn bootstrap(
+        &mut self,
+        generation: u64,
+        document: D,
+        revision: Option<RevisionSummary>,
+    ) -> bool {
+        if self.generation != 0 || generation == 0 {
+            return false;
+        }
+        self.generation = generation;
+        self.running = Some((0, document));
+        self.policy_index = 1;
+        self.revisions.extend(revision);
+        true
+    }
+
+    fn update_members(&mut self, joined: Vec<(String, Session)>, left: Vec<(String, u64)>) -> bool {
+        let previous = self.members.clone();
         for (name, start) in left {
             if self.members.get(&name).is_some_and(|s| s.start == start) {
                 self.members.remove(&name);
             }
         }
         self.members.extend(joined);
-        self.members != was
+        self.members != previous
     }
 
     fn stage(&mut self, proposal: ChangeProposal<D>) -> bool {
@@ -182,68 +182,120 @@
         {
             return false;
         }
-        let (
-            number,
-            ChangeProposal {
-                token,
-                author,
-                created_at,
-                summary,
-                document,
-                commit,
-                ..
-            },
-        ) = (self.next, proposal);
-        self.next += 1;
-        let id = commit.as_ref().map(|c| c.0.clone());
-        let state = RevisionState::Staged;
+        let number = self.next_number;
+        self.next_number += 1;
         self.revisions.push_back(RevisionSummary {
             number,
-            token,
-            author,
-            created_at,
-            summary,
-            state,
-            commit: id,
+            token: proposal.token,
+            author: proposal.author,
+            created_at: proposal.created_at,
+            summary: proposal.summary,
+            state: RevisionState::Staged,
+            commit: proposal.commit.as_ref().map(|(id, _)| id.clone()),
             refused: None,
         });
-        if self.revisions.len() > REMEMBERED {
+        if self.revisions.len() > MAX_REVISIONS {
             self.revisions.pop_front();
         }
         self.change = Some(Change {
             number,
-            document,
+            document: proposal.document,
             step: Step::Staged,
-            commit,
+            commit: proposal.commit,
             is_rollback: false,
         });
         true
     }
 
-    fn decide(&mut self) {
+    fn refuse(&mut self, number: u64, by: String, reason: String) -> bool {
+        let refused = self
+            .change
+            .take_if(|change| change.number == number && !change.is_rollback);
+        let Some(change) = refused else {
+            return false;
+        };
+        if change.step == Step::Binding {
+            // Members that apply the intersection already go back to the running policy.
+            self.policy_index += 1;
+        }
+        self.set_state(number, RevisionState::Refused);
+        if let Some(revision) = self.revisions.iter_mut().find(|r| r.number == number) {
+            revision.refused = Some((by, reason));
+        }
+        true
+    }
+
+    fn bind(&mut self, number: u64) -> bool {
+        if !self.has_change(number, Step::Staged) {
+            return false;
+        }
+        if let Some(change) = &mut self.change {
+            change.step = Step::Binding;
+        }
+        self.policy_index += 1;
+        self.set_state(number, RevisionState::Binding);
+        true
+    }
+
+    fn decide(&mut self, number: u64) -> bool {
+        if !self.has_change(number, Step::Binding) {
+            return false;
+        }
         let Some(change) = self.change.take() else {
-            return;
+            return false;
         };
-        let was = self.running.replace((change.number, change.document));
+        let previous = self.running.replace((change.number, change.document));
         self.policy_index += 1;
-        if let Some((number, _)) = was.as_ref().filter(|_| !change.is_rollback) {
-            self.set_state(*number, RevisionState::Replaced);
+        if let Some((replaced, _)) = previous.as_ref().filter(|_| !change.is_rollback) {
+            self.set_state(*replaced, RevisionState::Replaced);
         }
-        let tried = change.commit.is_some();
+        let state = match change.commit {
+            Some(_) => RevisionState::Unconfirmed,
+            None => RevisionState::Running,
+        };
         self.pending_confirmation =
-            was.zip(change.commit)
+            previous
+                .zip(change.commit)
                 .map(|(previous, (id, confirm_within))| PendingConfirmation {
                     id,
                     confirm_within,
                     previous,
                 });
-        self.set_state(
-            change.number,
-            if tried {
-                RevisionState::Unconfirmed
-            } else {
-                RevisionState::Running
-            },
-        );
+        self.set_state(number, state);
+        true
+    }
+
+    fn is_unconfirmed(&self, number: u64) -> bool {
+        self.pending_confirmation.is_some()
+            && self.running.as_ref().is_some_and(|(n, _)| *n == number)
+    }
+
+    fn confirm(&mut self, number: u64) -> bool {
+        if !self.is_unconfirmed(number) {
+            return false;
+        }
+        self.pending_confirmation = None;
+        self.set_state(number, RevisionState::Running);
+        true
+    }
+
+    fn roll_back(&mut self, number: u64) -> bool {
+        if !self.is_unconfirmed(number) {
+            return false;
+        }
+        let Some(pending) = self.pending_confirmation.take() else {
+            return false;
+        };
+        let (previous_number, document) = pending.previous;
+        self.change = Some(Change {
+            number: previous_number,
+            document,
+            step: Step::Binding,
+            commit: None,
+            is_rollback: true,
+        });
+        self.policy_index += 1;
+        self.set_state(number, RevisionState::RolledBack);
+        true
     }
 }
--- /dev/null
+++ b/crates/coordination/src/heartbeat.rs
@@ -0,0 +1,115 @@
+//! The messages between a member and the leader.
+
+use crate::Share;
+use ironstair::Ms;
+use serde::{Deserialize, Serialize};
+
+/// A member's report to the leader, sent three times a lease and whenever its content changes.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Heartbeat {
+    /// The member's name, unique in the cluster.
+    pub name: String,
+    /// Identifies the member's process: a number drawn at its start.
+    pub start: u64,
+    /// When it was sent, in ms of the member's own clock; the response repeats it.
+    pub sent: Ms,
+    /// The cluster generation that the member knows, 0 for none.
+    #[serde(rename = "history")]
+    pub generation: u64,
+    /// The index of the policy that the member has applied in that generation, 0 for none.
+    #[serde(rename = "mark")]
+    pub applied_index: u64,
+    /// `sent` of the latest of its heartbeats that was answered.
+    #[serde(rename = "heard")]
+    pub last_answered: Ms,
+    /// Whether the member continues to decide after its lease has expired.
+    pub steady: bool,
+    /// The result for the latest staged change that the member has validated.
+    #[serde(rename = "examined")]
+    pub validated: Option<Validation>,
+    /// Whether the process is shutting down and decides nothing any more.
+    pub leaving: bool,
+    /// Something that only one process can hold at a time, such as a listening address; empty for none.
+    #[serde(default, rename = "place")]
+    pub exclusive_resource: String,
+    /// Whether the member uses its share of the limits that all members divide, by a lease that still runs.
+    #[serde(default, rename = "shares")]
+    pub takes_share: bool,
+}
+
+/// The leader's response, sent once a quorum has confirmed that it still is the leader.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HeartbeatResponse<D> {
+    /// `start` of the heartbeat.
+    pub start: u64,
+    /// `sent` of the heartbeat.
+    pub sent: Ms,
+    /// The cluster's generation, 0 before the bootstrap.
+    #[serde(rename = "history")]
+    pub generation: u64,
+    /// The index of the policy that the member has to apply.
+    #[serde(rename = "mark")]
+    pub policy_index: u64,
+    /// The policy to apply and its revision number, where the member has not applied it yet.
+    #[serde(rename = "hold")]
+    pub apply: Option<(u64, D)>,
+    /// A staged change to validate: its number and document.
+    #[serde(rename = "offer")]
+    pub validate: Option<(u64, D)>,
+    /// The granted lease in ms, counted from `sent`.
+    pub lease: Option<Ms>,
+    /// Why no lease is granted, where the policy index is not the only reason.
+    #[serde(rename = "why")]
+    pub reason: Option<String>,
+    /// The leader wants the next heartbeat soon: a change is in progress, or the member's session is not in the log yet.
+    #[serde(default, rename = "soon")]
+    pub heartbeat_soon: bool,
+    /// The member's share of the divided limits, valid as long as the lease.
+    #[serde(default)]
+    pub share: Option<Share>,
+}
+
+/// A member's validation of a staged change. Serialized as the pair of number and result.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "ValidationPair", into = "ValidationPair")]
+pub struct Validation {
+    /// The change's revision number.
+    pub number: u64,
+    /// Why the member can't apply the change; none where it can.
+    pub rejection: Option<String>,
+}
+
+type ValidationPair = (u64, Result<(), String>);
+
+impl Validation {
+    /// The validation of a change that the member can apply.
+    pub fn accepted(number: u64) -> Self {
+        Validation {
+            number,
+            rejection: None,
+        }
+    }
+
+    /// The validation of a change that the member can't apply, for this reason.
+    pub fn rejected(number: u64, reason: impl Into<String>) -> Self {
+        Validation {
+            number,
+            rejection: Some(reason.into()),
+        }
+    }
+}
+
+impl From<ValidationPair> for Validation {
+    fn from((number, result): ValidationPair) -> Self {
+        Validation {
+            number,
+            rejection: result.err(),
+        }
+    }
+}
+
+impl From<Validation> for ValidationPair {
+    fn from(validation: Validation) -> Self {
+        (validation.number, validation.rejection.map_or(Ok(()), Err))
+    }
+}
--- /dev/null
+++ b/crates/coordination/src/leader/sessions.rs
@@ -0,0 +1,195 @@
+//! Which sessions there are, which of them may still decide, and what this leader knows of each.
+
+use super::Leader;
+use crate::fleet::Fleet;
+use crate::record::{Record, Session};
+use crate::{Policy, Validation};
+use ironstair::Ms;
+
+/// A session that was not heard from for this many leases is removed from the log.
+const LEASES_UNTIL_REMOVED: f64 = 10.0;
+/// Sessions that one record lets in, and that it ends.
+const MAX_SESSIONS_PER_RECORD: usize = 256;
+
+/// What one member reported in this term.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct MemberReport {
+    pub(super) start: u64,
+    pub(super) heard_at: Ms,
+    pub(super) applied_index: u64,
+    /// No lease granted by this leader runs longer, by this leader's clock.
+    pub(super) lease_end: Ms,
+    pub(super) validated: Option<Validation>,
+    pub(super) leaving: bool,
+}
+
+/// Since when a leader has known a session.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct KnownSession {
+    start: u64,
+    since: Ms,
+}
+
+/// What a leader knows of a member. Times are in ms of the leader's clock.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct MemberStatus {
+    /// When its last heartbeat came.
+    pub heard_at: Ms,
+    /// The index of the policy that it has applied.
+    pub applied_index: u64,
+    /// Until when its lease may run.
+    pub lease_end: Ms,
+}
+
+impl<D: Policy> Leader<D> {
+    /// Whether a member may still decide by the policy that it applied last.
+    pub fn may_decide(&self, now: Ms, fleet: &Fleet<D>, name: &str) -> bool {
+        let Some(session) = fleet.members.get(name) else {
+            return false;
+        };
+        let report = self.report(name, session);
+        if report.is_some_and(|report| report.leaving) {
+            return false;
+        }
+        // Nobody knows which leases an earlier leader granted.
+        let earlier_leases_may_run = now < self.since + self.grace();
+        session.steady || earlier_leases_may_run || report.is_some_and(|r| r.lease_end > now)
+    }
+
+    /// What this leader knows of a member; none where it has not heard from it.
+    pub fn member_status(&self, name: &str) -> Option<MemberStatus> {
+        self.reports.get(name).map(|report| MemberStatus {
+            heard_at: report.heard_at,
+            applied_index: report.applied_index,
+            lease_end: report.lease_end,
+        })
+    }
+
+    /// Whether a member has reported its validation of that change.
+    pub fn has_validated(&self, name: &str, number: u64) -> bool {
+        self.reports
+            .get(name)
+            .and_then(|report| report.validated.as_ref())
+            .is_some_and(|validation| validation.number == number)
+    }
+
+    /// Whether all members that may still decide have applied the current policy.
+    pub fn have_all_applied(&self, now: Ms, fleet: &Fleet<D>) -> bool {
+        self.all_deciding(now, fleet, |report| {
+            report.applied_index == fleet.policy_index
+        })
+    }
+
+    /// Whether all members that may still decide have reported, and their reports are so.
+    pub(super) fn all_deciding(
+        &self,
+        now: Ms,
+        fleet: &Fleet<D>,
+        is_so: impl Fn(&MemberReport) -> bool,
+    ) -> bool {
+        let mut deciding = fleet
+            .members
+            .iter()
+            .filter(|(name, _)| self.may_decide(now, fleet, name));
+        deciding.all(|(name, session)| self.report(name, session).is_some_and(&is_so))
+    }
+
+    /// The report of that session, not of another one of that name.
+    fn report(&self, name: &str, session: &Session) -> Option<&MemberReport> {
+        self.reports
+            .get(name)
+            .filter(|report| report.start == session.start)
+    }
+
+    /// Whether an earlier process of that name may still decide, for all that the later one proves.
+    pub(super) fn may_be_live(
+        &self,
+        now: Ms,
+        fleet: &Fleet<D>,
+        name: &str,
+        earlier: &Session,
+        later: &Session,
+    ) -> bool {
+        earlier.start != later.start
+            && !earlier.steady
+            && !earlier.ended_before(later)
+            && self.may_decide(now, fleet, name)
+    }
+
+    /// Forgets sessions that the log does not have any more, and notes those that are new in it.
+    pub(super) fn refresh_sessions(&mut self, now: Ms, fleet: &Fleet<D>) {
+        let members = &fleet.members;
+        self.joining
+            .retain(|name, session| members.get(name) != Some(session));
+        self.reports.retain(|name, _| members.contains_key(name));
+        self.known_sessions.retain(|name, known| {
+            members
+                .get(name)
+                .is_some_and(|session| session.start == known.start)
+        });
+        for (name, session) in members {
+            self.known_sessions
+                .entry(name.clone())
+                .or_insert(KnownSession {
+                    start: session.start,
+                    since: now,
+                });
+        }
+    }
+
+    pub(super) fn refresh_share_counter(&mut self, now: Ms, fleet: &Fleet<D>) {
+        self.share_counter(fleet);
+        let Some(mut counter) = self.share_counter.take() else {
+            return;
+        };
+        let live = fleet
+            .members
+            .keys()
+            .filter(|name| self.may_decide(now, fleet, name))
+            .count();
+        let is_live = |name: &str, start: u64| {
+            let session = fleet.members.get(name);
+            session.is_some_and(|s| s.start == start) && self.may_decide(now, fleet, name)
+        };
+        counter.update(now, live, is_live);
+        self.share_counter = Some(counter);
+    }
+
+    /// The record that ends and lets in sessions. It precedes a session's first lease, so that a later leader knows of
+    /// the session.
+    pub(super) fn update_members(&self, now: Ms, fleet: &Fleet<D>) -> Option<Record<D>> {
+        let left: Vec<(String, u64)> = fleet
+            .members
+            .iter()
+            .filter(|(name, session)| self.has_left(now, fleet, name, session))
+            .map(|(name, session)| (name.clone(), session.start))
+            .take(MAX_SESSIONS_PER_RECORD)
+            .collect();
+        let joined: Vec<(String, Session)> = self
+            .joining
+            .iter()
+            .filter(|(name, session)| {
+                let earlier = fleet.members.get(*name);
+                !earlier.is_some_and(|e| self.may_be_live(now, fleet, name, e, session))
+            })
+            .map(|(name, session)| (name.clone(), session.clone()))
+            .take(MAX_SESSIONS_PER_RECORD)
+            .collect();
+        if left.is_empty() && joined.is_empty() {
+            return None;
+        }
+        Some(Record::Members { joined, left })
+    }
+
+    /// Whether a session is leaving, or was not heard from for long and can't decide any more.
+    fn has_left(&self, now: Ms, fleet: &Fleet<D>, name: &str, session: &Session) -> bool {
+        let report = self.report(name, session);
+        if report.is_some_and(|report| report.leaving) {
+            return true;
+        }
+        let known_since = self.known_sessions.get(name).map_or(now, |k| k.since);
+        let heard_at = report.map_or(known_since, |report| report.heard_at);
+        let is_overdue = now >= heard_at + LEASES_UNTIL_REMOVED * self.lease;
+        is_overdue && !session.steady && !self.may_decide(now, fleet, name)
+    }
+}
--- a/crates/coordination/src/share_counter.rs
+++ b/crates/coordination/src/share_counter.rs
@@ -1,113 +1,152 @@
-//! How many gateways share out what a cold engine bears from all of them, and who of them takes a share: so that the
-//! shares never come to more than the whole (`docs/design/recovery.md`, promise 2).
+//! Counts the gateways that divide the limits shared by all of them, and decides who of them uses a share, so that the
+//! shares in use never add up to more than the whole (`docs/design/recovery.md`, promise 2).
 
 use ironstair::{Ms, PolicyConfig};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The count falls by so much of itself in a lease: a gateway that comes back within some leases finds its place.
-const FALLS: f64 = 0.03;
-/// A count that fell by less is not handed on: each time costs the decisions a look at all engines.
-const HEARD: f64 = 0.02;
+/// By this part of itself the count falls within a lease: a gateway that returns within a few leases finds its share.
+const DECLINE_PER_LEASE: f64 = 0.03;
+/// A decline by less than this part is not passed on: each new value makes the policy look at all engines.
+const MIN_REPORTED_DECLINE: f64 = 0.02;
+/// Tolerance when counts, which are sums of fractions, are compared.
+const COUNT_TOLERANCE: f64 = 1e-9;
 
-/// What one gateway goes by.
+/// A gateway's share of what all gateways divide.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
-    /// One of so many.
+    /// The number of gateways that the limits are divided by.
     pub among: f64,
-    /// Whether it takes it: who came last waits until no lease rests on a smaller count.
+    /// Whether the gateway uses its share: one that joined last waits until no lease is based on a smaller count.
     pub taken: bool,
 }
 
 impl Share {
-    /// Whether the decisions are to hear of it: at once where the count grew, in some steps where it shrank.
-    pub fn differs(self, was: Share) -> bool {
-        self.taken != was.taken || self.among > was.among || self.among < was.among * (1.0 - HEARD)
+    /// Whether the policy has to be told: at once where the count grew, in larger steps where it fell.
+    pub fn differs(self, previous: Share) -> bool {
+        self.taken != previous.taken
+            || self.among > previous.among
+            || self.among < previous.among * (1.0 - MIN_REPORTED_DECLINE)
     }
 
-    /// What the decisions go by: of all gateways this many share, and who takes no share sends no cold engine anything.
+    /// The policy's settings with this share; without one the gateway sends no engine that is warming up anything.
     pub fn of(self, policy_config: &PolicyConfig) -> PolicyConfig {
-        let bears = if self.taken {
+        let fall_multiple = if self.taken {
             policy_config.fall_multiple
         } else {
             0.0
         };
         PolicyConfig {
             gateways: self.among,
-            fall_multiple: bears,
+            fall_multiple,
             ..policy_config.clone()
         }
     }
 }
 
-/// The leader's.
+/// The count before it grew, and when that was.
+#[derive(Clone, Debug, PartialEq)]
+struct SmallerCount {
+    until: Ms,
+    gateways: f64,
+}
+
+/// What a leader has granted and counted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareCounter {
-    /// From when on no lease of an earlier leader is left.
-    alone_from: Ms,
+    /// From when on no lease of an earlier leader can run.
+    sole_leader_from: Ms,
     lease: Ms,
     grace: Ms,
-    used: f64,
-    at: Ms,
-    /// What was told before each growth, and until when. Within a grace after that a lease may rest on it.
-    told: VecDeque<(Ms, f64)>,
+    gateways: f64,
+    updated_at: Ms,
+    /// The counts that leases may still be based on: those replaced within the last grace period.
+    smaller_counts: VecDeque<SmallerCount>,
+    /// The members that use a share, each with its process.
     sharing: BTreeMap<String, u64>,
 }
 
+/// What operators are shown of the shares.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShareTotals {
+    /// The count that members are told.
+    pub gateways: f64,
+    /// How many of them use a share.
+    pub sharing: usize,
+}
+
 impl ShareCounter {
-    /// Of a leader that sits since then; `most` is no less than any earlier leader can have told.
-    pub fn new(since: Ms, lease: Ms, grace: Ms, most: f64) -> Self {
-        let (told, sharing) = Default::default();
+    /// For a leader elected at `since`; `initial` is at least the count that any earlier leader has granted by.
+    pub fn new(since: Ms, lease: Ms, grace: Ms, initial: f64) -> Self {
         ShareCounter {
-            alone_from: since + grace,
+            sole_leader_from: since + grace,
             lease,
             grace,
-            used: most.max(1.0),
-            at: since,
-            told,
-            sharing,
+            gateways: initial.max(1.0),
+            updated_at: since,
+            smaller_counts: VecDeque::new(),
+            sharing: BTreeMap::new(),
         }
     }
 
-    /// Grows at once to those that may decide, and shrinks slowly.
-    pub fn look(&mut self, now: Ms, live: usize, lives: impl Fn(&str, u64) -> bool) {
-        let fallen = self.used * (1.0 - FALLS).powf((now - self.at).max(0.0) / self.lease);
-        let used = fallen.max(live as f64).max(1.0);
-        if used > self.used {
-            self.told.push_back((now, self.used));
+    /// Raises the count at once to the number of live members, or lets it fall slowly; forgets the shares of processes
+    /// that are not live, by name and `start`.
+    pub fn update(&mut self, now: Ms, live: usize, is_live: impl Fn(&str, u64) -> bool) {
+        let leases_passed = (now - self.updated_at).max(0.0) / self.lease;
+        let declined = self.gateways * (1.0 - DECLINE_PER_LEASE).powf(leases_passed);
+        let gateways = declined.max(live as f64).max(1.0);
+        if gateways > self.gateways {
+            self.smaller_counts.push_back(SmallerCount {
+                until: now,
+                gateways: self.gateways,
+            });
         }
-        (self.used, self.at) = (used, now);
-        while self.told.front().is_some_and(|t| t.0 + self.grace <= now) {
-            self.told.pop_front();
+        self.gateways = gateways;
+        self.updated_at = now;
+        let grace = self.grace;
+        while self
+            .smaller_counts
+            .front()
+            .is_some_and(|count| count.until + grace <= now)
+        {
+            self.smaller_counts.pop_front();
         }
-        self.sharing.retain(|name, start| lives(name, *start));
+        self.sharing.retain(|name, start| is_live(name, *start));
     }
 
-    /// The least that a lease still rests on. None was told less within the last grace than now, but before a growth.
-    fn least(&self) -> f64 {
-        self.told.iter().map(|t| t.1).fold(self.used, f64::min)
+    /// The smallest count that a lease may still be based on: within the last grace period only a count before a growth
+    /// was smaller than the current one.
+    fn smallest_in_use(&self) -> f64 {
+        self.smaller_counts
+            .iter()
+            .map(|count| count.gateways)
+            .fold(self.gateways, f64::min)
     }
 
-    /// What goes with a lease that is granted now; `takes` is whether its member says that it has a share.
-    pub fn share(&mut self, now: Ms, name: &str, start: u64, takes: bool) -> Share {
-        let has = self.sharing.get(name) == Some(&start);
-        let taken = has
-            || match now < self.alone_from {
-                // What an earlier leader gave stays; nobody knows how many took.
-                true => takes,
-                false => self.sharing.len() as f64 + 1.0 <= self.least() + 1e-9,
-            };
-        if taken && !has {
+    /// The share that goes with a lease granted now; `takes_share` is what the member's heartbeat says.
+    pub fn share(&mut self, now: Ms, name: &str, start: u64, takes_share: bool) -> Share {
+        let has_share = self.sharing.get(name) == Some(&start);
+        let may_take = if now < self.sole_leader_from {
+            // What an earlier leader granted stays; how many it granted is not known.
+            takes_share
+        } else {
+            self.sharing.len() as f64 + 1.0 <= self.smallest_in_use() + COUNT_TOLERANCE
+        };
+        let taken = has_share || may_take;
+        if taken && !has_share {
             self.sharing.insert(name.into(), start);
         }
         Share {
-            among: self.used,
+            among: self.gateways,
             taken,
         }
     }
 
-    /// Told to members, and how many of them take a share.
-    pub fn totals(&self) -> (f64, usize) {
-        (self.used, self.sharing.len())
+    /// The current count and the number of shares in use.
+    pub fn totals(&self) -> ShareTotals {
+        ShareTotals {
+            gateways: self.gateways,
+            sharing: self.sharing.len(),
+        }
     }
 }
--- a/crates/coordination/tests/leader.rs
+++ b/crates/coordination/tests/leader.rs
@@ -2,9 +2,9 @@
 
 use ironstair_coordination::leader::{Command, Refusal};
 use ironstair_coordination::record::ChangeProposal;
-use ironstair_coordination::share_counter::ShareCounter;
+use ironstair_coordination::share_counter::{ShareCounter, ShareTotals};
 use ironstair_coordination::{
-    Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record, RevisionState,
+    Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record, RevisionState, Validation,
 };
 
 const LEASE: f64 = 3000.0;
@@ -56,7 +56,7 @@
     }
 
     fn of_start(&self, name: &str, start: u64) -> Heartbeat {
-        let (generation, policy_index, sent) = (7, self.fleet.policy_index, self.now);
+        let (generation, applied_index, sent) = (7, self.fleet.policy_index, self.now);
         let (name, last_answered, steady, validated, leaving) =
             (name.into(), sent, false, None, false);
         let (takes_share, exclusive_resource) = (false, String::new());
@@ -65,7 +65,7 @@
             start,
             sent,
             generation,
-            policy_index,
+            applied_index,
             last_answered,
             steady,
             validated,
@@ -82,10 +82,10 @@
     /// All that is to be written by now.
     fn write(&mut self) -> Vec<Record<Pol>> {
         let mut written = Vec::new();
-        while let Some(record) = self.leader.next(self.now, &self.fleet) {
+        while let Some(record) = self.leader.next_record(self.now, &self.fleet) {
             written.push(record.clone());
             self.fleet.apply(record);
-            self.leader.applied();
+            self.leader.record_settled();
         }
         written
     }
@@ -103,7 +103,7 @@
             document: Pol(to),
             commit,
         };
-        self.leader.ask(&self.fleet, Command::Change(proposal))
+        self.leader.submit(&self.fleet, Command::Change(proposal))
     }
 
     /// A change up to where it is decided, with one member that says yes to all.
@@ -111,7 +111,7 @@
         self.write();
         let number = self.fleet.change.as_ref().unwrap().number;
         let yes = Heartbeat {
-            validated: Some((number, Ok(()))),
+            validated: Some(Validation::accepted(number)),
             ..self.of_start(name, 1)
         };
         self.say(&yes);
@@ -144,7 +144,7 @@
     // the log had that; the next change was decided without it.
     let mut d = LeaderHarness::of(&["a", "b"], false);
     d.now += 11.0 * LEASE;
-    let removal = d.leader.next(d.now, &d.fleet).unwrap();
+    let removal = d.leader.next_record(d.now, &d.fleet).unwrap();
     assert!(
         matches!(&removal, Record::Members { left, .. } if left.len() == 2),
         "{removal:?}"
@@ -152,7 +152,7 @@
     let heartbeat = d.of_start("a", 1);
     assert_eq!(d.say(&heartbeat).lease, None);
     d.fleet.apply(removal);
-    d.leader.applied();
+    d.leader.record_settled();
     assert_eq!(d.say(&heartbeat).lease, None);
     d.write();
     assert_eq!(d.say(&heartbeat).lease, Some(LEASE), "let in anew");
@@ -239,7 +239,7 @@
     d.write();
     assert_eq!(d.ask(3, None), under_way("op2"));
     let no = Heartbeat {
-        validated: Some((1, Err("it lacks a kind".into()))),
+        validated: Some(Validation::rejected(1, "it lacks a kind")),
         ..d.of_start("a", 1)
     };
     d.say(&no);
@@ -250,12 +250,12 @@
         Some(("a".to_string(), "it lacks a kind".to_string()))
     );
     assert_eq!(
-        (d.state(1), d.fleet.held()),
+        (d.state(1), d.fleet.effective_policy()),
         (RevisionState::Refused, Some((0, Pol(1))))
     );
     assert_eq!(d.ask(3, None), Ok(()));
     d.through("a");
-    assert_eq!(d.fleet.held(), Some((2, Pol(3))));
+    assert_eq!(d.fleet.effective_policy(), Some((2, Pol(3))));
 }
 
 #[test]
@@ -264,7 +264,7 @@
     d.ask(2, Some(5000.0)).unwrap();
     d.through("a");
     assert_eq!(
-        (d.state(1), d.fleet.held()),
+        (d.state(1), d.fleet.effective_policy()),
         (RevisionState::Unconfirmed, Some((1, Pol(2))))
     );
     d.now += 2500.0;
@@ -272,15 +272,18 @@
     d.now += 2500.0;
     assert_eq!(d.write(), [Record::RolledBack { number: 1 }]);
     assert_eq!(
-        d.fleet.held(),
+        d.fleet.effective_policy(),
         Some((1, Pol(2))),
         "the stricter of both first"
     );
     let late = Command::Confirm { id: "c".into() };
-    assert_eq!(d.leader.ask(&d.fleet, late), Err(Refusal::NothingPending));
+    assert_eq!(
+        d.leader.submit(&d.fleet, late),
+        Err(Refusal::NothingPending)
+    );
     d.hold("a");
     assert_eq!(
-        (d.state(1), d.fleet.held()),
+        (d.state(1), d.fleet.effective_policy()),
         (RevisionState::RolledBack, Some((0, Pol(1))))
     );
 }
@@ -293,7 +296,7 @@
         d.now += 5.0 * LEASE;
         d.write();
         let yes = Heartbeat {
-            validated: Some((1, Ok(()))),
+            validated: Some(Validation::accepted(1)),
             steady,
             ..d.of_start("a", 1)
         };
@@ -339,20 +342,23 @@
     };
     // Nobody new before no lease of an earlier leader is left.
     assert!(!takes(&mut count, grace - 1.0, 0, 1));
-    count.look(grace, 5, |_, _| true);
+    count.update(grace, 5, |_, _| true);
     assert!((0..4).all(|nth| takes(&mut count, grace, nth, 1)));
     // Three of five end; a lease later nearly all places are kept.
-    count.look(grace + LEASE, 2, |name, _| ["a", "b"].contains(&name));
-    let (used, sharing) = count.totals();
+    count.update(grace + LEASE, 2, |name, _| ["a", "b"].contains(&name));
+    let ShareTotals {
+        gateways: used,
+        sharing,
+    } = count.totals();
     assert!(sharing == 2 && (4.7..4.9).contains(&used), "{used}");
     assert!(takes(&mut count, grace + LEASE, 2, 2) && takes(&mut count, grace + LEASE, 3, 2));
     // One more than the count: it grows at once, and the last waits for a grace.
     let now = grace + LEASE + 1.0;
-    count.look(now, 6, |_, _| true);
+    count.update(now, 6, |_, _| true);
     assert_eq!(
-        (count.totals().0, takes(&mut count, now, 4, 1)),
+        (count.totals().gateways, takes(&mut count, now, 4, 1)),
         (6.0, false)
     );
-    count.look(now + grace, 6, |_, _| true);
+    count.update(now + grace, 6, |_, _| true);
     assert!(takes(&mut count, now + grace, 4, 1));
 }
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -101,7 +101,7 @@
         if self.fleet.policy_index != policy_index {
             self.marked = self.now;
         }
-        self.leader.applied();
+        self.leader.record_settled();
     }
 
     /// Those that may decide now.
@@ -145,7 +145,7 @@
                     w = self.next_state(&w, step).unwrap_or(w);
                 }
             }
-            w.writing = w.leader.next(w.now, &w.fleet);
+            w.writing = w.leader.next_record(w.now, &w.fleet);
             w.commit();
         }
         assert_eq!(w.deciding(self.out).count(), self.gates);
@@ -217,7 +217,7 @@
                 w.hand(i, Input::Answered(answer));
             }
             Move::Next => {
-                let record = w.leader.next(w.now, &w.fleet);
+                let record = w.leader.next_record(w.now, &w.fleet);
                 w.writing = match (record, self.out) {
                     (None, Out::Unheard) => match &w.fleet.change {
                         Some(c) if c.step == Stage::Binding => {
@@ -262,11 +262,11 @@
                 let base_revision = w.fleet.policy_index;
                 let _ = w
                     .leader
-                    .ask(&w.fleet, Command::Change(proposal(to, base_revision)));
+                    .submit(&w.fleet, Command::Change(proposal(to, base_revision)));
             }
             Move::Cancel => {
                 w.left.cancels -= 1;
-                let _ = w.leader.ask(
+                let _ = w.leader.submit(
                     &w.fleet,
                     Command::Cancel {
                         id: None,
@@ -284,7 +284,7 @@
                 played::apart(w.deciding(days.out))
             }),
             Property::always("together", |days: &Days, w: &World| {
-                let old = |g: &Gate| g.member.held().1 < w.fleet.policy_index;
+                let old = |g: &Gate| g.member.applied_state().applied_index < w.fleet.policy_index;
                 w.now < w.marked + LEASE || !w.deciding(days.out).any(old)
             }),
             Property::always("all or none", |_, w: &World| {
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -8,7 +8,7 @@
 use ironstair_coordination::record::{
     ChangeProposal, Record, RevisionState, RevisionSummary, Session,
 };
-use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share, Validation};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value as Json};
 use std::collections::{BTreeMap, VecDeque};
@@ -169,7 +169,7 @@
             .zip(1..)
             .map(|(s, n)| line(n, *s))
             .collect::<VecDeque<_>>(),
-        next: 8,
+        next_number: 8,
     };
     let pending_confirmation = Some(PendingConfirmation {
         id: "trial-1".into(),
@@ -198,7 +198,7 @@
         start: 11,
         sent: 1000.25,
         generation: 1 << 48 | 7,
-        policy_index: 9,
+        applied_index: 9,
         last_answered: 900.0,
         steady: false,
         validated: None,
@@ -208,11 +208,11 @@
     };
     vec![
         Heartbeat {
-            validated: Some((5, Ok(()))),
+            validated: Some(Validation::accepted(5)),
             ..heartbeat.clone()
         },
         Heartbeat {
-            validated: Some((5, Err("no such engine".into()))),
+            validated: Some(Validation::rejected(5, "no such engine")),
             steady: true,
             ..heartbeat.clone()
         },
@@ -232,16 +232,16 @@
         sent: 1000.25,
         generation: 1 << 48 | 7,
         policy_index: 9,
-        hold: None,
-        offer: None,
+        apply: None,
+        validate: None,
         lease: None,
         reason: Some("the history is another".into()),
         heartbeat_soon: false,
         share: None,
     };
     let full = HeartbeatResponse {
-        hold: Some((4, document())),
-        offer: Some((5, document())),
+        apply: Some((4, document())),
+        validate: Some((5, document())),
         lease: Some(5000.0),
         reason: None,
         heartbeat_soon: true,
--- a/crates/coordination/tests/played/mod.rs
+++ b/crates/coordination/tests/played/mod.rs
@@ -60,7 +60,7 @@
     pub fn new(nth: usize, start: u64) -> Gate {
         let member = Member::new(["a", "b", "c"][nth], start, false, LEASE);
         // A later process of its name proves that this one has ended.
-        let member = member.holding(format!("place {nth}"));
+        let member = member.with_exclusive_resource(format!("place {nth}"));
         Gate {
             member,
             holding: NONE,
@@ -77,7 +77,7 @@
         let unread = |policy: Pol| nth == 1 && policy.0.max(policy.1) == UNREAD;
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for action in self.member.on(now, input) {
+            for action in self.member.handle(now, input) {
                 match action {
                     Action::Heartbeat(heartbeat) => {
                         (self.heartbeat, self.unsent) = (Some(heartbeat), true)
@@ -106,17 +106,17 @@
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Validated { number, how });
+                        inputs.push(Input::Validated((number, how).into()));
                     }
                     Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
             }
         }
-        self.by_timer = self.member.holds(now);
+        self.by_timer = self.member.has_lease(now);
     }
 
     pub fn is_leader_ready(&self, now: f64) -> bool {
-        self.unsent || self.member.due() <= now
+        self.unsent || self.member.next_heartbeat_at() <= now
     }
 
     /// The heartbeat that goes out now: one that waits, or that is due.
@@ -131,7 +131,7 @@
     /// Time has gone on for all that run: a timer of each looks.
     pub fn tick(&mut self, now: f64) {
         if !self.paused {
-            self.by_timer = self.member.holds(now);
+            self.by_timer = self.member.has_lease(now);
         }
     }
 
@@ -141,7 +141,7 @@
             && if by_timer {
                 self.by_timer
             } else {
-                self.member.holds(now)
+                self.member.has_lease(now)
             }
     }
 }
--- a/crates/coordination/tests/share_counter.rs
+++ b/crates/coordination/tests/share_counter.rs
@@ -56,9 +56,9 @@
 impl World {
     /// The leader looks, and the log takes what it writes.
     fn look(&mut self) {
-        while let Some(record) = self.leader.next(self.now, &self.fleet) {
+        while let Some(record) = self.leader.next_record(self.now, &self.fleet) {
             self.fleet.apply(record);
-            self.leader.applied();
+            self.leader.record_settled();
         }
     }
 
@@ -67,7 +67,7 @@
             .gates
             .iter()
             .flatten()
-            .filter(|g| g.member.holds(self.now));
+            .filter(|g| g.member.has_lease(self.now));
         decides
             .map(|g| g.member.share())
             .filter(|s| s.taken)
--- a/crates/coordination/tests/voters.rs
+++ b/crates/coordination/tests/voters.rs
@@ -180,7 +180,7 @@
                     .extend(seat.fleet.running.iter().map(|r| r.1 .0));
                 self.decided.sort();
                 self.decided.dedup();
-                seat.leader.applied();
+                seat.leader.record_settled();
             }
             seat.known = upto;
             break;
@@ -393,7 +393,7 @@
             Move::Write(k) => {
                 w.sits(k)?;
                 let (now, seat) = (w.now, w.voters[k].sits.as_mut()?);
-                let record = seat.leader.next(now, &seat.fleet)?;
+                let record = seat.leader.next_record(now, &seat.fleet)?;
                 w.push(k, Entry::Record(record));
             }
             Move::Lose(k) => {
@@ -467,7 +467,7 @@
                 let seat = w.voters[k].sits.as_mut()?;
                 let base_revision = seat.fleet.policy_index;
                 seat.leader
-                    .ask(&seat.fleet, Command::Change(proposal(to, base_revision)))
+                    .submit(&seat.fleet, Command::Change(proposal(to, base_revision)))
                     .ok()?;
             }
         }
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -13,12 +13,12 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{
-    grace, Heartbeat, HeartbeatResponse, Member, RevisionState, RevisionSummary,
+    grace_period, Heartbeat, HeartbeatResponse, Member, RevisionState, RevisionSummary,
 };
 use ironstair_data_tree::state;
 use ironstair_management::fleet_channel::Wanted;
 use ironstair_management::{ManagementHandle, Refused};
-use ironstair_raft_replica::{Out, Replica, Save, TICK};
+use ironstair_raft_replica::{Output, Replica, Save, TICK};
 use ironstair_raft_storage::Storage;
 use ironstair_runtime::clock::{span, Clock};
 use ironstair_runtime::window::ManagementCommand;
@@ -265,7 +265,7 @@
         let ways = others.map(|(name, at)| Ok((name.clone(), Way::to(*at)?)));
         let ways = ways.collect::<Result<BTreeMap<_, _>, String>>()?;
         let member = Member::new(&config.name, own.start, config.steady, config.lease);
-        let member = member.holding(if taken_out("place") {
+        let member = member.with_exclusive_resource(if taken_out("place") {
             String::new()
         } else {
             server::place(config.listen)
@@ -318,7 +318,8 @@
             .position(|k| *k == self.config.name)
             .unwrap_or(0);
         let (name, lease, now) = (&self.config.name, self.config.lease, self.clock.now());
-        let replica = Replica::open(name, place, lease, storage.image(), now, &self.log)?;
+        let replica = Replica::open(name, place, lease, storage.image(), now, &self.log)
+            .map_err(|e| e.to_string())?;
         let generation = replica.state().fleet.generation;
         info!(self.log, "a keeper of the fleet's log"; "history" => format!("{generation:016x}"));
         // Heartbeats that an earlier one was to answer find nobody, and are sent again.
@@ -344,7 +345,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.go_on();
-            let due = span(self.member.due() - self.clock.now());
+            let due = span(self.member.next_heartbeat_at() - self.clock.now());
             tokio::select! {
                 mail = self.inbox.recv() => match mail {
                     Some(mail) => self.take(mail),
@@ -371,21 +372,21 @@
                 let outs = self
                     .kept
                     .as_mut()
-                    .map(|k| k.replica.message(now, &from, &bytes));
+                    .map(|k| k.replica.handle_message(now, &from, &bytes));
                 self.carry(outs.unwrap_or_default());
             }
             AgentMessage::Join(name, number, to) => {
                 let Some(k) = &mut self.kept else {
-                    let _ = to.send(self.member.held().0);
+                    let _ = to.send(self.member.applied_state().generation);
                     return;
                 };
                 if number != 0 && self.config.voters.contains_key(&name) {
-                    k.replica.knocked(name, number);
+                    k.replica.handle_join_request(name, number);
                 }
                 // A blank one may remember what its disk knows no more.
                 let of_disk = k.replica.state().fleet.generation;
                 let _ = to.send(if of_disk == 0 {
-                    self.member.held().0
+                    self.member.applied_state().generation
                 } else {
                     of_disk
                 });
@@ -400,7 +401,7 @@
                         self.told(answer);
                     }
                     // Once, not with each heartbeat.
-                    Err(why) if !self.member.holds(now) && why != self.unheard => {
+                    Err(why) if !self.member.has_lease(now) && why != self.unheard => {
                         warn!(self.log, "no keeper answers as the fleet's chair"; "why" => &why);
                         self.unheard = why;
                     }
@@ -419,7 +420,9 @@
                     },
                 });
             }
-            AgentMessage::Validated(number, how) => self.act(Input::Validated { number, how }),
+            AgentMessage::Validated(number, how) => {
+                self.act(Input::Validated((number, how).into()))
+            }
             AgentMessage::Saved(saved) => self.saved(*saved),
             AgentMessage::Known(how, document, answer) => self.begin(how, document, answer),
             AgentMessage::KnownAnew(how, successor) => self.begin_anew(how, successor),
@@ -449,7 +452,7 @@
     /// What is due, and what others are to see.
     fn go_on(&mut self) {
         let now = self.clock.now();
-        if now >= self.member.due() {
+        if now >= self.member.next_heartbeat_at() {
             self.act(Input::Due);
         }
         self.answer_the_pending();
@@ -459,12 +462,12 @@
             info!(self.log, "this keeper has a vote");
         }
         self.votes = votes;
-        let held = self.member.holds(now);
+        let held = self.member.has_lease(now);
         if held != self.held {
             self.held = held;
             match held {
                 true => {
-                    info!(self.log, "the fleet's policy is held"; "revision" => self.member.held().2)
+                    info!(self.log, "the fleet's policy is held"; "revision" => self.member.applied_state().revision)
                 }
                 false => {
                     warn!(
@@ -474,12 +477,12 @@
                 }
             }
         }
-        let (generation, _, revision) = self.member.held();
+        let applied = self.member.applied_state();
         let is = state::Fleet {
             name: self.config.fleet.clone(),
-            generation,
-            revision,
-            until: self.member.until(),
+            generation: applied.generation,
+            revision: applied.revision,
+            until: self.member.lease_end(),
             steady: self.config.steady,
             voter: self.kept.is_some(),
             leader: self.leader().unwrap_or_default(),
@@ -507,7 +510,10 @@
         let now = self.clock.now();
         let Some(k) = &mut self.kept else { return };
         let outs = k.replica.tick(now);
-        let knock = k.replica.knock().filter(|_| now >= k.join_request_due);
+        let knock = k
+            .replica
+            .join_request()
+            .filter(|_| now >= k.join_request_due);
         if let Some((_, number)) = knock {
             k.join_request_due = now + JOIN_REQUEST_INTERVAL;
             for way in self.ways.values() {
@@ -537,7 +543,7 @@
 
     /// Hands one input to the member, and carries out what it wants.
     fn act(&mut self, input: Input<Json>) {
-        for action in self.member.on(self.clock.now(), input) {
+        for action in self.member.handle(self.clock.now(), input) {
             match action {
                 Action::Heartbeat(heartbeat) => self.send(heartbeat),
                 Action::Apply {
@@ -644,26 +650,28 @@
         self.carry(outs);
     }
 
-    fn carry(&mut self, outs: Vec<Out<Json>>) {
+    fn carry(&mut self, outs: Vec<Output<Json>>) {
         for out in outs {
             match out {
-                Out::Save(save) => self.save(save),
-                Out::Send(to, bytes) => {
+                Output::Save(save) => self.save(save),
+                Output::Send(to, bytes) => {
                     if let Some(way) = self.ways.get(&to) {
                         way.agree(self.own.word(bytes));
                     }
                 }
-                Out::HeartbeatResponse(token, answer) => match self.answers.remove(&token) {
+                Output::HeartbeatResponse(token, answer) => match self.answers.remove(&token) {
                     Some(Waits::Own) => self.told(answer),
                     Some(Waits::Other(to)) => drop(to.send(Ok(answer))),
                     None => {}
                 },
-                Out::NotLeader(token, leader) => {
+                Output::NotLeader(token, leader) => {
                     if let Some(Waits::Other(to)) = self.answers.remove(&token) {
                         let _ = to.send(Err(Hint { leader }));
                     }
                 }
-                Out::Older => self.leave_the_older("the fleet's log here is an older copy"),
+                Output::DiskOutdated => {
+                    self.leave_the_older("the fleet's log here is an older copy")
+                }
             }
         }
     }
@@ -716,7 +724,7 @@
         if std::mem::take(&mut k.disk_said) {
             info!(self.log, "the fleet's log is kept again");
         }
-        let outs = k.replica.saved(now);
+        let outs = k.replica.save_completed(now);
         self.carry(outs);
     }
 
@@ -727,7 +735,7 @@
         let Some(mut storage) = k.storage.take() else {
             return;
         };
-        let how = storage.quarantined(drawn());
+        let how = storage.quarantine(drawn()).map_err(|e| e.to_string());
         self.kept = None;
         match how.and_then(|aside| self.keep(storage).map(|()| aside)) {
             Ok(aside) => {
@@ -842,14 +850,15 @@
             };
             let mut storage = k.storage.take().ok_or("the disk is being written")?;
             // Under the number that it has given to others already.
-            let image = Replica::begin(
+            let image = Replica::bootstrap_image(
                 &self.config.name,
                 storage.image().id,
                 first(drawn()),
                 document,
                 None,
-            )?;
-            let begun = storage.begin(image);
+            )
+            .map_err(|e| e.to_string())?;
+            let begun = storage.reset(image).map_err(|e| e.to_string());
             self.kept = None;
             self.keep(storage).and(begun)
         });
@@ -874,7 +883,7 @@
             self.post.clone(),
         );
         // Twice, and between them the longest lease that a leader which ended just now can have left.
-        let searches = [(self.search(), grace(lease)), (self.search(), 0.0)];
+        let searches = [(self.search(), grace_period(lease)), (self.search(), 0.0)];
         tokio::spawn(async move {
             let mut how = Ok(Vec::new());
             for (search, then) in searches {
@@ -926,10 +935,10 @@
                 return Err("this keeper is the chair: the fleet's history is not lost".into());
             }
             let left = &k.replica.state().fleet;
-            let remembered = self.member.held().0;
+            let remembered = self.member.applied_state().generation;
             let silent = self.ways.len() - known.len().min(self.ways.len());
             known.extend([left.generation, remembered, self.latest]);
-            let generation = successor(known.iter().copied(), drawn())?;
+            let generation = successor(known.iter().copied(), drawn()).map_err(|e| e.to_string())?;
             let (document, with) = match &left.running {
                 Some((number, running)) => (running.clone(), format!("revision {number}")),
                 None => (document, "what this gateway was told at start".to_string()),
@@ -943,9 +952,13 @@
             let said = (who.clone(), what.clone());
             let line = RevisionSummary { number, token, author: who, created_at: when, summary: what, state, commit, refused };
             let id = drawn();
-            let image = Replica::begin(&self.config.name, id, generation, document, Some(line))?;
+            let image = Replica::bootstrap_image(&self.config.name, id, generation, document, Some(line))
+                .map_err(|e| e.to_string())?;
             let mut storage = k.storage.take().ok_or("the disk is being written")?;
-            let begun = storage.quarantined(id).and_then(|_| storage.begin(image));
+            let begun = storage
+                .quarantine(id)
+                .and_then(|_| storage.reset(image))
+                .map_err(|e| e.to_string());
             self.kept = None;
             self.keep(storage).and(begun)?;
             warn!(self.log, "the fleet's history begins anew"; "who" => said.0, "what" => said.1,
@@ -1004,7 +1017,7 @@
         };
         // One that comes again by another way stands in the log already.
         if matches!(outcome(&k.replica.state().fleet, &ask), Outcome::Unknown) {
-            match k.replica.ask(now, ask.clone()) {
+            match k.replica.submit(now, ask.clone()) {
                 Ok(outs) => self.carry(outs),
                 Err(why) => return drop(to.send(CommandResponse::Refused(why.to_string()))),
             }
@@ -1039,12 +1052,12 @@
             let told = match outcome(fleet, &p.ask) {
                 // Who hears that it is done finds it done wherever he looks next.
                 Outcome::Known(CommandResponse::Done(_))
-                    if now < p.until && !sits.all_hold(now, fleet) =>
+                    if now < p.until && !sits.have_all_applied(now, fleet) =>
                 {
                     None
                 }
                 Outcome::Known(told) => Some(told),
-                Outcome::Unknown if !sits.waits(&p.ask) => {
+                Outcome::Unknown if !sits.is_pending(&p.ask) => {
                     again.push(p);
                     continue;
                 }
@@ -1065,7 +1078,7 @@
         // Passed over when its turn came, since something else had come before it.
         for p in again {
             let Some(k) = &mut self.kept else { return };
-            match k.replica.ask(now, p.ask.clone()) {
+            match k.replica.submit(now, p.ask.clone()) {
                 Ok(outs) => {
                     self.carry(outs);
                     self.pending.push(p);
@@ -1123,7 +1136,7 @@
             Err("No space left on device".into())
         };
     }
-    storage.save(save.clone())
+    storage.save(save.clone()).map_err(|e| e.to_string())
 }
 
 /// The number of a voter that would not be drawn anew.
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -14,16 +14,16 @@
     leader: &Leader<Json>,
     (name, seat): (&String, &Session),
 ) -> Json {
-    let seen = leader.seen(name);
-    let left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
+    let seen = leader.member_status(name);
+    let left = seen.map_or(0.0, |s| (s.lease_end - now).max(0.0));
     let cut_off = if seat.steady { "steady" } else { "strict" };
     json!({
         "name": name,
         "cut-off": cut_off,
-        "heard-ms-ago": seen.map(|s| (now - s.0).round()),
+        "heard-ms-ago": seen.map(|s| (now - s.heard_at).round()),
         "lease-left-ms": left.round(),
-        "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.policy_index),
-        "counts": leader.counts(now, fleet, name),
+        "holds-what-is-held": seen.is_some_and(|s| s.applied_index == fleet.policy_index),
+        "counts": leader.may_decide(now, fleet, name),
     })
 }
 
@@ -33,14 +33,13 @@
         return Vec::new();
     };
     let one = |(name, seat): (&String, &Session)| {
-        let (heard, policy_index, until) = leader.seen(name).unwrap_or_default();
-        let holds = policy_index == fleet.policy_index;
+        let seen = leader.member_status(name).unwrap_or_default();
         state::Member {
             name: name.clone(),
             steady: seat.steady,
-            heard,
-            until,
-            holds,
+            heard: seen.heard_at,
+            until: seen.lease_end,
+            holds: seen.applied_index == fleet.policy_index,
         }
     };
     fleet.members.iter().map(one).collect()
@@ -65,11 +64,13 @@
 /// Who a change under way waits for.
 pub fn waits_for(now: Ms, fleet: &Fleet<Json>, leader: &Leader<Json>) -> Vec<String> {
     let lacks = |name: &String| match fleet.change.as_ref() {
-        Some(c) if c.step == Step::Staged => !leader.validated(name, c.number),
-        Some(_) => leader.seen(name).is_none_or(|s| s.1 != fleet.policy_index),
+        Some(c) if c.step == Step::Staged => !leader.has_validated(name, c.number),
+        Some(_) => leader
+            .member_status(name)
+            .is_none_or(|s| s.applied_index != fleet.policy_index),
         None => false,
     };
-    let waits = |name: &&String| leader.counts(now, fleet, name) && lacks(name);
+    let waits = |name: &&String| leader.may_decide(now, fleet, name) && lacks(name);
     fleet.members.keys().filter(waits).cloned().collect()
 }
 
@@ -83,10 +84,10 @@
         "chair": name,
         "keepers": state.voters.keys().collect::<Vec<_>>(),
         "joining": state.joining.keys().collect::<Vec<_>>(),
-        "replacing": replica.replacing(),
+        "replacing": replica.is_replacing_voter(),
         "change": f.change.as_ref().map(|c| change(now, f, leader, c)),
-        "counted": leader.sharing().map(|s| s.0.round()),
-        "sharing": leader.sharing().map(|s| s.1),
+        "counted": leader.share_totals().map(|t| t.gateways.round()),
+        "sharing": leader.share_totals().map(|t| t.sharing),
         "unconfirmed": f.pending_confirmation.as_ref().map(|t| &t.id),
         "members": f.members.iter().map(|m| member(now, f, leader, m)).collect::<Vec<_>>(),
         "revisions": f.revisions.iter().map(line).collect::<Vec<_>>(),
--- a/crates/fleet-agent/tests/pinned_forms.rs
+++ b/crates/fleet-agent/tests/pinned_forms.rs
@@ -5,12 +5,12 @@
 
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
-use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share, Validation};
 use ironstair_fleet_agent::actor::{AgentMessage, CommandResponse, FleetCommand, Hint};
 use ironstair_fleet_agent::proto::Word;
 use ironstair_fleet_agent::server::{bind, serve, Own};
 use ironstair_fleet_agent::status;
-use ironstair_raft_replica::{Out, Replica, TICK};
+use ironstair_raft_replica::{Output, Replica, TICK};
 use prost::Message;
 use serde_json::{json, Value as Json};
 use slog::{o, Discard, Logger};
@@ -55,10 +55,10 @@
         start: 11,
         sent: 1000.25,
         generation: 1 << 48 | 7,
-        policy_index: 9,
+        applied_index: 9,
         last_answered: 900.0,
         steady: false,
-        validated: Some((5, Err("no such engine".into()))),
+        validated: Some(Validation::rejected(5, "no such engine")),
         leaving: false,
         exclusive_resource: "boot net addr".into(),
         takes_share: true,
@@ -71,8 +71,8 @@
         sent: 1000.25,
         generation: 1 << 48 | 7,
         policy_index: 9,
-        hold: Some((4, document(50))),
-        offer: None,
+        apply: Some((4, document(50))),
+        validate: None,
         lease: Some(5000.0),
         reason: None,
         heartbeat_soon: true,
@@ -375,9 +375,9 @@
 }
 
 impl Alone {
-    fn carry(&mut self, mut outs: Vec<Out<Json>>) {
-        while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = self.replica.saved(self.now);
+    fn carry(&mut self, mut outs: Vec<Output<Json>>) {
+        while outs.iter().any(|o| matches!(o, Output::Save(_))) {
+            outs = self.replica.save_completed(self.now);
         }
     }
 
@@ -394,9 +394,12 @@
                     sent: self.now,
                     last_answered: self.now - TICK,
                     generation: fleet.generation,
-                    policy_index: fleet.policy_index,
+                    applied_index: fleet.policy_index,
                     steady,
-                    validated: fleet.change.as_ref().map(|c| (c.number, validated.clone())),
+                    validated: fleet
+                        .change
+                        .as_ref()
+                        .map(|c| (c.number, validated.clone()).into()),
                     leaving: false,
                     exclusive_resource: String::new(),
                     takes_share: true,
@@ -408,7 +411,7 @@
     }
 
     fn ask(&mut self, ask: Command<Json>) {
-        let outs = self.replica.ask(self.now, ask).unwrap();
+        let outs = self.replica.submit(self.now, ask).unwrap();
         self.carry(outs);
     }
 
@@ -421,7 +424,7 @@
 
 #[test]
 fn the_status_of_a_fleet_is_shown_as_in_its_sample() {
-    let image = Replica::begin("a", 1, 1 << 48 | 7, document(50), None).unwrap();
+    let image = Replica::bootstrap_image("a", 1, 1 << 48 | 7, document(50), None).unwrap();
     let replica = Replica::open("a", 0, LEASE, &image, 0.0, &log()).unwrap();
     let mut alone = Alone { replica, now: 0.0 };
     let fits = Ok(());
@@ -446,7 +449,7 @@
     let ask = Command::Change(wish(policy_index(&alone), None));
     alone.ask(ask);
     alone.go_on(10, &Err("no such engine".into()));
-    alone.replica.knocked("b".into(), 22);
+    alone.replica.handle_join_request("b".into(), 22);
     alone.go_on(2, &fits);
     all += &alone.shown();
     let text = sample("status.jsonl");
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -3,7 +3,7 @@
 
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::Member;
-use ironstair_raft_replica::{Out, Replica, TICK};
+use ironstair_raft_replica::{Output, Replica, TICK};
 use ironstair_test_cluster::cluster::{until, Cluster, Plan};
 use ironstair_test_cluster::invariants::What;
 use serde_json::{json, Value};
@@ -224,7 +224,7 @@
 /// A leader alone with so many members that heartbeat, in virtual time: its processor for a second of that.
 fn single_voter(members: usize) {
     let policy = json!({"band": []});
-    let image = Replica::begin("a", 1, 7, policy, None).unwrap();
+    let image = Replica::bootstrap_image("a", 1, 7, policy, None).unwrap();
     let log = Logger::root(Discard, o!());
     let lease = LEASE as f64;
     let mut replica: Replica<Value> = Replica::open("a", 0, lease, &image, 0.0, &log).unwrap();
@@ -240,7 +240,7 @@
         now += TICK;
         let mut outs = replica.tick(now);
         for (m, member) in all.iter_mut().enumerate() {
-            for action in member.on::<Value>(now, Input::Due) {
+            for action in member.handle::<Value>(now, Input::Due) {
                 if let Action::Heartbeat(heartbeat) = action {
                     heartbeats += 1;
                     bytes += serde_json::to_vec(&heartbeat).unwrap().len();
@@ -252,13 +252,13 @@
             let mut next = Vec::new();
             for out in outs {
                 match out {
-                    Out::Save(_) => next.extend(replica.saved(now)),
-                    Out::HeartbeatResponse(m, answer) => {
+                    Output::Save(_) => next.extend(replica.save_completed(now)),
+                    Output::HeartbeatResponse(m, answer) => {
                         bytes += serde_json::to_vec(&answer).unwrap().len();
                         let member = &mut all[m as usize];
-                        for action in member.on(now, Input::Answered(answer)) {
+                        for action in member.handle(now, Input::Answered(answer)) {
                             if let Action::Apply { policy_index, .. } = action {
-                                member.on::<Value>(now, Input::Applied { policy_index });
+                                member.handle::<Value>(now, Input::Applied { policy_index });
                             }
                         }
                     }
@@ -268,7 +268,7 @@
             outs = next;
         }
     }
-    let held = all.iter().filter(|m| m.holds(now)).count();
+    let held = all.iter().filter(|m| m.has_lease(now)).count();
     let used = since.elapsed().as_secs_f64() / seconds * 100.0;
     println!(
         "| {members} | {held} | {:.1} | {:.0} | {used:.2} |",
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -346,7 +346,7 @@
     });
     let late = cluster.cli(0, &["confirm", "c", "--fleet"]);
     assert!(
-        late.code == 3 && late.err.contains("taken back"),
+        late.code == 3 && late.err.contains("rolled back"),
         "{late:?}"
     );
     all_have(&cluster, ATTEMPTS, &held);
@@ -449,7 +449,7 @@
     until("it says why it can't hold that", || {
         cluster
             .log(4)
-            .contains("what the fleet holds can't be held here")
+            .contains("the fleet's policy can't be applied here")
     });
     assert!(!cluster.fit(4));
     (0..4).for_each(|g| assert_eq!(cluster.setting(g, ADVICE), json!(500)));
@@ -470,7 +470,7 @@
     until("a live member can't hold it", || {
         cluster
             .log(4)
-            .contains("what the fleet holds can't be held here")
+            .contains("the fleet's policy can't be applied here")
             && !cluster.fit(4)
     });
 }
--- /dev/null
+++ b/crates/raft-replica/src/image.rs
@@ -0,0 +1,91 @@
+//! What a replica's disk holds, and one write to it.
+
+use protobuf::Message;
+use raft::prelude::{HardState, Snapshot};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// What a disk holds of a replica, each part encoded as the library encodes it.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Image {
+    /// The voter id that belongs to this disk.
+    pub id: u64,
+    /// Term, vote and commit index; empty for none.
+    pub hard_state: Vec<u8>,
+    /// The state up to some index; empty for none.
+    pub snapshot: Vec<u8>,
+    /// The entries behind the snapshot, by index.
+    pub entries: BTreeMap<u64, Vec<u8>>,
+}
+
+/// One write to a disk, which gets there as a whole or not at all.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Save {
+    /// The new hard state.
+    #[serde(rename = "hard")]
+    pub hard_state: Option<Vec<u8>>,
+    /// A snapshot up to an index: the entries up to there are obsolete.
+    #[serde(rename = "whole")]
+    pub snapshot: Option<(u64, Vec<u8>)>,
+    /// All entries from this index on.
+    pub entries: Option<(u64, Vec<Vec<u8>>)>,
+}
+
+impl Image {
+    /// A disk without a log, for a voter id that was drawn for it.
+    pub fn blank(id: u64) -> Image {
+        Image {
+            id,
+            ..Image::default()
+        }
+    }
+
+    /// The disk of a cluster's first voter, with that state.
+    pub(crate) fn bootstrap(id: u64, state: Vec<u8>) -> Image {
+        let mut snapshot = Snapshot::default();
+        snapshot.set_data(state.into());
+        let metadata = snapshot.mut_metadata();
+        metadata.index = 1;
+        metadata.term = 1;
+        metadata.mut_conf_state().set_voters(vec![id]);
+        let mut hard_state = HardState::default();
+        hard_state.term = 1;
+        hard_state.commit = 1;
+        Image {
+            id,
+            hard_state: encode(&hard_state),
+            snapshot: encode(&snapshot),
+            entries: BTreeMap::new(),
+        }
+    }
+
+    /// The one write that leads from a blank disk to this image.
+    pub fn to_save(&self) -> Save {
+        let first = self.entries.keys().next().copied();
+        Save {
+            hard_state: Some(self.hard_state.clone()),
+            snapshot: Some((0, self.snapshot.clone())),
+            entries: first.map(|first| (first, self.entries.values().cloned().collect())),
+        }
+    }
+
+    /// Changes the image as the write changes the disk.
+    pub fn apply(&mut self, save: Save) {
+        if let Some(hard_state) = save.hard_state {
+            self.hard_state = hard_state;
+        }
+        if let Some((index, snapshot)) = save.snapshot {
+            self.snapshot = snapshot;
+            self.entries.retain(|i, _| *i > index);
+        }
+        if let Some((first, entries)) = save.entries {
+            self.entries.retain(|i, _| *i < first);
+            self.entries.extend((first..).zip(entries));
+        }
+    }
+}
+
+/// The message's bytes. Writing to memory fails only for a message with a missing required field; these have none.
+pub(crate) fn encode(message: &dyn Message) -> Vec<u8> {
+    message.write_to_bytes().unwrap_or_default()
+}
--- /dev/null
+++ b/crates/raft-replica/src/replica/membership.rs
@@ -0,0 +1,128 @@
+//! How the voters change: blank replicas ask to join, receive the log and then vote in place of an earlier id.
+
+use super::Replica;
+use crate::state::MembershipChange;
+use ironstair::Ms;
+use ironstair_coordination::Policy;
+use raft::prelude::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
+use raft::{ProgressState, SnapshotStatus};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+/// How long a join request is valid, in ms; a blank replica repeats it as long as it is blank.
+const JOIN_REQUEST_VALID_FOR: Ms = 3000.0;
+/// Join requests that are remembered of replicas which are no voters.
+const MAX_JOIN_REQUESTS: usize = 64;
+/// A snapshot that was not acknowledged is sent again after this, in ms.
+const SNAPSHOT_TIMEOUT: Ms = 2000.0;
+
+/// A blank replica's request to join.
+pub(super) struct JoinRequest {
+    id: u64,
+    received_at: Ms,
+}
+
+impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
+    /// Whether a voter is being replaced: until that is over, a further lost disk is one too many.
+    pub fn is_replacing_voter(&self) -> bool {
+        let conf_state = self.node.raft.prs().conf().to_conf_state();
+        !self.state.joining.is_empty() || !conf_state.get_voters_outgoing().is_empty()
+    }
+
+    /// The name and id that this replica sends to the others as long as it is blank.
+    pub fn join_request(&self) -> Option<(String, u64)> {
+        self.is_blank().then(|| (self.name.clone(), self.id))
+    }
+
+    /// Takes the join request of a blank replica.
+    pub fn handle_join_request(&mut self, name: String, id: u64) {
+        let voter = self.state.voters.get(&name);
+        let has_room = voter.is_some() || self.join_requests.len() < MAX_JOIN_REQUESTS;
+        if has_room && voter != Some(&id) {
+            let received_at = self.now;
+            self.join_requests
+                .insert(name, JoinRequest { id, received_at });
+        }
+    }
+
+    /// Lets in one replica at a time: first it receives the log, then it votes in place of the id that its name had.
+    pub(super) fn admit_joining_replica(&mut self) {
+        self.drop_old_join_requests();
+        if self.node.raft.has_pending_conf() {
+            return;
+        }
+        let Some((name, request)) = self.join_requests.first_key_value() else {
+            return;
+        };
+        let id = request.id;
+        let receives_log = self.state.joining.get(name) == Some(&id);
+        let matched = self.node.raft.prs().get(id).map_or(0, |p| p.matched);
+        let has_log = matched + 1 >= self.node.raft.raft_log.committed;
+        if receives_log && !has_log {
+            return;
+        }
+        let change = MembershipChange {
+            name: name.clone(),
+            id,
+            votes: receives_log,
+        };
+        self.propose_membership(&change);
+    }
+
+    /// Drops the requests of ids that vote by now, and those that were not repeated: nobody has such an id any more,
+    /// and admitting it would block the others.
+    fn drop_old_join_requests(&mut self) {
+        let voters = &self.state.voters;
+        let now = self.now;
+        self.join_requests.retain(|name, request| {
+            let is_voter = voters.get(name) == Some(&request.id);
+            !is_voter && now < request.received_at + JOIN_REQUEST_VALID_FOR
+        });
+    }
+
+    fn propose_membership(&mut self, change: &MembershipChange) {
+        let (replaced, kind) = if change.votes {
+            (self.state.voters.get(&change.name), ConfChangeType::AddNode)
+        } else {
+            let joining = self.state.joining.get(&change.name);
+            (joining, ConfChangeType::AddLearnerNode)
+        };
+        let removal = replaced.map(|id| single_change(*id, ConfChangeType::RemoveNode));
+        let addition = single_change(change.id, kind);
+        let changes: Vec<ConfChangeSingle> = removal.into_iter().chain([addition]).collect();
+        let mut conf_change = ConfChangeV2::default();
+        conf_change.set_changes(changes.into());
+        let context = serde_json::to_vec(change).unwrap_or_default();
+        conf_change.set_context(context.into());
+        // Where the library rejects it, the next look proposes it again.
+        let _ = self.node.propose_conf_change(Vec::new(), conf_change);
+    }
+
+    /// Reports a snapshot as failed that was not acknowledged in time. It may have got lost, or its acknowledgement,
+    /// and the library sends nothing else until it hears of that.
+    pub(super) fn retry_lost_snapshots(&mut self) {
+        let waiting: Vec<u64> = self
+            .node
+            .raft
+            .prs()
+            .iter()
+            .filter(|(_, progress)| progress.state == ProgressState::Snapshot)
+            .map(|(id, _)| *id)
+            .collect();
+        self.snapshots_sent_at.retain(|id, _| waiting.contains(id));
+        for id in waiting {
+            let sent_at = *self.snapshots_sent_at.entry(id).or_insert(self.now);
+            if self.now >= sent_at + SNAPSHOT_TIMEOUT {
+                self.snapshots_sent_at.remove(&id);
+                self.node.report_snapshot(id, SnapshotStatus::Failure);
+            }
+        }
+    }
+}
+
+fn single_change(id: u64, kind: ConfChangeType) -> ConfChangeSingle {
+    let mut change = ConfChangeSingle::default();
+    change.set_node_id(id);
+    change.set_change_type(kind);
+    change
+}
--- a/crates/raft-replica/tests/knock.rs
+++ b/crates/raft-replica/tests/join_requests.rs
@@ -1,7 +1,7 @@
 //! Who is let in among the voters.
 
 use ironstair_coordination::Policy;
-use ironstair_raft_replica::{Out, Replica, TICK};
+use ironstair_raft_replica::{Output, Replica, TICK};
 use serde::{Deserialize, Serialize};
 use slog::{o, Discard, Logger};
 
@@ -16,16 +16,16 @@
 
 /// A voter alone, once it is the leader; whom it lets in that knocked so long before.
 fn joining(before: f64) -> Vec<String> {
-    let image = Replica::begin("a", 1, 7, Pol(1), None).unwrap();
+    let image = Replica::bootstrap_image("a", 1, 7, Pol(1), None).unwrap();
     let log = Logger::root(Discard, o!());
     let mut replica: Replica<Pol> = Replica::open("a", 0, 1000.0, &image, 0.0, &log).unwrap();
-    replica.knocked("b".into(), 99);
+    replica.handle_join_request("b".into(), 99);
     let mut now = before;
     for _ in 0..40 {
         now += TICK;
         let mut outs = replica.tick(now);
-        while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = replica.saved(now);
+        while outs.iter().any(|o| matches!(o, Output::Save(_))) {
+            outs = replica.save_completed(now);
         }
     }
     assert!(replica.leader().is_some());
--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -6,8 +6,8 @@
 
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::{ChangeProposal, Record, Session};
-use ironstair_coordination::{Fleet, Heartbeat, Policy};
-use ironstair_raft_replica::{Image, Out, Replica, Save, State, TICK};
+use ironstair_coordination::{Fleet, Heartbeat, Policy, Validation};
+use ironstair_raft_replica::{Image, Output, Replica, Save, State, TICK};
 use protobuf::Message as _;
 use raft::prelude::{ConfChangeV2, Entry, EntryType, HardState, Message, Snapshot};
 use serde::{Deserialize, Serialize};
@@ -65,9 +65,12 @@
 }
 
 fn disk_lines(name: &str, save: &Save) -> Vec<String> {
-    let hard = save.hard.iter().map(|h| format!("{name} vote {}", hex(h)));
+    let hard = save
+        .hard_state
+        .iter()
+        .map(|h| format!("{name} vote {}", hex(h)));
     let whole = save
-        .whole
+        .snapshot
         .iter()
         .map(|(index, w)| format!("{name} snapshot {index} {}", hex(w)));
     let entries = save.entries.iter().flat_map(|(first, all)| {
@@ -81,22 +84,25 @@
 
 impl Run {
     fn add(&mut self, name: &'static str, election_rank: usize, image: Image) {
-        self.lines.extend(disk_lines(name, &image.step()));
+        self.lines.extend(disk_lines(name, &image.to_save()));
         self.voters
             .insert(name, open(name, election_rank, &image, self.now));
         self.images.insert(name, image);
     }
 
-    fn carry(&mut self, name: &'static str, outs: Vec<Out<Limit>>) {
+    fn carry(&mut self, name: &'static str, outs: Vec<Output<Limit>>) {
         let mut waiting: VecDeque<_> = outs.into_iter().map(|out| (name, out)).collect();
         while let Some((from, out)) = waiting.pop_front() {
             let (by, more) = match out {
-                Out::Save(save) => {
+                Output::Save(save) => {
                     self.lines.extend(disk_lines(from, &save));
-                    self.images.get_mut(from).unwrap().take(save);
-                    (from, self.voters.get_mut(from).unwrap().saved(self.now))
+                    self.images.get_mut(from).unwrap().apply(save);
+                    (
+                        from,
+                        self.voters.get_mut(from).unwrap().save_completed(self.now),
+                    )
                 }
-                Out::Send(to, sent) => {
+                Output::Send(to, sent) => {
                     let kind = format!(
                         "{:?}",
                         Message::parse_from_bytes(&sent).unwrap().get_msg_type()
@@ -108,9 +114,11 @@
                     let Some((to, replica)) = self.voters.iter_mut().find(|k| *k.0 == to) else {
                         continue;
                     };
-                    (*to, replica.message(self.now, from, &sent))
+                    (*to, replica.handle_message(self.now, from, &sent))
+                }
+                Output::HeartbeatResponse(..) | Output::NotLeader(..) | Output::DiskOutdated => {
+                    continue
                 }
-                Out::HeartbeatResponse(..) | Out::NotLeader(..) | Out::Older => continue,
             };
             waiting.extend(more.into_iter().map(|out| (by, out)));
         }
@@ -127,8 +135,11 @@
             self.now += TICK;
             let names: Vec<&'static str> = self.voters.keys().copied().collect();
             names.iter().for_each(|name| self.tick(name));
-            if let Some((name, id)) = self.voters.get("b").and_then(Replica::knock) {
-                self.voters.get_mut("a").unwrap().knocked(name, id);
+            if let Some((name, id)) = self.voters.get("b").and_then(Replica::join_request) {
+                self.voters
+                    .get_mut("a")
+                    .unwrap()
+                    .handle_join_request(name, id);
             }
             if member {
                 self.heartbeat();
@@ -138,13 +149,16 @@
 
     fn heartbeat(&mut self) {
         let fleet = &self.voters["a"].state().fleet;
-        let validated = fleet.change.as_ref().map(|c| (c.number, Ok(())));
+        let validated = fleet
+            .change
+            .as_ref()
+            .map(|c| Validation::accepted(c.number));
         let heartbeat = Heartbeat {
             name: "g1".into(),
             start: 11,
             sent: self.now,
             generation: fleet.generation,
-            policy_index: fleet.policy_index,
+            applied_index: fleet.policy_index,
             last_answered: self.now - TICK,
             steady: true,
             validated,
@@ -165,7 +179,7 @@
             .voters
             .get_mut("a")
             .unwrap()
-            .ask(self.now, ask)
+            .submit(self.now, ask)
             .unwrap();
         self.carry("a", outs);
     }
@@ -199,7 +213,7 @@
     run.add(
         "a",
         0,
-        Replica::begin("a", 1, HISTORY, Limit { limit: 10.5 }, None).unwrap(),
+        Replica::bootstrap_image("a", 1, HISTORY, Limit { limit: 10.5 }, None).unwrap(),
     );
     run.go_on(40, true);
     run.add("b", 1, Image::blank(22));
@@ -242,11 +256,11 @@
     for line in lines.lines() {
         let save = match line.split(' ').collect::<Vec<_>>()[..] {
             [by, "vote", hard] if by == name => Save {
-                hard: Some(bytes(hard)),
+                hard_state: Some(bytes(hard)),
                 ..Save::default()
             },
             [by, "snapshot", index, whole] if by == name => Save {
-                whole: Some((index.parse().unwrap(), bytes(whole))),
+                snapshot: Some((index.parse().unwrap(), bytes(whole))),
                 ..Save::default()
             },
             [by, "entry", index, entry] if by == name => Save {
@@ -255,7 +269,7 @@
             },
             _ => continue,
         };
-        image.take(save);
+        image.apply(save);
     }
     image
 }
@@ -326,12 +340,13 @@
         let (hex, written) = match line.split(' ').collect::<Vec<_>>()[..] {
             [_, "vote", h] => (h, again::<HardState>(h, |_| ())),
             [_, "snapshot", _, h] => {
-                let read = |whole: &Snapshot| {
-                    if !whole.get_data().is_empty() {
-                        let state: State<Limit> = serde_json::from_slice(whole.get_data()).unwrap();
+                let read = |snapshot: &Snapshot| {
+                    if !snapshot.get_data().is_empty() {
+                        let state: State<Limit> =
+                            serde_json::from_slice(snapshot.get_data()).unwrap();
                         assert_eq!(
                             serde_json::to_vec(&state).unwrap(),
-                            whole.get_data(),
+                            snapshot.get_data(),
                             "{at}"
                         );
                     }
--- a/crates/raft-replica/tests/seeded.rs
+++ b/crates/raft-replica/tests/seeded.rs
@@ -6,7 +6,7 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Policy};
-use ironstair_raft_replica::{Image, Out, Replica, Save, TICK};
+use ironstair_raft_replica::{Image, Output, Replica, Save, TICK};
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -84,7 +84,7 @@
             log: Logger::root(Discard, o!()),
         };
         // A history begins at one voter; the others are let in as any whose disk is new.
-        w.all[0].image = Replica::begin("k0", 1, 77, Pol(0, 0), None).unwrap();
+        w.all[0].image = Replica::bootstrap_image("k0", 1, 77, Pol(0, 0), None).unwrap();
         for i in 1..VOTERS {
             w.all[i].image = Image::blank(1 + i as u64);
         }
@@ -118,23 +118,23 @@
         }
     }
 
-    fn carry(&mut self, i: usize, outs: Vec<Out<Pol>>) {
+    fn carry(&mut self, i: usize, outs: Vec<Output<Pol>>) {
         for out in outs {
             match out {
-                Out::Save(save) => {
+                Output::Save(save) => {
                     let slow = if self.below(50) == 0 { 1000 } else { 8 };
                     let at = self.now + self.below(slow) as f64;
                     self.all[i].saving = Some((at, save));
                 }
-                Out::Send(to, bytes) => {
+                Output::Send(to, bytes) => {
                     let to = NAMES.iter().position(|n| *n == to).unwrap();
                     self.send(i, to, Mail::Library(bytes));
                 }
-                Out::HeartbeatResponse(token, answer) => {
+                Output::HeartbeatResponse(token, answer) => {
                     self.send(i, token as usize, Mail::HeartbeatResponse(answer))
                 }
-                Out::NotLeader(token, to) => self.send(i, token as usize, Mail::NotLeader(to)),
-                Out::Older => panic!("an older copy of a disk, where none was put back"),
+                Output::NotLeader(token, to) => self.send(i, token as usize, Mail::NotLeader(to)),
+                Output::DiskOutdated => panic!("an older copy of a disk, where none was put back"),
             }
         }
     }
@@ -145,7 +145,7 @@
             let Some(member) = self.all[i].member.as_mut() else {
                 return;
             };
-            for action in member.on(now, input) {
+            for action in member.handle(now, input) {
                 match action {
                     Action::Heartbeat(heartbeat) => {
                         let to = self.all[i].speaks_to;
@@ -167,7 +167,7 @@
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Validated { number, how });
+                        inputs.push(Input::Validated((number, how).into()));
                     }
                     Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
@@ -208,19 +208,19 @@
             }
             if self.all[i].saving.as_ref().is_some_and(|s| s.0 <= self.now) {
                 let (_, save) = self.all[i].saving.take().unwrap();
-                self.all[i].image.take(save);
+                self.all[i].image.apply(save);
                 let now = self.now;
                 let outs = self.all[i]
                     .replica
                     .as_mut()
-                    .map(|k| k.saved(now))
+                    .map(|k| k.save_completed(now))
                     .unwrap_or_default();
                 self.carry(i, outs);
             }
             let tick = self.now % TICK < 5.0;
             if let Some(replica) = self.all[i].replica.as_mut().filter(|_| tick) {
                 let outs = replica.tick(self.now);
-                let knock = replica.knock();
+                let knock = replica.join_request();
                 self.carry(i, outs);
                 for to in (0..VOTERS).filter(|to| *to != i) {
                     if let Some((name, id)) = knock.clone() {
@@ -231,7 +231,7 @@
             if self.all[i]
                 .member
                 .as_ref()
-                .is_some_and(|m| m.due() <= self.now)
+                .is_some_and(|m| m.next_heartbeat_at() <= self.now)
             {
                 if self.now > self.all[i].last_answered + LEASE / 2.0 {
                     self.all[i].speaks_to = (self.all[i].speaks_to + 1) % VOTERS;
@@ -262,13 +262,13 @@
                 self.all[to]
                     .replica
                     .iter_mut()
-                    .for_each(|k| k.knocked(name.clone(), id));
+                    .for_each(|k| k.handle_join_request(name.clone(), id));
             }
             Mail::Library(bytes) => {
                 let outs = self.all[to]
                     .replica
                     .as_mut()
-                    .map(|k| k.message(now, NAMES[from], &bytes));
+                    .map(|k| k.handle_message(now, NAMES[from], &bytes));
                 self.carry(to, outs.unwrap_or_default());
             }
             Mail::Heartbeat(token, heartbeat) => {
@@ -298,11 +298,15 @@
             .skip(VOTERS)
             .filter(|(i, _)| self.runs(*i))
         {
-            let Some(m) = p.member.as_ref().filter(|m| m.holds(self.now)) else {
+            let Some(m) = p.member.as_ref().filter(|m| m.has_lease(self.now)) else {
                 continue;
             };
             let pol = p.holding.expect("decides by no policy");
-            let newer = self.marks.range(m.held().1 + 1..).next().map(|m| *m.1);
+            let newer = self
+                .marks
+                .range(m.applied_state().applied_index + 1..)
+                .next()
+                .map(|m| *m.1);
             assert!(
                 newer.is_none_or(|t| self.now < t + LEASE),
                 "together: {i} is late"
@@ -365,7 +369,7 @@
             document,
             commit,
         };
-        let Ok(outs) = replica.ask(now, Command::Change(proposal)) else {
+        let Ok(outs) = replica.submit(now, Command::Change(proposal)) else {
             return false;
         };
         self.carry(i, outs);
@@ -398,16 +402,16 @@
                         },
                     };
                     let now = self.now;
-                    let outs = self.all[c].replica.as_mut().map(|k| k.ask(now, ask));
+                    let outs = self.all[c].replica.as_mut().map(|k| k.submit(now, ask));
                     self.carry(c, outs.and_then(Result::ok).unwrap_or_default());
                 }
             }
             4 | 5 => self.crash(i, ms, false),
             6 => {
-                // A disk is lost only beside two that are whole: more is no minority.
+                // A disk is lost only beside two that are snapshot: more is no minority.
                 let others = (0..VOTERS).filter(|k| *k != i);
                 let whole = others.filter(|k| {
-                    let ready = |k: &Replica<Pol>| !k.is_blank() && !k.replacing();
+                    let ready = |k: &Replica<Pol>| !k.is_blank() && !k.is_replacing_voter();
                     self.all[*k]
                         .replica
                         .as_ref()
@@ -447,7 +451,7 @@
         self.all[VOTERS..].iter().all(|p| {
             p.member
                 .as_ref()
-                .is_some_and(|m| m.holds(self.now) && m.held().1 == newest)
+                .is_some_and(|m| m.has_lease(self.now) && m.applied_state().applied_index == newest)
         }) && self.all[..VOTERS]
             .iter()
             .all(|p| p.replica.as_ref().is_some_and(|k| !k.is_blank()))
--- /dev/null
+++ b/crates/raft-storage/src/error.rs
@@ -0,0 +1,77 @@
+//! Why a disk can't be used.
+
+use std::io;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// Why a disk can't be opened or written.
+#[derive(Debug, Error)]
+pub enum StorageError {
+    /// The folder can't be created, or the file can't be read or written.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The folder or file.
+        path: PathBuf,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file is larger than any that this package writes.
+    #[error("{}: {bytes} bytes are too large for a log", path.display())]
+    TooLarge {
+        /// The file.
+        path: PathBuf,
+        /// Its size.
+        bytes: u64,
+    },
+    /// The file was written in the form of another version.
+    #[error("{}: its form {found} is of another version than {supported}", path.display())]
+    UnsupportedForm {
+        /// The file.
+        path: PathBuf,
+        /// The form that the file has.
+        found: u32,
+        /// The form that this version reads.
+        supported: u32,
+    },
+    /// The file is of another gateway or fleet.
+    #[error(
+        "{}: it is of gateway {gateway} in fleet {fleet}, not of {wanted_gateway} in {wanted_fleet}",
+        path.display()
+    )]
+    OtherOwner {
+        /// The file.
+        path: PathBuf,
+        /// The gateway that the file is of.
+        gateway: String,
+        /// The fleet that the file is of.
+        fleet: String,
+        /// The gateway that opens it.
+        wanted_gateway: String,
+        /// The fleet of the gateway that opens it.
+        wanted_fleet: String,
+    },
+    /// The file is not open.
+    #[error("{}: the log is not open", path.display())]
+    Closed {
+        /// The file.
+        path: PathBuf,
+    },
+    /// A record can't be encoded.
+    #[error("the record can't be encoded: {0}")]
+    Encode(#[from] postcard::Error),
+    /// A record is larger than its length field can say.
+    #[error("a record of {bytes} bytes is too long")]
+    RecordTooLong {
+        /// Its length.
+        bytes: usize,
+    },
+}
+
+/// Why a file's content can't be trusted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(crate) enum Corruption {
+    #[error("what is at byte {at} is not what was written")]
+    Record { at: usize },
+    #[error("it does not say whose it is")]
+    Owner,
+}
--- a/crates/raft-storage/tests/disk.rs
+++ b/crates/raft-storage/tests/disk.rs
@@ -18,19 +18,19 @@
         |first: u64, last: u64| Some((first, (first..=last).map(|n| record(n as u8)).collect()));
     vec![
         Save {
-            hard: Some(b"vote 1".to_vec()),
+            hard_state: Some(b"vote 1".to_vec()),
             entries: entries(2, 10),
-            whole: None,
+            snapshot: None,
         },
         Save {
-            hard: Some(b"vote 2".to_vec()),
+            hard_state: Some(b"vote 2".to_vec()),
             entries: Some((8, vec![record(200)])),
-            whole: None,
+            snapshot: None,
         },
         Save {
-            whole: Some((5, b"all up to 5".to_vec())),
+            snapshot: Some((5, b"all up to 5".to_vec())),
             entries: entries(9, 11),
-            hard: None,
+            hard_state: None,
         },
     ]
 }
@@ -71,7 +71,10 @@
             Some((length, want)) => {
                 assert_eq!((&image, note.is_some()), (want, cut > *length), "{cut}")
             }
-            None => assert!(image.entries.is_empty() && image.whole.is_empty(), "{cut}"),
+            None => assert!(
+                image.entries.is_empty() && image.snapshot.is_empty(),
+                "{cut}"
+            ),
         }
     }
     // Longer than what was written to it.
@@ -91,7 +94,7 @@
         let (image, note) = found(&bytes);
         assert_eq!(image, Image::blank(8), "{at}");
         assert!(
-            note.is_some_and(|n| n.contains("put aside as fleet.log.aside-1")),
+            note.is_some_and(|n| n.contains("quarantined as fleet.log.aside-1")),
             "{at}"
         );
     }
@@ -113,10 +116,11 @@
             "it is of gateway g1 in fleet north, not of g1 in south",
         ),
     ] {
-        let told = Storage::open(folder.path(), fleet, gateway, 9)
+        let error = Storage::open(folder.path(), fleet, gateway, 9)
             .err()
-            .unwrap();
-        assert!(told.ends_with(why), "{told}");
+            .unwrap()
+            .to_string();
+        assert!(error.ends_with(why), "{error}");
     }
     assert_eq!(
         open(folder.path(), 9).storage.image(),
@@ -124,8 +128,11 @@
     );
     // A folder that can't be one: the sentence names it.
     let file = folder.path().join(FILE);
-    let told = Storage::open(&file, "north", "g1", 9).err().unwrap();
-    assert!(told.starts_with(&file.display().to_string()), "{told}");
+    let error = Storage::open(&file, "north", "g1", 9)
+        .err()
+        .unwrap()
+        .to_string();
+    assert!(error.starts_with(&file.display().to_string()), "{error}");
 }
 
 #[test]
@@ -138,14 +145,15 @@
     std::fs::create_dir(folder.path().join("fleet.new")).unwrap();
     let filling = std::iter::from_fn(|| {
         Some(storage.save(Save {
-            hard: Some(vec![1]),
+            hard_state: Some(vec![1]),
             ..Save::default()
         }))
     });
     let refused = filling.take(2000).find_map(Result::err).unwrap();
+    let refused = refused.to_string();
     assert!(refused.contains("fleet.log"), "{refused}");
     let held = Image {
-        hard: vec![1],
+        hard_state: vec![1],
         ..before
     };
     assert_eq!(storage.image(), &held);
--- a/crates/raft-storage/tests/pinned_forms.rs
+++ b/crates/raft-storage/tests/pinned_forms.rs
@@ -42,24 +42,24 @@
         Some((first, texts.iter().map(|t| t.as_bytes().to_vec()).collect()))
     };
     let all = Save {
-        hard: Some(b"vote 3".to_vec()),
-        whole: Some((3, b"all up to 3".to_vec())),
+        hard_state: Some(b"vote 3".to_vec()),
+        snapshot: Some((3, b"all up to 3".to_vec())),
         entries: entries(5, &["entry 5 anew"]),
     };
     vec![
         Save {
-            hard: Some(b"vote 1".to_vec()),
-            whole: None,
+            hard_state: Some(b"vote 1".to_vec()),
+            snapshot: None,
             entries: None,
         },
         Save {
-            hard: None,
-            whole: Some((1, b"all up to 1".to_vec())),
+            hard_state: None,
+            snapshot: Some((1, b"all up to 1".to_vec())),
             entries: None,
         },
         Save {
-            hard: None,
-            whole: None,
+            hard_state: None,
+            snapshot: None,
             entries: entries(2, &["entry 2", "entry 3", "entry 4", "entry 5"]),
         },
         all,
@@ -71,8 +71,8 @@
 fn image() -> Image {
     Image {
         id: 0x0102_0304_0506_0708,
-        hard: b"vote 3".to_vec(),
-        whole: b"all up to 3".to_vec(),
+        hard_state: b"vote 3".to_vec(),
+        snapshot: b"all up to 3".to_vec(),
         entries: BTreeMap::from([(4, b"entry 4".to_vec()), (5, b"entry 5 anew".to_vec())]),
     }
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -69,10 +69,12 @@
         };
         if let Some((_, record)) = self.writing.take_if(|w| w.0 <= now) {
             self.fleet.apply(record);
-            leader.applied();
+            leader.record_settled();
         }
         if self.writing.is_none() {
-            self.writing = leader.next(now, &self.fleet).map(|r| (now + ROUND, r));
+            self.writing = leader
+                .next_record(now, &self.fleet)
+                .map(|r| (now + ROUND, r));
         }
     }
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -11,7 +11,7 @@
     Actions, Cost, Endpoint, EndpointState, Ms, Outcome, PolicyConfig, Request as Asks,
 };
 use ironstair_coordination::member::{Action, Input};
-use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Share};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Share, Validation};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -230,7 +230,7 @@
             .then(|| Member::new(&format!("g{g:04}"), start, false, self.day.lease_ms as f64))
             .map(|m| {
                 if self.day.proves_ends {
-                    m.holding(format!("place {g}"))
+                    m.with_exclusive_resource(format!("place {g}"))
                 } else {
                     m
                 }
@@ -707,7 +707,7 @@
         let decides = self
             .gates
             .iter()
-            .filter(|g| g.up && g.member.as_ref().is_some_and(|m| m.holds(now)));
+            .filter(|g| g.up && g.member.as_ref().is_some_and(|m| m.has_lease(now)));
         let shares = decides
             .filter_map(|g| g.share)
             .filter(|s| s.taken)
@@ -727,7 +727,7 @@
             let Some(member) = self.gates[g].member.as_mut() else {
                 return;
             };
-            for action in member.on(now, input) {
+            for action in member.handle(now, input) {
                 match action {
                     Action::Heartbeat(heartbeat) => {
                         self.figures.at(now).heartbeats += 1;
@@ -739,16 +739,15 @@
                     Action::Apply { policy_index, .. } => {
                         inputs.push(Input::Applied { policy_index })
                     }
-                    Action::Validate { number, .. } => inputs.push(Input::Validated {
-                        number,
-                        how: Ok(()),
-                    }),
+                    Action::Validate { number, .. } => {
+                        inputs.push(Input::Validated(Validation::accepted(number)))
+                    }
                     Action::SetLease(until, share) => self.holds(g, until, share),
                     Action::LogWarning(_) => {}
                 }
             }
         }
-        let Some(due) = self.gates[g].member.as_ref().map(Member::due) else {
+        let Some(due) = self.gates[g].member.as_ref().map(Member::next_heartbeat_at) else {
             return;
         };
         self.gates[g].heartbeats += 1;
