--- a/crates/raft-replica/src/image.rs
+++ b/crates/raft-replica/src/image.rs
@@ -48,9 +48,11 @@
         metadata.index = 1;
         metadata.term = 1;
         metadata.mut_conf_state().set_voters(vec![id]);
-        let mut hard_state = HardState::default();
-        hard_state.term = 1;
-        hard_state.commit = 1;
+        let hard_state = HardState {
+            term: 1,
+            commit: 1,
+            ..HardState::default()
+        };
         Image {
             id,
             hard_state: encode(&hard_state),
