--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -64,7 +64,7 @@
 /// What a member has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AppliedState {
-    /// The cluster generation that it was told, 0 for none.
+    /// The cluster generation that it follows, 0 for none.
     pub generation: u64,
     /// The index of the policy that is applied, 0 for none.
     pub applied_index: u64,
--- a/crates/coordination/src/share_counter.rs
+++ b/crates/coordination/src/share_counter.rs
@@ -69,7 +69,7 @@
 /// What operators are shown of the shares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareTotals {
-    /// The count that members are told.
+    /// The count that members receive with their leases.
     pub gateways: f64,
     /// How many of them use a share.
     pub sharing: usize,
--- a/crates/coordination/tests/leader.rs
+++ b/crates/coordination/tests/leader.rs
@@ -56,22 +56,18 @@
     }
 
     fn of_start(&self, name: &str, start: u64) -> Heartbeat {
-        let (generation, applied_index, sent) = (7, self.fleet.policy_index, self.now);
-        let (name, last_answered, steady, validated, leaving) =
-            (name.into(), sent, false, None, false);
-        let (takes_share, exclusive_resource) = (false, String::new());
         Heartbeat {
-            name,
+            name: name.into(),
             start,
-            sent,
-            generation,
-            applied_index,
-            last_answered,
-            steady,
-            validated,
-            leaving,
-            takes_share,
-            exclusive_resource,
+            sent: self.now,
+            generation: 7,
+            applied_index: self.fleet.policy_index,
+            last_answered: self.now,
+            steady: false,
+            validated: None,
+            leaving: false,
+            takes_share: false,
+            exclusive_resource: String::new(),
         }
     }
 
@@ -90,18 +86,15 @@
         written
     }
 
-    fn ask(&mut self, to: u8, commit: Option<f64>) -> Result<(), Refusal> {
-        let (author, summary) = (format!("op{to}"), "set".to_string());
-        let base_revision = self.fleet.policy_index;
-        let commit = commit.map(|span| ("c".to_string(), span));
+    fn propose(&mut self, to: u8, commit: Option<f64>) -> Result<(), Refusal> {
         let proposal = ChangeProposal {
             token: 1,
-            author,
+            author: format!("op{to}"),
             created_at: 0.0,
-            summary,
-            base_revision,
+            summary: "set".into(),
+            base_revision: self.fleet.policy_index,
             document: Pol(to),
-            commit,
+            commit: commit.map(|ms| ("c".to_string(), ms)),
         };
         self.leader.submit(&self.fleet, Command::Change(proposal))
     }
@@ -233,17 +226,21 @@
 #[test]
 fn one_change_at_a_time_and_none_that_has_nothing_in_common() {
     let mut d = LeaderHarness::of(&["a"], false);
-    assert_eq!(d.ask(9, None), Err(Refusal::NoIntersection));
-    assert_eq!(d.ask(2, None), Ok(()));
+    assert_eq!(d.propose(9, None), Err(Refusal::NoIntersection));
+    assert_eq!(d.propose(2, None), Ok(()));
     let under_way = |author: &str| {
         Err(Refusal::InProgress {
             number: 1,
             author: author.into(),
         })
     };
-    assert_eq!(d.ask(3, None), under_way("op2"), "before the log has it");
+    assert_eq!(
+        d.propose(3, None),
+        under_way("op2"),
+        "before the log has it"
+    );
     d.write();
-    assert_eq!(d.ask(3, None), under_way("op2"));
+    assert_eq!(d.propose(3, None), under_way("op2"));
     let no = Heartbeat {
         validated: Some(Validation::rejected(1, "it lacks a kind")),
         ..d.of_start("a", 1)
@@ -259,7 +256,7 @@
         (d.state(1), d.fleet.effective_policy()),
         (RevisionState::Refused, Some((0, Pol(1))))
     );
-    assert_eq!(d.ask(3, None), Ok(()));
+    assert_eq!(d.propose(3, None), Ok(()));
     d.through("a");
     assert_eq!(d.fleet.effective_policy(), Some((2, Pol(3))));
 }
@@ -267,7 +264,7 @@
 #[test]
 fn what_is_not_confirmed_in_its_time_is_rolled_back_by_the_same_steps() {
     let mut d = LeaderHarness::of(&["a"], false);
-    d.ask(2, Some(5000.0)).unwrap();
+    d.propose(2, Some(5000.0)).unwrap();
     d.through("a");
     assert_eq!(
         (d.state(1), d.fleet.effective_policy()),
@@ -298,7 +295,7 @@
 fn without_a_steady_member_nothing_is_decided_and_without_a_strict_one_it_is_after_its_lease() {
     for (steady, decided) in [(true, false), (false, true)] {
         let mut d = LeaderHarness::of(&["a", "b"], steady);
-        d.ask(2, None).unwrap();
+        d.propose(2, None).unwrap();
         d.now += 5.0 * LEASE;
         d.write();
         let yes = Heartbeat {
--- a/crates/raft-replica/tests/join_requests.rs
+++ b/crates/raft-replica/tests/join_requests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A voter alone, once it is the leader; whom it lets in that knocked so long before.
+/// A voter alone, once it is the leader; whom it lets in that asked to join so long before.
 fn joining(before: f64) -> Vec<String> {
     let image = Replica::bootstrap_image("a", 1, 7, Pol(1), None).unwrap();
     let log = Logger::root(Discard, o!());
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_number_given_long_ago_is_not_let_in() {
-    // Against a voter that began a history, or lost its disk again: its old number stood in everybody's way for good.
+    // Against a voter that was bootstrapped, or lost its disk again: its old id blocked every other replica for good.
     assert_eq!(
         (joining(0.0), joining(4000.0)),
         (vec!["b".to_string()], vec![])
--- a/crates/raft-storage/src/format.rs
+++ b/crates/raft-storage/src/format.rs
@@ -3,7 +3,7 @@
 //! A record is the length of its value, the CRC-32C of that length and the CRC-32C of the value (4 bytes each, little
 //! endian), then the value. Both checksums include the id of the disk's owner. The first record says whose the disk is,
 //! each further one is a write. A file that ends within a record, or in zeros, was being written when its process or
-//! machine ended: nobody was told of that write, and it is cut off. Any other fault means that writes which others depend
+//! machine ended: that write was never confirmed, and it is cut off. Any other fault means that writes which others depend
 //! on may be lost.
 
 use crate::error::{Corruption, StorageError};
@@ -59,7 +59,7 @@
     encode_record(owner.id, save)
 }
 
-/// The content of a file; none where it ends before the first record, which nobody was told of.
+/// The content of a file; none where it ends before the first record, which was never confirmed.
 pub(crate) fn decode_file(bytes: &[u8]) -> Result<Option<Content>, Corruption> {
     let (value, mut rest) = match next_record(NO_OWNER, bytes) {
         Next::Whole { value, rest } => (value, rest),
--- a/crates/raft-storage/tests/disk.rs
+++ b/crates/raft-storage/tests/disk.rs
@@ -52,7 +52,7 @@
     let folder = tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), bytes).unwrap();
     let Opened { storage, note } = open(folder.path(), 8);
-    // And the next start the same, without a word.
+    // And the next start the same, without a note.
     let image = storage.image().clone();
     let again = open(folder.path(), 9);
     assert_eq!((again.storage.image(), again.note), (&image, None));
@@ -66,7 +66,7 @@
     let bytes = std::fs::read(folder.path().join(FILE)).unwrap();
     for cut in 0..=bytes.len() {
         let (image, note) = found(&bytes[..cut]);
-        // Before the first step is whole, nobody rests on it: it begins under another number, or its own.
+        // Before the first step is whole, nobody depends on it: the disk is blank under another id, or its own.
         match all.iter().rfind(|(length, _)| *length <= cut) {
             Some((length, want)) => {
                 assert_eq!((&image, note.is_some()), (want, cut > *length), "{cut}")
@@ -141,7 +141,7 @@
     let mut storage = open(folder.path(), 7).storage;
     storage.save(steps().remove(0)).unwrap();
     let before = storage.image().clone();
-    // Beyond what the file may be it is written anew, which a folder in the place of the new file refuses.
+    // Beyond what the file may be it is rewritten, which a folder in the place of the new file refuses.
     std::fs::create_dir(folder.path().join("fleet.new")).unwrap();
     let filling = std::iter::from_fn(|| {
         Some(storage.save(Save {
