--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -425,7 +425,7 @@
             }
             AgentMessage::Saved(saved) => self.saved(*saved),
             AgentMessage::Known(how, document, answer) => self.begin(how, document, answer),
-            AgentMessage::KnownAnew(how, successor) => self.begin_anew(how, successor),
+            AgentMessage::KnownAnew(how, anew) => self.begin_anew(how, anew),
             AgentMessage::Heard(generation) => {
                 self.hear_of(generation);
                 let own = self
