--- a/crates/coordination/tests/count.rs
+++ b/crates/coordination/tests/share_counter.rs
@@ -1,12 +1,12 @@
 //! Shares of what all gateways share out, in every order of heartbeats, ends, starts and lost leaders: never more than the
 //! whole (`docs/design/recovery.md`, promise 2). Three gateways, of which the policy was made for two.
 
-mod played;
+mod support;
 
 use ironstair_coordination::member::Input;
 use ironstair_coordination::{Fleet, Leader, Record};
-use played::{Gate, Pol, LEASE};
 use stateright::{Checker, HasDiscoveries, Model, Property};
+use support::{Gate, Pol, LEASE};
 
 const GATES: usize = 3;
 
@@ -27,7 +27,7 @@
     leaders: u8,
 }
 
-played::hashed_as_shown!(World);
+support::hashed_as_shown!(World);
 
 #[derive(Clone, Debug, PartialEq)]
 enum Move {
@@ -56,18 +56,18 @@
 impl World {
     /// The leader looks, and the log takes what it writes.
     fn look(&mut self) {
-        while let Some(record) = self.leader.next(self.now, &self.fleet) {
+        while let Some(record) = self.leader.next_record(self.now, &self.fleet) {
             self.fleet.apply(record);
-            self.leader.applied();
+            self.leader.record_settled();
         }
     }
 
-    fn shares(&self) -> impl Iterator<Item = f64> + '_ {
+    fn takes_share(&self) -> impl Iterator<Item = f64> + '_ {
         let decides = self
             .gates
             .iter()
             .flatten()
-            .filter(|g| g.member.holds(self.now));
+            .filter(|g| g.member.has_lease(self.now));
         decides
             .map(|g| g.member.share())
             .filter(|s| s.taken)
@@ -81,10 +81,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 1,
+        fleet.apply(Record::Bootstrapped {
+            generation: 1,
             document: Pol(0, 0),
-            line: None,
+            revision: None,
         });
         let leader = Leader::new(-9.0, LEASE);
         let left = Budget {
@@ -110,7 +110,7 @@
         {
             w = self.next_state(&w, step).unwrap_or(w);
         }
-        assert_eq!(w.shares().sum::<f64>(), 1.0);
+        assert_eq!(w.takes_share().sum::<f64>(), 1.0);
         w.left = self.budget;
         vec![w]
     }
@@ -123,7 +123,7 @@
                 moves.push(Move::Start(i));
                 continue;
             };
-            moves.extend(g.is_leader_ready(w.now).then_some(Move::Talk(i)));
+            moves.extend(g.is_heartbeat_due(w.now).then_some(Move::Talk(i)));
             moves.extend(g.answer.is_some().then_some(Move::Hear(i)));
             moves.extend((w.left.ends > 0).then_some(Move::Kill(i)));
         }
@@ -168,10 +168,10 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no more than the whole", |_, w: &World| {
-                w.shares().sum::<f64>() <= 1.0 + 1e-9
+                w.takes_share().sum::<f64>() <= 1.0 + 1e-9
             }),
             Property::sometimes("the third has its share", |_, w: &World| {
-                w.shares().count() == GATES
+                w.takes_share().count() == GATES
             }),
         ]
     }
--- a/crates/coordination/tests/played/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,14 +1,14 @@
-//! What both models of a change of policy play with: a policy of numbers, a gateway with its member, and the
+//! What the models of a change of policy share: a policy of numbers, a gateway with its member, and the
 //! sentences of `docs/design/fleet.md` as questions to gateways.
 
-// Each model plays with a part of it.
+// Each model uses a part of it.
 #![allow(dead_code)]
 
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Policy};
 
-/// States are told apart by all that they show: the decisions bear figures, which can't be hashed.
+/// States are distinguished by all that they show: the decisions bear figures, which can't be hashed.
 macro_rules! hashed_as_shown {
     ($world:ty) => {
         impl Eq for $world {}
@@ -28,12 +28,12 @@
 /// What a gateway goes by that has learned nothing yet.
 const NONE: Pol = Pol(9, 9);
 
-/// A policy by its number, or the stricter of two.
+/// A policy by its number, or the intersection of two.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pol(pub u8, pub u8);
 
 impl Policy for Pol {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(Pol(self.0.min(other.0), self.1.max(other.1)))
     }
 
@@ -52,7 +52,7 @@
     pub answer: Option<HeartbeatResponse<Pol>>,
     /// Stopped between two instructions: nothing is handed to it.
     pub paused: bool,
-    /// What a timer last found, where a timer is asked in place of the clock.
+    /// What a timer last found, where a timer decides in place of the clock.
     pub by_timer: bool,
 }
 
@@ -60,7 +60,7 @@
     pub fn new(nth: usize, start: u64) -> Gate {
         let member = Member::new(["a", "b", "c"][nth], start, false, LEASE);
         // A later process of its name proves that this one has ended.
-        let member = member.holding(format!("place {nth}"));
+        let member = member.with_exclusive_resource(format!("place {nth}"));
         Gate {
             member,
             holding: NONE,
@@ -77,38 +77,47 @@
         let unread = |policy: Pol| nth == 1 && policy.0.max(policy.1) == UNREAD;
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for action in self.member.on(now, input) {
+            for action in self.member.handle(now, input) {
                 match action {
                     Action::Heartbeat(heartbeat) => {
-                        (self.heartbeat, self.unsent) = (Some(heartbeat), true)
+                        self.heartbeat = Some(heartbeat);
+                        self.unsent = true;
                     }
-                    Action::Apply { mark, document, .. } if unread(document) => {
+                    Action::Apply {
+                        policy_index,
+                        document,
+                        ..
+                    } if unread(document) => {
                         inputs.push(Input::Unable {
-                            mark,
-                            why: "a newer version".into(),
+                            policy_index,
+                            reason: "a newer version".into(),
                         });
                     }
-                    Action::Apply { mark, document, .. } => {
+                    Action::Apply {
+                        policy_index,
+                        document,
+                        ..
+                    } => {
                         self.holding = document;
-                        inputs.push(Input::Applied { mark });
+                        inputs.push(Input::Applied { policy_index });
                     }
-                    Action::Examine { number, document } => {
+                    Action::Validate { number, document } => {
                         let how = if unread(document) {
                             Err("a newer version".into())
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Examined { number, how });
+                        inputs.push(Input::Validated((number, how).into()));
                     }
-                    Action::Hold(..) | Action::Say(_) => {}
+                    Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
             }
         }
-        self.by_timer = self.member.holds(now);
+        self.by_timer = self.member.has_lease(now);
     }
 
-    pub fn is_leader_ready(&self, now: f64) -> bool {
-        self.unsent || self.member.due() <= now
+    pub fn is_heartbeat_due(&self, now: f64) -> bool {
+        self.unsent || self.member.next_heartbeat_at() <= now
     }
 
     /// The heartbeat that goes out now: one that waits, or that is due.
@@ -123,7 +132,7 @@
     /// Time has gone on for all that run: a timer of each looks.
     pub fn tick(&mut self, now: f64) {
         if !self.paused {
-            self.by_timer = self.member.holds(now);
+            self.by_timer = self.member.has_lease(now);
         }
     }
 
@@ -133,7 +142,7 @@
             && if by_timer {
                 self.by_timer
             } else {
-                self.member.holds(now)
+                self.member.has_lease(now)
             }
     }
 }
@@ -165,12 +174,12 @@
 }
 
 pub fn proposal(to: u8, base_revision: u64) -> ChangeProposal<Pol> {
-    let (who, what) = ("op".to_string(), "set".to_string());
+    let (author, summary) = ("op".to_string(), "set".to_string());
     ChangeProposal {
         token: to as u64,
-        who,
-        when: 0.0,
-        what,
+        author,
+        created_at: 0.0,
+        summary,
         base_revision,
         document: Pol(to, to),
         commit: None,
--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -191,7 +191,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.advance();
-            let until_heartbeat = span(self.member.due() - self.clock.now());
+            let until_heartbeat = span(self.member.next_heartbeat_at() - self.clock.now());
             tokio::select! {
                 message = self.mailbox.recv() => match message {
                     Some(message) => self.handle_message(message),
@@ -235,7 +235,7 @@
 
     /// What is due, and what others are to see of it.
     fn advance(&mut self) {
-        if self.clock.now() >= self.member.due() {
+        if self.clock.now() >= self.member.next_heartbeat_at() {
             self.drive_member(Input::Due);
         }
         self.answer_pending_commands();
@@ -247,17 +247,17 @@
 
     /// Hands one input to the member, and carries out what it wants.
     fn drive_member(&mut self, input: Input<Json>) {
-        for action in self.member.on(self.clock.now(), input) {
+        for action in self.member.handle(self.clock.now(), input) {
             match action {
                 Action::Heartbeat(heartbeat) => self.send_heartbeat(heartbeat),
                 Action::Apply {
-                    mark,
+                    policy_index,
                     number,
                     document,
-                } => self.apply_policy(mark, number, document),
-                Action::Examine { number, document } => self.validate_policy(number, document),
-                Action::Hold(until, share) => self.extend_lease(until, share),
-                Action::Say(reason) => {
+                } => self.apply_policy(policy_index, number, document),
+                Action::Validate { number, document } => self.validate_policy(number, document),
+                Action::SetLease(until, share) => self.extend_lease(until, share),
+                Action::LogWarning(reason) => {
                     warn!(self.log, "fleet membership problem"; "reason" => reason);
                 }
             }
@@ -294,7 +294,8 @@
     } else {
         exclusive_address(config.listen)
     };
-    Member::new(&config.name, identity.start, config.steady, config.lease).holding(proof_of_end)
+    Member::new(&config.name, identity.start, config.steady, config.lease)
+        .with_exclusive_resource(proof_of_end)
 }
 
 /// The listener's task, which ends with the process or when the listener fails.
--- a/crates/fleet-agent/src/actor/bootstrap.rs
+++ b/crates/fleet-agent/src/actor/bootstrap.rs
@@ -7,7 +7,7 @@
 use crate::message::{AgentMessage, BootstrapRequest};
 use crate::peer::{CallError, VoterConnection};
 use crate::prepared::random_number;
-use ironstair_coordination::history::first;
+use ironstair_coordination::generation::first;
 use ironstair_raft_replica::Replica;
 use ironstair_raft_storage::Storage;
 use serde_json::Value as Json;
@@ -70,9 +70,9 @@
         let replica_id = storage.image().id;
         let generation = first(random_number());
         let name = &self.config.name;
-        let image = Replica::begin(name, replica_id, generation, document, None)
+        let image = Replica::bootstrap_image(name, replica_id, generation, document, None)
             .map_err(StorageError::new)?;
-        let written = storage.begin(image).map_err(StorageError::new);
+        let written = storage.reset(image).map_err(StorageError::new);
         self.reopen_voter(storage, written)?;
         Ok(())
     }
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -40,9 +40,9 @@
             } => {
                 let proposal = ChangeProposal {
                     token: random_number(),
-                    who,
-                    when: self.clock.now(),
-                    what,
+                    author: who,
+                    created_at: self.clock.now(),
+                    summary: what,
                     base_revision,
                     document,
                     commit: commit.filter(|_| !is_disabled(Guard::ConfirmTimeout)),
@@ -53,7 +53,11 @@
                 self.relay_command(Command::Confirm { id }, answer)
             }
             FleetRequest::Cancel { id, who, answer } => {
-                self.relay_command(Command::Cancel { id: Some(id), who }, answer);
+                let command = Command::Cancel {
+                    id: Some(id),
+                    author: who,
+                };
+                self.relay_command(command, answer);
             }
             FleetRequest::Show(answer) => self.relay_status_request(answer),
             FleetRequest::RecoverFromDisaster {
@@ -152,17 +156,17 @@
             return Err(Refusal::Busy);
         }
         let Some(voter) = &mut self.voter else {
-            return Err(Refusal::NotBegun);
+            return Err(Refusal::NotBootstrapped);
         };
         let fleet = &voter.replica.state().fleet;
         if let Command::Change(proposal) = &mut command {
             if is_disabled(Guard::BaseRevision) {
-                proposal.base_revision = fleet.mark;
+                proposal.base_revision = fleet.policy_index;
             }
         }
         // One that comes again from another gateway is in the log already.
         if matches!(outcome(fleet, &command), Outcome::Unknown) {
-            let outputs = voter.replica.ask(self.clock.now(), command.clone())?;
+            let outputs = voter.replica.submit(self.clock.now(), command.clone())?;
             self.execute(outputs);
         }
         Ok(command)
--- a/crates/fleet-agent/src/actor/disaster_recovery.rs
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -10,8 +10,8 @@
 use crate::peer::VoterConnection;
 use crate::prepared::random_number;
 use ironstair::Ms;
-use ironstair_coordination::history::anew;
-use ironstair_coordination::{grace, RevisionState, RevisionSummary};
+use ironstair_coordination::generation::successor;
+use ironstair_coordination::{grace_period, RevisionState, RevisionSummary};
 use ironstair_raft_replica::Replica;
 use ironstair_runtime::clock::span;
 use serde_json::Value as Json;
@@ -41,7 +41,7 @@
         }
         let lease = self.config.lease;
         // Twice, and between them the longest lease that a leader which ended just now can have left.
-        let checks = [grace(lease), 0.0].map(|then_wait| LeaderCheck {
+        let checks = [grace_period(lease), 0.0].map(|then_wait| LeaderCheck {
             search: self.leader_search(),
             then_wait,
         });
@@ -82,10 +82,10 @@
         author: String,
     ) -> Result<(), BootstrapError> {
         let plan = self.plan_recovery(known, document, author)?;
-        let summary = plan.revision.what.clone();
-        let author = plan.revision.who.clone();
+        let summary = plan.revision.summary.clone();
+        let author = plan.revision.author.clone();
         let replica_id = random_number();
-        let image = Replica::begin(
+        let image = Replica::bootstrap_image(
             &self.config.name,
             replica_id,
             plan.generation,
@@ -99,8 +99,8 @@
             .and_then(|voter| voter.storage.take())
             .ok_or(BootstrapError::DiskBusy)?;
         let written = storage
-            .quarantined(replica_id)
-            .and_then(|_| storage.begin(image))
+            .quarantine(replica_id)
+            .and_then(|_| storage.reset(image))
             .map_err(StorageError::new);
         self.reopen_voter(storage, written)?;
         let generation = format!("{:016x}", plan.generation);
@@ -121,10 +121,10 @@
             return Err(BootstrapError::LeaderExists("this voter".into()));
         }
         let left = &voter.replica.state().fleet;
-        let remembered = self.member.held().0;
+        let remembered = self.member.applied_state().generation;
         let mut generations = known.to_vec();
-        generations.extend([left.history, remembered, self.latest_generation]);
-        let generation = anew(generations.iter().copied(), random_number())
+        generations.extend([left.generation, remembered, self.latest_generation]);
+        let generation = successor(generations.iter().copied(), random_number())
             .map_err(|error| BootstrapError::Generation(error.to_string()))?;
         let (document, with) = match &left.running {
             Some((number, running)) => (running.clone(), format!("revision {number}")),
@@ -138,9 +138,9 @@
         let revision = RevisionSummary {
             number: 0,
             token: 0,
-            who: author,
-            when: self.clock.now(),
-            what: format!(
+            author,
+            created_at: self.clock.now(),
+            summary: format!(
                 "disaster recovery after generation {lost:016x} with {with}: what was decided after that is lost; {silent} voters did not answer"
             ),
             state: RevisionState::Running,
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -26,7 +26,7 @@
             let _ = response.send(Err(LeaderHint::default()));
             return;
         }
-        self.note_generation(heartbeat.history);
+        self.note_generation(heartbeat.generation);
         self.submit_heartbeat(heartbeat, HeartbeatSource::Remote(response));
     }
 
@@ -49,7 +49,7 @@
     /// Once, not with each heartbeat.
     fn log_search_error(&mut self, error: NoLeader) {
         let is_known = self.last_search_error.as_ref() == Some(&error);
-        if is_known || self.member.holds(self.clock.now()) {
+        if is_known || self.member.has_lease(self.clock.now()) {
             return;
         }
         warn!(self.log, "no voter answers as the fleet's leader"; "error" => %error);
--- a/crates/fleet-agent/src/actor/membership.rs
+++ b/crates/fleet-agent/src/actor/membership.rs
@@ -4,7 +4,7 @@
 use crate::fault_injection::{is_disabled, Guard};
 use crate::message::{AgentMessage, JoinRequest};
 use ironstair::Ms;
-use ironstair_coordination::history::supersedes;
+use ironstair_coordination::generation::supersedes;
 
 /// How often a blank voter asks to join, in ms.
 const JOIN_REQUEST_INTERVAL: Ms = 500.0;
@@ -20,7 +20,7 @@
     pub(super) fn handle_join_request(&mut self, request: JoinRequest) {
         if let (Some(voter), Some(replica_id)) = (&mut self.voter, request.replica_id) {
             if self.config.voters.contains_key(&request.voter) {
-                voter.replica.knocked(request.voter, replica_id);
+                voter.replica.handle_join_request(request.voter, replica_id);
             }
         }
         let _ = request.response.send(self.known_generation());
@@ -29,7 +29,7 @@
     /// The cluster generation that is known here, 0 for none: a blank voter may remember what its disk knows no more.
     fn known_generation(&self) -> u64 {
         match self.generation_on_disk() {
-            0 => self.member.held().0,
+            0 => self.member.applied_state().generation,
             generation => generation,
         }
     }
@@ -38,7 +38,7 @@
     fn generation_on_disk(&self) -> u64 {
         self.voter
             .as_ref()
-            .map_or(0, |voter| voter.replica.state().fleet.history)
+            .map_or(0, |voter| voter.replica.state().fleet.generation)
     }
 
     /// A cluster generation that another voter knows; one that supersedes this voter's ends its log.
@@ -70,7 +70,7 @@
         let now = self.clock.now();
         let Some(voter) = &mut self.voter else { return };
         let outputs = voter.replica.tick(now);
-        let join_request = voter.replica.knock();
+        let join_request = voter.replica.join_request();
         if let Some((_, replica_id)) = join_request.filter(|_| now >= voter.join_request_due) {
             voter.join_request_due = now + JOIN_REQUEST_INTERVAL;
             self.request_join(replica_id);
--- a/crates/fleet-agent/src/actor/pending_commands.rs
+++ b/crates/fleet-agent/src/actor/pending_commands.rs
@@ -43,12 +43,12 @@
         match outcome(fleet, &pending.command) {
             // Who hears that it is done finds it done wherever he looks next.
             Outcome::Final(CommandResponse::Done(_))
-                if !is_overdue && !leader.all_hold(now, fleet) =>
+                if !is_overdue && !leader.have_all_applied(now, fleet) =>
             {
                 Progress::Waiting
             }
             Outcome::Final(response) => Progress::Finished(response),
-            Outcome::Unknown if !leader.waits(&pending.command) => Progress::PassedOver,
+            Outcome::Unknown if !leader.is_pending(&pending.command) => Progress::PassedOver,
             _ if is_overdue => {
                 let names = status::waits_for(now, fleet, leader).join(", ");
                 let why = format!(
@@ -62,7 +62,7 @@
 
     fn submit_again(&mut self, now: Ms, pending: PendingCommand) {
         let Some(voter) = &mut self.voter else { return };
-        match voter.replica.ask(now, pending.command.clone()) {
+        match voter.replica.submit(now, pending.command.clone()) {
             Ok(outputs) => {
                 self.execute(outputs);
                 self.pending_commands.push(pending);
--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -6,7 +6,7 @@
 use crate::message::AgentMessage;
 use ironstair::Ms;
 use ironstair_coordination::member::Input;
-use ironstair_coordination::Share;
+use ironstair_coordination::{Share, Validation};
 use ironstair_management::ManagementHandle;
 use ironstair_runtime::window::ManagementCommand;
 use serde_json::Value as Json;
@@ -32,12 +32,16 @@
         });
     }
 
-    pub(super) fn handle_policy_applied(&mut self, mark: u64, result: Result<(), PolicyError>) {
+    pub(super) fn handle_policy_applied(
+        &mut self,
+        policy_index: u64,
+        result: Result<(), PolicyError>,
+    ) {
         self.drive_member(match result {
-            Ok(()) => Input::Applied { mark },
+            Ok(()) => Input::Applied { policy_index },
             Err(error) => Input::Unable {
-                mark,
-                why: error.to_string(),
+                policy_index,
+                reason: error.to_string(),
             },
         });
     }
@@ -57,8 +61,8 @@
     }
 
     pub(super) fn handle_policy_validated(&mut self, number: u64, result: Result<(), PolicyError>) {
-        let how = result.map_err(|error| error.to_string());
-        self.drive_member(Input::Examined { number, how });
+        let rejection = result.err().map(|error| error.to_string());
+        self.drive_member(Input::Validated(Validation { number, rejection }));
     }
 
     /// Tells the gateway's thread until when it may decide (in ms of this process's clock), and its share of what all
--- a/crates/fleet-agent/src/actor/reporting.rs
+++ b/crates/fleet-agent/src/actor/reporting.rs
@@ -22,13 +22,13 @@
 
     /// Logs that a lease is held, or has expired.
     pub(super) fn log_lease(&mut self) {
-        let holds_lease = self.member.holds(self.clock.now());
+        let holds_lease = self.member.has_lease(self.clock.now());
         if holds_lease == self.lease_logged {
             return;
         }
         self.lease_logged = holds_lease;
         if holds_lease {
-            let revision = self.member.held().2;
+            let revision = self.member.applied_state().revision;
             info!(self.log, "lease held, fleet policy in force"; "revision" => revision);
         } else {
             warn!(self.log, "lease expired, rejecting new requests");
@@ -37,13 +37,13 @@
 
     /// Hands the manager what it shows of the fleet, where that has changed.
     pub(super) fn publish_status(&self) {
-        let (generation, _, revision) = self.member.held();
+        let applied = self.member.applied_state();
         let voter = self.voter.as_ref();
         let current = state::Fleet {
             name: self.config.fleet.clone(),
-            history: generation,
-            revision,
-            until: self.member.until(),
+            generation: applied.generation,
+            revision: applied.revision,
+            until: self.member.lease_end(),
             steady: self.config.steady,
             voter: voter.is_some(),
             leader: self.leader_name().unwrap_or_default(),
@@ -60,7 +60,7 @@
     /// A line in the log for each step of a change, at each voter.
     pub(super) fn log_revision_changes(&mut self) {
         let Some(voter) = &self.voter else { return };
-        let revisions = &voter.replica.state().fleet.lines;
+        let revisions = &voter.replica.state().fleet.revisions;
         if *revisions == self.logged_revisions {
             return;
         }
@@ -68,7 +68,7 @@
         for revision in revisions.iter().filter(is_new) {
             let (refused_by, reason) = revision.refused.clone().unwrap_or_default();
             info!(self.log, "fleet policy change"; "state" => state_name(revision.state),
-                "revision" => revision.number, "author" => &revision.who, "summary" => &revision.what,
+                "revision" => revision.number, "author" => &revision.author, "summary" => &revision.summary,
                 "refused_by" => refused_by, "reason" => reason);
         }
         self.logged_revisions = revisions.clone();
--- a/crates/fleet-agent/src/actor/storage_tasks.rs
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -6,7 +6,7 @@
 use crate::message::{AgentMessage, LeaderHint, SaveOutcome};
 use crate::prepared::random_number;
 use ironstair::Ms;
-use ironstair_raft_replica::{Out, Replica, Save};
+use ironstair_raft_replica::{Output, Replica, Save};
 use ironstair_raft_storage::Storage;
 use ironstair_runtime::clock::span;
 use serde_json::Value as Json;
@@ -28,13 +28,13 @@
         let image = storage.image();
         let replica = Replica::open(name, position.unwrap_or(0), lease, image, now, &self.log)
             .map_err(StorageError::new)?;
-        let generation = format!("{:016x}", replica.state().fleet.history);
+        let generation = format!("{:016x}", replica.state().fleet.generation);
         info!(self.log, "voter opened the fleet log"; "generation" => generation);
         // Heartbeats that an earlier one was to answer find nobody, and are sent again.
         self.pending_heartbeats.clear();
         // Only what comes to pass from now on is news.
         self.logged_revisions
-            .clone_from(&replica.state().fleet.lines);
+            .clone_from(&replica.state().fleet.revisions);
         self.voter = Some(Voter {
             replica,
             storage: Some(storage),
@@ -50,35 +50,35 @@
     pub(super) fn handle_raft_message(&mut self, from: &str, bytes: &[u8]) {
         let now = self.clock.now();
         if let Some(voter) = &mut self.voter {
-            let outputs = voter.replica.message(now, from, bytes);
+            let outputs = voter.replica.handle_message(now, from, bytes);
             self.execute(outputs);
         }
     }
 
     /// Carries out what the replica wants, in its order.
-    pub(super) fn execute(&mut self, outputs: Vec<Out<Json>>) {
+    pub(super) fn execute(&mut self, outputs: Vec<Output<Json>>) {
         for output in outputs {
             match output {
-                Out::Save(save) => self.start_save(save),
-                Out::Send(to, bytes) => {
+                Output::Save(save) => self.start_save(save),
+                Output::Send(to, bytes) => {
                     if let Some(connection) = self.connections.get(&to) {
                         connection.send_raft_message(self.identity.envelope(bytes));
                     }
                 }
-                Out::HeartbeatResponse(token, response) => {
+                Output::HeartbeatResponse(token, response) => {
                     match self.pending_heartbeats.remove(&token) {
                         Some(HeartbeatSource::Local) => self.handle_heartbeat_response(response),
                         Some(HeartbeatSource::Remote(to)) => drop(to.send(Ok(response))),
                         None => {}
                     }
                 }
-                Out::NotLeader(token, leader) => {
+                Output::NotLeader(token, leader) => {
                     let source = self.pending_heartbeats.remove(&token);
                     if let Some(HeartbeatSource::Remote(to)) = source {
                         let _ = to.send(Err(LeaderHint { leader }));
                     }
                 }
-                Out::Older => self.quarantine_log("the log here is an older copy"),
+                Output::DiskOutdated => self.quarantine_log("the log here is an older copy"),
             }
         }
     }
@@ -134,7 +134,7 @@
         if std::mem::take(&mut voter.failure_logged) {
             info!(self.log, "fleet log is written again");
         }
-        let outputs = voter.replica.saved(now);
+        let outputs = voter.replica.save_completed(now);
         self.execute(outputs);
     }
 
@@ -147,7 +147,7 @@
             return;
         };
         let quarantined = storage
-            .quarantined(random_number())
+            .quarantine(random_number())
             .map_err(StorageError::new);
         self.voter = None;
         let reopened = quarantined.and_then(|path| self.open_voter(storage).map(|()| path));
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -21,7 +21,10 @@
         return Outcome::Unknown;
     };
     let done = Outcome::Final(CommandResponse::Done(revision.number));
-    let rollback_ended = fleet.change.as_ref().is_none_or(|change| !change.back);
+    let rollback_ended = fleet
+        .change
+        .as_ref()
+        .is_none_or(|change| !change.is_rollback);
     match (command, revision.state) {
         (Command::Change(_), RevisionState::Staged | RevisionState::Binding) => Outcome::InProgress,
         (Command::Change(_), RevisionState::Refused) => refused(revision),
@@ -35,7 +38,7 @@
 }
 
 fn revision_of<'a>(fleet: &'a Fleet<Json>, command: &Command<Json>) -> Option<&'a RevisionSummary> {
-    let revisions = &fleet.lines;
+    let revisions = &fleet.revisions;
     let last_under = |id: &String| {
         let mut newest_first = revisions.iter().rev();
         newest_first.find(|revision| revision.commit.as_ref() == Some(id))
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -17,18 +17,18 @@
         |(name, session): (&String, &Session)| member_json(now, fleet, leader, name, session);
     let change_json = |change| change_json(now, fleet, leader, change);
     json!({
-        "history": format!("{:016x}", fleet.history),
+        "history": format!("{:016x}", fleet.generation),
         "revision": fleet.running.as_ref().map(|r| r.0),
         "chair": name,
         "keepers": state.voters.keys().collect::<Vec<_>>(),
         "joining": state.joining.keys().collect::<Vec<_>>(),
-        "replacing": replica.replacing(),
+        "replacing": replica.is_replacing_voter(),
         "change": fleet.change.as_ref().map(change_json),
-        "counted": leader.sharing().map(|s| s.0.round()),
-        "sharing": leader.sharing().map(|s| s.1),
-        "unconfirmed": fleet.trial.as_ref().map(|t| &t.id),
+        "counted": leader.share_totals().map(|t| t.gateways.round()),
+        "sharing": leader.share_totals().map(|t| t.sharing),
+        "unconfirmed": fleet.pending_confirmation.as_ref().map(|t| &t.id),
         "members": fleet.members.iter().map(member_json).collect::<Vec<_>>(),
-        "revisions": fleet.lines.iter().map(revision_json).collect::<Vec<_>>(),
+        "revisions": fleet.revisions.iter().map(revision_json).collect::<Vec<_>>(),
     })
 }
 
@@ -39,16 +39,16 @@
     name: &str,
     session: &Session,
 ) -> Json {
-    let seen = leader.seen(name);
-    let lease_left = seen.map_or(0.0, |s| (s.2 - now).max(0.0));
+    let seen = leader.member_status(name);
+    let lease_left = seen.map_or(0.0, |s| (s.lease_end - now).max(0.0));
     let cut_off = if session.steady { "steady" } else { "strict" };
     json!({
         "name": name,
         "cut-off": cut_off,
-        "heard-ms-ago": seen.map(|s| (now - s.0).round()),
+        "heard-ms-ago": seen.map(|s| (now - s.heard_at).round()),
         "lease-left-ms": lease_left.round(),
-        "holds-what-is-held": seen.is_some_and(|s| s.1 == fleet.mark),
-        "counts": leader.counts(now, fleet, name),
+        "holds-what-is-held": seen.is_some_and(|s| s.applied_index == fleet.policy_index),
+        "counts": leader.may_decide(now, fleet, name),
     })
 }
 
@@ -56,7 +56,7 @@
     json!({
         "number": change.number,
         "step": change.step,
-        "takes-back": change.back,
+        "takes-back": change.is_rollback,
         "waits-for": waits_for(now, fleet, leader),
     })
 }
@@ -64,9 +64,9 @@
 fn revision_json(revision: &RevisionSummary) -> Json {
     let mut shown = json!({
         "number": revision.number,
-        "who": revision.who,
-        "when": revision.when.round(),
-        "what": revision.what,
+        "who": revision.author,
+        "when": revision.created_at.round(),
+        "what": revision.summary,
         "outcome": revision.state,
     });
     if let Some(commit) = &revision.commit {
@@ -86,13 +86,13 @@
     };
     let fleet = &replica.state().fleet;
     let member = |(name, session): (&String, &Session)| {
-        let (heard, mark, until) = leader.seen(name).unwrap_or_default();
+        let status = leader.member_status(name);
         state::Member {
             name: name.clone(),
             steady: session.steady,
-            heard,
-            until,
-            holds: mark == fleet.mark,
+            heard: status.map_or(0.0, |s| s.heard_at),
+            until: status.map_or(0.0, |s| s.lease_end),
+            holds: status.map_or(0, |s| s.applied_index) == fleet.policy_index,
         }
     };
     fleet.members.iter().map(member).collect()
@@ -104,9 +104,11 @@
         return Vec::new();
     };
     let has_done_its_part = |name: &str| match change.step {
-        Step::Staged => leader.examined(name, change.number),
-        _ => leader.seen(name).is_some_and(|s| s.1 == fleet.mark),
+        Step::Staged => leader.has_validated(name, change.number),
+        _ => leader
+            .member_status(name)
+            .is_some_and(|s| s.applied_index == fleet.policy_index),
     };
-    let waits = |name: &&String| leader.counts(now, fleet, name) && !has_done_its_part(name);
+    let waits = |name: &&String| leader.may_decide(now, fleet, name) && !has_done_its_part(name);
     fleet.members.keys().filter(waits).cloned().collect()
 }
--- a/crates/fleet-agent/tests/pinned_forms/cases.rs
+++ b/crates/fleet-agent/tests/pinned_forms/cases.rs
@@ -2,7 +2,7 @@
 
 use crate::{document, proposal};
 use ironstair_coordination::leader::Command;
-use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share};
+use ironstair_coordination::{Heartbeat, HeartbeatResponse, Share, Validation};
 use ironstair_fleet_agent::message::{
     AgentMessage, CommandResponse, FleetCommand, HeartbeatReply, LeaderHint,
 };
@@ -13,14 +13,14 @@
         name: "g1".into(),
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
-        heard: 900.0,
+        generation: 1 << 48 | 7,
+        applied_index: 9,
+        last_answered: 900.0,
         steady: false,
-        examined: Some((5, Err("no such engine".into()))),
+        validated: Some(Validation::rejected(5, "no such engine")),
         leaving: false,
-        place: "boot net addr".into(),
-        shares: true,
+        exclusive_resource: "boot net addr".into(),
+        takes_share: true,
     }
 }
 
@@ -28,13 +28,13 @@
     HeartbeatResponse {
         start: 11,
         sent: 1000.25,
-        history: 1 << 48 | 7,
-        mark: 9,
-        hold: Some((4, document(50))),
-        offer: None,
+        generation: 1 << 48 | 7,
+        policy_index: 9,
+        apply: Some((4, document(50))),
+        validate: None,
         lease: Some(5000.0),
-        why: None,
-        soon: true,
+        reason: None,
+        heartbeat_soon: true,
         share: Some(Share {
             among: 2.5,
             taken: true,
@@ -153,7 +153,7 @@
     let change = || Command::Change(proposal(3, Some((id(), 60_000.0))));
     let cancel = |id| Command::Cancel {
         id,
-        who: "operator".to_string(),
+        author: "operator".to_string(),
     };
     let case = |command, response| Case::Command(FleetCommand::Command(command), response);
     let done = || CommandResponse::Done(5);
--- a/crates/fleet-agent/tests/pinned_forms/main.rs
+++ b/crates/fleet-agent/tests/pinned_forms/main.rs
@@ -37,9 +37,9 @@
     let (who, what) = ("operator".into(), "a new limit".into());
     ChangeProposal {
         token: 42,
-        who,
-        when: 1_700_000_000_000.5,
-        what,
+        author: who,
+        created_at: 1_700_000_000_000.5,
+        summary: what,
         base_revision,
         document: document(60),
         commit,
--- a/crates/fleet-agent/tests/pinned_forms/status.rs
+++ b/crates/fleet-agent/tests/pinned_forms/status.rs
@@ -5,7 +5,7 @@
 use ironstair_coordination::Heartbeat;
 use ironstair_fleet_agent::message::CommandResponse;
 use ironstair_fleet_agent::status;
-use ironstair_raft_replica::{Out, Replica, TICK};
+use ironstair_raft_replica::{Output, Replica, TICK};
 use serde_json::Value as Json;
 
 const LEASE: f64 = 1000.0;
@@ -17,13 +17,13 @@
 }
 
 impl Alone {
-    fn carry(&mut self, mut outs: Vec<Out<Json>>) {
-        while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = self.replica.saved(self.now);
+    fn carry(&mut self, mut outs: Vec<Output<Json>>) {
+        while outs.iter().any(|o| matches!(o, Output::Save(_))) {
+            outs = self.replica.save_completed(self.now);
         }
     }
 
-    fn go_on(&mut self, ticks: usize, examined: &Result<(), String>) {
+    fn go_on(&mut self, ticks: usize, validated: &Result<(), String>) {
         for _ in 0..ticks {
             self.now += TICK;
             let outs = self.replica.tick(self.now);
@@ -34,14 +34,17 @@
                     name: name.into(),
                     start,
                     sent: self.now,
-                    heard: self.now - TICK,
-                    history: fleet.history,
-                    mark: fleet.mark,
+                    last_answered: self.now - TICK,
+                    generation: fleet.generation,
+                    applied_index: fleet.policy_index,
                     steady,
-                    examined: fleet.change.as_ref().map(|c| (c.number, examined.clone())),
+                    validated: fleet
+                        .change
+                        .as_ref()
+                        .map(|c| (c.number, validated.clone()).into()),
                     leaving: false,
-                    place: String::new(),
-                    shares: true,
+                    exclusive_resource: String::new(),
+                    takes_share: true,
                 };
                 let outs = self.replica.heartbeat(self.now, start, heartbeat);
                 self.carry(outs);
@@ -50,7 +53,7 @@
     }
 
     fn ask(&mut self, ask: Command<Json>) {
-        let outs = self.replica.ask(self.now, ask).unwrap();
+        let outs = self.replica.submit(self.now, ask).unwrap();
         self.carry(outs);
     }
 
@@ -69,29 +72,32 @@
 
 #[test]
 fn the_status_of_a_fleet_is_shown_as_in_its_sample() {
-    let image = Replica::begin("a", 1, 1 << 48 | 7, document(50), None).unwrap();
+    let image = Replica::bootstrap_image("a", 1, 1 << 48 | 7, document(50), None).unwrap();
     let replica = Replica::open("a", 0, LEASE, &image, 0.0, &log()).unwrap();
     let mut alone = Alone { replica, now: 0.0 };
     let fits = Ok(());
     // Begun; staged; waiting to be confirmed; rolled back; refused by a member; with a voter that is to join.
     alone.go_on(60, &fits);
     let mut all = alone.shown();
-    let mark = |alone: &Alone| alone.replica.state().fleet.mark;
-    let ask = Command::Change(proposal(mark(&alone), Some(("trial-1".into(), 60_000.0))));
+    let policy_index = |alone: &Alone| alone.replica.state().fleet.policy_index;
+    let ask = Command::Change(proposal(
+        policy_index(&alone),
+        Some(("trial-1".into(), 60_000.0)),
+    ));
     alone.ask(ask);
     all += &alone.shown();
     alone.go_on(10, &fits);
     all += &alone.shown();
     alone.ask(Command::Cancel {
         id: Some("trial-1".into()),
-        who: "operator".into(),
+        author: "operator".into(),
     });
     alone.go_on(10, &fits);
     all += &alone.shown();
-    let ask = Command::Change(proposal(mark(&alone), None));
+    let ask = Command::Change(proposal(policy_index(&alone), None));
     alone.ask(ask);
     alone.go_on(10, &Err("no such engine".into()));
-    alone.replica.knocked("b".into(), 22);
+    alone.replica.handle_join_request("b".into(), 22);
     alone.go_on(2, &fits);
     all += &alone.shown();
     let text = sample("status.jsonl");
--- a/crates/raft-replica/tests/knock.rs
+++ b/crates/raft-replica/tests/join_requests.rs
@@ -1,7 +1,7 @@
 //! Who is let in among the voters.
 
 use ironstair_coordination::Policy;
-use ironstair_raft_replica::{Out, Replica, TICK};
+use ironstair_raft_replica::{Output, Replica, TICK};
 use serde::{Deserialize, Serialize};
 use slog::{o, Discard, Logger};
 
@@ -9,23 +9,23 @@
 struct Pol(u8);
 
 impl Policy for Pol {
-    fn stricter(&self, _: &Self) -> Option<Self> {
+    fn intersection(&self, _: &Self) -> Option<Self> {
         Some(self.clone())
     }
 }
 
-/// A voter alone, once it is the leader; whom it lets in that knocked so long before.
+/// A voter alone, once it is the leader; whom it lets in that asked to join so long before.
 fn joining(before: f64) -> Vec<String> {
-    let image = Replica::begin("a", 1, 7, Pol(1), None).unwrap();
+    let image = Replica::bootstrap_image("a", 1, 7, Pol(1), None).unwrap();
     let log = Logger::root(Discard, o!());
     let mut replica: Replica<Pol> = Replica::open("a", 0, 1000.0, &image, 0.0, &log).unwrap();
-    replica.knocked("b".into(), 99);
+    replica.handle_join_request("b".into(), 99);
     let mut now = before;
     for _ in 0..40 {
         now += TICK;
         let mut outs = replica.tick(now);
-        while outs.iter().any(|o| matches!(o, Out::Save(_))) {
-            outs = replica.saved(now);
+        while outs.iter().any(|o| matches!(o, Output::Save(_))) {
+            outs = replica.save_completed(now);
         }
     }
     assert!(replica.leader().is_some());
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_number_given_long_ago_is_not_let_in() {
-    // Against a voter that began a history, or lost its disk again: its old number stood in everybody's way for good.
+    // Against a voter that was bootstrapped, or lost its disk again: its old id blocked every other replica for good.
     assert_eq!(
         (joining(0.0), joining(4000.0)),
         (vec!["b".to_string()], vec![])
--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -4,19 +4,41 @@
 //! must write exactly the sample's bytes; each sample is read by the library and by a voter, and written again as the
 //! same bytes.
 
-use ironstair_coordination::leader::Command;
-use ironstair_coordination::record::{ChangeProposal, Record, Session};
-use ironstair_coordination::{Fleet, Heartbeat, Policy};
-use ironstair_raft_replica::{Image, Out, Replica, Save, State, TICK};
+mod two_voters;
+
+use ironstair_coordination::record::{Record, Session};
+use ironstair_coordination::Fleet;
+use ironstair_raft_replica::{Image, Save, State};
 use protobuf::Message as _;
 use raft::prelude::{ConfChangeV2, Entry, EntryType, HardState, Message, Snapshot};
-use serde::{Deserialize, Serialize};
-use slog::{o, Discard, Logger};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
-
-const LEASE: f64 = 1000.0;
-const HISTORY: u64 = 1 << 48 | 7;
+use two_voters::{open, run, Limit, GENERATION};
+
+/// All kinds of entries and messages that the run has.
+const KINDS_OF_ENTRIES: [&str; 10] = [
+    "binding",
+    "confirmed",
+    "decided",
+    "empty",
+    "members",
+    "refused",
+    "staged",
+    "taken-back",
+    r#"{"name":"b","id":22,"votes":false}"#,
+    r#"{"name":"b","id":22,"votes":true}"#,
+];
+const KINDS_OF_MESSAGES: [&str; 9] = [
+    "MsgAppend",
+    "MsgAppendResponse",
+    "MsgHeartbeat",
+    "MsgHeartbeatResponse",
+    "MsgRequestPreVote",
+    "MsgRequestPreVoteResponse",
+    "MsgRequestVote",
+    "MsgRequestVoteResponse",
+    "MsgSnapshot",
+];
 
 fn sample(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -36,214 +58,17 @@
     pairs.collect::<Result<_, _>>().expect("hex digits")
 }
 
-/// A stand-in for the policy's document, whose own form belongs to another package.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Limit {
-    limit: f64,
-}
-
-impl Policy for Limit {
-    fn stricter(&self, other: &Self) -> Option<Self> {
-        Some(Limit {
-            limit: self.limit.min(other.limit),
-        })
-    }
-}
-
-fn open(name: &str, place: usize, image: &Image, now: f64) -> Replica<Limit> {
-    let log = Logger::root(Discard, o!());
-    Replica::open(name, place, LEASE, image, now, &log).unwrap()
-}
-
-/// Voters joined by links that lose nothing, and what they wrote.
-struct Run {
-    voters: BTreeMap<&'static str, Replica<Limit>>,
-    images: BTreeMap<&'static str, Image>,
-    now: f64,
-    lines: Vec<String>,
-    kinds: BTreeSet<(String, String)>,
-}
-
-fn disk_lines(name: &str, save: &Save) -> Vec<String> {
-    let hard = save.hard.iter().map(|h| format!("{name} vote {}", hex(h)));
-    let whole = save
-        .whole
-        .iter()
-        .map(|(index, w)| format!("{name} snapshot {index} {}", hex(w)));
-    let entries = save.entries.iter().flat_map(|(first, all)| {
-        let numbered = (*first..).zip(all);
-        numbered
-            .map(|(index, e)| format!("{name} entry {index} {}", hex(e)))
-            .collect::<Vec<_>>()
-    });
-    hard.chain(whole).chain(entries).collect()
-}
-
-impl Run {
-    fn add(&mut self, name: &'static str, place: usize, image: Image) {
-        self.lines.extend(disk_lines(name, &image.step()));
-        self.voters
-            .insert(name, open(name, place, &image, self.now));
-        self.images.insert(name, image);
-    }
-
-    fn carry(&mut self, name: &'static str, outs: Vec<Out<Limit>>) {
-        let mut waiting: VecDeque<_> = outs.into_iter().map(|out| (name, out)).collect();
-        while let Some((from, out)) = waiting.pop_front() {
-            let (by, more) = match out {
-                Out::Save(save) => {
-                    self.lines.extend(disk_lines(from, &save));
-                    self.images.get_mut(from).unwrap().take(save);
-                    (from, self.voters.get_mut(from).unwrap().saved(self.now))
-                }
-                Out::Send(to, sent) => {
-                    let kind = format!(
-                        "{:?}",
-                        Message::parse_from_bytes(&sent).unwrap().get_msg_type()
-                    );
-                    if self.kinds.insert((from.into(), kind.clone())) {
-                        self.lines
-                            .push(format!("{from} sends {kind} {}", hex(&sent)));
-                    }
-                    let Some((to, replica)) = self.voters.iter_mut().find(|k| *k.0 == to) else {
-                        continue;
-                    };
-                    (*to, replica.message(self.now, from, &sent))
-                }
-                Out::HeartbeatResponse(..) | Out::NotLeader(..) | Out::Older => continue,
-            };
-            waiting.extend(more.into_iter().map(|out| (by, out)));
-        }
-    }
-
-    fn tick(&mut self, name: &'static str) {
-        let outs = self.voters.get_mut(name).unwrap().tick(self.now);
-        self.carry(name, outs);
-    }
-
-    /// All voters' time goes on, and a member of the fleet speaks to the first.
-    fn go_on(&mut self, ticks: usize, member: bool) {
-        for _ in 0..ticks {
-            self.now += TICK;
-            let names: Vec<&'static str> = self.voters.keys().copied().collect();
-            names.iter().for_each(|name| self.tick(name));
-            if let Some((name, id)) = self.voters.get("b").and_then(Replica::knock) {
-                self.voters.get_mut("a").unwrap().knocked(name, id);
-            }
-            if member {
-                self.heartbeat();
-            }
-        }
-    }
-
-    fn heartbeat(&mut self) {
-        let fleet = &self.voters["a"].state().fleet;
-        let examined = fleet.change.as_ref().map(|c| (c.number, Ok(())));
-        let heartbeat = Heartbeat {
-            name: "g1".into(),
-            start: 11,
-            sent: self.now,
-            history: fleet.history,
-            mark: fleet.mark,
-            heard: self.now - TICK,
-            steady: true,
-            examined,
-            leaving: false,
-            place: "place".into(),
-            shares: false,
-        };
-        let outs = self
-            .voters
-            .get_mut("a")
-            .unwrap()
-            .heartbeat(self.now, 1, heartbeat);
-        self.carry("a", outs);
-    }
-
-    fn ask(&mut self, ask: Command<Limit>) {
-        let outs = self
-            .voters
-            .get_mut("a")
-            .unwrap()
-            .ask(self.now, ask)
-            .unwrap();
-        self.carry("a", outs);
-    }
-}
-
-fn change(mark: u64, token: u64) -> Command<Limit> {
-    Command::Change(ChangeProposal {
-        token,
-        who: "operator".into(),
-        when: 1_700_000_000_000.0,
-        what: "a lower limit".into(),
-        base_revision: mark,
-        document: Limit {
-            limit: 10.0 - token as f64,
-        },
-        commit: Some((format!("trial-{token}"), 60_000.0)),
-    })
-}
-
-/// One voter begins a history, a member comes in, a second voter joins; one change is confirmed, one rolled back and
-/// one cancelled before it holds. Then the first voter starts again from its disk and the second is elected.
-fn run() -> Run {
-    let (voters, images, kinds) = Default::default();
-    let mut run = Run {
-        voters,
-        images,
-        now: 0.0,
-        lines: Vec::new(),
-        kinds,
-    };
-    run.add(
-        "a",
-        0,
-        Replica::begin("a", 1, HISTORY, Limit { limit: 10.5 }, None).unwrap(),
-    );
-    run.go_on(40, true);
-    run.add("b", 1, Image::blank(22));
-    run.go_on(30, true);
-    for token in 1..=3 {
-        run.ask(change(run.voters["a"].state().fleet.mark, token));
-        let (id, who) = (format!("trial-{token}"), "operator".to_string());
-        match token {
-            1 => {
-                run.go_on(10, true);
-                run.ask(Command::Confirm { id });
-            }
-            2 => {
-                run.go_on(10, true);
-                run.ask(Command::Cancel { id: Some(id), who });
-            }
-            // The member is not heard: the change waits for what it makes of it.
-            _ => {
-                run.go_on(2, false);
-                run.ask(Command::Cancel { id: None, who });
-            }
-        }
-        run.go_on(10, true);
-    }
-    let image = run.images["a"].clone();
-    run.voters.insert("a", open("a", 0, &image, run.now));
-    for _ in 0..40 {
-        run.now += TICK;
-        run.tick("b");
-    }
-    run
-}
-
 /// What the sample says a disk holds, read step by step.
 fn disk(lines: &str, name: &str, id: u64) -> Image {
     let mut image = Image::blank(id);
     for line in lines.lines() {
         let save = match line.split(' ').collect::<Vec<_>>()[..] {
             [by, "vote", hard] if by == name => Save {
-                hard: Some(bytes(hard)),
+                hard_state: Some(bytes(hard)),
                 ..Save::default()
             },
             [by, "snapshot", index, whole] if by == name => Save {
-                whole: Some((index.parse().unwrap(), bytes(whole))),
+                snapshot: Some((index.parse().unwrap(), bytes(whole))),
                 ..Save::default()
             },
             [by, "entry", index, entry] if by == name => Save {
@@ -252,7 +77,7 @@
             },
             _ => continue,
         };
-        image.take(save);
+        image.apply(save);
     }
     image
 }
@@ -272,7 +97,7 @@
             let record: Record<Limit> = serde_json::from_slice(entry.get_data()).unwrap();
             assert_eq!(serde_json::to_vec(&record).unwrap(), entry.get_data());
             match record {
-                Record::Begun { .. } => "begun",
+                Record::Bootstrapped { .. } => "begun",
                 Record::Members { .. } => "members",
                 Record::Staged(_) => "staged",
                 Record::Refused { .. } => "refused",
@@ -287,7 +112,7 @@
             let change = ConfChangeV2::parse_from_bytes(entry.get_data()).unwrap();
             String::from_utf8(change.get_context().to_vec()).unwrap()
         }
-        EntryType::EntryConfChange => panic!("not written by a keeper"),
+        EntryType::EntryConfChange => panic!("not written by a replica"),
     }
 }
 
@@ -301,40 +126,37 @@
     }
     assert_eq!(written, text);
     // Two disks as the sample has them are those of the run, and a voter reads them.
-    for (name, place, id) in [("a", 0, 1), ("b", 1, 22)] {
+    for (name, election_rank, id) in [("a", 0, 1), ("b", 1, 22)] {
         let image = disk(&text, name, id);
         assert_eq!(image, run.images[name], "{name}");
-        let state = open(name, place, &image, run.now).state().clone();
+        let state = open(name, election_rank, &image, run.now).state().clone();
         assert_eq!(
             state.voters,
             BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 22)]),
             "{name}"
         );
-        assert_eq!(state.fleet.history, HISTORY, "{name}");
+        assert_eq!(state.fleet.generation, GENERATION, "{name}");
+    }
+}
+
+/// The state in a snapshot is read, and written again as the same bytes.
+fn check_state(data: &[u8], at: &str) {
+    if !data.is_empty() {
+        let state: State<Limit> = serde_json::from_slice(data).unwrap();
+        assert_eq!(serde_json::to_vec(&state).unwrap(), data, "{at}");
     }
 }
 
 #[test]
 fn the_library_reads_each_line_of_the_sample_and_writes_the_same_bytes() {
     let text = sample("run.txt");
-    let (mut entries, mut messages) = (BTreeSet::new(), BTreeSet::new());
+    let mut entries = BTreeSet::new();
+    let mut messages = BTreeSet::new();
     for (number, line) in text.lines().enumerate() {
         let at = format!("run.txt, line {}", number + 1);
         let (hex, written) = match line.split(' ').collect::<Vec<_>>()[..] {
             [_, "vote", h] => (h, again::<HardState>(h, |_| ())),
-            [_, "snapshot", _, h] => {
-                let read = |whole: &Snapshot| {
-                    if !whole.get_data().is_empty() {
-                        let state: State<Limit> = serde_json::from_slice(whole.get_data()).unwrap();
-                        assert_eq!(
-                            serde_json::to_vec(&state).unwrap(),
-                            whole.get_data(),
-                            "{at}"
-                        );
-                    }
-                };
-                (h, again::<Snapshot>(h, read))
-            }
+            [_, "snapshot", _, h] => (h, again::<Snapshot>(h, |s| check_state(s.get_data(), &at))),
             [_, "entry", index, h] => {
                 let read = |entry: &Entry| {
                     assert_eq!(entry.index.to_string(), index, "{at}");
@@ -353,51 +175,28 @@
         };
         assert_eq!(written, bytes(hex), "{at}");
     }
-    let wanted = [
-        "binding",
-        "confirmed",
-        "decided",
-        "empty",
-        "members",
-        "refused",
-        "staged",
-        "taken-back",
-        r#"{"name":"b","id":22,"votes":false}"#,
-        r#"{"name":"b","id":22,"votes":true}"#,
-    ];
     assert_eq!(
         entries.iter().map(String::as_str).collect::<Vec<_>>(),
-        wanted
+        KINDS_OF_ENTRIES
     );
-    let wanted = [
-        "MsgAppend",
-        "MsgAppendResponse",
-        "MsgHeartbeat",
-        "MsgHeartbeatResponse",
-        "MsgRequestPreVote",
-        "MsgRequestPreVoteResponse",
-        "MsgRequestVote",
-        "MsgRequestVoteResponse",
-        "MsgSnapshot",
-    ];
-    assert_eq!(messages.into_iter().collect::<Vec<_>>(), wanted);
+    assert_eq!(messages.into_iter().collect::<Vec<_>>(), KINDS_OF_MESSAGES);
 }
 
 #[test]
 fn the_replicated_state_is_read_and_written_as_in_its_sample() {
     let mut fleet = Fleet::default();
-    assert!(fleet.apply(Record::Begun {
-        history: HISTORY,
+    assert!(fleet.apply(Record::Bootstrapped {
+        generation: GENERATION,
         document: Limit { limit: 10.5 },
-        line: None
+        revision: None
     }));
-    let seat = Session {
+    let session = Session {
         start: 11,
         steady: true,
-        place: "place".into(),
+        exclusive_resource: "place".into(),
     };
     assert!(fleet.apply(Record::Members {
-        joined: vec![("g1".into(), seat)],
+        joined: vec![("g1".into(), session)],
         left: vec![]
     }));
     let voters = BTreeMap::from([("a".to_string(), 1), ("b".to_string(), 22)]);
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -16,7 +16,7 @@
 pub struct GatewayCount(pub f64);
 
 impl Policy for GatewayCount {
-    fn stricter(&self, other: &Self) -> Option<Self> {
+    fn intersection(&self, other: &Self) -> Option<Self> {
         Some(GatewayCount(self.0.max(other.0)))
     }
     fn gateways(&self) -> f64 {
@@ -36,10 +36,10 @@
 impl Log {
     pub fn new(gateways: f64, lease: Ms) -> Log {
         let mut fleet = Fleet::default();
-        fleet.apply(Record::Begun {
-            history: 1 << 48,
+        fleet.apply(Record::Bootstrapped {
+            generation: 1 << 48,
             document: GatewayCount(gateways),
-            line: None,
+            revision: None,
         });
         Log {
             fleet,
@@ -69,10 +69,12 @@
         };
         if let Some((_, record)) = self.writing.take_if(|w| w.0 <= now) {
             self.fleet.apply(record);
-            leader.applied();
+            leader.record_settled();
         }
         if self.writing.is_none() {
-            self.writing = leader.next(now, &self.fleet).map(|r| (now + ROUND, r));
+            self.writing = leader
+                .next_record(now, &self.fleet)
+                .map(|r| (now + ROUND, r));
         }
     }
 
