--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -22,7 +22,7 @@
 /// Most open calls on one connection; the platform's clients keep to it.
 const MAX_OPEN_CALLS: usize = 32;
 /// Replies that wait to be written. A client that reads none of so many loses its connection.
-const REPLY_QUEUE: usize = 2 * MAX_OPEN_CALLS;
+const REPLY_QUEUE_CAPACITY: usize = 2 * MAX_OPEN_CALLS;
 /// Protocol errors until a connection is closed: a flood of them would delay the replies to other clients.
 const MAX_PROTOCOL_ERRORS: u32 = 16;
 /// How long after the client has closed its sending half an attempt may still start, in ms. The client may have closed
@@ -65,7 +65,7 @@
 pub(crate) async fn serve(stream: Async<TcpStream>, shared: Rc<Shared>, permit: ConnectionPermit) {
     // Without it a short response would wait for the acknowledgement of the one before.
     let _ = stream.get_ref().set_nodelay(true);
-    let (replies, reply_queue) = async_channel::bounded(REPLY_QUEUE);
+    let (replies, reply_queue) = async_channel::bounded(REPLY_QUEUE_CAPACITY);
     let client = Client {
         shared,
         permit,
@@ -107,7 +107,11 @@
     async fn on_half_close(&self) {
         let clock = &self.shared.clock;
         let start_deadline = clock.now() + START_AFTER_HALF_CLOSE;
-        or(self.drained(), sleep_until(clock, Some(start_deadline))).await;
+        or(
+            self.until_drained(),
+            sleep_until(clock, Some(start_deadline)),
+        )
+        .await;
         let open_calls: Vec<OpenCall> = self.open_calls.borrow().values().cloned().collect();
         for call in &open_calls {
             call.client_is_waiting.set(false);
@@ -127,7 +131,7 @@
     }
 
     /// Waits until no call is open and every reply is written.
-    async fn drained(&self) {
+    async fn until_drained(&self) {
         let is_drained = || {
             self.open_calls.borrow().is_empty() && self.replies.is_empty() && !self.is_writing.get()
         };
--- a/crates/gateway/src/client/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -16,8 +16,8 @@
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
 /// More memory than any request means, in MB.
 const MAX_MEMORY_MB: f64 = 1e8;
-/// More tries than any client makes.
-const MAX_TRIES: f64 = 1e4;
+/// Largest retry count that is accepted; no client retries so often.
+const MAX_RETRY_COUNT: f64 = 1e4;
 /// Largest time remaining that is accepted, as a multiple of the longest hard limit: clients may count it differently.
 const MAX_TIME_REMAINING_FACTOR: f64 = 2.0;
 /// Base64 text of this length fills a buffer; a multiple of four characters can be decoded on its own.
@@ -29,7 +29,7 @@
     time_remaining: Millis,
     work: Option<Millis>,
     memory_mb: Option<f64>,
-    tries: Option<f64>,
+    retry_count: Option<f64>,
     idempotency_key: Option<Rc<str>>,
     statement: BufferChain,
 }
@@ -117,7 +117,7 @@
         call_id: u64,
         call: &Call,
     ) -> Result<NewRequest, RequestError> {
-        let class = self.class(call_id, &call.method)?;
+        let class = self.class_index(call_id, &call.method)?;
         self.check_open_calls(call_id)?;
         let params = self.request_params(call_id, call.params)?;
         let table_group = statement::table_group(&params.statement.joined());
@@ -127,7 +127,9 @@
             work: params.work.filter(|work| *work > 0.0),
             memory_mb: params.memory_mb.unwrap_or(0.0),
             table_group: table_group.unwrap_or(0),
-            is_retry: params.tries.is_some_and(|tries| tries > 0.0),
+            is_retry: params
+                .retry_count
+                .is_some_and(|retry_count| retry_count > 0.0),
             ..Request::default()
         };
         let client_is_waiting = Rc::new(Cell::new(true));
@@ -152,7 +154,7 @@
 
     /// The index of the class with the method's name. After a change of the settings two classes may have the name, one
     /// of them out of service under the earlier policy: the one in service is preferred.
-    fn class(&self, call_id: u64, method: &[u8]) -> Result<usize, CallError> {
+    fn class_index(&self, call_id: u64, method: &[u8]) -> Result<usize, CallError> {
         let classes = self.shared.classes();
         let has_name = |class: &ClassSummary| class.name.as_bytes() == method;
         let in_service = classes
@@ -186,31 +188,37 @@
     }
 
     fn request_params(&self, call_id: u64, params: Params) -> Result<RequestParams, RequestError> {
-        let invalid = || CallError {
+        let invalid_params = || CallError {
             call: Some(call_id),
             code: ErrorCode::InvalidParams,
         };
-        let number = |name, max| params.bounded_number(name, max).map_err(|_| invalid());
-        let id = params.string("id").as_deref().and_then(request_id);
-        let id = id.ok_or_else(invalid)?;
+        let number = |name, max| {
+            params
+                .bounded_number(name, max)
+                .map_err(|_| invalid_params())
+        };
+        let id = params.string("id").as_deref().and_then(parse_request_id);
+        let id = id.ok_or_else(invalid_params)?;
         let max_time_remaining = MAX_TIME_REMAINING_FACTOR * self.shared.max_deadline.get();
         let time_remaining = number("wait", max_time_remaining)?;
         let time_remaining = time_remaining.filter(|time| *time > 0.0);
-        let time_remaining = time_remaining.ok_or_else(invalid)?;
+        let time_remaining = time_remaining.ok_or_else(invalid_params)?;
         let work = number("cost", self.shared.max_work())?;
         let memory_mb = number("ram", MAX_MEMORY_MB)?;
-        let tries = number("retry", MAX_TRIES)?;
+        let retry_count = number("retry", MAX_RETRY_COUNT)?;
         let key = params.string("once");
-        let key = key.map(|text| idempotency_key(&text).ok_or_else(invalid));
+        let key = key.map(|text| parse_idempotency_key(&text).ok_or_else(invalid_params));
         let idempotency_key = key.transpose()?;
-        let encoded = params.string("bytes").ok_or_else(invalid)?;
-        let statement = self.decode_statement(&encoded)?.ok_or_else(invalid)?;
+        let encoded = params.string("bytes").ok_or_else(invalid_params)?;
+        let statement = self
+            .decode_statement(&encoded)?
+            .ok_or_else(invalid_params)?;
         Ok(RequestParams {
             id,
             time_remaining,
             work,
             memory_mb,
-            tries,
+            retry_count,
             idempotency_key,
             statement,
         })
@@ -241,13 +249,13 @@
 }
 
 /// A request's id: hexadecimal digits, which can't break an engine's line.
-fn request_id(text: &[u8]) -> Option<Id> {
+fn parse_request_id(text: &[u8]) -> Option<Id> {
     let id = Id::try_from(text).ok()?;
     id.iter().all(u8::is_ascii_hexdigit).then_some(id)
 }
 
 /// An idempotency key that can't break an engine's line.
-fn idempotency_key(text: &[u8]) -> Option<Rc<str>> {
+fn parse_idempotency_key(text: &[u8]) -> Option<Rc<str>> {
     let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
     let is_valid =
         text.iter().all(is_allowed) && (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len());
--- a/crates/gateway/src/client/idle_timer.rs
+++ b/crates/gateway/src/client/idle_timer.rs
@@ -19,7 +19,7 @@
 impl Client {
     /// Completes when the connection should be closed: idle timeout, partial message timeout, or eviction to free a
     /// slot. `partial_since` is when the first byte of a partial message arrived.
-    pub(super) async fn idle_or_stalled(
+    pub(super) async fn until_idle_or_stalled(
         &self,
         stream: &Async<TcpStream>,
         partial_since: Option<Millis>,
@@ -32,7 +32,7 @@
             });
             return ReadError::Stalled;
         }
-        self.drained().await;
+        self.until_drained().await;
         let has_unread_bytes = stream.get_ref().peek(&mut [0]).is_ok_and(|read| read > 0);
         if has_unread_bytes {
             // On a busy machine a call may have arrived that is not read yet. Closed now, it would be lost.
@@ -58,18 +58,18 @@
     /// When the connection is to be closed if nothing changes before; negative infinity means at once.
     fn close_deadline(&self, partial_since: Option<Millis>) -> Millis {
         let activity = &self.permit.activity;
-        let quiet_since = activity.quiet_since();
-        let is_quiet = quiet_since.is_finite();
-        if activity.is_close_requested() && is_quiet {
+        let idle_since = activity.idle_since();
+        let is_idle = idle_since.is_finite();
+        if activity.is_close_requested() && is_idle {
             return Millis::NEG_INFINITY;
         }
         match partial_since {
-            Some(first_byte_at) if activity.has_been_answered() || !is_quiet => {
+            Some(first_byte_at) if activity.has_been_answered() || !is_idle => {
                 first_byte_at + MESSAGE_TIMEOUT
             }
-            None if activity.has_been_answered() => quiet_since + IDLE_TIMEOUT,
+            None if activity.has_been_answered() => idle_since + IDLE_TIMEOUT,
             // Infinite while the first call is open.
-            _ => quiet_since.max(activity.accepted_at + MESSAGE_TIMEOUT),
+            _ => idle_since.max(activity.accepted_at + MESSAGE_TIMEOUT),
         }
     }
 }
--- a/crates/gateway/src/client/reader.rs
+++ b/crates/gateway/src/client/reader.rs
@@ -57,7 +57,7 @@
                 // The start of the next message, or the call that a reply belongs to, is unknown now.
                 self.cancel_open_calls().await;
                 let drained = async {
-                    self.drained().await;
+                    self.until_drained().await;
                     Ok(())
                 };
                 // A client that does not read its replies in time loses them.
@@ -73,17 +73,17 @@
                 Some(partial) => partial,
                 None => self.wait_for_buffer(stream).await?,
             };
-            let stalled = self.idle_or_stalled(stream, Some(partial.since));
+            let stalled = self.until_idle_or_stalled(stream, Some(partial.since));
             let space = partial.buffer.spare_capacity();
             let read = async { stream.read(space).await.map_err(ReadError::Io) };
             let length = or(read, async { Err(stalled.await) }).await?;
             if length == 0 {
                 self.on_half_close().await;
-                self.drained().await;
+                self.until_drained().await;
                 return Ok(());
             }
             partial.buffer.advance(length);
-            while self.next_message(stream, &mut partial).await? {
+            while self.handle_next_message(stream, &mut partial).await? {
                 partial.since = self.shared.clock.now();
             }
             if !partial.buffer.bytes().is_empty() {
@@ -98,7 +98,7 @@
         stream: &Async<TcpStream>,
     ) -> Result<PartialMessage, ReadError> {
         let readable = async { stream.readable().await.map_err(ReadError::Io) };
-        let idle = async { Err(self.idle_or_stalled(stream, None).await) };
+        let idle = async { Err(self.until_idle_or_stalled(stream, None).await) };
         or(readable, idle).await?;
         let acquired = async { Ok(self.shared.pool.acquire().await) };
         let hung_up = async { Err(self.hangup_while_blocked(stream).await) };
@@ -130,7 +130,7 @@
     }
 
     /// Handles the next complete message in the buffer; false if there is none.
-    async fn next_message(
+    async fn handle_next_message(
         &self,
         stream: &Async<TcpStream>,
         partial: &mut PartialMessage,
@@ -142,7 +142,7 @@
         let message_end = message_start + header.message_bytes;
         if message_end > BUFFER_SIZE {
             partial.buffer.consume(message_start);
-            let stalled = self.idle_or_stalled(stream, Some(partial.since));
+            let stalled = self.until_idle_or_stalled(stream, Some(partial.since));
             let message = self.read_long_message(stream, &mut partial.buffer, header.message_bytes);
             let message = or(message, async { Err(stalled.await) }).await?;
             self.on_message(&message.joined()).await?;
--- a/crates/gateway/src/client/writer.rs
+++ b/crates/gateway/src/client/writer.rs
@@ -71,17 +71,19 @@
         Reply::Rejected {
             call_id,
             retry_after,
-        } => error(call_id, ErrorCode::Rejected, REJECTED, retry_after).write(output),
-        Reply::Failed(call_id) => error(call_id, ErrorCode::Failed, FAILED, 0.0).write(output),
+        } => error_response(call_id, ErrorCode::Rejected, REJECTED, retry_after).write(output),
+        Reply::Failed(call_id) => {
+            error_response(call_id, ErrorCode::Failed, FAILED, 0.0).write(output)
+        }
         Reply::DuplicateId(call_id) => {
-            error(call_id, ErrorCode::InvalidParams, DUPLICATE_ID, 0.0).write(output);
+            error_response(call_id, ErrorCode::InvalidParams, DUPLICATE_ID, 0.0).write(output);
         }
         Reply::Encoded(message) => *output = message,
     }
     stream.write_all(output).await
 }
 
-fn error(
+fn error_response(
     call: u64,
     code: ErrorCode,
     message: &'static str,
--- a/crates/gateway/src/connection_limiter.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -38,7 +38,7 @@
     /// When the connection was accepted.
     pub(crate) accepted_at: Millis,
     /// Since when no call is open; infinite while one is.
-    quiet_since: Cell<Millis>,
+    idle_since: Cell<Millis>,
     has_been_answered: Cell<bool>,
     close_requested: Cell<bool>,
     /// Notified whenever any of this changes.
@@ -52,16 +52,16 @@
     number: u64,
 }
 
-/// The order in which quiet connections are evicted; the lowest goes first.
+/// The order in which idle connections are evicted; the lowest goes first.
 ///
 /// Connections without an answer go before others: many of them opened by a client that sends nothing must not keep
-/// others out. New connections go last. Among the rest, connections that were quiet for longer go first: clients that
+/// others out. New connections go last. Among the rest, connections that were idle for longer go first: clients that
 /// call once and keep their connection would otherwise hold it forever.
 #[derive(PartialEq, PartialOrd)]
 struct EvictionRank {
     is_new: bool,
     has_been_answered: bool,
-    quiet_since: Millis,
+    idle_since: Millis,
 }
 
 impl ConnectionLimiter {
@@ -120,9 +120,9 @@
         self.changed.listen().await;
     }
 
-    /// Waits for a permit. While none is free, one quiet connection is asked to close.
+    /// Waits for a permit. While none is free, one idle connection is asked to close.
     pub(crate) async fn acquire(self: &Rc<Self>, clock: &Clock) -> ConnectionPermit {
-        let is_free = || self.has_free_permit_or_evicts(clock.now());
+        let is_free = || self.check_permit_or_evict(clock.now());
         wait_for(&self.changed, || is_free().then_some(())).await;
         self.register(clock.now())
     }
@@ -138,13 +138,13 @@
         is_free.then(|| self.register(clock.now()))
     }
 
-    fn has_free_permit_or_evicts(&self, now: Millis) -> bool {
+    fn check_permit_or_evict(&self, now: Millis) -> bool {
         let connections = self.connections.borrow();
         if connections.len() < self.max_connections {
             return true;
         }
-        let quiet = || connections.values().filter(|activity| activity.is_quiet());
-        if quiet().any(|activity| activity.is_close_requested()) {
+        let idle = || connections.values().filter(|activity| activity.is_idle());
+        if idle().any(|activity| activity.is_close_requested()) {
             return false;
         }
         let by_rank = |left: &&Rc<ConnectionActivity>, right: &&Rc<ConnectionActivity>| {
@@ -153,7 +153,7 @@
                 .partial_cmp(&right.eviction_rank(now));
             order.unwrap_or(Ordering::Equal)
         };
-        if let Some(first) = quiet().min_by(by_rank) {
+        if let Some(first) = idle().min_by(by_rank) {
             first.request_close();
         }
         false
@@ -170,7 +170,7 @@
         let number = self.next_number.replace(self.next_number.get() + 1);
         let activity = Rc::new(ConnectionActivity {
             accepted_at: now,
-            quiet_since: Cell::new(now),
+            idle_since: Cell::new(now),
             has_been_answered: Cell::new(false),
             close_requested: Cell::new(self.is_closing.get()),
             changed: Event::new(),
@@ -215,12 +215,12 @@
     }
 
     /// Since when no call is open; infinite while one is.
-    pub(crate) fn quiet_since(&self) -> Millis {
-        self.quiet_since.get()
+    pub(crate) fn idle_since(&self) -> Millis {
+        self.idle_since.get()
     }
 
-    fn is_quiet(&self) -> bool {
-        self.quiet_since.get().is_finite()
+    fn is_idle(&self) -> bool {
+        self.idle_since.get().is_finite()
     }
 
     fn request_close(&self) {
@@ -233,7 +233,7 @@
         EvictionRank {
             is_new: !has_been_answered && now - self.accepted_at < NEW_CONNECTION_PERIOD,
             has_been_answered,
-            quiet_since: self.quiet_since.get(),
+            idle_since: self.idle_since.get(),
         }
     }
 }
@@ -253,7 +253,7 @@
 
     /// Records that a call was opened.
     pub(crate) fn call_opened(&self) {
-        self.activity.quiet_since.set(Millis::INFINITY);
+        self.activity.idle_since.set(Millis::INFINITY);
         // A busy connection is not evicted; the limiter asks another one instead.
         let is_closing = self.limiter.is_closing.get();
         self.activity.close_requested.set(is_closing);
@@ -266,9 +266,9 @@
         let has_been_answered = activity.has_been_answered() || answered;
         activity.has_been_answered.set(has_been_answered);
         // Cancelling calls that were never open must not keep a connection from being evicted.
-        let was_active = answered || !activity.is_quiet();
+        let was_active = answered || !activity.is_idle();
         if !has_open_calls && was_active {
-            activity.quiet_since.set(now);
+            activity.idle_since.set(now);
             self.limiter.recheck_eviction();
         }
         activity.changed.notify(usize::MAX);
--- a/crates/gateway/src/connection_limiter_tests.rs
+++ b/crates/gateway/src/connection_limiter_tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn eviction_takes_unanswered_then_longest_quiet_and_spares_open_calls() {
+fn eviction_takes_unanswered_then_longest_idle_and_spares_open_calls() {
     let limiter = ConnectionLimiter::new(LIMIT, Rc::default());
     let clock = Clock::start();
     let try_acquire = || block_on(poll_once(limiter.acquire(&clock)));
--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -7,7 +7,7 @@
 mod requests;
 mod view;
 
-pub(crate) use view::ViewSource;
+pub(crate) use view::StatePublisher;
 
 use async_channel::Receiver;
 use executor::ActionExecutor;
@@ -22,22 +22,22 @@
 pub(crate) struct Dispatcher {
     policy: Gateway,
     executor: ActionExecutor,
-    view_source: Option<ViewSource>,
+    state_publisher: Option<StatePublisher>,
 }
 
 impl Dispatcher {
-    /// Creates the dispatcher of a policy. `view_source` is set where management is on, `cells` where the operator's
+    /// Creates the dispatcher of a policy. `state_publisher` is set where management is on, `cells` where the operator's
     /// file names cells.
     pub(crate) fn new(
         policy: Gateway,
         shared: Rc<Shared>,
-        view_source: Option<ViewSource>,
+        state_publisher: Option<StatePublisher>,
         cells: Option<CellDirectory>,
     ) -> Self {
         Dispatcher {
             policy,
             executor: ActionExecutor::new(shared, cells),
-            view_source,
+            state_publisher,
         }
     }
 
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -15,14 +15,14 @@
 impl Dispatcher {
     /// Replaces the endpoint list.
     pub(super) fn update_endpoints(&mut self, list: BTreeMap<String, DiscoveredEndpoint>) {
-        self.close_missing(&list);
-        self.release_indices();
+        self.close_missing_endpoints(&list);
+        self.release_engine_indices();
         self.executor.shared.endpoint_count.set(list.len());
         let mut endpoints = Vec::with_capacity(list.len());
         for (name, discovered) in list {
             endpoints.push(self.update_endpoint(name, discovered));
         }
-        self.pass_to_policy(&endpoints);
+        self.pass_endpoints_to_policy(&endpoints);
     }
 
     /// Applies a change of the cells. New attempts of open requests go to the tenant's present cells; attempts in
@@ -34,7 +34,7 @@
             }
         }
         let endpoints = self.known_endpoints();
-        self.pass_to_policy(&endpoints);
+        self.pass_endpoints_to_policy(&endpoints);
     }
 
     /// The cells that a request may use, as bits. Without cells it is 0, which allows every engine, also for an index
@@ -53,7 +53,7 @@
         directory.map_or(0, |directory| directory.engine(id).0)
     }
 
-    fn close_missing(&mut self, list: &BTreeMap<String, DiscoveredEndpoint>) {
+    fn close_missing_endpoints(&mut self, list: &BTreeMap<String, DiscoveredEndpoint>) {
         for known in &mut self.executor.engines {
             if let Some(gone) = known.take_if(|known| !list.contains_key(&known.name)) {
                 gone.close();
@@ -63,7 +63,7 @@
 
     /// Releases the indices of engines that are gone, unless an open request has tried them: the policy still refers to
     /// such an engine by its index.
-    fn release_indices(&mut self) {
+    fn release_engine_indices(&mut self) {
         let executor = &mut self.executor;
         for index in 0..executor.engines.len() {
             let is_gone = executor.engines[index].is_none();
@@ -83,7 +83,7 @@
         if executor.engines.len() <= index {
             executor.engines.resize_with(index + 1, || None);
         }
-        let endpoint = endpoint(index, id, cells, &discovered);
+        let endpoint = policy_endpoint(index, id, cells, &discovered);
         let slot = &mut executor.engines[index];
         if let Some(previous) = slot.take_if(|known| is_restarted(known, &discovered)) {
             previous.close();
@@ -115,12 +115,12 @@
         let known = engines.filter_map(|(index, known)| Some((index, known.as_ref()?)));
         let endpoints = known.map(|(index, known)| {
             let id = executor.engine_ids.id(index);
-            endpoint(index, id, self.cells_of_engine(id), &known.discovered)
+            policy_endpoint(index, id, self.cells_of_engine(id), &known.discovered)
         });
         endpoints.collect()
     }
 
-    fn pass_to_policy(&mut self, endpoints: &[Endpoint]) {
+    fn pass_endpoints_to_policy(&mut self, endpoints: &[Endpoint]) {
         let executor = &mut self.executor;
         if let Some(cells) = &mut executor.cells {
             let is_ready = |endpoint: &&Endpoint| endpoint.state == EndpointState::Ready;
@@ -132,7 +132,12 @@
     }
 }
 
-fn endpoint(engine: usize, id: u64, cells: u64, discovered: &DiscoveredEndpoint) -> Endpoint {
+fn policy_endpoint(
+    engine: usize,
+    id: u64,
+    cells: u64,
+    discovered: &DiscoveredEndpoint,
+) -> Endpoint {
     Endpoint {
         engine,
         id,
--- a/crates/gateway/src/dispatcher/executor.rs
+++ b/crates/gateway/src/dispatcher/executor.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Most messages in an engine's queue; an attempt beyond it is reported as unsent.
-const ENGINE_QUEUE: usize = 1024;
+const ENGINE_QUEUE_CAPACITY: usize = 1024;
 
 /// A request from its arrival until the policy forgets it.
 pub(super) struct OpenRequest {
@@ -194,7 +194,7 @@
         };
         let shared = &self.shared;
         let queue = known.queue.get_or_insert_with(|| {
-            let (queue, messages) = async_channel::bounded(ENGINE_QUEUE);
+            let (queue, messages) = async_channel::bounded(ENGINE_QUEUE_CAPACITY);
             let actor = Engine::new(
                 engine,
                 known.discovered.address,
--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -11,7 +11,7 @@
 const UNKNOWN_NAME: &str = "unknown";
 
 /// Where the state is published, and the names that it contains.
-pub(crate) struct ViewSource {
+pub(crate) struct StatePublisher {
     /// Holds the latest snapshot.
     pub(crate) watch: Arc<StateWatch>,
     /// Names of the zones, by index.
@@ -23,16 +23,16 @@
 impl Dispatcher {
     /// Publishes a snapshot of the state; does nothing without management.
     pub(super) fn publish_state(&mut self) {
-        let Some(source) = self.view_source.take() else {
+        let Some(publisher) = self.state_publisher.take() else {
             return;
         };
-        let snapshot = self.snapshot(&source);
-        source.watch.publish(snapshot);
-        self.view_source = Some(source);
+        let snapshot = self.snapshot(&publisher);
+        publisher.watch.publish(snapshot);
+        self.state_publisher = Some(publisher);
     }
 
-    fn snapshot(&mut self, source: &ViewSource) -> Snapshot {
-        let engines = self.engine_views(source);
+    fn snapshot(&mut self, publisher: &StatePublisher) -> Snapshot {
+        let engines = self.engine_views(publisher);
         let classes = self.class_views();
         let executor = &self.executor;
         let shared = &executor.shared;
@@ -68,11 +68,11 @@
 
     /// The engines by name. Unchanged engines keep the entry of the previous snapshot: a reader finds the changed ones
     /// quickly, since maps share the entries that they have in common.
-    fn engine_views(&self, source: &ViewSource) -> state::EngineMap {
+    fn engine_views(&self, publisher: &StatePublisher) -> state::EngineMap {
         let known = self.executor.engines.iter().enumerate();
         let known = known.filter_map(|(index, known)| Some((known.as_ref()?.name.as_str(), index)));
         let known: BTreeMap<&str, usize> = known.collect();
-        let previous = source.watch.current();
+        let previous = publisher.watch.current();
         let mut engines = previous.engines.clone();
         for name in previous.engines.keys() {
             if !known.contains_key(&**name) {
@@ -81,7 +81,7 @@
         }
         let in_flight = self.in_flight_by_engine();
         for (name, index) in known {
-            let Some(engine) = self.engine_view(source, index, in_flight[index]) else {
+            let Some(engine) = self.engine_view(publisher, index, in_flight[index]) else {
                 continue;
             };
             if engines.get(name) != Some(&engine) {
@@ -102,7 +102,7 @@
 
     fn engine_view(
         &self,
-        source: &ViewSource,
+        publisher: &StatePublisher,
         index: usize,
         in_flight: u32,
     ) -> Option<state::Engine> {
@@ -118,8 +118,8 @@
         Some(state::Engine {
             id,
             address: discovered.address.to_string(),
-            zone: name_at(&source.zones, discovered.zone),
-            machine_type: name_at(&source.machine_types, discovered.machine_type),
+            zone: name_at(&publisher.zones, discovered.zone),
+            machine_type: name_at(&publisher.machine_types, discovered.machine_type),
             dedup_domain: discovered.dedup_domain,
             cells,
             started_at: discovered.started_at,
--- a/crates/gateway/src/engine/answers.rs
+++ b/crates/gateway/src/engine/answers.rs
@@ -17,13 +17,13 @@
 
 /// Why a connection cannot be used after a reply.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum AnswerError {
+pub(super) enum EngineReplyError {
     #[error(transparent)]
     Malformed(#[from] ReplyError),
     #[error("reply is incomplete for too long")]
-    Incomplete,
+    IncompleteReply,
     #[error("no number of pages from 1 to {MAX_PAGES}")]
-    PageCount,
+    InvalidPageCount,
     #[error("page out of place, too long, or not of complete rows")]
     UnexpectedPage,
 }
@@ -37,7 +37,7 @@
             connection.is_silent = false;
         }
         // A reply is shorter than a buffer, so that its rest always fits behind the part that has been received.
-        while let Some(mut partial) = self.take_partial(number) {
+        while let Some(mut partial) = self.take_partial_reply(number) {
             let appended = partial.buffer.append(received.bytes());
             received.consume(appended);
             self.handle_replies(number, partial);
@@ -52,7 +52,7 @@
         self.handle_replies(number, new);
     }
 
-    fn take_partial(&mut self, number: u64) -> Option<PartialReply> {
+    fn take_partial_reply(&mut self, number: u64) -> Option<PartialReply> {
         let connection = self.connections.get_mut(&number)?;
         connection.partial.take()
     }
@@ -67,7 +67,7 @@
                     reply.encoded_bytes
                 }
                 Ok(None) => break,
-                Err(error) => return self.close_malformed(number, &error.into()),
+                Err(error) => return self.close_after_invalid_reply(number, &error.into()),
             };
             received.buffer.consume(length);
             has_completed_reply = true;
@@ -82,7 +82,7 @@
     }
 
     /// Closes a connection after a malformed reply: the start of the next one is unknown.
-    pub(super) fn close_malformed(&mut self, number: u64, error: &AnswerError) {
+    pub(super) fn close_after_invalid_reply(&mut self, number: u64, error: &EngineReplyError) {
         warn!(
             self.shared.log, "engine answer malformed, closing connection";
             "error" => %error, "address" => self.address
@@ -132,7 +132,7 @@
             ReplyKind::Done if is_duplicate => {}
             ReplyKind::Done => match self.on_done(&id, reply.fields) {
                 Ok(()) => self.on_page(connection, &id, 0, reply.body),
-                Err(error) => self.close_malformed(connection, &error),
+                Err(error) => self.close_after_invalid_reply(connection, &error),
             },
             ReplyKind::Page => {
                 let page = reply.fields.number("page");
@@ -147,11 +147,11 @@
     }
 
     /// The query has run: stores its cost and the number of pages, and requests the further pages.
-    fn on_done(&mut self, id: &Id, fields: Fields) -> Result<(), AnswerError> {
+    fn on_done(&mut self, id: &Id, fields: Fields) -> Result<(), EngineReplyError> {
         // Every result has a number of pages: a reply without one is something else.
         let pages = fields.number("pages").unwrap_or(0.0);
         if pages.fract() != 0.0 || !(1.0..=MAX_PAGES).contains(&pages) {
-            return Err(AnswerError::PageCount);
+            return Err(EngineReplyError::InvalidPageCount);
         }
         let max_work = self.shared.max_work();
         let Some(in_flight) = self.in_flight.get_mut(id) else {
@@ -178,13 +178,13 @@
         let stored_bytes: usize = stored.map(|page| page.bytes().len()).sum();
         let fits = stored_bytes + body.len() <= MAX_RESULT_BYTES;
         let Some(slot) = in_flight.pages.get_mut(page) else {
-            return self.close_malformed(connection, &AnswerError::UnexpectedPage);
+            return self.close_after_invalid_reply(connection, &EngineReplyError::UnexpectedPage);
         };
         if slot.is_some() {
             return;
         }
         if !fits || !lines::is_complete_page(body) {
-            return self.close_malformed(connection, &AnswerError::UnexpectedPage);
+            return self.close_after_invalid_reply(connection, &EngineReplyError::UnexpectedPage);
         }
         let Some(mut buffer) = self.shared.pool.try_acquire() else {
             // The pages that still arrive must not be taken for those of the request's next attempt. The engine is not
--- a/crates/gateway/src/engine/connections.rs
+++ b/crates/gateway/src/engine/connections.rs
@@ -1,6 +1,6 @@
 //! Chooses the connection for an attempt, ends connections, and ends the attempts on a lost connection.
 
-use super::answers::AnswerError;
+use super::answers::EngineReplyError;
 use super::writing::OutboundChunk;
 use super::{Engine, InFlightAttempt};
 use crate::connection::ConnectionTask;
@@ -20,7 +20,7 @@
 const MAX_CONNECTIONS: usize = 16;
 /// Idle connections are closed after this share of the engine's idle timeout. An attempt could otherwise be sent while
 /// the engine closes the connection.
-const IDLE_SHARE: f64 = 0.75;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
 /// A connection to the engine.
 pub(super) struct Connection {
@@ -204,7 +204,7 @@
     fn idle_deadline(&self, connection: &Connection) -> Option<Millis> {
         let timeout = match connection.is_silent {
             true => 0.0,
-            false => self.shared.transport_config().idle * IDLE_SHARE,
+            false => self.shared.transport_config().idle * IDLE_TIMEOUT_FRACTION,
         };
         let is_idle = connection.stream.is_some() && connection.open_attempts == 0;
         is_idle.then_some(connection.idle_since + timeout)
@@ -267,7 +267,7 @@
 
     fn close_stalled_connections(&mut self) {
         for number in self.connections_due(Engine::partial_deadline) {
-            self.close_malformed(number, &AnswerError::Incomplete);
+            self.close_after_invalid_reply(number, &EngineReplyError::IncompleteReply);
         }
     }
 
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -17,7 +17,7 @@
 use crate::{log, management, shutdown};
 use actors::{
     settings_source, start_discovery, start_dispatcher, start_limiter, start_management,
-    view_source,
+    state_publisher,
 };
 use async_channel::Receiver;
 use async_io::{block_on, Async};
@@ -127,7 +127,7 @@
         let listener = Acceptor::bind(address).map_err(StartError::Listen)?;
         let shared = self.shared;
         let config = self.config;
-        let view = view_source(self.management.as_ref(), &config);
+        let view = state_publisher(self.management.as_ref(), &config);
         let dispatcher = Dispatcher::new(self.gateway, shared.clone(), view, self.cells);
         start_dispatcher(dispatcher, config.known, self.messages, &shared)?;
         let channels = start_management(self.management, &config.name, self.level, &shared)?;
--- a/crates/gateway/src/server/actors.rs
+++ b/crates/gateway/src/server/actors.rs
@@ -3,7 +3,7 @@
 use crate::config::GatewayConfig;
 use crate::connection_limiter::ConnectionLimiter;
 use crate::discovery::{Discovery, DiscoveryUpdate};
-use crate::dispatcher::{Dispatcher, ViewSource};
+use crate::dispatcher::{Dispatcher, StatePublisher};
 use crate::error::StartError;
 use crate::log::LevelHandle;
 use crate::management;
@@ -39,12 +39,12 @@
 }
 
 /// Where the dispatcher publishes its state; none without management.
-pub(super) fn view_source(
+pub(super) fn state_publisher(
     management: Option<&management::Opened>,
     config: &GatewayConfig,
-) -> Option<ViewSource> {
+) -> Option<StatePublisher> {
     let shared_names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
-    management.map(|management| ViewSource {
+    management.map(|management| StatePublisher {
         watch: management.state_watch.clone(),
         zones: shared_names(&config.index.zones),
         machine_types: shared_names(&config.index.kinds),
