--- a/crates/gateway/src/dispatcher.rs
+++ b/crates/gateway/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher: the only caller of the policy. It passes on each message, owns the policy's timer and the state of
-//! each request, and never waits on another actor.
+//! The dispatcher: the only caller of the policy. It passes each message to the policy, owns the policy's timer and the
+//! state of all open requests, and never waits for another actor.
 
 mod config_update;
 mod endpoints;
@@ -18,7 +18,7 @@
 use ironstair_runtime::{DispatcherMessage, Shared};
 use std::rc::Rc;
 
-/// Owns the policy and the state of its requests and engines.
+/// The dispatcher's actor: the policy, and the executor that holds the state of its requests and engines.
 pub(crate) struct Dispatcher {
     policy: Gateway,
     executor: ActionExecutor,
@@ -26,7 +26,7 @@
 }
 
 impl Dispatcher {
-    /// Creates the dispatcher of a policy. `state_publisher` is set where management is on, `cells` where the operator's
+    /// Creates the dispatcher of a policy. `state_publisher` is set if management is enabled, `cells` if the operator's
     /// file names cells.
     pub(crate) fn new(
         policy: Gateway,
@@ -44,7 +44,7 @@
     /// Runs until the queue is closed.
     pub(crate) async fn run(mut self, messages: Receiver<DispatcherMessage>) {
         let shared = self.executor.shared.clone();
-        // In a fleet the initial lease has already ended: nothing is decided before the fleet grants one.
+        // In a fleet the initial lease has already expired: the policy decides nothing before the fleet grants one.
         self.renew_lease(shared.lease_until.get(), None);
         let key_quarantine = shared.metrics.key_quarantine.get();
         self.policy.quarantine_keys(key_quarantine);
--- a/crates/gateway/src/dispatcher/config_update.rs
+++ b/crates/gateway/src/dispatcher/config_update.rs
@@ -1,4 +1,4 @@
-//! Applies new settings and the fleet's lease between two messages.
+//! Applies new settings, cells and leases of the fleet, each between two messages.
 
 use super::Dispatcher;
 use ironstair::{Millis, PolicyConfig};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Applies new settings. Open requests were accepted under the earlier ones; they keep the index of their class.
+    /// Applies new settings. Requests that were accepted under the previous settings keep the index of their class.
     pub(super) fn update_config(&mut self, update: ConfigUpdate) {
         let shared = self.executor.shared.clone();
         shared.classes.replace(Rc::new(update.classes));
@@ -22,12 +22,13 @@
         }
         let share = self.executor.share;
         let own_share = share.map(|share| share.of(&update.policy_config));
-        // In a fleet the share changes while the settings stay: they are kept for the next share.
+        // Only a lease of a fleet is finite. The fleet can change the share without new settings: the settings are kept
+        // to compute the limits of a later share.
         if shared.lease_until.get().is_finite() {
             self.executor.policy_config = Some(update.policy_config.clone());
         }
         self.update_policy(own_share.unwrap_or(update.policy_config));
-        // Fails only if management no longer waits.
+        // Fails only if management no longer waits for the update.
         let _ = update.done.try_send(());
     }
 
@@ -57,7 +58,7 @@
         self.reassign_cells();
     }
 
-    /// Applies the fleet's lease. `share` is this gateway's share of fleet-wide limits, where the fleet counts its
+    /// Applies a lease of the fleet. `share` is this gateway's share of fleet-wide limits, if the fleet counts its
     /// members.
     pub(super) fn renew_lease(&mut self, until: Millis, share: Option<Share>) {
         self.executor.shared.lease_until.set(until);
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists: new endpoints, missing and restarted ones, and the cells of each.
+//! Applies endpoint lists: adds new endpoints, closes missing and restarted ones, and assigns cells.
 
 use super::executor::KnownEndpoint;
 use super::Dispatcher;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Start times that differ by less are the same, in ms: they are transmitted as text, which rounds them.
+/// Start times that differ by less than this, in ms, count as equal: transmission as text rounds them.
 const START_TIME_TOLERANCE: Millis = 1.0;
 
 impl Dispatcher {
@@ -25,8 +25,8 @@
         self.pass_endpoints_to_policy(&endpoints);
     }
 
-    /// Applies a change of the cells. New attempts of open requests go to the tenant's present cells; attempts in
-    /// flight finish where they are.
+    /// Applies a change of the cells. New attempts of open requests go to the tenant's current cells; attempts in
+    /// flight finish at their engines.
     pub(super) fn reassign_cells(&mut self) {
         for index in 0..self.executor.requests.len() {
             if let Some(cells) = self.cells_of_request(index) {
@@ -37,8 +37,8 @@
         self.pass_endpoints_to_policy(&endpoints);
     }
 
-    /// The cells that a request may use, as bits. Without cells it is 0, which allows every engine, also for an index
-    /// that is free.
+    /// The cells that a request may use, one bit each; `None` if no open request has that index. If no cells are
+    /// configured, it is 0 for every index, which allows every engine.
     fn cells_of_request(&self, index: usize) -> Option<u64> {
         let Some(directory) = &self.executor.cells else {
             return Some(0);
@@ -47,7 +47,7 @@
         Some(directory.tenant(request.tenant).0)
     }
 
-    /// The cells of an engine, as bits; 0 without cells.
+    /// The cells of an engine, one bit each; 0 if no cells are configured.
     fn cells_of_engine(&self, id: u64) -> u64 {
         let directory = self.executor.cells.as_ref();
         directory.map_or(0, |directory| directory.engine(id).0)
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Releases the indices of engines that are gone, unless an open request has tried them: the policy still refers to
-    /// such an engine by its index.
+    /// Releases the indices of engines that are gone, except those that an open request has tried: the policy still
+    /// refers to these by their indices.
     fn release_engine_indices(&mut self) {
         let executor = &mut self.executor;
         for index in 0..executor.engines.len() {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Applies one entry of the list and returns the endpoint for the policy.
+    /// Applies one entry of the list and returns it as the policy's endpoint.
     fn update_endpoint(&mut self, name: String, discovered: DiscoveredEndpoint) -> Endpoint {
         let id = fnv1a_64(name.as_bytes());
         let cells = self.cells_of_engine(id);
@@ -108,7 +108,7 @@
         endpoint
     }
 
-    /// The present endpoint list, for the policy.
+    /// The current endpoint list in the policy's form.
     fn known_endpoints(&self) -> Vec<Endpoint> {
         let executor = &self.executor;
         let engines = executor.engines.iter().enumerate();
@@ -150,7 +150,7 @@
     }
 }
 
-/// Whether another process runs behind the endpoint now, possibly on another machine.
+/// Whether the address or the start time shows that another process now serves the endpoint.
 fn is_restarted(known: &KnownEndpoint, discovered: &DiscoveredEndpoint) -> bool {
     let start_difference = known.discovered.started_at - discovered.started_at;
     known.discovered.address != discovered.address || start_difference.abs() >= START_TIME_TOLERANCE
@@ -162,7 +162,7 @@
         return;
     }
     if let Some(queue) = &known.queue {
-        // Where the queue is full, the attempts in it still read the state right before they are written.
+        // If the queue is full, no message is needed: the attempts in it read the state right before they are written.
         let _ = queue.try_send(EngineMessage::EndpointStateChanged);
     }
 }
--- a/crates/gateway/src/dispatcher/executor.rs
+++ b/crates/gateway/src/dispatcher/executor.rs
@@ -1,4 +1,4 @@
-//! Executes the policy's actions, and holds the state of each open request and each endpoint.
+//! Executes the policy's actions, and holds the state of all open requests and endpoints.
 
 use crate::engine::Engine;
 use async_channel::Sender;
@@ -15,7 +15,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Most messages in an engine's queue; an attempt beyond it is reported as unsent.
+/// Capacity of an engine actor's queue. An attempt that does not fit is reported as unsent.
 const ENGINE_QUEUE_CAPACITY: usize = 1024;
 
 /// A request from its arrival until the policy forgets it.
@@ -26,18 +26,18 @@
     pub(super) class: usize,
     pub(super) received_at: Millis,
     pub(super) tenant: u64,
-    /// When the client gives up, or the process ends.
+    /// When the client gives up or the process ends, whichever is earlier.
     pub(super) deadline: Millis,
     pub(super) statement: Rc<BufferChain>,
     pub(super) idempotency_key: Option<Rc<str>>,
     pub(super) priority: Option<u8>,
-    /// Where the final answer goes; `None` once it is sent, or the client has cancelled the request.
+    /// Receives the final answer; `None` once it is sent, or the client has cancelled the request.
     pub(super) reply_to: Option<Sender<Reply>>,
-    /// Cleared by the client's connection, which takes effect before any queued message.
+    /// Cleared by the actor of the client's connection; this takes effect before any queued message.
     pub(super) client_is_waiting: Rc<Cell<bool>>,
     /// The attempt in flight.
     pub(super) sent_attempt: Option<SentAttempt>,
-    /// Engines that it was sent to. The policy refers to them by their indices as long as the request is open.
+    /// Indices of the engines that it was sent to. The policy refers to them as long as the request is open.
     pub(super) tried_engines: Vec<usize>,
 }
 
@@ -54,16 +54,17 @@
 pub(super) struct KnownEndpoint {
     pub(super) name: String,
     pub(super) discovered: DiscoveredEndpoint,
-    /// The queue of its actor. The actor is started with the first message, so that an unused endpoint costs little.
+    /// The queue of its actor. The actor is started with the first message, so that an unused endpoint needs neither a
+    /// task nor a queue.
     pub(super) queue: Option<Sender<EngineMessage>>,
-    /// The number of connections, which the actor updates.
+    /// The number of connections to the engine; its actor updates it.
     pub(super) connection_count: Rc<Cell<u32>>,
-    /// The endpoint's state, which its attempts share.
+    /// The endpoint's state, shared with the attempts sent to it.
     pub(super) state: Rc<Cell<EndpointState>>,
 }
 
 impl KnownEndpoint {
-    /// Ends the actor: this process of the engine has ended. The state prevents attempts that are still in the queue
+    /// Ends the actor, because this process of the engine has ended. The state keeps attempts that are still queued
     /// from starting.
     pub(super) fn close(&self) {
         self.state.set(EndpointState::Gone);
@@ -73,29 +74,29 @@
     }
 }
 
-/// Executes the policy's actions at once, and owns the state that they concern.
+/// Executes the policy's actions immediately, and owns the state that they change.
 pub(super) struct ActionExecutor {
     pub(super) shared: Rc<Shared>,
-    /// The time of the message that is handled.
+    /// The time at which the current message is handled.
     pub(super) now: Millis,
-    /// The indices of open requests.
+    /// Assigns indices to open requests.
     pub(super) request_ids: Interner<Id>,
     /// Open requests by index.
     pub(super) requests: Vec<Option<OpenRequest>>,
     pub(super) open_requests: usize,
-    /// The indices of engines.
+    /// Assigns indices to engines.
     pub(super) engine_ids: Interner<u64>,
     /// Endpoints by index.
     pub(super) engines: Vec<Option<KnownEndpoint>>,
-    /// When the policy's timer expires.
+    /// When the policy's timer expires; `None` if it is not set.
     pub(super) next_wake_at: Option<Millis>,
     /// When the process ends; infinite until the shutdown.
     pub(super) shutdown_at: Millis,
-    /// Counters since the start, by class.
+    /// Counters since the start of the process, by class.
     pub(super) class_counts: Vec<Counts>,
     /// The cells of engines and tenants, if the operator's file names cells.
     pub(super) cells: Option<CellDirectory>,
-    /// The fleet's settings, from which a new share is computed; `None` without a fleet.
+    /// The settings before this gateway's share is applied, kept for the next share; `None` without a fleet.
     pub(super) policy_config: Option<PolicyConfig>,
     /// This gateway's share of fleet-wide limits, if the fleet counts its members.
     pub(super) share: Option<Share>,
@@ -138,7 +139,8 @@
             return false;
         };
         if client.try_send(reply(request.call_id)).is_err() {
-            // The connection is gone, or the client reads none of its replies: the connection then ends.
+            // The connection is gone, or its queue is full because the client reads no replies: closing the queue ends
+            // the connection.
             client.close();
         }
         true
@@ -176,8 +178,8 @@
         counts.late += u64::from(is_late);
     }
 
-    /// Records that an attempt of the tenant has left its cells, which may end the tenant's migration.
-    pub(super) fn on_attempt_left_cells(&mut self, tenant: u64, cells: Cells) {
+    /// Records that an attempt of the tenant in these cells has ended, which may complete the tenant's migration.
+    pub(super) fn on_attempt_in_cells_ended(&mut self, tenant: u64, cells: Cells) {
         let now = self.now;
         let Some(directory) = &mut self.cells else {
             return;
@@ -208,8 +210,8 @@
         queue.try_send(message).is_ok()
     }
 
-    /// Reports an attempt as unsent that no actor has received. The message is sent by a task: the dispatcher must not
-    /// wait for its own queue.
+    /// Reports an attempt that no actor has received as unsent. A separate task sends the message: the dispatcher would
+    /// block forever if it waited for space in its own queue.
     fn report_unsent(&self, id: Id) {
         let unsent = DispatcherMessage::AttemptEnded {
             id,
@@ -233,7 +235,7 @@
 }
 
 impl Actions for ActionExecutor {
-    fn start_attempt(&mut self, request: usize, engine: usize, by: Millis) {
+    fn start_attempt(&mut self, request: usize, engine: usize, start_before: Millis) {
         let id = self.request_ids.id(request);
         let cells = self.cells_of_engine(engine);
         let known = self.engines.get(engine).and_then(Option::as_ref);
@@ -248,7 +250,7 @@
             idempotency_key: request.idempotency_key.clone(),
             priority: Cell::new(request.priority),
             deadline: request.deadline,
-            start_before: Cell::new(by),
+            start_before: Cell::new(start_before),
             client_is_waiting: request.client_is_waiting.clone(),
             endpoint_state,
             started: Cell::new(false),
@@ -278,7 +280,8 @@
         if self.send_to_engine(engine, EngineMessage::WithdrawAttempt(attempt.clone())) {
             return;
         }
-        // The queue is full. Without the message an attempt that has started would stay in flight until its deadline.
+        // The queue is full; a task waits for space. Without the message an attempt that has started would stay in
+        // flight until its deadline.
         let known = self.engines.get(engine).and_then(Option::as_ref);
         if let Some(queue) = known.and_then(|known| known.queue.clone()) {
             let withdrawal = async move {
@@ -290,7 +293,7 @@
     }
 
     fn set_priority(&mut self, request: usize, priority: u8, _grant_mb: f64) {
-        // The engines' line protocol has no field for memory.
+        // The memory grant is not sent: the engines' line protocol has no field for it.
         let id = self.request_ids.id(request);
         let Some(request) = self.request(request) else {
             return;
@@ -319,7 +322,7 @@
     }
 
     fn subscribe(&mut self) {
-        // The discovery actor sends every change without a subscription.
+        // Nothing to do: the discovery actor sends every change of the list without a subscription.
     }
 
     fn probe(&mut self, engine: usize) {
@@ -327,9 +330,9 @@
     }
 
     fn wake_after(&mut self, after: Millis) {
-        // Replaces an earlier wake-up even if it is due by now. The policy requests another wake-up only when its last
-        // one is due. If the earlier wake-up stayed, it would fire at once and find nothing due, and nothing would wake
-        // the policy until the next message: requests would stay open past their deadlines.
+        // Replaces an earlier wake-up even if that one is already due. The policy requests the next wake-up only when
+        // its latest one is due. An earlier one in its place would fire at once and find nothing due, and no timer
+        // would be left: until the next message, requests would stay open past their deadlines.
         self.next_wake_at = Some(self.now + after);
     }
 
--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their answer: messages of clients and of engines' actors about them.
+//! Handles messages about requests from clients and from engines' actors: arrival, cancellation, end of an attempt.
 
 use super::executor::OpenRequest;
 use super::Dispatcher;
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Passes a new request to the policy. It is answered at once if its id is in use, too many requests are open, or
-    /// its cells have no ready engine.
+    /// Passes a new request to the policy. A request is answered here if its id is in use, too many requests are open,
+    /// or the cells reject it for lack of a ready engine.
     pub(super) fn on_request(&mut self, new: NewRequest) {
         let executor = &mut self.executor;
         if executor.request_ids.find(new.id).is_some() {
-            // The id stays with the request that had it first. A failed send means that the client is gone.
+            // The id continues to refer to the open request. The send fails only if the client is gone.
             let _ = new.reply_to.try_send(Reply::DuplicateId(new.call_id));
             return;
         }
@@ -88,7 +88,7 @@
         self.policy.on_cancel(now, index, &mut self.executor);
     }
 
-    /// The client has closed the connection, or at least its sending half: no new attempt of the request starts.
+    /// The client has closed the connection, or at least its sending half: no further attempt of the request starts.
     pub(super) fn on_client_closed(&mut self, id: Id, client: &Sender<Reply>) {
         if let Some(index) = self.request_of_client(id, client) {
             let now = self.executor.now;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The index of the open request with that id, if that client has sent it. A client that used the id of another
-    /// client's request must not cancel that one.
+    /// The index of the open request with that id, if that client sent it: a client must not cancel another client's
+    /// request by its id.
     fn request_of_client(&mut self, id: Id, client: &Sender<Reply>) -> Option<usize> {
         let index = self.executor.request_ids.find(id)?;
         let request = self.executor.request(index)?;
@@ -105,7 +105,7 @@
         owner.same_channel(client).then_some(index)
     }
 
-    /// An attempt has ended; `rows` is its complete result, if it has one.
+    /// An attempt has ended; `rows` is its complete result, if it succeeded.
     pub(super) fn on_attempt_ended(&mut self, id: Id, outcome: Outcome, rows: Option<BufferChain>) {
         let executor = &mut self.executor;
         let Some(index) = executor.request_ids.find(id) else {
@@ -116,7 +116,7 @@
                 let is_waiting = request.reply_to.is_some();
                 let tenant = request.tenant;
                 if let Some(sent) = request.sent_attempt.take() {
-                    executor.on_attempt_left_cells(tenant, sent.cells);
+                    executor.on_attempt_in_cells_ended(tenant, sent.cells);
                 }
                 is_waiting
             }
--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -10,7 +10,7 @@
 /// The name of a zone or machine type that the settings do not name.
 const UNKNOWN_NAME: &str = "unknown";
 
-/// Where the state is published, and the names that it contains.
+/// Publishes the state as snapshots, in which zones and machine types appear by name.
 pub(crate) struct StatePublisher {
     /// Holds the latest snapshot.
     pub(crate) watch: Arc<StateWatch>,
@@ -21,7 +21,7 @@
 }
 
 impl Dispatcher {
-    /// Publishes a snapshot of the state; does nothing without management.
+    /// Publishes a snapshot of the state; does nothing if management is disabled.
     pub(super) fn publish_state(&mut self) {
         let Some(publisher) = self.state_publisher.take() else {
             return;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// The engines by name. Unchanged engines keep the entry of the previous snapshot: a reader finds the changed ones
-    /// quickly, since maps share the entries that they have in common.
+    /// The engines by name. Unchanged engines keep the entry of the previous snapshot: the maps of both snapshots share
+    /// it, so that a reader finds the changed entries quickly.
     fn engine_views(&self, publisher: &StatePublisher) -> state::EngineMap {
         let known = self.executor.engines.iter().enumerate();
         let known = known.filter_map(|(index, known)| Some((known.as_ref()?.name.as_str(), index)));
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -1,4 +1,4 @@
-//! The executor of the policy's actions, without actors behind it.
+//! Tests the executor of the policy's actions without engine actors.
 
 use super::executor::{ActionExecutor, KnownEndpoint, OpenRequest};
 use async_channel::Sender;
@@ -14,7 +14,7 @@
 
 const MAX_DEADLINE: Millis = 5000.0;
 
-fn executor() -> ActionExecutor {
+fn test_executor() -> ActionExecutor {
     let transport_config = TransportConfig {
         connect_timeout: 250.0,
         idle: 3e4,
@@ -42,7 +42,7 @@
     ActionExecutor::new(shared, None)
 }
 
-fn endpoint(queue: Sender<EngineMessage>) -> KnownEndpoint {
+fn ready_endpoint(queue: Sender<EngineMessage>) -> KnownEndpoint {
     let discovered = DiscoveredEndpoint {
         address: ([127, 0, 0, 1], 9).into(),
         zone: 0,
@@ -77,11 +77,12 @@
     }
 }
 
-/// A wake-up that is already due finds nothing due, and the policy, which has asked for a later one, does not ask again.
-/// If it were kept in place of the later one, an idle gateway would sleep past the deadlines of its requests.
+/// Guards against a lost timer: the policy asks again only when its latest wake-up is due. If an earlier one were kept
+/// in place of the latest, it would find nothing due, and an idle gateway would sleep past the deadlines of its
+/// requests.
 #[test]
 fn newer_wake_up_replaces_one_that_is_due() {
-    let mut executor = executor();
+    let mut executor = test_executor();
     executor.now = 10.0;
     executor.wake_after(5.0);
     executor.now = 16.0;
@@ -91,9 +92,9 @@
 
 #[test]
 fn withdrawal_is_delivered_although_the_engine_queue_is_full() {
-    let mut executor = executor();
+    let mut executor = test_executor();
     let (queue, messages) = async_channel::bounded(2);
-    executor.engines.push(Some(endpoint(queue.clone())));
+    executor.engines.push(Some(ready_endpoint(queue.clone())));
     let request = executor.request_ids.admit(*b"0000000000000001");
     executor.requests.push(Some(open_request()));
     executor.start_attempt(request, 0, MAX_DEADLINE);
@@ -102,11 +103,11 @@
     executor.withdraw_attempt(request, 0);
 
     let Ok(EngineMessage::StartAttempt(attempt)) = messages.try_recv() else {
-        panic!("the attempt is in the queue")
+        panic!("the attempt is missing from the queue")
     };
     assert!(
         !attempt.may_start(0.0),
-        "withdrawn while it is queued, before the message about it"
+        "withdrawn while it is queued, before the message about the withdrawal arrives"
     );
     assert!(matches!(
         messages.try_recv(),
@@ -114,7 +115,7 @@
     ));
     while executor.shared.executor.try_tick() {}
     let Ok(EngineMessage::WithdrawAttempt(withdrawn)) = messages.try_recv() else {
-        panic!("the withdrawal is in the queue")
+        panic!("the withdrawal is missing from the queue")
     };
     assert!(Rc::ptr_eq(&withdrawn, &attempt));
 }
