--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,5 +1,5 @@
-//! The task of one connection to an engine: it connects, reads, and waits until a blocked write can go on. Only the
-//! engine's actor, which owns the connection, writes to it.
+//! The task of one connection to an engine: it connects, reads, and waits until a blocked connection is writable again.
+//! Only the engine's actor, which owns the connection, writes to it.
 
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -13,15 +13,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The parts of a connection's task.
+/// What the task of a connection needs.
 pub(crate) struct ConnectionTask {
     /// The connection's number, which its messages carry.
     pub(crate) number: u64,
     /// The engine's address.
     pub(crate) address: SocketAddr,
-    /// The longest time to connect, in ms.
+    /// The timeout of connecting, in ms.
     pub(crate) connect_timeout: Millis,
-    /// Where buffers to read into come from.
+    /// Provides the buffers to read into.
     pub(crate) pool: Rc<BufferPool>,
     /// Receives a message whenever a write would block.
     pub(crate) write_blocked: Receiver<()>,
@@ -30,12 +30,13 @@
 }
 
 impl ConnectionTask {
-    /// Runs until the connection ends, and reports that to the engine's actor. The actor ends the task by dropping it.
+    /// Runs until the connection ends, and reports its end to the engine's actor. The actor cancels the task by
+    /// dropping it.
     pub(crate) async fn run(self) {
         let connected = Async::<TcpStream>::connect(self.address);
         let outcome = match timeout(self.connect_timeout, connected).await {
             Ok(stream) => {
-                // Without it small commands would wait for the acknowledgement of the ones before.
+                // Nagle's algorithm would hold small commands back until earlier ones are acknowledged.
                 let _ = stream.get_ref().set_nodelay(true);
                 self.serve(Rc::new(stream)).await;
                 Outcome::ConnectionLost
@@ -55,7 +56,7 @@
             stream: stream.clone(),
         })
         .await;
-        // Both end with the connection: a lost one and an orderly end are handled alike.
+        // Either future completes when the connection ends; a lost connection and an orderly close are handled alike.
         let _ = or(self.read(&stream), self.report_writable(&stream)).await;
     }
 
@@ -69,7 +70,7 @@
 
     async fn read(&self, mut stream: &Async<TcpStream>) -> io::Result<()> {
         loop {
-            // A buffer is acquired only once there is something to read: idle connections must not hold one.
+            // A buffer is acquired only once there is something to read: idle connections must not hold buffers.
             stream.readable().await?;
             let mut buffer = self.pool.acquire_for_open_request().await;
             let length = stream.read(buffer.spare_capacity()).await?;
@@ -88,7 +89,7 @@
     }
 
     async fn send(&self, message: EngineMessage) {
-        // The queue is closed once the engine is gone; its actor then drops this task.
+        // Fails only if the queue is closed because the engine is gone; its actor then drops this task.
         let _ = self.engine.send(message).await;
     }
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,5 +1,5 @@
 //! The actor of one engine. It owns the connections to the engine, the attempts in flight there with their deadlines,
-//! and the pages that have arrived.
+//! and the result pages received so far.
 
 mod answers;
 mod connections;
@@ -18,31 +18,31 @@
 use std::rc::Rc;
 use writing::OutboundChunk;
 
-/// An attempt that the engine has, or that waits for its connection.
+/// An attempt that was sent to the engine, or that waits to be written to its connection.
 struct InFlightAttempt {
     attempt: Rc<Attempt>,
     /// The number of its connection.
     connection: u64,
     /// When it was assigned to the connection.
     sent_at: Millis,
-    /// The pages of the result; empty until the engine has said how many there are.
+    /// The pages of the result by number; empty until the engine has reported how many there are.
     pages: Vec<Option<Buffer>>,
     /// The cost of the query, once the engine has reported it.
     cost: Option<Cost>,
 }
 
-/// The actor.
+/// The state of an engine's actor.
 pub(crate) struct Engine {
     index: usize,
     address: SocketAddr,
     shared: Rc<Shared>,
-    /// The actor's own queue, for the tasks of its connections.
+    /// The sender of the actor's own queue, for the tasks of its connections.
     queue: Sender<EngineMessage>,
     in_flight: BTreeMap<Id, InFlightAttempt>,
     connections: BTreeMap<u64, Connection>,
-    /// The number of the last connection that was opened.
+    /// The number of the connection that was opened last.
     last_connection: u64,
-    /// Load reports that were requested; each request has a tag of its own.
+    /// The number of load reports requested so far; each request's tag contains it.
     load_report_requests: u64,
     /// Messages to the dispatcher that are sent after the current one is handled.
     outgoing: Vec<DispatcherMessage>,
@@ -53,12 +53,12 @@
 }
 
 fn id_text(id: &Id) -> &str {
-    // Only ids of hexadecimal digits are accepted from clients.
+    // Always valid UTF-8: only ids of hexadecimal digits are accepted from clients.
     std::str::from_utf8(id).unwrap_or_default()
 }
 
 impl Engine {
-    /// The actor of the engine with that index. `queue` is the sender of the actor's own queue.
+    /// Creates the actor of the engine with that index. `queue` is the sender of the actor's own queue.
     pub(crate) fn new(
         index: usize,
         address: SocketAddr,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Runs until its queue is closed, which means that this process of the engine has ended.
+    /// Runs until the queue is closed, which means that this process of the engine has ended.
     pub(crate) async fn run(mut self, messages: Receiver<EngineMessage>) {
         loop {
             let deadline = self.next_deadline();
@@ -106,8 +106,8 @@
 
     fn handle_and_flush(&mut self, message: EngineMessage) {
         self.handle(message);
-        // Lines are written only after everything that arrived with the message is handled: a later reply may end the
-        // attempt, or show that the connection is to be closed.
+        // Lines are written only after every reply in the message is handled: a later reply may end the attempt that a
+        // line is about, or cause its connection to be closed.
         for connection in std::mem::take(&mut self.flush_pending) {
             self.write(connection);
         }
@@ -175,7 +175,7 @@
         self.write(connection_number);
     }
 
-    /// Ends an attempt and releases its place on its connection; every attempt in flight ends here.
+    /// Removes an attempt from its connection and reports its outcome; every attempt in flight ends here.
     fn end_attempt(&mut self, id: &Id, outcome: Outcome, rows: Option<BufferChain>) {
         let Some(in_flight) = self.in_flight.remove(id) else {
             return;
@@ -186,7 +186,7 @@
             connection.open_attempts -= 1;
             connection.is_silent |= is_silent;
             connection.idle_since = self.shared.clock.now();
-            // A chunk that is partly written stays: half a line would corrupt the one behind it.
+            // A partly written chunk stays queued: an incomplete line would corrupt the line that follows it.
             let belongs_to_other = |chunk: &OutboundChunk| {
                 let attempt = chunk.attempt.as_ref();
                 attempt.is_none_or(|attempt| attempt.id != *id)
--- a/crates/gateway/src/engine/answers.rs
+++ b/crates/gateway/src/engine/answers.rs
@@ -1,4 +1,4 @@
-//! Handles the engine's replies: results in pages, and load reports.
+//! Handles the engine's replies: paged results, errors and load reports.
 
 use super::connections::PartialReply;
 use super::{id_text, Engine};
@@ -8,35 +8,35 @@
 use ironstair_runtime::{DispatcherMessage, Id};
 use slog::warn;
 
-/// More pages than the longest result has.
+/// Largest number of pages that is accepted; the longest result has fewer.
 const MAX_PAGES: f64 = 64.0;
-/// Most bytes of a result.
+/// Largest size of a result that is accepted, in bytes.
 const MAX_RESULT_BYTES: usize = 48_000;
-/// More memory than any machine has, in MB.
+/// Largest amount of memory that is accepted in a cost, in MB; no machine has so much.
 const MAX_MEMORY_MB: f64 = 1e8;
 
-/// Why a connection cannot be used after a reply.
+/// Why a connection can't be used any more after a reply.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum EngineReplyError {
     #[error(transparent)]
     Malformed(#[from] ReplyError),
-    #[error("reply is incomplete for too long")]
+    #[error("reply not complete within the connect timeout")]
     IncompleteReply,
-    #[error("no number of pages from 1 to {MAX_PAGES}")]
+    #[error("field \"pages\" of a DONE reply is not a whole number from 1 to {MAX_PAGES}")]
     InvalidPageCount,
-    #[error("page out of place, too long, or not of complete rows")]
+    #[error("result page has a wrong number or incomplete rows, or the result exceeds {MAX_RESULT_BYTES} bytes")]
     UnexpectedPage,
 }
 
 impl Engine {
-    /// Handles bytes from a connection. They are appended to a partial reply, if there is one.
+    /// Handles bytes from a connection. If the connection has a partial reply, they are appended to it.
     pub(super) fn on_received(&mut self, number: u64, mut received: Buffer) {
         let now = self.shared.clock.now();
         if let Some(connection) = self.connections.get_mut(&number) {
             connection.last_heard_at = now;
             connection.is_silent = false;
         }
-        // A reply is shorter than a buffer, so that its rest always fits behind the part that has been received.
+        // A reply is shorter than a buffer, so the rest of a partial reply always fits into its buffer.
         while let Some(mut partial) = self.take_partial_reply(number) {
             let appended = partial.buffer.append(received.bytes());
             received.consume(appended);
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Closes a connection after a malformed reply: the start of the next one is unknown.
+    /// Closes a connection after an invalid reply: the start of the next reply is unknown.
     pub(super) fn close_after_invalid_reply(&mut self, number: u64, error: &EngineReplyError) {
         warn!(
-            self.shared.log, "engine answer malformed, closing connection";
+            self.shared.log, "invalid engine reply, closing connection";
             "error" => %error, "address" => self.address
         );
         self.drop_connection(number, Outcome::ConnectionLost);
     }
 
-    /// Reports the values by the names that the settings give. Where the engine uses other names, its values are
-    /// reported in its own order.
+    /// Passes the values on in the order in which the settings name them. If the engine does not report all of these
+    /// names, its values are passed on in its own order.
     fn on_load_report(&mut self, fields: Fields) {
         let value_of = |name: &String| {
             let mut values = fields.load();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Handles one complete reply: a load report, the end of an attempt, or a page of its result.
+    /// Handles one complete reply: a load report, the end of an attempt, or a page of a result.
     fn on_reply(&mut self, connection: u64, reply: &Reply) {
         if reply.fields.load().next().is_some() {
             self.on_load_report(reply.fields);
@@ -121,14 +121,14 @@
         let Ok(id) = Id::try_from(reply.id) else {
             return;
         };
-        // A withdrawn or timed-out attempt is not in flight any more: its reply is dropped.
+        // A withdrawn or timed-out attempt is no longer in flight: replies to it are dropped.
         let in_flight = self.in_flight.get(&id);
         let Some(in_flight) = in_flight.filter(|sent| sent.connection == connection) else {
             return;
         };
         let is_duplicate = !in_flight.pages.is_empty();
         match reply.kind {
-            // A second copy of the first page is harmless.
+            // A repeated first reply is ignored: its page is already stored.
             ReplyKind::Done if is_duplicate => {}
             ReplyKind::Done => match self.on_done(&id, reply.fields) {
                 Ok(()) => self.on_page(connection, &id, 0, reply.body),
@@ -136,7 +136,8 @@
             },
             ReplyKind::Page => {
                 let page = reply.fields.number("page");
-                // Page 0 comes with the first reply only. No result has the largest number: it is rejected.
+                // Page 0 is only valid in the first reply. Any page below 1, or a missing number, becomes a number that
+                // no result has, and is rejected as unexpected.
                 let page = page.filter(|page| *page >= 1.0).unwrap_or(f64::MAX);
                 self.on_page(connection, &id, page as usize, reply.body);
             }
@@ -146,9 +147,9 @@
         }
     }
 
-    /// The query has run: stores its cost and the number of pages, and requests the further pages.
+    /// The query has completed: stores its cost, prepares its pages, and requests all but the first.
     fn on_done(&mut self, id: &Id, fields: Fields) -> Result<(), EngineReplyError> {
-        // Every result has a number of pages: a reply without one is something else.
+        // Every result states its number of pages, so a reply without one is invalid.
         let pages = fields.number("pages").unwrap_or(0.0);
         if pages.fract() != 0.0 || !(1.0..=MAX_PAGES).contains(&pages) {
             return Err(EngineReplyError::InvalidPageCount);
@@ -169,7 +170,7 @@
         Ok(())
     }
 
-    /// Stores a page of a result; the last one completes the attempt.
+    /// Stores a page of a result; the last missing one completes the attempt.
     fn on_page(&mut self, connection: u64, id: &Id, page: usize, body: &[u8]) {
         let Some(in_flight) = self.in_flight.get_mut(id) else {
             return;
@@ -187,8 +188,8 @@
             return self.close_after_invalid_reply(connection, &EngineReplyError::UnexpectedPage);
         }
         let Some(mut buffer) = self.shared.pool.try_acquire() else {
-            // The pages that still arrive must not be taken for those of the request's next attempt. The engine is not
-            // to blame.
+            // The pool is exhausted. Pages that still arrive must not be attributed to the request's next attempt, so
+            // the connection is closed. This outcome does not count against the engine.
             return self.drop_connection(connection, Outcome::ConnectionLostByPeerAttempt);
         };
         buffer.append(body);
@@ -212,7 +213,8 @@
     }
 }
 
-/// The cost that a reply states. Without a usable amount of memory the work still counts.
+/// The cost that a reply states, or `None` if its work is missing or out of range. Memory that is missing or out of
+/// range counts as 0.
 fn cost(fields: Fields, max_work: Millis) -> Option<Cost> {
     let work = fields.number("cost");
     let work = work.filter(|work| (0.0..=max_work).contains(work))?;
--- a/crates/gateway/src/engine/connections.rs
+++ b/crates/gateway/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Chooses the connection for an attempt, ends connections, and ends the attempts on a lost connection.
+//! Opens, chooses and closes connections, and ends the attempts on a lost connection and those past their deadlines.
 
 use super::answers::EngineReplyError;
 use super::writing::OutboundChunk;
@@ -14,47 +14,48 @@
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 
-/// Fewest connections to an engine: a lost connection must not lose all attempts there.
+/// Lower bound of the limit on connections to an engine: one lost connection must not lose all attempts there.
 const MIN_CONNECTIONS: usize = 2;
-/// Most connections to an engine, however few engines share the descriptors.
+/// Upper bound of the limit on connections to an engine, however few engines share the descriptors.
 const MAX_CONNECTIONS: usize = 16;
-/// Idle connections are closed after this share of the engine's idle timeout. An attempt could otherwise be sent while
-/// the engine closes the connection.
+/// Idle connections are closed after this fraction of the engine's idle timeout. Otherwise an attempt could be sent
+/// while the engine closes the connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.75;
 
 /// A connection to the engine.
 pub(super) struct Connection {
     /// `None` until the connection is established.
     pub(super) stream: Option<Rc<Async<TcpStream>>>,
-    /// Attempts in flight on it.
+    /// The number of attempts in flight on it.
     pub(super) open_attempts: usize,
     /// When it was established, or last received something.
     pub(super) last_heard_at: Millis,
     /// When its last attempt ended.
     pub(super) idle_since: Millis,
-    /// An attempt was abandoned here after nothing was received for longer than the attempt's objective.
+    /// Set when an attempt is withdrawn or times out after nothing was received for longer than its objective; cleared
+    /// when something is received.
     pub(super) is_silent: bool,
-    /// Requests with an abandoned attempt here. Another attempt of such a request uses another connection, since a late
-    /// answer to the first one would be taken for its own.
+    /// Requests with an abandoned attempt on this connection. The next attempt of such a request uses another
+    /// connection, since a late reply to the abandoned one would be attributed to it.
     pub(super) abandoned: VecDeque<Id>,
     /// Bytes that wait to be written.
     pub(super) outbound: VecDeque<OutboundChunk>,
-    /// The start of a reply that is incomplete.
+    /// The received part of an incomplete reply.
     pub(super) partial: Option<PartialReply>,
-    /// Makes the connection's task report when the connection is writable again.
+    /// Requests that the connection's task reports when the connection is writable again.
     pub(super) write_blocked: Sender<()>,
-    /// Connects and reads; it ends when it is dropped.
+    /// Connects and reads; dropping it cancels it.
     _task: Task<()>,
 }
 
-/// The start of a reply that is incomplete.
+/// The received part of an incomplete reply.
 pub(super) struct PartialReply {
     pub(super) buffer: Buffer,
-    /// When its first byte was received.
+    /// When its first byte was received, or the last complete reply before it was handled.
     pub(super) since: Millis,
 }
 
-/// The order in which connections are chosen for an attempt; the lowest is used.
+/// Ranks connections for an attempt; the one with the lowest rank is used.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ConnectionRank {
     is_silent: bool,
@@ -63,10 +64,11 @@
 }
 
 impl Engine {
-    /// The number of the connection for an attempt of `request`, or for a line.
+    /// Chooses or opens the connection for an attempt of `request`, or for a line if it is `None`; returns its number.
     ///
-    /// A connection without attempts is preferred, then a new connection: a lost connection loses every attempt on it.
-    /// Once this engine's share of the descriptors is used, it is the connection with the fewest attempts.
+    /// A connection without attempts is preferred, then a new connection, because a lost connection loses every attempt
+    /// on it. Once the engine has as many connections as its share of the descriptors allows, the one with the fewest
+    /// attempts is used.
     pub(super) fn connection_for(&mut self, request: Option<&Id>) -> u64 {
         match self.usable_connection(request) {
             Some(number) => number,
@@ -75,8 +77,8 @@
     }
 
     fn usable_connection(&self, request: Option<&Id>) -> Option<u64> {
-        // The connections of a machine that was cut off stay open and silent, possibly forever. Only a new connection
-        // shows whether the engine can be reached.
+        // Connections to a machine that was cut off from the network stay open and silent, possibly forever. Only a new
+        // connection shows whether the engine can be reached.
         let silent = self.in_flight.values().filter(|sent| self.is_silent(sent));
         let silent: BTreeSet<u64> = silent.map(|in_flight| in_flight.connection).collect();
         let max_attempts = self.shared.transport_config().streams;
@@ -143,7 +145,7 @@
         self.write(number);
     }
 
-    /// Whether nothing was received on the attempt's connection for longer than the attempt's objective.
+    /// Whether nothing was received on the attempt's established connection for longer than the attempt's objective.
     pub(super) fn is_silent(&self, in_flight: &InFlightAttempt) -> bool {
         let Some(connection) = self.connections.get(&in_flight.connection) else {
             return false;
@@ -158,13 +160,15 @@
 
     /// Closes a connection and ends the attempts on it.
     ///
-    /// `outcome` is reported for the attempt that was in flight for longest: one loss must count against the engine
-    /// only once. Other started attempts count as lost by that attempt; attempts that were never written are unsent.
+    /// `outcome` is reported only for the attempt that was in flight for longest, so that one loss counts against the
+    /// engine once. Other started attempts are reported as lost by a peer attempt. Attempts of which nothing was
+    /// written are reported as unsent, except that a failed connect is reported for the first.
     pub(super) fn drop_connection(&mut self, number: u64, outcome: Outcome) {
         let Some(connection) = self.connections.remove(&number) else {
             return;
         };
-        // Shut down at once, not when the task is dropped: an abandoned attempt may be sent to another engine next.
+        // The stream is shut down at once, not only when the task drops it: an attempt that ends here may be sent to
+        // another engine next.
         if let Some(stream) = &connection.stream {
             let _ = stream.get_ref().shutdown(Shutdown::Both);
         }
@@ -183,7 +187,7 @@
         }
     }
 
-    /// The requests with an attempt on a connection, those in flight for longest first.
+    /// The ids of the requests with an attempt on a connection, longest in flight first.
     fn attempts_on(&self, number: u64) -> Vec<Id> {
         let on_connection = |in_flight: &&InFlightAttempt| in_flight.connection == number;
         let mut attempts: Vec<&InFlightAttempt> =
@@ -192,7 +196,7 @@
         attempts.iter().map(|sent| sent.attempt.id).collect()
     }
 
-    /// Closes all connections: this process of the engine has ended, and nothing on them can be answered any more.
+    /// Closes all connections, because this process of the engine has ended and can't answer on them any more.
     pub(super) fn drop_all_connections(&mut self) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
@@ -200,7 +204,7 @@
         }
     }
 
-    /// When a connection without attempts is closed; a silent one at once.
+    /// When a connection without attempts is closed: after the idle timeout, or at once if it is silent.
     fn idle_deadline(&self, connection: &Connection) -> Option<Millis> {
         let timeout = match connection.is_silent {
             true => 0.0,
@@ -210,14 +214,14 @@
         is_idle.then_some(connection.idle_since + timeout)
     }
 
-    /// When a partial reply counts as malformed. Engines write a reply at once: if the rest does not follow within the
-    /// time that a connection may take to be established, it never will.
+    /// When a partial reply counts as invalid. Engines write each reply at once: if the rest does not arrive within the
+    /// connect timeout, it never will.
     fn partial_deadline(&self, connection: &Connection) -> Option<Millis> {
         let partial = connection.partial.as_ref()?;
         Some(partial.since + self.shared.transport_config().connect_timeout)
     }
 
-    /// When [`Engine::on_timer`] has something to do next.
+    /// The next time at which [`Engine::on_timer`] has something to do.
     pub(super) fn next_deadline(&self) -> Option<Millis> {
         let connections = self.connections.values();
         let of_connections = connections.flat_map(|connection| {
@@ -235,7 +239,7 @@
         of_attempts.chain(of_connections).min_by(f64::total_cmp)
     }
 
-    /// Ends the attempts that wait to be written and must not start any more.
+    /// Ends the attempts that wait to be written but may no longer start.
     pub(super) fn end_unstartable_attempts(&mut self) {
         let now = self.shared.clock.now();
         let is_unstartable =
@@ -277,7 +281,7 @@
         }
     }
 
-    /// The connections whose deadline of that kind has passed.
+    /// The numbers of the connections for which this deadline has passed.
     fn connections_due(&self, deadline: fn(&Engine, &Connection) -> Option<Millis>) -> Vec<u64> {
         let now = self.shared.clock.now();
         let is_due = |connection: &Connection| {
--- a/crates/gateway/src/engine/writing.rs
+++ b/crates/gateway/src/engine/writing.rs
@@ -1,4 +1,4 @@
-//! Writes to the engine: attempts, each built at the moment in which it starts, and lines about them.
+//! Writes to the engine: attempts, each encoded right before its first byte is written, and lines about them.
 
 use super::{id_text, Engine, InFlightAttempt};
 use async_io::Async;
@@ -9,17 +9,17 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Most abandoned attempts to remember on a connection: their answers may still arrive.
+/// Limit on the abandoned attempts that a connection remembers because their replies may still arrive.
 const MAX_ABANDONED: usize = 32;
 
 /// Bytes that wait to be written: an attempt or lines.
 pub(super) struct OutboundChunk {
-    /// The attempt that starts with the first byte; its bytes are built right before.
+    /// The attempt that starts with the first byte; it is encoded right before that byte is written.
     pub(super) attempt: Option<Rc<Attempt>>,
     bytes: Vec<u8>,
-    /// How many of the bytes are written.
+    /// The number of bytes written so far.
     pub(super) written: usize,
-    /// The attempt that these lines withdraw; it ends once they are written.
+    /// The attempt that these lines withdraw or release; it ends once they are written.
     withdraws: Option<Rc<Attempt>>,
 }
 
@@ -50,9 +50,9 @@
     }
 }
 
-/// The state of the chunk that is first to be written on a connection.
+/// The state of the first chunk in a connection's queue.
 enum NextChunk {
-    /// Its attempt must not start any more.
+    /// Its attempt may no longer start; the chunk was removed.
     Unsent(Id),
     /// The engine has closed the connection.
     ConnectionEnded,
@@ -61,8 +61,8 @@
 }
 
 impl Engine {
-    /// Writes as much to a connection as it accepts now; the rest follows when it is writable again. Attempts that must
-    /// not start any more are left out and reported as unsent. Nothing else writes to connections.
+    /// Writes as much to a connection as it accepts now; the rest follows when it is writable again. Attempts that may
+    /// no longer start are skipped and reported as unsent. All writes to connections go through this function.
     pub(super) fn write(&mut self, connection: u64) {
         while let Some(next) = self.prepare_chunk(connection) {
             let may_continue = match next {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Checks the first chunk; `None` if there is none, or the connection is not established.
+    /// Checks and encodes the first chunk; `None` if there is none, or the connection is not established.
     fn prepare_chunk(&mut self, number: u64) -> Option<NextChunk> {
         let now = self.shared.clock.now();
         let connection = self.connections.get_mut(&number)?;
@@ -100,8 +100,8 @@
             connection.outbound.pop_front();
             return Some(NextChunk::Unsent(id));
         }
-        // The engine may just have closed an idle connection, and the message about it still waits in the queue. An
-        // attempt written now would be lost, and it would be unknown whether it ran.
+        // The engine may have closed an idle connection while the message about it still waits in the actor's queue. An
+        // attempt written to it would be lost, and it would be unknown whether it ran.
         if has_ended(stream) {
             return Some(NextChunk::ConnectionEnded);
         }
@@ -114,7 +114,8 @@
         Some(NextChunk::Ready)
     }
 
-    /// Writes as much of the first chunk as the connection accepts; false if it accepts no more now, or is lost.
+    /// Writes as much of the first chunk as the connection accepts; false if the connection accepts no more now, or is
+    /// lost.
     fn write_chunk(&mut self, number: u64) -> bool {
         let Some(connection) = self.connections.get_mut(&number) else {
             return false;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Removes the first chunk; an attempt that it withdraws has ended.
+    /// Removes the first chunk, and ends the attempt that it withdraws, if any.
     fn on_chunk_written(&mut self, number: u64) {
         let connection = self.connections.get_mut(&number);
         let chunk = connection.and_then(|connection| connection.outbound.pop_front());
@@ -159,14 +160,14 @@
         }
     }
 
-    /// Whether that very attempt is in flight, and not another one of its request.
+    /// Whether this attempt itself is in flight, rather than another attempt of its request.
     fn is_in_flight(&self, attempt: &Rc<Attempt>) -> bool {
         let in_flight = self.in_flight.get(&attempt.id);
         in_flight.is_some_and(|in_flight| Rc::ptr_eq(&in_flight.attempt, attempt))
     }
 
-    /// Withdraws an attempt. One that has not started ends at once. One that has started ends when the engine has
-    /// received the command, or its connection is closed: another attempt of the request must not start before.
+    /// Withdraws an attempt. One that has not started ends at once. One that has started ends when the command to the
+    /// engine is written or its connection is closed: another attempt of the request must not start before that.
     pub(super) fn withdraw(&mut self, attempt: &Rc<Attempt>) {
         let id = &attempt.id;
         if !self.is_in_flight(attempt) {
@@ -187,7 +188,7 @@
         let first_attempt = first.and_then(|chunk| chunk.attempt.as_ref());
         let is_partly_written = first_attempt.is_some_and(|first| first.id == *id);
         if is_partly_written && connection.open_attempts == 1 {
-            // Closed now, the connection never carries the whole statement, and the engine never runs it.
+            // Closing the connection keeps the engine from receiving the whole statement, so that it never runs it.
             self.drop_connection(number, Outcome::Unsent);
             return;
         }
@@ -205,7 +206,7 @@
         self.write(number);
     }
 
-    /// Queues a line about an attempt, unless the attempt has not started and the engine does not know it.
+    /// Queues a line about an attempt, unless the attempt has not started: the engine does not know it then.
     pub(super) fn send_line(
         &mut self,
         id: &Id,
