--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -1,5 +1,5 @@
-//! An engine's actor over real connections. Each test steps the executor itself, and so determines which messages are in
-//! the actor's queue together.
+//! Tests an engine's actor over real connections. Each test steps the executor itself, and so controls which messages
+//! are in the actor's queue at the same time.
 
 use super::Engine;
 use async_channel::{Receiver, Sender};
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a step may take until the test fails.
+/// How long the test waits for a condition until it fails.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_DEADLINE: Millis = 5000.0;
 
-/// An engine's actor with a listener in place of the engine.
+/// An engine's actor, with a listener of the test in place of the engine.
 struct TestEngine {
     shared: Rc<Shared>,
     events: Receiver<DispatcherMessage>,
@@ -31,7 +31,7 @@
     client_is_waiting: Rc<Cell<bool>>,
 }
 
-/// The end of an attempt that the actor reported.
+/// The end of an attempt, as the actor reported it.
 #[derive(Debug, PartialEq)]
 struct AttemptEnd {
     id: Id,
@@ -45,7 +45,7 @@
     }
 }
 
-fn shared(dispatcher: Sender<DispatcherMessage>) -> Rc<Shared> {
+fn shared_state(dispatcher: Sender<DispatcherMessage>) -> Rc<Shared> {
     let transport_config = TransportConfig {
         connect_timeout: 1000.0,
         idle: 3e4,
@@ -79,7 +79,7 @@
 impl TestEngine {
     fn start() -> Self {
         let (dispatcher, events) = async_channel::unbounded();
-        let shared = shared(dispatcher);
+        let shared = shared_state(dispatcher);
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A new attempt of the request with that number.
-    fn attempt(&self, request: u8) -> Rc<Attempt> {
+    /// Creates an attempt of the request with that number.
+    fn new_attempt(&self, request: u8) -> Rc<Attempt> {
         let mut statement = BufferChain::default();
         let mut buffer = self.shared.pool.try_acquire().unwrap();
         buffer.append(b"select 1");
@@ -141,30 +141,32 @@
         }
     }
 
-    fn attempt_end(&self) -> AttemptEnd {
-        let mut found = None;
+    /// Waits for the actor's next report of an attempt's end.
+    fn next_attempt_end(&self) -> AttemptEnd {
+        let mut reported = None;
         self.step_until("an attempt ends", || {
             if let Ok(DispatcherMessage::AttemptEnded { id, outcome, .. }) = self.events.try_recv()
             {
-                found = Some(AttemptEnd { id, outcome });
+                reported = Some(AttemptEnd { id, outcome });
             }
-            found.is_some()
+            reported.is_some()
         });
-        found.unwrap()
+        reported.unwrap()
     }
 
-    fn accept(&self) -> TcpStream {
-        let mut found = None;
-        self.step_until("a connection", || {
-            found = found.take().or_else(|| self.listener.accept().ok());
-            found.is_some()
+    /// Waits for the actor's next connection.
+    fn accept_connection(&self) -> TcpStream {
+        let mut accepted = None;
+        self.step_until("the actor connects", || {
+            accepted = accepted.take().or_else(|| self.listener.accept().ok());
+            accepted.is_some()
         });
-        let (stream, _) = found.unwrap();
+        let (stream, _) = accepted.unwrap();
         stream.set_nonblocking(true).unwrap();
         stream
     }
 
-    /// Reads from a connection until `text` has arrived, and returns all that has.
+    /// Reads from a connection until `text` has arrived, and returns everything received.
     fn read_until(&self, stream: &mut TcpStream, text: &str) -> String {
         let mut received = String::new();
         let mut bytes = [0; 4096];
@@ -178,13 +180,13 @@
     }
 }
 
-/// A whole result of one page.
+/// The reply with a complete result of one page.
 fn done_reply(request: u8) -> Vec<u8> {
     format!("{request:016x} DONE pages=1,cost=5,need=4 6\r\nx\ty\tz\n\r\n").into_bytes()
 }
 
-/// Waits until the engine's close has arrived: the kernel lists the connection as waiting for the gateway's own close
-/// (state 08, CLOSE_WAIT).
+/// Waits until the engine's close has arrived at the gateway's socket: the kernel then lists the connection in
+/// state 08, CLOSE_WAIT.
 fn wait_until_closed_by_peer(port: u16) {
     let deadline = Instant::now() + STEP_TIMEOUT;
     let close_wait = format!(":{port:04X} 08 ");
@@ -204,14 +206,14 @@
     occur: fn(&TestEngine, &Rc<Attempt>),
 }
 
-/// Each occurs after the message to start the attempt was sent, and before the actor has handled it.
+/// Each occurs after the message to start the attempt was sent, and before the attempt is written.
 const OBSTACLES: [Obstacle; 6] = [
     Obstacle {
-        name: "withdrawn, the message about it not sent yet",
+        name: "withdrawn, the withdrawal message not sent yet",
         occur: |_, attempt| attempt.withdraw(),
     },
     Obstacle {
-        name: "withdrawn, both messages in the queue",
+        name: "withdrawn, the withdrawal message sent",
         occur: |engine, attempt| {
             attempt.withdraw();
             engine.withdraw_attempt(attempt);
@@ -222,7 +224,7 @@
         occur: |engine, _| engine.client_is_waiting.set(false),
     },
     Obstacle {
-        name: "the engine drains",
+        name: "the engine is draining",
         occur: |engine, _| engine.endpoint_state.set(EndpointState::Draining),
     },
     Obstacle {
@@ -233,7 +235,7 @@
         },
     },
     Obstacle {
-        name: "the time to start is over",
+        name: "the latest start time has passed",
         occur: |engine, attempt| attempt.start_before.set(engine.shared.clock.now()),
     },
 ];
@@ -243,10 +245,10 @@
     for obstacle in OBSTACLES {
         for in_queue in [true, false] {
             let engine = TestEngine::start();
-            let attempt = engine.attempt(1);
+            let attempt = engine.new_attempt(1);
             engine.start_attempt(&attempt);
             if !in_queue {
-                // One step of the actor: the attempt waits for its connection.
+                // After one step of the actor the attempt waits for its connection.
                 assert!(engine.shared.executor.try_tick());
             }
 
@@ -254,7 +256,11 @@
 
             let unsent = end_of(&attempt, Outcome::Unsent);
             let name = obstacle.name;
-            assert_eq!(engine.attempt_end(), unsent, "{name}, queued: {in_queue}");
+            assert_eq!(
+                engine.next_attempt_end(),
+                unsent,
+                "{name}, in queue: {in_queue}"
+            );
             assert!(!attempt.started.get(), "{name}");
         }
     }
@@ -263,60 +269,56 @@
 #[test]
 fn closed_idle_connection_is_not_written_to() {
     let engine = TestEngine::start();
-    engine.start_attempt(&engine.attempt(1));
-    let mut first = engine.accept();
+    engine.start_attempt(&engine.new_attempt(1));
+    let mut first = engine.accept_connection();
     engine.read_until(&mut first, "fetch");
     first.write_all(&done_reply(1)).unwrap();
     assert!(matches!(
-        engine.attempt_end().outcome,
+        engine.next_attempt_end().outcome,
         Outcome::Completed(_)
     ));
 
-    // The engine closes the connection; the actor's message about that is behind the next attempt.
+    // The engine closes the connection; the message about that reaches the actor's queue after the next attempt.
     drop(first);
     wait_until_closed_by_peer(engine.listener.local_addr().unwrap().port());
-    let attempt = engine.attempt(2);
+    let attempt = engine.new_attempt(2);
     engine.start_attempt(&attempt);
 
     let unsent = end_of(&attempt, Outcome::Unsent);
-    assert_eq!(
-        engine.attempt_end(),
-        unsent,
-        "it is known that it never ran"
-    );
+    assert_eq!(engine.next_attempt_end(), unsent, "reported as never run");
 }
 
 #[test]
 fn withdrawn_attempt_is_in_flight_until_engine_is_informed() {
     let engine = TestEngine::start();
-    let first = engine.attempt(1);
+    let first = engine.new_attempt(1);
     engine.start_attempt(&first);
-    let mut stream = engine.accept();
+    let mut stream = engine.accept_connection();
     engine.read_until(&mut stream, "fetch");
     first.withdraw();
     engine.withdraw_attempt(&first);
     let withdrawn = end_of(&first, Outcome::Withdrawn);
-    assert_eq!(engine.attempt_end(), withdrawn);
+    assert_eq!(engine.next_attempt_end(), withdrawn);
     engine.read_until(&mut stream, "abort 0000000000000001");
 
-    // The next attempt of the request uses another connection: the answer to the first one may still arrive.
-    let second = engine.attempt(1);
+    // The next attempt of the request uses another connection: the reply to the first one may still arrive.
+    let second = engine.new_attempt(1);
     engine.start_attempt(&second);
-    let mut other_stream = engine.accept();
+    let mut other_stream = engine.accept_connection();
     engine.read_until(&mut other_stream, "fetch");
     stream.write_all(&done_reply(1)).unwrap();
     other_stream
         .write_all(b"0000000000000001 BROKE - 0\r\n\r\n")
         .unwrap();
     let failed = end_of(&second, Outcome::EngineError);
-    assert_eq!(engine.attempt_end(), failed);
+    assert_eq!(engine.next_attempt_end(), failed);
 
-    // A late withdrawal of the first attempt does not withdraw the third.
-    let third = engine.attempt(1);
+    // A late withdrawal of the first attempt does not affect the third.
+    let third = engine.new_attempt(1);
     engine.start_attempt(&third);
     engine.withdraw_attempt(&first);
-    // Started behind it, so that everything before has been handled.
-    let last = engine.attempt(2);
+    // Queued after the withdrawal: once it starts, everything before it has been handled.
+    let last = engine.new_attempt(2);
     engine.start_attempt(&last);
     engine.step_until("the last attempt starts", || last.started.get());
     assert!(third.started.get());
