--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! The actor of a client connection. Its reader and its writer run independently of each other.
+//! The actor of a client connection, whose reader and writer run concurrently.
 
 mod call;
 mod close;
@@ -19,36 +19,38 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Most open calls on one connection; the platform's clients keep to it.
+/// Limit on open calls per connection, which the platform's clients observe.
 const MAX_OPEN_CALLS: usize = 32;
-/// Replies that wait to be written. A client that reads none of so many loses its connection.
+/// Capacity of the queue of replies to write. A client that reads so slowly that the queue overflows loses its
+/// connection.
 const REPLY_QUEUE_CAPACITY: usize = 2 * MAX_OPEN_CALLS;
-/// Protocol errors until a connection is closed: a flood of them would delay the replies to other clients.
+/// Number of protocol errors after which a connection is closed: a flood of them would delay the replies to other
+/// clients.
 const MAX_PROTOCOL_ERRORS: u32 = 16;
-/// How long after the client has closed its sending half an attempt may still start, in ms. The client may have closed
-/// the whole connection, which looks the same until something is written to it.
+/// How long after a half-close by the client an attempt may still start, in ms. The client may have closed the whole
+/// connection, which looks the same until something is written to it.
 const START_AFTER_HALF_CLOSE: Millis = 50.0;
 
-/// The message of a response to a request that was rejected.
+/// The error message for a request that was rejected.
 const REJECTED: &str = "turned back";
-/// The message of a response to a request that has failed.
+/// The error message for a request that failed.
 const FAILED: &str = "scrapped";
-/// The message of a response to a call under the id of an open request.
+/// The error message for a call with the id of an open request.
 const DUPLICATE_ID: &str = "id in use";
-/// The message of a response to a message that is not a usable call.
+/// The error message for a message that is not a valid call.
 const PROTOCOL_ERROR: &str = "not understood";
 
 struct Client {
     shared: Rc<Shared>,
     permit: ConnectionPermit,
-    /// The queue of the writer. The dispatcher also recognizes the client by it.
+    /// The writer's queue, by which the dispatcher also identifies the client.
     replies: Sender<Reply>,
     /// Calls without a reply, by their numbers.
     open_calls: RefCell<BTreeMap<u64, OpenCall>>,
     /// Whether a reply is being written.
     is_writing: Cell<bool>,
     protocol_errors: Cell<u32>,
-    /// When the end of the client's sending half was seen behind bytes that are not read yet.
+    /// When a half-close by the client was detected while earlier bytes of the client were still unread.
     half_closed_at: Cell<Option<Millis>>,
 }
 
@@ -56,14 +58,14 @@
 #[derive(Clone)]
 struct OpenCall {
     id: Id,
-    /// Cleared when the client no longer waits. The owners of its attempts share the flag, which takes effect before
-    /// any queued message.
+    /// Cleared when the client no longer waits. The call's attempts share the flag, so that clearing it takes effect
+    /// before any queued message.
     client_is_waiting: Rc<Cell<bool>>,
 }
 
 /// Serves one client until either side ends the connection.
 pub(crate) async fn serve(stream: Async<TcpStream>, shared: Rc<Shared>, permit: ConnectionPermit) {
-    // Without it a short response would wait for the acknowledgement of the one before.
+    // Nagle's algorithm would hold a short response back until the previous one is acknowledged.
     let _ = stream.get_ref().set_nodelay(true);
     let (replies, reply_queue) = async_channel::bounded(REPLY_QUEUE_CAPACITY);
     let client = Client {
@@ -79,14 +81,14 @@
         client.read_until_end(&stream).await;
         Ok(())
     };
-    // An error of the writer ends the connection as an orderly end does.
+    // A write error and an orderly end are handled alike.
     let _ = or(read, client.write(&stream, reply_queue)).await;
     client.cancel_open_calls().await;
     close::close(stream, client.permit, &client.shared).await;
 }
 
 impl Client {
-    /// Cancels every open request: the connection is gone, or a reply can no longer be matched with its call.
+    /// Cancels every open request, because the connection is gone or replies can no longer be matched to calls.
     async fn cancel_open_calls(&self) {
         let open_calls = self.open_calls.take();
         // All flags are cleared before the first await, so that no attempt starts in the meantime.
@@ -102,8 +104,9 @@
         }
     }
 
-    /// The client has closed the connection, or at least its sending half (a half-close looks the same until we write).
-    /// Attempts in flight may still be answered; after a short time no new attempt starts.
+    /// Handles the end of the client's stream: the client has closed its sending half or the whole connection, which
+    /// look the same until something is written. Attempts in flight may still be answered; after
+    /// [`START_AFTER_HALF_CLOSE`] no new attempt starts.
     async fn on_half_close(&self) {
         let clock = &self.shared.clock;
         let start_deadline = clock.now() + START_AFTER_HALF_CLOSE;
@@ -139,7 +142,7 @@
         wait_for(changed, || is_drained().then_some(())).await;
     }
 
-    /// Removes a call, if the reply belongs to one, and records the activity for the idle timer and the limiter.
+    /// Removes an open call, if `call` is one, and records the activity for the idle timer and the limiter.
     fn finish_call(&self, call: Option<u64>, answered: bool) {
         let mut open_calls = self.open_calls.borrow_mut();
         if let Some(call) = call {
@@ -150,17 +153,17 @@
         self.permit.call_finished(now, answered, has_open_calls);
     }
 
-    /// Queues a message that is encoded here, without the dispatcher.
+    /// Queues a message that is encoded here rather than by the writer.
     fn reply_encoded(&self, encode: impl FnOnce(&mut Vec<u8>)) {
         let mut message = Vec::new();
         encode(&mut message);
         if self.replies.try_send(Reply::Encoded(message)).is_err() {
-            // The client reads no replies: the writer ends once it has no more to write.
+            // The queue is full because the client reads no replies. The writer ends after those already queued.
             self.replies.close();
         }
     }
 
-    /// Rejects a call because no buffer is left for it, or because it would start too late.
+    /// Rejects a call for which no buffer is free, or that arrived too late to start.
     fn reply_overloaded(&self, call: Option<u64>) {
         let response = ErrorResponse {
             call,
@@ -171,7 +174,7 @@
         self.reply_encoded(|output| response.write(output));
     }
 
-    /// Answers a message that is not a usable call, and counts it.
+    /// Answers a message that is not a valid call, and counts it.
     fn protocol_error(&self, error: CallError) {
         self.protocol_errors.set(self.protocol_errors.get() + 1);
         let response = ErrorResponse {
--- a/crates/gateway/src/client/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Turns a call into a request for the dispatcher, or answers it at once.
+//! Validates calls: turns each into a message for the dispatcher, or answers it directly.
 
 use super::{Client, OpenCall, MAX_OPEN_CALLS, MAX_PROTOCOL_ERRORS, START_AFTER_HALF_CLOSE};
 use base64::engine::general_purpose::STANDARD;
@@ -12,18 +12,20 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Longest idempotency key, in bytes.
+/// Longest idempotency key that is accepted, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
-/// More memory than any request means, in MB.
+/// Largest memory estimate that is accepted, in MB; no request needs so much.
 const MAX_MEMORY_MB: f64 = 1e8;
 /// Largest retry count that is accepted; no client retries so often.
 const MAX_RETRY_COUNT: f64 = 1e4;
-/// Largest time remaining that is accepted, as a multiple of the longest hard limit: clients may count it differently.
+/// Largest remaining time that is accepted, as a multiple of the longest hard limit: clients may compute it
+/// differently.
 const MAX_TIME_REMAINING_FACTOR: f64 = 2.0;
-/// Base64 text of this length fills a buffer; a multiple of four characters can be decoded on its own.
+/// Base64 text is decoded in parts of this many characters, each into one buffer. The length is a multiple of four, so
+/// that each part can be decoded on its own.
 const BASE64_PART_CHARACTERS: usize = BUFFER_SIZE / 4 * 4;
 
-/// The checked parameters of a call.
+/// The validated parameters of a call.
 struct RequestParams {
     id: Id,
     time_remaining: Millis,
@@ -36,9 +38,9 @@
 
 /// Why a call does not become a request.
 enum RequestError {
-    /// The call is wrong; the client gets its error code.
+    /// The call is invalid; the client receives the error code.
     Call(CallError),
-    /// No buffer is left for the statement. The request has not been sent anywhere yet.
+    /// No buffer is free for the statement. The call is rejected, since its request was not sent anywhere yet.
     NoBuffer,
 }
 
@@ -49,10 +51,11 @@
 }
 
 impl Client {
-    /// The message for the dispatcher; `None` if the call is answered here.
+    /// Handles a call. Returns the message for the dispatcher; `None` if there is none because the call was answered
+    /// here or cancels nothing.
     ///
     /// # Errors
-    /// The call is not possible, or its parameters are wrong.
+    /// The call is not valid on this connection, or a parameter is missing or out of range.
     pub(super) fn on_call(
         &self,
         received_at: Millis,
@@ -103,8 +106,8 @@
         self.reply_encoded(|output| rpc::write_health(output, call_id, is_healthy));
     }
 
-    /// Whether a request would come too late: it might not end before the process does, or would start long after its
-    /// client has closed the connection.
+    /// Whether a request arrives too late: it might not end before the process does, or it was received more than
+    /// [`START_AFTER_HALF_CLOSE`] after a half-close by the client was detected.
     fn accepts_no_requests(&self, received_at: Millis) -> bool {
         let half_closed_at = self.half_closed_at.get();
         let is_late = |closed_at| received_at - closed_at > START_AFTER_HALF_CLOSE;
@@ -152,8 +155,8 @@
         })
     }
 
-    /// The index of the class with the method's name. After a change of the settings two classes may have the name, one
-    /// of them out of service under the earlier policy: the one in service is preferred.
+    /// The index of the class with the method's name. After a change of the settings two classes may have that name,
+    /// one of them out of service since the earlier settings: the one in service is preferred.
     fn class_index(&self, call_id: u64, method: &[u8]) -> Result<usize, CallError> {
         let classes = self.shared.classes();
         let has_name = |class: &ClassSummary| class.name.as_bytes() == method;
@@ -170,8 +173,8 @@
     fn check_open_calls(&self, call_id: u64) -> Result<(), CallError> {
         let open_calls = self.open_calls.borrow();
         if open_calls.contains_key(&call_id) {
-            // The client could not tell which of the two calls a reply belongs to: neither gets one, and the
-            // connection is closed.
+            // The client could not tell which of the two calls a reply belongs to, so neither gets one. Setting the
+            // counter to its limit closes the connection.
             self.protocol_errors.set(MAX_PROTOCOL_ERRORS);
             return Err(CallError {
                 call: None,
@@ -224,7 +227,7 @@
         })
     }
 
-    /// The tenant that the client names, if the operator lets clients name theirs.
+    /// The tenant that the client names, if the operator allows clients to name it.
     fn tenant(&self, params: Params) -> Option<u64> {
         if !self.shared.tenants {
             return None;
@@ -248,13 +251,13 @@
     }
 }
 
-/// A request's id: hexadecimal digits, which can't break an engine's line.
+/// Parses a request's id. Only hexadecimal digits are allowed, which can't break a line of the engine protocol.
 fn parse_request_id(text: &[u8]) -> Option<Id> {
     let id = Id::try_from(text).ok()?;
     id.iter().all(u8::is_ascii_hexdigit).then_some(id)
 }
 
-/// An idempotency key that can't break an engine's line.
+/// Parses an idempotency key. Only characters that can't break a line of the engine protocol are allowed.
 fn parse_idempotency_key(text: &[u8]) -> Option<Rc<str>> {
     let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
     let is_valid =
--- a/crates/gateway/src/client/close.rs
+++ b/crates/gateway/src/client/close.rs
@@ -1,4 +1,4 @@
-//! The end of a client connection.
+//! Closes a client connection without losing the last response.
 
 use crate::connection_limiter::ConnectionPermit;
 use async_io::Async;
@@ -9,16 +9,16 @@
 use std::io;
 use std::net::{Shutdown, TcpStream};
 
-/// How long a connection is read on after its end, in ms, so that the last response reaches the client.
+/// How long an ended connection is still read, in ms, so that the last response reaches the client.
 pub(super) const LINGER_TIMEOUT: Millis = 300.0;
-/// How often a connection is read after its end, a buffer each; a client that never stops sending must not hold it.
+/// Limit on reads from an ended connection, of one buffer each: a client that keeps sending must not hold it open.
 const MAX_LINGER_READS: usize = 16;
 
 /// Closes a client's connection; every connection ends here.
 ///
-/// A socket that is closed with unread bytes is reset, and the client may lose the last response. Therefore only the
-/// sending half is closed at first, and bytes that still arrive are discarded for a limited time. No call in them is
-/// executed: the client sees the end of the connection and sends those requests again.
+/// The system resets a socket that is closed with unread bytes, and the client may lose the last response. Therefore
+/// only the sending half is closed at first, and bytes that still arrive are discarded for a limited time. Calls in
+/// them are not executed: the client sees the end of the connection and sends those requests again.
 pub(super) async fn close(stream: Async<TcpStream>, permit: ConnectionPermit, shared: &Shared) {
     if stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
@@ -26,7 +26,7 @@
     let Some(_linger_permit) = permit.linger() else {
         return;
     };
-    // Whether it ends by an error, the limit or the client, the socket is closed next.
+    // The result does not matter: the socket is closed after an error, the limit or the client's close alike.
     let _ = timeout(LINGER_TIMEOUT, discard(&stream, shared)).await;
 }
 
--- a/crates/gateway/src/client/idle_timer.rs
+++ b/crates/gateway/src/client/idle_timer.rs
@@ -1,4 +1,4 @@
-//! When a client connection is closed although the client has not ended it.
+//! Decides when the gateway closes a client connection: if it is idle, stalls within a message, or is evicted.
 
 use super::reader::ReadError;
 use super::Client;
@@ -10,15 +10,16 @@
 use std::future::pending;
 use std::net::TcpStream;
 
-/// Longest time from connecting to the first open call or answer, and from a message's first byte to its last, in ms.
+/// Longest time from accepting a connection to its first open call or answer, and from a message's first byte to its
+/// last, in ms.
 const MESSAGE_TIMEOUT: Millis = 2000.0;
-/// Longest time with no open call, in ms. Clients close connections that idle for 4 s; later than that none of them
-/// uses the connection again.
+/// Longest time with no open call on a connection that was answered before, in ms. Clients close a connection that has
+/// been idle for 4 s, so none of them uses it again after this time.
 const IDLE_TIMEOUT: Millis = 10_000.0;
 
 impl Client {
-    /// Completes when the connection should be closed: idle timeout, partial message timeout, or eviction to free a
-    /// slot. `partial_since` is when the first byte of a partial message arrived.
+    /// Completes when the connection is to be closed: after the idle timeout or the timeout of a partial message, or if
+    /// it is asked to close. `partial_since` is when the first byte of a partial message arrived.
     pub(super) async fn until_idle_or_stalled(
         &self,
         stream: &Async<TcpStream>,
@@ -35,7 +36,7 @@
         self.until_drained().await;
         let has_unread_bytes = stream.get_ref().peek(&mut [0]).is_ok_and(|read| read > 0);
         if has_unread_bytes {
-            // On a busy machine a call may have arrived that is not read yet. Closed now, it would be lost.
+            // On a busy machine a call may have arrived that is not read yet. Closing the connection would lose it.
             return pending().await;
         }
         ReadError::Idle
@@ -55,7 +56,7 @@
         }
     }
 
-    /// When the connection is to be closed if nothing changes before; negative infinity means at once.
+    /// When the connection is to be closed if nothing changes until then; negative infinity means at once.
     fn close_deadline(&self, partial_since: Option<Millis>) -> Millis {
         let activity = &self.permit.activity;
         let idle_since = activity.idle_since();
--- a/crates/gateway/src/client/reader.rs
+++ b/crates/gateway/src/client/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's messages and sends their requests to the dispatcher.
+//! Reads a client's messages and sends the resulting requests and cancellations to the dispatcher.
 
 use super::close::LINGER_TIMEOUT;
 use super::{Client, MAX_PROTOCOL_ERRORS};
@@ -14,34 +14,33 @@
 use std::io;
 use std::net::TcpStream;
 
-/// While all buffers are in use the gateway does not read. How often it then checks whether the client has hung up, in
-/// ms.
+/// Interval of the checks for a hang-up by the client, in ms, while nothing is read because no buffer is free.
 const BLOCKED_READ_INTERVAL: Millis = 20.0;
 
-/// Why reading has ended before the client closed its sending half.
+/// Why reading ended before the client closed its sending half.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    #[error("the connection is idle, or its slot is needed")]
+    #[error("the connection was idle or asked to close")]
     Idle,
-    #[error("a message is incomplete for too long")]
+    #[error("a message was not complete within the time limit")]
     Stalled,
     #[error("the client has hung up")]
     HungUp,
     #[error("the connection ended within a message")]
     PartialMessage,
-    #[error("no buffer is left for a long message")]
+    #[error("no buffer is free for a long message")]
     NoBuffer,
-    #[error("too many messages that are not usable calls")]
+    #[error("too many messages that are not valid calls")]
     TooManyProtocolErrors,
     #[error("the dispatcher has ended")]
     DispatcherEnded,
-    #[error("malformed frame")]
+    #[error("malformed frame header")]
     Frame(#[from] FrameError),
-    #[error("the connection failed")]
+    #[error("reading from the connection failed")]
     Io(#[from] io::Error),
 }
 
-/// The start of a message that is incomplete.
+/// The received part of an incomplete message.
 struct PartialMessage {
     buffer: Buffer,
     /// When its first byte arrived.
@@ -49,18 +48,18 @@
 }
 
 impl Client {
-    /// Reads until the client closes its sending half and has its replies, or the connection has to be closed.
+    /// Reads until the client closes its sending half and has received its replies, or the connection is to be closed.
     pub(super) async fn read_until_end(&self, stream: &Async<TcpStream>) {
         match self.read(stream).await {
             Ok(()) | Err(ReadError::Idle) => {}
             Err(_) => {
-                // The start of the next message, or the call that a reply belongs to, is unknown now.
+                // After an error, the start of the next message or the call that a reply belongs to may be unknown.
                 self.cancel_open_calls().await;
                 let drained = async {
                     self.until_drained().await;
                     Ok(())
                 };
-                // A client that does not read its replies in time loses them.
+                // A client that does not read its remaining replies within the timeout loses them.
                 let _ = timeout(LINGER_TIMEOUT, drained).await;
             }
         }
@@ -109,8 +108,8 @@
         })
     }
 
-    /// Watches for the client's hang-up while nothing is read, also behind bytes that are not read yet. Completes when
-    /// the client has closed the whole connection; after a half-close it never does.
+    /// Detects a hang-up by the client while nothing is read, even if earlier bytes are still unread. Completes when
+    /// the client has closed the whole connection; never completes after a half-close.
     async fn hangup_while_blocked(&self, stream: &Async<TcpStream>) -> ReadError {
         let clock = &self.shared.clock;
         loop {
@@ -129,7 +128,7 @@
         }
     }
 
-    /// Handles the next complete message in the buffer; false if there is none.
+    /// Handles the next message, if it is complete in the buffer or longer than a buffer; returns whether it did.
     async fn handle_next_message(
         &self,
         stream: &Async<TcpStream>,
@@ -167,7 +166,7 @@
         Ok(header?)
     }
 
-    /// Reads a message that is longer than a buffer. `first` holds its start.
+    /// Reads a message that does not fit into one buffer. `first` holds its start.
     async fn read_long_message(
         &self,
         mut stream: &Async<TcpStream>,
@@ -177,7 +176,7 @@
         let mut chain = BufferChain::default();
         let mut missing = message_bytes;
         while missing > 0 {
-            // Does not wait for a buffer: several long messages that each hold buffers would wait for each other.
+            // Must not wait for a buffer: several long messages that each hold buffers could deadlock.
             let Some(mut part) = self.shared.pool.try_acquire_for_long_message() else {
                 self.reply_overloaded(None);
                 return Err(ReadError::NoBuffer);
@@ -223,7 +222,7 @@
     }
 }
 
-/// The socket's events if the peer has closed the connection or its sending half; empty if it has not.
+/// The socket's poll events if the peer has closed the connection or its sending half; empty otherwise.
 fn hangup_events(stream: &TcpStream) -> PollFlags {
     let mut descriptors = [PollFd::new(stream, PollFlags::RDHUP)];
     let no_wait = Timespec {
--- a/crates/gateway/src/client/writer.rs
+++ b/crates/gateway/src/client/writer.rs
@@ -14,9 +14,9 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Base64 encodes so many bytes at once; a shorter group needs padding, which only the text's end may have.
+/// Bytes per base64 group. A shorter group needs padding, which is only valid at the end of the text.
 const BASE64_GROUP_BYTES: usize = 3;
-/// Characters for one group.
+/// Characters per base64 group.
 const BASE64_GROUP_CHARACTERS: usize = 4;
 
 impl Client {
@@ -40,7 +40,7 @@
                 self.permit.activity.changed.notify(usize::MAX);
                 continue;
             }
-            // A client that does not read gets as long as the longest request may take.
+            // A client must read a reply within the longest deadline that a request may have.
             let time_limit = self.shared.max_deadline.get();
             timeout(time_limit, write_reply(stream, &mut output, reply)).await?;
             self.is_writing.set(false);
@@ -50,7 +50,7 @@
     }
 }
 
-/// The call that a reply belongs to; `None` for a message that was encoded by the reader.
+/// The call that a reply belongs to; `None` for a message that the reader encoded.
 fn call_of(reply: &Reply) -> Option<u64> {
     match reply {
         Reply::Completed { call_id, .. }
@@ -97,8 +97,8 @@
     }
 }
 
-/// Writes rows as base64, page after page, and leaves the last page in `output`. Bytes at a page's end that do not fill
-/// a group are encoded with the next page.
+/// Writes rows as base64, page by page, and leaves the last page and the end of the message in `output`. Bytes at a
+/// page's end that do not fill a group are encoded with the next page.
 async fn write_rows(
     mut stream: &Async<TcpStream>,
     output: &mut Vec<u8>,
@@ -110,7 +110,7 @@
     let last = rows.0.len().saturating_sub(1);
     for (index, page) in rows.0.into_iter().enumerate() {
         pending.extend(page.bytes());
-        // Returns the buffer to the pool before a write that may take long.
+        // Returns the buffer to the pool before a write that may take a long time.
         drop(page);
         let is_last = index == last;
         let ready = match is_last {
