--- a/crates/gateway/src/accept.rs
+++ b/crates/gateway/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, including all that the system has accepted when the listener closes.
+//! Accepts client connections, including those that wait in the system's queue when the listener closes.
 
 use crate::client;
 use crate::connection_limiter::{ConnectionLimiter, ConnectionPermit};
@@ -13,8 +13,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Time between two tries while no descriptor is free, in ms. The limiter wakes the acceptor for descriptors of client
-/// connections only.
+/// Interval between attempts to accept a connection while no descriptor is free, in ms. The limiter wakes the acceptor
+/// only for descriptors that client connections release.
 const DESCRIPTOR_RETRY_INTERVAL: Millis = 20.0;
 
 /// Owns the listener and spawns one task for each accepted connection.
@@ -22,12 +22,12 @@
     listener: Async<TcpListener>,
     limiter: Rc<ConnectionLimiter>,
     shared: Rc<Shared>,
-    /// A connection that waits for its permit. It is kept here because `run` may be cancelled while it waits.
+    /// A connection that waits for its permit, kept here because `run` may be cancelled meanwhile.
     pending: Cell<Option<Async<TcpStream>>>,
 }
 
 impl Acceptor {
-    /// Binds the address for clients.
+    /// Binds the address on which clients connect.
     ///
     /// # Errors
     /// The address does not belong to this machine, or is in use.
@@ -35,7 +35,7 @@
         Async::<TcpListener>::bind(address)
     }
 
-    /// Accepts on `listener`, within the limiter's permits.
+    /// Creates the acceptor of `listener`, which accepts as many connections as the limiter permits.
     pub(crate) fn new(
         listener: Async<TcpListener>,
         limiter: Rc<ConnectionLimiter>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Accepts until it is cancelled; a connection that waits for its permit then stays pending.
+    /// Accepts connections until it is cancelled; one that waits for its permit then stays pending.
     pub(crate) async fn run(&self) -> Infallible {
         loop {
             let Ok((stream, _)) = self.listener.accept().await else {
@@ -62,12 +62,13 @@
                 continue;
             };
             self.spawn(stream, permit);
-            // The new connection reads its first message before the next one is accepted, which may evict it.
+            // Lets the new connection read its first message before the next one is accepted and may evict it.
             yield_now().await;
         }
     }
 
-    /// Serves every connection that the system has accepted by now, and closes the listener.
+    /// Serves the pending connection and those in the system's queue, as far as there are permits, and closes the
+    /// listener.
     pub(crate) fn finish(self) {
         while let Some(stream) = self.next_accepted() {
             let Some(permit) = self.limiter.try_acquire_at_shutdown(&self.shared.clock) else {
@@ -90,7 +91,7 @@
         self.shared.executor.spawn(connection).detach();
     }
 
-    /// Waits until a permit is released, or for the retry interval.
+    /// Waits until a permit is released, for the retry interval at most.
     async fn wait_for_descriptor(&self) {
         let interval = async {
             Timer::after(duration(DESCRIPTOR_RETRY_INTERVAL)).await;
--- a/crates/gateway/src/connection_limiter.rs
+++ b/crates/gateway/src/connection_limiter.rs
@@ -1,4 +1,4 @@
-//! Permits for client connections. When they run short, or at shutdown, the limiter asks connections to close.
+//! Permits for client connections. If none is free, or at shutdown, the limiter asks connections to close.
 
 use event_listener::Event;
 use ironstair::Millis;
@@ -9,9 +9,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How long a connection counts as new, in ms: its first message may be under way, so it is evicted last.
+/// How long a connection without an answer counts as new, in ms. Its first message may be under way, so it is evicted
+/// last.
 const NEW_CONNECTION_PERIOD: Millis = 250.0;
-/// For so many permits one further connection may linger after its end.
+/// For each group of this many permits, one further connection may linger after its end.
 const CONNECTIONS_PER_LINGERING: usize = 16;
 
 /// Limits client connections, and closes them at shutdown.
@@ -21,9 +22,9 @@
     is_closing: Cell<bool>,
     connections: RefCell<BTreeMap<u64, Rc<ConnectionActivity>>>,
     next_number: Cell<u64>,
-    /// Notified when a permit is released, a connection may be evicted, or the shutdown begins.
+    /// Notified when a permit is released, a connection becomes evictable, or the shutdown begins.
     changed: Event,
-    /// Connections that have ended, but still read and discard bytes.
+    /// The number of connections that have ended, but still read and discard bytes.
     lingering: Cell<usize>,
     max_lingering: usize,
     /// The number of connections, for the state tree.
@@ -33,30 +34,30 @@
 /// Held while a connection lingers after its end; released when dropped.
 pub(crate) struct LingerPermit(Rc<ConnectionLimiter>);
 
-/// The limiter's knowledge about one connection.
+/// The state of one connection that decides when it is closed.
 pub(crate) struct ConnectionActivity {
     /// When the connection was accepted.
     pub(crate) accepted_at: Millis,
-    /// Since when no call is open; infinite while one is.
+    /// When the connection became idle: it was accepted, or its last activity ended; infinite while a call is open.
     idle_since: Cell<Millis>,
     has_been_answered: Cell<bool>,
     close_requested: Cell<bool>,
-    /// Notified whenever any of this changes.
+    /// Notified when a call is finished, a reply is skipped, or the connection is asked to close.
     pub(crate) changed: Event,
 }
 
-/// The right to one connection; released when dropped.
+/// The permit for one connection; released when dropped.
 pub(crate) struct ConnectionPermit {
     pub(crate) limiter: Rc<ConnectionLimiter>,
     pub(crate) activity: Rc<ConnectionActivity>,
     number: u64,
 }
 
-/// The order in which idle connections are evicted; the lowest goes first.
+/// Ranks idle connections for eviction; the one with the lowest rank is evicted first.
 ///
-/// Connections without an answer go before others: many of them opened by a client that sends nothing must not keep
-/// others out. New connections go last. Among the rest, connections that were idle for longer go first: clients that
-/// call once and keep their connection would otherwise hold it forever.
+/// New connections are evicted last. Connections that never had an answer are evicted before others: a client that
+/// opens many connections and sends nothing must not lock other clients out. Otherwise the connection that has been
+/// idle for longest is evicted: clients that call once and keep their connection would hold its permit forever.
 #[derive(PartialEq, PartialOrd)]
 struct EvictionRank {
     is_new: bool,
@@ -65,7 +66,8 @@
 }
 
 impl ConnectionLimiter {
-    /// Allows `max_connections` connections, at least one, and a sixteenth as many that linger after their end.
+    /// Allows `max_connections` connections, at least one, and in addition a sixteenth as many, at least one, that
+    /// linger after their end.
     pub(crate) fn new(max_connections: usize, connection_count: Rc<Cell<u32>>) -> Rc<Self> {
         Rc::new(ConnectionLimiter {
             max_connections: max_connections.max(1),
@@ -85,7 +87,7 @@
         self.is_shutting_down.get()
     }
 
-    /// Begins the shutdown; connections stay open until [`ConnectionLimiter::close`].
+    /// Begins the shutdown; connections are not asked to close before [`ConnectionLimiter::close`].
     pub(crate) fn begin_shutdown(&self) {
         self.is_shutting_down.set(true);
         self.changed.notify(usize::MAX);
@@ -96,7 +98,7 @@
         wait_for(&self.changed, || self.is_shutting_down().then_some(())).await;
     }
 
-    /// Asks every connection to close once no call is open on it.
+    /// Asks every connection to close as soon as no call is open on it, also those that are accepted later.
     pub(crate) fn close(&self) {
         self.is_closing.set(true);
         for activity in self.connections.borrow().values() {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Whether every connection was asked to close.
+    /// Whether [`ConnectionLimiter::close`] was called.
     pub(crate) fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
@@ -115,20 +117,20 @@
         wait_for(&self.changed, || is_empty().then_some(())).await;
     }
 
-    /// Waits until a permit or a descriptor may have been released.
+    /// Waits for the next change, which may be the release of a permit and its descriptor.
     pub(crate) async fn until_released(&self) {
         self.changed.listen().await;
     }
 
-    /// Waits for a permit. While none is free, one idle connection is asked to close.
+    /// Waits for a permit. While none is free, one idle connection at a time is asked to close.
     pub(crate) async fn acquire(self: &Rc<Self>, clock: &Clock) -> ConnectionPermit {
         let is_free = || self.check_permit_or_evict(clock.now());
         wait_for(&self.changed, || is_free().then_some(())).await;
         self.register(clock.now())
     }
 
-    /// A permit beyond the limit, for a connection that the system accepted before the shutdown; `None` if the margin
-    /// for lingering connections is in use too.
+    /// A permit at shutdown for a connection from the system's queue. It may exceed the limit by the margin for
+    /// lingering connections; `None` if that is used up too.
     pub(crate) fn try_acquire_at_shutdown(
         self: &Rc<Self>,
         clock: &Clock,
@@ -138,6 +140,8 @@
         is_free.then(|| self.register(clock.now()))
     }
 
+    /// Whether a permit is free. If none is, asks the idle connection with the lowest rank to close, unless one that
+    /// was asked before is still open and idle.
     fn check_permit_or_evict(&self, now: Millis) -> bool {
         let connections = self.connections.borrow();
         if connections.len() < self.max_connections {
@@ -159,7 +163,7 @@
         false
     }
 
-    /// Wakes the tasks that wait for a permit: a connection that could not be evicted before may be now.
+    /// Wakes the tasks that wait for a permit, after a change of which connections are idle.
     fn recheck_eviction(&self) {
         if self.connections.borrow().len() >= self.max_connections {
             self.changed.notify(usize::MAX);
@@ -204,17 +208,17 @@
 }
 
 impl ConnectionActivity {
-    /// Whether the connection is to close once no call is open on it.
+    /// Whether the connection was asked to close as soon as no call is open on it.
     pub(crate) fn is_close_requested(&self) -> bool {
         self.close_requested.get()
     }
 
-    /// Whether any call on it was answered.
+    /// Whether the client was ever answered on the connection.
     pub(crate) fn has_been_answered(&self) -> bool {
         self.has_been_answered.get()
     }
 
-    /// Since when no call is open; infinite while one is.
+    /// When the connection became idle: it was accepted, or its last activity ended; infinite while a call is open.
     pub(crate) fn idle_since(&self) -> Millis {
         self.idle_since.get()
     }
@@ -239,8 +243,8 @@
 }
 
 impl ConnectionPermit {
-    /// Releases the permit and lets the connection linger; `None` if too many linger already. During the shutdown no
-    /// further connection needs the descriptors, and any number may linger.
+    /// Releases the permit and lets the connection linger; `None` if too many linger already. Once all connections were
+    /// asked to close, no new one needs the descriptors, and any number may linger.
     pub(crate) fn linger(self) -> Option<LingerPermit> {
         let limiter = self.limiter.clone();
         let lingering = limiter.lingering.get();
@@ -254,18 +258,19 @@
     /// Records that a call was opened.
     pub(crate) fn call_opened(&self) {
         self.activity.idle_since.set(Millis::INFINITY);
-        // A busy connection is not evicted; the limiter asks another one instead.
+        // A connection with an open call is no longer evicted: the limiter asks another one to close instead.
         let is_closing = self.limiter.is_closing.get();
         self.activity.close_requested.set(is_closing);
         self.limiter.recheck_eviction();
     }
 
-    /// Records that a call, or a message that is no call, was answered or cancelled.
+    /// Records that a call or an invalid message was answered, or that a call was cancelled.
     pub(crate) fn call_finished(&self, now: Millis, answered: bool, has_open_calls: bool) {
         let activity = &self.activity;
         let has_been_answered = activity.has_been_answered() || answered;
         activity.has_been_answered.set(has_been_answered);
-        // Cancelling calls that were never open must not keep a connection from being evicted.
+        // Cancellations of calls that were not open must not make an idle connection look active, or it would never be
+        // evicted.
         let was_active = answered || !activity.is_idle();
         if !has_open_calls && was_active {
             activity.idle_since.set(now);
--- a/crates/gateway/src/connection_limiter_tests.rs
+++ b/crates/gateway/src/connection_limiter_tests.rs
@@ -21,7 +21,7 @@
     permits[1].call_finished(8.0, true, false);
     permits[2].call_finished(7.0, true, false);
 
-    // The last connection is new: its first message may be under way.
+    // The last connection is new, so it is not evicted: its first message may be under way.
     for evicted in [2, 1] {
         assert!(try_acquire().is_none());
         assert_eq!(close_requests(&permits), 1, "{evicted}");
@@ -37,7 +37,7 @@
     assert!(try_acquire().is_none());
     assert!(
         permits[1].activity.is_close_requested(),
-        "it never had an answer"
+        "no longer new and never answered: evicted first"
     );
 
     permits[1].call_opened();
@@ -45,6 +45,6 @@
     assert_eq!(close_requests(&permits), 1);
     assert!(
         permits[2].activity.is_close_requested(),
-        "another one is asked in place of the connection with an open call"
+        "asked to close instead of the connection that has an open call now"
     );
 }
