--- a/crates/gateway/src/client/writer.rs
+++ b/crates/gateway/src/client/writer.rs
@@ -73,7 +73,7 @@
             retry_after,
         } => error_response(call_id, ErrorCode::Rejected, REJECTED, retry_after).write(output),
         Reply::Failed(call_id) => {
-            error_response(call_id, ErrorCode::Failed, FAILED, 0.0).write(output)
+            error_response(call_id, ErrorCode::Failed, FAILED, 0.0).write(output);
         }
         Reply::DuplicateId(call_id) => {
             error_response(call_id, ErrorCode::InvalidParams, DUPLICATE_ID, 0.0).write(output);
