--- a/crates/gateway/src/client/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Turns a call into a request for the dispatcher, or answers it at once.
+//! Validates calls: turns each into a message for the dispatcher, or answers it directly.
 
 use super::{Client, OpenCall, MAX_OPEN_CALLS, MAX_PROTOCOL_ERRORS, START_AFTER_HALF_CLOSE};
 use base64::engine::general_purpose::STANDARD;
@@ -12,33 +12,35 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Longest idempotency key, in bytes.
+/// Longest idempotency key that is accepted, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
-/// More memory than any request means, in MB.
+/// Largest memory estimate that is accepted, in MB; no request needs so much.
 const MAX_MEMORY_MB: f64 = 1e8;
-/// More tries than any client makes.
-const MAX_TRIES: f64 = 1e4;
-/// Largest time remaining that is accepted, as a multiple of the longest hard limit: clients may count it differently.
+/// Largest retry count that is accepted; no client retries so often.
+const MAX_RETRY_COUNT: f64 = 1e4;
+/// Largest remaining time that is accepted, as a multiple of the longest hard limit: clients may compute it
+/// differently.
 const MAX_TIME_REMAINING_FACTOR: f64 = 2.0;
-/// Base64 text of this length fills a buffer; a multiple of four characters can be decoded on its own.
+/// Base64 text is decoded in parts of this many characters, each into one buffer. The length is a multiple of four, so
+/// that each part can be decoded on its own.
 const BASE64_PART_CHARACTERS: usize = BUFFER_SIZE / 4 * 4;
 
-/// The checked parameters of a call.
+/// The validated parameters of a call.
 struct RequestParams {
     id: Id,
     time_remaining: Millis,
     work: Option<Millis>,
     memory_mb: Option<f64>,
-    tries: Option<f64>,
+    retry_count: Option<f64>,
     idempotency_key: Option<Rc<str>>,
     statement: BufferChain,
 }
 
 /// Why a call does not become a request.
 enum RequestError {
-    /// The call is wrong; the client gets its error code.
+    /// The call is invalid; the client receives the error code.
     Call(CallError),
-    /// No buffer is left for the statement. The request has not been sent anywhere yet.
+    /// No buffer is free for the statement. The call is rejected, since its request was not sent anywhere yet.
     NoBuffer,
 }
 
@@ -49,10 +51,11 @@
 }
 
 impl Client {
-    /// The message for the dispatcher; `None` if the call is answered here.
+    /// Handles a call. Returns the message for the dispatcher; `None` if there is none because the call was answered
+    /// here or cancels nothing.
     ///
     /// # Errors
-    /// The call is not possible, or its parameters are wrong.
+    /// The call is not valid on this connection, or a parameter is missing or out of range.
     pub(super) fn on_call(
         &self,
         received_at: Millis,
@@ -103,8 +106,8 @@
         self.reply_encoded(|output| rpc::write_health(output, call_id, is_healthy));
     }
 
-    /// Whether a request would come too late: it might not end before the process does, or would start long after its
-    /// client has closed the connection.
+    /// Whether a request arrives too late: it might not end before the process does, or it was received more than
+    /// [`START_AFTER_HALF_CLOSE`] after a half-close by the client was detected.
     fn accepts_no_requests(&self, received_at: Millis) -> bool {
         let half_closed_at = self.half_closed_at.get();
         let is_late = |closed_at| received_at - closed_at > START_AFTER_HALF_CLOSE;
@@ -117,7 +120,7 @@
         call_id: u64,
         call: &Call,
     ) -> Result<NewRequest, RequestError> {
-        let class = self.class(call_id, &call.method)?;
+        let class = self.class_index(call_id, &call.method)?;
         self.check_open_calls(call_id)?;
         let params = self.request_params(call_id, call.params)?;
         let table_group = statement::table_group(&params.statement.joined());
@@ -127,7 +130,9 @@
             work: params.work.filter(|work| *work > 0.0),
             memory_mb: params.memory_mb.unwrap_or(0.0),
             table_group: table_group.unwrap_or(0),
-            is_retry: params.tries.is_some_and(|tries| tries > 0.0),
+            is_retry: params
+                .retry_count
+                .is_some_and(|retry_count| retry_count > 0.0),
             ..Request::default()
         };
         let client_is_waiting = Rc::new(Cell::new(true));
@@ -150,9 +155,9 @@
         })
     }
 
-    /// The index of the class with the method's name. After a change of the settings two classes may have the name, one
-    /// of them out of service under the earlier policy: the one in service is preferred.
-    fn class(&self, call_id: u64, method: &[u8]) -> Result<usize, CallError> {
+    /// The index of the class with the method's name. After a change of the settings two classes may have that name,
+    /// one of them out of service since the earlier settings: the one in service is preferred.
+    fn class_index(&self, call_id: u64, method: &[u8]) -> Result<usize, CallError> {
         let classes = self.shared.classes();
         let has_name = |class: &ClassSummary| class.name.as_bytes() == method;
         let in_service = classes
@@ -168,8 +173,8 @@
     fn check_open_calls(&self, call_id: u64) -> Result<(), CallError> {
         let open_calls = self.open_calls.borrow();
         if open_calls.contains_key(&call_id) {
-            // The client could not tell which of the two calls a reply belongs to: neither gets one, and the
-            // connection is closed.
+            // The client could not tell which of the two calls a reply belongs to, so neither gets one. Setting the
+            // counter to its limit closes the connection.
             self.protocol_errors.set(MAX_PROTOCOL_ERRORS);
             return Err(CallError {
                 call: None,
@@ -186,37 +191,43 @@
     }
 
     fn request_params(&self, call_id: u64, params: Params) -> Result<RequestParams, RequestError> {
-        let invalid = || CallError {
+        let invalid_params = || CallError {
             call: Some(call_id),
             code: ErrorCode::InvalidParams,
         };
-        let number = |name, max| params.bounded_number(name, max).map_err(|_| invalid());
-        let id = params.string("id").as_deref().and_then(request_id);
-        let id = id.ok_or_else(invalid)?;
+        let number = |name, max| {
+            params
+                .bounded_number(name, max)
+                .map_err(|_| invalid_params())
+        };
+        let id = params.string("id").as_deref().and_then(parse_request_id);
+        let id = id.ok_or_else(invalid_params)?;
         let max_time_remaining = MAX_TIME_REMAINING_FACTOR * self.shared.max_deadline.get();
         let time_remaining = number("wait", max_time_remaining)?;
         let time_remaining = time_remaining.filter(|time| *time > 0.0);
-        let time_remaining = time_remaining.ok_or_else(invalid)?;
+        let time_remaining = time_remaining.ok_or_else(invalid_params)?;
         let work = number("cost", self.shared.max_work())?;
         let memory_mb = number("ram", MAX_MEMORY_MB)?;
-        let tries = number("retry", MAX_TRIES)?;
+        let retry_count = number("retry", MAX_RETRY_COUNT)?;
         let key = params.string("once");
-        let key = key.map(|text| idempotency_key(&text).ok_or_else(invalid));
+        let key = key.map(|text| parse_idempotency_key(&text).ok_or_else(invalid_params));
         let idempotency_key = key.transpose()?;
-        let encoded = params.string("bytes").ok_or_else(invalid)?;
-        let statement = self.decode_statement(&encoded)?.ok_or_else(invalid)?;
+        let encoded = params.string("bytes").ok_or_else(invalid_params)?;
+        let statement = self
+            .decode_statement(&encoded)?
+            .ok_or_else(invalid_params)?;
         Ok(RequestParams {
             id,
             time_remaining,
             work,
             memory_mb,
-            tries,
+            retry_count,
             idempotency_key,
             statement,
         })
     }
 
-    /// The tenant that the client names, if the operator lets clients name theirs.
+    /// The tenant that the client names, if the operator allows clients to name it.
     fn tenant(&self, params: Params) -> Option<u64> {
         if !self.shared.tenants {
             return None;
@@ -240,14 +251,14 @@
     }
 }
 
-/// A request's id: hexadecimal digits, which can't break an engine's line.
-fn request_id(text: &[u8]) -> Option<Id> {
+/// Parses a request's id. Only hexadecimal digits are allowed, which can't break a line of the engine protocol.
+fn parse_request_id(text: &[u8]) -> Option<Id> {
     let id = Id::try_from(text).ok()?;
     id.iter().all(u8::is_ascii_hexdigit).then_some(id)
 }
 
-/// An idempotency key that can't break an engine's line.
-fn idempotency_key(text: &[u8]) -> Option<Rc<str>> {
+/// Parses an idempotency key. Only characters that can't break a line of the engine protocol are allowed.
+fn parse_idempotency_key(text: &[u8]) -> Option<Rc<str>> {
     let is_allowed = |byte: &u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(byte);
     let is_valid =
         text.iter().all(is_allowed) && (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&text.len());
--- a/crates/gateway/src/client/reader.rs
+++ b/crates/gateway/src/client/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's messages and sends their requests to the dispatcher.
+//! Reads a client's messages and sends the resulting requests and cancellations to the dispatcher.
 
 use super::close::LINGER_TIMEOUT;
 use super::{Client, MAX_PROTOCOL_ERRORS};
@@ -14,34 +14,33 @@
 use std::io;
 use std::net::TcpStream;
 
-/// While all buffers are in use the gateway does not read. How often it then checks whether the client has hung up, in
-/// ms.
+/// Interval of the checks for a hang-up by the client, in ms, while nothing is read because no buffer is free.
 const BLOCKED_READ_INTERVAL: Millis = 20.0;
 
-/// Why reading has ended before the client closed its sending half.
+/// Why reading ended before the client closed its sending half.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReadError {
-    #[error("the connection is idle, or its slot is needed")]
+    #[error("the connection was idle or asked to close")]
     Idle,
-    #[error("a message is incomplete for too long")]
+    #[error("a message was not complete within the time limit")]
     Stalled,
     #[error("the client has hung up")]
     HungUp,
     #[error("the connection ended within a message")]
     PartialMessage,
-    #[error("no buffer is left for a long message")]
+    #[error("no buffer is free for a long message")]
     NoBuffer,
-    #[error("too many messages that are not usable calls")]
+    #[error("too many messages that are not valid calls")]
     TooManyProtocolErrors,
     #[error("the dispatcher has ended")]
     DispatcherEnded,
-    #[error("malformed frame")]
+    #[error("malformed frame header")]
     Frame(#[from] FrameError),
-    #[error("the connection failed")]
+    #[error("reading from the connection failed")]
     Io(#[from] io::Error),
 }
 
-/// The start of a message that is incomplete.
+/// The received part of an incomplete message.
 struct PartialMessage {
     buffer: Buffer,
     /// When its first byte arrived.
@@ -49,18 +48,18 @@
 }
 
 impl Client {
-    /// Reads until the client closes its sending half and has its replies, or the connection has to be closed.
+    /// Reads until the client closes its sending half and has received its replies, or the connection is to be closed.
     pub(super) async fn read_until_end(&self, stream: &Async<TcpStream>) {
         match self.read(stream).await {
             Ok(()) | Err(ReadError::Idle) => {}
             Err(_) => {
-                // The start of the next message, or the call that a reply belongs to, is unknown now.
+                // After an error, the start of the next message or the call that a reply belongs to may be unknown.
                 self.cancel_open_calls().await;
                 let drained = async {
-                    self.drained().await;
+                    self.until_drained().await;
                     Ok(())
                 };
-                // A client that does not read its replies in time loses them.
+                // A client that does not read its remaining replies within the timeout loses them.
                 let _ = timeout(LINGER_TIMEOUT, drained).await;
             }
         }
@@ -73,17 +72,17 @@
                 Some(partial) => partial,
                 None => self.wait_for_buffer(stream).await?,
             };
-            let stalled = self.idle_or_stalled(stream, Some(partial.since));
+            let stalled = self.until_idle_or_stalled(stream, Some(partial.since));
             let space = partial.buffer.spare_capacity();
             let read = async { stream.read(space).await.map_err(ReadError::Io) };
             let length = or(read, async { Err(stalled.await) }).await?;
             if length == 0 {
                 self.on_half_close().await;
-                self.drained().await;
+                self.until_drained().await;
                 return Ok(());
             }
             partial.buffer.advance(length);
-            while self.next_message(stream, &mut partial).await? {
+            while self.handle_next_message(stream, &mut partial).await? {
                 partial.since = self.shared.clock.now();
             }
             if !partial.buffer.bytes().is_empty() {
@@ -98,7 +97,7 @@
         stream: &Async<TcpStream>,
     ) -> Result<PartialMessage, ReadError> {
         let readable = async { stream.readable().await.map_err(ReadError::Io) };
-        let idle = async { Err(self.idle_or_stalled(stream, None).await) };
+        let idle = async { Err(self.until_idle_or_stalled(stream, None).await) };
         or(readable, idle).await?;
         let acquired = async { Ok(self.shared.pool.acquire().await) };
         let hung_up = async { Err(self.hangup_while_blocked(stream).await) };
@@ -109,8 +108,8 @@
         })
     }
 
-    /// Watches for the client's hang-up while nothing is read, also behind bytes that are not read yet. Completes when
-    /// the client has closed the whole connection; after a half-close it never does.
+    /// Detects a hang-up by the client while nothing is read, even if earlier bytes are still unread. Completes when
+    /// the client has closed the whole connection; never completes after a half-close.
     async fn hangup_while_blocked(&self, stream: &Async<TcpStream>) -> ReadError {
         let clock = &self.shared.clock;
         loop {
@@ -129,8 +128,8 @@
         }
     }
 
-    /// Handles the next complete message in the buffer; false if there is none.
-    async fn next_message(
+    /// Handles the next message, if it is complete in the buffer or longer than a buffer; returns whether it did.
+    async fn handle_next_message(
         &self,
         stream: &Async<TcpStream>,
         partial: &mut PartialMessage,
@@ -142,7 +141,7 @@
         let message_end = message_start + header.message_bytes;
         if message_end > BUFFER_SIZE {
             partial.buffer.consume(message_start);
-            let stalled = self.idle_or_stalled(stream, Some(partial.since));
+            let stalled = self.until_idle_or_stalled(stream, Some(partial.since));
             let message = self.read_long_message(stream, &mut partial.buffer, header.message_bytes);
             let message = or(message, async { Err(stalled.await) }).await?;
             self.on_message(&message.joined()).await?;
@@ -167,7 +166,7 @@
         Ok(header?)
     }
 
-    /// Reads a message that is longer than a buffer. `first` holds its start.
+    /// Reads a message that does not fit into one buffer. `first` holds its start.
     async fn read_long_message(
         &self,
         mut stream: &Async<TcpStream>,
@@ -177,7 +176,7 @@
         let mut chain = BufferChain::default();
         let mut missing = message_bytes;
         while missing > 0 {
-            // Does not wait for a buffer: several long messages that each hold buffers would wait for each other.
+            // Must not wait for a buffer: several long messages that each hold buffers could deadlock.
             let Some(mut part) = self.shared.pool.try_acquire_for_long_message() else {
                 self.reply_overloaded(None);
                 return Err(ReadError::NoBuffer);
@@ -223,7 +222,7 @@
     }
 }
 
-/// The socket's events if the peer has closed the connection or its sending half; empty if it has not.
+/// The socket's poll events if the peer has closed the connection or its sending half; empty otherwise.
 fn hangup_events(stream: &TcpStream) -> PollFlags {
     let mut descriptors = [PollFd::new(stream, PollFlags::RDHUP)];
     let no_wait = Timespec {
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies endpoint lists: new endpoints, missing and restarted ones, and the cells of each.
+//! Applies endpoint lists: adds new endpoints, closes missing and restarted ones, and assigns cells.
 
 use super::executor::KnownEndpoint;
 use super::Dispatcher;
@@ -9,24 +9,24 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Start times that differ by less are the same, in ms: they are transmitted as text, which rounds them.
+/// Start times that differ by less than this, in ms, count as equal: transmission as text rounds them.
 const START_TIME_TOLERANCE: Millis = 1.0;
 
 impl Dispatcher {
     /// Replaces the endpoint list.
     pub(super) fn update_endpoints(&mut self, list: BTreeMap<String, DiscoveredEndpoint>) {
-        self.close_missing(&list);
-        self.release_indices();
+        self.close_missing_endpoints(&list);
+        self.release_engine_indices();
         self.executor.shared.endpoint_count.set(list.len());
         let mut endpoints = Vec::with_capacity(list.len());
         for (name, discovered) in list {
             endpoints.push(self.update_endpoint(name, discovered));
         }
-        self.pass_to_policy(&endpoints);
+        self.pass_endpoints_to_policy(&endpoints);
     }
 
-    /// Applies a change of the cells. New attempts of open requests go to the tenant's present cells; attempts in
-    /// flight finish where they are.
+    /// Applies a change of the cells. New attempts of open requests go to the tenant's current cells; attempts in
+    /// flight finish at their engines.
     pub(super) fn reassign_cells(&mut self) {
         for index in 0..self.executor.requests.len() {
             if let Some(cells) = self.cells_of_request(index) {
@@ -34,11 +34,11 @@
             }
         }
         let endpoints = self.known_endpoints();
-        self.pass_to_policy(&endpoints);
+        self.pass_endpoints_to_policy(&endpoints);
     }
 
-    /// The cells that a request may use, as bits. Without cells it is 0, which allows every engine, also for an index
-    /// that is free.
+    /// The cells that a request may use, one bit each; `None` if no open request has that index. If no cells are
+    /// configured, it is 0 for every index, which allows every engine.
     fn cells_of_request(&self, index: usize) -> Option<u64> {
         let Some(directory) = &self.executor.cells else {
             return Some(0);
@@ -47,13 +47,13 @@
         Some(directory.tenant(request.tenant).0)
     }
 
-    /// The cells of an engine, as bits; 0 without cells.
+    /// The cells of an engine, one bit each; 0 if no cells are configured.
     fn cells_of_engine(&self, id: u64) -> u64 {
         let directory = self.executor.cells.as_ref();
         directory.map_or(0, |directory| directory.engine(id).0)
     }
 
-    fn close_missing(&mut self, list: &BTreeMap<String, DiscoveredEndpoint>) {
+    fn close_missing_endpoints(&mut self, list: &BTreeMap<String, DiscoveredEndpoint>) {
         for known in &mut self.executor.engines {
             if let Some(gone) = known.take_if(|known| !list.contains_key(&known.name)) {
                 gone.close();
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Releases the indices of engines that are gone, unless an open request has tried them: the policy still refers to
-    /// such an engine by its index.
-    fn release_indices(&mut self) {
+    /// Releases the indices of engines that are gone, except those that an open request has tried: the policy still
+    /// refers to these by their indices.
+    fn release_engine_indices(&mut self) {
         let executor = &mut self.executor;
         for index in 0..executor.engines.len() {
             let is_gone = executor.engines[index].is_none();
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Applies one entry of the list and returns the endpoint for the policy.
+    /// Applies one entry of the list and returns it as the policy's endpoint.
     fn update_endpoint(&mut self, name: String, discovered: DiscoveredEndpoint) -> Endpoint {
         let id = fnv1a_64(name.as_bytes());
         let cells = self.cells_of_engine(id);
@@ -83,7 +83,7 @@
         if executor.engines.len() <= index {
             executor.engines.resize_with(index + 1, || None);
         }
-        let endpoint = endpoint(index, id, cells, &discovered);
+        let endpoint = policy_endpoint(index, id, cells, &discovered);
         let slot = &mut executor.engines[index];
         if let Some(previous) = slot.take_if(|known| is_restarted(known, &discovered)) {
             previous.close();
@@ -108,19 +108,19 @@
         endpoint
     }
 
-    /// The present endpoint list, for the policy.
+    /// The current endpoint list in the policy's form.
     fn known_endpoints(&self) -> Vec<Endpoint> {
         let executor = &self.executor;
         let engines = executor.engines.iter().enumerate();
         let known = engines.filter_map(|(index, known)| Some((index, known.as_ref()?)));
         let endpoints = known.map(|(index, known)| {
             let id = executor.engine_ids.id(index);
-            endpoint(index, id, self.cells_of_engine(id), &known.discovered)
+            policy_endpoint(index, id, self.cells_of_engine(id), &known.discovered)
         });
         endpoints.collect()
     }
 
-    fn pass_to_policy(&mut self, endpoints: &[Endpoint]) {
+    fn pass_endpoints_to_policy(&mut self, endpoints: &[Endpoint]) {
         let executor = &mut self.executor;
         if let Some(cells) = &mut executor.cells {
             let is_ready = |endpoint: &&Endpoint| endpoint.state == EndpointState::Ready;
@@ -132,7 +132,12 @@
     }
 }
 
-fn endpoint(engine: usize, id: u64, cells: u64, discovered: &DiscoveredEndpoint) -> Endpoint {
+fn policy_endpoint(
+    engine: usize,
+    id: u64,
+    cells: u64,
+    discovered: &DiscoveredEndpoint,
+) -> Endpoint {
     Endpoint {
         engine,
         id,
@@ -145,7 +150,7 @@
     }
 }
 
-/// Whether another process runs behind the endpoint now, possibly on another machine.
+/// Whether the address or the start time shows that another process now serves the endpoint.
 fn is_restarted(known: &KnownEndpoint, discovered: &DiscoveredEndpoint) -> bool {
     let start_difference = known.discovered.started_at - discovered.started_at;
     known.discovered.address != discovered.address || start_difference.abs() >= START_TIME_TOLERANCE
@@ -157,7 +162,7 @@
         return;
     }
     if let Some(queue) = &known.queue {
-        // Where the queue is full, the attempts in it still read the state right before they are written.
+        // If the queue is full, no message is needed: the attempts in it read the state right before they are written.
         let _ = queue.try_send(EngineMessage::EndpointStateChanged);
     }
 }
