--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -79,7 +79,7 @@
         let id = fnv1a_64(name.as_bytes());
         let cells = self.cells_of_engine(id);
         let executor = &mut self.executor;
-        let index = executor.engine_ids.admit(id);
+        let index = executor.engine_ids.intern(id);
         if executor.engines.len() <= index {
             executor.engines.resize_with(index + 1, || None);
         }
--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -52,7 +52,7 @@
         let executor = &mut self.executor;
         executor.set_open_requests(executor.open_requests + 1);
         executor.counts(new.request.class).accepted += 1;
-        let index = executor.request_ids.admit(new.id);
+        let index = executor.request_ids.intern(new.id);
         if executor.requests.len() <= index {
             executor.requests.resize_with(index + 1, || None);
         }
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -94,7 +94,7 @@
     let mut executor = executor();
     let (queue, messages) = async_channel::bounded(2);
     executor.engines.push(Some(endpoint(queue.clone())));
-    let request = executor.request_ids.admit(*b"0000000000000001");
+    let request = executor.request_ids.intern(*b"0000000000000001");
     executor.requests.push(Some(open_request()));
     executor.start_attempt(request, 0, MAX_DEADLINE);
     assert!(queue.try_send(EngineMessage::RequestLoadReport).is_ok());
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -86,7 +86,7 @@
         let mut id = [0; 8];
         id[..record.address.len()].copy_from_slice(&record.address);
         Endpoint {
-            engine: self.engines.admit(record.address),
+            engine: self.engines.intern(record.address),
             id: u64::from_le_bytes(id),
             zone: record.zone,
             machine_type: record.machine_type,
@@ -116,7 +116,7 @@
             cells: 0,
             is_retry: record.is_retry,
         };
-        let index = self.requests.admit(record.id);
+        let index = self.requests.intern(record.id);
         let (gateway, mut actions) = self.policy(output);
         gateway.on_request(now, index, request, &mut actions);
         Ok(())
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -22,7 +22,7 @@
 
 impl<Id: Copy + Eq + Hash> Interner<Id> {
     /// The id's index; a newly assigned one if it has none.
-    pub fn admit(&mut self, id: Id) -> usize {
+    pub fn intern(&mut self, id: Id) -> usize {
         if let Some(&index) = self.index_by_id.get(&id) {
             return index;
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work all gateways together may send to an engine that is warming up.
 
 use super::Gateway;
-use crate::random::{mix, part};
+use crate::random::{mix, to_unit_interval};
 use crate::state::{Engine, PendingRequest};
 use crate::Millis;
 
@@ -94,7 +94,8 @@
     /// together.
     fn window_draw(&self, engine: &Engine) -> f64 {
         let gateway_and_engine = mix(self.seed_hash ^ engine.endpoint.id);
-        let window = (self.now / self.config.overload_window + part(gateway_and_engine)) as u64;
-        part(mix(gateway_and_engine ^ window))
+        let window =
+            (self.now / self.config.overload_window + to_unit_interval(gateway_and_engine)) as u64;
+        to_unit_interval(mix(gateway_and_engine ^ window))
     }
 }
--- a/src/random.rs
+++ b/src/random.rs
@@ -34,6 +34,6 @@
 }
 
 /// Maps the low 32 bits evenly to [0, 1).
-pub fn part(bits: u64) -> f64 {
+pub fn to_unit_interval(bits: u64) -> f64 {
     f64::from(bits as u32) / VALUES_OF_32_BITS
 }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,6 +1,6 @@
 //! The state of one request and of its attempt in flight.
 
-use crate::random::{mix, part};
+use crate::random::{mix, to_unit_interval};
 use crate::{ClassPolicy, Millis, Request};
 use std::sync::Arc;
 
@@ -62,6 +62,6 @@
     /// A number in [0, 1) drawn for this request and `subject`. The same question always has the
     /// same answer, so that a request that repeats a question does not get a second chance.
     pub(crate) fn chance(&self, subject: u64) -> f64 {
-        part(mix(self.draw ^ subject))
+        to_unit_interval(mix(self.draw ^ subject))
     }
 }
