--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -16,7 +16,7 @@
         // A deduplicated request must begin within the window of earlier attempts, every request
         // within the lease.
         let start_before = self
-            .window_end(pending)
+            .dedup_window_end(pending)
             .min(pending.deadline)
             .min(self.lease_until);
         let is_retry = pending.attempts > 0;
@@ -71,7 +71,7 @@
     fn occupy_engine(&mut self, index: usize, engine: usize) {
         let class_index = self.class_of(index);
         let now = self.now;
-        let work = self.usual_work(class_index);
+        let work = self.typical_work(class_index);
         let window_start = now - self.config.overload_window;
         let engine = &mut self.engines[engine];
         engine.threads += self.config.classes[class_index].threads;
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -17,7 +17,7 @@
 const PRESSURE_FULL: f64 = 1.6;
 /// Up to this reported load every wide query may enter an engine; above it some may, and none at a
 /// load of 1.
-const ENTRY_THRESHOLD: f64 = 0.7;
+const FULL_ADMISSION_LOAD: f64 = 0.7;
 
 impl Gateway {
     /// Whether the engine takes the request now. Prevents a jam that feeds itself: under pressure
@@ -26,7 +26,7 @@
     pub(super) fn has_capacity(&self, engine_index: usize, pending: &PendingRequest) -> bool {
         let engine = &self.engines[engine_index];
         let class_index = pending.request.class;
-        if self.now <= engine.full_until || !self.may_enter(pending, engine) {
+        if self.now <= engine.full_until || !self.is_admitted_by_load(pending, engine) {
             return false;
         }
         let slowdown = self.slowdown(engine);
@@ -67,8 +67,8 @@
     /// Whether the engine's load leaves room. Before a wide request, where engines are probed, an
     /// unknown load counts as full. Otherwise the last report counts, decayed, and an unknown load
     /// as none.
-    fn may_enter(&self, pending: &PendingRequest, engine: &Engine) -> bool {
-        let needs_report = self.probes_enabled && self.is_wide(pending.request.class);
+    fn is_admitted_by_load(&self, pending: &PendingRequest, engine: &Engine) -> bool {
+        let needs_report = self.probes_enabled && self.is_heavy(pending.request.class);
         let report = if needs_report {
             engine.valid_load_report(self.now)
         } else {
@@ -78,7 +78,7 @@
             })
         };
         match report {
-            Some(report) => self.wins_entry_draw(pending, engine, report),
+            Some(report) => self.passes_load_draw(pending, engine, report),
             None => !needs_report,
         }
     }
@@ -86,13 +86,13 @@
     /// Draws whether a request may enter an engine of this load, with a lower probability for a
     /// higher load. All gateways see the same load, and without the draw all would send or none.
     /// The draw is the same until the engine reports again.
-    pub(super) fn wins_entry_draw(
+    pub(super) fn passes_load_draw(
         &self,
         pending: &PendingRequest,
         engine: &Engine,
         report: LoadReport,
     ) -> bool {
-        let draw = pending.chance(engine.endpoint.id ^ report.at.to_bits());
-        draw < (1.0 - report.share) / (1.0 - ENTRY_THRESHOLD)
+        let draw = pending.draw_for(engine.endpoint.id ^ report.at.to_bits());
+        draw < (1.0 - report.share) / (1.0 - FULL_ADMISSION_LOAD)
     }
 }
--- a/src/policy/engine_health.rs
+++ b/src/policy/engine_health.rs
@@ -9,12 +9,12 @@
 pub(super) const THREADS_PER_CORE: f64 = 2.5;
 /// An answer that takes this many times as long as usual is the fault of its engine, not of the
 /// load. One attempt alone may also have lost its answer.
-pub(super) const OUTLIER_PACE: f64 = 2.5;
+pub(super) const SLOW_ANSWER_FACTOR: f64 = 2.5;
 /// An attempt that takes this many times as long as usual has lost its answer or got a bad query
 /// plan.
-pub(super) const SUSPECT_LOSS_PACE: f64 = 2.0 * OUTLIER_PACE;
+pub(super) const LOST_ANSWER_FACTOR: f64 = 2.0 * SLOW_ANSWER_FACTOR;
 /// The most recent outcomes by which an engine is judged.
-const OUTCOMES_JUDGED: u32 = 8;
+const OUTCOMES_KEPT: u32 = 8;
 /// Failures among them with which an engine may be ejected.
 pub(super) const FAILURES_TO_EJECT: u32 = 5;
 /// The interval of recovery probes after an engine's ejection, in ms. A success halves it, a
@@ -35,7 +35,7 @@
     /// Records the outcome of an attempt, and moves an ejected engine closer to recovery or further
     /// away.
     pub(super) fn record_outcome(&mut self, now: Millis, is_success: bool) {
-        self.outcomes.record(is_success, OUTCOMES_JUDGED);
+        self.outcomes.record(is_success, OUTCOMES_KEPT);
         let Some(ejection) = self.ejection else {
             return;
         };
--- a/src/policy/events/attempt_ended.rs
+++ b/src/policy/events/attempt_ended.rs
@@ -1,6 +1,6 @@
 //! Event: an attempt has ended.
 
-use crate::policy::engine_health::OUTLIER_PACE;
+use crate::policy::engine_health::SLOW_ANSWER_FACTOR;
 use crate::policy::pace::{MIN_WORK, WORK_HALF_LIFE};
 use crate::policy::Gateway;
 use crate::state::Attempt;
@@ -44,19 +44,19 @@
         let Some(attempt) = pending.and_then(|pending| pending.in_flight_attempt.take()) else {
             return;
         };
-        self.release_slot(index, &attempt);
+        self.release_threads(index, &attempt);
         self.charge_thread_time(index, &attempt);
         self.record_attempt(index, &attempt, outcome);
-        self.return_unused_retry(index, &attempt, outcome);
+        self.refund_unsent_retry(index, &attempt, outcome);
         self.quarantine_key(index, outcome);
         self.learn_cost(index, outcome);
-        self.judge_engine(index, &attempt, outcome);
+        self.record_engine_outcome(index, &attempt, outcome);
         self.requeue_or_close(index, is_final, actions);
         self.on_timer(now, actions);
     }
 
     /// The attempt no longer uses threads of its engine and class.
-    fn release_slot(&mut self, index: usize, attempt: &Attempt) {
+    fn release_threads(&mut self, index: usize, attempt: &Attempt) {
         let class_index = self.class_of(index);
         let threads = self.config.classes[class_index].threads;
         self.in_flight.retain(|&other| other != index);
@@ -71,7 +71,7 @@
         let elapsed = self.now - attempt.sent_at;
         let thread_time = self.config.classes[class_index].threads * elapsed;
         self.classes[class_index].charged += thread_time / self.weight(class_index);
-        self.held_threads
+        self.threads_per_attempt
             .add(self.now, WORK_HALF_LIFE, thread_time, elapsed);
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// A retry that was never sent does not count against the retry budget.
-    fn return_unused_retry(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
+    fn refund_unsent_retry(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
         let is_retry = self.requests[index].attempts > 1;
         if !is_retry || outcome != Outcome::Unsent {
             return;
@@ -131,15 +131,15 @@
 
     /// Records what the outcome says of the engine. An attempt sent to the process before a restart
     /// says nothing of the present one.
-    fn judge_engine(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
+    fn record_engine_outcome(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
         let engine = &mut self.engines[attempt.engine];
         if attempt.sent_at < engine.endpoint.started_at {
             return;
         }
         match outcome {
-            Outcome::Completed(_) => self.judge_by_answer(index, attempt),
+            Outcome::Completed(_) => self.record_answer(index, attempt),
             Outcome::Rejected => {
-                self.engines[attempt.engine].full_until = self.now + self.rest_when_full();
+                self.engines[attempt.engine].full_until = self.now + self.full_engine_backoff();
             }
             Outcome::EngineError | Outcome::ConnectFailed | Outcome::ConnectionLost => {
                 engine.record_outcome(self.now, false);
@@ -154,13 +154,13 @@
     /// Judges the engine by the time that an answer took, and learns its pace. An answer counts as
     /// a success if it is not much slower than usual. On an engine in use, an answer within the
     /// objective does so too.
-    fn judge_by_answer(&mut self, index: usize, attempt: &Attempt) {
+    fn record_answer(&mut self, index: usize, attempt: &Attempt) {
         let now = self.now;
         let pending = &self.requests[index];
         let class_index = pending.request.class;
         let service_time = self.service_time(class_index, pending.request.cells, pending.work);
         let is_in_time = now <= pending.objective;
-        let is_fast = now - attempt.sent_at < OUTLIER_PACE * service_time;
+        let is_fast = now - attempt.sent_at < SLOW_ANSWER_FACTOR * service_time;
         let work_done = pending.work * (1.0 - attempt.progress.share);
 
         let engine = &mut self.engines[attempt.engine];
--- a/src/policy/events/endpoints.rs
+++ b/src/policy/events/endpoints.rs
@@ -5,7 +5,7 @@
 use crate::{Actions, Endpoint, EndpointState, Millis};
 
 /// The shortest delay before the endpoint list is requested again, in ms.
-const RESUBSCRIBE_DELAY: Millis = 500.0;
+const MIN_RESUBSCRIBE_DELAY: Millis = 500.0;
 /// Over how many ms the gateways spread their requests: all of them lose the endpoint list at the
 /// same moment, and would ask for it together.
 const RESUBSCRIBE_SPREAD: u64 = 1000;
@@ -36,7 +36,7 @@
     /// be requested again.
     pub fn endpoint_watch_lost(&mut self, now: Millis, actions: &mut dyn Actions) {
         let spread = (self.random.draw() % RESUBSCRIBE_SPREAD) as f64;
-        let resubscribe_at = now + RESUBSCRIBE_DELAY + spread;
+        let resubscribe_at = now + MIN_RESUBSCRIBE_DELAY + spread;
         self.resubscribe_at = self.config.must_subscribe.then_some(resubscribe_at);
         self.on_timer(now, actions);
     }
--- a/src/policy/events/load_report.rs
+++ b/src/policy/events/load_report.rs
@@ -6,7 +6,7 @@
 use crate::{Actions, LoadMetric, Millis};
 
 /// Threads of a query that an engine holds, as long as no attempt of this gateway has shown any.
-const THREADS_PER_QUERY_UNKNOWN: f64 = 1.0;
+const ASSUMED_THREADS_PER_QUERY: f64 = 1.0;
 
 impl Gateway {
     /// An engine reports its load: values in the order that the settings name. An empty report, or
@@ -28,9 +28,9 @@
     /// a share of the threads that the engine's cores serve.
     fn largest_share_in_use(&self, engine: usize, values: &[f64]) -> Option<f64> {
         let threads_per_query = self
-            .held_threads
+            .threads_per_attempt
             .mean()
-            .unwrap_or(THREADS_PER_QUERY_UNKNOWN);
+            .unwrap_or(ASSUMED_THREADS_PER_QUERY);
         let share_per_query = threads_per_query / (self.engines[engine].cores * THREADS_PER_CORE);
         let loads = self.config.report_fields.iter().zip(values);
         let shares = loads.filter_map(|(load, value)| match load {
--- a/src/policy/events/progress.rs
+++ b/src/policy/events/progress.rs
@@ -1,6 +1,6 @@
 //! Event: an engine reports how far an attempt is.
 
-use crate::policy::engine_health::SUSPECT_LOSS_PACE;
+use crate::policy::engine_health::LOST_ANSWER_FACTOR;
 use crate::policy::Gateway;
 use crate::state::ProgressMark;
 use crate::{Actions, Millis};
@@ -44,7 +44,7 @@
         let class_index = pending.request.class;
         let projected_time = (now - attempt.sent_at) / done.max(MIN_SHARE_DONE);
         let service_time = self.service_time(class_index, pending.request.cells, pending.work);
-        let has_bad_plan = projected_time > SUSPECT_LOSS_PACE * service_time;
+        let has_bad_plan = projected_time > LOST_ANSWER_FACTOR * service_time;
         if has_bad_plan && self.may_repeat_now(pending) {
             actions.withdraw_attempt(index, pending.attempts - 1);
         } else {
--- a/src/policy/events/request.rs
+++ b/src/policy/events/request.rs
@@ -12,15 +12,15 @@
 /// known of it.
 const UNKNOWN_WORK_DIVISOR: f64 = 4.0;
 /// How fast the usual time remaining rises to that of a request with more.
-const USUAL_TIME_RISE: f64 = 0.1;
+const TYPICAL_TIME_RISE: f64 = 0.1;
 /// By what share of the latency objective the usual time remaining falls with each other request.
-const USUAL_TIME_FALL: f64 = 0.01;
+const TYPICAL_TIME_FALL: f64 = 0.01;
 /// Table groups whose work and engine order are remembered; beyond that all are forgotten, which
 /// bounds the memory.
 const MAX_TABLE_GROUPS: usize = 256;
 /// Probes that each request adds, and the most that are saved up: each costs the engines work.
-const PROBES_PER_REQUEST: f64 = 0.7;
-const MAX_SAVED_PROBES: f64 = 10.0;
+const PROBE_TOKENS_PER_REQUEST: f64 = 0.7;
+const MAX_PROBE_TOKENS: f64 = 10.0;
 
 impl Gateway {
     /// A request arrives. `index` is not in use, and belongs to the request until the policy calls
@@ -33,7 +33,7 @@
         actions: &mut dyn Actions,
     ) {
         self.now = now;
-        self.level_idle_class(request.class);
+        self.advance_idle_class(request.class);
         let work = self.learn_estimate(&request);
         let time = self.config.classes[request.class].latency_objective(work);
         let objective = now + time - self.time_spent_earlier(&request, time);
@@ -41,7 +41,7 @@
         self.join_key_queue(index);
         self.record_table_group(request.table_group, work);
         self.arrivals.push_back(now);
-        self.saved_probes = (self.saved_probes + PROBES_PER_REQUEST).min(MAX_SAVED_PROBES);
+        self.probe_tokens = (self.probe_tokens + PROBE_TOKENS_PER_REQUEST).min(MAX_PROBE_TOKENS);
         if self.config.classes[request.class].out_of_service {
             self.reject_or_fail(index, self.config.max_retry_after, actions);
         }
@@ -73,7 +73,7 @@
 
     /// Prevents a class from saving up a claim while it is idle: when it becomes active, it starts
     /// level with the active class that is charged least.
-    fn level_idle_class(&mut self, class_index: usize) {
+    fn advance_idle_class(&mut self, class_index: usize) {
         if self.is_active(class_index) {
             return;
         }
@@ -117,7 +117,7 @@
     /// How much time the client has probably spent on earlier tries, in ms: what the request lacks
     /// of the time remaining that is usual in its class. `objective` is its latency objective.
     fn time_spent_earlier(&mut self, request: &Request, objective: Millis) -> Millis {
-        self.update_usual_time_remaining(request, objective);
+        self.update_typical_time_remaining(request, objective);
         // Where clients do not mark later tries, the time remaining shows them. But a client that
         // sends a request with less time than its objective is impatient: that shows no earlier
         // try.
@@ -126,20 +126,20 @@
         if !request.is_retry && !is_unmarked_retry {
             return 0.0;
         }
-        let usual = self.classes[request.class].usual_time_remaining;
+        let usual = self.classes[request.class].typical_time_remaining;
         (usual - request.time_remaining).max(0.0)
     }
 
     /// Follows the time remaining of first tries: quickly upwards, slowly downwards, because later
     /// tries and requests that waited in a gateway without progress arrive with less.
-    fn update_usual_time_remaining(&mut self, request: &Request, objective: Millis) {
-        let usual = &mut self.classes[request.class].usual_time_remaining;
+    fn update_typical_time_remaining(&mut self, request: &Request, objective: Millis) {
+        let usual = &mut self.classes[request.class].typical_time_remaining;
         let change = if *usual == 0.0 {
             request.time_remaining
         } else if request.time_remaining > *usual {
-            USUAL_TIME_RISE * (request.time_remaining - *usual)
+            TYPICAL_TIME_RISE * (request.time_remaining - *usual)
         } else {
-            -USUAL_TIME_FALL * objective
+            -TYPICAL_TIME_FALL * objective
         };
         *usual += change;
     }
@@ -160,7 +160,7 @@
             deadline: self.now + request.time_remaining,
             class_policy: Arc::clone(&class.policy),
             max_attempts: self.config.max_attempts,
-            draw: self.random.draw(),
+            draw_seed: self.random.draw(),
             ..Default::default()
         };
     }
--- a/src/policy/fair_queueing.rs
+++ b/src/policy/fair_queueing.rs
@@ -19,7 +19,7 @@
 }
 
 impl Rank {
-    fn order(&self, other: &Rank) -> Ordering {
+    fn compare(&self, other: &Rank) -> Ordering {
         self.partial_cmp(other).unwrap_or(Ordering::Equal)
     }
 }
@@ -32,7 +32,7 @@
         let is_work_known =
             classes.all(|(class, policy)| policy.out_of_service || class.work.mean().is_some());
         let work = if is_work_known {
-            self.usual_work(class_index)
+            self.typical_work(class_index)
         } else {
             1.0
         };
@@ -67,18 +67,18 @@
                 .iter_mut()
                 .find(|first| self.requests[**first].request.cells == cells);
             match first {
-                Some(first) if self.order_by_rank(index, *first).is_lt() => *first = index,
+                Some(first) if self.compare_by_rank(index, *first).is_lt() => *first = index,
                 Some(_) => {}
                 None => firsts.push(index),
             }
         }
-        firsts.sort_by(|&left, &right| self.order_by_rank(left, right));
+        firsts.sort_by(|&left, &right| self.compare_by_rank(left, right));
         firsts
     }
 
     /// Which of two requests comes first.
-    fn order_by_rank(&self, left: usize, right: usize) -> Ordering {
-        self.rank(left).order(&self.rank(right))
+    fn compare_by_rank(&self, left: usize, right: usize) -> Ordering {
+        self.rank(left).compare(&self.rank(right))
     }
 
     fn rank(&self, index: usize) -> Rank {
@@ -92,9 +92,9 @@
     }
 
     /// Whether the class is wide: some other class needs less work for a usual request.
-    pub(super) fn is_wide(&self, class_index: usize) -> bool {
-        let usual_work = self.usual_work(class_index);
-        (0..self.classes.len()).any(|other| self.usual_work(other) < usual_work)
+    pub(super) fn is_heavy(&self, class_index: usize) -> bool {
+        let typical_work = self.typical_work(class_index);
+        (0..self.classes.len()).any(|other| self.typical_work(other) < typical_work)
     }
 
     /// The class's priority, from 0 to 3, by its weight.
--- a/src/policy/final_answer.rs
+++ b/src/policy/final_answer.rs
@@ -25,7 +25,7 @@
     fn is_safe_to_repeat(&self, pending: &PendingRequest) -> bool {
         match self.config.classes[pending.request.class].effect {
             Effect::Idempotent | Effect::Deduplicated(DedupScope::AllEngines) => {
-                self.now <= self.window_end(pending)
+                self.now <= self.dedup_window_end(pending)
             }
             Effect::NonIdempotent
             | Effect::Deduplicated(DedupScope::Zone | DedupScope::DedupDomain) => {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -46,11 +46,11 @@
     Gateway::subscribe_to_endpoints,
     Gateway::reject_without_lease,
     Gateway::answer_at_the_deadline,
-    Gateway::judge_overdue_attempts,
+    Gateway::handle_overdue_attempts,
     Gateway::eject_outlier,
     Gateway::probe_engines,
-    Gateway::release_request,
-    Gateway::reject_hopeless,
+    Gateway::dispatch_request,
+    Gateway::shed_load,
     Gateway::request_timer,
 ];
 
--- a/src/policy/pace.rs
+++ b/src/policy/pace.rs
@@ -37,7 +37,7 @@
         work_done: Millis,
     ) {
         let now = self.now;
-        let usual_work = self.usual_work(class_index);
+        let typical_work = self.typical_work(class_index);
         let engine = &mut self.engines[engine];
         let class = &mut self.classes[class_index];
         let pace = &mut engine.pace_by_class[class_index];
@@ -52,7 +52,7 @@
         // must not report pressure forever.
         let age = now - class.best_pace_updated_at;
         let expired_best = class.best_pace * 2f64.powf(age / BEST_PACE_DOUBLES_IN);
-        let is_certain = pace.weight() > MIN_REQUESTS_FOR_BEST * usual_work;
+        let is_certain = pace.weight() > MIN_REQUESTS_FOR_BEST * typical_work;
         let certain_pace = pace.mean().filter(|_| is_certain);
         class.best_pace = certain_pace.map_or(expired_best, |pace| pace.min(expired_best));
         class.best_pace_updated_at = now;
@@ -87,7 +87,7 @@
 
     /// A mean with a prior: the less weight it has, the closer the result is to `prior_mean`.
     fn shrink(&self, measured: WeightedSum, class_index: usize, prior_mean: f64) -> f64 {
-        let prior_weight = PRIOR_REQUESTS * self.usual_work(class_index);
+        let prior_weight = PRIOR_REQUESTS * self.typical_work(class_index);
         (measured.sum + prior_mean * prior_weight) / (measured.weight + prior_weight)
     }
 
@@ -101,7 +101,7 @@
                 continue;
             }
             let pace = engine.pace_by_class[class_index].decayed(self.now, PACE_HALF_LIFE);
-            let requests = pace.weight / self.usual_work(class_index) + PRIOR_REQUESTS;
+            let requests = pace.weight / self.typical_work(class_index) + PRIOR_REQUESTS;
             sum += requests * self.pace(engine, class_index) / class.best_pace;
             weight += requests;
         }
@@ -117,7 +117,7 @@
     /// How long to leave a full engine alone, in ms: about as long as this gateway's usual traffic
     /// takes to go round all engines. Among hundreds of gateways, one that rested for less would do
     /// nothing else.
-    pub(super) fn rest_when_full(&self) -> Millis {
+    pub(super) fn full_engine_backoff(&self) -> Millis {
         let requests: f64 = self
             .classes
             .iter()
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -16,7 +16,9 @@
         }
         match self.config.classes[pending.request.class].effect {
             Effect::NonIdempotent => pending.possible_runs.is_empty(),
-            Effect::Idempotent | Effect::Deduplicated(_) => self.now <= self.window_end(pending),
+            Effect::Idempotent | Effect::Deduplicated(_) => {
+                self.now <= self.dedup_window_end(pending)
+            }
         }
     }
 
@@ -32,7 +34,7 @@
     /// Until when engines recognize another attempt as a repeat of each one that may have run;
     /// infinite if they need not. The shorter window of the settings on arrival and the present
     /// ones counts.
-    pub(super) fn window_end(&self, pending: &PendingRequest) -> Millis {
+    pub(super) fn dedup_window_end(&self, pending: &PendingRequest) -> Millis {
         let policy = &self.config.classes[pending.request.class];
         if !matches!(policy.effect, Effect::Deduplicated(_)) {
             return Millis::INFINITY;
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -8,13 +8,13 @@
 
 /// How many engines are home to a table group at least: its data is warm there. More homes would
 /// spread the same data over more caches.
-const HOMES_PER_GROUP: usize = 2;
+const HOME_ENGINES_PER_GROUP: usize = 2;
 
 /// How little an engine is wanted for a request: the lowest value is chosen.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Reluctance {
+enum SelectionTier {
     /// Neither tried nor ejected.
-    None,
+    Untried,
     /// The request was tried there.
     Tried,
     /// Ejected.
@@ -55,9 +55,9 @@
         engines.retain(|&index| self.may_run_on(pending, &self.engines[index]));
         let class_index = pending.request.class;
         if self.config.classes[class_index].pins_table_group {
-            keep_away_from_homes(&mut engines);
+            avoid_home_engines(&mut engines);
         }
-        if self.is_wide(class_index) {
+        if self.is_heavy(class_index) {
             self.put_restricted_engines_last(&mut engines, class_index);
         }
         engines.retain(|&index| self.fits_slow_start(pending, &self.engines[index]));
@@ -96,7 +96,7 @@
     /// How many engines are home to the table group: of all engines, twice its share of the work.
     /// With a fixed number, a few large groups would fill their homes and leave the other engines
     /// idle.
-    fn home_count(&self, table_group: u64) -> usize {
+    fn home_engine_count(&self, table_group: u64) -> usize {
         let engines = self.engines.iter().filter(|engine| engine.is_in_use());
         let work_of_all: f64 = self
             .classes
@@ -105,8 +105,8 @@
             .sum();
         let group = self.work_by_table_group.get(&table_group);
         let work = group.map_or(0.0, |work| work.decayed(self.now, WORK_HALF_LIFE).sum);
-        let homes = (HOMES_PER_GROUP * engines.count()) as f64 * (work / work_of_all);
-        homes.round().max(HOMES_PER_GROUP as f64) as usize
+        let homes = (HOME_ENGINES_PER_GROUP * engines.count()) as f64 * (work / work_of_all);
+        homes.round().max(HOME_ENGINES_PER_GROUP as f64) as usize
     }
 
     /// The engine for the request's next attempt, if one has capacity: the least loaded of the
@@ -115,14 +115,14 @@
     pub(super) fn choose_engine(&self, index: usize) -> Option<usize> {
         let pending = &self.requests[index];
         let mut engines = self.engine_order(pending);
-        if let Some(ejected) = self.engine_to_recover(pending, &engines) {
+        if let Some(ejected) = self.engine_due_for_recovery_probe(pending, &engines) {
             return Some(ejected);
         }
-        self.keep_least_reluctant(&mut engines, pending);
-        let home_count = self
-            .home_count(pending.request.table_group)
+        self.keep_lowest_tier(&mut engines, pending);
+        let home_engine_count = self
+            .home_engine_count(pending.request.table_group)
             .min(engines.len());
-        let (homes, others) = engines.split_at(home_count);
+        let (homes, others) = engines.split_at(home_engine_count);
         let has_capacity = |engine: &usize| self.has_capacity(*engine, pending);
         let home = homes
             .iter()
@@ -134,8 +134,12 @@
 
     /// The first ejected engine that is due for a recovery probe. A probe is the first attempt of a
     /// request that is not wide: little is lost if it fails.
-    fn engine_to_recover(&self, pending: &PendingRequest, engines: &[usize]) -> Option<usize> {
-        if pending.attempts > 0 || self.is_wide(pending.request.class) {
+    fn engine_due_for_recovery_probe(
+        &self,
+        pending: &PendingRequest,
+        engines: &[usize],
+    ) -> Option<usize> {
+        if pending.attempts > 0 || self.is_heavy(pending.request.class) {
             return None;
         }
         let is_due = |index: usize| {
@@ -146,19 +150,19 @@
     }
 
     /// Keeps the engines that are wanted most, or all if each was tried and is ejected.
-    fn keep_least_reluctant(&self, engines: &mut Vec<usize>, pending: &PendingRequest) {
-        let reluctance = |index: usize| self.reluctance(index, pending);
-        let least = engines.iter().map(|&index| reluctance(index)).min();
-        engines.retain(|&index| Some(reluctance(index)) == least);
+    fn keep_lowest_tier(&self, engines: &mut Vec<usize>, pending: &PendingRequest) {
+        let selection_tier = |index: usize| self.selection_tier(index, pending);
+        let least = engines.iter().map(|&index| selection_tier(index)).min();
+        engines.retain(|&index| Some(selection_tier(index)) == least);
     }
 
-    fn reluctance(&self, index: usize, pending: &PendingRequest) -> Reluctance {
+    fn selection_tier(&self, index: usize, pending: &PendingRequest) -> SelectionTier {
         let is_ejected = self.engines[index].ejection.is_some();
         match (is_ejected, pending.tried_engines.contains(&index)) {
-            (false, false) => Reluctance::None,
-            (false, true) => Reluctance::Tried,
-            (true, false) => Reluctance::Ejected,
-            (true, true) => Reluctance::TriedAndEjected,
+            (false, false) => SelectionTier::Untried,
+            (false, true) => SelectionTier::Tried,
+            (true, false) => SelectionTier::Ejected,
+            (true, true) => SelectionTier::TriedAndEjected,
         }
     }
 
@@ -173,8 +177,8 @@
 /// Reverses the order and drops the homes from its end, but keeps two engines. A request that pins
 /// its table group makes the group's other requests wait on its engine, so it must not run where
 /// they run.
-fn keep_away_from_homes(engines: &mut Vec<usize>) {
+fn avoid_home_engines(engines: &mut Vec<usize>) {
     engines.reverse();
-    let kept = engines.len().max(2 * HOMES_PER_GROUP) - HOMES_PER_GROUP;
+    let kept = engines.len().max(2 * HOME_ENGINES_PER_GROUP) - HOME_ENGINES_PER_GROUP;
     engines.truncate(kept);
 }
--- a/src/policy/rules/eject.rs
+++ b/src/policy/rules/eject.rs
@@ -19,7 +19,7 @@
 }
 
 impl FleetOutcomes {
-    fn of(engines: &[Engine]) -> Self {
+    fn from_ready_engines(engines: &[Engine]) -> Self {
         let mut fleet = FleetOutcomes::default();
         for engine in engines.iter().filter(|engine| engine.is_ready()) {
             fleet.ready += 1;
@@ -55,7 +55,7 @@
     /// late, or refuses connections. Reads the recent outcomes of all ready engines; ejects the one
     /// with the most failures. Similar to outlier detection by failure percentage in Envoy.
     pub(in crate::policy) fn eject_outlier(&mut self, actions: &mut dyn Actions) -> bool {
-        let fleet = FleetOutcomes::of(&self.engines);
+        let fleet = FleetOutcomes::from_ready_engines(&self.engines);
         if !fleet.may_eject_another() {
             return false;
         }
--- a/src/policy/rules/lease.rs
+++ b/src/policy/rules/lease.rs
@@ -18,7 +18,7 @@
         };
         // Spread over half of the longest delay, so that the clients of all gateways do not return
         // together.
-        let draw = self.requests[index].chance(RETRY_DELAY_DRAW);
+        let draw = self.requests[index].draw_for(RETRY_DELAY_DRAW);
         let retry_after = self.config.max_retry_after * (1.0 + draw) / 2.0;
         self.reject_or_fail(index, retry_after, actions);
         true
--- a/src/policy/rules/overdue.rs
+++ b/src/policy/rules/overdue.rs
@@ -1,6 +1,6 @@
 //! Rule: judge engines by attempts that take too long, and repeat attempts whose answer was lost.
 
-use crate::policy::engine_health::SUSPECT_LOSS_PACE;
+use crate::policy::engine_health::LOST_ANSWER_FACTOR;
 use crate::policy::Gateway;
 use crate::state::ProgressMark;
 use crate::{Actions, Millis};
@@ -29,11 +29,11 @@
     ///
     /// Reads all attempts in flight; changes the judgment and the pace of their engines. Each
     /// attempt counts once.
-    pub(in crate::policy) fn judge_overdue_attempts(&mut self, actions: &mut dyn Actions) -> bool {
+    pub(in crate::policy) fn handle_overdue_attempts(&mut self, actions: &mut dyn Actions) -> bool {
         for position in 0..self.in_flight.len() {
             let index = self.in_flight[position];
             if let Some(overdue) = self.overdue_attempt(index) {
-                self.judge_overdue(index, &overdue);
+                self.record_overdue_attempt(index, &overdue);
                 if overdue.should_repeat {
                     actions.withdraw_attempt(index, overdue.number);
                 }
@@ -54,7 +54,7 @@
         let latest_on_time = self.engines[attempt.engine].latest_on_time_sent_at[class_index];
         let was_overtaken = latest_on_time > (attempt.sent_at + self.now) / 2.0;
         let service_time = self.service_time(class_index, pending.request.cells, pending.work);
-        let is_lost = was_overtaken && elapsed > SUSPECT_LOSS_PACE * service_time;
+        let is_lost = was_overtaken && elapsed > LOST_ANSWER_FACTOR * service_time;
         let should_repeat = is_lost && self.may_repeat_now(pending);
         let objective = pending.class_policy.latency_objective(pending.work);
         let missed_objective = elapsed > objective;
@@ -74,7 +74,7 @@
     }
 
     /// Marks the attempt as overdue, and records what it says of its engine.
-    fn judge_overdue(&mut self, index: usize, overdue: &OverdueAttempt) {
+    fn record_overdue_attempt(&mut self, index: usize, overdue: &OverdueAttempt) {
         let now = self.now;
         if let Some(attempt) = &mut self.requests[index].in_flight_attempt {
             attempt.is_overdue = true;
--- a/src/policy/rules/probe.rs
+++ b/src/policy/rules/probe.rs
@@ -15,14 +15,14 @@
     /// unknown, if none before it has room; uses up one saved probe.
     pub(in crate::policy) fn probe_engines(&mut self, actions: &mut dyn Actions) -> bool {
         for class_index in 0..self.classes.len() {
-            if self.saved_probes < 1.0 || !self.probes_enabled || !self.is_wide(class_index) {
+            if self.probe_tokens < 1.0 || !self.probes_enabled || !self.is_heavy(class_index) {
                 continue;
             }
             let Some(&index) = self.candidates(class_index).first() else {
                 continue;
             };
             if let Some(engine) = self.engine_to_probe(&self.requests[index]) {
-                self.saved_probes -= 1.0;
+                self.probe_tokens -= 1.0;
                 self.engines[engine].load_report = Some(LoadReport {
                     at: self.now,
                     share: LOAD_WHILE_PROBED,
@@ -40,7 +40,7 @@
             let engine = &self.engines[engine_index];
             match engine.valid_load_report(self.now) {
                 None => return Some(engine_index),
-                Some(report) if self.wins_entry_draw(pending, engine, report) => return None,
+                Some(report) if self.passes_load_draw(pending, engine, report) => return None,
                 Some(_) => {}
             }
         }
--- a/src/policy/rules/reject.rs
+++ b/src/policy/rules/reject.rs
@@ -14,11 +14,11 @@
     /// Prevents engines from working for clients that no longer profit from the answer, and lets
     /// clients try elsewhere early. Reads the queue of each class; rejects one request, the latest
     /// of an overfull queue first.
-    pub(in crate::policy) fn reject_hopeless(&mut self, actions: &mut dyn Actions) -> bool {
+    pub(in crate::policy) fn shed_load(&mut self, actions: &mut dyn Actions) -> bool {
         for class_index in 0..self.classes.len() {
             let rejected = self
                 .beyond_queue_capacity(class_index)
-                .or_else(|| self.first_hopeless(class_index));
+                .or_else(|| self.first_unservable(class_index));
             if let Some(index) = rejected {
                 self.reject_or_fail(index, self.config.max_retry_after, actions);
                 return true;
@@ -42,25 +42,25 @@
 
     /// The first request that may not be attempted again, or would not end before its objective or
     /// deadline.
-    fn first_hopeless(&self, class_index: usize) -> Option<usize> {
-        let is_hopeless = |index: usize| {
+    fn first_unservable(&self, class_index: usize) -> Option<usize> {
+        let is_unservable = |index: usize| {
             let pending = &self.requests[index];
             let service_time = self.service_time(class_index, pending.request.cells, pending.work);
             !self.may_attempt_again(pending)
                 || self.now + service_time > pending.objective.min(pending.deadline)
         };
         let mut queue = self.classes[class_index].queue.iter().copied();
-        queue.find(|&index| is_hopeless(index))
+        queue.find(|&index| is_unservable(index))
     }
 
     /// How many requests this gateway's share of the engines in these cells can serve within the
     /// latency objective.
     fn queue_capacity(&self, class_index: usize, cells: u64) -> usize {
-        let usual_work = self.usual_work(class_index);
-        let objective = self.config.classes[class_index].latency_objective(usual_work);
+        let typical_work = self.typical_work(class_index);
+        let objective = self.config.classes[class_index].latency_objective(typical_work);
         let cores = self.cores_in_use(cells);
         let requests =
-            QUEUE_OVERSUBSCRIPTION * cores * objective / usual_work / self.config.gateway_count;
+            QUEUE_OVERSUBSCRIPTION * cores * objective / typical_work / self.config.gateway_count;
         requests.max(MIN_QUEUE_CAPACITY) as usize
     }
 }
--- a/src/policy/rules/release.rs
+++ b/src/policy/rules/release.rs
@@ -12,7 +12,7 @@
     /// others. Reads the queues and all engines; updates `thread_share` and starts one attempt.
     ///
     /// The order between classes is weighted fair queueing by thread time.
-    pub(in crate::policy) fn release_request(&mut self, actions: &mut dyn Actions) -> bool {
+    pub(in crate::policy) fn dispatch_request(&mut self, actions: &mut dyn Actions) -> bool {
         let share = self.cores_in_use(0) * THREADS_PER_CORE / self.config.gateway_count;
         self.thread_share = share.max(MIN_THREAD_SHARE);
         for class_index in self.classes_by_charged_work() {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -79,11 +79,11 @@
         let Some(allowance) = self.slow_start_allowance(engine) else {
             return true;
         };
-        let usual_work = self.usual_work(pending.request.class);
-        if allowance.sent + usual_work <= allowance.allowed {
+        let typical_work = self.typical_work(pending.request.class);
+        if allowance.sent + typical_work <= allowance.allowed {
             return true;
         }
-        let requests_allowed = allowance.allowed / usual_work;
+        let requests_allowed = allowance.allowed / typical_work;
         self.share_below_one_query
             && allowance.sent <= allowance.allowed
             && self.window_draw(engine) < requests_allowed.fract() / DRAWS_PER_WINDOW
--- a/src/policy/view.rs
+++ b/src/policy/view.rs
@@ -72,7 +72,7 @@
             threads: class.running.threads(),
             charged_work: self.charged_work(index),
             weight: self.weight(index),
-            typical_work: self.usual_work(index),
+            typical_work: self.typical_work(index),
         })
     }
 }
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -26,7 +26,7 @@
     pub(crate) best_pace: f64,
     pub(crate) best_pace_updated_at: Millis,
     /// The time remaining with which requests usually arrive; 0 before the first one.
-    pub(crate) usual_time_remaining: Millis,
+    pub(crate) typical_time_remaining: Millis,
 }
 
 impl Default for ClassState {
@@ -42,7 +42,7 @@
             fleet_pace_by_cells: BTreeMap::new(),
             best_pace: f64::INFINITY,
             best_pace_updated_at: 0.0,
-            usual_time_remaining: 0.0,
+            typical_time_remaining: 0.0,
         }
     }
 }
@@ -58,15 +58,15 @@
 
 impl RunningThreads {
     /// An attempt starts.
-    pub(crate) fn start(&mut self, threads: f64, at: Millis) {
+    pub(crate) fn start(&mut self, threads: f64, started_at: Millis) {
         self.threads += threads;
-        self.threads_times_start += threads * at;
+        self.threads_times_start += threads * started_at;
     }
 
     /// An attempt that started `at` has ended.
-    pub(crate) fn end(&mut self, threads: f64, at: Millis) {
+    pub(crate) fn end(&mut self, threads: f64, started_at: Millis) {
         self.threads -= threads;
-        self.threads_times_start -= threads * at;
+        self.threads_times_start -= threads * started_at;
     }
 
     /// How many threads are in use.
--- a/src/state/gateway.rs
+++ b/src/state/gateway.rs
@@ -29,9 +29,9 @@
     pub(crate) arrivals: VecDeque<Millis>,
     pub(crate) retries: VecDeque<Millis>,
     /// Probes that may be sent now; requests add a fraction each.
-    pub(crate) saved_probes: f64,
+    pub(crate) probe_tokens: f64,
     /// Threads of a usual attempt in flight.
-    pub(crate) held_threads: DecayingMean,
+    pub(crate) threads_per_attempt: DecayingMean,
     /// Whether this gateway's even share of any engine is less than one query of the widest class.
     pub(crate) share_below_one_query: bool,
     /// Whether engines are asked for their load before wide queries.
@@ -52,7 +52,7 @@
 impl Gateway {
     /// The work of a usual request of a class, in ms on a thread. Before any is known, the work
     /// that fills the class's base objective.
-    pub(crate) fn usual_work(&self, class_index: usize) -> Millis {
+    pub(crate) fn typical_work(&self, class_index: usize) -> Millis {
         let policy = &self.config.classes[class_index];
         self.classes[class_index]
             .work
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -55,13 +55,13 @@
     /// Engines of its ended attempts.
     pub(crate) tried_engines: Vec<usize>,
     /// Drawn on arrival; all its random choices derive from it.
-    pub(crate) draw: u64,
+    pub(crate) draw_seed: u64,
 }
 
 impl PendingRequest {
     /// A number in [0, 1) drawn for this request and `subject`. The same question always has the
     /// same answer, so that a request that repeats a question does not get a second chance.
-    pub(crate) fn chance(&self, subject: u64) -> f64 {
-        to_unit_interval(mix(self.draw ^ subject))
+    pub(crate) fn draw_for(&self, subject: u64) -> f64 {
+        to_unit_interval(mix(self.draw_seed ^ subject))
     }
 }
--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -70,9 +70,9 @@
     "outcome Withdrawn",
     // Rules that cannot be distinguished by their action alone.
     "rule answer_at_the_deadline",
-    "rule judge_overdue_attempts",
+    "rule handle_overdue_attempts",
     "rule reject_without_lease",
-    "rule reject_hopeless",
+    "rule shed_load",
     "seen cold endpoint with its allowance used up",
     "seen further attempt",
     "seen index used again",
@@ -1091,7 +1091,7 @@
                 if !over && progress {
                     self.count("seen withdrawal at a progress report");
                 } else if !over && self.now < limit - 2.0 * self.policy.clock_resolution {
-                    self.count("rule judge_overdue_attempts");
+                    self.count("rule handle_overdue_attempts");
                 }
                 // Some end before they can be withdrawn.
                 let (time, sooner) = (self.draw.between(0.5, 20.0), self.draw.chance(0.9));
@@ -1119,7 +1119,7 @@
                         panic!("{}: advice of {retry_after} ms", self.scenario.name)
                     }
                     _ if self.policy.classes[of.class].out_of_service => {}
-                    _ => self.count("rule reject_hopeless"),
+                    _ => self.count("rule shed_load"),
                 }
                 if retry_after > 0.0 && self.draw.chance(0.3) {
                     (of.is_retry, of.time_remaining) = (true, of.time_remaining * 0.7);
