--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Every decision of one gateway, without input or output.
+//! The policy: makes every decision of one gateway and performs no input or output.
 //!
-//! A host creates a [`Gateway`] from its settings and hands over each event with the time at which
-//! it happened. Every event is handled in two steps: its handler records what is new, then the
-//! rules below are applied. The decisions leave at once, as calls of [`Actions`].
+//! A host creates a [`Gateway`] from the settings and passes it each event with the time at which
+//! it happened. An event is processed in two steps: its handler updates the state, then the rules
+//! below are applied. Decisions take effect immediately, as calls of [`Actions`].
 //!
 //! | event | handler |
 //! | --- | --- |
@@ -11,11 +11,11 @@
 //! | an engine reports how far an attempt is | `events/progress.rs` |
 //! | an engine reports its load | `events/load_report.rs` |
 //! | discovery delivers endpoints, or loses its connection | `events/endpoints.rs` |
-//! | the settings change, or are confirmed for some time more | `events/config.rs` |
+//! | the settings change, or the lease on them is renewed | `events/config.rs` |
 //! | the process is about to end | `events/shutdown.rs` |
 //! | the timer fires | [`Gateway::on_timer`] |
 //!
-//! The other files hold what rules and handlers share, by concern.
+//! The other files hold the code that rules and handlers share, one concern per file.
 
 use crate::{Actions, Millis};
 
@@ -36,12 +36,12 @@
 mod slow_start;
 mod view;
 
-/// A rule looks at the whole state. It returns true if it acted in a way that the rules before it
-/// may have to see.
+/// A rule reads and updates the whole state. It returns true if it acted in a way to which earlier
+/// rules may have to react.
 type Rule = fn(&mut Gateway, &mut dyn Actions) -> bool;
 
-/// The rules in order of precedence. After a rule that acted, all of them are applied again, from
-/// the first one on.
+/// The rules in order of precedence. When a rule returns true, evaluation restarts at the first
+/// one.
 const RULES: [Rule; 9] = [
     Gateway::subscribe_to_endpoints,
     Gateway::reject_without_lease,
@@ -55,7 +55,7 @@
 ];
 
 impl Gateway {
-    /// The timer fired, or time has passed: applies the rules.
+    /// Applies the rules: the timer has fired, or time has passed.
     pub fn on_timer(&mut self, now: Millis, actions: &mut dyn Actions) {
         self.now = now;
         while RULES.iter().any(|rule| rule(self, actions)) {}
--- a/src/policy/rules/deadline.rs
+++ b/src/policy/rules/deadline.rs
@@ -3,13 +3,14 @@
 use crate::policy::Gateway;
 use crate::Actions;
 
-/// How long before the deadline the answer is given, in units of the host's clock resolution: the
-/// timer may fire late by one, and the answer has to reach a client that is still waiting.
+/// How long before the deadline the answer is given, in units of the host's clock resolution. The
+/// timer may fire late by one unit, and the answer has to reach the client before it gives up.
 const RESOLUTIONS_BEFORE_DEADLINE: f64 = 2.0;
 
 impl Gateway {
-    /// Prevents requests that are never answered because their last attempt never ends. Reads the
-    /// deadlines of all open requests, queued or in flight; gives one of them its final answer.
+    /// Gives one request that is close to its deadline the final answer. Without this rule, a
+    /// request whose last attempt never ends would never be answered. Reads the deadlines of all
+    /// open requests, queued or in flight.
     pub(in crate::policy) fn answer_at_the_deadline(&mut self, actions: &mut dyn Actions) -> bool {
         let queued = self.classes.iter().flat_map(|class| &class.queue);
         let due = queued.chain(&self.in_flight).copied().find(|&index| {
--- a/src/policy/rules/eject.rs
+++ b/src/policy/rules/eject.rs
@@ -5,11 +5,11 @@
 use crate::state::{Ejection, Engine};
 use crate::Actions;
 
-/// An engine is an outlier if its share of failures is more than this many times that of all
-/// others.
+/// An engine is an outlier if its failure rate is more than this many times the combined failure
+/// rate of all other ready engines.
 const OUTLIER_FAILURE_RATIO: f64 = 2.0;
 
-/// The recent outcomes of all ready engines together.
+/// The recent outcomes of all ready engines, added up.
 #[derive(Default)]
 struct FleetOutcomes {
     ready: usize,
@@ -30,8 +30,8 @@
         fleet
     }
 
-    /// Whether one more engine may be ejected: at most half. If all fail together, ejecting more
-    /// would only move the load.
+    /// Whether one more engine may be ejected. At most half of the ready engines may be: if all
+    /// fail together, ejecting more would only move the load.
     fn may_eject_another(&self) -> bool {
         (self.ejected + 1) * 2 <= self.ready
     }
@@ -39,21 +39,22 @@
     fn is_outlier(&self, engine: &Engine) -> bool {
         let failures = engine.outcomes.failures();
         let seen = engine.outcomes.seen();
-        let own_share = failure_share(failures, seen);
-        let share_of_others = failure_share(self.failures - failures, self.seen - seen);
-        failures >= FAILURES_TO_EJECT && own_share > OUTLIER_FAILURE_RATIO * share_of_others
+        let own_rate = failure_rate(failures, seen);
+        let rate_of_others = failure_rate(self.failures - failures, self.seen - seen);
+        failures >= FAILURES_TO_EJECT && own_rate > OUTLIER_FAILURE_RATIO * rate_of_others
     }
 }
 
-/// Failures as a share of the outcomes seen; 0 if there are none.
-fn failure_share(failures: u32, seen: u32) -> f64 {
+/// Failures as a fraction of the outcomes seen; 0 if there are none.
+fn failure_rate(failures: u32, seen: u32) -> f64 {
     f64::from(failures) / f64::from(seen.max(1))
 }
 
 impl Gateway {
-    /// Prevents requests from being lost to an engine that answers errors, nothing, or much too
-    /// late, or refuses connections. Reads the recent outcomes of all ready engines; ejects the one
-    /// with the most failures. Similar to outlier detection by failure percentage in Envoy.
+    /// Ejects the outlier with the most failures. Prevents requests from being lost to an engine
+    /// that returns errors, does not answer, answers much too late or refuses connections. Reads
+    /// the recent outcomes of all ready engines. Similar to outlier detection by failure percentage
+    /// in Envoy.
     pub(in crate::policy) fn eject_outlier(&mut self, actions: &mut dyn Actions) -> bool {
         let fleet = FleetOutcomes::from_ready_engines(&self.engines);
         if !fleet.may_eject_another() {
@@ -71,7 +72,7 @@
             probe_interval: RECOVERY_PROBE_INTERVAL,
         });
         actions.log(&format!(
-            "engine {:012x} ejected: {} of {} failed",
+            "engine {:012x} ejected: {} of its last {} attempt outcomes are failures",
             engine.endpoint.id,
             engine.outcomes.failures(),
             engine.outcomes.seen()
--- a/src/policy/rules/lease.rs
+++ b/src/policy/rules/lease.rs
@@ -1,14 +1,14 @@
-//! Rule: without a lease on the settings, reject what is queued.
+//! Rule: reject queued requests while there is no lease on the settings.
 
 use crate::policy::Gateway;
 use crate::Actions;
 
-/// The subject of the draw that spreads retries out.
+/// The subject of the draw that spreads the clients' retries over time.
 const RETRY_DELAY_DRAW: u64 = 0;
 
 impl Gateway {
-    /// Prevents decisions by settings that the other gateways have replaced. Reads the lease;
-    /// rejects one queued request. Attempts in flight continue.
+    /// Rejects one queued request if the lease has expired. Prevents decisions based on settings
+    /// that the other gateways may have replaced. Attempts in flight continue.
     pub(in crate::policy) fn reject_without_lease(&mut self, actions: &mut dyn Actions) -> bool {
         if self.now < self.lease_until {
             return false;
@@ -16,8 +16,8 @@
         let Some(&index) = self.classes.iter().flat_map(|class| &class.queue).next() else {
             return false;
         };
-        // Spread over half of the longest delay, so that the clients of all gateways do not return
-        // together.
+        // Uniform between half of the longest delay and all of it, so that the clients of all
+        // gateways do not retry at the same time.
         let draw = self.requests[index].draw_for(RETRY_DELAY_DRAW);
         let retry_after = self.config.max_retry_after * (1.0 + draw) / 2.0;
         self.reject_or_fail(index, retry_after, actions);
--- a/src/policy/rules/mod.rs
+++ b/src/policy/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The rules, one a file. `policy::RULES` has the order in which they apply.
+//! The rules, one per file. `policy::RULES` defines the order in which they apply.
 
 mod deadline;
 mod eject;
--- a/src/policy/rules/overdue.rs
+++ b/src/policy/rules/overdue.rs
@@ -1,33 +1,35 @@
-//! Rule: judge engines by attempts that take too long, and repeat attempts whose answer was lost.
+//! Rule: count overdue attempts as failures of their engines, and repeat attempts whose answer was
+//! lost.
 
 use crate::policy::engine_health::LOST_ANSWER_FACTOR;
 use crate::policy::Gateway;
 use crate::state::ProgressMark;
 use crate::{Actions, Millis};
 
-/// An attempt in flight that counts as overdue, lost, or both.
+/// An attempt in flight that missed its latency objective, whose answer counts as lost, or both.
 struct OverdueAttempt {
     engine: usize,
     class_index: usize,
     /// The attempt's number, counted from 0.
     number: u8,
-    /// Thread time since its engine's pace was last learned from it, in ms.
+    /// Thread time since the engine's pace was last updated from it, in ms.
     thread_time: Millis,
     /// Whether it has taken longer than the latency objective.
     missed_objective: bool,
-    /// Whether an attempt sent to the same engine much later was answered on time.
+    /// Whether an attempt of the same class, sent to the same engine in the second half of this
+    /// attempt's time, was answered on time.
     was_overtaken: bool,
-    /// Whether its answer is taken for lost and another attempt may follow.
+    /// Whether its answer is assumed lost and another attempt is allowed.
     should_repeat: bool,
 }
 
 impl Gateway {
-    /// Prevents two failures. An engine that accepts work and never answers has no outcomes by
-    /// which to judge it, so an attempt that passes its latency objective counts as a failure. And
-    /// an answer may get lost on the way: an attempt that was overtaken, and has taken five times
-    /// as long as usual, is withdrawn and repeated.
+    /// Handles two failures. An engine that accepts work and never answers produces no outcomes,
+    /// so an attempt that exceeds its latency objective counts as a failure. And an answer may get
+    /// lost on the way: an attempt that was overtaken, and has taken `LOST_ANSWER_FACTOR` (five)
+    /// times as long as usual, is withdrawn and repeated.
     ///
-    /// Reads all attempts in flight; changes the judgment and the pace of their engines. Each
+    /// Reads all attempts in flight; updates the outcomes and the pace of their engines. Each
     /// attempt counts once.
     pub(in crate::policy) fn handle_overdue_attempts(&mut self, actions: &mut dyn Actions) -> bool {
         for position in 0..self.in_flight.len() {
@@ -42,7 +44,8 @@
         false
     }
 
-    /// The request's attempt, if it has become overdue or lost.
+    /// The request's attempt in flight, if it has just missed its objective or its answer is to be
+    /// treated as lost.
     fn overdue_attempt(&self, index: usize) -> Option<OverdueAttempt> {
         let pending = &self.requests[index];
         let attempt = pending
@@ -50,7 +53,7 @@
             .filter(|attempt| !attempt.is_overdue)?;
         let class_index = pending.request.class;
         let elapsed = self.now - attempt.sent_at;
-        // Sent in the later half of this attempt's time.
+        // An attempt has overtaken this one if it was sent in the second half of this one's time.
         let latest_on_time = self.engines[attempt.engine].latest_on_time_sent_at[class_index];
         let was_overtaken = latest_on_time > (attempt.sent_at + self.now) / 2.0;
         let service_time = self.service_time(class_index, pending.request.cells, pending.work);
@@ -73,7 +76,7 @@
         })
     }
 
-    /// Marks the attempt as overdue, and records what it says of its engine.
+    /// Marks the attempt as overdue, and updates the outcomes and the pace of its engine.
     fn record_overdue_attempt(&mut self, index: usize, overdue: &OverdueAttempt) {
         let now = self.now;
         if let Some(attempt) = &mut self.requests[index].in_flight_attempt {
@@ -86,7 +89,8 @@
         if overdue.missed_objective {
             self.engines[overdue.engine].record_outcome(now, false);
         }
-        // Other attempts were fast meanwhile: a lost answer says nothing of the engine's pace.
+        // Later attempts were answered on time, so the answer was lost: its delay says nothing
+        // about the engine's pace.
         let thread_time = if overdue.was_overtaken {
             0.0
         } else {
--- a/src/policy/rules/probe.rs
+++ b/src/policy/rules/probe.rs
@@ -1,18 +1,18 @@
-//! Rule: ask engines for their load before a wide request is sent.
+//! Rule: ask engines for their load before a heavy request is sent.
 
 use crate::policy::Gateway;
 use crate::state::{LoadReport, PendingRequest};
 use crate::Actions;
 
-/// The load assumed of an engine between the probe and its report: a hung engine must not look
-/// free.
+/// The load assumed for an engine from the probe until its report arrives, so that a hung engine
+/// does not look idle.
 const LOAD_WHILE_PROBED: f64 = 1.0;
 
 impl Gateway {
-    /// Prevents many gateways from placing wide queries on the same engine at once: each gateway
-    /// alone has too few in flight to see the others' load. Reads the load reports of the engines
-    /// in the request's order, until one has room. Sends a probe to the first one whose load is
-    /// unknown, if none before it has room; uses up one saved probe.
+    /// Prevents many gateways from sending heavy queries to the same engine at once: each gateway
+    /// has too few attempts in flight to infer the load that the others cause. Reads the load
+    /// reports of the engines in the request's order until one has room. If none before it has
+    /// room, the first engine of unknown load is probed, which takes one probe token.
     pub(in crate::policy) fn probe_engines(&mut self, actions: &mut dyn Actions) -> bool {
         for class_index in 0..self.classes.len() {
             if self.probe_tokens < 1.0 || !self.probes_enabled || !self.is_heavy(class_index) {
--- a/src/policy/rules/reject.rs
+++ b/src/policy/rules/reject.rs
@@ -1,23 +1,24 @@
-//! Rule: reject what can no longer meet its objective, and what exceeds the queue.
+//! Rule: load shedding. Rejects queued requests that can no longer meet their objective, and those
+//! beyond the capacity of their queue.
 
 use crate::policy::Gateway;
 use crate::Actions;
 
 /// A queue may hold this many times the requests that the gateway's share of the cores serves
-/// within the latency objective. No derivation is recorded.
+/// within the latency objective.
 const QUEUE_OVERSUBSCRIPTION: f64 = 2.0;
-/// The smallest capacity of a queue, in requests: the share of one among many gateways may be below
-/// one request.
+/// The smallest capacity of a queue, in requests. With many gateways, the share of one of them may
+/// be below one request.
 const MIN_QUEUE_CAPACITY: f64 = 4.0;
 
 impl Gateway {
-    /// Prevents engines from working for clients that no longer profit from the answer, and lets
-    /// clients try elsewhere early. Reads the queue of each class; rejects one request, the latest
-    /// of an overfull queue first.
+    /// Rejects one request: the last one of a queue that is over its capacity, otherwise the first
+    /// one that cannot be served in time. Keeps engines from working on answers that come too late
+    /// to be useful, and lets clients try elsewhere early.
     pub(in crate::policy) fn shed_load(&mut self, actions: &mut dyn Actions) -> bool {
         for class_index in 0..self.classes.len() {
             let rejected = self
-                .beyond_queue_capacity(class_index)
+                .excess_request(class_index)
                 .or_else(|| self.first_unservable(class_index));
             if let Some(index) = rejected {
                 self.reject_or_fail(index, self.config.max_retry_after, actions);
@@ -27,9 +28,9 @@
         false
     }
 
-    /// The latest request, if too many are queued for the same cells. Requests for other cells do
-    /// not count: the queue of one slow cell must not cause rejections in the others.
-    fn beyond_queue_capacity(&self, class_index: usize) -> Option<usize> {
+    /// The last request of the queue, if too many are queued for the same cells. Requests for other
+    /// cells do not count, so that the queue of a slow cell does not cause rejections in others.
+    fn excess_request(&self, class_index: usize) -> Option<usize> {
         let queue = &self.classes[class_index].queue;
         let &latest = queue.last()?;
         let cells = self.requests[latest].request.cells;
@@ -40,8 +41,8 @@
         (queued > self.queue_capacity(class_index, cells)).then_some(latest)
     }
 
-    /// The first request that may not be attempted again, or would not end before its objective or
-    /// deadline.
+    /// The first request that may not be attempted again, or would not complete before its
+    /// objective and its deadline.
     fn first_unservable(&self, class_index: usize) -> Option<usize> {
         let is_unservable = |index: usize| {
             let pending = &self.requests[index];
--- a/src/policy/rules/release.rs
+++ b/src/policy/rules/release.rs
@@ -6,12 +6,12 @@
 use crate::Actions;
 
 impl Gateway {
-    /// Sends the queued request whose turn it is to an engine with capacity. The class with the
-    /// least charged work for its weight comes first; if none of its candidates fits on an engine,
-    /// the next class follows, so that a request that waits for its engines does not block the
-    /// others. Reads the queues and all engines; updates `thread_share` and starts one attempt.
+    /// Starts one attempt of a queued request on an engine with capacity. The order between classes
+    /// is weighted fair queueing by thread time: the class with the least charged work for its
+    /// weight comes first. If none of its candidates fits on an engine, the next class follows, so
+    /// that a request that waits for its engines does not block the others.
     ///
-    /// The order between classes is weighted fair queueing by thread time.
+    /// Reads the queues and all engines, and updates `thread_share`.
     pub(in crate::policy) fn dispatch_request(&mut self, actions: &mut dyn Actions) -> bool {
         let share = self.cores_in_use(0) * THREADS_PER_CORE / self.config.gateway_count;
         self.thread_share = share.max(MIN_THREAD_SHARE);
@@ -26,7 +26,7 @@
         false
     }
 
-    /// Class indices, least charged work first.
+    /// Class indices by increasing charged work.
     fn classes_by_charged_work(&self) -> Vec<usize> {
         let mut class_indices: Vec<usize> = (0..self.classes.len()).collect();
         class_indices
--- a/src/policy/rules/wake.rs
+++ b/src/policy/rules/wake.rs
@@ -1,14 +1,15 @@
-//! Rule: ask the host for a timer event while there is something to wait for.
+//! Rule: ask the host for a timer event while anything is pending.
 
 use crate::policy::Gateway;
 use crate::Actions;
 
-/// Units of the host's clock resolution between timer events.
+/// The time between timer events, in units of the host's clock resolution.
 const RESOLUTIONS_BETWEEN_TIMERS: f64 = 2.0;
 
 impl Gateway {
-    /// Prevents deadlines from passing unnoticed while no other event happens. Reads the queues,
-    /// the attempts in flight and the next subscription; asks for one timer event at a time.
+    /// Asks for one timer event at a time while requests are queued, attempts are in flight or a
+    /// subscription is pending. Prevents deadlines from passing unnoticed while no other event
+    /// happens.
     pub(in crate::policy) fn request_timer(&mut self, actions: &mut dyn Actions) -> bool {
         let has_queued = self.classes.iter().any(|class| !class.queue.is_empty());
         let has_work = has_queued || self.resubscribe_at.is_some() || !self.in_flight.is_empty();
