--- a/src/policy/events/attempt_ended.rs
+++ b/src/policy/events/attempt_ended.rs
@@ -28,7 +28,7 @@
 }
 
 impl Gateway {
-    /// The request's attempt has ended. `is_final` says that the client has its answer or is gone;
+    /// The request's attempt has ended. `is_final` means that the client has its answer or is gone;
     /// otherwise the request may be attempted again. An outcome for a request without an attempt in
     /// flight is ignored.
     pub fn on_attempt_ended(
@@ -55,7 +55,7 @@
         self.on_timer(now, actions);
     }
 
-    /// The attempt no longer uses threads of its engine and class.
+    /// Removes the attempt's threads from those in use on its engine and by its class.
     fn release_threads(&mut self, index: usize, attempt: &Attempt) {
         let class_index = self.class_of(index);
         let threads = self.config.classes[class_index].threads;
@@ -65,7 +65,7 @@
         self.engines[attempt.engine].threads -= threads;
     }
 
-    /// Charges the class for the thread time of the attempt, whatever its outcome.
+    /// Charges the class for the thread time of the attempt, regardless of its outcome.
     fn charge_thread_time(&mut self, index: usize, attempt: &Attempt) {
         let class_index = self.class_of(index);
         let elapsed = self.now - attempt.sent_at;
@@ -75,18 +75,18 @@
             .add(self.now, WORK_HALF_LIFE, thread_time, elapsed);
     }
 
-    /// Notes where the request was tried, and that it did not run there if that is certain.
+    /// Records the engine as tried, and drops the possible run if the attempt certainly never ran.
     fn record_attempt(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
         let pending = &mut self.requests[index];
         pending.tried_engines.push(attempt.engine);
         if outcome.never_ran() {
-            // The latest entry is this attempt's. Earlier ones stay, even if sent at the same
-            // moment.
+            // The last entry belongs to this attempt. Earlier entries stay, even if they were sent
+            // at the same time.
             pending.possible_runs.pop();
         }
     }
 
-    /// A retry that was never sent does not count against the retry budget.
+    /// Returns a retry that was never sent to the retry budget.
     fn refund_unsent_retry(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
         let is_retry = self.requests[index].attempts > 1;
         if !is_retry || outcome != Outcome::Unsent {
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Stops the other requests of the key for a while, if the engine may still be running this
-    /// one.
+    /// Quarantines the request's key if the engine may still be running this attempt. Other
+    /// requests of the key wait until the quarantine ends.
     fn quarantine_key(&mut self, index: usize, outcome: Outcome) {
         if outcome.may_still_run() && self.is_keyed(index) {
             let key = self.requests[index].request.key;
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Learns what a request of the class costs, and how far its client's estimates are off.
+    /// Learns from the reported cost: corrects future estimates of the clients, or updates the
+    /// class's typical work if the client gave no estimate.
     fn learn_cost(&mut self, index: usize, outcome: Outcome) {
         let Outcome::Completed(Some(Cost { work, memory_mb })) = outcome else {
             return;
@@ -129,8 +130,8 @@
         pending.work = work.max(MIN_WORK);
     }
 
-    /// Records what the outcome says of the engine. An attempt sent to the process before a restart
-    /// says nothing of the present one.
+    /// Updates the engine's health by the outcome. An attempt sent before the engine's last restart
+    /// says nothing about the present process and is ignored.
     fn record_engine_outcome(&mut self, index: usize, attempt: &Attempt, outcome: Outcome) {
         let engine = &mut self.engines[attempt.engine];
         if attempt.sent_at < engine.endpoint.started_at {
@@ -151,9 +152,10 @@
         }
     }
 
-    /// Judges the engine by the time that an answer took, and learns its pace. An answer counts as
-    /// a success if it is not much slower than usual. On an engine in use, an answer within the
-    /// objective does so too.
+    /// Updates the engine's outcomes and pace by the time that an answer took. An answer counts as
+    /// a success if it is not much slower than usual. Unless the engine is ejected, an answer
+    /// within the objective counts as a success, too. An attempt that has counted as overdue is not
+    /// counted again.
     fn record_answer(&mut self, index: usize, attempt: &Attempt) {
         let now = self.now;
         let pending = &self.requests[index];
@@ -175,8 +177,8 @@
         self.learn_pace(attempt.engine, class_index, thread_time, work_done);
     }
 
-    /// The request is over if its client has the answer or is gone; otherwise it is queued for
-    /// another attempt.
+    /// Closes the request if its client has the answer or is gone; otherwise queues it for another
+    /// attempt.
     fn requeue_or_close(&mut self, index: usize, is_final: bool, actions: &mut dyn Actions) {
         if is_final || !self.requests[index].is_open {
             self.close(index, actions);
--- a/src/policy/events/config.rs
+++ b/src/policy/events/config.rs
@@ -1,4 +1,5 @@
-//! Events: a new gateway, changed settings, a renewed lease on them, a quarantine of all keys.
+//! Events: a gateway starts, its settings change, the lease on them is renewed, all keys are
+//! quarantined.
 
 use crate::policy::engine_health::THREADS_PER_CORE;
 use crate::policy::pace::WORK_HALF_LIFE;
@@ -8,11 +9,11 @@
 use crate::{Actions, LoadMetric, Millis, PolicyConfig};
 use std::sync::Arc;
 
-/// The weight of an assumption that the first sample replaces.
+/// The weight of an assumed value, so low that the first sample practically replaces it.
 const NEGLIGIBLE_WEIGHT: f64 = 1e-6;
 
 impl Gateway {
-    /// A gateway that has seen no event. Its random draws derive from `seed`.
+    /// Creates a gateway that has processed no event. Its random draws derive from `seed`.
     pub fn new(config: PolicyConfig, seed: u64) -> Self {
         let mut gateway = Gateway {
             random: Pcg(seed),
@@ -25,9 +26,9 @@
         gateway
     }
 
-    /// Replaces the settings. Classes keep their indices; further ones may follow them. Requests
-    /// that arrived before keep their deadline, objective and order, and follow the stricter of the
-    /// earlier and the present settings of their class. Statistics are kept.
+    /// Replaces the settings. Existing classes keep their indices; new ones may be appended.
+    /// Requests that arrived earlier keep their deadline, objective and order, and are subject to
+    /// the stricter of the settings of their class on arrival and now. Statistics are kept.
     pub fn update_config(&mut self, now: Millis, config: PolicyConfig, actions: &mut dyn Actions) {
         let classes_before = self.classes.len();
         self.apply_config(config);
@@ -38,18 +39,20 @@
         self.on_timer(now, actions);
     }
 
-    /// The settings hold until `until`; queued requests are rejected from then on.
+    /// Renews the lease: the settings are valid until `until`, and queued requests are rejected
+    /// from then on.
     pub fn renew_lease(&mut self, now: Millis, until: Millis, actions: &mut dyn Actions) {
         self.lease_until = until;
         self.on_timer(now, actions);
     }
 
-    /// No request that has a place in the order of a key starts before `until`.
+    /// Quarantines all keys: no request that has to keep the order of its key starts before
+    /// `until`.
     pub fn quarantine_keys(&mut self, until: Millis) {
         self.keys_quarantined_until = until;
     }
 
-    /// Stores the settings and what follows from them alone.
+    /// Stores the settings and the values derived from them.
     fn apply_config(&mut self, mut config: PolicyConfig) {
         self.classes
             .resize_with(config.classes.len(), ClassState::default);
@@ -65,8 +68,8 @@
         self.config = config;
     }
 
-    /// Gives new classes an assumed work. A class without any would switch off all weighting by
-    /// work until its first request (see `Gateway::weight`).
+    /// Gives new classes an assumed typical work. A class without any would disable weighting by
+    /// work for all classes until its first request (see `Gateway::weight`).
     fn assume_work_of_new_classes(&mut self, now: Millis, first_new: usize) {
         let classes = self.classes.iter_mut().zip(&self.config.classes);
         for (class, policy) in classes.skip(first_new) {
@@ -79,11 +82,12 @@
     }
 }
 
-/// Whether one gateway's even share of every machine type is less than one query of the widest
-/// class.
+/// Whether one gateway's even share of an engine has, for every machine type, fewer threads than
+/// one query of the class with the most threads.
 fn is_share_below_one_query(config: &PolicyConfig) -> bool {
     let threads = config.classes.iter().map(|class| class.threads);
-    let widest = threads.fold(0.0, f64::max);
+    let max_threads = threads.fold(0.0, f64::max);
     let mut machine_types = config.machine_types.iter();
-    machine_types.all(|machine| machine.cores * THREADS_PER_CORE / config.gateway_count < widest)
+    machine_types
+        .all(|machine| machine.cores * THREADS_PER_CORE / config.gateway_count < max_threads)
 }
--- a/src/policy/events/endpoints.rs
+++ b/src/policy/events/endpoints.rs
@@ -1,4 +1,4 @@
-//! Events: discovery delivers endpoints, or its connection is lost.
+//! Events: discovery delivers endpoints, or the connection to it is lost.
 
 use crate::policy::Gateway;
 use crate::state::Engine;
@@ -6,22 +6,22 @@
 
 /// The shortest delay before the endpoint list is requested again, in ms.
 const MIN_RESUBSCRIBE_DELAY: Millis = 500.0;
-/// Over how many ms the gateways spread their requests: all of them lose the endpoint list at the
-/// same moment, and would ask for it together.
+/// The range of the random delay added to that, in ms: all gateways lose the connection to
+/// discovery at the same time, and would otherwise all request the list at once.
 const RESUBSCRIBE_SPREAD: u64 = 1000;
 
 impl Gateway {
-    /// Discovery delivers the complete endpoint list (`full`) or the endpoints that changed. An
-    /// endpoint missing from a complete list is gone.
+    /// Discovery delivers the complete endpoint list (`is_complete`) or the endpoints that changed.
+    /// An endpoint missing from a complete list is gone.
     pub fn update_endpoints(
         &mut self,
         now: Millis,
-        full: bool,
+        is_complete: bool,
         endpoints: &[Endpoint],
         actions: &mut dyn Actions,
     ) {
         self.engine_order_by_table_group.get_mut().clear();
-        if full {
+        if is_complete {
             for engine in &mut self.engines {
                 engine.endpoint.state = EndpointState::Gone;
             }
@@ -32,7 +32,7 @@
         self.on_timer(now, actions);
     }
 
-    /// The connection to discovery is lost: changes no longer arrive, and the endpoint list has to
+    /// The connection to discovery is lost. Changes no longer arrive, so the endpoint list has to
     /// be requested again.
     pub fn endpoint_watch_lost(&mut self, now: Millis, actions: &mut dyn Actions) {
         let spread = (self.random.draw() % RESUBSCRIBE_SPREAD) as f64;
@@ -41,8 +41,8 @@
         self.on_timer(now, actions);
     }
 
-    /// Updates one engine. A restarted engine, or another one under the same index, keeps nothing
-    /// of its predecessor's record but the threads of attempts that have not ended yet.
+    /// Updates one engine. If it has restarted, or another engine has its index, its state is
+    /// reset, except for the threads of attempts that have not ended yet.
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
         if self.engines.len() <= endpoint.engine {
             self.engines
--- a/src/policy/events/load_report.rs
+++ b/src/policy/events/load_report.rs
@@ -5,12 +5,13 @@
 use crate::state::LoadReport;
 use crate::{Actions, LoadMetric, Millis};
 
-/// Threads of a query that an engine holds, as long as no attempt of this gateway has shown any.
+/// Threads assumed for each query that an engine holds, until an attempt of this gateway has ended.
 const ASSUMED_THREADS_PER_QUERY: f64 = 1.0;
 
 impl Gateway {
-    /// An engine reports its load: values in the order that the settings name. An empty report, or
-    /// one without a finite value, leaves the earlier one in place.
+    /// An engine reports its load. `values` are in the order of
+    /// [`report_fields`](crate::PolicyConfig::report_fields). An empty report, or one without a
+    /// finite value, leaves the earlier one in place.
     pub fn on_load_report(
         &mut self,
         now: Millis,
@@ -24,7 +25,7 @@
         self.on_timer(now, actions);
     }
 
-    /// The largest share in use of the engine's resources. A count of queries held is converted to
+    /// The largest share in use of the engine's resources. A number of held queries is converted to
     /// a share of the threads that the engine's cores serve.
     fn largest_share_in_use(&self, engine: usize, values: &[f64]) -> Option<f64> {
         let threads_per_query = self
--- a/src/policy/events/mod.rs
+++ b/src/policy/events/mod.rs
@@ -1,5 +1,5 @@
-//! The handlers of events, one event or a group of similar ones a file. Each ends by applying the
-//! rules.
+//! The event handlers, one event or a group of related ones per file. Each handler ends by applying
+//! the rules.
 
 mod attempt_ended;
 mod config;
--- a/src/policy/events/progress.rs
+++ b/src/policy/events/progress.rs
@@ -5,13 +5,13 @@
 use crate::state::ProgressMark;
 use crate::{Actions, Millis};
 
-/// The smallest share by which the elapsed time is divided: a report of no progress projects a long
-/// time, not an infinite one.
+/// The smallest share by which the elapsed time is divided, so that a report of no progress yields
+/// a long projected time and not an infinite one.
 const MIN_SHARE_DONE: f64 = 1e-6;
 
 impl Gateway {
-    /// The request's attempt is done to this share. A share below the last one, or one that is not
-    /// a number, counts as no progress; one above 1 as 1.
+    /// An engine reports which share of the request's attempt is done, from 0 to 1. A share below
+    /// the last one, or NaN, counts as no progress; one above 1 counts as 1.
     pub fn on_progress(
         &mut self,
         now: Millis,
@@ -24,9 +24,9 @@
         self.on_timer(now, actions);
     }
 
-    /// Learns the engine's pace from the progress, or withdraws the attempt. An attempt that will
-    /// take five times as long as usual has probably got a bad query plan; the next attempt gets
-    /// another one.
+    /// Learns the engine's pace from the progress, or withdraws the attempt. An attempt that is
+    /// projected to take more than `LOST_ANSWER_FACTOR` (five) times as long as usual probably has
+    /// a bad query plan; the next attempt gets another plan.
     fn record_progress(&mut self, index: usize, share: f64, actions: &mut dyn Actions) {
         let now = self.now;
         let Some(attempt) = &mut self.requests[index].in_flight_attempt else {
--- a/src/policy/events/request.rs
+++ b/src/policy/events/request.rs
@@ -6,19 +6,22 @@
 use crate::{Actions, Millis, Request};
 use std::sync::Arc;
 
-/// A class with more threads than this in flight is active.
+/// A class whose attempts in flight use more threads than this is active.
 const ACTIVE_THREADS: f64 = 0.5;
-/// The share of a class's base objective that the work of a request fills as long as nothing is
-/// known of it.
+/// While neither the client nor the class has an estimate of a request's work, the work is assumed
+/// to fill the class's base objective divided by this.
 const UNKNOWN_WORK_DIVISOR: f64 = 4.0;
-/// How fast the usual time remaining rises to that of a request with more.
+/// By what share of the difference the typical time remaining rises when a request arrives with
+/// more.
 const TYPICAL_TIME_RISE: f64 = 0.1;
-/// By what share of the latency objective the usual time remaining falls with each other request.
+/// By what share of the latency objective the typical time remaining falls with every other
+/// request.
 const TYPICAL_TIME_FALL: f64 = 0.01;
-/// Table groups whose work and engine order are remembered; beyond that all are forgotten, which
-/// bounds the memory.
+/// The number of table groups whose work and engine order are remembered. One more clears all of
+/// them, which bounds the memory.
 const MAX_TABLE_GROUPS: usize = 256;
-/// Probes that each request adds, and the most that are saved up: each costs the engines work.
+/// Probe tokens that each request adds, and the most that accumulate. Tokens limit the probes,
+/// because each probe costs the engines work.
 const PROBE_TOKENS_PER_REQUEST: f64 = 0.7;
 const MAX_PROBE_TOKENS: f64 = 10.0;
 
@@ -54,9 +57,8 @@
         self.on_timer(now, actions);
     }
 
-    /// The client has closed the connection, or at least its sending half (a half-close looks the
-    /// same until the host writes). The attempt in flight may still be answered; no new attempt
-    /// starts.
+    /// The client has closed the connection, or only its sending half (the two look the same until
+    /// the host writes). The attempt in flight may still be answered; no new attempt starts.
     pub fn on_client_closed(&mut self, now: Millis, index: usize, actions: &mut dyn Actions) {
         let pending = &mut self.requests[index];
         pending.max_attempts = pending.attempts;
@@ -71,8 +73,9 @@
         }
     }
 
-    /// Prevents a class from saving up a claim while it is idle: when it becomes active, it starts
-    /// level with the active class that is charged least.
+    /// Raises the charge of an idle class that becomes active to that of the active class with the
+    /// least charged work. Prevents a class from accumulating a claim to the engines while it is
+    /// idle.
     fn advance_idle_class(&mut self, class_index: usize) {
         if self.is_active(class_index) {
             return;
@@ -81,9 +84,9 @@
             .filter(|&other| self.is_active(other))
             .map(|other| self.charged_work(other))
             .reduce(f64::min);
-        if let Some(level) = least_charged {
+        if let Some(least_charged) = least_charged {
             let class = &mut self.classes[class_index];
-            class.charged = level.max(class.charged);
+            class.charged = least_charged.max(class.charged);
         }
     }
 
@@ -93,13 +96,14 @@
         !class.queue.is_empty() || class.running.threads() > ACTIVE_THREADS
     }
 
-    /// The request's work in ms on a thread: its client's estimate, corrected, or what is usual in
-    /// its class. Adds the estimate to the class's usual work.
+    /// The request's work in ms on a thread: its client's estimate, corrected, or the typical work
+    /// of its class. Adds the corrected estimate to the class's typical work.
     fn learn_estimate(&mut self, request: &Request) -> Millis {
         let policy = &self.config.classes[request.class];
         let class = &mut self.classes[request.class];
         let estimate = request.work.map(|estimate| {
-            // The mean of a log-normal distribution lies half a variance above its median.
+            // The logarithm of a log-normal distribution's mean lies half a variance above that of
+            // its median.
             let estimator = &class.work_estimator;
             estimator.corrected(estimate, PRIOR_WEIGHT, |deviation| {
                 deviation * deviation / 2.0
@@ -114,34 +118,35 @@
             .max(MIN_WORK)
     }
 
-    /// How much time the client has probably spent on earlier tries, in ms: what the request lacks
-    /// of the time remaining that is usual in its class. `objective` is its latency objective.
+    /// How much time the client has probably spent on earlier tries, in ms: by how much the
+    /// request's time remaining is below the typical one of its class. `objective` is its latency
+    /// objective.
     fn time_spent_earlier(&mut self, request: &Request, objective: Millis) -> Millis {
         self.update_typical_time_remaining(request, objective);
-        // Where clients do not mark later tries, the time remaining shows them. But a client that
-        // sends a request with less time than its objective is impatient: that shows no earlier
-        // try.
+        // Where clients do not mark retries, a time remaining below the typical one indicates them.
+        // But a time remaining below the latency objective is no such sign: it only means that the
+        // client is impatient.
         let is_unmarked_retry =
             !self.config.retries_are_marked && request.time_remaining > objective;
         if !request.is_retry && !is_unmarked_retry {
             return 0.0;
         }
-        let usual = self.classes[request.class].typical_time_remaining;
-        (usual - request.time_remaining).max(0.0)
+        let typical = self.classes[request.class].typical_time_remaining;
+        (typical - request.time_remaining).max(0.0)
     }
 
-    /// Follows the time remaining of first tries: quickly upwards, slowly downwards, because later
-    /// tries and requests that waited in a gateway without progress arrive with less.
+    /// Tracks the time remaining of first tries. It rises quickly and falls slowly, because
+    /// retries, and requests that waited in a gateway that made no progress, arrive with less time.
     fn update_typical_time_remaining(&mut self, request: &Request, objective: Millis) {
-        let usual = &mut self.classes[request.class].typical_time_remaining;
-        let change = if *usual == 0.0 {
+        let typical = &mut self.classes[request.class].typical_time_remaining;
+        let change = if *typical == 0.0 {
             request.time_remaining
-        } else if request.time_remaining > *usual {
-            TYPICAL_TIME_RISE * (request.time_remaining - *usual)
+        } else if request.time_remaining > *typical {
+            TYPICAL_TIME_RISE * (request.time_remaining - *typical)
         } else {
             -TYPICAL_TIME_FALL * objective
         };
-        *usual += change;
+        *typical += change;
     }
 
     /// Stores the request and appends it to its class's queue.
@@ -165,7 +170,7 @@
         };
     }
 
-    /// Appends the request to the order of its key, if it has to keep one.
+    /// Appends the request to the queue of its key, if it has to keep the order of its key.
     fn join_key_queue(&mut self, index: usize) {
         if self.is_keyed(index) {
             let key = self.requests[index].request.key;
@@ -174,7 +179,8 @@
         }
     }
 
-    /// Adds the work to that of the table group, by which engines are shared out.
+    /// Adds the request's work to that of its table group, which determines how many home engines
+    /// the group has.
     fn record_table_group(&mut self, table_group: u64, work: Millis) {
         let is_known = self.work_by_table_group.contains_key(&table_group);
         if !is_known && self.work_by_table_group.len() >= MAX_TABLE_GROUPS {
--- a/src/policy/events/shutdown.rs
+++ b/src/policy/events/shutdown.rs
@@ -4,7 +4,7 @@
 use crate::{Actions, Millis};
 
 impl Gateway {
-    /// The process ends at this time: no open request has a later deadline.
+    /// The process will end at the time `at`: deadlines beyond it are brought forward to it.
     pub fn begin_shutdown(&mut self, now: Millis, at: Millis, actions: &mut dyn Actions) {
         for pending in &mut self.requests {
             pending.deadline = pending.deadline.min(at);
