--- a/src/policy/attempt.rs
+++ b/src/policy/attempt.rs
@@ -5,7 +5,7 @@
 use crate::state::{Attempt, PossibleRun, ProgressMark, SentWork};
 use crate::{Actions, Millis};
 
-/// How many standard deviations a memory grant lies above the estimate: a query that spills to disk
+/// How many standard deviations a memory grant lies above the estimate. A query that spills to disk
 /// costs more than some unused memory.
 const GRANT_DEVIATIONS: f64 = 1.0;
 
@@ -13,8 +13,8 @@
     /// Sends an attempt of the request to the engine.
     pub(super) fn start_attempt(&mut self, index: usize, engine: usize, actions: &mut dyn Actions) {
         let pending = &self.requests[index];
-        // A deduplicated request must begin within the window of earlier attempts, every request
-        // within the lease.
+        // A deduplicated request must start within the window of its earlier attempts, and every
+        // request before its deadline and within the lease.
         let start_before = self
             .dedup_window_end(pending)
             .min(pending.deadline)
@@ -29,7 +29,7 @@
         actions.start_attempt(index, engine, start_before);
     }
 
-    /// The request and its class have an attempt in flight.
+    /// Records the attempt in flight in the request and in its class.
     fn record_start(&mut self, index: usize, engine: usize) {
         let now = self.now;
         let pending = &mut self.requests[index];
@@ -55,19 +55,19 @@
         class.running.start(threads, now);
     }
 
-    /// Counts a retry, and drops what has left the span of the retry budget.
+    /// Counts a retry, and drops retries and arrivals older than the window of the retry budget.
     fn count_against_retry_budget(&mut self, is_retry: bool) {
         if is_retry {
             self.retries.push_back(self.now);
         }
-        let span: Millis = self.config.retry_budget.map_or(0.0, |budget| budget.window);
-        let span_start = self.now - span;
-        self.retries.retain(|&at| at >= span_start);
-        self.arrivals.retain(|&at| at >= span_start);
+        let window: Millis = self.config.retry_budget.map_or(0.0, |budget| budget.window);
+        let window_start = self.now - window;
+        self.retries.retain(|&at| at >= window_start);
+        self.arrivals.retain(|&at| at >= window_start);
     }
 
-    /// The engine has the attempt's threads and work. If the attempt is a recovery probe, the next
-    /// one is due an interval later.
+    /// Adds the attempt's threads and work to the engine. On an ejected engine the attempt is a
+    /// recovery probe, and the next one is due an interval later.
     fn occupy_engine(&mut self, index: usize, engine: usize) {
         let class_index = self.class_of(index);
         let now = self.now;
@@ -84,7 +84,7 @@
         engine.ejection = engine.ejection.map(|ejection| ejection.after_probe(now));
     }
 
-    /// Sets priority and memory grant for all attempts of the request, where engines follow them.
+    /// Sets priority and memory grant for all attempts of the request, if engines honor either.
     fn set_priority(&self, index: usize, actions: &mut dyn Actions) {
         if !self.config.honors_priorities && !self.config.honors_memory_grants {
             return;
--- a/src/policy/engine_health.rs
+++ b/src/policy/engine_health.rs
@@ -1,39 +1,39 @@
-//! How an engine is judged by the outcomes of its attempts, and how an ejected one recovers.
+//! How an engine's health follows from the outcomes of its attempts, and how an ejected one
+//! recovers.
 
 use crate::state::{Ejection, Engine, LoadReport};
 use crate::Millis;
 
 /// Threads per core that all gateways together may use on an engine under pressure. More than one,
-/// because not all threads are busy at the same time. Found by trial: 2 and 3 scored lower
-/// (`docs/design.md`).
+/// because not all threads are busy at the same time. 2 and 3 scored lower (`docs/design.md`).
 pub(super) const THREADS_PER_CORE: f64 = 2.5;
-/// An answer that takes this many times as long as usual is the fault of its engine, not of the
-/// load. One attempt alone may also have lost its answer.
+/// An answer that takes this many times as long as usual is attributed to its engine, not to the
+/// load. A single attempt may also be late because its answer was lost.
 pub(super) const SLOW_ANSWER_FACTOR: f64 = 2.5;
-/// An attempt that takes this many times as long as usual has lost its answer or got a bad query
-/// plan.
+/// An attempt that takes this many times as long as usual is assumed to have lost its answer, or to
+/// run with a bad query plan.
 pub(super) const LOST_ANSWER_FACTOR: f64 = 2.0 * SLOW_ANSWER_FACTOR;
-/// The most recent outcomes by which an engine is judged.
+/// The number of latest outcomes from which an engine's health is determined.
 const OUTCOMES_KEPT: u32 = 8;
-/// Failures among them with which an engine may be ejected.
+/// The number of failures among them from which on an engine may be ejected.
 pub(super) const FAILURES_TO_EJECT: u32 = 5;
-/// The interval of recovery probes after an engine's ejection, in ms. A success halves it, a
-/// failure doubles it.
+/// The initial interval of recovery probes after an engine's ejection, in ms. A success halves it,
+/// a failure doubles it.
 pub(super) const RECOVERY_PROBE_INTERVAL: Millis = 1000.0;
 /// The longest interval of recovery probes, in ms.
 const MAX_PROBE_INTERVAL: Millis = RECOVERY_PROBE_INTERVAL * 2.0;
-/// An engine is in use again when the interval of its recovery probes has fallen below this, in ms:
-/// after three successes more than failures.
+/// The ejection ends when the interval of the recovery probes has fallen below this, in ms: after
+/// three successes more than failures.
 const RECOVERED_PROBE_INTERVAL: Millis = RECOVERY_PROBE_INTERVAL / 5.0;
 /// A load report is valid for this long, in ms.
 const REPORT_VALID_FOR: Millis = 400.0;
-/// The half-life of a load report, in ms. A jammed engine reports seldom, so that its last report
-/// has to count for longer than it is valid.
+/// The half-life of a load report, in ms. A congested engine reports rarely, so its last report has
+/// to count for longer than it is valid.
 const REPORT_HALF_LIFE: Millis = 2000.0;
 
 impl Engine {
-    /// Records the outcome of an attempt, and moves an ejected engine closer to recovery or further
-    /// away.
+    /// Records the outcome of an attempt. On an ejected engine, it also changes the interval of the
+    /// recovery probes, and may end the ejection.
     pub(super) fn record_outcome(&mut self, now: Millis, is_success: bool) {
         self.outcomes.record(is_success, OUTCOMES_KEPT);
         let Some(ejection) = self.ejection else {
@@ -66,7 +66,7 @@
 }
 
 impl Ejection {
-    /// The interval is halved, and the next probe is due an interval from now at the latest.
+    /// Halves the interval; the next probe is due one new interval from now at the latest.
     fn after_success(self, now: Millis) -> Ejection {
         let probe_interval = self.probe_interval / 2.0;
         Ejection {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The interval is doubled up to its maximum, and the next probe is due an interval from now.
+    /// Doubles the interval up to its maximum; the next probe is due one new interval from now.
     fn after_failure(self, now: Millis) -> Ejection {
         let longest = self.probe_interval.max(MAX_PROBE_INTERVAL);
         let probe_interval = (self.probe_interval * 2.0).min(longest);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A probe was sent: the next one is due an interval later.
+    /// A probe was sent: the next one is due one interval from now.
     pub(super) fn after_probe(self, now: Millis) -> Ejection {
         Ejection {
             next_probe_at: now + self.probe_interval,
--- a/src/policy/fair_queueing.rs
+++ b/src/policy/fair_queueing.rs
@@ -1,17 +1,17 @@
-//! Fair queueing: classes share the engines by weight, and requests of a class go by work.
+//! Weighted fair queueing between classes, and the order of requests by work within a class.
 
 use super::Gateway;
 use crate::Millis;
 use std::cmp::Ordering;
 
-/// The weight share of the class with the highest weight, in the units of [`PRIORITY_STEPS`].
+/// The weight share of the class with the highest weight, on the scale of [`PRIORITY_STEPS`].
 const HIGHEST_WEIGHT_SHARE: f64 = 16.0;
-/// From which weight share on a class has the next higher priority. Engines share scarce cores
-/// between priorities in the ratio 1 : 4 : 8 : 16; the steps lie between these.
+/// The weight shares from which on a class has the next higher priority. Engines divide scarce
+/// cores between the priorities in the ratio 1 : 4 : 8 : 16; the steps lie between these numbers.
 const PRIORITY_STEPS: [f64; 3] = [2.0, 6.0, 12.0];
 
-/// The order of the requests of one class: those that can still meet their objective first, of
-/// these the one with the least work.
+/// The sort key of the requests of one class: those that can still meet their objective come first,
+/// then those with less work.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
     misses_objective: bool,
@@ -25,8 +25,8 @@
 }
 
 impl Gateway {
-    /// The class's weight: the value of a request over its usual work. While the work of any class
-    /// in service is not known, the value alone, so that all weights are in the same unit.
+    /// The class's weight: the value of a request divided by its typical work. While the work of
+    /// any class in service is unknown, the value alone, so that all weights have the same unit.
     pub(super) fn weight(&self, class_index: usize) -> f64 {
         let mut classes = self.classes.iter().zip(&self.config.classes);
         let is_work_known =
@@ -39,23 +39,23 @@
         self.config.classes[class_index].value / work
     }
 
-    /// The highest weight of a class.
+    /// The highest weight of all classes.
     pub(super) fn max_weight(&self) -> f64 {
         (0..self.classes.len())
             .map(|class_index| self.weight(class_index))
             .fold(0.0, f64::max)
     }
 
-    /// The thread time that the class has used, over its weight: of ended attempts as charged, of
-    /// running ones until now.
+    /// The thread time that the class has used, divided by its weight: that of ended attempts as it
+    /// was charged, and that of attempts in flight until now.
     pub(super) fn charged_work(&self, class_index: usize) -> f64 {
         let class = &self.classes[class_index];
         class.charged + class.running.thread_time(self.now) / self.weight(class_index)
     }
 
-    /// The requests of a class that may be sent next: the first by rank for each set of cells, in
-    /// the order of their ranks. One for each set, so that a request that waits for its cell does
-    /// not block requests for other cells.
+    /// The requests of a class that may be sent next, by rank: for each set of cells, the request
+    /// that ranks first. One for each set, so that a request that waits for its cell does not block
+    /// requests for other cells.
     pub(super) fn candidates(&self, class_index: usize) -> Vec<usize> {
         let mut firsts: Vec<usize> = Vec::new();
         for &index in &self.classes[class_index].queue {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether the class is wide: some other class needs less work for a usual request.
+    /// Whether the class is heavy: a typical request of some other class needs less work.
     pub(super) fn is_heavy(&self, class_index: usize) -> bool {
         let typical_work = self.typical_work(class_index);
         (0..self.classes.len()).any(|other| self.typical_work(other) < typical_work)
--- a/src/policy/final_answer.rs
+++ b/src/policy/final_answer.rs
@@ -1,12 +1,12 @@
-//! The final answer to a request, and the release of its place in queues.
+//! The final answer to a request, and its removal from the queues.
 
 use super::Gateway;
 use crate::state::PendingRequest;
 use crate::{Actions, DedupScope, Effect, Millis};
 
 impl Gateway {
-    /// Gives a request up. Its client learns that it was rejected, and may try again after
-    /// `retry_after`, only if a repeat has no second effect; otherwise that it failed.
+    /// Gives the final answer to a request that gets no result: rejected, to be retried after
+    /// `retry_after`, if a repeat has no second effect; otherwise failed.
     pub(super) fn reject_or_fail(
         &mut self,
         index: usize,
@@ -35,7 +35,7 @@
     }
 
     /// Closes a request that has its answer or whose client is gone. An attempt in flight is
-    /// withdrawn where that is possible; the index becomes free only when the attempt has ended.
+    /// withdrawn if the settings allow it; the index becomes free only when the attempt has ended.
     pub(super) fn close(&mut self, index: usize, actions: &mut dyn Actions) {
         let pending = &mut self.requests[index];
         pending.is_open = false;
@@ -51,8 +51,8 @@
         actions.forget(index);
     }
 
-    /// Removes the request from the order of its key, and all keys that have no request and no
-    /// quarantine.
+    /// Removes the request from the queue of its key, and drops the queues of all keys that have
+    /// neither a request nor a quarantine.
     fn leave_key_queue(&mut self, index: usize) {
         if !self.is_keyed(index) {
             return;
--- a/src/policy/key_order.rs
+++ b/src/policy/key_order.rs
@@ -4,8 +4,8 @@
 use crate::state::{KeyQueue, PendingRequest};
 
 impl Gateway {
-    /// Whether the request may be attempted now, as far as its own history and its key are
-    /// concerned.
+    /// Whether the request may be attempted now, by its earlier attempts, the retry budget and the
+    /// order of its key.
     pub(super) fn may_start(&self, index: usize) -> bool {
         let pending = &self.requests[index];
         let is_retry = pending.attempts > 0;
@@ -15,15 +15,15 @@
     }
 
     /// Whether the request is first in the order of its key, and the key is not quarantined.
-    /// Prevents requests of a key from running out of order: after an unknown outcome an engine may
-    /// still be running the one before.
+    /// Prevents requests of a key from running out of order: after an attempt of unknown outcome,
+    /// an engine may still be running the previous request.
     fn is_next_of_key(&self, index: usize, pending: &PendingRequest) -> bool {
         if self.now < self.keys_quarantined_until {
             return false;
         }
         let may_start_from = |queue: &KeyQueue| {
-            // A retry of the request itself does not have to wait for the quarantine that it
-            // caused.
+            // A retry does not have to wait for the quarantine that the request's own earlier
+            // attempt caused.
             let is_quarantined = pending.attempts == 0 && self.now < queue.quarantined_until;
             queue.waiting.front() == Some(&index) && !is_quarantined
         };
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -5,10 +5,10 @@
 use crate::{Effect, Millis};
 
 impl Gateway {
-    /// Whether the settings allow another attempt (or the first one). Prevents a request from
+    /// Whether the settings allow another attempt, or the first one. Prevents a request from
     /// running twice where that has an effect: a non-idempotent one is not repeated if an earlier
-    /// attempt may have run, a deduplicated one only within its window. The retry budget is a
-    /// separate question.
+    /// attempt may have run, a deduplicated one only within its window. The retry budget is checked
+    /// separately.
     pub(super) fn may_attempt_again(&self, pending: &PendingRequest) -> bool {
         let max_attempts = self.config.max_attempts.min(pending.max_attempts);
         if pending.attempts >= max_attempts {
@@ -31,9 +31,9 @@
             && self.has_retry_budget()
     }
 
-    /// Until when engines recognize another attempt as a repeat of each one that may have run;
-    /// infinite if they need not. The shorter window of the settings on arrival and the present
-    /// ones counts.
+    /// Until when engines recognize another attempt as a repeat of every one that may have run;
+    /// infinite if they do not have to. The shorter of the windows in the settings on arrival and
+    /// now applies.
     pub(super) fn dedup_window_end(&self, pending: &PendingRequest) -> Millis {
         let policy = &self.config.classes[pending.request.class];
         if !matches!(policy.effect, Effect::Deduplicated(_)) {
@@ -44,15 +44,23 @@
         ends.fold(Millis::INFINITY, f64::min)
     }
 
-    /// Whether the retry budget allows one more retry. Prevents retries from multiplying an
-    /// overload. Counts retries and arrivals exactly over the budget's span.
+    /// Whether the retry budget allows one more retry. Prevents retries from amplifying an
+    /// overload. Counts the retries and arrivals within the budget's window exactly.
     pub(super) fn has_retry_budget(&self) -> bool {
         let Some(budget) = self.config.retry_budget else {
             return true;
         };
-        let span_start = self.now - budget.window;
-        let retries = self.retries.iter().filter(|&&at| at >= span_start).count() as f64;
-        let arrivals = self.arrivals.iter().filter(|&&at| at > span_start).count() as f64;
+        let window_start = self.now - budget.window;
+        let retries = self
+            .retries
+            .iter()
+            .filter(|&&at| at >= window_start)
+            .count() as f64;
+        let arrivals = self
+            .arrivals
+            .iter()
+            .filter(|&&at| at > window_start)
+            .count() as f64;
         retries + 1.0 <= budget.min_retries + budget.retry_ratio * arrivals
     }
 }
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -6,11 +6,11 @@
 use crate::state::{Engine, PendingRequest};
 use crate::{ClassPolicy, DedupScope, Effect, Endpoint};
 
-/// How many engines are home to a table group at least: its data is warm there. More homes would
-/// spread the same data over more caches.
+/// The smallest number of home engines of a table group: those whose caches hold its data. More of
+/// them would spread the same data over more caches.
 const HOME_ENGINES_PER_GROUP: usize = 2;
 
-/// How little an engine is wanted for a request: the lowest value is chosen.
+/// How suitable an engine is for a request: engines of the lowest tier are chosen.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SelectionTier {
     /// Neither tried nor ejected.
@@ -25,8 +25,8 @@
 
 impl Gateway {
     /// Whether the request may run on the engine at all: by the class's settings on arrival and
-    /// now, by the request's cells, and by where an earlier attempt may have run, if engines
-    /// recognize a repeat only there.
+    /// now, by the request's cells, and, where only some engines recognize a repeat, by the engines
+    /// on which earlier attempts may have run.
     fn may_run_on(&self, pending: &PendingRequest, engine: &Engine) -> bool {
         let policy = &self.config.classes[pending.request.class];
         let endpoint = &engine.endpoint;
@@ -47,9 +47,9 @@
             && runs.all(|run| recognizes_repeat(&self.engines[run.engine].endpoint))
     }
 
-    /// The engines that the request may go to now, the most wanted first. The order is a rendezvous
-    /// hash of table group and engine id: every gateway has the same one, and an engine that comes
-    /// or goes moves no other.
+    /// The engines that the request may go to now, in order of preference. The order is a
+    /// rendezvous hash of table group and engine id: it is the same at every gateway, and adding or
+    /// removing an engine does not reorder the others.
     pub(super) fn engine_order(&self, pending: &PendingRequest) -> Vec<usize> {
         let mut engines = self.hashed_order(pending.request.table_group);
         engines.retain(|&index| self.may_run_on(pending, &self.engines[index]));
@@ -78,8 +78,8 @@
         order.iter().map(|&index| index as usize).collect()
     }
 
-    /// Moves engines to the end to which other classes are restricted by zone or machine type.
-    /// Prevents wide requests from occupying the only engines of such a class.
+    /// Moves the engines to the end that serve other classes restricted by zone or machine type.
+    /// Prevents heavy requests from occupying the only engines of such a class.
     fn put_restricted_engines_last(&self, engines: &mut [usize], class_index: usize) {
         let own_policy = &self.config.classes[class_index];
         let is_other_restricted = |policy: &&ClassPolicy| {
@@ -93,9 +93,9 @@
         });
     }
 
-    /// How many engines are home to the table group: of all engines, twice its share of the work.
-    /// With a fixed number, a few large groups would fill their homes and leave the other engines
-    /// idle.
+    /// How many home engines the table group has: of all engines in use, twice the group's share of
+    /// the work. With a fixed number, a few large groups would fill their home engines and leave
+    /// the others idle.
     fn home_engine_count(&self, table_group: u64) -> usize {
         let engines = self.engines.iter().filter(|engine| engine.is_in_use());
         let work_of_all: f64 = self
@@ -109,9 +109,9 @@
         homes.round().max(HOME_ENGINES_PER_GROUP as f64) as usize
     }
 
-    /// The engine for the request's next attempt, if one has capacity: the least loaded of the
-    /// table group's homes, otherwise the first of the others. An ejected engine that is due for a
-    /// recovery probe comes before all.
+    /// The engine for the request's next attempt, if one has capacity: the least loaded home engine
+    /// of the table group, otherwise the first of the others. An ejected engine that is due for a
+    /// recovery probe takes precedence over all.
     pub(super) fn choose_engine(&self, index: usize) -> Option<usize> {
         let pending = &self.requests[index];
         let mut engines = self.engine_order(pending);
@@ -132,8 +132,8 @@
         home.or_else(|| others.iter().copied().find(has_capacity))
     }
 
-    /// The first ejected engine that is due for a recovery probe. A probe is the first attempt of a
-    /// request that is not wide: little is lost if it fails.
+    /// The first ejected engine that is due for a recovery probe. The probe is the first attempt of
+    /// a request that is not heavy: little is lost if it fails.
     fn engine_due_for_recovery_probe(
         &self,
         pending: &PendingRequest,
@@ -149,11 +149,11 @@
         engines.iter().copied().find(|&index| is_due(index))
     }
 
-    /// Keeps the engines that are wanted most, or all if each was tried and is ejected.
+    /// Keeps the engines of the lowest tier that occurs.
     fn keep_lowest_tier(&self, engines: &mut Vec<usize>, pending: &PendingRequest) {
         let selection_tier = |index: usize| self.selection_tier(index, pending);
-        let least = engines.iter().map(|&index| selection_tier(index)).min();
-        engines.retain(|&index| Some(selection_tier(index)) == least);
+        let lowest = engines.iter().map(|&index| selection_tier(index)).min();
+        engines.retain(|&index| Some(selection_tier(index)) == lowest);
     }
 
     fn selection_tier(&self, index: usize, pending: &PendingRequest) -> SelectionTier {
@@ -166,17 +166,17 @@
         }
     }
 
-    /// The load by which homes are compared: this gateway's threads per core, and the reported
-    /// share in use.
+    /// The load by which home engines are compared: this gateway's threads per core, plus the
+    /// reported share in use.
     fn load(&self, index: usize) -> f64 {
         let engine = &self.engines[index];
         engine.threads / engine.cores + engine.decayed_load(self.now)
     }
 }
 
-/// Reverses the order and drops the homes from its end, but keeps two engines. A request that pins
-/// its table group makes the group's other requests wait on its engine, so it must not run where
-/// they run.
+/// Reverses the order and drops the home engines from its end, but keeps at least two engines. A
+/// request that pins its table group makes the group's other requests wait on its engine, so it
+/// must not run on the engines that serve them.
 fn avoid_home_engines(engines: &mut Vec<usize>) {
     engines.reverse();
     let kept = engines.len().max(2 * HOME_ENGINES_PER_GROUP) - HOME_ENGINES_PER_GROUP;
--- a/src/policy/rules/eject.rs
+++ b/src/policy/rules/eject.rs
@@ -11,23 +11,23 @@
 
 /// The recent outcomes of all ready engines, added up.
 #[derive(Default)]
-struct FleetOutcomes {
+struct PooledOutcomes {
     ready: usize,
     ejected: usize,
     failures: u32,
     seen: u32,
 }
 
-impl FleetOutcomes {
+impl PooledOutcomes {
     fn from_ready_engines(engines: &[Engine]) -> Self {
-        let mut fleet = FleetOutcomes::default();
+        let mut pooled = PooledOutcomes::default();
         for engine in engines.iter().filter(|engine| engine.is_ready()) {
-            fleet.ready += 1;
-            fleet.ejected += usize::from(engine.ejection.is_some());
-            fleet.failures += engine.outcomes.failures();
-            fleet.seen += engine.outcomes.seen();
+            pooled.ready += 1;
+            pooled.ejected += usize::from(engine.ejection.is_some());
+            pooled.failures += engine.outcomes.failures();
+            pooled.seen += engine.outcomes.seen();
         }
-        fleet
+        pooled
     }
 
     /// Whether one more engine may be ejected. At most half of the ready engines may be: if all
@@ -56,14 +56,14 @@
     /// the recent outcomes of all ready engines. Similar to outlier detection by failure percentage
     /// in Envoy.
     pub(in crate::policy) fn eject_outlier(&mut self, actions: &mut dyn Actions) -> bool {
-        let fleet = FleetOutcomes::from_ready_engines(&self.engines);
-        if !fleet.may_eject_another() {
+        let pooled = PooledOutcomes::from_ready_engines(&self.engines);
+        if !pooled.may_eject_another() {
             return false;
         }
         let outliers = self
             .engines
             .iter_mut()
-            .filter(|engine| engine.is_in_use() && fleet.is_outlier(engine));
+            .filter(|engine| engine.is_in_use() && pooled.is_outlier(engine));
         let Some(engine) = outliers.max_by_key(|engine| engine.outcomes.failures()) else {
             return false;
         };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -5,16 +5,15 @@
 use crate::state::{Engine, PendingRequest};
 use crate::Millis;
 
-/// The part of an engine's cold capacity that is used: the capacity, and what the other gateways
-/// send, are guesses.
+/// The share of an engine's cold capacity that is used. The capacity, and what the other gateways
+/// send, are only estimates.
 const SLOW_START_SHARE: f64 = 0.9;
-/// The work per core and ms with which an engine's capacity is calculated. It is as old as the
-/// policy; no derivation is recorded.
+/// The work per core and ms from which an engine's capacity is calculated.
 const WORK_PER_CORE: f64 = 0.85;
-/// Only half of a linear warm-up is counted on, because engines do not report how warm they are.
+/// Only half of a linear warm-up is assumed, because engines do not report how warm they are.
 const WARM_UP_DIVISOR: f64 = 2.0;
-/// Any window of time overlaps two windows of a gateway, each with a draw of its own. Dividing the
-/// probability between them keeps the mean at the allowance.
+/// Any interval of a window's length overlaps two windows of a gateway, each with its own draw.
+/// Dividing the probability between them keeps the mean at the allowance.
 const DRAWS_PER_WINDOW: f64 = 2.0;
 
 /// What this gateway may send to a cold engine within any window, and has sent in the last one, in
@@ -73,8 +72,8 @@
     ///
     /// With many gateways the allowance of one may be below one request. A request beyond the
     /// allowance is then granted with a probability of half the fraction of a request that is
-    /// allowed, drawn once for each window. All gateways together keep to the allowance in the
-    /// mean, and none saves up draws for a burst.
+    /// allowed, drawn once for each window. All gateways together keep to the allowance on average,
+    /// and no gateway accumulates draws for a burst.
     pub(super) fn fits_slow_start(&self, pending: &PendingRequest, engine: &Engine) -> bool {
         let Some(allowance) = self.slow_start_allowance(engine) else {
             return true;
@@ -89,9 +88,9 @@
             && self.window_draw(engine) < requests_allowed.fract() / DRAWS_PER_WINDOW
     }
 
-    /// A number in [0, 1) drawn for this gateway, the engine and the present window. The windows of
-    /// different gateways begin at different times, so that their draws do not take effect
-    /// together.
+    /// A number in [0, 1) drawn for this gateway, the engine and the current window. The windows of
+    /// different gateways begin at different times, so that their draws do not take effect at the
+    /// same time.
     fn window_draw(&self, engine: &Engine) -> f64 {
         let gateway_and_engine = mix(self.seed_hash ^ engine.endpoint.id);
         let window =
--- a/src/policy/view.rs
+++ b/src/policy/view.rs
@@ -1,4 +1,4 @@
-//! Read-only views of engines and classes, for operators. This file makes no decision.
+//! Read-only views of engines and classes, for operators. No decision depends on them.
 
 use super::{Gateway, LoadReport};
 use crate::{EndpointState, Millis};
@@ -12,19 +12,19 @@
     pub cores: f64,
     /// Threads of this gateway's attempts in flight on it.
     pub threads: f64,
-    /// Its last load report, or the last probe if it has not answered that yet.
+    /// Its last load report, or a placeholder of full load while a probe is unanswered.
     pub last_report: Option<LoadReport>,
     /// How many times slower it is than at the best pace; 1 when nothing is known.
     pub slowdown: f64,
     /// Failures among its recent outcomes.
     pub failures: u32,
-    /// Recent outcomes by which it is judged.
+    /// The number of recent outcomes that count.
     pub outcomes_seen: u32,
     /// When its next recovery probe is due; none unless it is ejected.
     pub next_probe_at: Option<Millis>,
-    /// No attempt goes to it up to this time, because it rejected one as full.
+    /// No attempt is sent to it up to this time, because it rejected one as full.
     pub full_until: Millis,
-    /// While it is warming up: the work that this gateway may still send in the present window, in
+    /// While it is warming up: the work that this gateway may still send in the current window, in
     /// ms on a thread.
     pub slow_start_allowance: Option<Millis>,
 }
@@ -36,11 +36,11 @@
     pub waiting: usize,
     /// Threads of its attempts in flight.
     pub threads: f64,
-    /// Thread time that it has used, over its weight, in ms.
+    /// Thread time that it has used, divided by its weight, in ms.
     pub charged_work: f64,
     /// Its weight.
     pub weight: f64,
-    /// The work of a usual request, in ms on a thread.
+    /// The work of a typical request, in ms on a thread.
     pub typical_work: Millis,
 }
 
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -21,7 +21,7 @@
     /// Corrects the clients' estimates of memory.
     pub(crate) memory_estimator: Estimator,
     /// Time on threads per work, by the cells of the engines that it was learned from.
-    pub(crate) fleet_pace_by_cells: BTreeMap<u64, DecayingMean>,
+    pub(crate) pooled_pace_by_cells: BTreeMap<u64, DecayingMean>,
     /// The lowest pace of an engine; infinite while none is known.
     pub(crate) best_pace: f64,
     pub(crate) best_pace_updated_at: Millis,
@@ -39,7 +39,7 @@
             work: DecayingMean::default(),
             work_estimator: Estimator::default(),
             memory_estimator: Estimator::default(),
-            fleet_pace_by_cells: BTreeMap::new(),
+            pooled_pace_by_cells: BTreeMap::new(),
             best_pace: f64::INFINITY,
             best_pace_updated_at: 0.0,
             typical_time_remaining: 0.0,
