--- a/src/actions.rs
+++ b/src/actions.rs
@@ -1,28 +1,28 @@
-//! What the policy asks of its host.
+//! The operations that the policy requests from its host.
 
 use crate::Millis;
 
 /// The actions of the policy, carried out by the host in the order of the calls. Requests and
-/// engines are named by index.
+/// engines are identified by their indices.
 pub trait Actions {
-    /// Sends an attempt of the request to the engine. Its first byte is written by the time `by` at
-    /// the latest; an attempt that has not started by then never starts, and ends as
+    /// Sends an attempt of the request to the engine. Its first byte is written at `start_before`
+    /// at the latest; an attempt that has not started by then never starts, and ends as
     /// [`Outcome::Unsent`](crate::Outcome::Unsent).
-    fn start_attempt(&mut self, request: usize, engine: usize, by: Millis);
-    /// Withdraws the request's attempt with this number, counted from 0. The host still reports its
-    /// outcome.
+    fn start_attempt(&mut self, request: usize, engine: usize, start_before: Millis);
+    /// Withdraws the request's attempt with the number `nth`, counted from 0. The host still
+    /// reports its outcome.
     fn withdraw_attempt(&mut self, request: usize, nth: u8);
     /// Sets the priority, from 0 to 3, and the memory grant in MB for the attempts of the request
     /// that follow. A grant of 0 leaves the memory to the engine.
     fn set_priority(&mut self, request: usize, priority: u8, grant_mb: f64);
-    /// Gives the final answer that the request was rejected and can be repeated without a second
-    /// effect. The client may do so after `retry_after`.
+    /// Gives the final answer that the request was rejected. The client may repeat it after
+    /// `retry_after`, which has no second effect.
     fn reject(&mut self, request: usize, retry_after: Millis);
-    /// Gives the final answer that the request failed. It may have run.
+    /// Gives the final answer that the request failed; it may have run.
     fn fail(&mut self, request: usize);
-    /// Asks discovery for the endpoint list and its changes.
+    /// Subscribes to the endpoint list of discovery and to its changes.
     fn subscribe(&mut self);
-    /// Asks an engine for its load, which the host passes on by
+    /// Asks an engine for its load. The host passes the report to
     /// [`Gateway::on_load_report`](crate::policy::Gateway::on_load_report).
     fn probe(&mut self, engine: usize);
     /// Asks for a call of [`Gateway::on_timer`](crate::policy::Gateway::on_timer) after this time.
--- a/src/config.rs
+++ b/src/config.rs
@@ -2,12 +2,12 @@
 
 use crate::{Endpoint, Millis};
 
-/// What happens if a request runs twice.
+/// The effect of a request that runs twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing more than if it runs once.
+    /// The same as if it runs once.
     Idempotent,
-    /// Engines within the scope recognize a repeat by its key, for the class's window.
+    /// Engines within the scope recognize a repeat by its key, within the class's window.
     Deduplicated(DedupScope),
     /// The effect happens twice.
     #[default]
@@ -21,14 +21,14 @@
     AllEngines,
     /// The engines of the same zone.
     Zone,
-    /// The engines of the same deduplication domain; the wire calls it a cell.
+    /// The engines of the same deduplication domain, which is called a cell on the wire.
     DedupDomain,
 }
 
 /// The settings of a class of requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassPolicy {
-    /// The latency objective of a request without work.
+    /// The latency objective of a request that needs no work.
     pub base_objective: Millis,
     /// By how much the objective grows with each ms of work per thread.
     pub objective_per_work: f64,
@@ -36,19 +36,19 @@
     pub value: f64,
     /// Threads that a request uses on an engine.
     pub threads: f64,
-    /// What happens if a request runs twice.
+    /// The effect of a request that runs twice.
     pub effect: Effect,
     /// How long engines recognize a repeat of a deduplicated request.
     pub dedup_window: Millis,
     /// Requests of one key run in the order in which they arrived.
     pub preserves_key_order: bool,
-    /// A running request keeps other requests of its table group waiting on the same engine.
+    /// While a request runs, other requests of its table group wait on the same engine.
     pub pins_table_group: bool,
     /// Zones to which the class is restricted; none for no restriction.
     pub zones: Option<Vec<u16>>,
     /// Machine types to which the class is restricted; none for no restriction.
     pub machine_types: Option<Vec<u16>>,
-    /// New requests are rejected; those that have arrived before continue.
+    /// New requests are rejected; those that arrived earlier continue.
     pub out_of_service: bool,
 }
 
@@ -80,22 +80,22 @@
     pub memory_mb: f64,
 }
 
-/// The retry budget of the whole gateway, as Envoy and Finagle have it: a number of retries, and a
-/// ratio of the requests.
+/// The retry budget of the whole gateway, as in Envoy and Finagle: a minimum number of retries,
+/// plus a ratio of the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries that are always allowed within the window.
     pub min_retries: f64,
     /// Further retries for each request that arrived within the window.
     pub retry_ratio: f64,
-    /// Over which retries and requests are counted.
+    /// The sliding window in which retries and requests are counted.
     pub window: Millis,
 }
 
 /// The settings of the policy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyConfig {
-    /// Gateways that share the engines.
+    /// The number of gateways that share the engines.
     pub gateway_count: f64,
     /// The classes, by index.
     pub classes: Vec<ClassPolicy>,
@@ -103,20 +103,20 @@
     pub machine_types: Vec<MachineType>,
     /// The largest memory grant, as a share of an engine's memory.
     pub max_memory_grant: f64,
-    /// Engines follow memory grants.
+    /// Engines honor memory grants.
     pub honors_memory_grants: bool,
-    /// Engines follow priorities.
+    /// Engines honor priorities.
     pub honors_priorities: bool,
-    /// An engine short of memory queues queries. Other engines run them with more work, or run all
-    /// of them slower.
+    /// An engine short of memory queues further queries. If not set, it runs them with more work, or
+    /// runs all of its queries slower.
     pub queues_when_memory_full: bool,
-    /// Clients mark retries. Otherwise the time remaining has to show them.
+    /// Clients mark retries. If not set, retries are inferred from the time remaining.
     pub retries_are_marked: bool,
     /// An attempt in flight may be withdrawn.
     pub may_withdraw: bool,
     /// Engines may be asked for their load.
     pub may_probe: bool,
-    /// The values of a load report, in their order.
+    /// The meaning of each value of a load report, in order.
     pub report_fields: Vec<LoadMetric>,
     /// The longest time after which a rejected client is asked to retry.
     pub max_retry_after: Millis,
@@ -124,7 +124,7 @@
     pub max_attempts: u8,
     /// Discovery sends the endpoint list only to subscribers.
     pub must_subscribe: bool,
-    /// The capacity of an engine at its start, as a share of its capacity when warm.
+    /// The capacity of an engine that has just started, as a share of its capacity when warm.
     pub slow_start_from: f64,
     /// How long an engine takes to warm up.
     pub slow_start_duration: Millis,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -27,7 +27,7 @@
     pub machine_type: u16,
     /// Its deduplication domain, by index.
     pub dedup_domain: u16,
-    /// The cells that it is in, a bit each.
+    /// The cells to which it belongs, a bit each.
     pub cells: u64,
     /// Whether it takes attempts.
     pub state: EndpointState,
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Ids and their indices. A released index is assigned again.
+/// Ids and their indices. Released indices are reused.
 pub struct Interner<Id> {
     index_by_id: HashMap<Id, usize>,
     ids: Vec<Id>,
@@ -21,7 +21,7 @@
 }
 
 impl<Id: Copy + Eq + Hash> Interner<Id> {
-    /// The id's index; a newly assigned one if it has none.
+    /// The id's index, which is newly assigned if it has none.
     pub fn intern(&mut self, id: Id) -> usize {
         if let Some(&index) = self.index_by_id.get(&id) {
             return index;
@@ -31,7 +31,7 @@
         index
     }
 
-    /// Takes a free index, or the next one.
+    /// Assigns a free index to the id, or the next one if none is free.
     fn assign(&mut self, id: Id) -> usize {
         if let Some(index) = self.free.pop() {
             self.ids[index] = id;
@@ -46,7 +46,7 @@
         self.index_by_id.get(&id).copied()
     }
 
-    /// The id to which the index is or was last assigned.
+    /// The id to which the index is assigned, or was last assigned.
     ///
     /// # Panics
     /// If the index was never assigned.
@@ -54,13 +54,14 @@
         self.ids[index]
     }
 
-    /// Makes the index free for another id.
+    /// Releases the index, so that it can be assigned to another id. Has no effect on an index that
+    /// is free.
     ///
     /// # Panics
     /// If the index was never assigned.
     pub fn release(&mut self, index: usize) {
         let id = self.ids[index];
-        // A second release must not remove the id's newer index.
+        // The index may have been released already, and its id may have a newer one.
         if self.find(id) == Some(index) {
             self.index_by_id.remove(&id);
             self.free.push(index);
--- a/src/interner/tests.rs
+++ b/src/interner/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_index_given_back_twice_is_not_taken_from_an_id_that_came_back() {
+fn releasing_an_index_twice_keeps_the_newer_index_of_its_id() {
     let mut interner = Interner::default();
     assert_eq!((interner.intern('a'), interner.intern('b')), (0, 1));
     interner.release(0);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! Keeps short and long queries apart on shared engines.
 //!
-//! [`policy`] makes every decision and does no input or output. A host (the gateway on sockets, the
-//! adapter to a simulator, the simulation) maps ids to indices with [`interner`], calls the policy
-//! on each event, and carries out the [`Actions`] that the policy calls. The other types of this
-//! package are those that cross between the two.
+//! [`policy`] makes every decision and performs no input or output. A host (the gateway on sockets,
+//! the adapter to a simulator, the simulation) maps ids to indices with [`interner`], calls the
+//! policy on each event, and carries out the [`Actions`] that the policy requests. The other types
+//! of this package are exchanged between the two.
 
 mod actions;
 mod config;
--- a/src/random.rs
+++ b/src/random.rs
@@ -3,7 +3,7 @@
 /// Multiplier and increment of the generator's state, as published for PCG32.
 const PCG_MULTIPLIER: u64 = 6364136223846793005;
 const PCG_INCREMENT: u64 = 1442695040888963407;
-/// How many values 32 bits have.
+/// The number of values of 32 bits.
 const VALUES_OF_32_BITS: f64 = 4294967296.0;
 
 /// The permuted congruential generator PCG32 (XSH-RR): 32 bits for each step of a 64-bit state.
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,23 +7,23 @@
 pub struct Request {
     /// Its class, by index.
     pub class: usize,
-    /// Its key, by which its class may keep the order; 0 for none.
+    /// Its key, 0 for none. Its class may require that requests of a key run in order.
     pub key: u64,
     /// The time remaining until its deadline.
     pub time_remaining: Millis,
-    /// Its client's estimate of its work, in ms on a thread.
+    /// The client's estimate of its work, in ms on a thread.
     pub work: Option<Millis>,
-    /// Its client's estimate of its memory, in MB; 0 for none.
+    /// The client's estimate of its memory, in MB; 0 for none.
     pub memory_mb: f64,
     /// Its table group.
     pub table_group: u64,
     /// The cells whose engines it may go to, a bit each; 0 for all cells.
     pub cells: u64,
-    /// Its client marked it as a retry.
+    /// The client has marked it as a retry.
     pub is_retry: bool,
 }
 
-/// What a request needed; 0 for a value that the engine did not report.
+/// The resources that a request used; 0 for a value that the engine did not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     /// The work of all its threads, in ms on a thread.
@@ -48,7 +48,7 @@
     /// The connection was lost; the attempt may have run.
     ConnectionLost,
     /// The connection was lost because of another attempt on it. This one may have run, and its end
-    /// says nothing of the engine.
+    /// says nothing about the engine.
     ConnectionLostByPeerAttempt,
     /// The attempt was withdrawn; it may have run.
     Withdrawn,
--- a/src/state/class.rs
+++ b/src/state/class.rs
@@ -5,13 +5,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is known of a class, and its queue.
+/// The settings, statistics and queue of a class.
 pub(crate) struct ClassState {
-    /// Its present settings.
+    /// Its current settings.
     pub(crate) policy: Arc<ClassPolicy>,
-    /// Indices of the requests that wait for an attempt, in order of arrival.
+    /// Indices of the requests that wait for an attempt, in order of arrival; a request that is to
+    /// be attempted again joins at the end.
     pub(crate) queue: Vec<usize>,
-    /// Thread time of ended attempts over the class's weight, in ms.
+    /// Thread time of ended attempts, divided by the class's weight, in ms.
     pub(crate) charged: f64,
     pub(crate) running: RunningThreads,
     /// The work of a request, in ms on a thread.
@@ -20,12 +21,12 @@
     pub(crate) work_estimator: Estimator,
     /// Corrects the clients' estimates of memory.
     pub(crate) memory_estimator: Estimator,
-    /// Time on threads per work, by the cells of the engines that it was learned from.
+    /// Thread time per unit of work, by the cells of the engines from which it was learned.
     pub(crate) pooled_pace_by_cells: BTreeMap<u64, DecayingMean>,
-    /// The lowest pace of an engine; infinite while none is known.
+    /// The lowest pace of an engine, which expires slowly; infinite while none is known.
     pub(crate) best_pace: f64,
     pub(crate) best_pace_updated_at: Millis,
-    /// The time remaining with which requests usually arrive; 0 before the first one.
+    /// The time remaining with which requests typically arrive; 0 before the first one.
     pub(crate) typical_time_remaining: Millis,
 }
 
@@ -47,34 +48,34 @@
     }
 }
 
-/// Threads of attempts in flight, and since when they run.
+/// Threads of attempts in flight, and the time that they have used.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RunningThreads {
     threads: f64,
-    /// The sum over attempts of threads times start, so that the time used until now is one
+    /// The sum over attempts of threads times start time, so that the time used until now takes one
     /// subtraction.
     threads_times_start: f64,
 }
 
 impl RunningThreads {
-    /// An attempt starts.
+    /// An attempt starts at `started_at`.
     pub(crate) fn start(&mut self, threads: f64, started_at: Millis) {
         self.threads += threads;
         self.threads_times_start += threads * started_at;
     }
 
-    /// An attempt that started `at` has ended.
+    /// An attempt that started at `started_at` has ended.
     pub(crate) fn end(&mut self, threads: f64, started_at: Millis) {
         self.threads -= threads;
         self.threads_times_start -= threads * started_at;
     }
 
-    /// How many threads are in use.
+    /// The number of threads in use.
     pub(crate) fn threads(&self) -> f64 {
         self.threads
     }
 
-    /// The time that all of them have used until now, in ms on a thread.
+    /// The time that all of these threads have used until now, in ms on a thread.
     pub(crate) fn thread_time(&self, now: Millis) -> Millis {
         self.threads * now - self.threads_times_start
     }
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -13,13 +13,14 @@
     pub(crate) cores: f64,
     /// Threads that this gateway's attempts in flight use on it.
     pub(crate) threads: f64,
-    /// By which it is judged.
+    /// The outcomes that determine its health.
     pub(crate) outcomes: RecentOutcomes,
-    /// Time on its threads per work, by class.
+    /// Thread time per unit of work, by class.
     pub(crate) pace_by_class: Vec<DecayingMean>,
-    /// By class: when the latest attempt was sent that was answered before it was overdue.
+    /// By class: the latest time at which an attempt was sent that was answered before it was
+    /// overdue.
     pub(crate) latest_on_time_sent_at: Vec<Millis>,
-    /// No attempt goes to it up to this time, because it rejected one as full.
+    /// No attempt is sent to it up to this time, because it rejected one as full.
     pub(crate) full_until: Millis,
     /// Present while the engine is ejected.
     pub(crate) ejection: Option<Ejection>,
@@ -40,20 +41,20 @@
 #[derive(Clone, Copy)]
 pub(crate) struct SentWork {
     pub(crate) sent_at: Millis,
-    /// Of a usual request of the class, in ms on a thread.
+    /// The work of a typical request of the class, in ms on a thread.
     pub(crate) work: Millis,
 }
 
-/// How busy an engine reported to be.
+/// The load that an engine reported.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// When it reported, or was asked to.
+    /// When it reported, or was probed.
     pub at: Millis,
-    /// The largest share in use of its resources; 1 from the probe to the report.
+    /// The largest share in use of its resources; 1 from a probe until the report.
     pub share: f64,
 }
 
-/// The last outcomes of an engine's attempts, a bit for each: set for a failure, the latest in the
+/// The latest outcomes of an engine's attempts, one bit each: set for a failure, the latest in the
 /// lowest bit.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RecentOutcomes {
@@ -62,7 +63,7 @@
 }
 
 impl RecentOutcomes {
-    /// Adds an outcome and keeps the last `kept` ones, which are fewer than 32.
+    /// Adds an outcome and keeps the last `kept` ones; `kept` has to be less than 32.
     pub(crate) fn record(&mut self, is_success: bool, kept: u32) {
         let kept_bits = (1 << kept) - 1;
         let failure_bit = u32::from(!is_success);
@@ -70,19 +71,20 @@
         self.outcomes_seen = (self.outcomes_seen + 1).min(kept);
     }
 
-    /// How many of the kept outcomes are failures.
+    /// The number of failures among the kept outcomes.
     pub(crate) fn failures(&self) -> u32 {
         self.recent_failures.count_ones()
     }
 
-    /// How many outcomes are kept.
+    /// The number of outcomes that are kept now.
     pub(crate) fn seen(&self) -> u32 {
         self.outcomes_seen
     }
 }
 
 impl Engine {
-    /// Adapts to the settings: cores by machine type, and statistics for each class.
+    /// Applies the settings: sets the cores by machine type, and makes room for statistics of each
+    /// class.
     pub(crate) fn apply_config(&mut self, config: &PolicyConfig) {
         let machine_type = config
             .machine_types
@@ -104,7 +106,7 @@
         self.is_ready() && self.ejection.is_none()
     }
 
-    /// Whether it is in one of these cells (a bit each); 0 stands for any cell.
+    /// Whether it is in one of these cells (a bit each; 0 for any cell).
     pub(crate) fn is_in_cells(&self, cells: u64) -> bool {
         cells == 0 || self.endpoint.cells & cells != 0
     }
--- a/src/state/key_queue.rs
+++ b/src/state/key_queue.rs
@@ -8,7 +8,7 @@
 pub(crate) struct KeyQueue {
     /// Their indices, in order of arrival.
     pub(crate) waiting: VecDeque<usize>,
-    /// Until when no further request of the key starts: an attempt of unknown outcome may still be
-    /// running.
+    /// Until when no other request of the key starts, because an attempt of unknown outcome may
+    /// still be running.
     pub(crate) quarantined_until: Millis,
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the policy remembers of engines, requests, classes and keys. These types hold no decision
-//! and no tuned value.
+//! The state of engines, requests, classes and keys. These types make no decisions and contain no
+//! tuned values.
 
 mod class;
 mod engine;
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -9,13 +9,13 @@
 pub(crate) struct Attempt {
     pub(crate) engine: usize,
     pub(crate) sent_at: Millis,
-    /// Up to which point the engine's pace has been learned from this attempt.
+    /// The progress up to which the engine's pace has been learned from this attempt.
     pub(crate) progress: ProgressMark,
-    /// Whether the attempt has counted as overdue or lost; it does so once.
+    /// Whether the attempt has already been counted as overdue or lost; it counts only once.
     pub(crate) is_overdue: bool,
 }
 
-/// How far an attempt was at a time.
+/// The progress of an attempt at a point in time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ProgressMark {
     pub(crate) at: Millis,
@@ -23,7 +23,7 @@
     pub(crate) share: f64,
 }
 
-/// An attempt that runs, or may have run before it ended.
+/// An attempt that is running, or may have run before it ended.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     pub(crate) engine: usize,
@@ -35,32 +35,33 @@
 pub(crate) struct PendingRequest {
     /// As its client sent it.
     pub(crate) request: Request,
-    /// Its work in ms on a thread: estimated, and as reported once that is known.
+    /// Its work in ms on a thread: estimated until an engine reports it.
     pub(crate) work: Millis,
     /// Whether its client still waits for an answer.
     pub(crate) is_open: bool,
-    /// When its latency objective is missed.
+    /// The time after which its latency objective is missed.
     pub(crate) objective: Millis,
-    /// When its client gives up.
+    /// The time at which its client gives up.
     pub(crate) deadline: Millis,
-    /// Attempts that were started.
+    /// The number of attempts started.
     pub(crate) attempts: u8,
-    /// The settings of its class on arrival.
+    /// The settings of its class when it arrived.
     pub(crate) class_policy: Arc<ClassPolicy>,
-    /// The most attempts, as of its arrival.
+    /// The most attempts by the settings when it arrived; lowered when its client closes the
+    /// connection.
     pub(crate) max_attempts: u8,
     pub(crate) in_flight_attempt: Option<Attempt>,
-    /// All attempts but those that certainly never ran.
+    /// All attempts except those that certainly never ran.
     pub(crate) possible_runs: Vec<PossibleRun>,
-    /// Engines of its ended attempts.
+    /// The engines of its ended attempts.
     pub(crate) tried_engines: Vec<usize>,
-    /// Drawn on arrival; all its random choices derive from it.
+    /// A random value drawn on arrival, from which all its random choices derive.
     pub(crate) draw_seed: u64,
 }
 
 impl PendingRequest {
-    /// A number in [0, 1) drawn for this request and `subject`. The same question always has the
-    /// same answer, so that a request that repeats a question does not get a second chance.
+    /// A number in [0, 1) drawn for this request and `subject`. Repeated draws for the same subject
+    /// return the same number, so that evaluating a rule again gives the request no second chance.
     pub(crate) fn draw_for(&self, subject: u64) -> f64 {
         to_unit_interval(mix(self.draw_seed ^ subject))
     }
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,14 +1,14 @@
-//! Decaying means and estimators. The callers pass half-lives and other tuned values; this file
-//! makes no decision.
+//! Decaying means and estimators. Half-lives and other tuned values are parameters; no decision is
+//! made here.
 
 use crate::Millis;
 
-/// The share of an old value that is left after `elapsed`.
+/// The factor by which a value has decayed after `elapsed`.
 fn decay(elapsed: Millis, half_life: Millis) -> f64 {
     0.5f64.powf(elapsed / half_life)
 }
 
-/// A sum and the weight by which to divide it.
+/// A weighted sum and its total weight, by which to divide it.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct WeightedSum {
     pub(crate) sum: f64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A weighted mean whose samples lose half of their weight in each half-life.
+/// A weighted mean whose samples lose half of their weight with each half-life.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingMean {
     sum: f64,
@@ -57,23 +57,24 @@
         self.weight
     }
 
-    /// The mean, which does not change as it decays; none before the first sample of any weight.
+    /// The mean, which decay does not change; none before the first sample with a weight.
     pub(crate) fn mean(&self) -> Option<f64> {
         (self.weight > 0.0).then(|| self.sum / self.weight)
     }
 }
 
-/// Corrects estimates by what they turned out to be: a straight line through the logarithms of
-/// estimate and actual value, fitted by least squares over decaying samples. Logarithms, because
-/// the ratio of the two scatters, so that a large estimate is more often too large than too small.
+/// Corrects estimates by comparison with earlier actual values: a straight line through the
+/// logarithms of estimates and actual values, fitted by least squares over decaying samples. It
+/// uses logarithms because the ratio of the two scatters, so that a large estimate is more often
+/// too large than too small.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Estimator {
     sums: RegressionSums,
     updated_at: Millis,
 }
 
-/// The sums that a fit by least squares needs, of `x` (logarithm of the estimate) and `y` (of the
-/// actual value).
+/// The sums for a least-squares fit of `y`, the logarithm of the actual value, against `x`, that of
+/// the estimate.
 #[derive(Clone, Copy, Default)]
 struct RegressionSums {
     count: f64,
@@ -85,7 +86,7 @@
 }
 
 impl RegressionSums {
-    /// Keeps a share of the earlier samples and adds one.
+    /// Multiplies the weight of the earlier samples by `keep` and adds a sample.
     fn decay_and_add(&mut self, keep: f64, x: f64, y: f64) {
         self.count = self.count * keep + 1.0;
         self.x = self.x * keep + x;
@@ -97,7 +98,7 @@
 }
 
 impl Estimator {
-    /// Learns the actual value of something estimated. Values that are not positive are ignored:
+    /// Adds an estimate and its actual value. Values that are not positive are ignored, because
     /// they have no logarithm.
     pub(crate) fn add(&mut self, now: Millis, half_life: Millis, estimate: f64, actual: f64) {
         if estimate > 0.0 && actual > 0.0 {
@@ -107,9 +108,9 @@
         }
     }
 
-    /// The corrected estimate. `prior_weight` is the weight of a slope of one, to which the line
-    /// falls back while little is known. `margin` turns the standard deviation of the logarithms
-    /// into the distance above the line at which to read the result.
+    /// The corrected estimate. `prior_weight` is the weight of a slope of one, which prevails while
+    /// little is known. `margin` maps the standard deviation of the logarithms to the distance
+    /// above the line at which the result is read.
     pub(crate) fn corrected(
         &self,
         estimate: f64,
