--- a/src/config.rs
+++ b/src/config.rs
@@ -107,8 +107,8 @@
     pub honors_memory_grants: bool,
     /// Engines honor priorities.
     pub honors_priorities: bool,
-    /// An engine short of memory queues further queries. If not set, it runs them with more work, or
-    /// runs all of its queries slower.
+    /// An engine short of memory queues further queries. If not set, it runs them with more work,
+    /// or runs all of its queries slower.
     pub queues_when_memory_full: bool,
     /// Clients mark retries. If not set, retries are inferred from the time remaining.
     pub retries_are_marked: bool,
