--- a/src/policy/rules/eject.rs
+++ b/src/policy/rules/eject.rs
@@ -72,7 +72,7 @@
             probe_interval: RECOVERY_PROBE_INTERVAL,
         });
         actions.log(&format!(
-            "engine {:012x} ejected: {} of its last {} attempt outcomes are failures",
+            "engine {:012x} ejected: {} of {} failed",
             engine.endpoint.id,
             engine.outcomes.failures(),
             engine.outcomes.seen()
