--- a/src/policy/rules/eject.rs
+++ b/src/policy/rules/eject.rs
@@ -5,33 +5,33 @@
 use crate::state::{Ejection, Engine};
 use crate::Actions;
 
-/// An engine is an outlier if its share of failures is more than this many times that of all
-/// others.
+/// An engine is an outlier if its failure rate is more than this many times the combined failure
+/// rate of all other ready engines.
 const OUTLIER_FAILURE_RATIO: f64 = 2.0;
 
-/// The recent outcomes of all ready engines together.
+/// The recent outcomes of all ready engines, added up.
 #[derive(Default)]
-struct FleetOutcomes {
+struct PooledOutcomes {
     ready: usize,
     ejected: usize,
     failures: u32,
     seen: u32,
 }
 
-impl FleetOutcomes {
-    fn of(engines: &[Engine]) -> Self {
-        let mut fleet = FleetOutcomes::default();
+impl PooledOutcomes {
+    fn from_ready_engines(engines: &[Engine]) -> Self {
+        let mut pooled = PooledOutcomes::default();
         for engine in engines.iter().filter(|engine| engine.is_ready()) {
-            fleet.ready += 1;
-            fleet.ejected += usize::from(engine.ejection.is_some());
-            fleet.failures += engine.outcomes.failures();
-            fleet.seen += engine.outcomes.seen();
+            pooled.ready += 1;
+            pooled.ejected += usize::from(engine.ejection.is_some());
+            pooled.failures += engine.outcomes.failures();
+            pooled.seen += engine.outcomes.seen();
         }
-        fleet
+        pooled
     }
 
-    /// Whether one more engine may be ejected: at most half. If all fail together, ejecting more
-    /// would only move the load.
+    /// Whether one more engine may be ejected. At most half of the ready engines may be: if all
+    /// fail together, ejecting more would only move the load.
     fn may_eject_another(&self) -> bool {
         (self.ejected + 1) * 2 <= self.ready
     }
@@ -39,30 +39,31 @@
     fn is_outlier(&self, engine: &Engine) -> bool {
         let failures = engine.outcomes.failures();
         let seen = engine.outcomes.seen();
-        let own_share = failure_share(failures, seen);
-        let share_of_others = failure_share(self.failures - failures, self.seen - seen);
-        failures >= FAILURES_TO_EJECT && own_share > OUTLIER_FAILURE_RATIO * share_of_others
+        let own_rate = failure_rate(failures, seen);
+        let rate_of_others = failure_rate(self.failures - failures, self.seen - seen);
+        failures >= FAILURES_TO_EJECT && own_rate > OUTLIER_FAILURE_RATIO * rate_of_others
     }
 }
 
-/// Failures as a share of the outcomes seen; 0 if there are none.
-fn failure_share(failures: u32, seen: u32) -> f64 {
+/// Failures as a fraction of the outcomes seen; 0 if there are none.
+fn failure_rate(failures: u32, seen: u32) -> f64 {
     f64::from(failures) / f64::from(seen.max(1))
 }
 
 impl Gateway {
-    /// Prevents requests from being lost to an engine that answers errors, nothing, or much too
-    /// late, or refuses connections. Reads the recent outcomes of all ready engines; ejects the one
-    /// with the most failures. Similar to outlier detection by failure percentage in Envoy.
+    /// Ejects the outlier with the most failures. Prevents requests from being lost to an engine
+    /// that returns errors, does not answer, answers much too late or refuses connections. Reads
+    /// the recent outcomes of all ready engines. Similar to outlier detection by failure percentage
+    /// in Envoy.
     pub(in crate::policy) fn eject_outlier(&mut self, actions: &mut dyn Actions) -> bool {
-        let fleet = FleetOutcomes::of(&self.engines);
-        if !fleet.may_eject_another() {
+        let pooled = PooledOutcomes::from_ready_engines(&self.engines);
+        if !pooled.may_eject_another() {
             return false;
         }
         let outliers = self
             .engines
             .iter_mut()
-            .filter(|engine| engine.is_in_use() && fleet.is_outlier(engine));
+            .filter(|engine| engine.is_in_use() && pooled.is_outlier(engine));
         let Some(engine) = outliers.max_by_key(|engine| engine.outcomes.failures()) else {
             return false;
         };
