--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -9,12 +9,13 @@
     /// Address at which the gateway serves management
     #[arg(
         global = true,
-        long,
+        id = "at",
+        long = "at",
         env = "IRONSTAIR_AT",
         default_value = "127.0.0.1:9339",
         value_name = "HOST:PORT"
     )]
-    pub(super) at: String,
+    pub(super) address: String,
     /// Print JSON instead of tables
     #[arg(global = true, long)]
     pub(super) json: bool,
@@ -39,7 +40,7 @@
     #[arg(default_value = "/")]
     pub(super) path: String,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `set`.
@@ -66,7 +67,7 @@
     #[arg(long)]
     pub(super) fleet: bool,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `confirm` and `cancel`.
@@ -78,7 +79,7 @@
     #[arg(long)]
     pub(super) fleet: bool,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `watch`.
@@ -93,7 +94,7 @@
     #[arg(long)]
     pub(super) count: Option<usize>,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `move`.
@@ -111,7 +112,7 @@
     #[arg(long)]
     pub(super) fleet: bool,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `revisions`.
@@ -121,7 +122,7 @@
     #[arg(long)]
     pub(super) fleet: bool,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// Arguments of `fleet`.
@@ -130,7 +131,7 @@
     #[command(subcommand)]
     pub(super) action: Option<FleetAction>,
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
 
 /// What `fleet` does besides showing the fleet.
@@ -147,5 +148,5 @@
 #[derive(clap::Args)]
 pub(crate) struct Cells {
     #[command(flatten)]
-    pub(super) at: Target,
+    pub(super) target: Target,
 }
--- a/crates/gateway/src/cli/client.rs
+++ b/crates/gateway/src/cli/client.rs
@@ -1,7 +1,7 @@
 //! The connection to a gateway's management, and the reads that several commands share.
 
 use super::arguments::Target;
-use super::encoding::{path, value};
+use super::encoding::{json_value, parse_path};
 use super::error::CommandError;
 use ironstair_gnmi::proto::gnmi;
 use ironstair_gnmi::proto::gnmi::g_nmi_client::GNmiClient;
@@ -27,7 +27,7 @@
     let endpoint = endpoint(target)?.connect_timeout(CONNECT_TIMEOUT);
     let connected = endpoint.connect().await;
     let channel = connected.map_err(|source| CommandError::Unreachable {
-        address: target.at.clone(),
+        address: target.address.clone(),
         source,
     })?;
     Ok(GNmiClient::new(channel).max_decoding_message_size(MAX_ANSWER_BYTES))
@@ -38,7 +38,7 @@
         Some(_) => "https",
         None => "http",
     };
-    let endpoint = Channel::from_shared(format!("{scheme}://{}", target.at))
+    let endpoint = Channel::from_shared(format!("{scheme}://{}", target.address))
         .map_err(CommandError::InvalidAddress)?;
     match tls_config(target)? {
         Some(tls) => endpoint.tls_config(tls).map_err(CommandError::InvalidKeys),
@@ -50,8 +50,8 @@
     let (Some(ca), Some(cert), Some(key)) = (&target.ca, &target.cert, &target.key) else {
         return Ok(None);
     };
-    let authority = Certificate::from_pem(read_key(ca)?);
-    let identity = Identity::from_pem(read_key(cert)?, read_key(key)?);
+    let authority = Certificate::from_pem(read_pem(ca)?);
+    let identity = Identity::from_pem(read_pem(cert)?, read_pem(key)?);
     let tls = ClientTlsConfig::new()
         .ca_certificate(authority)
         .identity(identity);
@@ -61,7 +61,7 @@
     }))
 }
 
-fn read_key(path: &Path) -> Result<Vec<u8>, CommandError> {
+fn read_pem(path: &Path) -> Result<Vec<u8>, CommandError> {
     std::fs::read(path).map_err(|source| CommandError::ReadKey {
         path: path.to_path_buf(),
         source,
@@ -78,17 +78,19 @@
     encoding: gnmi::Encoding,
 ) -> Result<Vec<gnmi::Update>, CommandError> {
     let request = gnmi::GetRequest {
-        path: vec![path(at_path)?],
+        path: vec![parse_path(at_path)?],
         encoding: encoding as i32,
         ..Default::default()
     };
     let answer = connect(target).await?.get(request).await?.into_inner();
     let notifications = answer.notification.into_iter();
-    Ok(notifications.flat_map(|n| n.update).collect())
+    Ok(notifications
+        .flat_map(|notification| notification.update)
+        .collect())
 }
 
 /// The prefix of a request: it selects the fleet's tree or this gateway's.
-pub(super) fn prefix(is_fleet: bool) -> Option<gnmi::Path> {
+pub(super) fn tree_prefix(is_fleet: bool) -> Option<gnmi::Path> {
     is_fleet.then(|| gnmi::Path {
         origin: FLEET.into(),
         ..Default::default()
@@ -101,11 +103,14 @@
 /// No gateway answers, it answers with an error status, or its answer holds no state.
 pub(super) async fn fleet_state(target: &Target) -> Result<Json, CommandError> {
     let request = gnmi::GetRequest {
-        prefix: prefix(true),
+        prefix: tree_prefix(true),
         ..Default::default()
     };
     let answer = connect(target).await?.get(request).await?.into_inner();
-    let updates = answer.notification.into_iter().flat_map(|n| n.update);
-    let state = updates.map(|update| value(update.val.as_ref())).next();
+    let updates = answer
+        .notification
+        .into_iter()
+        .flat_map(|notification| notification.update);
+    let state = updates.map(|update| json_value(update.val.as_ref())).next();
     state.ok_or(CommandError::NoFleetState)
 }
--- a/crates/gateway/src/cli/encoding.rs
+++ b/crates/gateway/src/cli/encoding.rs
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// The text is no path.
-pub(super) fn path(text: &str) -> Result<gnmi::Path, CommandError> {
+pub(super) fn parse_path(text: &str) -> Result<gnmi::Path, CommandError> {
     let pattern = Pattern::read(text).map_err(CommandError::InvalidPath)?;
     Ok(gnmi::Path {
         elem: pattern.0.iter().map(path_element).collect(),
@@ -67,7 +67,7 @@
 }
 
 /// Converts a gNMI value to JSON; `null` for a missing value or a type that the gateway does not send.
-pub(super) fn value(typed: Option<&TypedValue>) -> Json {
+pub(super) fn json_value(typed: Option<&TypedValue>) -> Json {
     use typed_value::Value;
     match typed.and_then(|typed| typed.value.as_ref()) {
         Some(Value::StringVal(text) | Value::AsciiVal(text)) => json!(text),
@@ -78,7 +78,7 @@
         Some(Value::LeaflistVal(list)) => list
             .element
             .iter()
-            .map(|element| value(Some(element)))
+            .map(|element| json_value(Some(element)))
             .collect(),
         Some(Value::JsonVal(bytes) | Value::JsonIetfVal(bytes)) => {
             serde_json::from_slice(bytes).unwrap_or(Json::Null)
@@ -88,10 +88,10 @@
 }
 
 /// Writes a JSON value for people: text without quotes, the elements of a list separated by spaces.
-pub(super) fn plain(value: &Json) -> String {
+pub(super) fn plain_text(value: &Json) -> String {
     match value {
         Json::String(text) => text.clone(),
-        Json::Array(list) => list.iter().map(plain).collect::<Vec<_>>().join(" "),
+        Json::Array(list) => list.iter().map(plain_text).collect::<Vec<_>>().join(" "),
         other => other.to_string(),
     }
 }
@@ -105,7 +105,7 @@
 }
 
 /// Writes Unix milliseconds as an RFC 3339 time; `-` for 0, which is used for "never".
-pub(super) fn moment(unix_ms: u64) -> String {
+pub(super) fn format_time(unix_ms: u64) -> String {
     if unix_ms == 0 {
         return "-".into();
     }
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -2,10 +2,10 @@
 //! voters' disks.
 
 use super::arguments::{Fleet, FleetAction, Target};
-use super::client::{connect, fleet_state, prefix};
-use super::encoding::{path, plain};
+use super::client::{connect, fleet_state, tree_prefix};
+use super::encoding::{parse_path, plain_text};
 use super::error::CommandResult;
-use super::output::{print_line, rows};
+use super::output::{object_table, print_line};
 use ironstair_gnmi::proto::gnmi::{self, typed_value, TypedValue};
 use serde_json::Value as Json;
 use std::fmt::Write as _;
@@ -20,7 +20,7 @@
 /// # Errors
 /// No gateway answers, it answers with an error status, or standard output can't be written.
 pub(crate) async fn fleet(arguments: Fleet) -> CommandResult {
-    let target = &arguments.at;
+    let target = &arguments.target;
     match arguments.action {
         None => show(target).await,
         Some(FleetAction::Begin) => bootstrap(target).await,
@@ -45,7 +45,7 @@
             let first = &state["revisions"][0];
             return print_line(&match target.json {
                 true => first.to_string(),
-                false => plain(&first["what"]),
+                false => plain_text(&first["what"]),
             });
         }
         tokio::time::sleep(LEADER_POLL_INTERVAL).await;
@@ -57,12 +57,12 @@
 async fn set_flag(target: &Target, at_path: &str) -> CommandResult {
     let flag = typed_value::Value::JsonIetfVal(b"true".to_vec());
     let update = gnmi::Update {
-        path: Some(path(at_path)?),
+        path: Some(parse_path(at_path)?),
         val: Some(TypedValue { value: Some(flag) }),
         duplicates: 0,
     };
     let request = gnmi::SetRequest {
-        prefix: prefix(true),
+        prefix: tree_prefix(true),
         update: vec![update],
         ..Default::default()
     };
@@ -83,23 +83,23 @@
     let _ = writeln!(
         text,
         "revision {}, chair {}, keepers {}",
-        plain(&state["revision"]),
-        plain(&state["chair"]),
-        plain(&state["keepers"])
+        plain_text(&state["revision"]),
+        plain_text(&state["chair"]),
+        plain_text(&state["keepers"])
     );
     let change = &state["change"];
     if !change.is_null() {
         let _ = writeln!(
             text,
             "revision {} is {}, waits for {}",
-            plain(&change["number"]),
-            plain(&change["step"]),
-            plain(&change["waits-for"])
+            plain_text(&change["number"]),
+            plain_text(&change["step"]),
+            plain_text(&change["waits-for"])
         );
     }
     let unconfirmed = &state["unconfirmed"];
     if !unconfirmed.is_null() {
-        let _ = writeln!(text, "to be confirmed: {}", plain(unconfirmed));
+        let _ = writeln!(text, "to be confirmed: {}", plain_text(unconfirmed));
     }
     let columns = [
         "name",
@@ -108,6 +108,6 @@
         "lease-left-ms",
         "holds-what-is-held",
     ];
-    text += &rows(&state["members"], &columns);
+    text += &object_table(&state["members"], &columns);
     text
 }
--- a/crates/gateway/src/cli/output.rs
+++ b/crates/gateway/src/cli/output.rs
@@ -1,6 +1,6 @@
 //! Tables and lines on standard output.
 
-use super::encoding::{moment, path_text, plain, value};
+use super::encoding::{format_time, json_value, path_text, plain_text};
 use super::error::{CommandError, CommandResult};
 use ironstair_data_tree::path::key_name;
 use ironstair_data_tree::Schema;
@@ -80,14 +80,14 @@
             let cells = self.columns.iter().map(|column| row.get(column).cloned());
             cells.map(|cell| cell.unwrap_or(NO_VALUE.into())).collect()
         });
-        let mut text = aligned(&self.columns, rows.collect());
+        let mut text = aligned_columns(&self.columns, rows.collect());
         let _ = writeln!(text, "({} of {})", self.rows.len(), self.path);
         text
     }
 }
 
 /// Columns padded to their widest cell, two spaces apart.
-fn aligned(columns: &[String], rows: Vec<Vec<String>>) -> String {
+fn aligned_columns(columns: &[String], rows: Vec<Vec<String>>) -> String {
     let widest = |nth: usize| {
         let cells = rows.iter().map(|row| row[nth].chars().count());
         cells.max().unwrap_or(0).max(columns[nth].len())
@@ -107,7 +107,7 @@
 }
 
 /// Writes leaves for people: the entries of a list as a table with a row each, every other leaf as a line.
-pub(super) fn table(schema: &Schema, updates: &[gnmi::Update]) -> String {
+pub(super) fn leaf_table(schema: &Schema, updates: &[gnmi::Update]) -> String {
     let mut text = String::new();
     let mut tables: Vec<ListTable> = Vec::new();
     for update in updates {
@@ -151,26 +151,31 @@
 fn leaf_text(schema: &Schema, path: &gnmi::Path, update: &gnmi::Update) -> String {
     let mut steps = path.elem.iter();
     let node = steps.try_fold(&schema.root, |node, step| node.child(&step.name));
-    let value = value(update.val.as_ref());
-    if node.is_some_and(|n| n.typedef.as_deref() == Some("moment")) {
-        moment(value.as_u64().unwrap_or(0))
+    let value = json_value(update.val.as_ref());
+    if node.is_some_and(|node| node.typedef.as_deref() == Some("moment")) {
+        format_time(value.as_u64().unwrap_or(0))
     } else {
-        plain(&value)
+        plain_text(&value)
     }
 }
 
 /// Writes a list of JSON objects as a table of these fields.
-pub(super) fn rows(objects: &Json, fields: &[&str]) -> String {
+pub(super) fn object_table(objects: &Json, fields: &[&str]) -> String {
     let objects = objects.as_array().map_or(&[][..], Vec::as_slice);
-    let row = |object: &Json| fields.iter().map(|field| cell(object, field)).collect();
+    let row = |object: &Json| {
+        fields
+            .iter()
+            .map(|field| cell_text(object, field))
+            .collect()
+    };
     let columns: Vec<String> = fields.iter().map(|field| field.to_string()).collect();
-    aligned(&columns, objects.iter().map(row).collect())
+    aligned_columns(&columns, objects.iter().map(row).collect())
 }
 
-fn cell(object: &Json, field: &str) -> String {
+fn cell_text(object: &Json, field: &str) -> String {
     match &object[field] {
         Json::Null => NO_VALUE.to_owned(),
-        value => plain(value),
+        value => plain_text(value),
     }
 }
 
@@ -184,7 +189,7 @@
 }
 
 /// Writes a notification, one line for each leaf.
-pub(super) fn notification(notification: &gnmi::Notification, format: Format) -> String {
+pub(super) fn notification_text(notification: &gnmi::Notification, format: Format) -> String {
     let prefix = notification.prefix.as_ref();
     let unix_ms = notification.timestamp / NANOSECONDS_PER_MS;
     let deleted = notification.delete.iter().map(|path| {
@@ -193,7 +198,7 @@
     });
     let updated = notification.update.iter().map(|update| {
         let path = path_text(prefix, update.path.as_ref());
-        updated_line(unix_ms, &path, &value(update.val.as_ref()), format)
+        updated_line(unix_ms, &path, &json_value(update.val.as_ref()), format)
     });
     deleted.chain(updated).collect::<Vec<_>>().join("\n")
 }
@@ -201,14 +206,18 @@
 fn deleted_line(unix_ms: i64, path: &str, format: Format) -> String {
     match format {
         Format::Json => json!({"at": unix_ms, "delete": path}).to_string(),
-        Format::Text => format!("{} {path} is gone", moment(unix_ms as u64)),
+        Format::Text => format!("{} {path} is gone", format_time(unix_ms as u64)),
     }
 }
 
 fn updated_line(unix_ms: i64, path: &str, value: &Json, format: Format) -> String {
     match format {
         Format::Json => json!({"at": unix_ms, "path": path, "value": value}).to_string(),
-        Format::Text => format!("{} {path} {}", moment(unix_ms as u64), plain(value)),
+        Format::Text => format!(
+            "{} {path} {}",
+            format_time(unix_ms as u64),
+            plain_text(value)
+        ),
     }
 }
 
--- a/crates/gateway/src/cli/settings.rs
+++ b/crates/gateway/src/cli/settings.rs
@@ -1,10 +1,10 @@
 //! Commands that read and change settings: `get`, `set`, `confirm`, `cancel`, `revisions`, `cells`, `move`.
 
 use super::arguments::{Cells, Get, Move, PendingCommit, Revisions, Set, Target};
-use super::client::{connect, fleet_state, prefix, read};
-use super::encoding::{path, path_text, proto_duration, schema, value};
+use super::client::{connect, fleet_state, read, tree_prefix};
+use super::encoding::{json_value, parse_path, path_text, proto_duration, schema};
 use super::error::{CommandError, CommandResult};
-use super::output::{print_line, rows, table};
+use super::output::{leaf_table, object_table, print_line};
 use ironstair_gnmi::proto::gnmi::{self, typed_value, TypedValue};
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Commit, Extension};
 use serde_json::{json, Value as Json};
@@ -19,16 +19,16 @@
 /// As for every command of this file: the arguments can't be used, no gateway answers, it answers with an error status,
 /// or standard output can't be written.
 pub(crate) async fn get(arguments: Get) -> CommandResult {
-    let target = &arguments.at;
+    let target = &arguments.target;
     if !target.json {
         let schema = schema()?;
         let leaves = read(target, &arguments.path, gnmi::Encoding::Proto).await?;
-        return print_line(&table(&schema, &leaves));
+        return print_line(&leaf_table(&schema, &leaves));
     }
     let updates = read(target, &arguments.path, gnmi::Encoding::JsonIetf).await?;
     let entries = updates.iter().map(|update| {
         let path = path_text(None, update.path.as_ref());
-        json!({"path": path, "value": value(update.val.as_ref())})
+        json!({"path": path, "value": json_value(update.val.as_ref())})
     });
     print_line(&format!("{:#}", Json::Array(entries.collect())))
 }
@@ -38,15 +38,15 @@
 /// # Errors
 /// As for [`get`].
 pub(crate) async fn set(arguments: Set) -> CommandResult {
-    let mut request = change(&arguments)?;
+    let mut request = change_request(&arguments)?;
     let id = arguments.id.unwrap_or_else(new_commit_id);
     if let Some(within) = arguments.confirm_within {
         let rollback_duration = Some(proto_duration(*within));
         let commit_request = gnmi_ext::CommitRequest { rollback_duration };
-        request.extension = commit(id.clone(), Action::Commit(commit_request));
+        request.extension = commit_extension(id.clone(), Action::Commit(commit_request));
     }
-    connect(&arguments.at).await?.set(request).await?;
-    match (arguments.at.json, arguments.confirm_within) {
+    connect(&arguments.target).await?.set(request).await?;
+    match (arguments.target.json, arguments.confirm_within) {
         (true, within) => {
             print_line(&json!({"changed": true, "confirm": within.map(|_| id)}).to_string())
         }
@@ -58,8 +58,8 @@
 }
 
 /// The request of a change, without the extension for confirming it.
-fn change(arguments: &Set) -> Result<gnmi::SetRequest, CommandError> {
-    let at = path(&arguments.path)?;
+fn change_request(arguments: &Set) -> Result<gnmi::SetRequest, CommandError> {
+    let path = parse_path(&arguments.path)?;
     let value: Json = match &arguments.value {
         // Text that is no JSON is taken as a string: quotes within quotes are awkward in a shell.
         Some(text) => serde_json::from_str(text).unwrap_or_else(|_| json!(text)),
@@ -67,18 +67,18 @@
     };
     let bytes = value.to_string().into_bytes();
     let update = gnmi::Update {
-        path: Some(at.clone()),
+        path: Some(path.clone()),
         val: Some(TypedValue {
             value: Some(typed_value::Value::JsonIetfVal(bytes)),
         }),
         duplicates: 0,
     };
     let mut request = gnmi::SetRequest {
-        prefix: prefix(arguments.fleet),
+        prefix: tree_prefix(arguments.fleet),
         ..Default::default()
     };
     match (arguments.delete, arguments.replace) {
-        (true, _) => request.delete = vec![at],
+        (true, _) => request.delete = vec![path],
         (_, true) => request.replace = vec![update],
         _ => request.update = vec![update],
     }
@@ -94,7 +94,7 @@
 }
 
 /// The extension by which a change is made subject to confirmation, confirmed or cancelled.
-fn commit(id: String, action: Action) -> Vec<Extension> {
+fn commit_extension(id: String, action: Action) -> Vec<Extension> {
     let commit = Commit {
         id,
         action: Some(action),
@@ -109,19 +109,19 @@
 /// # Errors
 /// As for [`get`], or no change waits to be confirmed.
 pub(crate) async fn finish_commit(arguments: PendingCommit, action: Action) -> CommandResult {
-    let target = &arguments.at;
+    let target = &arguments.target;
     let id = match arguments.id {
         Some(id) => id,
-        None if arguments.fleet => unconfirmed_in_fleet(target).await?,
-        None => unconfirmed_at_gateway(target).await?,
+        None if arguments.fleet => unconfirmed_fleet_commit(target).await?,
+        None => unconfirmed_gateway_commit(target).await?,
     };
     let outcome = match action {
         Action::Confirm(_) => "confirmed",
         _ => "taken back",
     };
     let request = gnmi::SetRequest {
-        prefix: prefix(arguments.fleet),
-        extension: commit(id, action),
+        prefix: tree_prefix(arguments.fleet),
+        extension: commit_extension(id, action),
         ..Default::default()
     };
     connect(target).await?.set(request).await?;
@@ -132,18 +132,18 @@
 }
 
 /// The id of the fleet's change that waits to be confirmed.
-async fn unconfirmed_in_fleet(target: &Target) -> Result<String, CommandError> {
+async fn unconfirmed_fleet_commit(target: &Target) -> Result<String, CommandError> {
     let state = fleet_state(target).await?;
     let id = state["unconfirmed"].as_str().map(String::from);
     id.ok_or(CommandError::NothingUnconfirmed)
 }
 
 /// The id of the gateway's own change that waits to be confirmed.
-async fn unconfirmed_at_gateway(target: &Target) -> Result<String, CommandError> {
+async fn unconfirmed_gateway_commit(target: &Target) -> Result<String, CommandError> {
     let revisions = read(target, REVISIONS, gnmi::Encoding::JsonIetf).await?;
     let revisions: Vec<Json> = revisions
         .iter()
-        .map(|revision| value(revision.val.as_ref()))
+        .map(|revision| json_value(revision.val.as_ref()))
         .collect();
     let field = |revision: &Json, name: &str| {
         let field = &revision[format!("ironstair-gateway:{name}")];
@@ -161,11 +161,11 @@
 /// # Errors
 /// As for [`get`].
 pub(crate) async fn cells(arguments: Cells) -> CommandResult {
-    let shown = get(Get {
+    let result = get(Get {
         path: "/settings/cells".into(),
-        at: arguments.at,
+        target: arguments.target,
     });
-    match shown.await {
+    match result.await {
         Err(error) if error.is_not_found() => print_line("there are no cells"),
         result => result,
     }
@@ -185,7 +185,7 @@
         confirm_within: arguments.confirm_within,
         id: None,
         fleet: arguments.fleet,
-        at: arguments.at,
+        target: arguments.target,
     };
     set(change).await
 }
@@ -196,13 +196,13 @@
 /// As for [`get`].
 pub(crate) async fn revisions(arguments: Revisions) -> CommandResult {
     if arguments.fleet {
-        return fleet_revisions(&arguments.at).await;
+        return fleet_revisions(&arguments.target).await;
     }
-    let shown = get(Get {
+    let result = get(Get {
         path: REVISIONS.into(),
-        at: arguments.at,
+        target: arguments.target,
     });
-    match shown.await {
+    match result.await {
         Err(error) if error.is_not_found() => Ok(()),
         result => result,
     }
@@ -215,5 +215,5 @@
         return print_line(&format!("{revisions:#}"));
     }
     let columns = ["number", "outcome", "who", "what", "refused-by", "why"];
-    print_line(&rows(revisions, &columns))
+    print_line(&object_table(revisions, &columns))
 }
--- a/crates/gateway/src/cli/watch.rs
+++ b/crates/gateway/src/cli/watch.rs
@@ -2,9 +2,9 @@
 
 use super::arguments::Watch;
 use super::client::connect;
-use super::encoding::path;
+use super::encoding::parse_path;
 use super::error::{CommandError, CommandResult};
-use super::output::{notification, print_line, Format};
+use super::output::{notification_text, print_line, Format};
 use ironstair_gnmi::proto::gnmi::{self, subscribe_request, subscribe_response};
 use serde_json::json;
 
@@ -17,9 +17,9 @@
     // The request stream stays open: the gateway ends the subscription once it is closed.
     let requests =
         tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
-    let mut client = connect(&arguments.at).await?;
+    let mut client = connect(&arguments.target).await?;
     let mut responses = client.subscribe(requests).await?.into_inner();
-    let format = match arguments.at.json {
+    let format = match arguments.target.json {
         true => Format::Json,
         false => Format::Text,
     };
@@ -31,9 +31,9 @@
         match response.response {
             Some(subscribe_response::Response::Update(update)) => {
                 remaining -= 1;
-                print_line(&notification(&update, format))?;
+                print_line(&notification_text(&update, format))?;
             }
-            Some(subscribe_response::Response::SyncResponse(_)) if arguments.at.json => {
+            Some(subscribe_response::Response::SyncResponse(_)) if arguments.target.json => {
                 print_line(&json!({"sync": true}).to_string())?;
             }
             _ => {}
@@ -48,7 +48,7 @@
         None => gnmi::SubscriptionMode::OnChange,
     };
     let subscription = gnmi::Subscription {
-        path: Some(path(&arguments.path)?),
+        path: Some(parse_path(&arguments.path)?),
         mode: mode as i32,
         sample_interval: arguments.every.map_or(0, |every| every.as_nanos() as u64),
         ..Default::default()
