--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -29,7 +29,7 @@
     /// The address for clients.
     pub(crate) listen: SocketAddr,
     /// The name service, from which discovery reads the endpoint list.
-    pub(crate) names: SocketAddr,
+    pub(crate) name_service: SocketAddr,
     /// The seed of the policy's random draws.
     pub(crate) seed: u64,
     /// Memory that this process may use, in MB.
@@ -41,25 +41,25 @@
     /// Settings of connections and open requests.
     pub(crate) transport_config: TransportConfig,
     /// Names of the classes, by index.
-    pub(crate) classes: Vec<String>,
+    pub(crate) class_names: Vec<String>,
     /// Hard limits of the classes, in ms, by index.
-    pub(crate) limits: Vec<Millis>,
+    pub(crate) hard_limits: Vec<Millis>,
     /// Names of zones and machine types, by index.
-    pub(crate) index: NameIndex,
+    pub(crate) name_index: NameIndex,
     /// The endpoint list when the file was written.
-    pub(crate) known: EndpointList,
+    pub(crate) endpoints: EndpointList,
     /// The serial of that list.
-    pub(crate) rev: u32,
+    pub(crate) endpoint_serial: u32,
 }
 
 impl GatewayConfig {
     /// The part of the file that a reload may change while the gateway serves.
-    pub(crate) fn file(&self) -> ConfigFile {
+    pub(crate) fn reloadable(&self) -> ConfigFile {
         ConfigFile {
             policy_config: self.policy_config.clone(),
-            names: self.classes.clone(),
-            limits: self.limits.clone(),
-            name_index: self.index.clone(),
+            names: self.class_names.clone(),
+            limits: self.hard_limits.clone(),
+            name_index: self.name_index.clone(),
         }
     }
 
@@ -68,12 +68,12 @@
     pub(crate) fn translate_endpoints(&mut self, index: &NameIndex) {
         let name_of =
             |names: &[String], nth: u16| names.get(nth as usize).cloned().unwrap_or_default();
-        for endpoint in self.known.values_mut() {
-            endpoint.zone = index.zone(&name_of(&self.index.zones, endpoint.zone));
-            let machine_type = name_of(&self.index.kinds, endpoint.machine_type);
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.zone = index.zone(&name_of(&self.name_index.zones, endpoint.zone));
+            let machine_type = name_of(&self.name_index.kinds, endpoint.machine_type);
             endpoint.machine_type = index.kind(&machine_type);
         }
-        self.index = index.clone();
+        self.name_index = index.clone();
     }
 }
 
@@ -100,28 +100,28 @@
     let file: Value = serde_json::from_slice(json)?;
     let settings = &file["settings"];
     let seed = text(&file, "seed")?;
-    let index = NameIndex {
+    let name_index = NameIndex {
         zones: zones(settings)?,
         kinds: kinds(settings)?,
     };
-    let known = known_endpoints(&file["known"], &index)?;
+    let endpoints = endpoint_list(&file["known"], &name_index)?;
     let limits_of_process = &file["limits"];
     let max_memory = limits_of_process["memory_mb"].as_f64();
     let max_descriptors = limits_of_process["sockets"].as_f64();
     Ok(GatewayConfig {
         name: text(&file, "name")?.to_owned(),
         listen: address(&file, "listen")?,
-        names: address(&file, "names")?,
+        name_service: address(&file, "names")?,
         seed: parse_seed(seed)?,
         memory_mb: max_memory.unwrap_or(DEFAULT_MEMORY_MB),
         descriptors: max_descriptors.unwrap_or(DEFAULT_DESCRIPTORS) as usize,
         policy_config: policy_config(settings).map_err(DecodeError::Settings)?,
         transport_config: transport_config(settings).map_err(DecodeError::Settings)?,
-        classes: classes(settings).map_err(DecodeError::Settings)?,
-        limits: limits(settings).map_err(DecodeError::Settings)?,
-        index,
-        known,
-        rev: file["known"]["rev"].as_u64().unwrap_or(0) as u32,
+        class_names: classes(settings).map_err(DecodeError::Settings)?,
+        hard_limits: limits(settings).map_err(DecodeError::Settings)?,
+        name_index,
+        endpoints,
+        endpoint_serial: file["known"]["rev"].as_u64().unwrap_or(0) as u32,
     })
 }
 
@@ -138,7 +138,7 @@
 }
 
 /// The endpoint list after all changes that the file holds.
-fn known_endpoints(known: &Value, index: &NameIndex) -> Result<EndpointList, DecodeError> {
+fn endpoint_list(known: &Value, index: &NameIndex) -> Result<EndpointList, DecodeError> {
     let mut endpoints = EndpointList::new();
     let notices = known["notices"].as_array();
     for notice in notices.into_iter().flatten() {
--- a/crates/gateway/src/config_pinned_tests.rs
+++ b/crates/gateway/src/config_pinned_tests.rs
@@ -5,21 +5,24 @@
 #[test]
 fn the_pinned_config_file_is_read_with_the_pinned_values() {
     let config = decode(include_bytes!("../tests/pinned/told.json")).unwrap();
-    let at = |text: &str| text.parse::<SocketAddr>().unwrap();
+    let address = |text: &str| text.parse::<SocketAddr>().unwrap();
     assert_eq!(
-        (config.name.as_str(), config.listen, config.names),
-        ("n0", at("127.0.0.1:8080"), at("127.0.0.1:53"))
+        (config.name.as_str(), config.listen, config.name_service),
+        ("n0", address("127.0.0.1:8080"), address("127.0.0.1:53"))
     );
     assert_eq!(
         (config.seed, config.memory_mb, config.descriptors),
         (0x8c1f_30d2_7a5b_e964, 256.5, 2048)
     );
-    assert_eq!(config.classes, ["lookup", "post", "mark", "all", "once"]);
-    assert_eq!(config.limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
-    assert_eq!(config.index.zones, ["a", "b"]);
-    assert_eq!(config.index.kinds, ["std", "big"]);
+    assert_eq!(
+        config.class_names,
+        ["lookup", "post", "mark", "all", "once"]
+    );
+    assert_eq!(config.hard_limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
+    assert_eq!(config.name_index.zones, ["a", "b"]);
+    assert_eq!(config.name_index.kinds, ["std", "big"]);
     let first = DiscoveredEndpoint {
-        address: at("10.1.0.1:9001"),
+        address: address("10.1.0.1:9001"),
         zone: 0,
         machine_type: 0,
         dedup_domain: 2,
@@ -27,7 +30,7 @@
         started_at: 1.75e12,
     };
     let third = DiscoveredEndpoint {
-        address: at("[fd00::3]:9003"),
+        address: address("[fd00::3]:9003"),
         zone: 1,
         machine_type: 1,
         dedup_domain: 5,
@@ -36,8 +39,8 @@
     };
     // The second is gone by the last change.
     assert_eq!(
-        config.known,
+        config.endpoints,
         BTreeMap::from([("e-1".to_owned(), first), ("e-3".to_owned(), third)])
     );
-    assert_eq!(config.rev, 7);
+    assert_eq!(config.endpoint_serial, 7);
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -33,25 +33,25 @@
 /// The part of a new configuration that concerns discovery.
 pub(crate) struct DiscoveryUpdate {
     /// The name service's address.
-    pub(crate) names: SocketAddr,
+    pub(crate) name_service: SocketAddr,
     /// The endpoint list, by the endpoints' names.
-    pub(crate) known: BTreeMap<String, DiscoveredEndpoint>,
+    pub(crate) endpoints: BTreeMap<String, DiscoveredEndpoint>,
     /// The serial number of the list's last change.
-    pub(crate) rev: u32,
+    pub(crate) serial: u32,
     /// The names of zones and machine types, in the order of the policy's indices.
-    pub(crate) index: NameIndex,
+    pub(crate) name_index: NameIndex,
 }
 
 /// Queries the name service and sends changes to the dispatcher.
 pub(crate) struct Discovery {
     /// The local address of the queries.
-    pub(crate) from: IpAddr,
+    pub(crate) local_address: IpAddr,
     /// The name service's address.
-    pub(crate) names: SocketAddr,
+    pub(crate) name_service: SocketAddr,
     /// The names of zones and machine types, in the order of the policy's indices.
-    pub(crate) index: NameIndex,
+    pub(crate) name_index: NameIndex,
     /// The serial number of the last change that the dispatcher has.
-    pub(crate) rev: u32,
+    pub(crate) serial: u32,
     /// The dispatcher's queue.
     pub(crate) dispatcher: Sender<DispatcherMessage>,
     /// The log.
@@ -81,12 +81,12 @@
     #[error(transparent)]
     Answer(#[from] AnswerError),
     #[error("sent by another address")]
-    Sender,
+    UnexpectedSender,
 }
 
 impl Discovery {
     /// Runs until the process ends. `updates` are new configurations.
-    pub(crate) async fn follow(mut self, updates: Receiver<DiscoveryUpdate>) {
+    pub(crate) async fn run(mut self, updates: Receiver<DiscoveryUpdate>) {
         loop {
             let updated = async { updates.recv().await.ok() };
             // Ends the queries to the old address with their socket: a late answer must not replace the new list.
@@ -98,12 +98,12 @@
                 None
             };
             if let Some(update) = or(updated, queries).await {
-                info!(self.log, "name service address changed"; "address" => update.names);
-                self.names = update.names;
-                self.index = update.index;
+                info!(self.log, "name service address changed"; "address" => update.name_service);
+                self.name_service = update.name_service;
+                self.name_index = update.name_index;
                 self.on_list(EndpointList {
-                    serial: update.rev,
-                    endpoints: update.known,
+                    serial: update.serial,
+                    endpoints: update.endpoints,
                 })
                 .await;
             }
@@ -112,17 +112,17 @@
 
     /// Sends a list to the dispatcher and the snapshot store, unless the dispatcher has the same or a newer one.
     async fn on_list(&mut self, list: EndpointList) {
-        if list.serial <= self.rev {
+        if list.serial <= self.serial {
             return;
         }
         if let Some(store) = &self.snapshot_store {
-            store.keep(list.serial, &list.endpoints, &self.index);
+            store.update_endpoints(list.serial, &list.endpoints, &self.name_index);
         }
         let message = DispatcherMessage::Endpoints(list.endpoints);
         // The serial is recorded last. A configuration may cancel this while the dispatcher's queue is full; the list
         // must then not count as sent.
         if self.dispatcher.send(message).await.is_ok() {
-            self.rev = list.serial;
+            self.serial = list.serial;
             self.shared.metrics.endpoint_list_serial.set(list.serial);
         }
     }
@@ -132,8 +132,8 @@
     /// # Errors
     /// No socket could be bound.
     async fn query_repeatedly(&mut self) -> io::Result<()> {
-        let mut socket = Async::<UdpSocket>::bind((self.from, 0))?;
-        let source = format!("dns {}", self.names);
+        let mut socket = Async::<UdpSocket>::bind((self.local_address, 0))?;
+        let source = format!("dns {}", self.name_service);
         self.shared.metrics.discovery_source.replace(source);
         let mut query = Vec::new();
         let mut packet = vec![0; dns::MAX_ANSWER_BYTES];
@@ -142,7 +142,7 @@
             query.clear();
             dns::write_query(&mut query, id, SERVICE_NAME);
             // A failed send is handled like a lost query: the next one follows after the interval.
-            let _ = socket.send_to(&query, self.names).await;
+            let _ = socket.send_to(&query, self.name_service).await;
             health.unanswered += 1;
             if health.unanswered == UNANSWERED_BEFORE_WARNING {
                 warn!(self.log, "name service not answering"; "unanswered" => health.unanswered);
@@ -152,7 +152,7 @@
                 .is_multiple_of(UNANSWERED_BEFORE_NEW_SOCKET)
             {
                 // While no descriptor is free the old socket stays in use.
-                if let Ok(new_socket) = Async::<UdpSocket>::bind((self.from, 0)) {
+                if let Ok(new_socket) = Async::<UdpSocket>::bind((self.local_address, 0)) {
                     socket = new_socket;
                 }
             }
@@ -202,13 +202,13 @@
         sender: SocketAddr,
         last_id: u16,
     ) -> Result<EndpointList, PacketError> {
-        if sender != self.names {
-            return Err(PacketError::Sender);
+        if sender != self.name_service {
+            return Err(PacketError::UnexpectedSender);
         }
         let mut endpoints = BTreeMap::new();
         let is_pending = |id: u16| last_id.wrapping_sub(id) < MAX_PENDING_QUERIES;
         let serial = dns::read_answer(packet, is_pending, |host| {
-            endpoints.insert(host.name.to_owned(), endpoint(&host, &self.index));
+            endpoints.insert(host.name.to_owned(), endpoint(&host, &self.name_index));
         })?;
         Ok(EndpointList { serial, endpoints })
     }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -24,7 +24,7 @@
 use cli::CommandError;
 use error::StartError;
 use ironstair_gnmi::proto::gnmi_ext::{commit::Action, CommitCancel, CommitConfirm};
-use operator_config::Operator;
+use operator_config::OperatorConfig;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -103,20 +103,20 @@
 
 impl ConfigFiles {
     /// Reads the operator's file; none where none is named.
-    fn operator(&self) -> Result<Option<Operator>, StartError> {
+    fn operator(&self) -> Result<Option<OperatorConfig>, StartError> {
         let operator = self.operator.as_deref().map(operator_config::read);
         Ok(operator.transpose()?)
     }
 }
 
 /// Checks the files as a start does, and prints a summary.
-fn check(files: &ConfigFiles, operator: Option<Operator>) -> Result<(), StartError> {
+fn check(files: &ConfigFiles, operator: Option<OperatorConfig>) -> Result<(), StartError> {
     let config = config::read(&files.config)?;
     println!(
         "{}: {} bands, {} engines, listens on {}",
         config.name,
-        config.classes.len(),
-        config.known.len(),
+        config.class_names.len(),
+        config.endpoints.len(),
         config.listen
     );
     let Some(operator) = operator else {
@@ -130,11 +130,11 @@
         println!("recovery: in {}", section.state.display());
     }
     if let Some(section) = &operator.fleet {
-        let part = match section.voters.contains_key(&config.name) {
+        let role = match section.voters.contains_key(&config.name) {
             true => "a keeper",
             false => "a member",
         };
-        println!("fleet: {part} of {}, on {}", section.name, section.listen);
+        println!("fleet: {role} of {}, on {}", section.name, section.listen);
     }
     Ok(())
 }
@@ -159,11 +159,11 @@
         }
     }
 
-    /// The sentence for the user; none where nobody has to know.
-    fn sentence(&self) -> Option<String> {
-        let sentence = self.to_string();
+    /// The message for the user; none where nobody has to know.
+    fn message(&self) -> Option<String> {
+        let message = self.to_string();
         let is_failure = self.exit_code() != 0;
-        Some(sentence).filter(|sentence| is_failure && !sentence.is_empty())
+        Some(message).filter(|message| is_failure && !message.is_empty())
     }
 }
 
@@ -171,8 +171,8 @@
     let Err(failure) = run(CommandLine::parse().command) else {
         return ExitCode::SUCCESS;
     };
-    if let Some(sentence) = failure.sentence() {
-        eprintln!("ironstair: {sentence}");
+    if let Some(message) = failure.message() {
+        eprintln!("ironstair: {message}");
     }
     ExitCode::from(failure.exit_code())
 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -2,7 +2,7 @@
 
 use crate::config::GatewayConfig;
 use crate::log::LevelHandle;
-use crate::operator_config::{self, Management, Operator, Tls};
+use crate::operator_config::{self, Management, OperatorConfig, Tls};
 use async_channel::{Receiver, Sender};
 use ironstair::{Millis, PolicyConfig};
 use ironstair_cells::CellDirectory;
@@ -28,7 +28,7 @@
 const COMMAND_QUEUE: usize = 16;
 
 /// Requests to read the TLS keys again.
-pub(crate) type Renew = tokio::sync::mpsc::Sender<()>;
+pub(crate) type KeyReloadSender = tokio::sync::mpsc::Sender<()>;
 
 /// Why management can't start, or stopped.
 #[derive(Debug, thiserror::Error)]
@@ -60,17 +60,17 @@
 }
 
 /// The channels to the management thread that the gateway's thread holds.
-pub(crate) struct Running {
+pub(crate) struct RunningManagement {
     /// Commands for the dispatcher.
     pub(crate) commands: Receiver<ManagementCommand>,
     /// Requests to read the TLS keys again.
-    pub(crate) renew: Renew,
+    pub(crate) reload_keys: KeyReloadSender,
     /// Announces the end of this process to the fleet; none outside a fleet.
-    pub(crate) leave: Option<AgentHandle>,
+    pub(crate) leave_fleet: Option<AgentHandle>,
 }
 
 /// Management with its files read and its listeners bound; its thread starts once the gateway's thread runs.
-pub(crate) struct Opened {
+pub(crate) struct PreparedManagement {
     started: Started,
     listener: TcpListener,
     streams: usize,
@@ -87,15 +87,18 @@
 pub(crate) fn open(
     section: &Management,
     config: &GatewayConfig,
-    operator: &Operator,
-) -> Result<Opened, ManagementError> {
+    operator: &OperatorConfig,
+) -> Result<PreparedManagement, ManagementError> {
     let fleet = fleet_config(config, operator)?;
-    let cells = operator.cells.as_ref().map(operator_config::cells);
-    let started = ironstair_management::open(config.file(), cells, section.state.as_deref())?;
-    let keys = section.tls.as_ref().map(|tls| TlsKeys::open(files(tls)));
+    let cells = operator.cells.as_ref().map(operator_config::cell_settings);
+    let started = ironstair_management::open(config.reloadable(), cells, section.state.as_deref())?;
+    let keys = section
+        .tls
+        .as_ref()
+        .map(|tls| TlsKeys::open(tls_files(tls)));
     let keys = keys.transpose().map_err(ManagementError::Tls)?;
     let listener = server::bind(section.listen)?;
-    Ok(Opened {
+    Ok(PreparedManagement {
         started,
         listener,
         streams: section.streams,
@@ -108,7 +111,7 @@
 /// The checked section `fleet`.
 fn fleet_config(
     config: &GatewayConfig,
-    operator: &Operator,
+    operator: &OperatorConfig,
 ) -> Result<Option<FleetConfig>, ConfigError> {
     let section = operator.fleet.as_ref();
     section
@@ -116,7 +119,7 @@
         .transpose()
 }
 
-fn files(tls: &Tls) -> TlsFiles {
+fn tls_files(tls: &Tls) -> TlsFiles {
     TlsFiles {
         certificate: tls.certificate.clone(),
         key: tls.key.clone(),
@@ -132,14 +135,17 @@
 ///
 /// # Errors
 /// The section `fleet` can't be used, or the settings do not fit the tree; the error names the field.
-pub(crate) fn check(config: &GatewayConfig, operator: &Operator) -> Result<(), ManagementError> {
+pub(crate) fn check(
+    config: &GatewayConfig,
+    operator: &OperatorConfig,
+) -> Result<(), ManagementError> {
     fleet_config(config, operator)?;
-    let cells = operator.cells.as_ref().map(operator_config::cells);
-    ironstair_management::open(config.file(), cells, None)?;
+    let cells = operator.cells.as_ref().map(operator_config::cell_settings);
+    ironstair_management::open(config.reloadable(), cells, None)?;
     Ok(())
 }
 
-impl Opened {
+impl PreparedManagement {
     /// The policy's settings of the revision that runs.
     pub(crate) fn policy_config(&self) -> PolicyConfig {
         self.started.policy_config()
@@ -170,10 +176,10 @@
         clock: Clock,
         log: Logger,
         level: LevelHandle,
-    ) -> Result<Running, ManagementError> {
-        let (commands_in, commands) = async_channel::bounded(COMMAND_QUEUE);
-        let (renew, renewals) = tokio::sync::mpsc::channel(1);
-        let (agent_in, agent) = mpsc::channel();
+    ) -> Result<RunningManagement, ManagementError> {
+        let (command_sender, commands) = async_channel::bounded(COMMAND_QUEUE);
+        let (reload_keys, key_reloads) = tokio::sync::mpsc::channel(1);
+        let (agent_sender, agent) = mpsc::channel();
         let address = self.listener.local_addr();
         let address = address.map_err(ManagementError::Address)?;
         info!(log, "management listening"; "address" => address);
@@ -184,27 +190,27 @@
             clock,
             log,
             level,
-            commands: commands_in,
-            renewals,
-            agent: agent_in,
+            commands: command_sender,
+            key_reloads,
+            agent: agent_sender,
         };
         thread::Builder::new()
             .name("management".into())
             .spawn(move || thread.run())
             .map_err(ManagementError::Thread)?;
         // Fails where the agent did not start: the thread has logged why.
-        let leave = if in_fleet { agent.recv().ok() } else { None };
-        Ok(Running {
+        let leave_fleet = if in_fleet { agent.recv().ok() } else { None };
+        Ok(RunningManagement {
             commands,
-            renew,
-            leave,
+            reload_keys,
+            leave_fleet,
         })
     }
 }
 
 /// The management thread, which owns the manager, the gNMI server and the fleet agent.
 struct ManagementThread {
-    opened: Opened,
+    opened: PreparedManagement,
     name: String,
     clock: Clock,
     log: Logger,
@@ -212,7 +218,7 @@
     /// To the gateway's thread.
     commands: Sender<ManagementCommand>,
     /// Requests to read the TLS keys again.
-    renewals: tokio::sync::mpsc::Receiver<()>,
+    key_reloads: tokio::sync::mpsc::Receiver<()>,
     /// Where to hand over the fleet agent's handle once the agent has started.
     agent: mpsc::Sender<AgentHandle>,
 }
@@ -261,7 +267,7 @@
         }
         let listener = self.opened.listener;
         let keys = self.opened.keys;
-        server::serve(listener, service, keys, self.renewals, self.log).await?;
+        server::serve(listener, service, keys, self.key_reloads, self.log).await?;
         Ok(())
     }
 }
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -22,7 +22,8 @@
 /// The sections of the operator's file.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct Operator {
+#[schemars(rename = "Operator")]
+pub(crate) struct OperatorConfig {
     /// Serves settings and state over gNMI.
     pub(crate) management: Option<Management>,
     /// Confines tenants to a part of the engines.
@@ -131,23 +132,25 @@
     #[serde(default)]
     pub(crate) tenants: BTreeMap<String, Vec<String>>,
     /// What happens to a tenant's requests while its cells have no ready engine.
-    #[serde(default)]
-    pub(crate) without: Without,
+    #[serde(default, rename = "without")]
+    pub(crate) no_ready_engine: NoReadyEngine,
 }
 
 /// What happens to the requests of a tenant whose cells have no ready engine.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Without {
+#[schemars(rename = "Without")]
+pub(crate) enum NoReadyEngine {
     /// They are rejected at once, with the advice to retry after this many ms.
-    TurnBack(u32),
+    #[serde(rename = "turn_back")]
+    Reject(u32),
     /// This share of them may use other cells.
     Lend(f64),
 }
 
-impl Default for Without {
+impl Default for NoReadyEngine {
     fn default() -> Self {
-        Without::TurnBack(0)
+        NoReadyEngine::Reject(0)
     }
 }
 
@@ -156,10 +159,10 @@
 }
 
 /// Converts the section `cells` to settings.
-pub(crate) fn cells(section: &Cells) -> ironstair_config_change::Cells {
-    let (retry_after, lend) = match section.without {
-        Without::TurnBack(ms) => (Some(ms), None),
-        Without::Lend(share) => (None, Some(Decimal::of(share))),
+pub(crate) fn cell_settings(section: &Cells) -> ironstair_config_change::Cells {
+    let (retry_after, lend) = match section.no_ready_engine {
+        NoReadyEngine::Reject(ms) => (Some(ms), None),
+        NoReadyEngine::Lend(share) => (None, Some(Decimal::of(share))),
     };
     let cells = section.names.iter().map(|(name, share)| Cell {
         name: name.clone(),
@@ -193,10 +196,11 @@
     if let Some((cell, _)) = shares.find(|(_, share)| !is_share(**share)) {
         return Err(OperatorFieldError::CellShare { cell: cell.clone() });
     }
-    if matches!(section.without, Without::Lend(share) if !(0.0..=1.0).contains(&share)) {
+    if matches!(section.no_ready_engine, NoReadyEngine::Lend(share) if !(0.0..=1.0).contains(&share))
+    {
         return Err(OperatorFieldError::LentShare);
     }
-    let directory = cells(section).cell_directory(fnv1a_64);
+    let directory = cell_settings(section).cell_directory(fnv1a_64);
     directory.map_err(OperatorFieldError::Cells)
 }
 
@@ -242,7 +246,7 @@
 ///
 /// # Errors
 /// It can't be read, or [`decode`] refuses it.
-pub(crate) fn read(path: &Path) -> Result<Operator, OperatorError> {
+pub(crate) fn read(path: &Path) -> Result<OperatorConfig, OperatorError> {
     let text = std::fs::read(path).map_err(|source| OperatorError::Read {
         path: path.to_path_buf(),
         source,
@@ -257,9 +261,9 @@
 ///
 /// # Errors
 /// It is no JSON, or a field is unknown, missing or out of range; the error names the field.
-pub(crate) fn decode(json: &[u8]) -> Result<Operator, OperatorFieldError> {
+pub(crate) fn decode(json: &[u8]) -> Result<OperatorConfig, OperatorFieldError> {
     let mut reader = serde_json::Deserializer::from_slice(json);
-    let operator: Operator = serde_path_to_error::deserialize(&mut reader)?;
+    let operator: OperatorConfig = serde_path_to_error::deserialize(&mut reader)?;
     reader.end().map_err(OperatorFieldError::TrailingText)?;
     if let Some(cells) = &operator.cells {
         cell_directory(cells)?;
@@ -271,7 +275,7 @@
     Ok(operator)
 }
 
-fn check_fleet(operator: &Operator) -> Result<(), OperatorFieldError> {
+fn check_fleet(operator: &OperatorConfig) -> Result<(), OperatorFieldError> {
     match (&operator.fleet, &operator.management) {
         (Some(_), None) => Err(OperatorFieldError::FleetWithoutManagement),
         (Some(_), Some(management)) if management.state.is_some() => {
@@ -300,7 +304,7 @@
 
 /// The JSON Schema of the operator's file.
 pub(crate) fn schema() -> String {
-    let schema = schemars::schema_for!(Operator);
+    let schema = schemars::schema_for!(OperatorConfig);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
 }
 
--- a/crates/gateway/src/operator_config_pinned_tests.rs
+++ b/crates/gateway/src/operator_config_pinned_tests.rs
@@ -4,14 +4,14 @@
 
 #[test]
 fn the_pinned_operators_file_is_read_with_the_pinned_values() {
-    let all = decode(include_bytes!("../tests/pinned/operator.json")).unwrap();
-    let at = |text: &str| text.parse::<SocketAddr>().unwrap();
-    let m = all.management.unwrap();
+    let operator = decode(include_bytes!("../tests/pinned/operator.json")).unwrap();
+    let address = |text: &str| text.parse::<SocketAddr>().unwrap();
+    let management = operator.management.unwrap();
     assert_eq!(
-        (m.listen, m.state, m.streams),
-        (at("127.0.0.1:9339"), None, 7)
+        (management.listen, management.state, management.streams),
+        (address("127.0.0.1:9339"), None, 7)
     );
-    let tls = m.tls.unwrap();
+    let tls = management.tls.unwrap();
     let files = [tls.certificate, tls.key, tls.clients];
     assert_eq!(
         files,
@@ -19,58 +19,58 @@
     );
     assert_eq!(tls.change, ["op", "deploy-*"]);
     assert_eq!(tls.read, ["*"]);
-    let c = all.cells.unwrap();
+    let cells = operator.cells.unwrap();
     assert_eq!(
-        c.names,
+        cells.names,
         BTreeMap::from([("n".to_string(), 1.5), ("s".to_string(), 1.0)])
     );
-    assert_eq!((c.shard, c.named_by_clients), (2, true));
+    assert_eq!((cells.shard, cells.named_by_clients), (2, true));
     assert_eq!(
-        c.engines,
+        cells.engines,
         BTreeMap::from([("e-1".to_string(), "n".to_string())])
     );
-    assert_eq!(c.tenants["t 1"], ["s", "n"]);
+    assert_eq!(cells.tenants["t 1"], ["s", "n"]);
     assert!(
-        matches!(c.without, Without::TurnBack(500)),
+        matches!(cells.no_ready_engine, NoReadyEngine::Reject(500)),
         "{:?}",
-        c.without
+        cells.no_ready_engine
     );
-    let f = all.fleet.unwrap();
+    let fleet = operator.fleet.unwrap();
     assert_eq!(
-        (f.name.as_str(), f.listen, f.lease_ms),
-        ("north", at("127.0.0.1:9340"), 2500)
+        (fleet.name.as_str(), fleet.listen, fleet.lease_ms),
+        ("north", address("127.0.0.1:9340"), 2500)
     );
-    assert_eq!((f.voters.len(), f.voters["n1"]), (3, at("127.0.0.1:9341")));
-    assert_eq!((f.cut_off, f.count), (CutOff::Strict, Count::Members));
-    assert_eq!(f.state, Some(PathBuf::from("/var/lib/fleet")));
+    assert_eq!((fleet.voters.len(), fleet.voters["n1"]), (3, address("127.0.0.1:9341")));
+    assert_eq!((fleet.cut_off, fleet.count), (CutOff::Strict, Count::Members));
+    assert_eq!(fleet.state, Some(PathBuf::from("/var/lib/fleet")));
     assert_eq!(
-        all.recovery.unwrap().state,
+        operator.recovery.unwrap().state,
         PathBuf::from("/var/lib/recovery")
     );
 }
 
 #[test]
 fn what_a_pinned_operators_file_does_not_say_has_the_pinned_value() {
-    let all = decode(include_bytes!("../tests/pinned/operator-least.json")).unwrap();
-    let m = all.management.unwrap();
+    let operator = decode(include_bytes!("../tests/pinned/operator-least.json")).unwrap();
+    let management = operator.management.unwrap();
     assert_eq!(
-        (m.state, m.streams),
+        (management.state, management.streams),
         (Some(PathBuf::from("/var/lib/ironstair")), 64)
     );
-    assert!(m.tls.is_none() && all.fleet.is_none() && all.recovery.is_none());
-    let c = all.cells.unwrap();
+    assert!(management.tls.is_none() && operator.fleet.is_none() && operator.recovery.is_none());
+    let cells = operator.cells.unwrap();
     assert_eq!(
         (
-            c.shard,
-            c.named_by_clients,
-            c.engines.len(),
-            c.tenants.len()
+            cells.shard,
+            cells.named_by_clients,
+            cells.engines.len(),
+            cells.tenants.len()
         ),
         (1, false, 0, 0)
     );
     assert!(
-        matches!(c.without, Without::Lend(share) if share == 0.25),
+        matches!(cells.no_ready_engine, NoReadyEngine::Lend(share) if share == 0.25),
         "{:?}",
-        c.without
+        cells.no_ready_engine
     );
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -11,7 +11,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::error::StartError;
 use crate::log::LevelHandle;
-use crate::operator_config::Operator;
+use crate::operator_config::OperatorConfig;
 use crate::signals::{self, SignalHandler};
 use crate::snapshot_store::SnapshotStore;
 use crate::{log, management, shutdown};
@@ -24,7 +24,7 @@
 use futures_lite::future::or;
 use initial_state::{
     initial_cells, initial_lease, initial_policy, names_tenants, new_shared, open_management,
-    read_snapshot, start_snapshot_store, warn_of_shortage,
+    read_snapshot, start_snapshot_store, warn_of_descriptor_shortage,
 };
 use ironstair::policy::Gateway;
 use ironstair::Millis;
@@ -46,7 +46,7 @@
     path: PathBuf,
     config: GatewayConfig,
     running_config: RunningConfig,
-    management: Option<management::Opened>,
+    management: Option<management::PreparedManagement>,
     cells: Option<CellDirectory>,
     gateway: Gateway,
     messages: Receiver<DispatcherMessage>,
@@ -61,7 +61,7 @@
 /// A file can't be used, or an address or a folder is not available.
 pub(crate) fn serve(
     path: &Path,
-    operator: Option<Operator>,
+    operator: Option<OperatorConfig>,
     format: log::LogFormat,
 ) -> Result<(), StartError> {
     let operator = operator.as_ref();
@@ -73,7 +73,7 @@
     let cells = initial_cells(operator, management.as_ref())?;
     // The log ends with the guard.
     let (log, _guard, level) = log::open(&config.name, format);
-    warn_of_shortage(shortage, &log);
+    warn_of_descriptor_shortage(shortage, &log);
     let (dispatcher, messages) = async_channel::bounded(DISPATCHER_QUEUE);
     let policy = initial_policy(management.as_ref(), &config);
     let key_quarantine = policy.config.key_quarantine;
@@ -82,7 +82,7 @@
         lease_until: Cell::new(initial_lease(management.as_ref())),
         tenants: names_tenants(operator),
         classes: RefCell::new(Rc::new(policy.classes)),
-        max_deadline: Cell::new(policy.longest),
+        max_deadline: Cell::new(policy.max_deadline),
         ..new_shared(&config, dispatcher, log)
     });
     let snapshot_store =
@@ -90,7 +90,7 @@
     let executor = shared.executor.clone();
     let prepared = Prepared {
         path: path.into(),
-        running_config: RunningConfig::new(config.file()),
+        running_config: RunningConfig::new(config.reloadable()),
         config,
         management,
         cells,
@@ -129,26 +129,26 @@
         let config = self.config;
         let view = view_source(self.management.as_ref(), &config);
         let dispatcher = Dispatcher::new(self.gateway, shared.clone(), view, self.cells);
-        start_dispatcher(dispatcher, config.known, self.messages, &shared)?;
+        start_dispatcher(dispatcher, config.endpoints, self.messages, &shared)?;
         let channels = start_management(self.management, &config.name, self.level, &shared)?;
         let discovery = Discovery {
-            from: address.ip(),
-            names: config.names,
-            index: config.index,
-            rev: config.rev,
+            local_address: address.ip(),
+            name_service: config.name_service,
+            name_index: config.name_index,
+            serial: config.endpoint_serial,
             dispatcher: shared.dispatcher.clone(),
             log: shared.log.clone(),
             shared: shared.clone(),
             snapshot_store: self.snapshot_store.clone(),
         };
         let updates = start_discovery(discovery, &shared);
-        let limiter = start_limiter(config.rev, config.descriptors, &shared);
+        let limiter = start_limiter(config.endpoint_serial, config.descriptors, &shared);
         let handler = SignalHandler {
             signals,
             config_path: self.path,
             discovery: updates,
             source: settings_source(&channels),
-            renew_keys: channels.renew_keys,
+            reload_keys: channels.reload_keys,
             running_config: self.running_config,
             limiter: limiter.clone(),
             shared: shared.clone(),
@@ -187,7 +187,7 @@
 ) -> Millis {
     let acceptor = Acceptor::new(listener, limiter.clone(), shared.clone());
     let accept = async { match acceptor.run().await {} };
-    let deadline = or(accept, shutdown::late_clients(limiter, shared)).await;
+    let deadline = or(accept, shutdown::wait_for_late_clients(limiter, shared)).await;
     acceptor.finish();
     deadline
 }
--- a/crates/gateway/src/server/actors.rs
+++ b/crates/gateway/src/server/actors.rs
@@ -20,7 +20,7 @@
 /// The channels to the management thread that the gateway's thread holds; all empty without management.
 #[derive(Default)]
 pub(super) struct ManagementChannels {
-    pub(super) renew_keys: Option<management::Renew>,
+    pub(super) reload_keys: Option<management::KeyReloadSender>,
     pub(super) leave_fleet: Option<AgentHandle>,
 }
 
@@ -40,19 +40,19 @@
 
 /// Where the dispatcher publishes its state; none without management.
 pub(super) fn view_source(
-    management: Option<&management::Opened>,
+    management: Option<&management::PreparedManagement>,
     config: &GatewayConfig,
 ) -> Option<ViewSource> {
     let shared_names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
     management.map(|management| ViewSource {
         watch: management.state_watch.clone(),
-        zones: shared_names(&config.index.zones),
-        machine_types: shared_names(&config.index.kinds),
+        zones: shared_names(&config.name_index.zones),
+        machine_types: shared_names(&config.name_index.kinds),
     })
 }
 
 pub(super) fn start_management(
-    management: Option<management::Opened>,
+    management: Option<management::PreparedManagement>,
     name: &str,
     level: LevelHandle,
     shared: &Rc<Shared>,
@@ -64,14 +64,14 @@
     let forwarding = management::forward_commands(running.commands, shared.dispatcher.clone());
     shared.executor.spawn(forwarding).detach();
     Ok(ManagementChannels {
-        renew_keys: Some(running.renew),
-        leave_fleet: running.leave,
+        reload_keys: Some(running.reload_keys),
+        leave_fleet: running.leave_fleet,
     })
 }
 
 /// Whose settings run: the file's only without management.
 pub(super) fn settings_source(channels: &ManagementChannels) -> SettingsSource {
-    match (&channels.renew_keys, &channels.leave_fleet) {
+    match (&channels.reload_keys, &channels.leave_fleet) {
         (None, _) => SettingsSource::File,
         (Some(_), None) => SettingsSource::Management,
         (Some(_), Some(_)) => SettingsSource::Fleet,
@@ -80,7 +80,7 @@
 
 pub(super) fn start_discovery(discovery: Discovery, shared: &Shared) -> Sender<DiscoveryUpdate> {
     let (updates, received) = async_channel::bounded(1);
-    shared.executor.spawn(discovery.follow(received)).detach();
+    shared.executor.spawn(discovery.run(received)).detach();
     updates
 }
 
--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -5,7 +5,7 @@
 use crate::descriptors::DescriptorShortage;
 use crate::error::StartError;
 use crate::management;
-use crate::operator_config::{self, Operator};
+use crate::operator_config::{self, OperatorConfig};
 use crate::snapshot_store::{self, SnapshotStore};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -32,7 +32,7 @@
     pub(super) config: PolicyConfig,
     pub(super) classes: Vec<ClassSummary>,
     /// The longest hard limit.
-    pub(super) longest: Millis,
+    pub(super) max_deadline: Millis,
 }
 
 /// The state that all actors share, before the classes are known, for a gateway outside a fleet.
@@ -62,17 +62,17 @@
 /// Reads the snapshot of the last process, if the operator's file names a folder; its endpoint list may replace that of
 /// the configuration.
 pub(super) fn read_snapshot(
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     config: &mut GatewayConfig,
-) -> Option<snapshot_store::Opened> {
+) -> Option<snapshot_store::OpenedFolder> {
     let recovery = operator?.recovery.as_ref()?;
     Some(snapshot_store::open(&recovery.state, config))
 }
 
 pub(super) fn open_management(
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     config: &GatewayConfig,
-) -> Result<Option<management::Opened>, StartError> {
+) -> Result<Option<management::PreparedManagement>, StartError> {
     let Some(operator) = operator else {
         return Ok(None);
     };
@@ -84,8 +84,8 @@
 
 /// The cells that the gateway begins with: a revision may have changed those of the operator's file.
 pub(super) fn initial_cells(
-    operator: Option<&Operator>,
-    management: Option<&management::Opened>,
+    operator: Option<&OperatorConfig>,
+    management: Option<&management::PreparedManagement>,
 ) -> Result<Option<CellDirectory>, StartError> {
     if let Some(management) = management {
         return Ok(management.cells());
@@ -95,7 +95,7 @@
     Ok(directory.transpose()?)
 }
 
-pub(super) fn warn_of_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
+pub(super) fn warn_of_descriptor_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
     if let Some(shortage) = shortage {
         warn!(
             log, "room for fewer descriptors than configured";
@@ -106,18 +106,21 @@
 
 /// The policy of the last revision, which management has read, or of the configuration file.
 pub(super) fn initial_policy(
-    management: Option<&management::Opened>,
+    management: Option<&management::PreparedManagement>,
     config: &GatewayConfig,
 ) -> InitialPolicy {
     if let Some(management) = management {
-        let (classes, longest) = management.classes();
+        let (classes, max_deadline) = management.classes();
         return InitialPolicy {
             config: management.policy_config(),
             classes,
-            longest,
+            max_deadline,
         };
     }
-    let named = config.classes.iter().zip(&config.policy_config.classes);
+    let named = config
+        .class_names
+        .iter()
+        .zip(&config.policy_config.class_names);
     let classes = named.map(|(name, class)| ClassSummary {
         name: name.clone(),
         base_objective: class.base_objective,
@@ -126,12 +129,12 @@
     InitialPolicy {
         classes: classes.collect(),
         config: config.policy_config.clone(),
-        longest: config.transport_config.longest,
+        max_deadline: config.transport_config.longest,
     }
 }
 
 /// Until when the policy may decide, in ms. In a fleet it decides nothing before the first lease.
-pub(super) fn initial_lease(management: Option<&management::Opened>) -> Millis {
+pub(super) fn initial_lease(management: Option<&management::PreparedManagement>) -> Millis {
     let in_fleet = management.is_some_and(|management| management.in_fleet());
     if in_fleet && !is_disabled(Guard::NoLeaseAtStart) {
         0.0
@@ -141,13 +144,13 @@
 }
 
 /// Whether clients may name their tenant.
-pub(super) fn names_tenants(operator: Option<&Operator>) -> bool {
+pub(super) fn names_tenants(operator: Option<&OperatorConfig>) -> bool {
     let cells = operator.and_then(|operator| operator.cells.as_ref());
     cells.is_some_and(|cells| cells.named_by_clients)
 }
 
 pub(super) fn start_snapshot_store(
-    opened: snapshot_store::Opened,
+    opened: snapshot_store::OpenedFolder,
     key_quarantine: Millis,
     shared: &Rc<Shared>,
 ) -> SnapshotStore {
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -28,7 +28,7 @@
 }
 
 /// Phase 1: waits for the signal, then for late clients. Returns by when connections must have drained.
-pub(crate) async fn late_clients(limiter: &ConnectionLimiter, shared: &Shared) -> Millis {
+pub(crate) async fn wait_for_late_clients(limiter: &ConnectionLimiter, shared: &Shared) -> Millis {
     limiter.until_shutting_down().await;
     let deadline = shared.clock.now() + answer_budget(shared) + LAST_ANSWERS_MS / 2.0;
     Timer::after(duration(LATE_CLIENTS_MS)).await;
@@ -51,7 +51,7 @@
 /// Phase 4: writes the snapshot for the next process. A slow disk gets the time that remains, and 200 ms at least.
 pub(crate) async fn write_snapshot(store: SnapshotStore, shared: &Shared, deadline: Millis) {
     let budget = (deadline - shared.clock.now()).max(LAST_ANSWERS_MS);
-    store.end(budget).await;
+    store.finish(budget).await;
 }
 
 /// Phase 5: announces the end of this process to the fleet, which otherwise waits for the lease to expire.
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -3,7 +3,7 @@
 use crate::config::{self, ConfigError, GatewayConfig};
 use crate::connection_limiter::ConnectionLimiter;
 use crate::discovery::DiscoveryUpdate;
-use crate::management::Renew;
+use crate::management::KeyReloadSender;
 use crate::shutdown::answer_budget;
 use async_channel::Sender;
 use async_signal::{Signal, Signals};
@@ -57,7 +57,7 @@
     /// Changes of the name service or the endpoint list, to discovery.
     pub(crate) discovery: Sender<DiscoveryUpdate>,
     /// Requests to read the TLS keys again; none without management.
-    pub(crate) renew_keys: Option<Renew>,
+    pub(crate) reload_keys: Option<KeyReloadSender>,
     /// Whose settings run.
     pub(crate) source: SettingsSource,
     /// The settings of the file that were taken over last.
@@ -94,9 +94,9 @@
     }
 
     async fn reload(&mut self) {
-        if let Some(renew_keys) = &self.renew_keys {
+        if let Some(reload_keys) = &self.reload_keys {
             // A full queue holds a request that has not been handled yet: one is enough.
-            let _ = renew_keys.try_send(());
+            let _ = reload_keys.try_send(());
         }
         let (reloaded, mut config) = match self.read_config() {
             Ok(read) => read,
@@ -108,22 +108,22 @@
         };
         // A file may change the transport settings alone: they are no part of the running config.
         if reloaded.is_some() || config.transport_config != *self.shared.transport_config() {
-            self.take_over_settings(reloaded, config.transport_config.clone())
+            self.apply_settings(reloaded, config.transport_config.clone())
                 .await;
         }
         config.translate_endpoints(self.running_config.name_index());
-        self.update_discovery(config).await;
+        self.send_discovery_update(config).await;
     }
 
     /// Reads the file, and the running config that it makes; none if that would be the present one. A file whose settings
     /// can't be used is rejected whole: the zones and machine types of its endpoint list may be new in its settings.
     fn read_config(&self) -> Result<(Option<RunningConfig>, GatewayConfig), RejectedConfig> {
         let config = config::read(&self.config_path)?;
-        let reloaded = self.running_config.reload(config.file())?;
+        let reloaded = self.running_config.reload(config.reloadable())?;
         Ok((reloaded, config))
     }
 
-    async fn take_over_settings(
+    async fn apply_settings(
         &mut self,
         reloaded: Option<RunningConfig>,
         transport_config: TransportConfig,
@@ -179,12 +179,12 @@
         }
     }
 
-    async fn update_discovery(&self, config: GatewayConfig) {
+    async fn send_discovery_update(&self, config: GatewayConfig) {
         let update = DiscoveryUpdate {
-            names: config.names,
-            known: config.known,
-            rev: config.rev,
-            index: config.index,
+            name_service: config.name_service,
+            endpoints: config.endpoints,
+            serial: config.endpoint_serial,
+            name_index: config.name_index,
         };
         let _ = self.discovery.send(update).await;
     }
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -21,7 +21,7 @@
 /// The snapshot is written at least this often, in ms: a start judges the list by the time of the last write.
 const WRITE_INTERVAL: Millis = 10_000.0;
 /// Messages that may wait for the store's task.
-const QUEUE: usize = 4;
+const QUEUE_LENGTH: usize = 4;
 
 /// To the store's task.
 enum StoreMessage {
@@ -33,7 +33,7 @@
         engines: Vec<Engine>,
     },
     /// The process ends. The sender is dropped once the last snapshot is written, or its write failed.
-    End(Sender<()>),
+    Finish(Sender<()>),
 }
 
 /// A snapshot to write.
@@ -52,7 +52,7 @@
 }
 
 /// The folder with its thread running, and what the start learned from it.
-pub(crate) struct Opened {
+pub(crate) struct OpenedFolder {
     /// Whether attempts of the last process may still run: ordering keys are quarantined then.
     pub(crate) quarantines_keys: bool,
     /// For the log, one line each.
@@ -63,13 +63,13 @@
 
 /// Opens the folder and reads the snapshot of the last process. Its endpoint list replaces the one in `config`, unless it
 /// is older than that or too old to be used. Takes 1 s at most.
-pub(crate) fn open(folder: &Path, config: &mut GatewayConfig) -> Opened {
+pub(crate) fn open(folder: &Path, config: &mut GatewayConfig) -> OpenedFolder {
     let (read, writes) = folder::open(folder);
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     let unix_ms = unix.as_secs_f64() * 1000.0;
-    let recovery = recover(read, &config.name, unix_ms, config.rev);
+    let recovery = recover(read, &config.name, unix_ms, config.endpoint_serial);
     let mut notes: Vec<String> = recovery.note.into_iter().collect();
     let mut snapshot = Snapshot {
         gateway: config.name.clone(),
@@ -86,7 +86,7 @@
         snapshot.engines = list.engines.clone();
         replace_endpoints(config, list);
     }
-    Opened {
+    OpenedFolder {
         quarantines_keys: recovery.needs_key_quarantine,
         notes,
         snapshot,
@@ -95,7 +95,7 @@
 }
 
 fn replace_endpoints(config: &mut GatewayConfig, list: RecoveredList) {
-    let index = &config.index;
+    let index = &config.name_index;
     let endpoint = |engine: Engine| {
         let endpoint = DiscoveredEndpoint {
             address: engine.address,
@@ -107,14 +107,14 @@
         };
         (engine.name, endpoint)
     };
-    config.known = list.engines.into_iter().map(endpoint).collect();
-    config.rev = list.serial;
+    config.endpoints = list.engines.into_iter().map(endpoint).collect();
+    config.endpoint_serial = list.serial;
 }
 
 impl SnapshotStore {
     /// Starts the task that owns the snapshot. Must be called before the executor of `shared` runs.
-    pub(crate) fn start(opened: Opened, shared: Rc<Shared>) -> SnapshotStore {
-        let (messages_in, messages) = bounded(QUEUE);
+    pub(crate) fn start(opened: OpenedFolder, shared: Rc<Shared>) -> SnapshotStore {
+        let (message_sender, messages) = bounded(QUEUE_LENGTH);
         let executor = shared.executor.clone();
         let task = StoreTask {
             snapshot: opened.snapshot,
@@ -124,13 +124,13 @@
         };
         executor.spawn(task.run()).detach();
         SnapshotStore {
-            messages: messages_in,
+            messages: message_sender,
         }
     }
 
     /// Replaces the endpoint list of the snapshot. If the queue is full the change is dropped: the next one holds the
     /// whole list again.
-    pub(crate) fn keep(
+    pub(crate) fn update_endpoints(
         &self,
         serial: u32,
         endpoints: &BTreeMap<String, DiscoveredEndpoint>,
@@ -147,10 +147,10 @@
 
     /// Writes the last snapshot, with a note whether requests are open. Returns once it is written, at the latest after
     /// `timeout` ms.
-    pub(crate) async fn end(self, timeout: Millis) {
+    pub(crate) async fn finish(self, timeout: Millis) {
         let (done, written) = bounded(1);
         let write = async {
-            if self.messages.send(StoreMessage::End(done)).await.is_ok() {
+            if self.messages.send(StoreMessage::Finish(done)).await.is_ok() {
                 let _ = written.recv().await;
             }
         };
@@ -215,7 +215,7 @@
                 self.snapshot.engines = engines;
                 None
             }
-            StoreMessage::End(done) => {
+            StoreMessage::Finish(done) => {
                 self.snapshot.ended_cleanly = self.shared.metrics.open_requests.get() == 0;
                 Some(done)
             }
--- a/crates/gateway/src/snapshot_store/folder.rs
+++ b/crates/gateway/src/snapshot_store/folder.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 /// The snapshot's file.
-const FILE: &str = "gateway.kept";
-/// Written first, then renamed to `FILE`: a crash leaves one of the two whole.
+const SNAPSHOT_FILE: &str = "gateway.kept";
+/// Written first, then renamed to `SNAPSHOT_FILE`: a crash leaves one of the two whole.
 const TEMPORARY_FILE: &str = "gateway.new";
 /// The start waits this long for a slow disk, then goes on as without a snapshot.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
@@ -39,8 +39,8 @@
 }
 
 /// Reads the snapshot; none where there is no file.
-fn read(folder: &Path) -> Result<Option<Snapshot>, SnapshotError> {
-    let path = folder.join(FILE);
+fn read_snapshot(folder: &Path) -> Result<Option<Snapshot>, SnapshotError> {
+    let path = folder.join(SNAPSHOT_FILE);
     match std::fs::metadata(&path) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
         Err(source) => return Err(SnapshotError::Io { path, source }),
@@ -69,7 +69,7 @@
         ended_cleanly: false,
         ..snapshot.clone()
     };
-    encode(&cleared).is_ok_and(|bytes| write(folder, &bytes).is_ok())
+    encode(&cleared).is_ok_and(|bytes| write_snapshot(folder, &bytes).is_ok())
 }
 
 /// Delays the disk where a test asks for it.
@@ -80,13 +80,14 @@
 }
 
 /// Replaces the file as a whole, and creates the folder if needed.
-fn write(folder: &Path, bytes: &[u8]) -> Result<(), SnapshotError> {
+fn write_snapshot(folder: &Path, bytes: &[u8]) -> Result<(), SnapshotError> {
     simulate_slow_disk(folder);
     let created = std::fs::create_dir_all(folder);
-    let written =
-        created.and_then(|()| ironstair_atomic_file::replace(folder, FILE, TEMPORARY_FILE, bytes));
+    let written = created.and_then(|()| {
+        ironstair_atomic_file::replace(folder, SNAPSHOT_FILE, TEMPORARY_FILE, bytes)
+    });
     written.map(drop).map_err(|source| SnapshotError::Io {
-        path: folder.join(FILE),
+        path: folder.join(SNAPSHOT_FILE),
         source,
     })
 }
@@ -99,15 +100,15 @@
     Result<Option<Snapshot>, SnapshotError>,
     Sender<SnapshotWrite>,
 ) {
-    let (snapshot_in, snapshot) = mpsc::sync_channel(1);
-    let (writes_in, writes) = bounded(1);
+    let (snapshot_sender, snapshot) = mpsc::sync_channel(1);
+    let (write_sender, writes) = bounded(1);
     let owned_folder = folder.to_path_buf();
     // One thread reads and writes: a read or write that a slow disk delays comes before the next write.
     let started = thread::Builder::new()
         .name("recovery".into())
         .spawn(move || {
-            let _ = snapshot_in.send(read(&owned_folder));
-            write_each(&owned_folder, &writes);
+            let _ = snapshot_sender.send(read_snapshot(&owned_folder));
+            write_queued(&owned_folder, &writes);
         });
     let timed_out = |_| SnapshotError::TimedOut {
         folder: folder.to_path_buf(),
@@ -119,14 +120,14 @@
             .and_then(|read| read),
         Err(error) => Err(SnapshotError::Thread(error)),
     };
-    (read, writes_in)
+    (read, write_sender)
 }
 
 /// Writes each snapshot of the queue. Logs the first failure and the first success after it.
-fn write_each(folder: &Path, writes: &Receiver<SnapshotWrite>) {
+fn write_queued(folder: &Path, writes: &Receiver<SnapshotWrite>) {
     let mut is_failing = false;
     while let Ok(SnapshotWrite { bytes, done, log }) = writes.recv_blocking() {
-        match write(folder, &bytes) {
+        match write_snapshot(folder, &bytes) {
             Err(error) if !std::mem::replace(&mut is_failing, true) => {
                 warn!(log, "snapshot not written"; "error" => error.to_string());
             }
