--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The gateway's configuration file, decoded once at start and again at each reload.
+//! The gateway's configuration file, which is decoded at start and at each reload.
 
 mod error;
 
@@ -15,20 +15,20 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Limits of a process whose file names none: the smallest under which the gateway serves.
+/// Resource limits that apply if the file sets none: the smallest with which the gateway can serve.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 
-/// Endpoints by name.
+/// Endpoints, keyed by name.
 type EndpointList = BTreeMap<String, DiscoveredEndpoint>;
 
 /// The contents of the gateway's configuration file.
 pub(crate) struct GatewayConfig {
     /// The gateway's name.
     pub(crate) name: String,
-    /// The address for clients.
+    /// The address on which the gateway accepts clients.
     pub(crate) listen: SocketAddr,
-    /// The name service, from which discovery reads the endpoint list.
+    /// The address of the name service, from which discovery reads the endpoint list.
     pub(crate) name_service: SocketAddr,
     /// The seed of the policy's random draws.
     pub(crate) seed: u64,
@@ -36,19 +36,19 @@
     pub(crate) memory_mb: f64,
     /// File descriptors that this process may have open.
     pub(crate) descriptors: usize,
-    /// Settings of the policy.
+    /// The policy's settings.
     pub(crate) policy_config: PolicyConfig,
     /// Settings of connections and open requests.
     pub(crate) transport_config: TransportConfig,
-    /// Names of the classes, by index.
+    /// The names of the classes, in index order.
     pub(crate) class_names: Vec<String>,
-    /// Hard limits of the classes, in ms, by index.
+    /// The hard limits of the classes, in ms, in index order.
     pub(crate) hard_limits: Vec<Millis>,
-    /// Names of zones and machine types, by index.
+    /// The names of zones and machine types, in index order.
     pub(crate) name_index: NameIndex,
-    /// The endpoint list when the file was written.
+    /// The endpoint list as of when the file was written.
     pub(crate) endpoints: EndpointList,
-    /// The serial of that list.
+    /// The serial number of that list.
     pub(crate) endpoint_serial: u32,
 }
 
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Translates the zones and machine types of the endpoint list to the indices of another name index. A name that
-    /// it does not have gets the index of an unknown name.
+    /// Translates the zones and machine types of the endpoint list to the indices of another name index. A name that is
+    /// not in that index gets the index for unknown names.
     pub(crate) fn translate_endpoints(&mut self, index: &NameIndex) {
         let name_of =
             |names: &[String], nth: u16| names.get(nth as usize).cloned().unwrap_or_default();
@@ -77,10 +77,10 @@
     }
 }
 
-/// Reads the file.
+/// Reads and decodes the file.
 ///
 /// # Errors
-/// It can't be read, or [`decode`] refuses it.
+/// The file cannot be read, or [`decode`] fails.
 pub(crate) fn read(path: &Path) -> Result<GatewayConfig, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::Read {
         path: path.to_path_buf(),
@@ -92,10 +92,10 @@
     })
 }
 
-/// Decodes the JSON.
+/// Decodes the JSON text of the file.
 ///
 /// # Errors
-/// It is no JSON, or a field is missing or can't be used; the error names the field.
+/// The text is not valid JSON, or a field is missing or invalid; the error names the field.
 pub(crate) fn decode(json: &[u8]) -> Result<GatewayConfig, DecodeError> {
     let file: Value = serde_json::from_slice(json)?;
     let settings = &file["settings"];
@@ -137,7 +137,7 @@
     })
 }
 
-/// The endpoint list after all changes that the file holds.
+/// The endpoint list that results from the changes in the file, applied in order.
 fn endpoint_list(known: &Value, index: &NameIndex) -> Result<EndpointList, DecodeError> {
     let mut endpoints = EndpointList::new();
     let notices = known["notices"].as_array();
@@ -157,7 +157,7 @@
         endpoints.clear();
     }
     for instance in pool["instances"].as_array().into_iter().flatten() {
-        // In lower case, as the names in DNS answers: an endpoint is known under the same name from both sources.
+        // Names in DNS answers are in lower case, so that an endpoint has the same name in both sources.
         let name = text(instance, "instanceId")?.to_ascii_lowercase();
         let state = match text(instance, "lifecycle")? {
             "ready" => EndpointState::Ready,
--- a/crates/gateway/src/config/error.rs
+++ b/crates/gateway/src/config/error.rs
@@ -1,51 +1,51 @@
-//! Errors of the gateway's configuration file.
+//! Errors in the gateway's configuration file.
 
 use ironstair_settings::SettingsError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why the file can't be used.
+/// Why the configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read configuration file {}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The contents of the file can't be used.
-    #[error("{}: {source}", path.display())]
+    /// The contents of the file are invalid.
+    #[error("invalid configuration file {}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Which field, and why.
+        /// The invalid field and the reason.
         source: Box<DecodeError>,
     },
 }
 
-/// Why the contents of the file can't be used.
+/// Why the contents of the configuration file are invalid.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DecodeError {
-    /// The file is no JSON.
-    #[error("{0}")]
+    /// The file is not valid JSON.
+    #[error("not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field outside the settings, or a list of names in them.
+    /// A field outside `settings`, or a list of names in `settings`.
     #[error("{0}")]
     Field(#[from] SettingsError),
-    /// A field of the settings.
+    /// A field of `settings`.
     #[error("settings: {0}")]
     Settings(#[source] SettingsError),
-    /// A field that is to hold an IP address and a port.
-    #[error("{field} is no address: {text}")]
+    /// A field is not an IP address with a port.
+    #[error("{field}: {text:?} is not an IP address with a port")]
     Address {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// Its text.
+        /// The value of the field.
         text: String,
     },
-    /// The seed is no 64-bit number in hexadecimal digits.
-    #[error("seed is no hexadecimal number: {0}")]
+    /// The seed is not a 64-bit number in hexadecimal digits.
+    #[error("seed: {0:?} is not a 64-bit hexadecimal number")]
     Seed(String),
 }
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn the_endpoint_list_of_the_start_is_that_after_all_its_changes() {
+fn initial_endpoint_list_is_the_result_of_all_changes_in_the_file() {
     let engine = |name: &str, state: &str, port: u16| {
         json!({"instanceId": name, "hostPort": format!("10.1.0.9:{port}"), "zone": "b", "machineType": "new",
             "cell": 2, "lifecycle": state, "startedAtMs": 5})
@@ -11,7 +11,7 @@
         zones: vec!["a".into(), "b".into()],
         kinds: vec!["std".into()],
     };
-    let mut known = BTreeMap::from([(
+    let mut endpoints = BTreeMap::from([(
         "left-over".to_owned(),
         DiscoveredEndpoint {
             address: ([10, 1, 0, 1], 1).into(),
@@ -24,10 +24,10 @@
     )]);
     let first =
         json!({"reset": true, "instances": [engine("S-1", "ready", 1), engine("s-2", "ready", 2)]});
-    let then = json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
-    apply_change(&mut known, &first, &index).unwrap();
-    apply_change(&mut known, &then, &index).unwrap();
-    let place = DiscoveredEndpoint {
+    let second = json!({"reset": false, "instances": [engine("s-2", "gone", 2), engine("s-1", "draining", 3)]});
+    apply_change(&mut endpoints, &first, &index).unwrap();
+    apply_change(&mut endpoints, &second, &index).unwrap();
+    let expected = DiscoveredEndpoint {
         address: ([10, 1, 0, 9], 3).into(),
         zone: 1,
         machine_type: u16::MAX,
@@ -35,9 +35,9 @@
         state: EndpointState::Draining,
         started_at: 5.0,
     };
-    assert_eq!(known, BTreeMap::from([("s-1".to_owned(), place)]));
+    assert_eq!(endpoints, BTreeMap::from([("s-1".to_owned(), expected)]));
     assert!(apply_change(
-        &mut known,
+        &mut endpoints,
         &json!({"instances": [{"instanceId": "s-3"}]}),
         &index
     )
--- a/crates/gateway/src/config_pinned_tests.rs
+++ b/crates/gateway/src/config_pinned_tests.rs
@@ -1,9 +1,9 @@
-//! The values that a pinned told file is read as, beyond what the command line shows of them.
+//! The values decoded from the pinned configuration file, beyond those that `ironstair check` prints.
 
 use super::*;
 
 #[test]
-fn the_pinned_config_file_is_read_with_the_pinned_values() {
+fn pinned_configuration_file_decodes_to_the_pinned_values() {
     let config = decode(include_bytes!("../tests/pinned/told.json")).unwrap();
     let address = |text: &str| text.parse::<SocketAddr>().unwrap();
     assert_eq!(
@@ -37,7 +37,7 @@
         state: EndpointState::Draining,
         started_at: 1.75e12,
     };
-    // The second is gone by the last change.
+    // The last change of the list removes the second endpoint.
     assert_eq!(
         config.endpoints,
         BTreeMap::from([("e-1".to_owned(), first), ("e-3".to_owned(), third)])
--- a/crates/gateway/tests/pinned_forms/checked_files.rs
+++ b/crates/gateway/tests/pinned_forms/checked_files.rs
@@ -151,10 +151,22 @@
     vec![
         missing("/name", "name is missing"),
         missing("/listen", "listen is missing"),
-        replaced("/listen", json!("here"), "listen is no address: here"),
-        replaced("/names", json!("there"), "names is no address: there"),
+        replaced(
+            "/listen",
+            json!("here"),
+            "listen: \"here\" is not an IP address with a port",
+        ),
+        replaced(
+            "/names",
+            json!("there"),
+            "names: \"there\" is not an IP address with a port",
+        ),
         missing("/seed", "seed is missing"),
-        replaced("/seed", json!("xyz"), "seed is no hexadecimal number: xyz"),
+        replaced(
+            "/seed",
+            json!("xyz"),
+            "seed: \"xyz\" is not a 64-bit hexadecimal number",
+        ),
         missing("/settings", "dcs is missing"),
         missing("/settings/machine_types", "machine_types is missing"),
         missing("/settings/classes", "settings: classes is missing"),
