--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -1,4 +1,5 @@
-//! The operator's file: optional features of one gateway, each off if its section is missing. Decoded once, at start.
+//! The operator file: optional features of one gateway, each of which is off if its section is missing. The file is
+//! decoded once, at start.
 
 mod error;
 
@@ -15,56 +16,58 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How many subscriptions may be configured as the most; the schema of the file says the same.
+/// The range of `management.streams`, which the `schemars` attribute of that field repeats.
 const MIN_STREAMS: usize = 1;
 const MAX_STREAMS: usize = 10_000;
 
-/// The sections of the operator's file.
+/// The sections of the operator file.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Operator")]
 pub(crate) struct OperatorConfig {
     /// Serves settings and state over gNMI.
     pub(crate) management: Option<Management>,
-    /// Confines tenants to a part of the engines.
+    /// Confines each tenant to some of the engines.
     pub(crate) cells: Option<Cells>,
-    /// Shares one policy with the other gateways of a fleet. Needs the section `management`, without a state folder.
+    /// Shares one policy with the other gateways of a fleet. Requires the section `management`, without its field `state`.
     pub(crate) fleet: Option<Fleet>,
-    /// Keeps the endpoint list for the next process of this gateway.
+    /// Saves the endpoint list for the next process of this gateway.
     pub(crate) recovery: Option<Recovery>,
 }
 
-/// A folder for the endpoint list, and for a note whether the process ended without open requests. With this section,
-/// a start that does not find this note quarantines the ordering keys: attempts of the last process may still run.
+/// A folder for the endpoint list and a marker that the process ended without open requests. With this section, a process
+/// that does not find the marker at start quarantines the ordering keys: attempts of the previous process may still run.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Recovery {
-    /// The folder; no other gateway may use it.
+    /// The folder, which no other gateway may use.
     pub(crate) state: PathBuf,
 }
 
-/// This gateway's part in a fleet. Its name there is that of its configuration file.
+/// Membership in a fleet, under the gateway's name from its configuration file.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Fleet {
     /// The fleet's name. Messages of gateways of another fleet are ignored.
     pub(crate) name: String,
-    /// Address and port for the other gateways. Must be on a closed network: peers are not authenticated.
+    /// Address and port on which this gateway accepts the other gateways. Must be on a closed network: peers are not
+    /// authenticated.
     pub(crate) listen: SocketAddr,
-    /// The 3 or 5 voters, which replicate the fleet's log, with the address of each.
+    /// The names and addresses of the 3 or 5 voters, which replicate the fleet's log.
     #[serde(rename = "keepers")]
     pub(crate) voters: BTreeMap<String, SocketAddr>,
-    /// How long, in ms, a gateway may apply the fleet's policy after it last heard from the leader.
+    /// How long, in ms, a gateway may apply the fleet's policy after its last contact with the leader (1000 to 60000).
     #[serde(default = "default_lease_ms")]
     #[schemars(range(min = 1000, max = 60000))]
     pub(crate) lease_ms: u32,
     /// What this gateway does once its lease has expired.
     #[serde(default)]
     pub(crate) cut_off: CutOff,
-    /// Among how many gateways the allowance of an engine in slow start is divided. Must be the same at all gateways.
+    /// How to count the gateways among which the allowance of an engine in slow start is divided. Must be the same at all
+    /// gateways.
     #[serde(default)]
     pub(crate) count: Count,
-    /// A voter's folder for the log. Only voters have one.
+    /// The folder for the fleet's log. Required for a voter, not allowed for other gateways.
     pub(crate) state: Option<PathBuf>,
 }
 
@@ -75,19 +78,19 @@
     /// Rejects new and waiting requests until it hears from the leader again.
     #[default]
     Strict,
-    /// Goes on with its last policy. The fleet changes no policy without this gateway.
+    /// Continues with its last policy. The fleet does not change the policy while this gateway is out of contact.
     Steady,
 }
 
-/// Among how many gateways a shared allowance is divided.
+/// How to count the gateways among which a shared allowance is divided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Count {
-    /// The number of gateways in the policy.
+    /// Use the number of gateways in the policy.
     #[default]
     #[serde(rename = "told")]
     Configured,
-    /// The members that hold a lease. The number grows at once and shrinks slowly.
+    /// Count the members that hold a lease. The count grows at once and shrinks slowly.
     Members,
 }
 
@@ -95,10 +98,10 @@
     3000
 }
 
-/// Converts the section `fleet` for the gateway of that name, and checks it.
+/// Converts the section `fleet` for the gateway `name`, and validates it.
 ///
 /// # Errors
-/// A field can't be used; the error names it.
+/// A field is invalid; the error names it.
 pub(crate) fn fleet_config(fleet: &Fleet, name: &str) -> Result<FleetConfig, ConfigError> {
     let config = FleetConfig {
         fleet: fleet.name.clone(),
@@ -113,38 +116,38 @@
     config.validated()
 }
 
-/// Cells of engines and tenants. Must be the same at all gateways of a fleet.
+/// The cells that engines and tenants belong to. Must be the same at all gateways of a fleet.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Cells {
-    /// The cells' names, 64 at most, each with its share of the engines and tenants that are not pinned.
+    /// The names of the cells, at most 64, each with its share of the engines and tenants that are not pinned.
     pub(crate) names: BTreeMap<String, f64>,
-    /// How many cells a tenant has. More than 1 is shuffle sharding.
+    /// The number of cells of each tenant. Values above 1 enable shuffle sharding.
     #[serde(default = "default_shard")]
     pub(crate) shard: u8,
-    /// Whether the field `tenant` of a call names the tenant. Otherwise the tenant is the statement's table group.
+    /// Whether clients name the tenant in the field `tenant` of a call. If not, the tenant is the statement's table group.
     #[serde(default)]
     pub(crate) named_by_clients: bool,
-    /// Engines pinned to a cell.
+    /// The cell of each pinned engine, by the engine's name.
     #[serde(default)]
     pub(crate) engines: BTreeMap<String, String>,
-    /// Tenants pinned to cells.
+    /// The cells of each pinned tenant, by the tenant's name.
     #[serde(default)]
     pub(crate) tenants: BTreeMap<String, Vec<String>>,
-    /// What happens to a tenant's requests while its cells have no ready engine.
+    /// What happens to a tenant's requests while none of its cells has a ready engine.
     #[serde(default, rename = "without")]
     pub(crate) no_ready_engine: NoReadyEngine,
 }
 
-/// What happens to the requests of a tenant whose cells have no ready engine.
+/// What happens to a tenant's requests while none of its cells has a ready engine.
 #[derive(Clone, Copy, Debug, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 #[schemars(rename = "Without")]
 pub(crate) enum NoReadyEngine {
-    /// They are rejected at once, with the advice to retry after this many ms.
+    /// Reject them at once, with the advice to retry after this many ms.
     #[serde(rename = "turn_back")]
     Reject(u32),
-    /// This share of them may use other cells.
+    /// Let this share of them, from 0 to 1, use other cells.
     Lend(f64),
 }
 
@@ -158,7 +161,7 @@
     1
 }
 
-/// Converts the section `cells` to settings.
+/// Converts the section `cells` to the settings that management serves.
 pub(crate) fn cell_settings(section: &Cells) -> ironstair_config_change::Cells {
     let (retry_after, lend) = match section.no_ready_engine {
         NoReadyEngine::Reject(ms) => (Some(ms), None),
@@ -186,54 +189,60 @@
     }
 }
 
-/// Builds the cell directory of the section `cells`.
+/// Builds the cell directory from the section `cells`.
 ///
 /// # Errors
-/// A share, a name, a pin or the shard can't be used; the error names the field.
+/// A share, a name, a pin or the shard is invalid; the error names the field.
 pub(crate) fn cell_directory(section: &Cells) -> Result<CellDirectory, OperatorFieldError> {
-    let is_share = |share: f64| share.is_finite() && share >= 0.0;
+    let is_valid_share = |share: f64| share.is_finite() && share >= 0.0;
     let mut shares = section.names.iter();
-    if let Some((cell, _)) = shares.find(|(_, share)| !is_share(**share)) {
-        return Err(OperatorFieldError::CellShare { cell: cell.clone() });
+    if let Some((cell, share)) = shares.find(|(_, share)| !is_valid_share(**share)) {
+        return Err(OperatorFieldError::CellShare {
+            cell: cell.clone(),
+            share: *share,
+        });
     }
-    if matches!(section.no_ready_engine, NoReadyEngine::Lend(share) if !(0.0..=1.0).contains(&share))
-    {
-        return Err(OperatorFieldError::LentShare);
+    match section.no_ready_engine {
+        NoReadyEngine::Lend(share) if !(0.0..=1.0).contains(&share) => {
+            return Err(OperatorFieldError::LentShare(share));
+        }
+        _ => {}
     }
     let directory = cell_settings(section).cell_directory(fnv1a_64);
     directory.map_err(OperatorFieldError::Cells)
 }
 
-/// Where settings and state are served, and to whom.
+/// The address at which settings and state are served over gNMI, and the clients that may use it.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Management {
-    /// Address and port for gNMI. Must be a loopback address if TLS is off.
+    /// Address and port for gNMI. Must be a loopback address unless TLS is configured.
     pub(crate) listen: SocketAddr,
-    /// A folder for the revisions of the settings. Without it they are lost at the end of the process.
+    /// The folder for the revisions of the settings. Without it, revisions are lost when the process ends.
     pub(crate) state: Option<PathBuf>,
-    /// The most subscriptions that may be open at once.
+    /// The maximum number of open subscriptions (1 to 10000).
     #[serde(default = "default_streams")]
     #[schemars(range(min = 1, max = 10000))]
     pub(crate) streams: usize,
-    /// TLS and roles. Without this section every user of the machine may read and change settings.
+    /// TLS and roles. Without this section, every user of the machine may read and change settings.
     pub(crate) tls: Option<Tls>,
 }
 
-/// Keys, read again when their files change and at SIGHUP, and roles by the names in clients' certificates.
+/// TLS keys, which are reloaded when their files change and at SIGHUP, and the roles of clients by the names in their
+/// certificates.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Tls {
-    /// The gateway's certificate with the chain to its authority (PEM).
+    /// The file with the gateway's certificate and the chain to its authority (PEM).
     pub(crate) certificate: PathBuf,
-    /// The key of the gateway's certificate (PEM).
+    /// The file with the private key of the gateway's certificate (PEM).
     pub(crate) key: PathBuf,
-    /// The certificate of the authority for clients' certificates (PEM).
+    /// The file with the certificate of the authority that signs clients' certificates (PEM).
     pub(crate) clients: PathBuf,
-    /// Names that may read and change settings. A * at the end matches any rest of the name.
+    /// Names of clients that may read and change settings. A `*` at the end matches any suffix.
     #[serde(default)]
     pub(crate) change: Vec<String>,
-    /// Names that may read.
+    /// Names of clients that may read. A `*` at the end matches any suffix.
     #[serde(default)]
     pub(crate) read: Vec<String>,
 }
@@ -242,10 +251,10 @@
     64
 }
 
-/// Reads the operator's file.
+/// Reads and decodes the operator file.
 ///
 /// # Errors
-/// It can't be read, or [`decode`] refuses it.
+/// The file cannot be read, or [`decode`] fails.
 pub(crate) fn read(path: &Path) -> Result<OperatorConfig, OperatorError> {
     let text = std::fs::read(path).map_err(|source| OperatorError::Read {
         path: path.to_path_buf(),
@@ -257,10 +266,10 @@
     })
 }
 
-/// Decodes the JSON and checks the sections, alone and against each other.
+/// Decodes the JSON text of the file and validates its sections, each alone and together.
 ///
 /// # Errors
-/// It is no JSON, or a field is unknown, missing or out of range; the error names the field.
+/// The text is not valid JSON, or a field is unknown, missing or out of range; the error names the field.
 pub(crate) fn decode(json: &[u8]) -> Result<OperatorConfig, OperatorFieldError> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let operator: OperatorConfig = serde_path_to_error::deserialize(&mut reader)?;
@@ -302,7 +311,7 @@
     Ok(())
 }
 
-/// The JSON Schema of the operator's file.
+/// The JSON Schema of the operator file.
 pub(crate) fn schema() -> String {
     let schema = schemars::schema_for!(OperatorConfig);
     serde_json::to_string_pretty(&schema).unwrap_or_default()
--- a/crates/gateway/src/operator_config/tests.rs
+++ b/crates/gateway/src/operator_config/tests.rs
@@ -1,16 +1,18 @@
 use super::*;
 
 #[test]
-fn the_example_under_deploy_is_read() {
+fn operator_file_under_deploy_is_valid() {
     let example = include_bytes!("../../../../deploy/operator.json");
     assert!(decode(example).unwrap().management.is_some());
     assert!(decode(b"{}").unwrap().management.is_none());
 }
 
-fn fleet(management: &str, fleet: &str) -> String {
+/// The text of an operator file with a fleet of three voters. `management` are further fields of the section `management`,
+/// which is left out if that is empty; `fleet` are further fields of the section `fleet`.
+fn operator_with_fleet(management: &str, fleet: &str) -> String {
     let management = match management {
         "" => String::new(),
-        more => format!(r#""management": {{"listen": "127.0.0.1:1"{more}}}, "#),
+        fields => format!(r#""management": {{"listen": "127.0.0.1:1"{fields}}}, "#),
     };
     let voters = r#""keepers": {"a": "127.0.0.1:2", "b": "127.0.0.1:3", "c": "127.0.0.1:4"}"#;
     format!(
@@ -19,23 +21,23 @@
 }
 
 #[test]
-fn a_fleet_is_checked_whole_and_the_platform_runs_without_one() {
-    // Against a gateway that is half in a fleet, and one that is in one by accident.
-    let read = |more: &str| {
-        decode(fleet(r#", "streams": 1"#, more).as_bytes())
+fn fleet_section_is_validated_and_platform_manifest_configures_none() {
+    // Guards against a gateway that joins a fleet with an incomplete section, or without one being intended.
+    let fleet_section = |fields: &str| {
+        decode(operator_with_fleet(r#", "streams": 1"#, fields).as_bytes())
             .unwrap()
             .fleet
             .unwrap()
     };
-    let voter = fleet_config(&read(r#""state": "s""#), "a").unwrap();
+    let voter = fleet_config(&fleet_section(r#""state": "s""#), "a").unwrap();
     assert_eq!(
         (voter.lease, voter.steady, voter.is_voter()),
         (3000.0, false, true)
     );
-    assert!(!fleet_config(&read(r#""cut_off": "steady""#), "d")
+    assert!(!fleet_config(&fleet_section(r#""cut_off": "steady""#), "d")
         .unwrap()
         .is_voter());
-    for (more, name, why) in [
+    for (fields, name, reason) in [
         (r#""lease_ms": 999"#, "d", "fleet.lease_ms: 999"),
         (
             r#""state": "s""#,
@@ -50,126 +52,128 @@
             "fleet.count: a steady gateway",
         ),
     ] {
-        let error = fleet_config(&read(more), name).unwrap_err().to_string();
-        assert!(error.starts_with(why), "{more}: {error}");
+        let error = fleet_config(&fleet_section(fields), name)
+            .unwrap_err()
+            .to_string();
+        assert!(error.starts_with(reason), "{fields}: {error}");
     }
-    let mut two = read(r#""state": "s""#);
-    two.voters.insert("c".into(), two.voters["b"]);
-    assert!(fleet_config(&two, "a")
+    let mut section = fleet_section(r#""state": "s""#);
+    section.voters.insert("c".into(), section.voters["b"]);
+    assert!(fleet_config(&section, "a")
         .unwrap_err()
         .to_string()
         .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
-    two.voters.remove("c");
+    section.voters.remove("c");
     assert_eq!(
-        fleet_config(&two, "a").unwrap_err().to_string(),
+        fleet_config(&section, "a").unwrap_err().to_string(),
         "fleet.keepers: 3 or 5 are named, not 2"
     );
     let platform = include_str!("../../../../deploy/balancer.toml");
     assert!(platform.contains("ironstair serve") && !platform.contains("operator"));
 }
 
-/// The refusal names the field first, then the reason.
+/// Asserts that decoding fails with a message that begins with `reason`: the field, then what is wrong with it.
 #[track_caller]
-fn assert_refused(text: &str, reason: &str) {
+fn assert_rejected(text: &str, reason: &str) {
     let error = decode(text.as_bytes()).unwrap_err().to_string();
     assert!(error.starts_with(reason), "{text}: {error}");
 }
 
 #[test]
-fn invalid_operators_file_is_refused() {
-    assert_refused("", "the file: EOF");
-    assert_refused("[]", "the file: invalid length 0");
-    assert_refused(
+fn invalid_operator_file_is_rejected() {
+    assert_rejected("", "top level: EOF");
+    assert_rejected("[]", "top level: invalid length 0");
+    assert_rejected(
         r#"{"managment": {}}"#,
         "managment: unknown field `managment`",
     );
-    assert_refused(r#"{"recovery": {}}"#, "recovery: missing field `state`");
-    assert_refused("{} {}", "trailing characters");
+    assert_rejected(r#"{"recovery": {}}"#, "recovery: missing field `state`");
+    assert_rejected("{} {}", "text after the JSON object: trailing characters");
 }
 
 #[test]
-fn invalid_management_section_is_refused_by_its_field() {
-    assert_refused(
+fn invalid_management_section_is_rejected_with_the_field() {
+    assert_rejected(
         r#"{"management": {}}"#,
         "management: missing field `listen`",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": 5}}"#,
         "management.listen: invalid type",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "here"}}"#,
         "management.listen: invalid socket address",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "0.0.0.0:1"}}"#,
-        "management.listen: without TLS",
+        "management.listen: 0.0.0.0:1 is not a loopback address",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "[::1]:1", "streams": 0}}"#,
         "management.streams: 0",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "[::1]:1", "state": 1}}"#,
         "management.state: invalid type",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "[::1]:1", "tls": {}}}"#,
         "management.tls: missing field `certificate`",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"management": {"listen": "0.0.0.0:1", "tls": {"certificate": "", "key": "", "clients": ""}}}"#,
-        "management.tls: neither",
+        "management.tls: change and read are both empty",
     );
 }
 
 #[test]
-fn invalid_cells_section_is_refused_by_its_field() {
-    assert_refused(
+fn invalid_cells_section_is_rejected_with_the_field() {
+    assert_rejected(
         r#"{"cells": {"names": {}}}"#,
         "cells: /settings/cells/cell: there is no cell",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"cells": {"names": {"a": -1}}}"#,
-        "cells.names.a: is no share",
+        "cells.names.a: -1 is not a finite number of at least 0",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "shard": 2}}"#,
         "cells: /settings/cells/shard: a tenant",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "engines": {"e1": "b"}}}"#,
         "cells: /settings/cells/engine[name=e1]/cell: there is no cell b",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "tenants": {"t": []}}}"#,
         "cells: /settings/cells/tenant[name=t]/cell: a tenant",
     );
-    assert_refused(
+    assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "without": {"lend": 2}}}"#,
-        "cells.without: is no",
+        "cells.without.lend: 2 is not between 0 and 1",
     );
 }
 
 #[test]
-fn invalid_fleet_section_is_refused_by_its_field() {
-    assert_refused(r#"{"fleet": {}}"#, "fleet: missing field `name`");
-    assert_refused(
-        &fleet("", r#""lease_ms": 3000"#),
-        "fleet: it is shown and changed by management",
-    );
-    assert_refused(
-        &fleet(r#", "state": "s""#, r#""lease_ms": 3000"#),
-        "management.state: in a fleet",
-    );
-    assert_refused(
-        &fleet(r#", "streams": 1"#, r#""cut_off": "maybe""#),
+fn invalid_fleet_section_is_rejected_with_the_field() {
+    assert_rejected(r#"{"fleet": {}}"#, "fleet: missing field `name`");
+    assert_rejected(
+        &operator_with_fleet("", r#""lease_ms": 3000"#),
+        "fleet: requires the section management",
+    );
+    assert_rejected(
+        &operator_with_fleet(r#", "state": "s""#, r#""lease_ms": 3000"#),
+        "management.state: not allowed with the section fleet",
+    );
+    assert_rejected(
+        &operator_with_fleet(r#", "streams": 1"#, r#""cut_off": "maybe""#),
         "fleet.cut_off: unknown variant",
     );
 }
 
 #[test]
-fn the_schema_names_every_field() {
+fn schema_contains_the_fields_of_management_and_recovery() {
     let schema = schema();
     for field in [
         "management",
--- a/crates/gateway/src/operator_config_pinned_tests.rs
+++ b/crates/gateway/src/operator_config_pinned_tests.rs
@@ -1,9 +1,9 @@
-//! The values that pinned operators' files are read as, beyond what the command line shows of them.
+//! The values decoded from the pinned operator files, beyond those that `ironstair check` prints.
 
 use super::*;
 
 #[test]
-fn the_pinned_operators_file_is_read_with_the_pinned_values() {
+fn pinned_operator_file_decodes_to_the_pinned_values() {
     let operator = decode(include_bytes!("../tests/pinned/operator.json")).unwrap();
     let address = |text: &str| text.parse::<SocketAddr>().unwrap();
     let management = operator.management.unwrap();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_a_pinned_operators_file_does_not_say_has_the_pinned_value() {
+fn fields_missing_in_the_pinned_operator_file_have_the_pinned_defaults() {
     let operator = decode(include_bytes!("../tests/pinned/operator-least.json")).unwrap();
     let management = operator.management.unwrap();
     assert_eq!(
--- a/crates/gateway/tests/pinned_forms/checked_files.rs
+++ b/crates/gateway/tests/pinned_forms/checked_files.rs
@@ -100,7 +100,7 @@
             json!({"t": []}),
             "cells: /settings/cells/tenant[name=t]/cell: ",
         ),
-        replaced("/cells/without", json!({"lend": 2}), "cells.without: "),
+        replaced("/cells/without", json!({"lend": 2}), "cells.without.lend: "),
         replaced(
             "/cells/without",
             json!({"other": 2}),
