--- a/crates/gateway/src/cli.rs
+++ b/crates/gateway/src/cli.rs
@@ -1,4 +1,4 @@
-//! The commands that talk to a gateway's management: they read, change and watch settings and state.
+//! Commands that read, change and watch a gateway's settings and state over its management interface.
 
 mod arguments;
 mod client;
@@ -15,10 +15,10 @@
 pub(crate) use settings::{cells, finish_commit, get, move_tenant, revisions, set};
 pub(crate) use watch::watch;
 
-/// Runs one command to its end, on a runtime of its own.
+/// Runs a command to completion on its own single-threaded runtime.
 ///
 /// # Errors
-/// Those of the command, or the runtime can't be started.
+/// The command fails, or the runtime cannot be started.
 pub(crate) fn run(command: impl std::future::Future<Output = CommandResult>) -> CommandResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -1,12 +1,12 @@
-//! Arguments of the commands that talk to a gateway's management.
+//! Arguments of the commands that use a gateway's management interface.
 
 use humantime::Duration;
 use std::path::PathBuf;
 
-/// Which gateway a command talks to, how, and in which form it prints.
+/// The gateway that a command connects to, the TLS keys, and the output format.
 #[derive(clap::Args)]
 pub(crate) struct Target {
-    /// Address at which the gateway serves management
+    /// Address of the gateway's management interface
     #[arg(
         global = true,
         id = "at",
@@ -19,16 +19,16 @@
     /// Print JSON instead of tables
     #[arg(global = true, long)]
     pub(super) json: bool,
-    /// Certificate of the authority that signed the gateway's certificate (PEM); turns TLS on
+    /// File with the certificate of the authority that signed the gateway's certificate (PEM); enables TLS
     #[arg(global = true, long, env = "IRONSTAIR_CA", value_name = "FILE", requires_all = ["cert", "key"])]
     pub(super) ca: Option<PathBuf>,
-    /// Client certificate (PEM)
+    /// File with the client certificate (PEM)
     #[arg(global = true, long, env = "IRONSTAIR_CERT", value_name = "FILE")]
     pub(super) cert: Option<PathBuf>,
-    /// Key of the client certificate (PEM)
+    /// File with the private key of the client certificate (PEM)
     #[arg(global = true, long, env = "IRONSTAIR_KEY", value_name = "FILE")]
     pub(super) key: Option<PathBuf>,
-    /// Name in the gateway's certificate, if it is not the host of the address
+    /// Name in the gateway's certificate, if it differs from the host in the address
     #[arg(global = true, long, value_name = "NAME")]
     pub(super) server_name: Option<String>,
 }
@@ -36,7 +36,7 @@
 /// Arguments of `get`.
 #[derive(clap::Args)]
 pub(crate) struct Get {
-    /// Path, such as /state/engine or /settings/band[name=lookup]/expected; * and ... are wildcards
+    /// Path, such as /state/engine or /settings/band[name=lookup]/expected; * matches one step, ... any number
     #[arg(default_value = "/")]
     pub(super) path: String,
     #[command(flatten)]
@@ -48,10 +48,10 @@
 pub(crate) struct Set {
     /// Path of the setting
     pub(super) path: String,
-    /// JSON, or plain text for a string; fields that it leaves out keep their value
+    /// JSON value, or plain text for a string; fields that are left out keep their values
     #[arg(required_unless_present = "delete", conflicts_with = "delete")]
     pub(super) value: Option<String>,
-    /// Delete fields that the value leaves out
+    /// Delete fields that are left out of the value
     #[arg(long, conflicts_with = "delete")]
     pub(super) replace: bool,
     /// Delete the setting
@@ -60,7 +60,7 @@
     /// Roll the change back unless it is confirmed within this time, such as 2m
     #[arg(long, value_name = "TIME")]
     pub(super) confirm_within: Option<Duration>,
-    /// Id by which the change is confirmed; generated if missing
+    /// Commit id with which to confirm or cancel the change; generated if not given
     #[arg(long, requires = "confirm_within")]
     pub(super) id: Option<String>,
     /// Change the fleet's settings: every gateway applies the change, or none does
@@ -73,9 +73,9 @@
 /// Arguments of `confirm` and `cancel`.
 #[derive(clap::Args)]
 pub(crate) struct PendingCommit {
-    /// Id that `set --confirm-within` printed; if missing, the change that waits to be confirmed
+    /// Commit id that `set --confirm-within` printed; defaults to the change that is waiting for confirmation
     pub(super) id: Option<String>,
-    /// The change of the fleet's settings
+    /// Confirm or cancel a change of the fleet's settings
     #[arg(long)]
     pub(super) fleet: bool,
     #[command(flatten)]
@@ -85,12 +85,12 @@
 /// Arguments of `watch`.
 #[derive(clap::Args)]
 pub(crate) struct Watch {
-    /// Path; * and ... are wildcards
+    /// Path, such as /state/engine; * matches one step, ... any number
     pub(super) path: String,
-    /// Print samples at this interval, such as 1s, instead of changes
+    /// Print samples at this interval, such as 1s, rather than changes
     #[arg(long, value_name = "TIME")]
     pub(super) every: Option<Duration>,
-    /// Stop after this many messages
+    /// Stop after this many notifications
     #[arg(long)]
     pub(super) count: Option<usize>,
     #[command(flatten)]
@@ -102,7 +102,7 @@
 pub(crate) struct Move {
     /// Name of the tenant
     pub(super) tenant: String,
-    /// Cells that take the tenant's requests from now on
+    /// Cells that receive the tenant's requests from now on
     #[arg(required = true)]
     pub(super) cells: Vec<String>,
     /// Roll the move back unless it is confirmed within this time, such as 2m
@@ -134,12 +134,12 @@
     pub(super) target: Target,
 }
 
-/// What `fleet` does besides showing the fleet.
+/// Subcommands of `fleet`; without one, it shows the fleet.
 #[derive(clap::Subcommand)]
 pub(crate) enum FleetAction {
-    /// Bootstrap the fleet with this gateway's configuration, once, at the voter whose name sorts first
+    /// Bootstrap the fleet with this gateway's configuration; run once, at the voter whose name sorts first
     Begin,
-    /// Bootstrap the fleet again after most voters' disks were lost for good, with the last policy on this voter's disk.
+    /// Bootstrap the fleet again from the last policy on this voter's disk, after most voters' disks were lost for good.
     /// Decisions made after that policy are lost. A majority of the earlier voters must not be running
     BeginAnew,
 }
--- a/crates/gateway/src/cli/client.rs
+++ b/crates/gateway/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! The connection to a gateway's management, and the reads that several commands share.
+//! The connection to a gateway's management interface, and the reads that several commands share.
 
 use super::arguments::Target;
 use super::encoding::{json_value, parse_path};
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
 
-/// The largest answer that is accepted: a tree of thousands of engines takes some megabytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// How long connecting may take.
+/// The largest response to accept: a tree of thousands of engines takes some megabytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// The timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A connected gNMI client.
@@ -22,7 +22,7 @@
 /// Connects to the gateway that the arguments name.
 ///
 /// # Errors
-/// The address or the keys can't be used, or no gateway answers there.
+/// The address or the TLS keys are invalid, or the connection fails.
 pub(super) async fn connect(target: &Target) -> Result<Client, CommandError> {
     let endpoint = endpoint(target)?.connect_timeout(CONNECT_TIMEOUT);
     let connected = endpoint.connect().await;
@@ -30,7 +30,7 @@
         address: target.address.clone(),
         source,
     })?;
-    Ok(GNmiClient::new(channel).max_decoding_message_size(MAX_ANSWER_BYTES))
+    Ok(GNmiClient::new(channel).max_decoding_message_size(MAX_RESPONSE_BYTES))
 }
 
 fn endpoint(target: &Target) -> Result<Endpoint, CommandError> {
@@ -38,8 +38,13 @@
         Some(_) => "https",
         None => "http",
     };
-    let endpoint = Channel::from_shared(format!("{scheme}://{}", target.address))
-        .map_err(CommandError::InvalidAddress)?;
+    let endpoint =
+        Channel::from_shared(format!("{scheme}://{}", target.address)).map_err(|source| {
+            CommandError::InvalidAddress {
+                address: target.address.clone(),
+                source,
+            }
+        })?;
     match tls_config(target)? {
         Some(tls) => endpoint.tls_config(tls).map_err(CommandError::InvalidKeys),
         None => Ok(endpoint),
@@ -62,7 +67,7 @@
 }
 
 fn read_pem(path: &Path) -> Result<Vec<u8>, CommandError> {
-    std::fs::read(path).map_err(|source| CommandError::ReadKey {
+    std::fs::read(path).map_err(|source| CommandError::ReadPem {
         path: path.to_path_buf(),
         source,
     })
@@ -71,7 +76,7 @@
 /// Reads the leaves at a path of the gateway's tree.
 ///
 /// # Errors
-/// The path can't be read, no gateway answers, or it answers with an error status.
+/// The path is invalid, the connection fails, or the gateway responds with an error status.
 pub(super) async fn read(
     target: &Target,
     at_path: &str,
@@ -82,14 +87,14 @@
         encoding: encoding as i32,
         ..Default::default()
     };
-    let answer = connect(target).await?.get(request).await?.into_inner();
-    let notifications = answer.notification.into_iter();
+    let response = connect(target).await?.get(request).await?.into_inner();
+    let notifications = response.notification.into_iter();
     Ok(notifications
         .flat_map(|notification| notification.update)
         .collect())
 }
 
-/// The prefix of a request: it selects the fleet's tree or this gateway's.
+/// The path prefix of a request, which selects the fleet's tree or the gateway's own.
 pub(super) fn tree_prefix(is_fleet: bool) -> Option<gnmi::Path> {
     is_fleet.then(|| gnmi::Path {
         origin: FLEET.into(),
@@ -97,17 +102,17 @@
     })
 }
 
-/// Reads the fleet's state, as the gateway knows it.
+/// Reads the fleet's state as the gateway knows it.
 ///
 /// # Errors
-/// No gateway answers, it answers with an error status, or its answer holds no state.
+/// The connection fails, the gateway responds with an error status, or its response contains no state.
 pub(super) async fn fleet_state(target: &Target) -> Result<Json, CommandError> {
     let request = gnmi::GetRequest {
         prefix: tree_prefix(true),
         ..Default::default()
     };
-    let answer = connect(target).await?.get(request).await?.into_inner();
-    let updates = answer
+    let response = connect(target).await?.get(request).await?.into_inner();
+    let updates = response
         .notification
         .into_iter()
         .flat_map(|notification| notification.update);
--- a/crates/gateway/src/cli/encoding.rs
+++ b/crates/gateway/src/cli/encoding.rs
@@ -1,4 +1,4 @@
-//! Paths and values between gNMI's messages, JSON and text.
+//! Conversion of paths and values between gNMI messages, JSON and text.
 
 use super::error::CommandError;
 use ironstair_data_tree::path::StepPattern;
@@ -9,15 +9,15 @@
 use std::fmt::Write as _;
 use std::time::{Duration, SystemTime};
 
-/// The wildcard for one name or key.
+/// The wildcard for one step's name or key.
 const ANY: &str = "*";
 /// The wildcard for any number of steps.
 const ANY_DEPTH: &str = "...";
 
-/// Reads a path as it is written on the command line; `*` and `...` are wildcards.
+/// Parses a path from the command line; `*` and `...` are wildcards.
 ///
 /// # Errors
-/// The text is no path.
+/// The text is not a valid path.
 pub(super) fn parse_path(text: &str) -> Result<gnmi::Path, CommandError> {
     let pattern = Pattern::read(text).map_err(CommandError::InvalidPath)?;
     Ok(gnmi::Path {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Writes a path as text, with the keys in the order of their names.
+/// Formats a path as text, with the keys in the order of their names.
 pub(super) fn path_text(prefix: Option<&gnmi::Path>, path: Option<&gnmi::Path>) -> String {
     let mut text = String::new();
     for element in prefix.into_iter().chain(path).flat_map(|path| &path.elem) {
@@ -66,7 +66,7 @@
     }
 }
 
-/// Converts a gNMI value to JSON; `null` for a missing value or a type that the gateway does not send.
+/// Converts a gNMI value to JSON; a missing value, or one of a type that the gateway does not send, becomes `null`.
 pub(super) fn json_value(typed: Option<&TypedValue>) -> Json {
     use typed_value::Value;
     match typed.and_then(|typed| typed.value.as_ref()) {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes a JSON value for people: text without quotes, the elements of a list separated by spaces.
+/// Formats a JSON value for people: strings without quotes, the elements of a list separated by spaces.
 pub(super) fn plain_text(value: &Json) -> String {
     match value {
         Json::String(text) => text.clone(),
@@ -96,7 +96,7 @@
     }
 }
 
-/// Converts a duration to protobuf's.
+/// Converts a duration to the protobuf type.
 pub(super) fn proto_duration(duration: Duration) -> prost_types::Duration {
     prost_types::Duration {
         seconds: duration.as_secs() as i64,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes Unix milliseconds as an RFC 3339 time; `-` for 0, which is used for "never".
+/// Formats Unix milliseconds as an RFC 3339 time; 0, which stands for "never", becomes `-`.
 pub(super) fn format_time(unix_ms: u64) -> String {
     if unix_ms == 0 {
         return "-".into();
@@ -113,10 +113,10 @@
     humantime::format_rfc3339_millis(time).to_string()
 }
 
-/// The schema of the tree, from the YANG module of this version.
+/// The schema of the data tree, from the built-in YANG module.
 ///
 /// # Errors
-/// The module can't be read.
+/// The module cannot be parsed.
 pub(super) fn schema() -> Result<Schema, CommandError> {
     Schema::shipped().map_err(CommandError::Schema)
 }
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,5 +1,5 @@
-//! The command `fleet`: shows the fleet's state, or bootstraps the fleet, for the first time or after the loss of most
-//! voters' disks.
+//! The command `fleet`, which shows the fleet's state, or bootstraps the fleet for the first time or after the loss of
+//! most voters' disks.
 
 use super::arguments::{Fleet, FleetAction, Target};
 use super::client::{connect, fleet_state, tree_prefix};
@@ -11,14 +11,14 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// How often, and at which interval, the fleet is asked for its leader after a recovery: 4 s in all.
+/// How often, and at what interval, to ask for the fleet's state until a leader is elected after a recovery: 4 s in total.
 const LEADER_POLLS: usize = 20;
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Shows or bootstraps the fleet.
 ///
 /// # Errors
-/// No gateway answers, it answers with an error status, or standard output can't be written.
+/// The connection fails, the gateway responds with an error status, or standard output cannot be written.
 pub(crate) async fn fleet(arguments: Fleet) -> CommandResult {
     let target = &arguments.target;
     match arguments.action {
@@ -32,12 +32,12 @@
     set_flag(target, "/begin").await?;
     print_line(match target.json {
         true => r#"{"begun":true}"#,
-        false => "begun",
+        false => "fleet bootstrapped",
     })
 }
 
-/// Bootstraps the fleet from the policy on this voter's disk, then prints the first revision of its new log once the
-/// voter, alone in the new configuration, leads.
+/// Bootstraps the fleet from the policy on this voter's disk. Once the voter, alone in the new configuration, is the
+/// leader, prints the first revision of the new log.
 async fn recover(target: &Target) -> CommandResult {
     set_flag(target, "/begin-anew").await?;
     for _ in 0..LEADER_POLLS {
@@ -50,10 +50,10 @@
         }
         tokio::time::sleep(LEADER_POLL_INTERVAL).await;
     }
-    print_line("begun anew; no chair sits yet, `ironstair fleet` shows it")
+    print_line("fleet bootstrapped again; no leader is elected yet, check with `ironstair fleet`")
 }
 
-/// Sets a leaf of the fleet's tree to `true`: such a leaf is a command to the fleet.
+/// Sets a leaf of the fleet's tree to `true`, which is how a command is sent to the fleet.
 async fn set_flag(target: &Target, at_path: &str) -> CommandResult {
     let flag = typed_value::Value::JsonIetfVal(b"true".to_vec());
     let update = gnmi::Update {
@@ -82,7 +82,7 @@
     let mut text = String::new();
     let _ = writeln!(
         text,
-        "revision {}, chair {}, keepers {}",
+        "revision {}, leader {}, voters {}",
         plain_text(&state["revision"]),
         plain_text(&state["chair"]),
         plain_text(&state["keepers"])
@@ -91,7 +91,7 @@
     if !change.is_null() {
         let _ = writeln!(
             text,
-            "revision {} is {}, waits for {}",
+            "pending revision {}: {}, waiting for {}",
             plain_text(&change["number"]),
             plain_text(&change["step"]),
             plain_text(&change["waits-for"])
@@ -99,7 +99,11 @@
     }
     let unconfirmed = &state["unconfirmed"];
     if !unconfirmed.is_null() {
-        let _ = writeln!(text, "to be confirmed: {}", plain_text(unconfirmed));
+        let _ = writeln!(
+            text,
+            "waiting for confirmation: {}",
+            plain_text(unconfirmed)
+        );
     }
     let columns = [
         "name",
--- a/crates/gateway/src/cli/output.rs
+++ b/crates/gateway/src/cli/output.rs
@@ -1,4 +1,4 @@
-//! Tables and lines on standard output.
+//! Formatting of tables and lines, and printing to standard output.
 
 use super::encoding::{format_time, json_value, path_text, plain_text};
 use super::error::{CommandError, CommandResult};
@@ -11,13 +11,13 @@
 use std::io::{ErrorKind, Write as _};
 
 const NANOSECONDS_PER_MS: i64 = 1_000_000;
-/// Shown in a cell without a value.
+/// Printed in a table cell without a value.
 const NO_VALUE: &str = "-";
 
-/// The cells of one entry, by column.
+/// The values of one list entry, by column.
 type Row = BTreeMap<String, String>;
 
-/// The entries of one list.
+/// The table of the entries of one YANG list.
 struct ListTable {
     /// The path of the list, without its key.
     path: String,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Begins a row where the entry is not that of the last row. The key of the list is the first column.
+    /// Begins a row unless `entry` is the entry of the last row. The key of the list is the first column.
     fn begin_entry(&mut self, entry: String, list: &gnmi::PathElem) {
         if entry == self.last_entry {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts the columns into the order of the YANG module, in which the leaves that are read most come first.
+    /// Sorts the columns in the order of the YANG module, which lists the most frequently read leaves first.
     fn sort_columns(&mut self, schema: &Schema) {
         let steps = self.path.split('/').filter(|step| !step.is_empty());
         let mut names = steps.map(|step| step.split('[').next().unwrap_or(step));
@@ -86,7 +86,7 @@
     }
 }
 
-/// Columns padded to their widest cell, two spaces apart.
+/// Formats rows below a header line; each column is padded to its widest cell, with two spaces in between.
 fn aligned_columns(columns: &[String], rows: Vec<Vec<String>>) -> String {
     let widest = |nth: usize| {
         let cells = rows.iter().map(|row| row[nth].chars().count());
@@ -106,7 +106,7 @@
     text
 }
 
-/// Writes leaves for people: the entries of a list as a table with a row each, every other leaf as a line.
+/// Formats leaves for people: list entries as rows of a table, all other leaves as one line each.
 pub(super) fn leaf_table(schema: &Schema, updates: &[gnmi::Update]) -> String {
     let mut text = String::new();
     let mut tables: Vec<ListTable> = Vec::new();
@@ -159,7 +159,7 @@
     }
 }
 
-/// Writes a list of JSON objects as a table of these fields.
+/// Formats a list of JSON objects as a table with these fields as columns.
 pub(super) fn object_table(objects: &Json, fields: &[&str]) -> String {
     let objects = objects.as_array().map_or(&[][..], Vec::as_slice);
     let row = |object: &Json| {
@@ -179,7 +179,7 @@
     }
 }
 
-/// How a notification is written.
+/// The output format of notifications.
 #[derive(Clone, Copy)]
 pub(super) enum Format {
     /// For people.
@@ -188,7 +188,7 @@
     Json,
 }
 
-/// Writes a notification, one line for each leaf.
+/// Formats a notification, one line for each leaf.
 pub(super) fn notification_text(notification: &gnmi::Notification, format: Format) -> String {
     let prefix = notification.prefix.as_ref();
     let unix_ms = notification.timestamp / NANOSECONDS_PER_MS;
@@ -206,7 +206,7 @@
 fn deleted_line(unix_ms: i64, path: &str, format: Format) -> String {
     match format {
         Format::Json => json!({"at": unix_ms, "delete": path}).to_string(),
-        Format::Text => format!("{} {path} is gone", format_time(unix_ms as u64)),
+        Format::Text => format!("{} {path} deleted", format_time(unix_ms as u64)),
     }
 }
 
@@ -224,7 +224,7 @@
 /// Writes a line to standard output.
 ///
 /// # Errors
-/// Standard output can't be written. Its own error where the reader has closed it: that is no failure.
+/// Standard output cannot be written. A closed pipe is reported as [`CommandError::OutputClosed`], which is not a failure.
 pub(super) fn print_line(text: &str) -> CommandResult {
     let mut output = std::io::stdout().lock();
     let written = writeln!(output, "{}", text.trim_end()).and_then(|()| output.flush());
--- a/crates/gateway/src/cli/settings.rs
+++ b/crates/gateway/src/cli/settings.rs
@@ -1,4 +1,4 @@
-//! Commands that read and change settings: `get`, `set`, `confirm`, `cancel`, `revisions`, `cells`, `move`.
+//! The commands that read and change settings: `get`, `set`, `confirm`, `cancel`, `revisions`, `cells` and `move`.
 
 use super::arguments::{Cells, Get, Move, PendingCommit, Revisions, Set, Target};
 use super::client::{connect, fleet_state, read, tree_prefix};
@@ -10,14 +10,14 @@
 use serde_json::{json, Value as Json};
 use std::time::SystemTime;
 
-/// The revisions that a gateway remembers.
+/// The path of the revisions that a gateway retains.
 const REVISIONS: &str = "/state/revision[number=*]";
 
 /// Shows the leaves at a path.
 ///
 /// # Errors
-/// As for every command of this file: the arguments can't be used, no gateway answers, it answers with an error status,
-/// or standard output can't be written.
+/// As for every command in this file: an argument is invalid, the connection fails, the gateway responds with an error
+/// status, or standard output cannot be written.
 pub(crate) async fn get(arguments: Get) -> CommandResult {
     let target = &arguments.target;
     if !target.json {
@@ -51,17 +51,17 @@
             print_line(&json!({"changed": true, "confirm": within.map(|_| id)}).to_string())
         }
         (_, Some(within)) => print_line(&format!(
-            "changed for {within}; it stays by: ironstair confirm {id}"
+            "changed; will be rolled back in {within} unless confirmed with: ironstair confirm {id}"
         )),
         _ => print_line("changed"),
     }
 }
 
-/// The request of a change, without the extension for confirming it.
+/// Builds the request for a change, without the commit extension.
 fn change_request(arguments: &Set) -> Result<gnmi::SetRequest, CommandError> {
     let path = parse_path(&arguments.path)?;
     let value: Json = match &arguments.value {
-        // Text that is no JSON is taken as a string: quotes within quotes are awkward in a shell.
+        // Text that is not JSON is taken as a string, because quotes within quotes are awkward in a shell.
         Some(text) => serde_json::from_str(text).unwrap_or_else(|_| json!(text)),
         None => Json::Null,
     };
@@ -85,7 +85,7 @@
     Ok(request)
 }
 
-/// An id for a change whose user named none.
+/// Generates a commit id for a change for which the user gave none.
 fn new_commit_id() -> String {
     let unix = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -93,7 +93,7 @@
     format!("c{}", unix.as_millis())
 }
 
-/// The extension by which a change is made subject to confirmation, confirmed or cancelled.
+/// The commit extension, which starts a change that needs confirmation, or confirms or cancels one.
 fn commit_extension(id: String, action: Action) -> Vec<Extension> {
     let commit = Commit {
         id,
@@ -104,10 +104,10 @@
     }]
 }
 
-/// Confirms or cancels a change that waits to be confirmed; `action` says which.
+/// Confirms or cancels, as `action` says, a change that is waiting for confirmation.
 ///
 /// # Errors
-/// As for [`get`], or no change waits to be confirmed.
+/// As for [`get`], or no change is waiting for confirmation.
 pub(crate) async fn finish_commit(arguments: PendingCommit, action: Action) -> CommandResult {
     let target = &arguments.target;
     let id = match arguments.id {
@@ -131,14 +131,14 @@
     })
 }
 
-/// The id of the fleet's change that waits to be confirmed.
+/// The commit id of the change of the fleet's settings that is waiting for confirmation.
 async fn unconfirmed_fleet_commit(target: &Target) -> Result<String, CommandError> {
     let state = fleet_state(target).await?;
     let id = state["unconfirmed"].as_str().map(String::from);
     id.ok_or(CommandError::NothingUnconfirmed)
 }
 
-/// The id of the gateway's own change that waits to be confirmed.
+/// The commit id of the change of the gateway's own settings that is waiting for confirmation.
 async fn unconfirmed_gateway_commit(target: &Target) -> Result<String, CommandError> {
     let revisions = read(target, REVISIONS, gnmi::Encoding::JsonIetf).await?;
     let revisions: Vec<Json> = revisions
@@ -156,7 +156,7 @@
     id.ok_or(CommandError::NothingUnconfirmed)
 }
 
-/// Shows the cells.
+/// Shows the cells with their engines and tenants.
 ///
 /// # Errors
 /// As for [`get`].
@@ -166,7 +166,7 @@
         target: arguments.target,
     });
     match result.await {
-        Err(error) if error.is_not_found() => print_line("there are no cells"),
+        Err(error) if error.is_not_found() => print_line("no cells are configured"),
         result => result,
     }
 }
--- a/crates/gateway/src/cli/tests.rs
+++ b/crates/gateway/src/cli/tests.rs
@@ -3,7 +3,7 @@
 use ironstair_gnmi::proto::gnmi::{self, typed_value, TypedValue};
 
 #[test]
-fn entries_of_a_list_are_rows_and_the_rest_lines() {
+fn list_entries_are_table_rows_and_other_leaves_are_lines() {
     let leaf = |text: &str, number: u64| gnmi::Update {
         path: parse_path(text).ok(),
         val: Some(TypedValue {
--- a/crates/gateway/src/cli/watch.rs
+++ b/crates/gateway/src/cli/watch.rs
@@ -1,4 +1,4 @@
-//! The command `watch`: a subscription, printed with one line for each leaf.
+//! The command `watch`, which subscribes to a path and prints one line for each changed leaf.
 
 use super::arguments::Watch;
 use super::client::connect;
@@ -8,13 +8,13 @@
 use ironstair_gnmi::proto::gnmi::{self, subscribe_request, subscribe_response};
 use serde_json::json;
 
-/// Prints changes, or samples, until the stream ends or enough messages were printed.
+/// Prints changes or samples until the stream ends or the requested number of notifications is printed.
 ///
 /// # Errors
-/// No gateway answers, it ends the stream with an error status, or standard output can't be written.
+/// The connection fails, the gateway ends the stream with an error status, or standard output cannot be written.
 pub(crate) async fn watch(arguments: Watch) -> CommandResult {
     let first = subscribe_request(&arguments)?;
-    // The request stream stays open: the gateway ends the subscription once it is closed.
+    // The request stream must stay open: the gateway ends the subscription when the stream closes.
     let requests =
         tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
     let mut client = connect(&arguments.target).await?;
--- a/crates/gateway/tests/fleet/settings_sources.rs
+++ b/crates/gateway/tests/fleet/settings_sources.rs
@@ -42,7 +42,7 @@
     assert_eq!(member_leaf(&cluster, leader, 4, "cut-off"), json!("strict"));
     let status = cluster.cli(1, &["fleet"]);
     assert!(
-        status.stdout.contains("chair g") && status.stdout.contains("lease-left-ms"),
+        status.stdout.contains("leader g") && status.stdout.contains("lease-left-ms"),
         "{status:?}"
     );
 }
