--- a/crates/gateway/src/descriptors.rs
+++ b/crates/gateway/src/descriptors.rs
@@ -1,9 +1,9 @@
-//! Reserves space in the kernel's table of file descriptors before the process has a second thread.
+//! Reserves space in the kernel's file descriptor table before the process starts a second thread.
 
-/// Most descriptors to reserve; the kernel needs half a megabyte for so many.
+/// The maximum number of descriptors to reserve, for which the kernel needs half a megabyte.
 const MAX_RESERVED: usize = 1 << 16;
 
-/// The kernel reserved fewer descriptors than the configuration names.
+/// Reported if the kernel reserved fewer descriptors than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DescriptorShortage {
     /// The number of descriptors requested.
@@ -14,9 +14,9 @@
 
 /// Makes the kernel reserve space for `descriptors` descriptors, or for as many as it allows.
 ///
-/// Must be called while the process has one thread. The kernel's table grows by doubling. Once several threads share
-/// the table, every connection that does not fit waits for all cores (`synchronize_rcu` in Linux), and under load the
-/// gateway stops for seconds (incident 008).
+/// Must be called while the process has a single thread. The kernel's table grows by doubling. Once several threads share
+/// the table, every connection that does not fit waits for all cores while the table grows (`synchronize_rcu` in Linux),
+/// and under load the gateway stalls for seconds (incident 008).
 pub(crate) fn reserve(descriptors: usize) -> Option<DescriptorShortage> {
     let requested = descriptors.clamp(1, MAX_RESERVED);
     let halved = |count: &usize| Some(count / 2);
@@ -29,7 +29,8 @@
     })
 }
 
-/// Duplicates a descriptor to the highest number and closes the duplicate at once; the table keeps its size.
+/// Grows the table by duplicating a descriptor to the highest number. The duplicate is closed at once, but the table does
+/// not shrink.
 fn grow_table_to(descriptors: usize) -> bool {
     rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), descriptors as i32 - 1).is_ok()
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery actor: queries the name service and sends changes of the endpoint list to the dispatcher.
+//! The discovery actor, which queries the name service and sends changes of the endpoint list to the dispatcher.
 
 use crate::snapshot_store::SnapshotStore;
 use async_channel::{Receiver, Sender};
@@ -18,19 +18,19 @@
 
 /// The name of the engines' SRV records.
 const SERVICE_NAME: &str = "_data._tcp.farm.lan";
-/// Time between two queries, in ms. The gateway has to act on a change within 1.5 s; several queries fit into that, so
-/// that a few lost answers do no harm.
+/// The time between two queries, in ms. The gateway must act on a change within 1.5 s, which is enough for several
+/// queries, so that a few lost answers do no harm.
 const QUERY_INTERVAL: Millis = 200.0;
-/// How many of the last queries may still be answered: the answers may take longer than the interval. Older ones would
-/// arrive after the 1.5 s in which a change has to take effect.
+/// How many of the latest queries count as pending, since an answer may take longer than the interval. An answer to an
+/// older query would arrive after the 1.5 s within which a change must take effect.
 const MAX_PENDING_QUERIES: u16 = 8;
-/// Unanswered queries in a row that are worth a line in the log.
+/// The number of consecutive unanswered queries after which a warning is logged.
 const UNANSWERED_BEFORE_WARNING: u32 = 10;
-/// After so many unanswered queries in a row the next ones use another socket, since a network path may have failed for
-/// the old socket's port alone. It is more than the pending queries: no answer that still counts is lost by it.
+/// The number of consecutive unanswered queries after which a new socket is opened, since a network path may have failed
+/// for the old socket's port only. It exceeds the number of pending queries, so that no answer to one of them is lost.
 const UNANSWERED_BEFORE_NEW_SOCKET: u32 = 2 * MAX_PENDING_QUERIES as u32;
 
-/// The part of a new configuration that concerns discovery.
+/// The part of a reloaded configuration file that concerns discovery.
 pub(crate) struct DiscoveryUpdate {
     /// The name service's address.
     pub(crate) name_service: SocketAddr,
@@ -44,13 +44,13 @@
 
 /// Queries the name service and sends changes to the dispatcher.
 pub(crate) struct Discovery {
-    /// The local address of the queries.
+    /// The local address from which queries are sent.
     pub(crate) local_address: IpAddr,
     /// The name service's address.
     pub(crate) name_service: SocketAddr,
     /// The names of zones and machine types, in the order of the policy's indices.
     pub(crate) name_index: NameIndex,
-    /// The serial number of the last change that the dispatcher has.
+    /// The serial number of the last list that was sent to the dispatcher.
     pub(crate) serial: u32,
     /// The dispatcher's queue.
     pub(crate) dispatcher: Sender<DispatcherMessage>,
@@ -58,7 +58,7 @@
     pub(crate) log: Logger,
     /// The state that all actors share.
     pub(crate) shared: Rc<Shared>,
-    /// Persists the list for the next process, where the operator has turned that on.
+    /// Saves the list for the next process, if the operator file has the section `recovery`.
     pub(crate) snapshot_store: Option<SnapshotStore>,
 }
 
@@ -68,37 +68,38 @@
     endpoints: BTreeMap<String, DiscoveredEndpoint>,
 }
 
-/// Counts queries without an answer, for the log and the choice of a new socket.
+/// Tracks unanswered queries and malformed answers, to decide when to log and when to open a new socket.
 #[derive(Default)]
 struct QueryHealth {
     unanswered: u32,
     malformed_logged: bool,
 }
 
-/// A packet that is not an answer of the name service.
+/// Why a packet is not a valid answer of the name service.
 #[derive(Debug, thiserror::Error)]
 enum PacketError {
     #[error(transparent)]
     Answer(#[from] AnswerError),
-    #[error("sent by another address")]
+    #[error("sender is not the name service")]
     UnexpectedSender,
 }
 
 impl Discovery {
-    /// Runs until the process ends. `updates` are new configurations.
+    /// Runs until the process ends. `updates` are sent when the configuration file is reloaded.
     pub(crate) async fn run(mut self, updates: Receiver<DiscoveryUpdate>) {
         loop {
             let updated = async { updates.recv().await.ok() };
-            // Ends the queries to the old address with their socket: a late answer must not replace the new list.
+            // An update drops this future, and with it the socket for the old address, so that a late answer from there
+            // cannot replace the new list.
             let queries = async {
                 if let Err(error) = self.query_repeatedly().await {
-                    warn!(self.log, "name service unreachable"; "error" => %error);
+                    warn!(self.log, "cannot open a socket for name service queries"; "error" => %error);
                     Timer::after(duration(QUERY_INTERVAL)).await;
                 }
                 None
             };
             if let Some(update) = or(updated, queries).await {
-                info!(self.log, "name service address changed"; "address" => update.name_service);
+                info!(self.log, "name service settings updated"; "address" => update.name_service);
                 self.name_service = update.name_service;
                 self.name_index = update.name_index;
                 self.on_list(EndpointList {
@@ -119,8 +120,8 @@
             store.update_endpoints(list.serial, &list.endpoints, &self.name_index);
         }
         let message = DispatcherMessage::Endpoints(list.endpoints);
-        // The serial is recorded last. A configuration may cancel this while the dispatcher's queue is full; the list
-        // must then not count as sent.
+        // The serial is recorded last: an update of the configuration may cancel this function while the dispatcher's queue
+        // is full, and the list must then not count as sent.
         if self.dispatcher.send(message).await.is_ok() {
             self.serial = list.serial;
             self.shared.metrics.endpoint_list_serial.set(list.serial);
@@ -141,7 +142,7 @@
         for id in (0..=u16::MAX).cycle() {
             query.clear();
             dns::write_query(&mut query, id, SERVICE_NAME);
-            // A failed send is handled like a lost query: the next one follows after the interval.
+            // A failed send is treated as a lost query; the next one follows after the interval.
             let _ = socket.send_to(&query, self.name_service).await;
             health.unanswered += 1;
             if health.unanswered == UNANSWERED_BEFORE_WARNING {
@@ -151,7 +152,7 @@
                 .unanswered
                 .is_multiple_of(UNANSWERED_BEFORE_NEW_SOCKET)
             {
-                // While no descriptor is free the old socket stays in use.
+                // If no descriptor is available, the old socket stays in use.
                 if let Ok(new_socket) = Async::<UdpSocket>::bind((self.local_address, 0)) {
                     socket = new_socket;
                 }
@@ -167,7 +168,7 @@
         Ok(())
     }
 
-    /// Handles a packet that was received after the query `last_id`.
+    /// Handles a packet that was received after the query with the id `last_id` was sent.
     async fn on_packet(
         &mut self,
         packet: &[u8],
@@ -180,7 +181,7 @@
             Err(error) => {
                 if !std::mem::replace(&mut health.malformed_logged, true) {
                     warn!(
-                        self.log, "name service answer malformed";
+                        self.log, "invalid name service answer";
                         "error" => %error, "bytes" => packet.len(), "address" => sender
                     );
                 }
@@ -195,7 +196,7 @@
         self.on_list(list).await;
     }
 
-    /// Reads the answer to one of the last queries.
+    /// Decodes the answer to one of the pending queries.
     fn read_list(
         &self,
         packet: &[u8],
@@ -214,7 +215,7 @@
     }
 }
 
-/// A packet that was received into a buffer.
+/// Length and sender of a packet that was received into a buffer.
 struct ReceivedPacket {
     length: usize,
     sender: SocketAddr,
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,32 +1,38 @@
-//! Why the gateway can't start.
+//! Errors at the start of the gateway.
 
 use crate::config::ConfigError;
 use crate::management::ManagementError;
 use crate::operator_config::{OperatorError, OperatorFieldError};
 use std::io;
+use std::net::SocketAddr;
 
-/// Why the gateway can't start, or a file of it can't be used; its text is the sentence for the user.
+/// Why the gateway cannot start, or one of its files cannot be used; `Display` is the message for the user.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// The configuration file can't be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file can't be used.
+    /// The operator file cannot be used.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// A section of the operator's file can't be used.
+    /// A section of the operator file is invalid.
     #[error(transparent)]
     Section(#[from] OperatorFieldError),
-    /// Management can't start.
+    /// Management cannot start.
     #[error(transparent)]
     Management(#[from] ManagementError),
-    /// The signal handlers can't be registered.
-    #[error("signals: {0}")]
+    /// The signal handlers cannot be registered.
+    #[error("cannot register signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The address for clients can't be bound.
-    #[error("listen: {0}")]
-    Listen(#[source] io::Error),
-    /// The dispatcher's queue, which is new, takes no message.
-    #[error("the dispatcher takes no endpoint list")]
+    /// The address for clients cannot be bound.
+    #[error("cannot listen for clients on {address} (listen): {source}")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// The error of the operating system.
+        source: io::Error,
+    },
+    /// The dispatcher's queue, which is new and empty, does not accept the endpoint list.
+    #[error("cannot queue the endpoint list for the dispatcher")]
     DispatcherQueue,
 }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, as text or JSON, written by a thread of its own. If its queue is full, lines are
-//! dropped and counted, so that a blocked pipe never delays an answer.
+//! The log: lines on standard error, as text or JSON, written by a separate thread. If the thread's queue is full, lines
+//! are dropped and counted, so that a blocked pipe never delays a response.
 
 use slog::{o, Drain, Level, Logger, OwnedKVList, Record};
 use slog_async::OverflowStrategy;
@@ -9,17 +9,17 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub(crate) enum LogFormat {
-    /// For people.
+    /// Plain text
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line
     Json,
 }
 
-/// The least severe level that is logged, by slog's numbers; management changes it while the gateway serves.
+/// The least severe level that is logged, as slog's number; management can change it at run time.
 pub(crate) type LevelHandle = Arc<AtomicUsize>;
 
-/// Drops records below the level.
+/// Drops records that are less severe than the level.
 struct LevelFilter<D> {
     drain: D,
     level: LevelHandle,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Opens the log. It writes until the guard is dropped; the handle changes its level.
+/// Opens the log. Lines are written until the guard is dropped; the handle changes the level.
 pub(crate) fn open(
     gateway: &str,
     format: LogFormat,
@@ -46,13 +46,13 @@
         LogFormat::Text => {
             let decorator = slog_term::PlainDecorator::new(output);
             let lines = slog_term::FullFormat::new(decorator).build();
-            start(gateway, lines.fuse())
+            start_writer(gateway, lines.fuse())
         }
-        LogFormat::Json => start(gateway, slog_json::Json::default(output).fuse()),
+        LogFormat::Json => start_writer(gateway, slog_json::Json::default(output).fuse()),
     }
 }
 
-fn start<D>(gateway: &str, lines: D) -> (Logger, slog_async::AsyncGuard, LevelHandle)
+fn start_writer<D>(gateway: &str, lines: D) -> (Logger, slog_async::AsyncGuard, LevelHandle)
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,5 +1,5 @@
-//! `ironstair`: one gateway, and the command line for it. The gateway owns sockets, timers and buffers; every decision
-//! about a request is made by the policy (the root package).
+//! The program `ironstair`: the gateway process and its command line. The gateway owns sockets, timers and buffers; the
+//! policy in the root package makes every decision about a request.
 
 mod accept;
 mod cli;
@@ -28,13 +28,13 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code where the gateway can't start, or a file of it can't be used.
+/// The exit code if the gateway cannot start, or one of its files cannot be used.
 const START_FAILED: u8 = 1;
 
 #[derive(Parser)]
 #[command(
     name = "ironstair",
-    about = "Keeps short and long queries apart on shared engines"
+    about = "Gateway that keeps short and long queries apart on shared query engines"
 )]
 struct CommandLine {
     #[command(subcommand)]
@@ -43,29 +43,29 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve until SIGTERM or SIGINT
+    /// Run the gateway until SIGTERM or SIGINT
     Serve(Serve),
-    /// Check the files that `serve` would read
+    /// Validate the files that `serve` would read, and print a summary
     Check(ConfigFiles),
     /// Print the JSON Schema of a file
     Schema { of: Schema },
-    /// Print the YANG module of settings and state
+    /// Print the YANG module of the settings and state
     Yang,
     /// Show a gateway's settings and state
     Get(cli::Get),
-    /// Change a gateway's settings while it serves
+    /// Change a gateway's settings while it runs
     Set(cli::Set),
-    /// Confirm a change that waits to be confirmed
+    /// Confirm a change that is waiting for confirmation
     Confirm(cli::PendingCommit),
-    /// Roll back a change that waits to be confirmed
+    /// Roll back a change that is waiting for confirmation
     Cancel(cli::PendingCommit),
-    /// Print changes of settings and state as they happen
+    /// Print changes of settings and state as they occur
     Watch(cli::Watch),
     /// Show the cells, with the engines and tenants pinned to them
     Cells(cli::Cells),
     /// Move a tenant to other cells while it sends requests
     Move(cli::Move),
-    /// Show the last changes of the settings with author and outcome
+    /// Show the latest changes of the settings, with author and outcome
     Revisions(cli::Revisions),
     /// Show the fleet's members, revision and pending change, or bootstrap the fleet
     Fleet(cli::Fleet),
@@ -73,13 +73,13 @@
     Version,
 }
 
-/// The files that a start reads.
+/// The files that the gateway reads at start.
 #[derive(clap::Args)]
 struct ConfigFiles {
-    /// The gateway's configuration file (JSON)
+    /// Configuration file of the gateway (JSON)
     #[arg(env = "ROUTER_CONFIG", value_name = "FILE")]
     config: PathBuf,
-    /// The operator's file with optional features (JSON)
+    /// Operator file, which configures optional features (JSON)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
@@ -89,7 +89,7 @@
 struct Serve {
     #[command(flatten)]
     files: ConfigFiles,
-    /// Format of the log
+    /// Format of log lines on standard error
     #[arg(long, value_enum, default_value_t)]
     log: log::LogFormat,
 }
@@ -97,19 +97,19 @@
 /// The files that have a JSON Schema.
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum Schema {
-    /// The operator's file
+    /// The operator file
     Operator,
 }
 
 impl ConfigFiles {
-    /// Reads the operator's file; none where none is named.
+    /// Reads the operator file, if one is named.
     fn operator(&self) -> Result<Option<OperatorConfig>, StartError> {
         let operator = self.operator.as_deref().map(operator_config::read);
         Ok(operator.transpose()?)
     }
 }
 
-/// Checks the files as a start does, and prints a summary.
+/// Validates the files as at start, and prints a summary.
 fn check(files: &ConfigFiles, operator: Option<OperatorConfig>) -> Result<(), StartError> {
     let config = config::read(&files.config)?;
     println!(
@@ -142,7 +142,7 @@
 /// Why the process failed.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
-    /// The gateway can't start, or a file of it can't be used.
+    /// The gateway cannot start, or one of its files cannot be used.
     #[error(transparent)]
     Start(#[from] StartError),
     /// A command to a running gateway failed.
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The message for the user; none where nobody has to know.
+    /// The message for the user, unless the exit code is that of a success.
     fn message(&self) -> Option<String> {
         let message = self.to_string();
         let is_failure = self.exit_code() != 0;
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -1,4 +1,5 @@
-//! Management on a thread of its own: a busy reader costs the gateway's thread no more than the view it asks for.
+//! The management thread. It is separate so that a busy management client costs the gateway's thread no more than
+//! building the state view that the client requests.
 
 use crate::config::GatewayConfig;
 use crate::log::LevelHandle;
@@ -24,66 +25,66 @@
 use std::sync::{mpsc, Arc};
 use std::thread;
 
-/// Commands that may wait for the gateway's thread, and for the fleet agent.
+/// The capacity of the command queues to the gateway's thread and to the fleet agent.
 const COMMAND_QUEUE: usize = 16;
 
-/// Requests to read the TLS keys again.
+/// Requests a reload of the TLS keys.
 pub(crate) type KeyReloadSender = tokio::sync::mpsc::Sender<()>;
 
-/// Why management can't start, or stopped.
+/// Why management cannot start, or has stopped.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ManagementError {
-    /// The section `fleet` can't be used.
+    /// The section `fleet` is invalid.
     #[error(transparent)]
     FleetConfig(#[from] ConfigError),
-    /// The settings do not fit the tree, or persisted revisions can't be read.
+    /// The settings do not fit the data tree, or the persisted revisions cannot be read.
     #[error(transparent)]
     Settings(#[from] OpenError),
-    /// The TLS keys can't be used.
+    /// The TLS keys cannot be loaded.
     #[error("management.tls: {0}")]
     Tls(#[source] TlsFileError),
-    /// The gNMI server can't bind its address, or stopped.
+    /// The gNMI server cannot bind its address, or has stopped.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// The fleet agent can't start.
+    /// The fleet agent cannot start.
     #[error(transparent)]
     FleetAgent(#[from] StartError),
-    /// The address of the bound listener can't be read.
-    #[error("{0}")]
+    /// The address of the bound listener cannot be read.
+    #[error("management.listen: cannot read the address of the listener: {0}")]
     Address(#[source] io::Error),
-    /// The thread can't be started.
-    #[error("{0}")]
+    /// The management thread cannot be started.
+    #[error("cannot start the management thread: {0}")]
     Thread(#[source] io::Error),
-    /// The runtime of the thread can't be started.
-    #[error("{0}")]
+    /// The async runtime of the management thread cannot be started.
+    #[error("cannot start the async runtime of management: {0}")]
     Runtime(#[source] io::Error),
 }
 
-/// The channels to the management thread that the gateway's thread holds.
+/// The gateway thread's channels to the running management thread.
 pub(crate) struct RunningManagement {
     /// Commands for the dispatcher.
     pub(crate) commands: Receiver<ManagementCommand>,
-    /// Requests to read the TLS keys again.
+    /// Requests a reload of the TLS keys.
     pub(crate) reload_keys: KeyReloadSender,
-    /// Announces the end of this process to the fleet; none outside a fleet.
+    /// Announces the end of this process to the fleet; `None` outside a fleet.
     pub(crate) leave_fleet: Option<AgentHandle>,
 }
 
-/// Management with its files read and its listeners bound; its thread starts once the gateway's thread runs.
+/// Management with its files read and its listeners bound, but its thread not yet started.
 pub(crate) struct PreparedManagement {
     started: Started,
     listener: TcpListener,
     streams: usize,
     keys: Option<Arc<TlsKeys>>,
     fleet: Option<PreparedAgent>,
-    /// Where the dispatcher publishes its state.
+    /// The watch on which the dispatcher publishes its state.
     pub(crate) state_watch: Arc<StateWatch>,
 }
 
 /// Reads the persisted revisions and the TLS keys, and binds the listeners.
 ///
 /// # Errors
-/// The settings do not fit the tree, a folder or key can't be read, or an address is not free.
+/// The settings do not fit the data tree, a folder or key cannot be read, or an address is in use.
 pub(crate) fn open(
     section: &Management,
     config: &GatewayConfig,
@@ -108,7 +109,7 @@
     })
 }
 
-/// The checked section `fleet`.
+/// Converts and validates the section `fleet`, if present.
 fn fleet_config(
     config: &GatewayConfig,
     operator: &OperatorConfig,
@@ -131,10 +132,10 @@
     }
 }
 
-/// Checks whether management can show and change the settings; opens no file and no listener.
+/// Validates the sections that management uses, and that the settings fit the data tree. Opens no files or listeners.
 ///
 /// # Errors
-/// The section `fleet` can't be used, or the settings do not fit the tree; the error names the field.
+/// The section `fleet` is invalid, or the settings do not fit the data tree; the error names the field.
 pub(crate) fn check(
     config: &GatewayConfig,
     operator: &OperatorConfig,
@@ -146,22 +147,22 @@
 }
 
 impl PreparedManagement {
-    /// The policy's settings of the revision that runs.
+    /// The policy settings of the running revision.
     pub(crate) fn policy_config(&self) -> PolicyConfig {
         self.started.policy_config()
     }
 
-    /// The cells of the revision that runs; none without cells.
+    /// The cells of the running revision; `None` without cells.
     pub(crate) fn cells(&self) -> Option<CellDirectory> {
         self.started.cells()
     }
 
-    /// The classes of the revision that runs, and the longest hard limit, in ms.
+    /// The classes of the running revision, and the longest hard limit, in ms.
     pub(crate) fn classes(&self) -> (Vec<ClassSummary>, Millis) {
         self.started.classes()
     }
 
-    /// Whether the gateway is in a fleet: it then decides nothing without a lease.
+    /// Whether the gateway is in a fleet, where the policy makes no decisions without a lease.
     pub(crate) fn in_fleet(&self) -> bool {
         self.fleet.is_some()
     }
@@ -198,7 +199,7 @@
             .name("management".into())
             .spawn(move || thread.run())
             .map_err(ManagementError::Thread)?;
-        // Fails where the agent did not start: the thread has logged why.
+        // Receiving fails if the agent did not start; the management thread logs why.
         let leave_fleet = if in_fleet { agent.recv().ok() } else { None };
         Ok(RunningManagement {
             commands,
@@ -215,11 +216,11 @@
     clock: Clock,
     log: Logger,
     level: LevelHandle,
-    /// To the gateway's thread.
+    /// Sends commands to the gateway's thread.
     commands: Sender<ManagementCommand>,
-    /// Requests to read the TLS keys again.
+    /// Requests to reload the TLS keys.
     key_reloads: tokio::sync::mpsc::Receiver<()>,
-    /// Where to hand over the fleet agent's handle once the agent has started.
+    /// Hands over the fleet agent's handle once the agent has started.
     agent: mpsc::Sender<AgentHandle>,
 }
 
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Start-up of the gateway as a list of steps, and its life until the shutdown is over.
+//! The start-up of the gateway, step by step, and its run until the shutdown is complete.
 
 mod actors;
 mod initial_state;
@@ -38,10 +38,10 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Messages that may wait in the dispatcher's queue; then their senders wait.
+/// The capacity of the dispatcher's queue; senders wait while it is full.
 const DISPATCHER_QUEUE: usize = 1024;
 
-/// Everything that is read, checked and opened before the executor runs.
+/// Everything that is read, validated and opened before the executor runs.
 struct Prepared {
     path: PathBuf,
     config: GatewayConfig,
@@ -55,10 +55,10 @@
     shared: Rc<Shared>,
 }
 
-/// Serves until a signal begins the shutdown and its phases are over.
+/// Runs the gateway until a signal begins the shutdown and its phases are complete.
 ///
 /// # Errors
-/// A file can't be used, or an address or a folder is not available.
+/// A file is invalid, or an address or a folder is not available.
 pub(crate) fn serve(
     path: &Path,
     operator: Option<OperatorConfig>,
@@ -66,12 +66,12 @@
 ) -> Result<(), StartError> {
     let operator = operator.as_ref();
     let mut config = config::read(path)?;
-    // Before there is a second thread (incident 008).
+    // Must precede the start of a second thread (incident 008).
     let shortage = descriptors::reserve(config.descriptors);
     let snapshot = read_snapshot(operator, &mut config);
     let management = open_management(operator, &config)?;
     let cells = initial_cells(operator, management.as_ref())?;
-    // The log ends with the guard.
+    // Lines are written until the guard is dropped.
     let (log, _guard, level) = log::open(&config.name, format);
     warn_of_descriptor_shortage(shortage, &log);
     let (dispatcher, messages) = async_channel::bounded(DISPATCHER_QUEUE);
@@ -103,7 +103,7 @@
     block_on(executor.run(prepared.run()))
 }
 
-/// A gateway whose actors run.
+/// A gateway whose actors are running.
 struct Serving {
     listener: Async<TcpListener>,
     limiter: Rc<ConnectionLimiter>,
@@ -113,7 +113,7 @@
 }
 
 impl Prepared {
-    /// Starts the actors, accepts clients until the shutdown begins, then runs the phases of the shutdown.
+    /// Starts the actors, accepts clients until the shutdown, then runs the phases of the shutdown.
     async fn run(self) -> Result<(), StartError> {
         let serving = self.start()?;
         serving.run().await;
@@ -121,10 +121,11 @@
     }
 
     fn start(self) -> Result<Serving, StartError> {
-        // Before the listener is bound: a signal to a gateway that is seen to listen must not kill it.
+        // Must precede binding the listener: a signal to a gateway that accepts connections must not kill it.
         let signals = signals::register().map_err(StartError::Signals)?;
         let address = self.config.listen;
-        let listener = Acceptor::bind(address).map_err(StartError::Listen)?;
+        let listener =
+            Acceptor::bind(address).map_err(|source| StartError::Listen { address, source })?;
         let shared = self.shared;
         let config = self.config;
         let view = view_source(self.management.as_ref(), &config);
@@ -179,7 +180,7 @@
     }
 }
 
-/// Accepts clients until the first two phases of the shutdown are over. Returns by when connections must have drained.
+/// Accepts clients until the first two phases of the shutdown are complete. Returns the deadline for draining connections.
 async fn accept_clients(
     listener: Async<TcpListener>,
     limiter: &Rc<ConnectionLimiter>,
--- a/crates/gateway/src/server/actors.rs
+++ b/crates/gateway/src/server/actors.rs
@@ -1,4 +1,4 @@
-//! Starts the actors of the gateway's thread, and the management thread.
+//! Functions that start the actors of the gateway's thread, and the management thread.
 
 use crate::config::GatewayConfig;
 use crate::connection_limiter::ConnectionLimiter;
@@ -14,10 +14,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Half of the descriptors is for connections of clients.
+/// Half of the file descriptors are for client connections.
 const DESCRIPTORS_PER_CLIENT_CONNECTION: usize = 2;
 
-/// The channels to the management thread that the gateway's thread holds; all empty without management.
+/// The gateway thread's channels to the management thread; all `None` without management.
 #[derive(Default)]
 pub(super) struct ManagementChannels {
     pub(super) reload_keys: Option<management::KeyReloadSender>,
@@ -69,7 +69,7 @@
     })
 }
 
-/// Whose settings run: the file's only without management.
+/// The source of the settings in effect, which is the configuration file only without management.
 pub(super) fn settings_source(channels: &ManagementChannels) -> SettingsSource {
     match (&channels.reload_keys, &channels.leave_fleet) {
         (None, _) => SettingsSource::File,
--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -1,4 +1,4 @@
-//! The state with which a gateway starts: from the configuration, the operator's file, the last revision and the last
+//! The initial state of a gateway, from the configuration file, the operator file, the last revision and the last
 //! snapshot.
 
 use crate::config::GatewayConfig;
@@ -21,21 +21,21 @@
 use std::rc::Rc;
 
 /// A third of the memory limit is for buffers. The rest is for memory that grows with them: joined statements, and
-/// answers that are being written.
+/// responses that are being written.
 const MEMORY_PARTS: f64 = 3.0;
-/// A quarter of the descriptors is for connections to engines.
+/// A quarter of the file descriptors are for connections to engines.
 const DESCRIPTORS_PER_ENGINE_CONNECTION: usize = 4;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The policy at the start: that of the revision that ran last, or of the configuration file.
+/// The initial policy: that of the last revision, or of the configuration file.
 pub(super) struct InitialPolicy {
     pub(super) config: PolicyConfig,
     pub(super) classes: Vec<ClassSummary>,
-    /// The longest hard limit.
+    /// The longest hard limit of all classes, in ms.
     pub(super) max_deadline: Millis,
 }
 
-/// The state that all actors share, before the classes are known, for a gateway outside a fleet.
+/// The state that all actors share, for a gateway outside a fleet and without its classes, which the caller sets.
 pub(super) fn new_shared(
     config: &GatewayConfig,
     dispatcher: Sender<DispatcherMessage>,
@@ -59,8 +59,8 @@
     }
 }
 
-/// Reads the snapshot of the last process, if the operator's file names a folder; its endpoint list may replace that of
-/// the configuration.
+/// Reads the snapshot of the previous process, if the operator file names a folder for it. The endpoint list of the
+/// snapshot may replace that of the configuration.
 pub(super) fn read_snapshot(
     operator: Option<&OperatorConfig>,
     config: &mut GatewayConfig,
@@ -82,7 +82,8 @@
     Ok(Some(management::open(section, config, operator)?))
 }
 
-/// The cells that the gateway begins with: a revision may have changed those of the operator's file.
+/// The initial cells: those of the last revision, which may have changed those of the operator file, or those of the
+/// operator file if there is no management.
 pub(super) fn initial_cells(
     operator: Option<&OperatorConfig>,
     management: Option<&management::PreparedManagement>,
@@ -98,13 +99,13 @@
 pub(super) fn warn_of_descriptor_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
     if let Some(shortage) = shortage {
         warn!(
-            log, "room for fewer descriptors than configured";
+            log, "fewer file descriptors available than configured";
             "configured" => shortage.requested, "available" => shortage.available
         );
     }
 }
 
-/// The policy of the last revision, which management has read, or of the configuration file.
+/// The policy of the last revision, which management has read, or that of the configuration file without management.
 pub(super) fn initial_policy(
     management: Option<&management::PreparedManagement>,
     config: &GatewayConfig,
@@ -133,7 +134,7 @@
     }
 }
 
-/// Until when the policy may decide, in ms. In a fleet it decides nothing before the first lease.
+/// The time until which the policy may make decisions, in ms. In a fleet it makes none before the first lease.
 pub(super) fn initial_lease(management: Option<&management::PreparedManagement>) -> Millis {
     let in_fleet = management.is_some_and(|management| management.in_fleet());
     if in_fleet && !is_disabled(Guard::NoLeaseAtStart) {
@@ -143,7 +144,7 @@
     }
 }
 
-/// Whether clients may name their tenant.
+/// Whether clients name the tenant in their calls.
 pub(super) fn names_tenants(operator: Option<&OperatorConfig>) -> bool {
     let cells = operator.and_then(|operator| operator.cells.as_ref());
     cells.is_some_and(|cells| cells.named_by_clients)
@@ -155,7 +156,7 @@
     shared: &Rc<Shared>,
 ) -> SnapshotStore {
     for note in &opened.notes {
-        warn!(shared.log, "snapshot of the last process"; "note" => note);
+        warn!(shared.log, "snapshot of the previous process"; "note" => note);
     }
     if opened.quarantines_keys {
         let until = shared.clock.now() + key_quarantine;
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The phases of a shutdown, and how long each may take. In order: late clients are still accepted, the accept
-//! backlog is served and the listener closes, connections drain, the snapshot is written, the gateway leaves the fleet.
+//! The phases of a shutdown and their time limits. In order: late clients are still accepted, the accept backlog is served
+//! and the listener closes, connections drain, the snapshot is written, and the gateway leaves the fleet.
 
 use crate::connection_limiter::ConnectionLimiter;
 use crate::snapshot_store::SnapshotStore;
@@ -11,23 +11,23 @@
 use ironstair_runtime::Shared;
 use slog::{info, Logger};
 
-/// After the signal, clients go on opening connections and sending for up to 600 ms; 100 ms more are granted.
+/// Clients open connections and send requests for up to 600 ms after the signal; 100 ms are added as a margin.
 const LATE_CLIENTS_MS: Millis = 700.0;
-/// The most of the longest hard limit that the drain waits for.
+/// The longest time to wait for open requests, even if a hard limit is longer.
 const MAX_REQUEST_TIME_MS: Millis = 3000.0;
-/// The platform kills the process this long after the requests' time.
+/// The platform kills the process this long after the time for open requests has passed.
 const KILLED_AFTER_MS: Millis = 700.0;
-/// The part of that for writing the last answers.
+/// The part of `KILLED_AFTER_MS` that is reserved for writing the last responses.
 const LAST_ANSWERS_MS: Millis = 200.0;
-/// How long the fleet may take to acknowledge that this process leaves.
+/// The timeout for the fleet to acknowledge that this process leaves.
 const LEAVE_FLEET_MS: Millis = 80.0;
 
-/// How long after the signal, in ms, every request must have its answer.
+/// The time after the signal, in ms, within which every request must have its response.
 pub(crate) fn answer_budget(shared: &Shared) -> Millis {
     shared.max_deadline.get().min(MAX_REQUEST_TIME_MS) + KILLED_AFTER_MS - LAST_ANSWERS_MS
 }
 
-/// Phase 1: waits for the signal, then for late clients. Returns by when connections must have drained.
+/// Phase 1: waits for the signal, then for late clients. Returns the deadline for draining connections.
 pub(crate) async fn wait_for_late_clients(limiter: &ConnectionLimiter, shared: &Shared) -> Millis {
     limiter.until_shutting_down().await;
     let deadline = shared.clock.now() + answer_budget(shared) + LAST_ANSWERS_MS / 2.0;
@@ -35,9 +35,9 @@
     deadline
 }
 
-/// Phase 3 (phase 2, the accept backlog, is `Acceptor::finish`): waits until each connection has answered its calls and
-/// closed, at the latest until the deadline. A client that reads nothing, or has sent
-/// half a message, may hold its connection open until then.
+/// Phase 3: waits until every connection has responded to its calls and closed, or until the deadline. A client that does
+/// not read, or has sent an incomplete message, can keep its connection open until then. Phase 2, which serves the accept
+/// backlog, is `Acceptor::finish`.
 pub(crate) async fn drain(limiter: &ConnectionLimiter, shared: &Shared, deadline: Millis) {
     limiter.close();
     let timeout = Timer::after(duration(deadline - shared.clock.now()));
@@ -45,16 +45,16 @@
         timeout.await;
     };
     or(limiter.until_empty(), timeout).await;
-    info!(shared.log, "shutdown complete, all requests answered");
+    info!(shared.log, "connections drained, or drain deadline reached");
 }
 
-/// Phase 4: writes the snapshot for the next process. A slow disk gets the time that remains, and 200 ms at least.
+/// Phase 4: writes the snapshot for the next process, within the time that remains but at least 200 ms, for slow disks.
 pub(crate) async fn write_snapshot(store: SnapshotStore, shared: &Shared, deadline: Millis) {
     let budget = (deadline - shared.clock.now()).max(LAST_ANSWERS_MS);
     store.finish(budget).await;
 }
 
-/// Phase 5: announces the end of this process to the fleet, which otherwise waits for the lease to expire.
+/// Phase 5: announces to the fleet that this process ends. Otherwise the fleet would wait for the lease to expire.
 pub(crate) async fn leave_fleet(agent: AgentHandle, log: &Logger) {
     let acknowledged = agent.announce_leave();
     let sent = acknowledged.is_some();
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP reloads the configuration file and the TLS keys, SIGTERM and SIGINT begin the shutdown.
+//! Signal handling: SIGHUP reloads the configuration file and the TLS keys; SIGTERM and SIGINT begin the shutdown.
 
 use crate::config::{self, ConfigError, GatewayConfig};
 use crate::connection_limiter::ConnectionLimiter;
@@ -17,52 +17,52 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Whose settings run. The others are not taken over.
+/// The source of the settings in effect. Settings from other sources are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SettingsSource {
-    /// Those of the configuration file, which SIGHUP reloads.
+    /// The configuration file, which SIGHUP reloads.
     File,
-    /// Those of management, changed over gNMI.
+    /// Management: the settings are changed over gNMI.
     Management,
-    /// Those of the fleet's policy.
+    /// The fleet's policy.
     Fleet,
 }
 
-/// Why a changed configuration file is not taken over.
+/// Why a reloaded configuration file is rejected.
 #[derive(Debug, thiserror::Error)]
 enum RejectedConfig {
-    /// The file can't be read or decoded.
+    /// The file cannot be read or decoded.
     #[error(transparent)]
     File(#[from] ConfigError),
-    /// Its settings can't replace those that run.
+    /// Its settings cannot replace those in effect.
     #[error(transparent)]
     Settings(#[from] ReloadError),
 }
 
-/// Registers the signals. Must be called before the listener is bound: a process that sees the gateway listen may send
-/// one, and a signal without a handler kills the gateway.
+/// Registers the signal handlers. Must be called before the listener is bound: another process may send a signal as soon
+/// as the gateway listens, and a signal without a handler would kill the gateway.
 ///
 /// # Errors
-/// The system refuses the handlers.
+/// The operating system rejects a handler.
 pub(crate) fn register() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Handles signals until the process ends: also during a drain, none of them kills it.
+/// Handles signals until the process ends, also while connections drain, so that a signal never kills the process.
 pub(crate) struct SignalHandler {
     /// The registered signals.
     pub(crate) signals: Signals,
-    /// The configuration file.
+    /// The path of the configuration file.
     pub(crate) config_path: PathBuf,
-    /// Changes of the name service or the endpoint list, to discovery.
+    /// Sends the address of the name service and the endpoint list of a reloaded file to discovery.
     pub(crate) discovery: Sender<DiscoveryUpdate>,
-    /// Requests to read the TLS keys again; none without management.
+    /// Requests a reload of the TLS keys; `None` without management.
     pub(crate) reload_keys: Option<KeyReloadSender>,
-    /// Whose settings run.
+    /// The source of the settings in effect.
     pub(crate) source: SettingsSource,
-    /// The settings of the file that were taken over last.
+    /// The settings that were last applied from the file.
     pub(crate) running_config: RunningConfig,
-    /// Keeps track of the shutdown.
+    /// The connection limiter, which holds the state of the shutdown.
     pub(crate) limiter: Rc<ConnectionLimiter>,
     /// The state that all actors share.
     pub(crate) shared: Rc<Shared>,
@@ -95,18 +95,18 @@
 
     async fn reload(&mut self) {
         if let Some(reload_keys) = &self.reload_keys {
-            // A full queue holds a request that has not been handled yet: one is enough.
+            // If the queue is full, it already holds a pending request, which is enough.
             let _ = reload_keys.try_send(());
         }
         let (reloaded, mut config) = match self.read_config() {
             Ok(read) => read,
             Err(error) => {
                 let error = error.to_string();
-                warn!(self.shared.log, "configuration rejected, the earlier one stays"; "error" => error);
+                warn!(self.shared.log, "configuration rejected, keeping the previous one"; "error" => error);
                 return;
             }
         };
-        // A file may change the transport settings alone: they are no part of the running config.
+        // A file may change only the transport settings, which are not part of the running config.
         if reloaded.is_some() || config.transport_config != *self.shared.transport_config() {
             self.apply_settings(reloaded, config.transport_config.clone())
                 .await;
@@ -115,8 +115,9 @@
         self.send_discovery_update(config).await;
     }
 
-    /// Reads the file, and the running config that it makes; none if that would be the present one. A file whose settings
-    /// can't be used is rejected whole: the zones and machine types of its endpoint list may be new in its settings.
+    /// Reads the file, and derives the running config from it; `None` if that equals the present one. A file with invalid
+    /// settings is rejected as a whole, because its endpoint list may refer to zones and machine types that are new in
+    /// those settings.
     fn read_config(&self) -> Result<(Option<RunningConfig>, GatewayConfig), RejectedConfig> {
         let config = config::read(&self.config_path)?;
         let reloaded = self.running_config.reload(config.reloadable())?;
@@ -137,18 +138,21 @@
                 self.update_policy(transport_config).await;
             }
             SettingsSource::Management => {
-                warn!(log, "settings of the file ignored, they come by management");
+                warn!(
+                    log,
+                    "settings of the configuration file ignored: they are changed over gNMI"
+                );
             }
             SettingsSource::Fleet => {
                 warn!(
                     log,
-                    "settings of the file ignored, they are the fleet's: ironstair set --fleet"
+                    "settings of the configuration file ignored: they come from the fleet, use ironstair set --fleet"
                 );
             }
         }
     }
 
-    /// Hands the settings to the dispatcher and waits until it has applied them: the endpoint list that follows may name
+    /// Sends the settings to the dispatcher and waits until they are applied: the endpoint list that follows may refer to
     /// zones and machine types that are new in them.
     async fn update_policy(&self, transport_config: TransportConfig) {
         let policy_config = self.running_config.policy_config();
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -1,5 +1,5 @@
 //! The snapshot for the next process of this gateway: the endpoint list, and whether this process ended without open
-//! requests. A thread of its own reads and writes the folder, so that a slow disk does not block the gateway's thread.
+//! requests. A separate thread reads and writes the folder, so that a slow disk does not block the gateway's thread.
 
 mod folder;
 
@@ -18,51 +18,52 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The snapshot is written at least this often, in ms: a start judges the list by the time of the last write.
+/// The longest time between two writes of the snapshot, in ms. The next process decides by the time of the last write
+/// whether the list is recent enough to use.
 const WRITE_INTERVAL: Millis = 10_000.0;
-/// Messages that may wait for the store's task.
+/// The capacity of the queue to the store's task.
 const QUEUE_LENGTH: usize = 4;
 
-/// To the store's task.
+/// A message to the store's task.
 enum StoreMessage {
     /// The endpoint list has changed.
     Endpoints {
-        /// The serial of the change.
+        /// The serial number of the list.
         serial: u32,
         /// All engines of the list.
         engines: Vec<Engine>,
     },
-    /// The process ends. The sender is dropped once the last snapshot is written, or its write failed.
+    /// The process ends. The sender is dropped when the last snapshot is written or its write has failed.
     Finish(Sender<()>),
 }
 
 /// A snapshot to write.
 struct SnapshotWrite {
     bytes: Vec<u8>,
-    /// Dropped after the write.
+    /// Dropped after the write, which notifies the receiver.
     done: Option<Sender<()>>,
-    /// For failures.
+    /// The log for write failures.
     log: Logger,
 }
 
-/// A handle of the task that owns the snapshot.
+/// A handle to the task that owns the snapshot.
 #[derive(Clone)]
 pub(crate) struct SnapshotStore {
     messages: Sender<StoreMessage>,
 }
 
-/// The folder with its thread running, and what the start learned from it.
+/// The snapshot folder, whose thread is running, and what was recovered from it.
 pub(crate) struct OpenedFolder {
-    /// Whether attempts of the last process may still run: ordering keys are quarantined then.
+    /// Whether to quarantine the ordering keys, because attempts of the previous process may still run.
     pub(crate) quarantines_keys: bool,
-    /// For the log, one line each.
+    /// Messages for the log, one line each.
     pub(crate) notes: Vec<String>,
     snapshot: Snapshot,
     writes: Sender<SnapshotWrite>,
 }
 
-/// Opens the folder and reads the snapshot of the last process. Its endpoint list replaces the one in `config`, unless it
-/// is older than that or too old to be used. Takes 1 s at most.
+/// Opens the folder and reads the snapshot of the previous process. Its endpoint list replaces the one in `config`, unless
+/// it is older than that or too old to be used. Takes 1 s at most.
 pub(crate) fn open(folder: &Path, config: &mut GatewayConfig) -> OpenedFolder {
     let (read, writes) = folder::open(folder);
     let unix = SystemTime::now()
@@ -77,7 +78,7 @@
     };
     if let Some(list) = recovery.endpoints {
         notes.push(format!(
-            "{} engines as the last process heard of them, {:.0} ms ago",
+            "endpoint list restored: {} engines, last confirmed by the name service {:.0} ms ago",
             list.engines.len(),
             list.age
         ));
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Replaces the endpoint list of the snapshot. If the queue is full the change is dropped: the next one holds the
-    /// whole list again.
+    /// Replaces the endpoint list of the snapshot. If the queue is full the change is dropped; the next change contains the
+    /// complete list again.
     pub(crate) fn update_endpoints(
         &self,
         serial: u32,
@@ -145,8 +146,7 @@
         let _ = self.messages.try_send(message);
     }
 
-    /// Writes the last snapshot, with a note whether requests are open. Returns once it is written, at the latest after
-    /// `timeout` ms.
+    /// Writes the last snapshot, which records whether requests are open. Returns when it is written, or after `timeout` ms.
     pub(crate) async fn finish(self, timeout: Millis) {
         let (done, written) = bounded(1);
         let write = async {
@@ -183,7 +183,7 @@
 }
 
 impl StoreTask {
-    /// Writes the snapshot at once, at each message and after each interval, until the process has ended cleanly.
+    /// Writes the snapshot at once, after each message and after each interval, until the process has ended cleanly.
     async fn run(mut self) {
         let mut is_first = true;
         while !self.snapshot.ended_cleanly {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// The next message; none once the snapshot is due without one.
+    /// Waits for the next message; `None` if the next write is due first.
     async fn next_message(&self, is_first: &mut bool) -> Option<StoreMessage> {
         let message = async { self.messages.recv().await.ok() };
         let due = async {
@@ -207,7 +207,7 @@
         or(message, due).await
     }
 
-    /// Takes the message into the snapshot. Returns the sender to drop once the snapshot is written.
+    /// Applies the message to the snapshot. Returns the sender to drop when the snapshot is written.
     fn apply(&mut self, message: StoreMessage) -> Option<Sender<()>> {
         match message {
             StoreMessage::Endpoints { serial, engines } => {
@@ -229,7 +229,7 @@
         let Ok(bytes) = encode(&self.snapshot) else {
             return;
         };
-        // Replaces a snapshot that waits there: it is older.
+        // Replaces an older snapshot that is still in the queue.
         let _ = self.writes.force_send(SnapshotWrite {
             bytes,
             done,
--- a/crates/gateway/src/snapshot_store/folder.rs
+++ b/crates/gateway/src/snapshot_store/folder.rs
@@ -11,34 +11,34 @@
 use std::thread;
 use std::time::Duration;
 
-/// The snapshot's file.
+/// The name of the snapshot file.
 const SNAPSHOT_FILE: &str = "gateway.kept";
-/// Written first, then renamed to `SNAPSHOT_FILE`: a crash leaves one of the two whole.
+/// The name of the file that is written first and then renamed to `SNAPSHOT_FILE`, so that a crash leaves a complete file.
 const TEMPORARY_FILE: &str = "gateway.new";
-/// The start waits this long for a slow disk, then goes on as without a snapshot.
+/// How long the start waits for a slow disk before it continues without a snapshot.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the snapshot can't be read or written.
+/// Why the snapshot cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SnapshotError {
-    /// The file or the folder can't be read or written.
-    #[error("{}: {source}", path.display())]
+    /// The file or its folder cannot be read or written.
+    #[error("cannot access snapshot file {}: {source}", path.display())]
     Io { path: PathBuf, source: io::Error },
     /// The file is larger than any snapshot.
-    #[error("{}: {bytes} bytes are none of ours", path.display())]
+    #[error("snapshot file {} has {bytes} bytes, at most {MAX_BYTES} are allowed", path.display())]
     TooLarge { path: PathBuf, bytes: u64 },
-    /// The file is no snapshot.
-    #[error("{}: {source}", path.display())]
+    /// The file is not a valid snapshot.
+    #[error("invalid snapshot file {}: {source}", path.display())]
     Decode { path: PathBuf, source: DecodeError },
     /// The folder was not read in time.
-    #[error("{}: not read within {READ_TIMEOUT:?}", folder.display())]
+    #[error("snapshot folder {} not read within {READ_TIMEOUT:?}", folder.display())]
     TimedOut { folder: PathBuf },
-    /// The thread of the folder can't be started.
-    #[error("{0}")]
+    /// The thread for the folder cannot be started.
+    #[error("cannot start the thread for the snapshot folder: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// Reads the snapshot; none where there is no file.
+/// Reads the snapshot; `None` if there is no file.
 fn read_snapshot(folder: &Path) -> Result<Option<Snapshot>, SnapshotError> {
     let path = folder.join(SNAPSHOT_FILE);
     match std::fs::metadata(&path) {
@@ -62,8 +62,8 @@
     Ok(Some(snapshot))
 }
 
-/// Clears the note of a clean end before this process sends an attempt: if it is killed, the next start must not find
-/// the note of the process before. Returns whether that is on disk.
+/// Clears the marker of a clean end before this process sends an attempt: if this process is killed, the next one must not
+/// find the marker of the previous process. Returns whether the change is on disk.
 fn clear_clean_end(folder: &Path, snapshot: &Snapshot) -> bool {
     let cleared = Snapshot {
         ended_cleanly: false,
@@ -72,14 +72,14 @@
     encode(&cleared).is_ok_and(|bytes| write_snapshot(folder, &bytes).is_ok())
 }
 
-/// Delays the disk where a test asks for it.
+/// Delays access to the disk if fault injection requests it.
 fn simulate_slow_disk(folder: &Path) {
     if is_disabled(Guard::FastDisk) && folder.join("slow").exists() {
         thread::sleep(READ_TIMEOUT * 2);
     }
 }
 
-/// Replaces the file as a whole, and creates the folder if needed.
+/// Replaces the file atomically, and creates the folder if needed.
 fn write_snapshot(folder: &Path, bytes: &[u8]) -> Result<(), SnapshotError> {
     simulate_slow_disk(folder);
     let created = std::fs::create_dir_all(folder);
@@ -92,8 +92,8 @@
     })
 }
 
-/// Starts the thread of the folder. Returns the snapshot that it read, and the queue of the snapshots to write, which
-/// holds one: a newer snapshot replaces one that waits.
+/// Starts the thread for the folder. Returns the snapshot that it has read, and the queue of snapshots to write. The queue
+/// holds one snapshot; a newer one replaces it.
 pub(super) fn open(
     folder: &Path,
 ) -> (
@@ -103,7 +103,7 @@
     let (snapshot_sender, snapshot) = mpsc::sync_channel(1);
     let (write_sender, writes) = bounded(1);
     let owned_folder = folder.to_path_buf();
-    // One thread reads and writes: a read or write that a slow disk delays comes before the next write.
+    // A single thread reads and writes, so that a read or write that a slow disk delays still precedes the next write.
     let started = thread::Builder::new()
         .name("recovery".into())
         .spawn(move || {
@@ -123,7 +123,7 @@
     (read, write_sender)
 }
 
-/// Writes each snapshot of the queue. Logs the first failure and the first success after it.
+/// Writes each snapshot from the queue. Logs the first failure and the first success after it.
 fn write_queued(folder: &Path, writes: &Receiver<SnapshotWrite>) {
     let mut is_failing = false;
     while let Ok(SnapshotWrite { bytes, done, log }) = writes.recv_blocking() {
--- a/crates/gateway/tests/fleet/settings_sources.rs
+++ b/crates/gateway/tests/fleet/settings_sources.rs
@@ -13,7 +13,7 @@
 #[test]
 fn settings_by_sighup_and_by_plain_commands_are_refused_in_a_fleet() {
     let mut cluster = Cluster::started("sighup", &Plan::default());
-    let refusal = "settings of the file ignored, they are the fleet's";
+    let refusal = "settings of the configuration file ignored: they come from the fleet";
     cluster.edit_config_and_reload(4, |config| config["names"] = json!("127.0.0.1:9"));
     cluster.edit_config_and_reload(3, |config| {
         config["settings"]["policy_limits"]["max_attempts"] = json!(2);
@@ -22,7 +22,7 @@
         cluster.log(3).contains(refusal)
     });
     wait_until("the name service's address changes", || {
-        cluster.log(4).contains("name service address changed")
+        cluster.log(4).contains("name service settings updated")
     });
     assert!(
         !cluster.log(4).contains(refusal),
--- a/crates/gateway/tests/switch/scope_of_a_reload.rs
+++ b/crates/gateway/tests/switch/scope_of_a_reload.rs
@@ -47,8 +47,8 @@
 
     logged.reload_settings(&config, &other_settings(&config["settings"]));
 
-    let ignored = "settings of the file ignored, they come by management";
-    let moved = "name service address changed";
+    let ignored = "settings of the configuration file ignored: they are changed over gNMI";
+    let moved = "name service settings updated";
     assert!(soon(
         || logged.log_count(ignored) == 1 && logged.log_count(moved) == 1
     ));
