--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -139,8 +139,8 @@
 pub(crate) enum FleetAction {
     /// Bootstrap the fleet with this gateway's configuration; run once, at the voter whose name sorts first
     Begin,
-    /// Bootstrap the fleet again from the last policy on this voter's disk, after most voters' disks were lost for good.
-    /// Decisions made after that policy are lost. A majority of the earlier voters must not be running
+    /// Bootstrap the fleet again from the last policy on this voter's disk, after most voters' disks were lost for
+    /// good. Decisions made after that policy are lost. A majority of the earlier voters must not be running
     BeginAnew,
 }
 
--- a/crates/gateway/src/cli/error.rs
+++ b/crates/gateway/src/cli/error.rs
@@ -74,7 +74,8 @@
     /// Standard output cannot be written.
     #[error("cannot write to standard output: {0}")]
     Output(#[source] io::Error),
-    /// The reader of standard output, such as `head`, closed the pipe. This counts as success: it has read what it needs.
+    /// The reader of standard output, such as `head`, closed the pipe. This counts as success: it has read what it
+    /// needs.
     #[error("standard output is closed")]
     OutputClosed,
 }
--- a/crates/gateway/src/cli/fleet.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -11,7 +11,8 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// How often, and at what interval, to ask for the fleet's state until a leader is elected after a recovery: 4 s in total.
+/// How often, and at what interval, to ask for the fleet's state until a leader is elected after a recovery: 4 s in
+/// total.
 const LEADER_POLLS: usize = 20;
 const LEADER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
--- a/crates/gateway/src/cli/output.rs
+++ b/crates/gateway/src/cli/output.rs
@@ -224,7 +224,8 @@
 /// Writes a line to standard output.
 ///
 /// # Errors
-/// Standard output cannot be written. A closed pipe is reported as [`CommandError::OutputClosed`], which is not a failure.
+/// Standard output cannot be written. A closed pipe is reported as [`CommandError::OutputClosed`], which is not a
+/// failure.
 pub(super) fn print_line(text: &str) -> CommandResult {
     let mut output = std::io::stdout().lock();
     let written = writeln!(output, "{}", text.trim_end()).and_then(|()| output.flush());
--- a/crates/gateway/src/descriptors.rs
+++ b/crates/gateway/src/descriptors.rs
@@ -14,9 +14,9 @@
 
 /// Makes the kernel reserve space for `descriptors` descriptors, or for as many as it allows.
 ///
-/// Must be called while the process has a single thread. The kernel's table grows by doubling. Once several threads share
-/// the table, every connection that does not fit waits for all cores while the table grows (`synchronize_rcu` in Linux),
-/// and under load the gateway stalls for seconds (incident 008).
+/// Must be called while the process has a single thread. The kernel's table grows by doubling. Once several threads
+/// share the table, every connection that does not fit waits for all cores while the table grows (`synchronize_rcu` in
+/// Linux), and under load the gateway stalls for seconds (incident 008).
 pub(crate) fn reserve(descriptors: usize) -> Option<DescriptorShortage> {
     let requested = descriptors.clamp(1, MAX_RESERVED);
     let halved = |count: &usize| Some(count / 2);
@@ -29,8 +29,8 @@
     })
 }
 
-/// Grows the table by duplicating a descriptor to the highest number. The duplicate is closed at once, but the table does
-/// not shrink.
+/// Grows the table by duplicating a descriptor to the highest number. The duplicate is closed at once, but the table
+/// does not shrink.
 fn grow_table_to(descriptors: usize) -> bool {
     rustix::io::fcntl_dupfd_cloexec(std::io::stderr(), descriptors as i32 - 1).is_ok()
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -26,8 +26,9 @@
 const MAX_PENDING_QUERIES: u16 = 8;
 /// The number of consecutive unanswered queries after which a warning is logged.
 const UNANSWERED_BEFORE_WARNING: u32 = 10;
-/// The number of consecutive unanswered queries after which a new socket is opened, since a network path may have failed
-/// for the old socket's port only. It exceeds the number of pending queries, so that no answer to one of them is lost.
+/// The number of consecutive unanswered queries after which a new socket is opened, since a network path may have
+/// failed for the old socket's port only. It exceeds the number of pending queries, so that no answer to one of them is
+/// lost.
 const UNANSWERED_BEFORE_NEW_SOCKET: u32 = 2 * MAX_PENDING_QUERIES as u32;
 
 /// The part of a reloaded configuration file that concerns discovery.
@@ -120,8 +121,8 @@
             store.update_endpoints(list.serial, &list.endpoints, &self.name_index);
         }
         let message = DispatcherMessage::Endpoints(list.endpoints);
-        // The serial is recorded last: an update of the configuration may cancel this function while the dispatcher's queue
-        // is full, and the list must then not count as sent.
+        // The serial is recorded last: an update of the configuration may cancel this function while the dispatcher's
+        // queue is full, and the list must then not count as sent.
         if self.dispatcher.send(message).await.is_ok() {
             self.serial = list.serial;
             self.shared.metrics.endpoint_list_serial.set(list.serial);
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines on standard error, as text or JSON, written by a separate thread. If the thread's queue is full, lines
-//! are dropped and counted, so that a blocked pipe never delays a response.
+//! The log: lines on standard error, as text or JSON, written by a separate thread. If the thread's queue is full,
+//! lines are dropped and counted, so that a blocked pipe never delays a response.
 
 use slog::{o, Drain, Level, Logger, OwnedKVList, Record};
 use slog_async::OverflowStrategy;
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -170,7 +170,7 @@
     /// Starts the management thread.
     ///
     /// # Errors
-    /// The listener has no address, or the thread can't be started.
+    /// The listener has no address, or the thread cannot be started.
     pub(crate) fn start(
         self,
         name: &str,
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -29,14 +29,16 @@
     pub(crate) management: Option<Management>,
     /// Confines each tenant to some of the engines.
     pub(crate) cells: Option<Cells>,
-    /// Shares one policy with the other gateways of a fleet. Requires the section `management`, without its field `state`.
+    /// Shares one policy with the other gateways of a fleet. Requires the section `management`, without its field
+    /// `state`.
     pub(crate) fleet: Option<Fleet>,
     /// Saves the endpoint list for the next process of this gateway.
     pub(crate) recovery: Option<Recovery>,
 }
 
-/// A folder for the endpoint list and a marker that the process ended without open requests. With this section, a process
-/// that does not find the marker at start quarantines the ordering keys: attempts of the previous process may still run.
+/// A folder for the endpoint list and a marker that the process ended without open requests. With this section, a
+/// process that does not find the marker at start quarantines the ordering keys: attempts of the previous process may
+/// still run.
 #[derive(Clone, Debug, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Recovery {
@@ -63,8 +65,8 @@
     /// What this gateway does once its lease has expired.
     #[serde(default)]
     pub(crate) cut_off: CutOff,
-    /// How to count the gateways among which the allowance of an engine in slow start is divided. Must be the same at all
-    /// gateways.
+    /// How to count the gateways among which the allowance of an engine in slow start is divided. Must be the same at
+    /// all gateways.
     #[serde(default)]
     pub(crate) count: Count,
     /// The folder for the fleet's log. Required for a voter, not allowed for other gateways.
@@ -125,7 +127,8 @@
     /// The number of cells of each tenant. Values above 1 enable shuffle sharding.
     #[serde(default = "default_shard")]
     pub(crate) shard: u8,
-    /// Whether clients name the tenant in the field `tenant` of a call. If not, the tenant is the statement's table group.
+    /// Whether clients name the tenant in the field `tenant` of a call. If not, the tenant is the statement's table
+    /// group.
     #[serde(default)]
     pub(crate) named_by_clients: bool,
     /// The cell of each pinned engine, by the engine's name.
--- a/crates/gateway/src/operator_config/tests.rs
+++ b/crates/gateway/src/operator_config/tests.rs
@@ -7,8 +7,8 @@
     assert!(decode(b"{}").unwrap().management.is_none());
 }
 
-/// The text of an operator file with a fleet of three voters. `management` are further fields of the section `management`,
-/// which is left out if that is empty; `fleet` are further fields of the section `fleet`.
+/// The text of an operator file with a fleet of three voters. `management` are further fields of the section
+/// `management`, which is left out if that is empty; `fleet` are further fields of the section `fleet`.
 fn operator_with_fleet(management: &str, fleet: &str) -> String {
     let management = match management {
         "" => String::new(),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -180,7 +180,8 @@
     }
 }
 
-/// Accepts clients until the first two phases of the shutdown are complete. Returns the deadline for draining connections.
+/// Accepts clients until the first two phases of the shutdown are complete. Returns the deadline for draining
+/// connections.
 async fn accept_clients(
     listener: Async<TcpListener>,
     limiter: &Rc<ConnectionLimiter>,
--- a/crates/gateway/src/server/actors.rs
+++ b/crates/gateway/src/server/actors.rs
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Where the dispatcher publishes its state; none without management.
+/// Where the dispatcher publishes its state; `None` without management.
 pub(super) fn view_source(
     management: Option<&management::PreparedManagement>,
     config: &GatewayConfig,
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The phases of a shutdown and their time limits. In order: late clients are still accepted, the accept backlog is served
-//! and the listener closes, connections drain, the snapshot is written, and the gateway leaves the fleet.
+//! The phases of a shutdown and their time limits. In order: late clients are still accepted, the accept backlog is
+//! served and the listener closes, connections drain, the snapshot is written, and the gateway leaves the fleet.
 
 use crate::connection_limiter::ConnectionLimiter;
 use crate::snapshot_store::SnapshotStore;
@@ -18,26 +18,26 @@
 /// The platform kills the process this long after the time for open requests has passed.
 const KILLED_AFTER_MS: Millis = 700.0;
 /// The part of `KILLED_AFTER_MS` that is reserved for writing the last responses.
-const LAST_ANSWERS_MS: Millis = 200.0;
+const LAST_RESPONSES_MS: Millis = 200.0;
 /// The timeout for the fleet to acknowledge that this process leaves.
 const LEAVE_FLEET_MS: Millis = 80.0;
 
 /// The time after the signal, in ms, within which every request must have its response.
-pub(crate) fn answer_budget(shared: &Shared) -> Millis {
-    shared.max_deadline.get().min(MAX_REQUEST_TIME_MS) + KILLED_AFTER_MS - LAST_ANSWERS_MS
+pub(crate) fn response_budget(shared: &Shared) -> Millis {
+    shared.max_deadline.get().min(MAX_REQUEST_TIME_MS) + KILLED_AFTER_MS - LAST_RESPONSES_MS
 }
 
 /// Phase 1: waits for the signal, then for late clients. Returns the deadline for draining connections.
 pub(crate) async fn wait_for_late_clients(limiter: &ConnectionLimiter, shared: &Shared) -> Millis {
     limiter.until_shutting_down().await;
-    let deadline = shared.clock.now() + answer_budget(shared) + LAST_ANSWERS_MS / 2.0;
+    let deadline = shared.clock.now() + response_budget(shared) + LAST_RESPONSES_MS / 2.0;
     Timer::after(duration(LATE_CLIENTS_MS)).await;
     deadline
 }
 
-/// Phase 3: waits until every connection has responded to its calls and closed, or until the deadline. A client that does
-/// not read, or has sent an incomplete message, can keep its connection open until then. Phase 2, which serves the accept
-/// backlog, is `Acceptor::finish`.
+/// Phase 3: waits until every connection has responded to its calls and closed, or until the deadline. A client that
+/// does not read, or has sent an incomplete message, can keep its connection open until then. Phase 2, which serves the
+/// accept backlog, is `Acceptor::finish`.
 pub(crate) async fn drain(limiter: &ConnectionLimiter, shared: &Shared, deadline: Millis) {
     limiter.close();
     let timeout = Timer::after(duration(deadline - shared.clock.now()));
@@ -50,7 +50,7 @@
 
 /// Phase 4: writes the snapshot for the next process, within the time that remains but at least 200 ms, for slow disks.
 pub(crate) async fn write_snapshot(store: SnapshotStore, shared: &Shared, deadline: Millis) {
-    let budget = (deadline - shared.clock.now()).max(LAST_ANSWERS_MS);
+    let budget = (deadline - shared.clock.now()).max(LAST_RESPONSES_MS);
     store.finish(budget).await;
 }
 
@@ -61,11 +61,11 @@
     let timeout = async {
         Timer::after(duration(LEAVE_FLEET_MS)).await;
     };
-    let answer = async {
+    let acknowledgement = async {
         if let Some(acknowledged) = acknowledged {
             drop(acknowledged.await);
         }
     };
-    or(answer, timeout).await;
+    or(acknowledgement, timeout).await;
     info!(log, "left the fleet"; "sent" => sent);
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -4,7 +4,7 @@
 use crate::connection_limiter::ConnectionLimiter;
 use crate::discovery::DiscoveryUpdate;
 use crate::management::KeyReloadSender;
-use crate::shutdown::answer_budget;
+use crate::shutdown::response_budget;
 use async_channel::Sender;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -39,8 +39,8 @@
     Settings(#[from] ReloadError),
 }
 
-/// Registers the signal handlers. Must be called before the listener is bound: another process may send a signal as soon
-/// as the gateway listens, and a signal without a handler would kill the gateway.
+/// Registers the signal handlers. Must be called before the listener is bound: another process may send a signal as
+/// soon as the gateway listens, and a signal without a handler would kill the gateway.
 ///
 /// # Errors
 /// The operating system rejects a handler.
@@ -85,11 +85,11 @@
     async fn begin_shutdown(&self) {
         info!(self.shared.log, "shutdown requested");
         self.limiter.begin_shutdown();
-        let end = self.shared.clock.now() + answer_budget(&self.shared);
+        let deadline = self.shared.clock.now() + response_budget(&self.shared);
         let _ = self
             .shared
             .dispatcher
-            .send(DispatcherMessage::ShutdownRequested(end))
+            .send(DispatcherMessage::ShutdownRequested(deadline))
             .await;
     }
 
@@ -115,9 +115,9 @@
         self.send_discovery_update(config).await;
     }
 
-    /// Reads the file, and derives the running config from it; `None` if that equals the present one. A file with invalid
-    /// settings is rejected as a whole, because its endpoint list may refer to zones and machine types that are new in
-    /// those settings.
+    /// Reads the file, and derives the running config from it; `None` if that equals the present one. A file with
+    /// invalid settings is rejected as a whole, because its endpoint list may refer to zones and machine types that are
+    /// new in those settings.
     fn read_config(&self) -> Result<(Option<RunningConfig>, GatewayConfig), RejectedConfig> {
         let config = config::read(&self.config_path)?;
         let reloaded = self.running_config.reload(config.reloadable())?;
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Sends the settings to the dispatcher and waits until they are applied: the endpoint list that follows may refer to
-    /// zones and machine types that are new in them.
+    /// Sends the settings to the dispatcher and waits until they are applied: the endpoint list that follows may refer
+    /// to zones and machine types that are new in them.
     async fn update_policy(&self, transport_config: TransportConfig) {
         let policy_config = self.running_config.policy_config();
         let (classes, max_deadline) = ironstair_management::classes(
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -62,8 +62,8 @@
     writes: Sender<SnapshotWrite>,
 }
 
-/// Opens the folder and reads the snapshot of the previous process. Its endpoint list replaces the one in `config`, unless
-/// it is older than that or too old to be used. Takes 1 s at most.
+/// Opens the folder and reads the snapshot of the previous process. Its endpoint list replaces the one in `config`,
+/// unless it is older than that or too old to be used. Takes 1 s at most.
 pub(crate) fn open(folder: &Path, config: &mut GatewayConfig) -> OpenedFolder {
     let (read, writes) = folder::open(folder);
     let unix = SystemTime::now()
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Replaces the endpoint list of the snapshot. If the queue is full the change is dropped; the next change contains the
-    /// complete list again.
+    /// Replaces the endpoint list of the snapshot. If the queue is full the change is dropped; the next change contains
+    /// the complete list again.
     pub(crate) fn update_endpoints(
         &self,
         serial: u32,
@@ -146,7 +146,8 @@
         let _ = self.messages.try_send(message);
     }
 
-    /// Writes the last snapshot, which records whether requests are open. Returns when it is written, or after `timeout` ms.
+    /// Writes the last snapshot, which records whether requests are open. Returns when it is written, or after
+    /// `timeout` ms.
     pub(crate) async fn finish(self, timeout: Millis) {
         let (done, written) = bounded(1);
         let write = async {
--- a/crates/gateway/src/snapshot_store/folder.rs
+++ b/crates/gateway/src/snapshot_store/folder.rs
@@ -13,7 +13,8 @@
 
 /// The name of the snapshot file.
 const SNAPSHOT_FILE: &str = "gateway.kept";
-/// The name of the file that is written first and then renamed to `SNAPSHOT_FILE`, so that a crash leaves a complete file.
+/// The name of the file that is written first and then renamed to `SNAPSHOT_FILE`, so that a crash leaves a complete
+/// file.
 const TEMPORARY_FILE: &str = "gateway.new";
 /// How long the start waits for a slow disk before it continues without a snapshot.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
@@ -62,8 +63,8 @@
     Ok(Some(snapshot))
 }
 
-/// Clears the marker of a clean end before this process sends an attempt: if this process is killed, the next one must not
-/// find the marker of the previous process. Returns whether the change is on disk.
+/// Clears the marker of a clean end before this process sends an attempt: if this process is killed, the next one must
+/// not find the marker of the previous process. Returns whether the change is on disk.
 fn clear_clean_end(folder: &Path, snapshot: &Snapshot) -> bool {
     let cleared = Snapshot {
         ended_cleanly: false,
@@ -92,8 +93,8 @@
     })
 }
 
-/// Starts the thread for the folder. Returns the snapshot that it has read, and the queue of snapshots to write. The queue
-/// holds one snapshot; a newer one replaces it.
+/// Starts the thread for the folder. Returns the snapshot that it has read, and the queue of snapshots to write. The
+/// queue holds one snapshot; a newer one replaces it.
 pub(super) fn open(
     folder: &Path,
 ) -> (
