--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -118,10 +118,7 @@
             max_deadline,
         };
     }
-    let named = config
-        .class_names
-        .iter()
-        .zip(&config.policy_config.class_names);
+    let named = config.class_names.iter().zip(&config.policy_config.classes);
     let classes = named.map(|(name, class)| ClassSummary {
         name: name.clone(),
         base_objective: class.base_objective,
