--- a/crates/gateway/src/cli/output.rs
+++ b/crates/gateway/src/cli/output.rs
@@ -1,6 +1,6 @@
-//! Tables and lines on standard output.
+//! Formatting of tables and lines, and printing to standard output.
 
-use super::encoding::{moment, path_text, plain, value};
+use super::encoding::{format_time, json_value, path_text, plain_text};
 use super::error::{CommandError, CommandResult};
 use ironstair_data_tree::path::key_name;
 use ironstair_data_tree::Schema;
@@ -11,13 +11,13 @@
 use std::io::{ErrorKind, Write as _};
 
 const NANOSECONDS_PER_MS: i64 = 1_000_000;
-/// Shown in a cell without a value.
+/// Printed in a table cell without a value.
 const NO_VALUE: &str = "-";
 
-/// The cells of one entry, by column.
+/// The values of one list entry, by column.
 type Row = BTreeMap<String, String>;
 
-/// The entries of one list.
+/// The table of the entries of one YANG list.
 struct ListTable {
     /// The path of the list, without its key.
     path: String,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Begins a row where the entry is not that of the last row. The key of the list is the first column.
+    /// Begins a row unless `entry` is the entry of the last row. The key of the list is the first column.
     fn begin_entry(&mut self, entry: String, list: &gnmi::PathElem) {
         if entry == self.last_entry {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts the columns into the order of the YANG module, in which the leaves that are read most come first.
+    /// Sorts the columns in the order of the YANG module, which lists the most frequently read leaves first.
     fn sort_columns(&mut self, schema: &Schema) {
         let steps = self.path.split('/').filter(|step| !step.is_empty());
         let mut names = steps.map(|step| step.split('[').next().unwrap_or(step));
@@ -80,14 +80,14 @@
             let cells = self.columns.iter().map(|column| row.get(column).cloned());
             cells.map(|cell| cell.unwrap_or(NO_VALUE.into())).collect()
         });
-        let mut text = aligned(&self.columns, rows.collect());
+        let mut text = aligned_columns(&self.columns, rows.collect());
         let _ = writeln!(text, "({} of {})", self.rows.len(), self.path);
         text
     }
 }
 
-/// Columns padded to their widest cell, two spaces apart.
-fn aligned(columns: &[String], rows: Vec<Vec<String>>) -> String {
+/// Formats rows below a header line; each column is padded to its widest cell, with two spaces in between.
+fn aligned_columns(columns: &[String], rows: Vec<Vec<String>>) -> String {
     let widest = |nth: usize| {
         let cells = rows.iter().map(|row| row[nth].chars().count());
         cells.max().unwrap_or(0).max(columns[nth].len())
@@ -106,8 +106,8 @@
     text
 }
 
-/// Writes leaves for people: the entries of a list as a table with a row each, every other leaf as a line.
-pub(super) fn table(schema: &Schema, updates: &[gnmi::Update]) -> String {
+/// Formats leaves for people: list entries as rows of a table, all other leaves as one line each.
+pub(super) fn leaf_table(schema: &Schema, updates: &[gnmi::Update]) -> String {
     let mut text = String::new();
     let mut tables: Vec<ListTable> = Vec::new();
     for update in updates {
@@ -151,30 +151,35 @@
 fn leaf_text(schema: &Schema, path: &gnmi::Path, update: &gnmi::Update) -> String {
     let mut steps = path.elem.iter();
     let node = steps.try_fold(&schema.root, |node, step| node.child(&step.name));
-    let value = value(update.val.as_ref());
-    if node.is_some_and(|n| n.typedef.as_deref() == Some("moment")) {
-        moment(value.as_u64().unwrap_or(0))
+    let value = json_value(update.val.as_ref());
+    if node.is_some_and(|node| node.typedef.as_deref() == Some("moment")) {
+        format_time(value.as_u64().unwrap_or(0))
     } else {
-        plain(&value)
+        plain_text(&value)
     }
 }
 
-/// Writes a list of JSON objects as a table of these fields.
-pub(super) fn rows(objects: &Json, fields: &[&str]) -> String {
+/// Formats a list of JSON objects as a table with these fields as columns.
+pub(super) fn object_table(objects: &Json, fields: &[&str]) -> String {
     let objects = objects.as_array().map_or(&[][..], Vec::as_slice);
-    let row = |object: &Json| fields.iter().map(|field| cell(object, field)).collect();
+    let row = |object: &Json| {
+        fields
+            .iter()
+            .map(|field| cell_text(object, field))
+            .collect()
+    };
     let columns: Vec<String> = fields.iter().map(|field| field.to_string()).collect();
-    aligned(&columns, objects.iter().map(row).collect())
+    aligned_columns(&columns, objects.iter().map(row).collect())
 }
 
-fn cell(object: &Json, field: &str) -> String {
+fn cell_text(object: &Json, field: &str) -> String {
     match &object[field] {
         Json::Null => NO_VALUE.to_owned(),
-        value => plain(value),
+        value => plain_text(value),
     }
 }
 
-/// How a notification is written.
+/// The output format of notifications.
 #[derive(Clone, Copy)]
 pub(super) enum Format {
     /// For people.
@@ -183,8 +188,8 @@
     Json,
 }
 
-/// Writes a notification, one line for each leaf.
-pub(super) fn notification(notification: &gnmi::Notification, format: Format) -> String {
+/// Formats a notification, one line for each leaf.
+pub(super) fn notification_text(notification: &gnmi::Notification, format: Format) -> String {
     let prefix = notification.prefix.as_ref();
     let unix_ms = notification.timestamp / NANOSECONDS_PER_MS;
     let deleted = notification.delete.iter().map(|path| {
@@ -193,7 +198,7 @@
     });
     let updated = notification.update.iter().map(|update| {
         let path = path_text(prefix, update.path.as_ref());
-        updated_line(unix_ms, &path, &value(update.val.as_ref()), format)
+        updated_line(unix_ms, &path, &json_value(update.val.as_ref()), format)
     });
     deleted.chain(updated).collect::<Vec<_>>().join("\n")
 }
@@ -201,21 +206,26 @@
 fn deleted_line(unix_ms: i64, path: &str, format: Format) -> String {
     match format {
         Format::Json => json!({"at": unix_ms, "delete": path}).to_string(),
-        Format::Text => format!("{} {path} is gone", moment(unix_ms as u64)),
+        Format::Text => format!("{} {path} deleted", format_time(unix_ms as u64)),
     }
 }
 
 fn updated_line(unix_ms: i64, path: &str, value: &Json, format: Format) -> String {
     match format {
         Format::Json => json!({"at": unix_ms, "path": path, "value": value}).to_string(),
-        Format::Text => format!("{} {path} {}", moment(unix_ms as u64), plain(value)),
+        Format::Text => format!(
+            "{} {path} {}",
+            format_time(unix_ms as u64),
+            plain_text(value)
+        ),
     }
 }
 
 /// Writes a line to standard output.
 ///
 /// # Errors
-/// Standard output can't be written. Its own error where the reader has closed it: that is no failure.
+/// Standard output cannot be written. A closed pipe is reported as [`CommandError::OutputClosed`], which is not a
+/// failure.
 pub(super) fn print_line(text: &str) -> CommandResult {
     let mut output = std::io::stdout().lock();
     let written = writeln!(output, "{}", text.trim_end()).and_then(|()| output.flush());
--- a/crates/gateway/src/cli/watch.rs
+++ b/crates/gateway/src/cli/watch.rs
@@ -1,25 +1,25 @@
-//! The command `watch`: a subscription, printed with one line for each leaf.
+//! The command `watch`, which subscribes to a path and prints one line for each changed leaf.
 
 use super::arguments::Watch;
 use super::client::connect;
-use super::encoding::path;
+use super::encoding::parse_path;
 use super::error::{CommandError, CommandResult};
-use super::output::{notification, print_line, Format};
+use super::output::{notification_text, print_line, Format};
 use ironstair_gnmi::proto::gnmi::{self, subscribe_request, subscribe_response};
 use serde_json::json;
 
-/// Prints changes, or samples, until the stream ends or enough messages were printed.
+/// Prints changes or samples until the stream ends or the requested number of notifications is printed.
 ///
 /// # Errors
-/// No gateway answers, it ends the stream with an error status, or standard output can't be written.
+/// The connection fails, the gateway ends the stream with an error status, or standard output cannot be written.
 pub(crate) async fn watch(arguments: Watch) -> CommandResult {
     let first = subscribe_request(&arguments)?;
-    // The request stream stays open: the gateway ends the subscription once it is closed.
+    // The request stream must stay open: the gateway ends the subscription when the stream closes.
     let requests =
         tokio_stream::StreamExt::chain(tokio_stream::once(first), tokio_stream::pending());
-    let mut client = connect(&arguments.at).await?;
+    let mut client = connect(&arguments.target).await?;
     let mut responses = client.subscribe(requests).await?.into_inner();
-    let format = match arguments.at.json {
+    let format = match arguments.target.json {
         true => Format::Json,
         false => Format::Text,
     };
@@ -31,9 +31,9 @@
         match response.response {
             Some(subscribe_response::Response::Update(update)) => {
                 remaining -= 1;
-                print_line(&notification(&update, format))?;
+                print_line(&notification_text(&update, format))?;
             }
-            Some(subscribe_response::Response::SyncResponse(_)) if arguments.at.json => {
+            Some(subscribe_response::Response::SyncResponse(_)) if arguments.target.json => {
                 print_line(&json!({"sync": true}).to_string())?;
             }
             _ => {}
@@ -48,7 +48,7 @@
         None => gnmi::SubscriptionMode::OnChange,
     };
     let subscription = gnmi::Subscription {
-        path: Some(path(&arguments.path)?),
+        path: Some(parse_path(&arguments.path)?),
         mode: mode as i32,
         sample_interval: arguments.every.map_or(0, |every| every.as_nanos() as u64),
         ..Default::default()
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -1,8 +1,9 @@
-//! Management on a thread of its own: a busy reader costs the gateway's thread no more than the view it asks for.
+//! The management thread. It is separate so that a busy management client costs the gateway's thread no more than
+//! building the state view that the client requests.
 
 use crate::config::GatewayConfig;
 use crate::log::LevelHandle;
-use crate::operator_config::{self, Management, Operator, Tls};
+use crate::operator_config::{self, Management, OperatorConfig, Tls};
 use async_channel::{Receiver, Sender};
 use ironstair::{Millis, PolicyConfig};
 use ironstair_cells::CellDirectory;
@@ -24,78 +25,81 @@
 use std::sync::{mpsc, Arc};
 use std::thread;
 
-/// Commands that may wait for the gateway's thread, and for the fleet agent.
+/// The capacity of the command queues to the gateway's thread and to the fleet agent.
 const COMMAND_QUEUE: usize = 16;
 
-/// Requests to read the TLS keys again.
-pub(crate) type Renew = tokio::sync::mpsc::Sender<()>;
+/// Requests a reload of the TLS keys.
+pub(crate) type KeyReloadSender = tokio::sync::mpsc::Sender<()>;
 
-/// Why management can't start, or stopped.
+/// Why management cannot start, or has stopped.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ManagementError {
-    /// The section `fleet` can't be used.
+    /// The section `fleet` is invalid.
     #[error(transparent)]
     FleetConfig(#[from] ConfigError),
-    /// The settings do not fit the tree, or persisted revisions can't be read.
+    /// The settings do not fit the data tree, or the persisted revisions cannot be read.
     #[error(transparent)]
     Settings(#[from] OpenError),
-    /// The TLS keys can't be used.
+    /// The TLS keys cannot be loaded.
     #[error("management.tls: {0}")]
     Tls(#[source] TlsFileError),
-    /// The gNMI server can't bind its address, or stopped.
+    /// The gNMI server cannot bind its address, or has stopped.
     #[error(transparent)]
     Server(#[from] ServerError),
-    /// The fleet agent can't start.
+    /// The fleet agent cannot start.
     #[error(transparent)]
     FleetAgent(#[from] StartError),
-    /// The address of the bound listener can't be read.
-    #[error("{0}")]
+    /// The address of the bound listener cannot be read.
+    #[error("management.listen: cannot read the address of the listener: {0}")]
     Address(#[source] io::Error),
-    /// The thread can't be started.
-    #[error("{0}")]
+    /// The management thread cannot be started.
+    #[error("cannot start the management thread: {0}")]
     Thread(#[source] io::Error),
-    /// The runtime of the thread can't be started.
-    #[error("{0}")]
+    /// The async runtime of the management thread cannot be started.
+    #[error("cannot start the async runtime of management: {0}")]
     Runtime(#[source] io::Error),
 }
 
-/// The channels to the management thread that the gateway's thread holds.
-pub(crate) struct Running {
+/// The gateway thread's channels to the running management thread.
+pub(crate) struct RunningManagement {
     /// Commands for the dispatcher.
     pub(crate) commands: Receiver<ManagementCommand>,
-    /// Requests to read the TLS keys again.
-    pub(crate) renew: Renew,
-    /// Announces the end of this process to the fleet; none outside a fleet.
-    pub(crate) leave: Option<AgentHandle>,
+    /// Requests a reload of the TLS keys.
+    pub(crate) reload_keys: KeyReloadSender,
+    /// Announces the end of this process to the fleet; `None` outside a fleet.
+    pub(crate) leave_fleet: Option<AgentHandle>,
 }
 
-/// Management with its files read and its listeners bound; its thread starts once the gateway's thread runs.
-pub(crate) struct Opened {
+/// Management with its files read and its listeners bound, but its thread not yet started.
+pub(crate) struct PreparedManagement {
     started: Started,
     listener: TcpListener,
     streams: usize,
     keys: Option<Arc<TlsKeys>>,
     fleet: Option<PreparedAgent>,
-    /// Where the dispatcher publishes its state.
+    /// The watch on which the dispatcher publishes its state.
     pub(crate) state_watch: Arc<StateWatch>,
 }
 
 /// Reads the persisted revisions and the TLS keys, and binds the listeners.
 ///
 /// # Errors
-/// The settings do not fit the tree, a folder or key can't be read, or an address is not free.
+/// The settings do not fit the data tree, a folder or key cannot be read, or an address is in use.
 pub(crate) fn open(
     section: &Management,
     config: &GatewayConfig,
-    operator: &Operator,
-) -> Result<Opened, ManagementError> {
+    operator: &OperatorConfig,
+) -> Result<PreparedManagement, ManagementError> {
     let fleet = fleet_config(config, operator)?;
-    let cells = operator.cells.as_ref().map(operator_config::cells);
-    let started = ironstair_management::open(config.file(), cells, section.state.as_deref())?;
-    let keys = section.tls.as_ref().map(|tls| TlsKeys::open(files(tls)));
+    let cells = operator.cells.as_ref().map(operator_config::cell_settings);
+    let started = ironstair_management::open(config.reloadable(), cells, section.state.as_deref())?;
+    let keys = section
+        .tls
+        .as_ref()
+        .map(|tls| TlsKeys::open(tls_files(tls)));
     let keys = keys.transpose().map_err(ManagementError::Tls)?;
     let listener = server::bind(section.listen)?;
-    Ok(Opened {
+    Ok(PreparedManagement {
         started,
         listener,
         streams: section.streams,
@@ -105,10 +109,10 @@
     })
 }
 
-/// The checked section `fleet`.
+/// Converts and validates the section `fleet`, if present.
 fn fleet_config(
     config: &GatewayConfig,
-    operator: &Operator,
+    operator: &OperatorConfig,
 ) -> Result<Option<FleetConfig>, ConfigError> {
     let section = operator.fleet.as_ref();
     section
@@ -116,7 +120,7 @@
         .transpose()
 }
 
-fn files(tls: &Tls) -> TlsFiles {
+fn tls_files(tls: &Tls) -> TlsFiles {
     TlsFiles {
         certificate: tls.certificate.clone(),
         key: tls.key.clone(),
@@ -128,34 +132,37 @@
     }
 }
 
-/// Checks whether management can show and change the settings; opens no file and no listener.
+/// Validates the sections that management uses, and that the settings fit the data tree. Opens no files or listeners.
 ///
 /// # Errors
-/// The section `fleet` can't be used, or the settings do not fit the tree; the error names the field.
-pub(crate) fn check(config: &GatewayConfig, operator: &Operator) -> Result<(), ManagementError> {
+/// The section `fleet` is invalid, or the settings do not fit the data tree; the error names the field.
+pub(crate) fn check(
+    config: &GatewayConfig,
+    operator: &OperatorConfig,
+) -> Result<(), ManagementError> {
     fleet_config(config, operator)?;
-    let cells = operator.cells.as_ref().map(operator_config::cells);
-    ironstair_management::open(config.file(), cells, None)?;
+    let cells = operator.cells.as_ref().map(operator_config::cell_settings);
+    ironstair_management::open(config.reloadable(), cells, None)?;
     Ok(())
 }
 
-impl Opened {
-    /// The policy's settings of the revision that runs.
+impl PreparedManagement {
+    /// The policy settings of the running revision.
     pub(crate) fn policy_config(&self) -> PolicyConfig {
         self.started.policy_config()
     }
 
-    /// The cells of the revision that runs; none without cells.
+    /// The cells of the running revision; `None` without cells.
     pub(crate) fn cells(&self) -> Option<CellDirectory> {
         self.started.cells()
     }
 
-    /// The classes of the revision that runs, and the longest hard limit, in ms.
+    /// The classes of the running revision, and the longest hard limit, in ms.
     pub(crate) fn classes(&self) -> (Vec<ClassSummary>, Millis) {
         self.started.classes()
     }
 
-    /// Whether the gateway is in a fleet: it then decides nothing without a lease.
+    /// Whether the gateway is in a fleet, where the policy makes no decisions without a lease.
     pub(crate) fn in_fleet(&self) -> bool {
         self.fleet.is_some()
     }
@@ -163,17 +170,17 @@
     /// Starts the management thread.
     ///
     /// # Errors
-    /// The listener has no address, or the thread can't be started.
+    /// The listener has no address, or the thread cannot be started.
     pub(crate) fn start(
         self,
         name: &str,
         clock: Clock,
         log: Logger,
         level: LevelHandle,
-    ) -> Result<Running, ManagementError> {
-        let (commands_in, commands) = async_channel::bounded(COMMAND_QUEUE);
-        let (renew, renewals) = tokio::sync::mpsc::channel(1);
-        let (agent_in, agent) = mpsc::channel();
+    ) -> Result<RunningManagement, ManagementError> {
+        let (command_sender, commands) = async_channel::bounded(COMMAND_QUEUE);
+        let (reload_keys, key_reloads) = tokio::sync::mpsc::channel(1);
+        let (agent_sender, agent) = mpsc::channel();
         let address = self.listener.local_addr();
         let address = address.map_err(ManagementError::Address)?;
         info!(log, "management listening"; "address" => address);
@@ -184,36 +191,36 @@
             clock,
             log,
             level,
-            commands: commands_in,
-            renewals,
-            agent: agent_in,
+            commands: command_sender,
+            key_reloads,
+            agent: agent_sender,
         };
         thread::Builder::new()
             .name("management".into())
             .spawn(move || thread.run())
             .map_err(ManagementError::Thread)?;
-        // Fails where the agent did not start: the thread has logged why.
-        let leave = if in_fleet { agent.recv().ok() } else { None };
-        Ok(Running {
+        // Receiving fails if the agent did not start; the management thread logs why.
+        let leave_fleet = if in_fleet { agent.recv().ok() } else { None };
+        Ok(RunningManagement {
             commands,
-            renew,
-            leave,
+            reload_keys,
+            leave_fleet,
         })
     }
 }
 
 /// The management thread, which owns the manager, the gNMI server and the fleet agent.
 struct ManagementThread {
-    opened: Opened,
+    opened: PreparedManagement,
     name: String,
     clock: Clock,
     log: Logger,
     level: LevelHandle,
-    /// To the gateway's thread.
+    /// Sends commands to the gateway's thread.
     commands: Sender<ManagementCommand>,
-    /// Requests to read the TLS keys again.
-    renewals: tokio::sync::mpsc::Receiver<()>,
-    /// Where to hand over the fleet agent's handle once the agent has started.
+    /// Requests to reload the TLS keys.
+    key_reloads: tokio::sync::mpsc::Receiver<()>,
+    /// Hands over the fleet agent's handle once the agent has started.
     agent: mpsc::Sender<AgentHandle>,
 }
 
@@ -261,7 +268,7 @@
         }
         let listener = self.opened.listener;
         let keys = self.opened.keys;
-        server::serve(listener, service, keys, self.renewals, self.log).await?;
+        server::serve(listener, service, keys, self.key_reloads, self.log).await?;
         Ok(())
     }
 }
--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -1,11 +1,11 @@
-//! The state with which a gateway starts: from the configuration, the operator's file, the last revision and the last
+//! The initial state of a gateway, from the configuration file, the operator file, the last revision and the last
 //! snapshot.
 
 use crate::config::GatewayConfig;
 use crate::descriptors::DescriptorShortage;
 use crate::error::StartError;
 use crate::management;
-use crate::operator_config::{self, Operator};
+use crate::operator_config::{self, OperatorConfig};
 use crate::snapshot_store::{self, SnapshotStore};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -21,21 +21,21 @@
 use std::rc::Rc;
 
 /// A third of the memory limit is for buffers. The rest is for memory that grows with them: joined statements, and
-/// answers that are being written.
+/// responses that are being written.
 const MEMORY_PARTS: f64 = 3.0;
-/// A quarter of the descriptors is for connections to engines.
+/// A quarter of the file descriptors are for connections to engines.
 const DESCRIPTORS_PER_ENGINE_CONNECTION: usize = 4;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The policy at the start: that of the revision that ran last, or of the configuration file.
+/// The initial policy: that of the last revision, or of the configuration file.
 pub(super) struct InitialPolicy {
     pub(super) config: PolicyConfig,
     pub(super) classes: Vec<ClassSummary>,
-    /// The longest hard limit.
-    pub(super) longest: Millis,
+    /// The longest hard limit of all classes, in ms.
+    pub(super) max_deadline: Millis,
 }
 
-/// The state that all actors share, before the classes are known, for a gateway outside a fleet.
+/// The state that all actors share, for a gateway outside a fleet and without its classes, which the caller sets.
 pub(super) fn new_shared(
     config: &GatewayConfig,
     dispatcher: Sender<DispatcherMessage>,
@@ -59,20 +59,20 @@
     }
 }
 
-/// Reads the snapshot of the last process, if the operator's file names a folder; its endpoint list may replace that of
-/// the configuration.
+/// Reads the snapshot of the previous process, if the operator file names a folder for it. The endpoint list of the
+/// snapshot may replace that of the configuration.
 pub(super) fn read_snapshot(
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     config: &mut GatewayConfig,
-) -> Option<snapshot_store::Opened> {
+) -> Option<snapshot_store::OpenedFolder> {
     let recovery = operator?.recovery.as_ref()?;
     Some(snapshot_store::open(&recovery.state, config))
 }
 
 pub(super) fn open_management(
-    operator: Option<&Operator>,
+    operator: Option<&OperatorConfig>,
     config: &GatewayConfig,
-) -> Result<Option<management::Opened>, StartError> {
+) -> Result<Option<management::PreparedManagement>, StartError> {
     let Some(operator) = operator else {
         return Ok(None);
     };
@@ -82,10 +82,11 @@
     Ok(Some(management::open(section, config, operator)?))
 }
 
-/// The cells that the gateway begins with: a revision may have changed those of the operator's file.
+/// The initial cells: those of the last revision, which may have changed those of the operator file, or those of the
+/// operator file if there is no management.
 pub(super) fn initial_cells(
-    operator: Option<&Operator>,
-    management: Option<&management::Opened>,
+    operator: Option<&OperatorConfig>,
+    management: Option<&management::PreparedManagement>,
 ) -> Result<Option<CellDirectory>, StartError> {
     if let Some(management) = management {
         return Ok(management.cells());
@@ -95,29 +96,29 @@
     Ok(directory.transpose()?)
 }
 
-pub(super) fn warn_of_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
+pub(super) fn warn_of_descriptor_shortage(shortage: Option<DescriptorShortage>, log: &Logger) {
     if let Some(shortage) = shortage {
         warn!(
-            log, "room for fewer descriptors than configured";
+            log, "fewer file descriptors available than configured";
             "configured" => shortage.requested, "available" => shortage.available
         );
     }
 }
 
-/// The policy of the last revision, which management has read, or of the configuration file.
+/// The policy of the last revision, which management has read, or that of the configuration file without management.
 pub(super) fn initial_policy(
-    management: Option<&management::Opened>,
+    management: Option<&management::PreparedManagement>,
     config: &GatewayConfig,
 ) -> InitialPolicy {
     if let Some(management) = management {
-        let (classes, longest) = management.classes();
+        let (classes, max_deadline) = management.classes();
         return InitialPolicy {
             config: management.policy_config(),
             classes,
-            longest,
+            max_deadline,
         };
     }
-    let named = config.classes.iter().zip(&config.policy_config.classes);
+    let named = config.class_names.iter().zip(&config.policy_config.classes);
     let classes = named.map(|(name, class)| ClassSummary {
         name: name.clone(),
         base_objective: class.base_objective,
@@ -126,12 +127,12 @@
     InitialPolicy {
         classes: classes.collect(),
         config: config.policy_config.clone(),
-        longest: config.transport_config.longest,
+        max_deadline: config.transport_config.longest,
     }
 }
 
-/// Until when the policy may decide, in ms. In a fleet it decides nothing before the first lease.
-pub(super) fn initial_lease(management: Option<&management::Opened>) -> Millis {
+/// The time until which the policy may make decisions, in ms. In a fleet it makes none before the first lease.
+pub(super) fn initial_lease(management: Option<&management::PreparedManagement>) -> Millis {
     let in_fleet = management.is_some_and(|management| management.in_fleet());
     if in_fleet && !is_disabled(Guard::NoLeaseAtStart) {
         0.0
@@ -140,19 +141,19 @@
     }
 }
 
-/// Whether clients may name their tenant.
-pub(super) fn names_tenants(operator: Option<&Operator>) -> bool {
+/// Whether clients name the tenant in their calls.
+pub(super) fn names_tenants(operator: Option<&OperatorConfig>) -> bool {
     let cells = operator.and_then(|operator| operator.cells.as_ref());
     cells.is_some_and(|cells| cells.named_by_clients)
 }
 
 pub(super) fn start_snapshot_store(
-    opened: snapshot_store::Opened,
+    opened: snapshot_store::OpenedFolder,
     key_quarantine: Millis,
     shared: &Rc<Shared>,
 ) -> SnapshotStore {
     for note in &opened.notes {
-        warn!(shared.log, "snapshot of the last process"; "note" => note);
+        warn!(shared.log, "snapshot of the previous process"; "note" => note);
     }
     if opened.quarantines_keys {
         let until = shared.clock.now() + key_quarantine;
