--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -35,7 +35,7 @@
     pub exclusive_resource: String,
     /// Whether the member uses its share of the fleet-wide limits under a lease that is still valid.
     #[serde(default, rename = "shares")]
-    pub takes_share: bool,
+    pub uses_share: bool,
 }
 
 /// The leader's response, sent once a quorum has confirmed that it still is the leader.
--- a/crates/coordination/src/leader/heartbeats.rs
+++ b/crates/coordination/src/leader/heartbeats.rs
@@ -129,7 +129,7 @@
         report.lease_end = report.lease_end.max(lease_end);
         response.lease = Some(self.lease);
         let counter = self.share_counter(fleet);
-        response.share = Some(counter.share(now, name, heartbeat.start, heartbeat.takes_share));
+        response.share = Some(counter.share(now, name, heartbeat.start, heartbeat.uses_share));
     }
 }
 
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -22,7 +22,7 @@
         policy_index: u64,
     },
     /// The gateway can't apply the policy; it gets no lease then.
-    Unable {
+    ApplyFailed {
         /// As in [`Action::Apply`].
         policy_index: u64,
         /// Why it can't.
@@ -39,7 +39,7 @@
 pub enum Action<D> {
     /// Send this to the leader.
     Heartbeat(Heartbeat),
-    /// Apply this policy, then report [`Input::Applied`] or [`Input::Unable`].
+    /// Apply this policy, then report [`Input::Applied`] or [`Input::ApplyFailed`].
     Apply {
         /// The policy's index.
         policy_index: u64,
@@ -164,7 +164,7 @@
                     self.heartbeat_due = now;
                 }
             }
-            Input::Unable {
+            Input::ApplyFailed {
                 policy_index,
                 reason,
             } => {
@@ -211,7 +211,7 @@
             leaving: self.leaving,
             exclusive_resource: self.exclusive_resource.clone(),
             // A share is valid only as long as its lease.
-            takes_share: self.share.taken && self.has_lease(now),
+            uses_share: self.share.is_granted && self.has_lease(now),
         }
     }
 
--- a/crates/coordination/src/share_counter.rs
+++ b/crates/coordination/src/share_counter.rs
@@ -17,30 +17,32 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Share {
     /// The number of gateways that the limits are divided by.
-    pub among: f64,
+    #[serde(rename = "among")]
+    pub gateway_count: f64,
     /// Whether the gateway uses its share. A gateway that joined last waits until no valid lease is based on a smaller
     /// count.
-    pub taken: bool,
+    #[serde(rename = "taken")]
+    pub is_granted: bool,
 }
 
 impl Share {
     /// Whether the policy needs the new share: always if the count grew, and for larger steps only if it fell.
     pub fn differs(self, previous: Share) -> bool {
-        self.taken != previous.taken
-            || self.among > previous.among
-            || self.among < previous.among * (1.0 - MIN_REPORTED_DECLINE)
+        self.is_granted != previous.is_granted
+            || self.gateway_count > previous.gateway_count
+            || self.gateway_count < previous.gateway_count * (1.0 - MIN_REPORTED_DECLINE)
     }
 
     /// The policy config with this share. Without a share the gateway sends nothing to engines in slow start.
-    pub fn of(self, policy_config: &PolicyConfig) -> PolicyConfig {
-        let fall_multiple = if self.taken {
+    pub fn apply_to(self, policy_config: &PolicyConfig) -> PolicyConfig {
+        let overload_factor = if self.is_granted {
             policy_config.overload_factor
         } else {
             0.0
         };
         PolicyConfig {
-            gateway_count: self.among,
-            overload_factor: fall_multiple,
+            gateway_count: self.gateway_count,
+            overload_factor,
             ..policy_config.clone()
         }
     }
@@ -126,23 +128,23 @@
             .fold(self.gateways, f64::min)
     }
 
-    /// The share for a lease that is granted now. `takes_share` comes from the member's heartbeat.
-    pub fn share(&mut self, now: Millis, name: &str, start: u64, takes_share: bool) -> Share {
+    /// The share for a lease that is granted now. `uses_share` comes from the member's heartbeat.
+    pub fn share(&mut self, now: Millis, name: &str, start: u64, uses_share: bool) -> Share {
         let has_share = self.sharing.get(name) == Some(&start);
-        let may_take = if now < self.sole_leader_from {
+        let may_grant = if now < self.sole_leader_from {
             // Leases of an earlier leader may still be valid, and the number of its grants is unknown: members keep
             // their shares, and nobody gets a new one.
-            takes_share
+            uses_share
         } else {
             self.sharing.len() as f64 + 1.0 <= self.smallest_in_use() + COUNT_TOLERANCE
         };
-        let taken = has_share || may_take;
-        if taken && !has_share {
+        let is_granted = has_share || may_grant;
+        if is_granted && !has_share {
             self.sharing.insert(name.into(), start);
         }
         Share {
-            among: self.gateways,
-            taken,
+            gateway_count: self.gateways,
+            is_granted,
         }
     }
 
--- a/crates/coordination/tests/leader.rs
+++ b/crates/coordination/tests/leader.rs
@@ -66,7 +66,7 @@
             steady: false,
             validated: None,
             leaving: false,
-            takes_share: false,
+            uses_share: false,
             exclusive_resource: String::new(),
         }
     }
@@ -341,7 +341,7 @@
     let mut count = ShareCounter::new(0.0, LEASE, grace, 5.0);
     let names = ["a", "b", "c", "d", "e", "f"];
     let takes = |count: &mut ShareCounter, now: f64, nth: usize, start| {
-        count.share(now, names[nth], start, false).taken
+        count.share(now, names[nth], start, false).is_granted
     };
     // No new share is granted while leases of an earlier leader may be valid.
     assert!(!takes(&mut count, grace - 1.0, 0, 1));
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -199,7 +199,7 @@
         validated: None,
         leaving: false,
         exclusive_resource: "boot net addr".into(),
-        takes_share: true,
+        uses_share: true,
     };
     vec![
         Heartbeat {
@@ -214,7 +214,7 @@
         Heartbeat {
             leaving: true,
             exclusive_resource: String::new(),
-            takes_share: false,
+            uses_share: false,
             ..heartbeat.clone()
         },
         heartbeat,
@@ -241,8 +241,8 @@
         reason: None,
         heartbeat_soon: true,
         share: Some(Share {
-            among: 2.5,
-            taken: true,
+            gateway_count: 2.5,
+            is_granted: true,
         }),
         ..none.clone()
     };
@@ -297,7 +297,7 @@
         read,
         Heartbeat {
             exclusive_resource: String::new(),
-            takes_share: false,
+            uses_share: false,
             ..heartbeats().remove(0)
         }
     );
--- a/crates/coordination/tests/share_counter.rs
+++ b/crates/coordination/tests/share_counter.rs
@@ -70,8 +70,8 @@
             .filter(|g| g.member.has_lease(self.now));
         decides
             .map(|g| g.member.share())
-            .filter(|s| s.taken)
-            .map(|s| 1.0 / s.among)
+            .filter(|s| s.is_granted)
+            .map(|s| 1.0 / s.gateway_count)
     }
 }
 
@@ -141,7 +141,7 @@
                 let heartbeat = gate.sends(w.now, i)?;
                 let mut answer = w.leader.heartbeat(w.now, &w.fleet, &heartbeat);
                 if self.out == Out::Waits {
-                    answer.share.iter_mut().for_each(|s| s.taken = true);
+                    answer.share.iter_mut().for_each(|s| s.is_granted = true);
                 }
                 gate.answer = Some(answer);
                 w.look();
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -88,7 +88,7 @@
                         document,
                         ..
                     } if unread(document) => {
-                        inputs.push(Input::Unable {
+                        inputs.push(Input::ApplyFailed {
                             policy_index,
                             reason: "a newer version".into(),
                         });
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -268,8 +268,8 @@
         is_voter: true,
         leader: "g1".into(),
         share: Some(Share {
-            among: 3.0,
-            taken: true,
+            gateway_count: 3.0,
+            is_granted: true,
         }),
         members: vec![
             member.clone(),
--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -39,7 +39,7 @@
     ) {
         self.drive_member(match result {
             Ok(()) => Input::Applied { policy_index },
-            Err(error) => Input::Unable {
+            Err(error) => Input::ApplyFailed {
                 policy_index,
                 reason: error.to_string(),
             },
--- a/crates/fleet-agent/tests/pinned_forms/cases.rs
+++ b/crates/fleet-agent/tests/pinned_forms/cases.rs
@@ -20,7 +20,7 @@
         validated: Some(Validation::rejected(5, "no such engine")),
         leaving: false,
         exclusive_resource: "boot net addr".into(),
-        takes_share: true,
+        uses_share: true,
     }
 }
 
@@ -36,8 +36,8 @@
         reason: None,
         heartbeat_soon: true,
         share: Some(Share {
-            among: 2.5,
-            taken: true,
+            gateway_count: 2.5,
+            is_granted: true,
         }),
     }
 }
--- a/crates/fleet-agent/tests/pinned_forms/status.rs
+++ b/crates/fleet-agent/tests/pinned_forms/status.rs
@@ -44,7 +44,7 @@
                         .map(|c| (c.number, validated.clone()).into()),
                     leaving: false,
                     exclusive_resource: String::new(),
-                    takes_share: true,
+                    uses_share: true,
                 };
                 let outs = self.replica.heartbeat(self.now, start, heartbeat);
                 self.carry(outs);
--- a/crates/gateway/src/dispatcher/config_update.rs
+++ b/crates/gateway/src/dispatcher/config_update.rs
@@ -21,7 +21,7 @@
             self.replace_cells(cells);
         }
         let share = self.executor.share;
-        let own_share = share.map(|share| share.of(&update.policy_config));
+        let own_share = share.map(|share| share.apply_to(&update.policy_config));
         // In a fleet the share changes while the settings stay: they are kept for the next share.
         if shared.lease_until.get().is_finite() {
             self.executor.policy_config = Some(update.policy_config.clone());
@@ -75,7 +75,7 @@
         }
         self.executor.share = Some(share);
         let config = self.executor.policy_config.as_ref();
-        if let Some(own_share) = config.map(|config| share.of(config)) {
+        if let Some(own_share) = config.map(|config| share.apply_to(config)) {
             self.update_policy(own_share);
         }
     }
--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -42,7 +42,7 @@
             has_lease: shared.holds_lease(),
             has_heard_list: metrics.last_heard_at.get() > 0.0,
             key_quarantine: metrics.key_quarantine.get(),
-            has_slow_start_share: executor.share.map(|share| share.taken),
+            has_slow_start_share: executor.share.map(|share| share.is_granted),
         };
         let (stage, reason) = stage(executor.now, &facts);
         Snapshot {
--- a/crates/raft-replica/tests/two_voters/mod.rs
+++ b/crates/raft-replica/tests/two_voters/mod.rs
@@ -141,7 +141,7 @@
             validated,
             leaving: false,
             exclusive_resource: "place".into(),
-            takes_share: false,
+            uses_share: false,
         };
         let outputs = self
             .voters
--- a/crates/simulation/src/world/membership.rs
+++ b/crates/simulation/src/world/membership.rs
@@ -41,8 +41,8 @@
             .iter()
             .filter(|gateway| gateway.is_up && gateway.has_lease(now))
             .filter_map(|gateway| gateway.share)
-            .filter(|share| share.taken)
-            .map(|share| 1.0 / share.among)
+            .filter(|share| share.is_granted)
+            .map(|share| 1.0 / share.gateway_count)
             .sum();
         if sum > 1.0 + SHARE_TOLERANCE {
             self.figures.record_violation(format!(
@@ -125,13 +125,13 @@
     /// Gives a gateway's policy its lease, and its share if that has changed.
     fn set_lease(&mut self, gateway: usize, lease_until: Millis, share: Share) {
         let share = Share {
-            taken: share.taken || !self.day.shares_wait,
+            is_granted: share.is_granted || !self.day.shares_wait,
             ..share
         };
         let leased = &mut self.gateways[gateway];
         let is_changed = self.day.fleet == day::Fleet::Members
             && leased.share.is_none_or(|previous| share.differs(previous));
-        let policy_config = is_changed.then(|| share.of(&leased.policy_config));
+        let policy_config = is_changed.then(|| share.apply_to(&leased.policy_config));
         if is_changed {
             leased.share = Some(share);
         }
