--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/fleet.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Limit of the revisions that the state contains; the oldest is removed first.
+/// The maximum number of revisions in the state. The oldest is removed first.
 pub const MAX_REVISIONS: usize = 32;
 
 /// The step of a change in progress.
@@ -56,7 +56,7 @@
     pub generation: u64,
     /// The number and policy of the running revision; `None` before the bootstrap.
     pub running: Option<(u64, D)>,
-    /// The index of the policy that members have to apply. It grows whenever that policy changes.
+    /// The index of the policy that members must apply. It increases whenever that policy changes.
     #[serde(rename = "mark")]
     pub policy_index: u64,
     /// The change in progress.
@@ -109,9 +109,9 @@
 }
 
 impl<D: Policy> Fleet<D> {
-    /// The policy that every member has to apply now, and the number of the running revision. `None` before the
-    /// bootstrap, and if this version can't intersect the running policy with the change: a leader of this version then
-    /// sends no policy.
+    /// The number of the running revision and the policy that every member must apply now. `None` before the bootstrap,
+    /// and if this version can't compute the intersection of the running policy and the change; a leader of this
+    /// version then sends no policy.
     pub fn effective_policy(&self) -> Option<(u64, D)> {
         let (number, running) = self.running.as_ref()?;
         let policy = match self.change_at(Step::Binding) {
@@ -279,7 +279,10 @@
 
     fn is_unconfirmed(&self, number: u64) -> bool {
         self.pending_confirmation.is_some()
-            && self.running.as_ref().is_some_and(|(n, _)| *n == number)
+            && self
+                .running
+                .as_ref()
+                .is_some_and(|(running, _)| *running == number)
     }
 
     fn confirm(&mut self, number: u64) -> bool {
--- a/crates/coordination/src/generation.rs
+++ b/crates/coordination/src/generation.rs
@@ -1,14 +1,14 @@
-//! Cluster generations and their order. A disaster recovery, which follows the loss of most voters' disks, begins a
-//! generation that supersedes what is left of the earlier ones (`docs/design/recovery.md`, promise 6).
+//! Cluster generations and their order. A disaster recovery, which follows the loss of a majority of the voters' disks,
+//! begins a generation that supersedes what is left of the earlier ones (`docs/design/recovery.md`, promise 6).
 
 #[cfg(test)]
 mod tests;
 
-/// The lower bits of a generation's number are random; the 16 bits above them count the generations.
+/// A generation's number has this many random low bits; the 16 bits above them are its ordinal.
 const RANDOM_BITS: u32 = 48;
 const RANDOM_MASK: u64 = (1 << RANDOM_BITS) - 1;
 
-/// No number is left for another generation.
+/// All ordinals of generations have been used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the fleet has used up its {} generations", 1_u32 << (u64::BITS - RANDOM_BITS))]
 pub struct GenerationsExhausted;
@@ -35,7 +35,7 @@
     known: impl IntoIterator<Item = u64>,
     random: u64,
 ) -> Result<u64, GenerationsExhausted> {
-    // The first ordinal is never used here: two generations with it do not supersede each other, but of two recoveries
+    // The result's ordinal is at least 2: generations with ordinal 1 don't supersede each other, but of two recoveries
     // that run at the same time one must supersede the other.
     let next = known.into_iter().map(ordinal).fold(1, u64::max) + 1;
     if next >> (u64::BITS - RANDOM_BITS) != 0 {
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -11,9 +11,9 @@
     pub name: String,
     /// A random number that identifies the member's process.
     pub start: u64,
-    /// When it was sent, in ms of the member's own clock; the response repeats it.
+    /// The time of sending in ms of the member's own clock. The response repeats it.
     pub sent: Millis,
-    /// The cluster generation that the member knows; 0 if it knows none.
+    /// The cluster generation that the member follows; 0 if it follows none.
     #[serde(rename = "history")]
     pub generation: u64,
     /// The index of the policy that the member has applied in that generation; 0 if it has applied none.
@@ -24,10 +24,10 @@
     pub last_answered: Millis,
     /// Whether the member continues to decide after its lease has expired.
     pub steady: bool,
-    /// The result for the latest staged change that the member has validated.
+    /// The result of the member's latest validation of a staged change.
     #[serde(rename = "examined")]
     pub validated: Option<Validation>,
-    /// Whether the process is shutting down and decides nothing any more.
+    /// Whether the process is shutting down and makes no further decisions.
     pub leaving: bool,
     /// The name of a resource that only one process can hold at a time, such as a listening address; empty if there is
     /// none.
@@ -59,10 +59,10 @@
     pub validate: Option<(u64, D)>,
     /// The granted lease in ms, counted from `sent`; `None` if no lease is granted.
     pub lease: Option<Millis>,
-    /// Why no lease is granted, if the policy index is not the only reason.
+    /// Why no lease is granted, unless the only reason is that the member has not applied the current policy.
     #[serde(rename = "why")]
     pub reason: Option<String>,
-    /// Whether the leader needs the next heartbeat soon: a change is in progress, or the log does not contain the
+    /// Whether the member should send its next heartbeat soon: a change is in progress, or the log does not contain the
     /// member's session yet.
     #[serde(default, rename = "soon")]
     pub heartbeat_soon: bool,
--- a/crates/coordination/src/leader/commands.rs
+++ b/crates/coordination/src/leader/commands.rs
@@ -6,20 +6,20 @@
 use crate::Policy;
 use serde::{Deserialize, Serialize};
 
-/// Limit of the accepted commands that wait for the log.
+/// The maximum number of accepted commands that wait for the log.
 const MAX_WAITING_COMMANDS: usize = 16;
 
 /// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command<D> {
-    /// Make this change.
+    /// Starts this change.
     Change(ChangeProposal<D>),
-    /// Confirm the running revision.
+    /// Confirms the running revision.
     Confirm {
         /// The id given with the change.
         id: String,
     },
-    /// Drop the change in progress, or roll back the revision pending confirmation.
+    /// Drops the change in progress, or rolls back the revision pending confirmation.
     Cancel {
         /// The id given with the change; `None` for any change.
         id: Option<String>,
@@ -32,7 +32,7 @@
 /// Why a command can't be carried out.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// There is no generation, or no leader.
+    /// The fleet has no generation, or no leader.
     #[error("the fleet is not bootstrapped yet, or has no leader")]
     NotBootstrapped,
     /// Another change is in progress, or pending confirmation.
@@ -43,20 +43,20 @@
         /// Its author.
         author: String,
     },
-    /// The change was made from a policy that is not the current one any more.
-    #[error("revision {running} is running by now, and the change was based on another: read it, and propose the change again")]
+    /// The change is based on a policy that is no longer the current one.
+    #[error("the change is not based on the running revision {running}: read that revision and propose the change again")]
     StaleBaseRevision {
         /// The number of the running revision.
         running: u64,
     },
-    /// No policy is at least as strict as both the running and the proposed one.
-    #[error("no policy is safe together with both the running and the proposed one, or this version can't read it: make it in two changes")]
+    /// The running and the proposed policy have no intersection that this version can compute.
+    #[error("no policy is at least as strict as both the running and the proposed one, or this version can't read one of them: make the change in two steps")]
     NoIntersection,
-    /// Nothing can be confirmed or cancelled.
-    #[error("nothing of the kind is pending: it was confirmed or rolled back already")]
+    /// No change or revision matches the command.
+    #[error("no matching change is in progress or pending confirmation: it may have been confirmed or rolled back already")]
     NothingPending,
     /// Too many commands wait for the log.
-    #[error("too many changes are waiting")]
+    #[error("too many commands are waiting: try again later")]
     Busy,
 }
 
@@ -66,10 +66,10 @@
         self.record_in_flight || self.commands.contains(command)
     }
 
-    /// Accepts a command, to be written to the log.
+    /// Accepts a command and queues it for the log.
     ///
     /// # Errors
-    /// Fails if the command does not fit the replicated state, or too many commands wait.
+    /// Fails if the command doesn't fit the replicated state, or too many commands wait.
     pub fn submit(&mut self, fleet: &Fleet<D>, command: Command<D>) -> Result<(), Refusal> {
         self.check(fleet, &command)?;
         if self.commands.len() >= MAX_WAITING_COMMANDS {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Fails if another change waits before this one. A change that is itself the first one waiting passes: it is
-    /// checked again before its record is written.
+    /// Fails if another change waits before this one. The first waiting change itself passes: it is checked again
+    /// before its record is written.
     fn check_no_change_waits(&self, fleet: &Fleet<D>, command: &Command<D>) -> Result<(), Refusal> {
         let first = self
             .commands
--- a/crates/coordination/src/leader/heartbeats.rs
+++ b/crates/coordination/src/leader/heartbeats.rs
@@ -11,7 +11,7 @@
 enum Admission {
     /// The log contains the session.
     Admitted,
-    /// Another process of that name may still make decisions.
+    /// Another process of that name may still decide.
     NameInUse,
     /// The log does not contain the session yet, or the session is leaving.
     NotInLog,
@@ -31,19 +31,19 @@
         if fleet.generation == 0 {
             response.heartbeat_soon = true;
             response.reason =
-                Some("the fleet is not bootstrapped yet: an operator does that".into());
+                Some("the fleet is not bootstrapped yet: an operator must bootstrap it".into());
             return response;
         }
         response.validate = change_to_validate(fleet, heartbeat);
         match self.admit(now, fleet, heartbeat) {
             Admission::Admitted => {
-                self.note_report(now, heartbeat, applied_index);
+                self.record_report(now, heartbeat, applied_index);
                 self.grant_lease(now, fleet, heartbeat, applied_index, &mut response);
             }
             Admission::NameInUse => {
                 response.heartbeat_soon = true;
                 response.reason = Some(format!(
-                    "another process is {} in this fleet, or was until a moment ago",
+                    "another process is {} in this fleet, or was and its lease may still be valid",
                     heartbeat.name
                 ));
             }
@@ -52,7 +52,7 @@
         response
     }
 
-    /// Checks the heartbeat's session against the log. Notes a new session, to be written to the log.
+    /// Checks the heartbeat's session against the log, and queues a new session for the log.
     fn admit(&mut self, now: Millis, fleet: &Fleet<D>, heartbeat: &Heartbeat) -> Admission {
         let session = Session {
             start: heartbeat.start,
@@ -73,9 +73,9 @@
         Admission::NotInLog
     }
 
-    /// Records the report of a heartbeat. Heartbeats may arrive late or twice: the applied index and the validated
-    /// number never decrease.
-    fn note_report(&mut self, now: Millis, heartbeat: &Heartbeat, applied_index: u64) {
+    /// Stores the report in a heartbeat. Heartbeats may arrive late or twice, so that the applied index and the
+    /// validated number never decrease.
+    fn record_report(&mut self, now: Millis, heartbeat: &Heartbeat, applied_index: u64) {
         let first_report = MemberReport {
             start: heartbeat.start,
             heard_at: now,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Grants a lease to an admitted session that has applied the policy and receives responses.
+    /// Grants a lease to an admitted session if it has applied the policy, receives responses and is not ending.
     fn grant_lease(
         &mut self,
         now: Millis,
@@ -115,8 +115,8 @@
     ) {
         let name = &heartbeat.name;
         let lease_end = now + self.grace();
-        // A member whose heartbeats arrive but who receives no responses would be counted as deciding forever, and
-        // block every change.
+        // A member whose heartbeats arrive but that receives no responses would otherwise count as deciding forever,
+        // and block every change.
         let receives_responses = heartbeat.sent - heartbeat.last_answered <= self.lease;
         let is_ending = self.ending.contains_key(name);
         let Some(report) = self.reports.get_mut(name) else {
@@ -133,7 +133,7 @@
     }
 }
 
-/// The index of the policy that a member has applied; 0 if that was in another generation.
+/// The index of the policy that a member has applied; 0 if the member follows another generation.
 fn applied_index<D>(fleet: &Fleet<D>, heartbeat: &Heartbeat) -> u64 {
     if heartbeat.generation == fleet.generation {
         heartbeat.applied_index
--- a/crates/coordination/src/leader/mod.rs
+++ b/crates/coordination/src/leader/mod.rs
@@ -1,6 +1,6 @@
 //! The leader's decisions: which members to admit, which of them may still decide, and when a change takes its next
-//! step. A leader's memory lasts for its term. The next leader knows only the log, and waits until no lease granted
-//! before its term can be valid.
+//! step. A leader's own state lasts for its term. The next leader knows only the log, and waits until no lease granted
+//! before its term can still be valid.
 
 mod commands;
 mod heartbeats;
@@ -19,7 +19,7 @@
 use sessions::{KnownSession, MemberReport};
 use std::collections::BTreeMap;
 
-/// The memory of a leader in its term.
+/// The state that a leader keeps during its term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leader<D> {
     /// The beginning of the term.
@@ -31,10 +31,10 @@
     joining: BTreeMap<String, Session>,
     /// Accepted commands that the log does not contain yet.
     commands: Vec<Command<D>>,
-    /// Whether a record was passed to the log and its outcome is unknown. No other record is written until then.
+    /// Whether a record was passed to the log and its outcome is unknown. No other record is written until it is known.
     record_in_flight: bool,
-    /// Sessions that the record in flight ends, by name, with their `start`. They get no lease any more: the conditions
-    /// for the record must still hold when the log applies it.
+    /// Sessions that the record in flight ends: name and `start`. They get no further lease, because the conditions for
+    /// the record must still hold when the log applies it.
     ending: BTreeMap<String, u64>,
     /// The time at which this leader first saw each session.
     known_sessions: BTreeMap<String, KnownSession>,
@@ -43,8 +43,8 @@
     share_counter: Option<ShareCounter>,
 }
 
-/// The time of the rollback of a revision that is pending confirmation. It is counted from when this leader first saw
-/// the revision running.
+/// When a revision that is pending confirmation is rolled back. The time to confirm it runs from when this leader first
+/// saw the revision running.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ConfirmationDeadline {
     revision: u64,
@@ -73,8 +73,8 @@
     }
 
     fn share_counter(&mut self, fleet: &Fleet<D>) -> &mut ShareCounter {
-        // No earlier leader granted shares by a larger count than the number of members, or the configured number with
-        // which it began.
+        // No earlier leader granted shares by a count larger than the number of members and the configured number of
+        // gateways, with which it began.
         let configured = fleet
             .running
             .as_ref()
@@ -87,8 +87,8 @@
             .get_or_insert_with(|| ShareCounter::new(since, lease, grace, initial))
     }
 
-    /// The number of gateways that share the fleet-wide limits and of those that use their share; `None` before the
-    /// first record.
+    /// The number of gateways that share the fleet-wide limits and of those with a granted share; `None` until this
+    /// leader has first seen the replicated state.
     pub fn share_totals(&self) -> Option<ShareTotals> {
         self.share_counter.as_ref().map(ShareCounter::totals)
     }
--- a/crates/coordination/src/leader/records.rs
+++ b/crates/coordination/src/leader/records.rs
@@ -6,14 +6,15 @@
 use crate::Policy;
 use ironstair::Millis;
 
-/// Why an operator's cancellation refuses a change. It is stored in the log and keeps the wording of earlier versions.
+/// The reason for the refusal of a change that an operator cancelled. It is stored in the log, and keeps the wording of
+/// earlier versions.
 const CANCELLED: &str = "taken back";
 
 type Rule<D> = fn(&Leader<D>, Millis, &Fleet<D>) -> Option<Record<D>>;
 
 impl<D: Policy> Leader<D> {
     /// The rules in the order of their precedence: sessions come before the change in progress. Operators' commands
-    /// follow after all of them.
+    /// come after all rules.
     const RULES: [Rule<D>; 5] = [
         Self::update_members,
         Self::refuse_rejected_change,
@@ -22,7 +23,7 @@
         Self::roll_back_unconfirmed,
     ];
 
-    /// Must be called when the log has applied the record in flight, or will never contain it. The leader may then
+    /// Must be called when the log has applied the record in flight, or can no longer contain it. The leader may then
     /// write another record.
     pub fn record_settled(&mut self) {
         self.record_in_flight = false;
@@ -103,7 +104,7 @@
         })
     }
 
-    /// The record of the first waiting command that still fits; commands before it are dropped.
+    /// The record of the first waiting command that still fits the replicated state. Commands before it are dropped.
     fn next_command(&mut self, fleet: &Fleet<D>) -> Option<Record<D>> {
         while !self.commands.is_empty() {
             let command = self.commands.remove(0);
--- a/crates/coordination/src/leader/sessions.rs
+++ b/crates/coordination/src/leader/sessions.rs
@@ -1,4 +1,4 @@
-//! The sessions of members: which exist, which may still decide, and what this leader knows of each.
+//! The sessions of members: which exist, which may still decide, and what this leader knows about each.
 
 use super::Leader;
 use crate::fleet::Fleet;
@@ -8,7 +8,7 @@
 
 /// A session from which no heartbeat has arrived for this many leases is removed from the log.
 const LEASES_UNTIL_REMOVED: f64 = 10.0;
-/// Limit of the sessions that one record starts, and of those that it ends.
+/// The maximum number of sessions that one record starts, and of those that it ends.
 const MAX_SESSIONS_PER_RECORD: usize = 256;
 
 /// The reports of one member in this term.
@@ -51,7 +51,7 @@
         if report.is_some_and(|report| report.leaving) {
             return false;
         }
-        // The leases that an earlier leader granted are unknown, so that every member may have one.
+        // The leases that earlier leaders granted are unknown: until they have expired, every member may have one.
         let earlier_leases_may_run = now < self.since + self.grace();
         session.steady
             || earlier_leases_may_run
@@ -87,13 +87,13 @@
         &self,
         now: Millis,
         fleet: &Fleet<D>,
-        is_so: impl Fn(&MemberReport) -> bool,
+        condition: impl Fn(&MemberReport) -> bool,
     ) -> bool {
         let mut deciding = fleet
             .members
             .iter()
             .filter(|(name, _)| self.may_decide(now, fleet, name));
-        deciding.all(|(name, session)| self.report(name, session).is_some_and(&is_so))
+        deciding.all(|(name, session)| self.report(name, session).is_some_and(&condition))
     }
 
     /// The report of that session; reports of another session of the same name are ignored.
@@ -103,7 +103,8 @@
             .filter(|report| report.start == session.start)
     }
 
-    /// Whether an earlier process of that name may still decide, unless the later one proves that it has ended.
+    /// Whether the process of an earlier session may still decide. It may not if the later session proves that the
+    /// process has ended. A steady session never blocks a later one.
     pub(super) fn may_be_live(
         &self,
         now: Millis,
@@ -118,7 +119,7 @@
             && self.may_decide(now, fleet, name)
     }
 
-    /// Removes the knowledge of sessions that the log does not contain any more, and adds the new ones.
+    /// Drops what this leader knows about sessions that are no longer in the log, and adds the new ones.
     pub(super) fn refresh_sessions(&mut self, now: Millis, fleet: &Fleet<D>) {
         let members = &fleet.members;
         self.joining
@@ -139,6 +140,7 @@
         }
     }
 
+    /// Updates the share counter with the members that may still decide.
     pub(super) fn refresh_share_counter(&mut self, now: Millis, fleet: &Fleet<D>) {
         self.share_counter(fleet);
         let Some(mut counter) = self.share_counter.take() else {
@@ -158,8 +160,8 @@
         self.share_counter = Some(counter);
     }
 
-    /// The record that starts and ends sessions. It precedes a session's first lease, so that the next leader knows of
-    /// the session.
+    /// The record that starts and ends sessions. It precedes a session's first lease, so that the next leader knows
+    /// about the session.
     pub(super) fn update_members(&self, now: Millis, fleet: &Fleet<D>) -> Option<Record<D>> {
         let left: Vec<(String, u64)> = fleet
             .members
@@ -184,7 +186,7 @@
         Some(Record::Members { joined, left })
     }
 
-    /// Whether a session is leaving, or no heartbeat has arrived for long and it can't decide any more.
+    /// Whether a session is leaving, or is overdue for removal and can't decide any more.
     fn has_left(&self, now: Millis, fleet: &Fleet<D>, name: &str, session: &Session) -> bool {
         let report = self.report(name, session);
         if report.is_some_and(|report| report.leaving) {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,9 @@
 //! Agreement of a cluster of gateways on one policy, without I/O, clock or thread: the content of the replicated log
 //! ([`record`], [`fleet`]), the decisions of the leader ([`leader`]), and a member's applied policy and lease
 //! ([`member`]). `docs/design/fleet.md` describes the guarantees.
+//!
+//! A member *decides* when it handles requests by the policy that it has applied. It may do so while it has a lease; a
+//! steady member may also do so afterwards.
 
 pub mod fleet;
 pub mod generation;
@@ -21,11 +24,11 @@
 
 use ironstair::Millis;
 
-/// The factor by which a leader takes a lease to be longer than its member does. It covers more than the difference
-/// between the rates of two clocks.
+/// A leader treats a lease as valid for this many times its length. The margin is larger than the difference between
+/// the rates of the leader's and the member's clocks.
 const CLOCK_DRIFT_FACTOR: f64 = 1.1;
 
-/// The time in ms after the grant of a lease of this length during which a leader must assume that the lease is valid.
+/// How long, in ms, a leader must assume that a lease of this length is valid after it has granted it.
 pub fn grace_period(lease: Millis) -> Millis {
     lease * CLOCK_DRIFT_FACTOR
 }
--- a/crates/coordination/src/member.rs
+++ b/crates/coordination/src/member.rs
@@ -6,7 +6,7 @@
 
 /// Heartbeats per lease: two in a row may be lost before the lease expires.
 const HEARTBEATS_PER_LEASE: f64 = 3.0;
-/// Heartbeats per lease while a change is in progress, so that its three steps take less than a lease.
+/// Heartbeats per lease while a change is in progress. Its three steps then take less than a lease together.
 const HEARTBEATS_PER_LEASE_DURING_CHANGE: f64 = 15.0;
 
 /// An event that a member handles.
@@ -21,7 +21,7 @@
         /// As in [`Action::Apply`].
         policy_index: u64,
     },
-    /// The gateway can't apply the policy; it gets no lease then.
+    /// The gateway can't apply the policy. It gets no lease until it can.
     ApplyFailed {
         /// As in [`Action::Apply`].
         policy_index: u64,
@@ -191,7 +191,8 @@
         actions
     }
 
-    /// Ends the application of the policy of that index. Returns false if another policy, or none, was being applied.
+    /// Notes that the gateway has finished applying the policy of that index. Returns false if another policy, or none,
+    /// was being applied.
     fn finish_applying(&mut self, policy_index: u64) -> bool {
         self.applying
             .take_if(|applying| *applying == policy_index)
@@ -210,7 +211,7 @@
             validated: self.validated.clone(),
             leaving: self.leaving,
             exclusive_resource: self.exclusive_resource.clone(),
-            // A share is valid only as long as its lease.
+            // A share is valid only as long as the lease with which it was granted.
             uses_share: self.share.is_granted && self.has_lease(now),
         }
     }
@@ -222,7 +223,7 @@
         }
     }
 
-    // Responses may arrive late or twice: only newer content is used.
+    /// Handles a leader's response. Responses may arrive late or twice, so that only newer content is used.
     fn handle_response<D: Clone>(
         &mut self,
         now: Millis,
@@ -260,12 +261,12 @@
         }
     }
 
-    /// Whether to use a response of that generation. Moves to a new generation if the member may.
+    /// Whether the member uses a response of that generation. Moves the member to that generation if it may follow it.
     fn accepts_generation(&mut self, now: Millis, generation: u64) -> bool {
         if generation == self.applied.generation {
             return true;
         }
-        // The lease of a steady member never ends, so that it would never move to a later generation otherwise.
+        // A steady member's lease never ends: without the second condition it could never move to a later generation.
         let may_move =
             !self.has_lease(now) || self.steady && supersedes(generation, self.applied.generation);
         let is_older = supersedes(self.applied.generation, generation);
--- a/crates/coordination/src/policy.rs
+++ b/crates/coordination/src/policy.rs
@@ -1,12 +1,12 @@
-//! The properties of a policy document that the replicated decisions need.
+//! What the fleet's decisions require of a policy document.
 
 use serde_json::Value as Json;
 
 /// A policy document that a cluster agrees on.
 pub trait Policy: Clone + PartialEq {
-    /// The stricter of both policies in each setting. It is safe while some gateways apply one of them and some the
-    /// other, for limits that hold for the sum over all gateways. `None` if no such policy exists, or this version
-    /// can't read one of them.
+    /// The policy with the stricter value of both for each setting. Limits on the sum over all gateways hold while some
+    /// gateways apply the intersection and the others apply one of the two policies. `None` if no such policy exists,
+    /// or this version can't read one of the two.
     fn intersection(&self, other: &Self) -> Option<Self>;
 
     /// The number of gateways that the policy was written for.
@@ -25,7 +25,8 @@
     }
 }
 
-/// The document as gateways exchange it. A version that does not know one of its fields can still store and report it.
+/// The document in the form in which gateways exchange it. A version that doesn't know one of its fields can still
+/// store and report it.
 impl Policy for Json {
     fn intersection(&self, other: &Self) -> Option<Self> {
         let parse = |document: &Json| {
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,5 +1,5 @@
-//! The records of the replicated log. All voters apply them in the same order. A record that does not fit the current
-//! state has no effect, so that a leader may write a record again if it does not know whether the log has it.
+//! The records of the replicated log. All voters apply them in the same order. A record that doesn't fit the current
+//! state has no effect, so that a leader may write a record again if it doesn't know whether the log contains it.
 
 use ironstair::Millis;
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
-    /// A generation begins, by a bootstrap or a disaster recovery.
+    /// A bootstrap or a disaster recovery begins a generation.
     #[serde(rename = "begun")]
     Bootstrapped {
         /// Its number.
@@ -16,7 +16,7 @@
         generation: u64,
         /// The first policy.
         document: D,
-        /// After a disaster recovery: who ran it, and how it was done.
+        /// After a disaster recovery: who ran it and how, in the form of a revision.
         #[serde(rename = "line")]
         revision: Option<RevisionSummary>,
     },
@@ -29,11 +29,11 @@
     },
     /// A change is proposed: every member validates it.
     Staged(ChangeProposal<D>),
-    /// The change is dropped: a member or an operator rejected it.
+    /// The change is dropped because a member or an operator rejected it.
     Refused {
         /// Its revision number.
         number: u64,
-        /// The member or operator.
+        /// The member or operator that rejected it.
         by: String,
         /// Why.
         #[serde(rename = "why")]
@@ -54,8 +54,8 @@
         /// Its number.
         number: u64,
     },
-    /// The revision that was pending confirmation is rolled back: the policy before it becomes a change at the step
-    /// [`Binding`](crate::fleet::Step::Binding), which is then decided.
+    /// The revision that was pending confirmation is rolled back: the policy before it becomes the change in progress,
+    /// at the step [`Binding`](crate::fleet::Step::Binding).
     #[serde(rename = "taken-back")]
     RolledBack {
         /// Its number.
@@ -68,8 +68,8 @@
 pub struct Session {
     /// A random number that identifies the process.
     pub start: u64,
-    /// Whether the member continues to decide after its lease has expired; no change is decided then until it has
-    /// applied it.
+    /// Whether the member continues to decide after its lease has expired. No change is decided then until this member
+    /// has applied it.
     pub steady: bool,
     /// The name of a resource that only one process can hold at a time, and that this process holds until it ends. A
     /// later process that holds it proves that this one has ended. Empty if there is none.
@@ -90,7 +90,7 @@
 /// A change that an operator proposes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeProposal<D> {
-    /// A random number by which the proposing gateway finds the change again.
+    /// A random number by which the proposing gateway recognizes the change in the log.
     pub token: u64,
     /// Who proposes it.
     #[serde(rename = "who")]
