--- a/crates/coordination/tests/orders/cases.rs
+++ b/crates/coordination/tests/orders/cases.rs
@@ -1,28 +1,36 @@
-//! How much may happen in each run of the model.
+//! The budgets of the runs of the model.
 
 use crate::world::Budget;
 
-pub(crate) const QUIET: Budget = Budget {
+pub(crate) const NO_FAULTS: Budget = Budget {
     ticks: 4,
-    leaders: 0,
+    leader_losses: 0,
     crashes: 0,
     commands: 2,
     cancels: 0,
-    twice: 0,
+    duplicates: 0,
     pauses: 0,
 };
 
-/// The budgets that are run to their ends, and how many states that is at least.
+/// The runs that explore all states: name, number of gateways, budget, and the minimum number of states.
 pub(crate) const CASES: [(&str, usize, Budget, usize); 6] = [
-    ("two changes", 2, Budget { ticks: 3, ..QUIET }, 10_000),
     (
-        "leaders lost",
+        "two changes",
+        2,
+        Budget {
+            ticks: 3,
+            ..NO_FAULTS
+        },
+        10_000,
+    ),
+    (
+        "leader losses",
         2,
         Budget {
             ticks: 2,
-            leaders: 1,
+            leader_losses: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         10_000,
     ),
@@ -33,55 +41,55 @@
             ticks: 2,
             crashes: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         40_000,
     ),
     (
-        "doubled",
+        "duplicate messages",
         2,
         Budget {
             ticks: 2,
-            twice: 1,
+            duplicates: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         5_000,
     ),
     (
-        "cancelled",
+        "a cancellation",
         2,
         Budget {
             ticks: 3,
             cancels: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         5_000,
     ),
     (
-        "stopped and gone on",
+        "pauses",
         2,
         Budget {
             ticks: 3,
             pauses: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         50_000,
     ),
 ];
 
-/// The larger ones, by `ORDERS=all cargo test -p ironstair-coordination --test orders`.
+/// The larger runs: `ORDERS=all cargo test -p ironstair-coordination --test orders`.
 pub(crate) const LARGER: [(&str, usize, Budget, usize); 6] = [
     (
-        "leaders lost, longer",
+        "leader losses, longer",
         2,
         Budget {
             ticks: 3,
-            leaders: 1,
+            leader_losses: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         100_000,
     ),
@@ -92,40 +100,40 @@
             ticks: 3,
             crashes: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         300_000,
     ),
     (
-        "doubled, longer",
+        "duplicate messages, longer",
         2,
         Budget {
             ticks: 3,
-            twice: 1,
+            duplicates: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         100_000,
     ),
     (
-        "doubled, cancelled",
+        "duplicate messages and a cancellation",
         2,
         Budget {
             ticks: 3,
-            twice: 1,
+            duplicates: 1,
             cancels: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         200_000,
     ),
     (
-        "stopped, longer",
+        "pauses, longer",
         2,
         Budget {
             pauses: 1,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         100_000,
     ),
@@ -135,7 +143,7 @@
         Budget {
             ticks: 3,
             commands: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         160_000,
     ),
--- a/crates/coordination/tests/orders/main.rs
+++ b/crates/coordination/tests/orders/main.rs
@@ -1,6 +1,7 @@
-//! A change of policy in every order of heartbeats, answers, steps of the log, crashes, lost leaders and late, doubled
-//! or lost messages: the sentences of `docs/design/fleet.md` as properties (model checked). The log itself is the
-//! agreement library's: here it takes one record after the other, and a leader whose term is over grants nothing.
+//! Model checking of a policy change under every order of heartbeats, responses, steps of the log, crashes, leader
+//! losses and late, duplicate or lost messages. The properties are the guarantees of `docs/design/fleet.md`. The log
+//! itself is the Raft library's: in this model it commits one record after the other, and a leader whose term is over
+//! grants no lease.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -9,86 +10,86 @@
 mod model;
 mod world;
 
-use cases::{CASES, LARGER, QUIET};
+use cases::{CASES, LARGER, NO_FAULTS};
 use stateright::{Checker, HasDiscoveries, Model};
 use world::{Budget, ChangeModel, RemovedGuard};
 
-fn model(gates: usize, budget: Budget, removed: RemovedGuard) -> ChangeModel {
+fn model(gateways: usize, budget: Budget, removed: RemovedGuard) -> ChangeModel {
     ChangeModel {
-        gates,
+        gateways,
         budget,
         removed,
     }
 }
 
 #[test]
-fn in_every_order_a_change_holds_everywhere_or_nowhere() {
+fn change_applies_everywhere_or_nowhere_in_every_order_of_events() {
     let larger = LARGER
         .into_iter()
         .filter(|_| std::env::var_os("ORDERS").is_some());
-    for (what, gates, budget, states) in CASES.into_iter().chain(larger) {
-        let begun = std::time::Instant::now();
-        let checked = model(gates, budget, RemovedGuard::Nothing)
+    for (name, gateways, budget, min_states) in CASES.into_iter().chain(larger) {
+        let started = std::time::Instant::now();
+        let checked = model(gateways, budget, RemovedGuard::Nothing)
             .checker()
             .threads(4)
             .spawn_bfs()
             .join();
-        for property in model(gates, budget, RemovedGuard::Nothing).properties() {
+        for property in model(gateways, budget, RemovedGuard::Nothing).properties() {
             if property.expectation == stateright::Expectation::Always {
                 checked.assert_no_discovery(property.name);
             }
         }
-        let found = checked.unique_state_count();
-        println!("{what}: {found} states, {:?}", begun.elapsed());
-        assert!(found >= states, "{what}: {found}");
+        let states = checked.unique_state_count();
+        println!("{name}: {states} states, {:?}", started.elapsed());
+        assert!(states >= min_states, "{name}: {states}");
     }
 }
 
 #[test]
-fn every_guard_that_is_taken_out_breaks_a_promise() {
-    for (removed, budget, promise) in [
+fn a_property_fails_without_each_guard() {
+    for (removed, budget, property) in [
         (
-            RemovedGuard::Grace,
+            RemovedGuard::GracePeriod,
             Budget {
-                leaders: 1,
+                leader_losses: 1,
                 commands: 1,
-                ..QUIET
+                ..NO_FAULTS
             },
-            "apart",
+            "no two policies decide at once",
         ),
         (
-            RemovedGuard::Sent,
+            RemovedGuard::LeaseFromSending,
             Budget {
                 commands: 1,
                 ticks: 5,
-                ..QUIET
+                ..NO_FAULTS
             },
-            "apart",
+            "no two policies decide at once",
         ),
         (
-            RemovedGuard::Unheard,
+            RemovedGuard::WaitForAllMembers,
             Budget {
                 commands: 1,
-                ..QUIET
+                ..NO_FAULTS
             },
-            "apart",
+            "no two policies decide at once",
         ),
         (
-            RemovedGuard::Timer,
+            RemovedGuard::LeaseByClock,
             Budget {
                 pauses: 1,
                 commands: 1,
                 ticks: 5,
-                ..QUIET
+                ..NO_FAULTS
             },
-            "apart",
+            "no two policies decide at once",
         ),
     ] {
         let model = model(2, budget, removed).checker().threads(4);
-        let found = model
-            .finish_when(HasDiscoveries::AllOf([promise].into()))
+        let checked = model
+            .finish_when(HasDiscoveries::AllOf([property].into()))
             .spawn_bfs()
             .join();
-        assert!(found.discovery(promise).is_some(), "{removed:?}");
+        assert!(checked.discovery(property).is_some(), "{removed:?}");
     }
 }
--- a/crates/coordination/tests/orders/model.rs
+++ b/crates/coordination/tests/orders/model.rs
@@ -1,6 +1,6 @@
 //! The moves of the model and its properties.
 
-use crate::support::{self, proposal, Gate, Pol, LEASE, UNREAD};
+use crate::support::{self, proposal, Gateway, TestPolicy, LEASE, UNREADABLE};
 use crate::world::{ChangeModel, Move, RemovedGuard, World};
 use ironstair_coordination::fleet::Step;
 use ironstair_coordination::leader::Command;
@@ -9,78 +9,85 @@
 use stateright::{Model, Property};
 
 impl ChangeModel {
-    fn hear(&self, w: &mut World, i: usize, again: bool) -> Option<()> {
-        w.left.twice -= again as u8;
-        let gate = w.gates[i].as_mut()?;
-        let mut answer = gate.answer.clone()?;
-        gate.answer = gate.answer.take().filter(|_| again);
-        if self.removed == RemovedGuard::Sent {
-            answer.sent = w.now;
+    fn deliver(&self, world: &mut World, index: usize, is_duplicate: bool) -> Option<()> {
+        world.remaining.duplicates -= is_duplicate as u8;
+        let gateway = world.gateways[index].as_mut()?;
+        let mut response = gateway.response.clone()?;
+        gateway.response = gateway.response.take().filter(|_| is_duplicate);
+        if self.removed == RemovedGuard::LeaseFromSending {
+            response.sent = world.now;
         }
-        w.hand(i, Input::Answered(answer));
+        world.handle_input(index, Input::Answered(response));
         Some(())
     }
 
-    fn write(&self, w: &mut World) {
-        let record = w.leader.next_record(w.now, &w.fleet);
-        w.writing = match (record, self.removed) {
-            (None, RemovedGuard::Unheard) => w
-                .fleet
-                .change_at(Step::Binding)
-                .map(|c| Record::Decided { number: c.number }),
-            (record, _) => record,
-        };
-        // A leader may be lost before the commit; otherwise nothing can happen in between.
-        if w.left.leaders == 0 {
-            w.commit();
+    fn write_record(&self, world: &mut World) {
+        let record = world.leader.next_record(world.now, &world.fleet);
+        world.record_in_flight =
+            match (record, self.removed) {
+                (None, RemovedGuard::WaitForAllMembers) => world
+                    .fleet
+                    .change_at(Step::Binding)
+                    .map(|change| Record::Decided {
+                        number: change.number,
+                    }),
+                (record, _) => record,
+            };
+        // The commit is a move of its own only if a leader may be lost before it.
+        if world.remaining.leader_losses == 0 {
+            world.commit();
         }
     }
 
-    fn lose_leader(&self, w: &mut World, kept: bool) {
-        w.left.leaders -= 1;
-        if kept {
-            w.commit();
+    fn lose_leader(&self, world: &mut World, is_record_kept: bool) {
+        world.remaining.leader_losses -= 1;
+        if is_record_kept {
+            world.commit();
         }
-        w.writing = None;
-        let since = if self.removed == RemovedGuard::Grace {
+        world.record_in_flight = None;
+        let since = if self.removed == RemovedGuard::GracePeriod {
             -9.0
         } else {
-            w.now
+            world.now
         };
-        w.leader = Leader::new(since, LEASE);
+        world.leader = Leader::new(since, LEASE);
     }
 }
 
-fn talk(w: &mut World, i: usize, again: bool) -> Option<()> {
-    w.left.twice -= again as u8;
-    let gate = w.gates[i].as_mut()?;
-    let heartbeat = if again {
-        gate.heartbeat.clone()
+fn send_heartbeat(world: &mut World, index: usize, is_duplicate: bool) -> Option<()> {
+    world.remaining.duplicates -= is_duplicate as u8;
+    let gateway = world.gateways[index].as_mut()?;
+    let heartbeat = if is_duplicate {
+        gateway.heartbeat.clone()
     } else {
-        gate.sends(w.now, i)
+        gateway.next_heartbeat(world.now, index)
     };
-    gate.answer = Some(w.leader.heartbeat(w.now, &w.fleet, &heartbeat?));
+    gateway.response = Some(world.leader.heartbeat(world.now, &world.fleet, &heartbeat?));
     Some(())
 }
 
-fn propose(w: &mut World) -> Option<()> {
-    w.left.commands -= 1;
-    let to = if w.left.commands == 0 { 1 } else { UNREAD };
-    w.fleet.running.as_ref()?;
-    let command = Command::Change(proposal(to, w.fleet.policy_index));
+fn propose(world: &mut World) -> Option<()> {
+    world.remaining.commands -= 1;
+    let number = if world.remaining.commands == 0 {
+        1
+    } else {
+        UNREADABLE
+    };
+    world.fleet.running.as_ref()?;
+    let command = Command::Change(proposal(number, world.fleet.policy_index));
     // A refused command changes nothing.
-    let _ = w.leader.submit(&w.fleet, command);
+    let _ = world.leader.submit(&world.fleet, command);
     Some(())
 }
 
-fn cancel(w: &mut World) {
-    w.left.cancels -= 1;
+fn cancel(world: &mut World) {
+    world.remaining.cancels -= 1;
     let command = Command::Cancel {
         id: None,
         author: "op".into(),
     };
     // A refused command changes nothing.
-    let _ = w.leader.submit(&w.fleet, command);
+    let _ = world.leader.submit(&world.fleet, command);
 }
 
 impl Model for ChangeModel {
@@ -91,133 +98,180 @@
         let mut fleet = Fleet::default();
         fleet.apply(Record::Bootstrapped {
             generation: 1,
-            document: Pol(0, 0),
+            document: TestPolicy(0, 0),
             revision: None,
         });
-        let mut w = World {
+        let mut world = World {
             now: 0.0,
             policy_changed_at: 0.0,
             fleet,
             leader: Leader::new(-9.0, LEASE),
-            writing: None,
-            gates: (0..self.gates)
-                .map(|i| Some(Gate::new(i, i as u64 + 1)))
+            record_in_flight: None,
+            gateways: (0..self.gateways)
+                .map(|index| Some(Gateway::new(index, index as u64 + 1)))
                 .collect(),
-            starts: self.gates as u64,
+            processes_started: self.gateways as u64,
             decided: vec![0],
             refused: Vec::new(),
-            left: self.budget,
+            remaining: self.budget,
         };
         // All runs begin with gateways that have joined and applied the first policy.
         for _ in 0..4 {
-            for i in 0..self.gates {
-                for step in [Move::Talk(i, false), Move::Hear(i, false)] {
-                    w = self.next_state(&w, step).unwrap_or(w);
+            for index in 0..self.gateways {
+                for step in [Move::Heartbeat(index, false), Move::Deliver(index, false)] {
+                    world = self.next_state(&world, step).unwrap_or(world);
                 }
             }
-            w.writing = w.leader.next_record(w.now, &w.fleet);
-            w.commit();
+            world.record_in_flight = world.leader.next_record(world.now, &world.fleet);
+            world.commit();
         }
-        assert_eq!(w.deciding(self.removed).count(), self.gates);
-        vec![w]
+        assert_eq!(world.deciding(self.removed).count(), self.gateways);
+        vec![world]
     }
 
-    fn actions(&self, w: &World, moves: &mut Vec<Move>) {
-        if w.left.ticks > 0 {
+    fn actions(&self, world: &World, moves: &mut Vec<Move>) {
+        if world.remaining.ticks > 0 {
             moves.push(Move::Tick);
         }
-        for (i, gate) in w.gates.iter().enumerate() {
-            let Some(g) = gate else {
-                moves.push(Move::Start(i));
+        for (index, slot) in world.gateways.iter().enumerate() {
+            let Some(gateway) = slot else {
+                moves.push(Move::Start(index));
                 continue;
             };
-            if w.left.pauses > 0 || g.paused {
-                moves.push(Move::Pause(i));
+            if world.remaining.pauses > 0 || gateway.is_paused {
+                moves.push(Move::TogglePause(index));
             }
-            if g.paused {
+            if gateway.is_paused {
                 continue;
             }
-            moves.extend(g.is_heartbeat_due(w.now).then_some(Move::Talk(i, false)));
-            moves.extend(g.answer.is_some().then_some(Move::Hear(i, false)));
-            if w.left.twice > 0 {
-                moves.extend(g.heartbeat.is_some().then_some(Move::Talk(i, true)));
-                moves.extend(g.answer.is_some().then_some(Move::Hear(i, true)));
+            moves.extend(
+                gateway
+                    .is_heartbeat_due(world.now)
+                    .then_some(Move::Heartbeat(index, false)),
+            );
+            moves.extend(
+                gateway
+                    .response
+                    .is_some()
+                    .then_some(Move::Deliver(index, false)),
+            );
+            if world.remaining.duplicates > 0 {
+                moves.extend(
+                    gateway
+                        .heartbeat
+                        .is_some()
+                        .then_some(Move::Heartbeat(index, true)),
+                );
+                moves.extend(
+                    gateway
+                        .response
+                        .is_some()
+                        .then_some(Move::Deliver(index, true)),
+                );
             }
-            moves.extend((w.left.crashes > 0).then_some(Move::Crash(i)));
+            moves.extend((world.remaining.crashes > 0).then_some(Move::Crash(index)));
         }
-        match w.writing {
+        match world.record_in_flight {
             Some(_) => moves.push(Move::Commit),
-            None => moves.push(Move::Next),
+            None => moves.push(Move::WriteRecord),
         }
-        if w.left.leaders > 0 {
-            moves.push(Move::Leader(false));
-            moves.extend(w.writing.is_some().then_some(Move::Leader(true)));
+        if world.remaining.leader_losses > 0 {
+            moves.push(Move::LoseLeader(false));
+            moves.extend(
+                world
+                    .record_in_flight
+                    .is_some()
+                    .then_some(Move::LoseLeader(true)),
+            );
         }
-        moves.extend((w.left.commands > 0).then_some(Move::Command));
-        moves.extend((w.left.cancels > 0).then_some(Move::Cancel));
+        moves.extend((world.remaining.commands > 0).then_some(Move::Propose));
+        moves.extend((world.remaining.cancels > 0).then_some(Move::Cancel));
     }
 
-    fn next_state(&self, was: &World, step: Move) -> Option<World> {
-        let mut w = was.clone();
+    fn next_state(&self, previous: &World, step: Move) -> Option<World> {
+        let mut world = previous.clone();
         match step {
             Move::Tick => {
-                w.left.ticks -= 1;
-                w.now += 1.0;
-                let now = w.now;
-                w.gates.iter_mut().flatten().for_each(|g| g.tick(now));
+                world.remaining.ticks -= 1;
+                world.now += 1.0;
+                let now = world.now;
+                world
+                    .gateways
+                    .iter_mut()
+                    .flatten()
+                    .for_each(|gateway| gateway.expire_timer(now));
+            }
+            Move::Heartbeat(index, is_duplicate) => {
+                send_heartbeat(&mut world, index, is_duplicate)?
             }
-            Move::Talk(i, again) => talk(&mut w, i, again)?,
-            Move::Hear(i, again) => self.hear(&mut w, i, again)?,
-            Move::Next => self.write(&mut w),
-            Move::Commit => w.commit(),
-            Move::Leader(kept) => self.lose_leader(&mut w, kept),
-            Move::Crash(i) => {
-                w.left.crashes -= 1;
-                w.gates[i] = None;
+            Move::Deliver(index, is_duplicate) => self.deliver(&mut world, index, is_duplicate)?,
+            Move::WriteRecord => self.write_record(&mut world),
+            Move::Commit => world.commit(),
+            Move::LoseLeader(is_record_kept) => self.lose_leader(&mut world, is_record_kept),
+            Move::Crash(index) => {
+                world.remaining.crashes -= 1;
+                world.gateways[index] = None;
             }
-            Move::Start(i) => {
-                w.starts += 1;
-                w.gates[i] = Some(Gate::new(i, w.starts));
+            Move::Start(index) => {
+                world.processes_started += 1;
+                world.gateways[index] = Some(Gateway::new(index, world.processes_started));
             }
-            Move::Pause(i) => {
-                let gate = w.gates[i].as_mut()?;
-                w.left.pauses -= !gate.paused as u8;
-                gate.paused = !gate.paused;
+            Move::TogglePause(index) => {
+                let gateway = world.gateways[index].as_mut()?;
+                world.remaining.pauses -= !gateway.is_paused as u8;
+                gateway.is_paused = !gateway.is_paused;
             }
-            Move::Command => propose(&mut w)?,
-            Move::Cancel => cancel(&mut w),
+            Move::Propose => propose(&mut world)?,
+            Move::Cancel => cancel(&mut world),
         }
-        Some(w)
+        Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("apart", |model: &ChangeModel, w: &World| {
-                support::apart(w.deciding(model.removed))
-            }),
-            Property::always("together", |model: &ChangeModel, w: &World| {
-                let old = |g: &Gate| g.member.applied_state().applied_index < w.fleet.policy_index;
-                w.now < w.policy_changed_at + LEASE || !w.deciding(model.removed).any(old)
-            }),
-            Property::always("all or none", |_, w: &World| {
-                support::all_or_none(w.gates.iter().flatten(), &w.decided, &w.refused)
+            Property::always(
+                "no two policies decide at once",
+                |model: &ChangeModel, world: &World| {
+                    support::at_most_one_policy_decides(world.deciding(model.removed))
+                },
+            ),
+            Property::always(
+                "all deciding gateways apply the current policy within a lease",
+                |model: &ChangeModel, world: &World| {
+                    let is_outdated = |gateway: &Gateway| {
+                        gateway.member.applied_state().applied_index < world.fleet.policy_index
+                    };
+                    world.now < world.policy_changed_at + LEASE
+                        || !world.deciding(model.removed).any(is_outdated)
+                },
+            ),
+            Property::always("applied policies were decided", |_, world: &World| {
+                support::applied_policies_were_decided(
+                    world.gateways.iter().flatten(),
+                    &world.decided,
+                    &world.refused,
+                )
             }),
             Property::always(
-                "nothing before the policy is known",
-                |model: &ChangeModel, w: &World| support::knows(w.deciding(model.removed)),
+                "no gateway decides without a policy",
+                |model: &ChangeModel, world: &World| {
+                    support::all_have_a_policy(world.deciding(model.removed))
+                },
             ),
             Property::sometimes(
-                "a change is decided and holds everywhere",
-                |model: &ChangeModel, w: &World| {
-                    w.deciding(model.removed)
-                        .filter(|g| g.holding == Pol(1, 1))
+                "a change is decided and applied everywhere",
+                |model: &ChangeModel, world: &World| {
+                    world
+                        .deciding(model.removed)
+                        .filter(|gateway| gateway.applied_policy == TestPolicy(1, 1))
                         .count()
-                        == model.gates
+                        == model.gateways
                 },
             ),
-            Property::sometimes("one that can't be read is refused", |_, w: &World| {
-                !w.refused.is_empty()
-            }),
+            Property::sometimes(
+                "a change that can't be read is refused",
+                |_, world: &World| !world.refused.is_empty(),
+            ),
         ]
     }
 }
--- a/crates/coordination/tests/orders/world.rs
+++ b/crates/coordination/tests/orders/world.rs
@@ -1,96 +1,105 @@
-//! The state of the model: the latest record of the log, the leader, the gateways, and the remaining budget of moves.
+//! The state of the model: the replicated state, the record in flight, the leader, the gateways, and the remaining
+//! budget of moves.
 
-use crate::support::{hashed_as_shown, Gate, Pol};
+use crate::support::{hash_by_debug_text, Gateway, TestPolicy};
 use ironstair_coordination::member::Input;
 use ironstair_coordination::{Fleet, Leader, Record};
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct World {
     pub now: f64,
-    pub fleet: Fleet<Pol>,
+    pub fleet: Fleet<TestPolicy>,
+    /// When the policy that members must apply last changed.
     pub policy_changed_at: f64,
-    pub leader: Leader<Pol>,
-    pub writing: Option<Record<Pol>>,
-    pub gates: Vec<Option<Gate>>,
-    pub starts: u64,
+    pub leader: Leader<TestPolicy>,
+    /// The record that the leader has written and the log has not committed.
+    pub record_in_flight: Option<Record<TestPolicy>>,
+    pub gateways: Vec<Option<Gateway>>,
+    pub processes_started: u64,
+    /// The numbers of the policies that were ever decided.
     pub decided: Vec<u8>,
+    /// The numbers of the policies that were refused.
     pub refused: Vec<u8>,
-    pub left: Budget,
+    pub remaining: Budget,
 }
 
 /// How often each move may still happen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Budget {
     pub ticks: u8,
-    pub leaders: u8,
+    pub leader_losses: u8,
     pub crashes: u8,
     pub commands: u8,
     pub cancels: u8,
-    pub twice: u8,
+    pub duplicates: u8,
     pub pauses: u8,
 }
 
-hashed_as_shown!(World);
+hash_by_debug_text!(World);
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Move {
     Tick,
-    /// A heartbeat arrives at the leader, which answers it: a new heartbeat, or the last one again.
-    Talk(usize, bool),
-    /// An answer arrives and is handled; it may arrive again.
-    Hear(usize, bool),
-    Next,
+    /// A gateway's heartbeat arrives at the leader, which responds: a new heartbeat, or the last one again if the flag
+    /// is set.
+    Heartbeat(usize, bool),
+    /// A gateway receives a response. If the flag is set, the same response may arrive again.
+    Deliver(usize, bool),
+    /// The leader writes its next record.
+    WriteRecord,
+    /// The log applies the record in flight.
     Commit,
-    /// The leader is lost; the flag states whether the log contains the record that it wrote last.
-    Leader(bool),
+    /// The leader is lost; the flag states whether the log contains the record in flight.
+    LoseLeader(bool),
     Crash(usize),
     Start(usize),
-    Command,
+    Propose,
     Cancel,
     /// A gateway is paused, or continues.
-    Pause(usize),
+    TogglePause(usize),
 }
 
-/// The guard that is removed, to verify that the properties fail without it.
+/// The guard that is removed, to verify that a property fails without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RemovedGuard {
     Nothing,
-    /// A new leader ignores leases of an earlier one.
-    Grace,
-    /// A lease starts when its answer arrives, not when the heartbeat was sent.
-    Sent,
-    /// A record is decided without the members that did not send heartbeats.
-    Unheard,
-    /// A timer, and not the clock, determines whether a lease is valid.
-    Timer,
+    /// Without it, a new leader ignores the leases of an earlier one.
+    GracePeriod,
+    /// Without it, a lease runs from the arrival of the response and not from the sending of the heartbeat.
+    LeaseFromSending,
+    /// Without it, a change is decided before all members that may decide have applied it.
+    WaitForAllMembers,
+    /// Without it, a timer and not the clock determines whether a lease is valid.
+    LeaseByClock,
 }
 
 pub(crate) struct ChangeModel {
-    pub gates: usize,
+    pub gateways: usize,
     pub budget: Budget,
     pub removed: RemovedGuard,
 }
 
 impl World {
-    pub(crate) fn hand(&mut self, i: usize, input: Input<Pol>) {
+    pub(crate) fn handle_input(&mut self, index: usize, input: Input<TestPolicy>) {
         let now = self.now;
-        self.gates[i]
+        self.gateways[index]
             .iter_mut()
-            .for_each(|g| g.hand(now, i, input.clone()));
+            .for_each(|gateway| gateway.handle(now, index, input.clone()));
     }
 
+    /// Applies the record in flight.
     pub(crate) fn commit(&mut self) {
-        let Some(record) = self.writing.take() else {
+        let Some(record) = self.record_in_flight.take() else {
             return;
         };
         let policy_index = self.fleet.policy_index;
         let change = self.fleet.change.clone();
-        let refused = matches!(record, Record::Refused { .. });
-        if self.fleet.apply(record) && refused {
-            self.refused.extend(change.map(|c| c.document.1));
+        let is_refusal = matches!(record, Record::Refused { .. });
+        if self.fleet.apply(record) && is_refusal {
+            self.refused.extend(change.map(|change| change.document.1));
         }
         self.decided
-            .extend(self.fleet.running.iter().map(|r| r.1 .0));
+            .extend(self.fleet.running.iter().map(|(_, policy)| policy.0));
         self.decided.dedup();
         if self.fleet.policy_index != policy_index {
             self.policy_changed_at = self.now;
@@ -99,10 +108,10 @@
     }
 
     /// The gateways that may decide now.
-    pub(crate) fn deciding(&self, removed: RemovedGuard) -> impl Iterator<Item = &Gate> {
-        self.gates
+    pub(crate) fn deciding(&self, removed: RemovedGuard) -> impl Iterator<Item = &Gateway> {
+        self.gateways
             .iter()
             .flatten()
-            .filter(move |g| g.decides(self.now, removed == RemovedGuard::Timer))
+            .filter(move |gateway| gateway.decides(self.now, removed == RemovedGuard::LeaseByClock))
     }
 }
--- a/crates/coordination/tests/pinned_forms.rs
+++ b/crates/coordination/tests/pinned_forms.rs
@@ -1,7 +1,7 @@
 //! Pins the JSON of every type of this package that is stored or sent to another process: the records of the fleet's
-//! log, the replicated fleet state, a member's heartbeat and its answer, and an operator's command. Each line of a
-//! sample under `pinned/` is read into the type and must equal the value here; written again it must be the same
-//! bytes. Lines that earlier versions wrote, without later fields, must still be read.
+//! log, the replicated fleet state, a member's heartbeat and the response to it, and an operator's command. Each line
+//! of a sample under `pinned/` must deserialize to the value in this file, and serialize to the same bytes again. Lines
+//! that earlier versions wrote, without later fields, must still be readable.
 
 use ironstair_coordination::fleet::{Change, Fleet, PendingConfirmation, Step};
 use ironstair_coordination::leader::Command;
@@ -17,23 +17,28 @@
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// Each line of the sample is the JSON of the value in its place, in both directions.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[T]) {
+/// Checks that each line of a sample is the JSON of the value at its position, in both directions.
+fn check_sample<T: Serialize + DeserializeOwned + PartialEq + Debug>(file: &str, values: &[T]) {
     let text = FORMS.text(file);
     assert_eq!(
         text.lines().count(),
         values.len(),
-        "{file}: one line for each value"
+        "{file}: number of lines"
     );
     for (number, (line, value)) in text.lines().zip(values).enumerate() {
-        let at = format!("{file}, line {}", number + 1);
-        assert_eq!(serde_json::to_string(value).unwrap(), line, "{at}: written");
-        let read: T = serde_json::from_str(line).unwrap_or_else(|e| panic!("{at}: {e}"));
-        assert_eq!(&read, value, "{at}: read");
+        let position = format!("{file}, line {}", number + 1);
+        assert_eq!(
+            serde_json::to_string(value).unwrap(),
+            line,
+            "{position}: serialized"
+        );
+        let read: T =
+            serde_json::from_str(line).unwrap_or_else(|error| panic!("{position}: {error}"));
+        assert_eq!(&read, value, "{position}: deserialized");
         assert_eq!(
             serde_json::to_string(&read).unwrap(),
             line,
-            "{at}: written again"
+            "{position}: serialized again"
         );
     }
 }
@@ -62,7 +67,7 @@
     }
 }
 
-fn line(number: u64, state: RevisionState) -> RevisionSummary {
+fn revision(number: u64, state: RevisionState) -> RevisionSummary {
     let refused =
         (state == RevisionState::Refused).then(|| ("g2".to_owned(), "no such engine".to_owned()));
     let commit = (state == RevisionState::Unconfirmed).then(|| "trial-1".to_owned());
@@ -99,7 +104,7 @@
         Record::Bootstrapped {
             generation: 2 << 48,
             document: document(),
-            revision: Some(line(0, RevisionState::Running)),
+            revision: Some(revision(0, RevisionState::Running)),
         },
         Record::Members {
             joined: vec![
@@ -122,8 +127,9 @@
     ]
 }
 
-/// A further variant does not compile until it stands here, and in the list above.
-fn place_in_list(record: &Record<Json>) -> usize {
+/// The index of a record's variant. The match does not compile without a new variant, which must be added to `records`
+/// too.
+fn variant_index(record: &Record<Json>) -> usize {
     match record {
         Record::Bootstrapped { .. } => 0,
         Record::Members { .. } => 1,
@@ -162,7 +168,7 @@
         revisions: REVISION_STATES
             .iter()
             .zip(1..)
-            .map(|(s, n)| line(n, *s))
+            .map(|(state, number)| revision(number, *state))
             .collect::<VecDeque<_>>(),
         next_number: 8,
     };
@@ -221,8 +227,8 @@
     ]
 }
 
-fn answers() -> Vec<HeartbeatResponse<Json>> {
-    let none = HeartbeatResponse {
+fn responses() -> Vec<HeartbeatResponse<Json>> {
+    let without_lease = HeartbeatResponse {
         start: 11,
         sent: 1000.25,
         generation: 1 << 48 | 7,
@@ -244,12 +250,12 @@
             gateway_count: 2.5,
             is_granted: true,
         }),
-        ..none.clone()
+        ..without_lease.clone()
     };
-    vec![full, none]
+    vec![full, without_lease]
 }
 
-fn asks() -> Vec<Command<Json>> {
+fn commands() -> Vec<Command<Json>> {
     vec![
         Command::Change(proposal(Some(("trial-1".into(), 60_000.0)))),
         Command::Confirm {
@@ -267,28 +273,28 @@
 }
 
 #[test]
-fn every_stored_or_sent_form_is_read_and_written_as_in_its_sample() {
-    check("records.jsonl", &records());
-    check("fleets.jsonl", &fleets());
-    check("heartbeats.jsonl", &heartbeats());
-    check("answers.jsonl", &answers());
-    check("asks.jsonl", &asks());
-    check("standings.jsonl", &REVISION_STATES);
+fn every_stored_or_sent_type_matches_its_sample() {
+    check_sample("records.jsonl", &records());
+    check_sample("fleets.jsonl", &fleets());
+    check_sample("heartbeats.jsonl", &heartbeats());
+    check_sample("answers.jsonl", &responses());
+    check_sample("asks.jsonl", &commands());
+    check_sample("standings.jsonl", &REVISION_STATES);
 }
 
 #[test]
-fn the_samples_hold_every_variant_of_a_record() {
-    let mut places: Vec<usize> = records().iter().map(place_in_list).collect();
-    places.dedup();
-    assert_eq!(places, (0..8).collect::<Vec<_>>());
+fn samples_contain_every_variant_of_a_record() {
+    let mut variants: Vec<usize> = records().iter().map(variant_index).collect();
+    variants.dedup();
+    assert_eq!(variants, (0..8).collect::<Vec<_>>());
 }
 
-/// One line a type, in this order: a session, a heartbeat, a response.
+/// The sample contains one line for each type, in this order: a session, a heartbeat, a response.
 #[test]
-fn forms_written_before_later_fields_are_read_with_their_defaults() {
+fn missing_fields_of_earlier_versions_get_their_defaults() {
     let text = FORMS.text("earlier.jsonl");
-    let [old_session, old_heartbeat, old_answer] = text.lines().collect::<Vec<_>>()[..] else {
-        panic!("earlier.jsonl: three lines are wanted")
+    let [old_session, old_heartbeat, old_response] = text.lines().collect::<Vec<_>>()[..] else {
+        panic!("earlier.jsonl: expected three lines")
     };
     let read: Session = serde_json::from_str(old_session).unwrap();
     assert_eq!(read, session(11, true, ""));
@@ -301,13 +307,13 @@
             ..heartbeats().remove(0)
         }
     );
-    let read: HeartbeatResponse<Json> = serde_json::from_str(old_answer).unwrap();
+    let read: HeartbeatResponse<Json> = serde_json::from_str(old_response).unwrap();
     assert_eq!(
         read,
         HeartbeatResponse {
             heartbeat_soon: false,
             share: None,
-            ..answers().remove(0)
+            ..responses().remove(0)
         }
     );
 }
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -8,33 +8,33 @@
 use ironstair_coordination::record::ChangeProposal;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Policy};
 
-/// States are hashed by their debug text: the decisions contain floating-point numbers, which have no hash.
-macro_rules! hashed_as_shown {
+/// Hashes states by their debug text: they contain floating-point numbers, which have no hash.
+macro_rules! hash_by_debug_text {
     ($world:ty) => {
         impl Eq for $world {}
 
         impl std::hash::Hash for $world {
-            fn hash<H: std::hash::Hasher>(&self, to: &mut H) {
-                format!("{self:?}").hash(to);
+            fn hash<H: std::hash::Hasher>(&self, hasher: &mut H) {
+                format!("{self:?}").hash(hasher);
             }
         }
     };
 }
-pub(crate) use hashed_as_shown;
+pub(crate) use hash_by_debug_text;
 
 pub(crate) const LEASE: f64 = 3.0;
-/// Gateway 1 is of an older version: it can't read this policy.
-pub(crate) const UNREAD: u8 = 2;
+/// The number of a policy that gateway 1, which is of an older version, can't read.
+pub(crate) const UNREADABLE: u8 = 2;
 /// The policy of a gateway that has received none.
-const NONE: Pol = Pol(9, 9);
+const NO_POLICY: TestPolicy = TestPolicy(9, 9);
 
-/// A policy by its number, or the intersection of two.
+/// A policy by its number, given twice, or the intersection of two: the smaller and the larger number.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Pol(pub u8, pub u8);
+pub(crate) struct TestPolicy(pub u8, pub u8);
 
-impl Policy for Pol {
+impl Policy for TestPolicy {
     fn intersection(&self, other: &Self) -> Option<Self> {
-        Some(Pol(self.0.min(other.0), self.1.max(other.1)))
+        Some(TestPolicy(self.0.min(other.0), self.1.max(other.1)))
     }
 
     fn gateways(&self) -> f64 {
@@ -42,52 +42,56 @@
     }
 }
 
+/// A gateway's process.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Gate {
+pub(crate) struct Gateway {
     pub member: Member,
-    pub holding: Pol,
+    pub applied_policy: TestPolicy,
+    /// The latest heartbeat.
     pub heartbeat: Option<Heartbeat>,
     /// Whether the heartbeat has not been sent yet.
-    pub unsent: bool,
-    pub answer: Option<HeartbeatResponse<Pol>>,
+    pub is_heartbeat_unsent: bool,
+    /// The response that is on its way to the gateway.
+    pub response: Option<HeartbeatResponse<TestPolicy>>,
     /// Whether the process is paused; it handles nothing then.
-    pub paused: bool,
-    /// Whether the lease was valid when the timer last expired, for the model without that guard.
-    pub by_timer: bool,
+    pub is_paused: bool,
+    /// Whether the lease was valid when the timer last expired, for the model in which a lease is not checked by the
+    /// clock.
+    pub is_leased_by_timer: bool,
 }
 
-impl Gate {
-    pub(crate) fn new(nth: usize, start: u64) -> Gate {
-        let member = Member::new(["a", "b", "c"][nth], start, false, LEASE);
+impl Gateway {
+    pub(crate) fn new(index: usize, start: u64) -> Gateway {
+        let member = Member::new(["a", "b", "c"][index], start, false, LEASE);
         // A later process of the same name proves by this resource that this one has ended.
-        let member = member.with_exclusive_resource(format!("place {nth}"));
-        Gate {
+        let member = member.with_exclusive_resource(format!("place {index}"));
+        Gateway {
             member,
-            holding: NONE,
+            applied_policy: NO_POLICY,
             heartbeat: None,
-            unsent: false,
-            answer: None,
-            paused: false,
-            by_timer: false,
+            is_heartbeat_unsent: false,
+            response: None,
+            is_paused: false,
+            is_leased_by_timer: false,
         }
     }
 
     /// Passes one input to the member, and the inputs that follow from it.
-    pub(crate) fn hand(&mut self, now: f64, nth: usize, input: Input<Pol>) {
-        let unread = |policy: Pol| nth == 1 && policy.0.max(policy.1) == UNREAD;
+    pub(crate) fn handle(&mut self, now: f64, index: usize, input: Input<TestPolicy>) {
+        let is_unreadable = |policy: TestPolicy| index == 1 && policy.0.max(policy.1) == UNREADABLE;
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
             for action in self.member.handle(now, input) {
                 match action {
                     Action::Heartbeat(heartbeat) => {
                         self.heartbeat = Some(heartbeat);
-                        self.unsent = true;
+                        self.is_heartbeat_unsent = true;
                     }
                     Action::Apply {
                         policy_index,
                         document,
                         ..
-                    } if unread(document) => {
+                    } if is_unreadable(document) => {
                         inputs.push(Input::ApplyFailed {
                             policy_index,
                             reason: "a newer version".into(),
@@ -98,90 +102,91 @@
                         document,
                         ..
                     } => {
-                        self.holding = document;
+                        self.applied_policy = document;
                         inputs.push(Input::Applied { policy_index });
                     }
                     Action::Validate { number, document } => {
-                        let how = if unread(document) {
+                        let result = if is_unreadable(document) {
                             Err("a newer version".into())
                         } else {
                             Ok(())
                         };
-                        inputs.push(Input::Validated((number, how).into()));
+                        inputs.push(Input::Validated((number, result).into()));
                     }
                     Action::SetLease(..) | Action::LogWarning(_) => {}
                 }
             }
         }
-        self.by_timer = self.member.has_lease(now);
+        self.is_leased_by_timer = self.member.has_lease(now);
     }
 
     pub(crate) fn is_heartbeat_due(&self, now: f64) -> bool {
-        self.unsent || self.member.next_heartbeat_at() <= now
+        self.is_heartbeat_unsent || self.member.next_heartbeat_at() <= now
     }
 
-    /// The heartbeat to send now: one that waits, or one that is due.
-    pub(crate) fn sends(&mut self, now: f64, nth: usize) -> Option<Heartbeat> {
-        if !std::mem::take(&mut self.unsent) {
-            self.hand(now, nth, Input::Due);
-            self.unsent = false;
+    /// The heartbeat to send now: the unsent one, or a new one.
+    pub(crate) fn next_heartbeat(&mut self, now: f64, index: usize) -> Option<Heartbeat> {
+        if !std::mem::take(&mut self.is_heartbeat_unsent) {
+            self.handle(now, index, Input::Due);
+            self.is_heartbeat_unsent = false;
         }
         self.heartbeat.clone()
     }
 
-    /// Expires the timer of a process that is not paused.
-    pub(crate) fn tick(&mut self, now: f64) {
-        if !self.paused {
-            self.by_timer = self.member.has_lease(now);
+    /// Expires the timer, unless the process is paused.
+    pub(crate) fn expire_timer(&mut self, now: f64) {
+        if !self.is_paused {
+            self.is_leased_by_timer = self.member.has_lease(now);
         }
     }
 
-    /// Whether it may decide, by the clock or, without that guard, by its timer.
+    /// Whether it decides, with its lease checked by the clock or by its timer.
     pub(crate) fn decides(&self, now: f64, by_timer: bool) -> bool {
-        !self.paused
+        !self.is_paused
             && if by_timer {
-                self.by_timer
+                self.is_leased_by_timer
             } else {
                 self.member.has_lease(now)
             }
     }
 }
 
-/// No gateway decides by one policy alone while another decides by another policy alone.
-pub(crate) fn apart<'a>(deciding: impl Iterator<Item = &'a Gate>) -> bool {
-    let mut alone: Vec<u8> = deciding
-        .filter(|g| g.holding.0 == g.holding.1)
-        .map(|g| g.holding.0)
+/// Whether no gateway decides by one policy alone while another decides by another policy alone.
+pub(crate) fn at_most_one_policy_decides<'a>(deciding: impl Iterator<Item = &'a Gateway>) -> bool {
+    let mut numbers: Vec<u8> = deciding
+        .filter(|gateway| gateway.applied_policy.0 == gateway.applied_policy.1)
+        .map(|gateway| gateway.applied_policy.0)
         .collect();
-    alone.dedup();
-    alone.len() <= 1
+    numbers.dedup();
+    numbers.len() <= 1
 }
 
-/// Every policy that a gateway has applied alone was decided, and not refused.
-pub(crate) fn all_or_none<'a>(
-    gates: impl Iterator<Item = &'a Gate>,
+/// Whether every policy that a gateway has applied alone was decided, and not refused.
+pub(crate) fn applied_policies_were_decided<'a>(
+    gateways: impl Iterator<Item = &'a Gateway>,
     decided: &[u8],
     refused: &[u8],
 ) -> bool {
-    let mut alone = gates
-        .map(|g| g.holding)
-        .filter(|p| p.0 == p.1 && *p != NONE);
-    alone.all(|p| decided.contains(&p.0) && !refused.contains(&p.0))
+    let mut applied_alone = gateways
+        .map(|gateway| gateway.applied_policy)
+        .filter(|policy| policy.0 == policy.1 && *policy != NO_POLICY);
+    applied_alone.all(|policy| decided.contains(&policy.0) && !refused.contains(&policy.0))
 }
 
-pub(crate) fn knows<'a>(mut deciding: impl Iterator<Item = &'a Gate>) -> bool {
-    deciding.all(|g| g.holding != NONE)
+pub(crate) fn all_have_a_policy<'a>(mut deciding: impl Iterator<Item = &'a Gateway>) -> bool {
+    deciding.all(|gateway| gateway.applied_policy != NO_POLICY)
 }
 
-pub(crate) fn proposal(to: u8, base_revision: u64) -> ChangeProposal<Pol> {
+/// The proposal of the policy of that number.
+pub(crate) fn proposal(number: u8, base_revision: u64) -> ChangeProposal<TestPolicy> {
     let (author, summary) = ("op".to_owned(), "set".to_owned());
     ChangeProposal {
-        token: to as u64,
+        token: number as u64,
         author,
         created_at: 0.0,
         summary,
         base_revision,
-        document: Pol(to, to),
+        document: TestPolicy(number, number),
         commit: None,
     }
 }
--- a/crates/coordination/tests/voters/main.rs
+++ b/crates/coordination/tests/voters/main.rs
@@ -1,7 +1,8 @@
-//! Three voters and two further gateways in one model: leaders chosen by a quorum, records that a quorum has or that
-//! are lost with their leader, a leader that was cut off and goes on, a voter without its disk, gateways that are
-//! stopped. Agreement is modelled as the library promises it (a vote for each term, the longer log wins, what a quorum
-//! has stays); messages among voters come or don't. That the library keeps this is tested by the seeded runs of `crates/raft-replica`.
+//! Model checking of three voters and two further gateways: leaders elected by a quorum, records that are committed or
+//! lost with their leader, an isolated leader that continues, a voter that loses its disk, and paused gateways.
+//! Agreement is modelled by the guarantees of the Raft library: one vote for each term, the newer log wins, and what a
+//! quorum has is not lost; messages between voters arrive or are lost. The seeded runs of `crates/raft-replica` test
+//! that the library keeps these guarantees.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -14,22 +15,22 @@
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use world::Budget;
 
-const QUIET: Budget = Budget {
+const NO_FAULTS: Budget = Budget {
     ticks: 0,
     elections: 0,
-    disks: 0,
+    disk_losses: 0,
     pauses: 0,
     commands: 1,
     kills: 0,
-    twice: 0,
+    duplicates: 0,
 };
 
-fn run_to_the_end(budget: Budget, made: usize, tick: f64) -> impl Checker<VoterModel> {
+fn explore(budget: Budget, initial_steps: usize, tick: f64) -> impl Checker<VoterModel> {
     VoterModel {
         budget,
         removed: RemovedGuard::Nothing,
-        made,
-        then: Vec::new(),
+        initial_steps,
+        initial_moves: Vec::new(),
         tick,
     }
     .checker()
@@ -38,63 +39,69 @@
     .join()
 }
 
-/// The cases that are explored completely, with the number of steps of a change before each; the larger ones run with
-/// `ORDERS=all`.
+/// The cases, of which all states are explored: the name, whether the case runs only with `ORDERS=all`, the budget, the
+/// numbers of initial steps of a change, and the duration of a tick.
 const CASES: [(&str, bool, Budget, &[usize], f64); 9] = [
     (
-        "a change",
+        "policy change",
         false,
-        Budget { ticks: 2, ..QUIET },
+        Budget {
+            ticks: 2,
+            ..NO_FAULTS
+        },
         &[0, 1, 2, 3],
         1.0,
     ),
     (
-        "a leader lost",
+        "leader loss",
         false,
         Budget {
             elections: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         &[1, 2, 3],
         1.0,
     ),
     (
-        "a disk lost",
+        "disk loss",
         false,
-        Budget { disks: 1, ..QUIET },
+        Budget {
+            disk_losses: 1,
+            ..NO_FAULTS
+        },
         &[1, 2, 3],
         1.0,
     ),
     (
-        "a leader and a disk lost",
+        "leader loss and disk loss",
         false,
         Budget {
             elections: 1,
-            disks: 1,
-            ..QUIET
+            disk_losses: 1,
+            ..NO_FAULTS
         },
         &[2, 3],
         1.0,
     ),
     (
-        "a gateway killed and started again",
+        "gateway restart",
         false,
         Budget {
             ticks: 1,
             kills: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         &[2, 3],
         1.0,
     ),
     (
-        "a heartbeat twice, a leader lost",
+        "duplicate heartbeat and leader loss",
         false,
         Budget {
             ticks: 1,
-            twice: 1,
+            duplicates: 1,
             elections: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         &[2],
         1.0,
@@ -105,30 +112,30 @@
         Budget {
             ticks: 1,
             commands: 2,
-            ..QUIET
+            ..NO_FAULTS
         },
         &[0, 2],
         1.0,
     ),
     (
-        "a gateway stopped while its lease runs out",
+        "gateway paused until its lease expires",
         false,
         Budget {
             ticks: 2,
             pauses: 1,
-            ..QUIET
+            ..NO_FAULTS
         },
         &[1, 2],
         2.0,
     ),
     (
-        "two leaders and a disk lost",
+        "two leader losses and disk loss",
         true,
         Budget {
             ticks: 1,
             elections: 2,
-            disks: 1,
-            ..QUIET
+            disk_losses: 1,
+            ..NO_FAULTS
         },
         &[1, 2],
         1.0,
@@ -136,89 +143,104 @@
 ];
 
 #[test]
-fn with_three_voters_and_two_further_gateways_nothing_decided_is_lost() {
-    let all = std::env::var_os("ORDERS").is_some();
-    for (what, larger, budget, after, tick) in CASES {
-        if larger && !all {
+fn no_decided_policy_is_lost_with_three_voters_and_two_further_gateways() {
+    let runs_larger_cases = std::env::var_os("ORDERS").is_some();
+    for (name, is_larger, budget, step_counts, tick) in CASES {
+        if is_larger && !runs_larger_cases {
             continue;
         }
-        let begun = std::time::Instant::now();
-        let mut found = 0;
-        for made in after {
-            let checked = run_to_the_end(budget, *made, tick);
-            let days = VoterModel {
+        let started = std::time::Instant::now();
+        let mut states = 0;
+        for initial_steps in step_counts {
+            let checked = explore(budget, *initial_steps, tick);
+            let model = VoterModel {
                 budget,
                 removed: RemovedGuard::Nothing,
-                made: *made,
-                then: Vec::new(),
+                initial_steps: *initial_steps,
+                initial_moves: Vec::new(),
                 tick,
             };
-            let always =
-                |p: &&Property<VoterModel>| p.expectation == stateright::Expectation::Always;
-            for property in days.properties().iter().filter(always) {
+            let is_always = |property: &&Property<VoterModel>| {
+                property.expectation == stateright::Expectation::Always
+            };
+            for property in model.properties().iter().filter(is_always) {
                 checked.assert_no_discovery(property.name);
             }
-            found += checked.unique_state_count();
+            states += checked.unique_state_count();
         }
-        println!("{what}: {found} states, {:?}", begun.elapsed());
-        assert!(found >= 60, "{what}: {found}");
+        println!("{name}: {states} states, {:?}", started.elapsed());
+        assert!(states >= 60, "{name}: {states}");
     }
-    let whole = run_to_the_end(Budget { ticks: 2, ..QUIET }, 2, 1.0);
-    whole.assert_any_discovery("a change is decided and holds at all");
+    let checked = explore(
+        Budget {
+            ticks: 2,
+            ..NO_FAULTS
+        },
+        2,
+        1.0,
+    );
+    checked.assert_any_discovery("a change is decided and applied by all");
 }
 
 #[test]
-fn every_guard_of_the_voters_that_is_taken_out_breaks_a_promise() {
-    // One gateway still sends heartbeats to an earlier leader, and the new one waits only for leases of its own term.
+fn a_property_fails_without_each_guard_of_the_voters() {
+    // One gateway still sends heartbeats to an earlier leader, and the new leader waits only for leases from before its
+    // own term.
     let two_leaders = [
         Move::Elect(1, 2),
-        Move::Copy(1, 2),
+        Move::Replicate(1, 2),
         Move::Tick,
-        Move::Talk(0, 0, 1),
-        Move::Hear(0),
+        Move::Heartbeat(0, 0, 1),
+        Move::Deliver(0),
         Move::Tick,
     ];
     let leader_and_disk = Budget {
         elections: 1,
-        disks: 1,
-        ..QUIET
+        disk_losses: 1,
+        ..NO_FAULTS
     };
     let leader = Budget {
         ticks: 2,
         elections: 1,
-        ..QUIET
+        ..NO_FAULTS
     };
-    for (removed, budget, made, then, promise) in [
+    for (removed, budget, initial_steps, initial_moves, property) in [
         (
-            RemovedGuard::Number,
+            RemovedGuard::NewVoterId,
             leader_and_disk,
             3,
             vec![],
-            "a decided one is never lost",
+            "a decided policy is never lost",
         ),
         (
-            RemovedGuard::Confirm,
-            QUIET,
+            RemovedGuard::QuorumConfirmation,
+            NO_FAULTS,
             1,
             two_leaders.to_vec(),
-            "apart",
+            "no two policies decide at once",
+        ),
+        (
+            RemovedGuard::CommittedState,
+            leader,
+            2,
+            vec![],
+            "applied policies were decided",
         ),
-        (RemovedGuard::Known, leader, 2, vec![], "all or none"),
     ] {
-        let tick = if then.is_empty() { 1.0 } else { 2.0 };
-        let days = VoterModel {
+        let tick = if initial_moves.is_empty() { 1.0 } else { 2.0 };
+        let checker = VoterModel {
             budget,
             removed,
-            made,
-            then,
+            initial_steps,
+            initial_moves,
             tick,
         }
         .checker()
         .threads(4);
-        let found = days
-            .finish_when(HasDiscoveries::AllOf([promise].into()))
+        let checked = checker
+            .finish_when(HasDiscoveries::AllOf([property].into()))
             .spawn_bfs()
             .join();
-        assert!(found.discovery(promise).is_some(), "{removed:?}");
+        assert!(checked.discovery(property).is_some(), "{removed:?}");
     }
 }
--- a/crates/coordination/tests/voters/model.rs
+++ b/crates/coordination/tests/voters/model.rs
@@ -1,7 +1,9 @@
 //! The moves of the model and its properties.
 
-use crate::support::{self, proposal, Gate, Pol, LEASE};
-use crate::world::{bootstrapped, voters, Budget, Entry, LeaderTerm, Voter, World, GATES, VOTERS};
+use crate::support::{self, proposal, Gateway, TestPolicy, LEASE};
+use crate::world::{
+    bootstrapped, voter_ids, Budget, Entry, LeaderTerm, Voter, World, GATEWAY_COUNT, VOTERS,
+};
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::member::Input;
 use ironstair_coordination::Leader;
@@ -10,193 +12,217 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Move {
     Tick,
-    /// A voter is elected by the vote of another. A leader that is elected again was restarted.
+    /// The first voter is elected by the vote of the second. A leader that is elected again was restarted.
     Elect(usize, usize),
-    /// Another voter receives the leader's log.
-    Copy(usize, usize),
-    Write(usize),
+    /// The second voter receives the log of the first, which is a leader.
+    Replicate(usize, usize),
+    /// A leader writes its next record.
+    WriteRecord(usize),
     /// A voter loses its disk and starts blank under the next id.
-    Lose(usize),
-    /// The leader admits a voter that has its whole log.
-    LetIn(usize, usize),
+    LoseDisk(usize),
+    /// The first voter, a leader, admits the second, which has its whole log.
+    Admit(usize, usize),
     /// A gateway's heartbeat arrives at a leader, another voter confirms the leadership, and the response is sent.
-    Talk(usize, usize, usize),
+    Heartbeat(usize, usize, usize),
     /// The same heartbeat arrives again, possibly at another leader.
-    TalkAgain(usize, usize, usize),
-    /// A gateway is killed and started again at the same place.
+    DuplicateHeartbeat(usize, usize, usize),
+    /// A gateway is killed and started again with the same exclusive resource.
     Restart(usize),
-    Hear(usize),
-    Pause(usize),
-    Command(usize),
+    /// A gateway receives the response.
+    Deliver(usize),
+    /// A gateway is paused, or continues.
+    TogglePause(usize),
+    /// An operator submits a change to a leader.
+    Propose(usize),
 }
 
-/// The guard that is removed, to verify that the properties fail without it.
+/// The guard that is removed, to verify that a property fails without it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RemovedGuard {
     Nothing,
-    /// A voter that lost its disk votes under its old id.
-    Number,
-    /// No quorum confirms the leader before it grants.
-    Confirm,
-    /// A leader grants leases by the state from before its term.
-    Known,
+    /// Without it, a voter that lost its disk votes under its old id.
+    NewVoterId,
+    /// Without it, no quorum confirms a leader before it grants a lease.
+    QuorumConfirmation,
+    /// Without it, a leader acts on entries of earlier terms that it does not know to be committed.
+    CommittedState,
 }
 
 pub(crate) struct VoterModel {
     pub budget: Budget,
     pub removed: RemovedGuard,
     /// The number of steps of a change that precede the run, made with the first two voters alone.
-    pub made: usize,
-    /// The moves after these steps.
-    pub then: Vec<Move>,
+    pub initial_steps: usize,
+    /// The moves after these steps, also before the run.
+    pub initial_moves: Vec<Move>,
     /// The duration of a tick.
     pub tick: f64,
 }
 
 impl VoterModel {
-    fn elect(&self, w: &mut World, k: usize, j: usize) -> Option<()> {
-        w.left.elections -= 1;
-        let term = w.voters[k].term + 1;
-        let log = w.voters[k].log.clone()?;
-        let newest = |l: &[(u8, Entry)]| (l.last().map_or(0, |e| e.0), l.len());
-        let voter = &w.voters[j];
-        let longer = newest(voter.log.as_ref()?) > newest(&log);
-        if !w.are_a_quorum(k, j) || voter.term >= term || longer {
+    fn elect(&self, world: &mut World, candidate: usize, supporter: usize) -> Option<()> {
+        world.remaining.elections -= 1;
+        let term = world.voters[candidate].term + 1;
+        let log = world.voters[candidate].log.clone()?;
+        let position = |log: &[(u8, Entry)]| {
+            (
+                log.last().map_or(0, |(entry_term, _)| *entry_term),
+                log.len(),
+            )
+        };
+        let voter = &world.voters[supporter];
+        let has_newer_log = position(voter.log.as_ref()?) > position(&log);
+        if !world.are_quorum(candidate, supporter) || voter.term >= term || has_newer_log {
             return None;
         }
-        w.voters[k].term = term;
-        w.voters[j].term = term;
-        w.voters[j].leading = None;
-        let mut leading = LeaderTerm {
+        world.voters[candidate].term = term;
+        world.voters[supporter].term = term;
+        world.voters[supporter].leader_term = None;
+        let mut leader_term = LeaderTerm {
             term,
-            leader: Leader::new(w.now, LEASE),
+            leader: Leader::new(world.now, LEASE),
             fleet: bootstrapped(),
-            known: 0,
+            committed: 0,
         };
-        if self.removed == RemovedGuard::Known {
-            // As if all that lies in its log were known to be in a quorum's.
+        if self.removed == RemovedGuard::CommittedState {
+            // The leader treats its whole log as committed.
             for (_, entry) in &log {
                 if let Entry::Record(record) = entry {
-                    leading.fleet.apply(record.clone());
+                    leader_term.fleet.apply(record.clone());
                 }
             }
-            leading.known = log.len();
-            w.voters[k].leading = Some(leading);
+            leader_term.committed = log.len();
+            world.voters[candidate].leader_term = Some(leader_term);
         } else {
-            w.voters[k].leading = Some(leading);
-            w.push(k, Entry::TermBegins);
+            world.voters[candidate].leader_term = Some(leader_term);
+            world.append(candidate, Entry::TermStart);
         }
         Some(())
     }
 
-    fn lose(&self, w: &mut World, k: usize) -> Option<()> {
-        w.left.disks -= 1;
+    fn lose_disk(&self, world: &mut World, voter: usize) -> Option<()> {
+        world.remaining.disk_losses -= 1;
         // A second disk must not be lost before the first voter is replaced: the design does not cover that.
-        if w.voters.iter().any(|k| k.log.is_none()) {
+        if world.voters.iter().any(|voter| voter.log.is_none()) {
             return None;
         }
-        let keeps_number = self.removed == RemovedGuard::Number;
-        let number = if keeps_number {
-            w.voters[k].number
+        let keeps_id = self.removed == RemovedGuard::NewVoterId;
+        let id = if keeps_id {
+            world.voters[voter].id
         } else {
-            w.numbers
+            world.next_voter_id
         };
-        w.numbers += 1;
-        let log = w.voters[k].log.as_ref().filter(|_| keeps_number);
-        w.voters[k] = Voter {
-            number,
+        world.next_voter_id += 1;
+        let log = world.voters[voter].log.as_ref().filter(|_| keeps_id);
+        world.voters[voter] = Voter {
+            id,
             term: 0,
-            log: log.map(|l| l[..2].to_vec()),
-            known: 0,
-            leading: None,
+            log: log.map(|log| log[..2].to_vec()),
+            committed: 0,
+            leader_term: None,
         };
         Some(())
     }
 
-    /// A heartbeat arrives at leader `k`, and voter `j` confirms the leadership.
-    fn talk(&self, w: &mut World, g: usize, k: usize, j: usize, again: bool) -> Option<()> {
-        let is_confirmed = self.removed != RemovedGuard::Confirm;
-        let term = w.voters[k].leading.as_ref()?.term;
-        if is_confirmed && (!w.are_a_quorum(k, j) || w.voters[j].term > term) {
+    /// A gateway's heartbeat arrives at a leader, and another voter confirms the leadership.
+    fn handle_heartbeat(
+        &self,
+        world: &mut World,
+        gateway: usize,
+        leader: usize,
+        confirming: usize,
+        is_duplicate: bool,
+    ) -> Option<()> {
+        let is_confirmed = self.removed != RemovedGuard::QuorumConfirmation;
+        let term = world.voters[leader].leader_term.as_ref()?.term;
+        if is_confirmed
+            && (!world.are_quorum(leader, confirming) || world.voters[confirming].term > term)
+        {
             return None;
         }
-        w.leading(k)?;
-        if is_confirmed && w.voters[j].term < term {
-            w.voters[j].term = term;
-            w.voters[j].leading = None;
+        world.up_to_date_leader(leader)?;
+        if is_confirmed && world.voters[confirming].term < term {
+            world.voters[confirming].term = term;
+            world.voters[confirming].leader_term = None;
         }
-        let now = w.now;
-        let heartbeat = if again {
-            w.left.twice -= 1;
-            w.gates[g].heartbeat.clone()?
+        let now = world.now;
+        let heartbeat = if is_duplicate {
+            world.remaining.duplicates -= 1;
+            world.gateways[gateway].heartbeat.clone()?
         } else {
-            w.gates[g].sends(now, g)?
+            world.gateways[gateway].next_heartbeat(now, gateway)?
         };
-        let leading = w.voters[k].leading.as_mut()?;
-        w.gates[g].answer = Some(leading.leader.heartbeat(now, &leading.fleet, &heartbeat));
+        let leader_term = world.voters[leader].leader_term.as_mut()?;
+        let response = leader_term
+            .leader
+            .heartbeat(now, &leader_term.fleet, &heartbeat);
+        world.gateways[gateway].response = Some(response);
         Some(())
     }
 }
 
-/// Voter `j` receives the log of leader `k`.
-fn copy(w: &mut World, k: usize, j: usize) -> Option<()> {
-    let term = w.voters[k].leading.as_ref()?.term;
-    if w.voters[j].term > term {
+/// A voter receives the log of a leader.
+fn replicate(world: &mut World, leader: usize, receiver: usize) -> Option<()> {
+    let term = world.voters[leader].leader_term.as_ref()?.term;
+    if world.voters[receiver].term > term {
         // The leader learns of a later term.
-        w.voters[k].term = w.voters[j].term;
-        w.voters[k].leading = None;
+        world.voters[leader].term = world.voters[receiver].term;
+        world.voters[leader].leader_term = None;
     } else {
-        w.voters[j].term = term;
-        w.voters[j].log = w.voters[k].log.clone();
-        w.voters[j].leading = None;
-        w.voters[j].known = w.voters[k].known;
-        w.learn(k);
+        world.voters[receiver].term = term;
+        world.voters[receiver].log = world.voters[leader].log.clone();
+        world.voters[receiver].leader_term = None;
+        world.voters[receiver].committed = world.voters[leader].committed;
+        world.advance_committed(leader);
     }
     Some(())
 }
 
-fn write(w: &mut World, k: usize) -> Option<()> {
-    w.leading(k)?;
-    let now = w.now;
-    let leading = w.voters[k].leading.as_mut()?;
-    let record = leading.leader.next_record(now, &leading.fleet)?;
-    w.push(k, Entry::Record(record));
+fn write_record(world: &mut World, leader: usize) -> Option<()> {
+    world.up_to_date_leader(leader)?;
+    let now = world.now;
+    let leader_term = world.voters[leader].leader_term.as_mut()?;
+    let record = leader_term.leader.next_record(now, &leader_term.fleet)?;
+    world.append(leader, Entry::Record(record));
     Some(())
 }
 
-fn let_in(w: &mut World, k: usize, j: usize) -> Option<()> {
-    w.leading(k)?;
-    let own = w.voters[k].log.as_ref()?;
-    let number = w.voters[j].number;
-    let all = voters(own, own.len());
-    if all[j] == number || w.voters[j].log.as_ref() != Some(own) {
+fn admit(world: &mut World, leader: usize, voter: usize) -> Option<()> {
+    world.up_to_date_leader(leader)?;
+    let log = world.voters[leader].log.as_ref()?;
+    let id = world.voters[voter].id;
+    let ids = voter_ids(log, log.len());
+    if ids[voter] == id || world.voters[voter].log.as_ref() != Some(log) {
         return None;
     }
-    w.push(k, Entry::Votes(j, number));
+    world.append(leader, Entry::VoterId(voter, id));
     Some(())
 }
 
-fn command(w: &mut World, k: usize) -> Option<()> {
-    w.left.commands -= 1;
-    let to = 1 + w.left.commands;
-    w.leading(k)?;
-    let leading = w.voters[k].leading.as_mut()?;
-    let base_revision = leading.fleet.policy_index;
-    let command = Command::Change(proposal(to, base_revision));
-    leading.leader.submit(&leading.fleet, command).ok()
+fn propose(world: &mut World, leader: usize) -> Option<()> {
+    world.remaining.commands -= 1;
+    let number = 1 + world.remaining.commands;
+    world.up_to_date_leader(leader)?;
+    let leader_term = world.voters[leader].leader_term.as_mut()?;
+    let base_revision = leader_term.fleet.policy_index;
+    let command = Command::Change(proposal(number, base_revision));
+    leader_term.leader.submit(&leader_term.fleet, command).ok()
 }
 
-/// A leader that may grant leases knows everything that was ever decided.
-fn confirmed_leaders_know_the_last_decided(w: &World) -> bool {
-    let last = w.decided.last().copied().unwrap_or(0);
-    let knows = |s: &LeaderTerm| s.fleet.running.as_ref().is_some_and(|r| r.1 .0 >= last);
-    let confirmed = |k: usize| {
-        let term = w.voters[k].term;
-        (0..VOTERS).any(|j| w.are_a_quorum(k, j) && w.voters[j].term <= term)
+/// Whether every leader that may grant leases knows the policy that was decided last.
+fn confirmed_leaders_know_last_decided(world: &World) -> bool {
+    let last = world.decided.last().copied().unwrap_or(0);
+    let knows_last = |leader_term: &LeaderTerm| {
+        let running = leader_term.fleet.running.as_ref();
+        running.is_some_and(|(_, policy)| policy.0 >= last)
+    };
+    let can_be_confirmed = |leader: usize| {
+        let term = world.voters[leader].term;
+        (0..VOTERS).any(|voter| world.are_quorum(leader, voter) && world.voters[voter].term <= term)
     };
     (0..VOTERS)
-        .filter(|k| confirmed(*k))
-        .all(|k| w.leading(k).is_none_or(knows))
+        .filter(|leader| can_be_confirmed(*leader))
+        .all(|leader| world.up_to_date_leader(leader).is_none_or(knows_last))
 }
 
 impl Model for VoterModel {
@@ -204,90 +230,115 @@
     type Action = Move;
 
     fn init_states(&self) -> Vec<World> {
-        vec![self.first_state()]
+        vec![self.initial_state()]
     }
 
-    fn actions(&self, w: &World, moves: &mut Vec<Move>) {
-        moves.extend((w.left.ticks > 0).then_some(Move::Tick));
-        for k in 0..VOTERS {
-            for j in (0..VOTERS).filter(|j| *j != k) {
-                if w.left.elections > 0 {
-                    moves.push(Move::Elect(k, j));
+    fn actions(&self, world: &World, moves: &mut Vec<Move>) {
+        moves.extend((world.remaining.ticks > 0).then_some(Move::Tick));
+        for voter in 0..VOTERS {
+            for other in (0..VOTERS).filter(|other| *other != voter) {
+                if world.remaining.elections > 0 {
+                    moves.push(Move::Elect(voter, other));
                 }
-                if w.voters[k].leading.is_some() {
-                    moves.push(Move::Copy(k, j));
-                    moves.push(Move::LetIn(k, j));
-                    let due =
-                        |g: &usize| !w.gates[*g].paused && w.gates[*g].is_heartbeat_due(w.now);
-                    moves.extend((0..GATES).filter(due).map(|g| Move::Talk(g, k, j)));
-                    let again =
-                        (0..GATES).filter(|g| w.left.twice > 0 && w.gates[*g].heartbeat.is_some());
-                    moves.extend(again.map(|g| Move::TalkAgain(g, k, j)));
+                if world.voters[voter].leader_term.is_some() {
+                    moves.push(Move::Replicate(voter, other));
+                    moves.push(Move::Admit(voter, other));
+                    let sends_heartbeat = |index: &usize| {
+                        let gateway = &world.gateways[*index];
+                        !gateway.is_paused && gateway.is_heartbeat_due(world.now)
+                    };
+                    let due = (0..GATEWAY_COUNT).filter(sends_heartbeat);
+                    moves.extend(due.map(|gateway| Move::Heartbeat(gateway, voter, other)));
+                    let repeatable = (0..GATEWAY_COUNT).filter(|index| {
+                        world.remaining.duplicates > 0 && world.gateways[*index].heartbeat.is_some()
+                    });
+                    moves.extend(
+                        repeatable.map(|gateway| Move::DuplicateHeartbeat(gateway, voter, other)),
+                    );
                 }
             }
-            if w.voters[k].leading.is_some() {
-                moves.push(Move::Write(k));
-                moves.extend((w.left.commands > 0).then_some(Move::Command(k)));
+            if world.voters[voter].leader_term.is_some() {
+                moves.push(Move::WriteRecord(voter));
+                moves.extend((world.remaining.commands > 0).then_some(Move::Propose(voter)));
             }
-            moves.extend((w.left.disks > 0).then_some(Move::Lose(k)));
+            moves.extend((world.remaining.disk_losses > 0).then_some(Move::LoseDisk(voter)));
         }
-        for (g, gate) in w.gates.iter().enumerate() {
-            moves.extend((gate.answer.is_some() && !gate.paused).then_some(Move::Hear(g)));
-            moves.extend((gate.paused || w.left.pauses > 0).then_some(Move::Pause(g)));
-            moves.extend((w.left.kills > 0).then_some(Move::Restart(g)));
+        for (index, gateway) in world.gateways.iter().enumerate() {
+            let can_receive = gateway.response.is_some() && !gateway.is_paused;
+            moves.extend(can_receive.then_some(Move::Deliver(index)));
+            let can_toggle = gateway.is_paused || world.remaining.pauses > 0;
+            moves.extend(can_toggle.then_some(Move::TogglePause(index)));
+            moves.extend((world.remaining.kills > 0).then_some(Move::Restart(index)));
         }
     }
 
-    fn next_state(&self, was: &World, step: Move) -> Option<World> {
-        let mut w = was.clone();
+    fn next_state(&self, previous: &World, step: Move) -> Option<World> {
+        let mut world = previous.clone();
         match step {
             Move::Tick => {
-                w.left.ticks -= 1;
-                w.now += self.tick;
-                let now = w.now;
-                w.gates.iter_mut().for_each(|g| g.tick(now));
+                world.remaining.ticks -= 1;
+                world.now += self.tick;
+                let now = world.now;
+                world
+                    .gateways
+                    .iter_mut()
+                    .for_each(|gateway| gateway.expire_timer(now));
+            }
+            Move::Elect(candidate, supporter) => self.elect(&mut world, candidate, supporter)?,
+            Move::Replicate(leader, receiver) => replicate(&mut world, leader, receiver)?,
+            Move::WriteRecord(leader) => write_record(&mut world, leader)?,
+            Move::LoseDisk(voter) => self.lose_disk(&mut world, voter)?,
+            Move::Admit(leader, voter) => admit(&mut world, leader, voter)?,
+            Move::Restart(index) => {
+                world.remaining.kills -= 1;
+                world.gateways[index] = Gateway::new(index, (GATEWAY_COUNT + 1 + index) as u64);
+            }
+            Move::Heartbeat(gateway, leader, confirming) => {
+                self.handle_heartbeat(&mut world, gateway, leader, confirming, false)?
             }
-            Move::Elect(k, j) => self.elect(&mut w, k, j)?,
-            Move::Copy(k, j) => copy(&mut w, k, j)?,
-            Move::Write(k) => write(&mut w, k)?,
-            Move::Lose(k) => self.lose(&mut w, k)?,
-            Move::LetIn(k, j) => let_in(&mut w, k, j)?,
-            Move::Restart(g) => {
-                w.left.kills -= 1;
-                w.gates[g] = Gate::new(g, (GATES + 1 + g) as u64);
+            Move::DuplicateHeartbeat(gateway, leader, confirming) => {
+                self.handle_heartbeat(&mut world, gateway, leader, confirming, true)?
             }
-            Move::Talk(g, k, j) => self.talk(&mut w, g, k, j, false)?,
-            Move::TalkAgain(g, k, j) => self.talk(&mut w, g, k, j, true)?,
-            Move::Hear(g) => {
-                let answer = w.gates[g].answer.take()?;
-                w.gates[g].hand(w.now, g, Input::Answered(answer));
+            Move::Deliver(index) => {
+                let response = world.gateways[index].response.take()?;
+                world.gateways[index].handle(world.now, index, Input::Answered(response));
             }
-            Move::Pause(g) => {
-                w.left.pauses -= !w.gates[g].paused as u8;
-                w.gates[g].paused = !w.gates[g].paused;
+            Move::TogglePause(index) => {
+                world.remaining.pauses -= !world.gateways[index].is_paused as u8;
+                world.gateways[index].is_paused = !world.gateways[index].is_paused;
             }
-            Move::Command(k) => command(&mut w, k)?,
+            Move::Propose(leader) => propose(&mut world, leader)?,
         }
-        Some(w).filter(|w| w != was)
+        Some(world).filter(|world| world != previous)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("apart", |_, w: &World| support::apart(w.deciding())),
-            Property::always("all or none", |_, w: &World| {
-                support::all_or_none(w.gates.iter(), &w.decided, &w.refused)
+            Property::always("no two policies decide at once", |_, world: &World| {
+                support::at_most_one_policy_decides(world.deciding())
             }),
-            Property::always("nothing before the policy is known", |_, w: &World| {
-                support::knows(w.deciding())
+            Property::always("applied policies were decided", |_, world: &World| {
+                support::applied_policies_were_decided(
+                    world.gateways.iter(),
+                    &world.decided,
+                    &world.refused,
+                )
             }),
-            Property::always("a decided one is never lost", |_, w: &World| {
-                confirmed_leaders_know_the_last_decided(w)
+            Property::always("no gateway decides without a policy", |_, world: &World| {
+                support::all_have_a_policy(world.deciding())
             }),
-            Property::sometimes("a change is decided and holds at all", |_, w: &World| {
-                w.gates
-                    .iter()
-                    .all(|g| g.holding == Pol(1, 1) && g.decides(w.now, false))
+            Property::always("a decided policy is never lost", |_, world: &World| {
+                confirmed_leaders_know_last_decided(world)
             }),
+            Property::sometimes(
+                "a change is decided and applied by all",
+                |_, world: &World| {
+                    world.gateways.iter().all(|gateway| {
+                        gateway.applied_policy == TestPolicy(1, 1)
+                            && gateway.decides(world.now, false)
+                    })
+                },
+            ),
         ]
     }
 }
