--- a/crates/coordination/tests/voters/start.rs
+++ b/crates/coordination/tests/voters/start.rs
@@ -10,7 +10,7 @@
     pub(crate) fn initial_state(&self) -> World {
         let mut world = self.state_with_all_members();
         world.remaining = self.budget;
-        replace_logs_by_snapshot(&mut world);
+        replace_logs(&mut world);
         world.remaining = Budget {
             ticks: 9,
             commands: 1,
@@ -94,19 +94,19 @@
 }
 
 /// Replaces the log of every voter by one of two entries, the first of which admits all members at once.
-fn replace_logs_by_snapshot(world: &mut World) {
+fn replace_logs(world: &mut World) {
     let leader_term = world.voters[0].leader_term.as_mut().expect("a leader");
     leader_term.committed = 2;
     let members = leader_term.fleet.members.iter();
     let joined = members
         .map(|(name, session)| (name.clone(), session.clone()))
         .collect();
-    let snapshot = Entry::Record(Record::Members {
+    let members_entry = Entry::Record(Record::Members {
         joined,
         left: Vec::new(),
     });
     for voter in &mut world.voters {
-        voter.log = Some(vec![(0, snapshot.clone()), (1, Entry::TermStart)]);
+        voter.log = Some(vec![(0, members_entry.clone()), (1, Entry::TermStart)]);
         voter.committed = 2;
     }
 }
--- a/crates/data-tree/src/state/tree.rs
+++ b/crates/data-tree/src/state/tree.rs
@@ -261,7 +261,10 @@
     node.flag("keeper", fleet.is_voter);
     node.text("chair", &fleet.leader);
     if let Some(share) = fleet.share {
-        node.set("shares-among", Value::Uint(share.gateway_count.round() as u64));
+        node.set(
+            "shares-among",
+            Value::Uint(share.gateway_count.round() as u64),
+        );
         node.flag("takes-share", share.is_granted);
     }
     leaves
--- a/crates/gateway/tests/fleet/changes.rs
+++ b/crates/gateway/tests/fleet/changes.rs
@@ -37,7 +37,9 @@
     let refused = outputs.iter().find(|output| output.exit_code == 3).unwrap();
     assert!(
         refused.stderr.contains("is in progress")
-            || refused.stderr.contains("is not based on the running revision"),
+            || refused
+                .stderr
+                .contains("is not based on the running revision"),
         "{refused:?}"
     );
     let value = cluster.setting(0, MAX_ATTEMPTS);
