--- a/crates/coordination/tests/orders/model.rs
+++ b/crates/coordination/tests/orders/model.rs
@@ -202,7 +202,7 @@
                     .for_each(|gateway| gateway.expire_timer(now));
             }
             Move::Heartbeat(index, is_duplicate) => {
-                send_heartbeat(&mut world, index, is_duplicate)?
+                send_heartbeat(&mut world, index, is_duplicate)?;
             }
             Move::Deliver(index, is_duplicate) => self.deliver(&mut world, index, is_duplicate)?,
             Move::WriteRecord => self.write_record(&mut world),
--- a/crates/coordination/tests/share_counter.rs
+++ b/crates/coordination/tests/share_counter.rs
@@ -170,7 +170,7 @@
                 gateway.handle(world.now, index, Input::Answered(response));
             }
             Move::Kill(index) => {
-                (world.gateways[index], world.remaining.kills) = (None, world.remaining.kills - 1)
+                (world.gateways[index], world.remaining.kills) = (None, world.remaining.kills - 1);
             }
             Move::Start(index) => {
                 world.processes_started += 1;
--- a/crates/coordination/tests/voters/model.rs
+++ b/crates/coordination/tests/voters/model.rs
@@ -294,10 +294,10 @@
                 world.gateways[index] = Gateway::new(index, (GATEWAY_COUNT + 1 + index) as u64);
             }
             Move::Heartbeat(gateway, leader, confirming) => {
-                self.handle_heartbeat(&mut world, gateway, leader, confirming, false)?
+                self.handle_heartbeat(&mut world, gateway, leader, confirming, false)?;
             }
             Move::DuplicateHeartbeat(gateway, leader, confirming) => {
-                self.handle_heartbeat(&mut world, gateway, leader, confirming, true)?
+                self.handle_heartbeat(&mut world, gateway, leader, confirming, true)?;
             }
             Move::Deliver(index) => {
                 let response = world.gateways[index].response.take()?;
