--- a/crates/gateway/src/dispatcher/config_update.rs
+++ b/crates/gateway/src/dispatcher/config_update.rs
@@ -21,7 +21,7 @@
             self.replace_cells(cells);
         }
         let share = self.executor.share;
-        let own_share = share.map(|share| share.of(&update.policy_config));
+        let own_share = share.map(|share| share.apply_to(&update.policy_config));
         // Only a lease of a fleet is finite. The fleet can change the share without new settings: the settings are kept
         // to compute the limits of a later share.
         if shared.lease_until.get().is_finite() {
@@ -76,7 +76,7 @@
         }
         self.executor.share = Some(share);
         let config = self.executor.policy_config.as_ref();
-        if let Some(own_share) = config.map(|config| share.of(config)) {
+        if let Some(own_share) = config.map(|config| share.apply_to(config)) {
             self.update_policy(own_share);
         }
     }
