--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -63,7 +63,7 @@
         let mut sides = [Vec::new(), Vec::new()];
         for round in 0..2 * ROUNDS {
             let cells = round % 2 == 1;
-            let policy_config = ironstair_settings::read(
+            let policy_config = ironstair_settings::read_policy_config(
                 json!({"classes": [{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}],
                     "fleet_size": 4, "machine_types": ["m"], "dcs": ["a"], "registry_mode": "automatic", "resolution_ns": 1e6,
                     "family_info": {"size_cores": [16], "ram_of_kind_mb": [32768.0], "threads_by_class": [1]},
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -13,7 +13,7 @@
 use ironstair::Millis;
 use ironstair_protocol::rpc::{CallError, ErrorCode, ErrorResponse};
 use ironstair_runtime::wait::{sleep_until, wait_for};
-use ironstair_runtime::{DispatcherMessage, Id, Reply, Shared};
+use ironstair_runtime::{DispatcherMessage, Reply, RequestId, Shared};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::TcpStream;
@@ -55,7 +55,7 @@
 /// A call without a reply.
 #[derive(Clone)]
 struct OpenCall {
-    id: Id,
+    id: RequestId,
     /// Cleared when the client no longer waits. The owners of its attempts share the flag, which takes effect before
     /// any queued message.
     client_is_waiting: Rc<Cell<bool>>,
@@ -157,9 +157,9 @@
     }
 
     /// Rejects a call because no buffer is left for it, or because it would start too late.
-    fn reply_overloaded(&self, call: Option<u64>) {
+    fn reply_overloaded(&self, call_id: Option<u64>) {
         let response = ErrorResponse {
-            call,
+            call_id,
             code: ErrorCode::Rejected,
             message: REJECTED,
             retry_after_ms: 0.0,
@@ -171,7 +171,7 @@
     fn protocol_error(&self, error: CallError) {
         self.protocol_errors.set(self.protocol_errors.get() + 1);
         let response = ErrorResponse {
-            call: error.call,
+            call_id: error.call_id,
             code: error.code,
             message: PROTOCOL_ERROR,
             retry_after_ms: 0.0,
--- a/crates/gateway/src/client/call.rs
+++ b/crates/gateway/src/client/call.rs
@@ -8,7 +8,7 @@
 use ironstair_protocol::statement;
 use ironstair_runtime::pool::{BufferChain, BUFFER_SIZE};
 use ironstair_runtime::state_watch::ClassSummary;
-use ironstair_runtime::{fnv1a_64, DispatcherMessage, Id, NewRequest};
+use ironstair_runtime::{fnv1a_64, DispatcherMessage, NewRequest, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -25,7 +25,7 @@
 
 /// The checked parameters of a call.
 struct RequestParams {
-    id: Id,
+    id: RequestId,
     time_remaining: Millis,
     work: Option<Millis>,
     memory_mb: Option<f64>,
@@ -61,9 +61,9 @@
         if &*call.method == b"interrupt" {
             return Ok(self.cancel_call(call.params));
         }
-        let call_id = call.number.filter(|number| *number > 0);
+        let call_id = call.id.filter(|id| *id > 0);
         let call_id = call_id.ok_or(CallError {
-            call: None,
+            call_id: None,
             code: ErrorCode::InvalidRequest,
         })?;
         if &*call.method == b"check" {
@@ -160,7 +160,7 @@
             .position(|class| has_name(class) && class.in_service);
         let class = in_service.or_else(|| classes.iter().position(has_name));
         class.ok_or(CallError {
-            call: Some(call_id),
+            call_id: Some(call_id),
             code: ErrorCode::MethodNotFound,
         })
     }
@@ -172,13 +172,13 @@
             // connection is closed.
             self.protocol_errors.set(MAX_PROTOCOL_ERRORS);
             return Err(CallError {
-                call: None,
+                call_id: None,
                 code: ErrorCode::InvalidRequest,
             });
         }
         if open_calls.len() >= MAX_OPEN_CALLS {
             return Err(CallError {
-                call: Some(call_id),
+                call_id: Some(call_id),
                 code: ErrorCode::InvalidRequest,
             });
         }
@@ -187,7 +187,7 @@
 
     fn request_params(&self, call_id: u64, params: Params) -> Result<RequestParams, RequestError> {
         let invalid = || CallError {
-            call: Some(call_id),
+            call_id: Some(call_id),
             code: ErrorCode::InvalidParams,
         };
         let number = |name, max| params.bounded_number(name, max).map_err(|_| invalid());
@@ -218,7 +218,7 @@
 
     /// The tenant that the client names, if the operator lets clients name theirs.
     fn tenant(&self, params: Params) -> Option<u64> {
-        if !self.shared.tenants {
+        if !self.shared.accepts_tenant_names {
             return None;
         }
         params.string("tenant").map(|name| fnv1a_64(&name))
@@ -241,8 +241,8 @@
 }
 
 /// A request's id: hexadecimal digits, which can't break an engine's line.
-fn request_id(text: &[u8]) -> Option<Id> {
-    let id = Id::try_from(text).ok()?;
+fn request_id(text: &[u8]) -> Option<RequestId> {
+    let id = RequestId::try_from(text).ok()?;
     id.iter().all(u8::is_ascii_hexdigit).then_some(id)
 }
 
--- a/crates/gateway/src/client/idle_timer.rs
+++ b/crates/gateway/src/client/idle_timer.rs
@@ -27,7 +27,7 @@
         self.until_close_deadline(partial_since).await;
         if partial_since.is_some() {
             self.protocol_error(CallError {
-                call: None,
+                call_id: None,
                 code: ErrorCode::ParseError,
             });
             return ReadError::Stalled;
--- a/crates/gateway/src/client/reader.rs
+++ b/crates/gateway/src/client/reader.rs
@@ -160,7 +160,7 @@
         let header = rpc::frame_header(bytes);
         if header.is_err() {
             self.protocol_error(CallError {
-                call: None,
+                call_id: None,
                 code: ErrorCode::ParseError,
             });
         }
--- a/crates/gateway/src/client/writer.rs
+++ b/crates/gateway/src/client/writer.rs
@@ -82,13 +82,13 @@
 }
 
 fn error(
-    call: u64,
+    call_id: u64,
     code: ErrorCode,
     message: &'static str,
     retry_after_ms: Millis,
 ) -> ErrorResponse<'static> {
     ErrorResponse {
-        call: Some(call),
+        call_id: Some(call_id),
         code,
         message,
         retry_after_ms,
@@ -100,10 +100,10 @@
 async fn write_rows(
     mut stream: &Async<TcpStream>,
     output: &mut Vec<u8>,
-    call: u64,
+    call_id: u64,
     rows: BufferChain,
 ) -> io::Result<()> {
-    rpc::write_result_start(output, call, base64_length(rows.byte_count()));
+    rpc::write_result_start(output, call_id, base64_length(rows.byte_count()));
     let mut pending: Vec<u8> = Vec::with_capacity(BUFFER_SIZE + BASE64_GROUP_BYTES - 1);
     let last = rows.0.len().saturating_sub(1);
     for (index, page) in rows.0.into_iter().enumerate() {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -8,7 +8,8 @@
 use ironstair_config_change::{ConfigFile, NameIndex};
 use ironstair_runtime::DiscoveredEndpoint;
 use ironstair_settings::{
-    classes, kinds, limits, policy_config, text, transport_config, zones, TransportConfig,
+    class_names, hard_limits, machine_type_names, policy_config, required_string, transport_config,
+    zone_names, TransportConfig,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -99,17 +100,17 @@
 pub(crate) fn decode(json: &[u8]) -> Result<GatewayConfig, DecodeError> {
     let file: Value = serde_json::from_slice(json)?;
     let settings = &file["settings"];
-    let seed = text(&file, "seed")?;
+    let seed = required_string(&file, "seed")?;
     let index = NameIndex {
-        zones: zones(settings)?,
-        kinds: kinds(settings)?,
+        zones: zone_names(settings)?,
+        kinds: machine_type_names(settings)?,
     };
     let known = known_endpoints(&file["known"], &index)?;
     let limits_of_process = &file["limits"];
     let max_memory = limits_of_process["memory_mb"].as_f64();
     let max_descriptors = limits_of_process["sockets"].as_f64();
     Ok(GatewayConfig {
-        name: text(&file, "name")?.to_owned(),
+        name: required_string(&file, "name")?.to_owned(),
         listen: address(&file, "listen")?,
         names: address(&file, "names")?,
         seed: parse_seed(seed)?,
@@ -117,8 +118,8 @@
         descriptors: max_descriptors.unwrap_or(DEFAULT_DESCRIPTORS) as usize,
         policy_config: policy_config(settings).map_err(DecodeError::Settings)?,
         transport_config: transport_config(settings).map_err(DecodeError::Settings)?,
-        classes: classes(settings).map_err(DecodeError::Settings)?,
-        limits: limits(settings).map_err(DecodeError::Settings)?,
+        classes: class_names(settings).map_err(DecodeError::Settings)?,
+        limits: hard_limits(settings).map_err(DecodeError::Settings)?,
         index,
         known,
         rev: file["known"]["rev"].as_u64().unwrap_or(0) as u32,
@@ -130,7 +131,7 @@
 }
 
 fn address(object: &Value, field: &'static str) -> Result<SocketAddr, DecodeError> {
-    let address = text(object, field)?;
+    let address = required_string(object, field)?;
     address.parse().map_err(|_| DecodeError::Address {
         field,
         text: address.to_owned(),
@@ -158,8 +159,8 @@
     }
     for instance in pool["instances"].as_array().into_iter().flatten() {
         // In lower case, as the names in DNS answers: an endpoint is known under the same name from both sources.
-        let name = text(instance, "instanceId")?.to_ascii_lowercase();
-        let state = match text(instance, "lifecycle")? {
+        let name = required_string(instance, "instanceId")?.to_ascii_lowercase();
+        let state = match required_string(instance, "lifecycle")? {
             "ready" => EndpointState::Ready,
             "draining" => EndpointState::Draining,
             _ => {
--- a/crates/gateway/src/dispatcher/executor.rs
+++ b/crates/gateway/src/dispatcher/executor.rs
@@ -9,7 +9,7 @@
 use ironstair_data_tree::state::Counts;
 use ironstair_runtime::pool::BufferChain;
 use ironstair_runtime::{
-    Attempt, DiscoveredEndpoint, DispatcherMessage, EngineMessage, Id, Reply, Shared,
+    Attempt, DiscoveredEndpoint, DispatcherMessage, EngineMessage, Reply, RequestId, Shared,
 };
 use slog::info;
 use std::cell::Cell;
@@ -79,7 +79,7 @@
     /// The time of the message that is handled.
     pub(super) now: Millis,
     /// The indices of open requests.
-    pub(super) request_ids: Interner<Id>,
+    pub(super) request_ids: Interner<RequestId>,
     /// Open requests by index.
     pub(super) requests: Vec<Option<OpenRequest>>,
     pub(super) open_requests: usize,
@@ -210,7 +210,7 @@
 
     /// Reports an attempt as unsent that no actor has received. The message is sent by a task: the dispatcher must not
     /// wait for its own queue.
-    fn report_unsent(&self, id: Id) {
+    fn report_unsent(&self, id: RequestId) {
         let unsent = DispatcherMessage::AttemptEnded {
             id,
             outcome: Outcome::Unsent,
--- a/crates/gateway/src/dispatcher/requests.rs
+++ b/crates/gateway/src/dispatcher/requests.rs
@@ -6,7 +6,7 @@
 use ironstair::{Millis, Outcome, Request};
 use ironstair_cells::Placement;
 use ironstair_runtime::pool::BufferChain;
-use ironstair_runtime::{Id, NewRequest, Reply};
+use ironstair_runtime::{NewRequest, Reply, RequestId};
 use std::rc::Rc;
 
 impl Dispatcher {
@@ -74,7 +74,7 @@
     }
 
     /// The client has cancelled a request.
-    pub(super) fn on_cancel(&mut self, id: Id, client: &Sender<Reply>) {
+    pub(super) fn on_cancel(&mut self, id: RequestId, client: &Sender<Reply>) {
         let Some(index) = self.request_of_client(id, client) else {
             return;
         };
@@ -89,7 +89,7 @@
     }
 
     /// The client has closed the connection, or at least its sending half: no new attempt of the request starts.
-    pub(super) fn on_client_closed(&mut self, id: Id, client: &Sender<Reply>) {
+    pub(super) fn on_client_closed(&mut self, id: RequestId, client: &Sender<Reply>) {
         if let Some(index) = self.request_of_client(id, client) {
             let now = self.executor.now;
             self.policy.on_client_closed(now, index, &mut self.executor);
@@ -98,7 +98,7 @@
 
     /// The index of the open request with that id, if that client has sent it. A client that used the id of another
     /// client's request must not cancel that one.
-    fn request_of_client(&mut self, id: Id, client: &Sender<Reply>) -> Option<usize> {
+    fn request_of_client(&mut self, id: RequestId, client: &Sender<Reply>) -> Option<usize> {
         let index = self.executor.request_ids.find(id)?;
         let request = self.executor.request(index)?;
         let owner = request.reply_to.as_ref()?;
@@ -106,7 +106,12 @@
     }
 
     /// An attempt has ended; `rows` is its complete result, if it has one.
-    pub(super) fn on_attempt_ended(&mut self, id: Id, outcome: Outcome, rows: Option<BufferChain>) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        rows: Option<BufferChain>,
+    ) {
         let executor = &mut self.executor;
         let Some(index) = executor.request_ids.find(id) else {
             return;
--- a/crates/gateway/src/dispatcher_tests.rs
+++ b/crates/gateway/src/dispatcher_tests.rs
@@ -17,11 +17,11 @@
 fn executor() -> ActionExecutor {
     let transport_config = TransportConfig {
         connect_timeout: 250.0,
-        idle: 3e4,
-        streams: 32,
+        idle_timeout: 3e4,
+        max_attempts_per_connection: 32,
         max_open_requests: 100,
-        longest: MAX_DEADLINE,
-        reports: Vec::new(),
+        max_deadline: MAX_DEADLINE,
+        report_fields: Vec::new(),
     };
     let (dispatcher, _) = async_channel::bounded(1);
     let shared = Rc::new(Shared {
@@ -30,7 +30,7 @@
         classes: RefCell::default(),
         max_deadline: Cell::new(MAX_DEADLINE),
         metrics: Metrics::default(),
-        tenants: false,
+        accepts_tenant_names: false,
         transport_config: RefCell::new(Rc::new(transport_config)),
         max_engine_connections: 8,
         endpoint_count: Cell::new(0),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -11,7 +11,7 @@
 use ironstair_protocol::lines;
 use ironstair_runtime::pool::{Buffer, BufferChain};
 use ironstair_runtime::wait::recv_until;
-use ironstair_runtime::{Attempt, DispatcherMessage, EngineMessage, Id, Shared};
+use ironstair_runtime::{Attempt, DispatcherMessage, EngineMessage, RequestId, Shared};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
     shared: Rc<Shared>,
     /// The actor's own queue, for the tasks of its connections.
     queue: Sender<EngineMessage>,
-    in_flight: BTreeMap<Id, InFlightAttempt>,
+    in_flight: BTreeMap<RequestId, InFlightAttempt>,
     connections: BTreeMap<u64, Connection>,
     /// The number of the last connection that was opened.
     last_connection: u64,
@@ -52,7 +52,7 @@
     connection_count: Rc<Cell<u32>>,
 }
 
-fn id_text(id: &Id) -> &str {
+fn id_text(id: &RequestId) -> &str {
     // Only ids of hexadecimal digits are accepted from clients.
     std::str::from_utf8(id).unwrap_or_default()
 }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn set_priority(&mut self, id: &Id, priority: u8) {
+    fn set_priority(&mut self, id: &RequestId, priority: u8) {
         let Some(in_flight) = self.in_flight.get(id) else {
             return;
         };
@@ -176,7 +176,7 @@
     }
 
     /// Ends an attempt and releases its place on its connection; every attempt in flight ends here.
-    fn end_attempt(&mut self, id: &Id, outcome: Outcome, rows: Option<BufferChain>) {
+    fn end_attempt(&mut self, id: &RequestId, outcome: Outcome, rows: Option<BufferChain>) {
         let Some(in_flight) = self.in_flight.remove(id) else {
             return;
         };
@@ -197,7 +197,7 @@
         self.report_attempt_ended(*id, outcome, rows);
     }
 
-    fn report_attempt_ended(&mut self, id: Id, outcome: Outcome, rows: Option<BufferChain>) {
+    fn report_attempt_ended(&mut self, id: RequestId, outcome: Outcome, rows: Option<BufferChain>) {
         self.outgoing
             .push(DispatcherMessage::AttemptEnded { id, outcome, rows });
     }
--- a/crates/gateway/src/engine/answers.rs
+++ b/crates/gateway/src/engine/answers.rs
@@ -5,7 +5,7 @@
 use ironstair::{Cost, Millis, Outcome};
 use ironstair_protocol::lines::{self, Fields, Reply, ReplyError, ReplyKind};
 use ironstair_runtime::pool::{Buffer, BufferChain};
-use ironstair_runtime::{DispatcherMessage, Id};
+use ironstair_runtime::{DispatcherMessage, RequestId};
 use slog::warn;
 
 /// More pages than the longest result has.
@@ -99,7 +99,7 @@
             found.map(|value| value.value)
         };
         let config = self.shared.transport_config();
-        let named: Option<Vec<f64>> = config.reports.iter().map(value_of).collect();
+        let named: Option<Vec<f64>> = config.report_fields.iter().map(value_of).collect();
         let in_order = || fields.load().map(|value| value.value).collect();
         let values = named.unwrap_or_else(in_order);
         if !values.is_empty() {
@@ -118,7 +118,7 @@
         if matches!(reply.kind, ReplyKind::Ready | ReplyKind::NotReady) {
             return;
         }
-        let Ok(id) = Id::try_from(reply.id) else {
+        let Ok(id) = RequestId::try_from(reply.id) else {
             return;
         };
         // A withdrawn or timed-out attempt is not in flight any more: its reply is dropped.
@@ -147,7 +147,7 @@
     }
 
     /// The query has run: stores its cost and the number of pages, and requests the further pages.
-    fn on_done(&mut self, id: &Id, fields: Fields) -> Result<(), AnswerError> {
+    fn on_done(&mut self, id: &RequestId, fields: Fields) -> Result<(), AnswerError> {
         // Every result has a number of pages: a reply without one is something else.
         let pages = fields.number("pages").unwrap_or(0.0);
         if pages.fract() != 0.0 || !(1.0..=MAX_PAGES).contains(&pages) {
@@ -170,7 +170,7 @@
     }
 
     /// Stores a page of a result; the last one completes the attempt.
-    fn on_page(&mut self, connection: u64, id: &Id, page: usize, body: &[u8]) {
+    fn on_page(&mut self, connection: u64, id: &RequestId, page: usize, body: &[u8]) {
         let Some(in_flight) = self.in_flight.get_mut(id) else {
             return;
         };
@@ -198,7 +198,7 @@
         }
     }
 
-    fn complete_attempt(&mut self, id: &Id) {
+    fn complete_attempt(&mut self, id: &RequestId) {
         let Some(in_flight) = self.in_flight.get_mut(id) else {
             return;
         };
--- a/crates/gateway/src/engine/connections.rs
+++ b/crates/gateway/src/engine/connections.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use ironstair::{Millis, Outcome};
 use ironstair_runtime::pool::Buffer;
-use ironstair_runtime::{Attempt, Id};
+use ironstair_runtime::{Attempt, RequestId};
 use std::collections::{BTreeSet, VecDeque};
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
@@ -36,7 +36,7 @@
     pub(super) is_silent: bool,
     /// Requests with an abandoned attempt here. Another attempt of such a request uses another connection, since a late
     /// answer to the first one would be taken for its own.
-    pub(super) abandoned: VecDeque<Id>,
+    pub(super) abandoned: VecDeque<RequestId>,
     /// Bytes that wait to be written.
     pub(super) outbound: VecDeque<OutboundChunk>,
     /// The start of a reply that is incomplete.
@@ -67,19 +67,19 @@
     ///
     /// A connection without attempts is preferred, then a new connection: a lost connection loses every attempt on it.
     /// Once this engine's share of the descriptors is used, it is the connection with the fewest attempts.
-    pub(super) fn connection_for(&mut self, request: Option<&Id>) -> u64 {
+    pub(super) fn connection_for(&mut self, request: Option<&RequestId>) -> u64 {
         match self.usable_connection(request) {
             Some(number) => number,
             None => self.open_connection(),
         }
     }
 
-    fn usable_connection(&self, request: Option<&Id>) -> Option<u64> {
+    fn usable_connection(&self, request: Option<&RequestId>) -> Option<u64> {
         // The connections of a machine that was cut off stay open and silent, possibly forever. Only a new connection
         // shows whether the engine can be reached.
         let silent = self.in_flight.values().filter(|sent| self.is_silent(sent));
         let silent: BTreeSet<u64> = silent.map(|in_flight| in_flight.connection).collect();
-        let max_attempts = self.shared.transport_config().streams;
+        let max_attempts = self.shared.transport_config().max_attempts_per_connection;
         let has_capacity = |connection: &Connection| {
             let has_abandoned = |id| connection.abandoned.contains(id);
             connection.open_attempts < max_attempts && !request.is_some_and(has_abandoned)
@@ -184,7 +184,7 @@
     }
 
     /// The requests with an attempt on a connection, those in flight for longest first.
-    fn attempts_on(&self, number: u64) -> Vec<Id> {
+    fn attempts_on(&self, number: u64) -> Vec<RequestId> {
         let on_connection = |in_flight: &&InFlightAttempt| in_flight.connection == number;
         let mut attempts: Vec<&InFlightAttempt> =
             self.in_flight.values().filter(on_connection).collect();
@@ -204,7 +204,7 @@
     fn idle_deadline(&self, connection: &Connection) -> Option<Millis> {
         let timeout = match connection.is_silent {
             true => 0.0,
-            false => self.shared.transport_config().idle * IDLE_SHARE,
+            false => self.shared.transport_config().idle_timeout * IDLE_SHARE,
         };
         let is_idle = connection.stream.is_some() && connection.open_attempts == 0;
         is_idle.then_some(connection.idle_since + timeout)
@@ -242,7 +242,7 @@
             |attempt: &Rc<Attempt>| !attempt.started.get() && !attempt.may_start(now);
         let attempts = self.in_flight.values().map(|sent| &sent.attempt);
         let unstartable = attempts.filter(|attempt| is_unstartable(attempt));
-        let unstartable: Vec<Id> = unstartable.map(|attempt| attempt.id).collect();
+        let unstartable: Vec<RequestId> = unstartable.map(|attempt| attempt.id).collect();
         for id in unstartable {
             self.end_attempt(&id, Outcome::Unsent, None);
         }
@@ -259,7 +259,7 @@
         let now = self.shared.clock.now();
         let attempts = self.in_flight.values().map(|sent| &sent.attempt);
         let late = attempts.filter(|attempt| attempt.deadline <= now);
-        let late: Vec<Id> = late.map(|attempt| attempt.id).collect();
+        let late: Vec<RequestId> = late.map(|attempt| attempt.id).collect();
         for id in late {
             self.end_attempt(&id, Outcome::TimedOut, None);
         }
--- a/crates/gateway/src/engine/writing.rs
+++ b/crates/gateway/src/engine/writing.rs
@@ -4,7 +4,7 @@
 use async_io::Async;
 use ironstair::{Millis, Outcome};
 use ironstair_protocol::lines::{self, AttemptCommand};
-use ironstair_runtime::{Attempt, Id};
+use ironstair_runtime::{Attempt, RequestId};
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -53,7 +53,7 @@
 /// The state of the chunk that is first to be written on a connection.
 enum NextChunk {
     /// Its attempt must not start any more.
-    Unsent(Id),
+    Unsent(RequestId),
     /// The engine has closed the connection.
     ConnectionEnded,
     /// Its bytes can be written.
@@ -208,7 +208,7 @@
     /// Queues a line about an attempt, unless the attempt has not started and the engine does not know it.
     pub(super) fn send_line(
         &mut self,
-        id: &Id,
+        id: &RequestId,
         write: impl FnOnce(&InFlightAttempt, &mut Vec<u8>),
     ) {
         let Some(in_flight) = self.in_flight.get(id) else {
--- a/crates/gateway/src/engine_tests.rs
+++ b/crates/gateway/src/engine_tests.rs
@@ -8,7 +8,7 @@
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::pool::{BufferChain, BufferPool};
 use ironstair_runtime::state_watch::ClassSummary;
-use ironstair_runtime::{Attempt, DispatcherMessage, EngineMessage, Id, Metrics, Shared};
+use ironstair_runtime::{Attempt, DispatcherMessage, EngineMessage, Metrics, RequestId, Shared};
 use ironstair_settings::TransportConfig;
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
@@ -34,7 +34,7 @@
 /// The end of an attempt that the actor reported.
 #[derive(Debug, PartialEq)]
 struct AttemptEnd {
-    id: Id,
+    id: RequestId,
     outcome: Outcome,
 }
 
@@ -48,11 +48,11 @@
 fn shared(dispatcher: Sender<DispatcherMessage>) -> Rc<Shared> {
     let transport_config = TransportConfig {
         connect_timeout: 1000.0,
-        idle: 3e4,
-        streams: 8,
+        idle_timeout: 3e4,
+        max_attempts_per_connection: 8,
         max_open_requests: 100,
-        longest: MAX_DEADLINE,
-        reports: Vec::new(),
+        max_deadline: MAX_DEADLINE,
+        report_fields: Vec::new(),
     };
     let class = ClassSummary {
         name: "lookup".into(),
@@ -65,7 +65,7 @@
         classes: RefCell::new(Rc::new(vec![class])),
         max_deadline: Cell::new(MAX_DEADLINE),
         metrics: Metrics::default(),
-        tenants: false,
+        accepts_tenant_names: false,
         transport_config: RefCell::new(Rc::new(transport_config)),
         max_engine_connections: 2,
         endpoint_count: Cell::new(1),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -80,7 +80,7 @@
     let gateway = Gateway::new(policy.config, config.seed);
     let shared = Rc::new(Shared {
         lease_until: Cell::new(initial_lease(management.as_ref())),
-        tenants: names_tenants(operator),
+        accepts_tenant_names: names_tenants(operator),
         classes: RefCell::new(Rc::new(policy.classes)),
         max_deadline: Cell::new(policy.longest),
         ..new_shared(&config, dispatcher, log)
--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -51,7 +51,7 @@
         classes: RefCell::default(),
         max_deadline: Cell::new(0.0),
         metrics: Metrics::default(),
-        tenants: false,
+        accepts_tenant_names: false,
         transport_config: RefCell::new(Rc::new(config.transport_config.clone())),
         log,
         dispatcher,
@@ -126,7 +126,7 @@
     InitialPolicy {
         classes: classes.collect(),
         config: config.policy_config.clone(),
-        longest: config.transport_config.longest,
+        longest: config.transport_config.max_deadline,
     }
 }
 
--- a/crates/protocol/src/lines.rs
+++ b/crates/protocol/src/lines.rs
@@ -22,7 +22,7 @@
     /// The engine has no capacity for the attempt.
     Full,
     /// The query or the request for a page has failed.
-    Broke,
+    Failed,
     /// The attempt's time was over before the query ran.
     TimedOut,
     /// The body is a further page of a result.
@@ -38,7 +38,7 @@
         let kind = match word {
             b"DONE" => ReplyKind::Done,
             b"WAIT" => ReplyKind::Full,
-            b"BROKE" => ReplyKind::Broke,
+            b"BROKE" => ReplyKind::Failed,
             b"PAST" => ReplyKind::TimedOut,
             b"MORE" => ReplyKind::Page,
             b"FIT" => ReplyKind::Ready,
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -173,7 +173,7 @@
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
     /// The call's `id`, which its response repeats; `None` where it is missing or `null`.
-    pub number: Option<u64>,
+    pub id: Option<u64>,
     /// The method's name.
     pub method: Cow<'a, [u8]>,
     /// The parameters; empty where the call has none.
@@ -185,7 +185,7 @@
 #[error("unusable call, error code {}", .code.value())]
 pub struct CallError {
     /// The call's `id`, where it could be read.
-    pub call: Option<u64>,
+    pub call_id: Option<u64>,
     /// The error code of the response.
     pub code: ErrorCode,
 }
@@ -195,14 +195,14 @@
 /// # Errors
 /// The message is not a JSON object, or has no method.
 pub fn read_call(message: &[u8]) -> Result<Call<'_>, CallError> {
-    let mut number = None;
+    let mut id = None;
     let mut method = None;
     let mut params = Params(b"{}");
     let mut reader = Reader::new(message);
     let object = reader.object(|key, reader| {
         match key {
             b"id" if reader.peek()? == b'n' => reader.skip_value()?,
-            b"id" => number = Some(reader.unsigned()?),
+            b"id" => id = Some(reader.unsigned()?),
             b"method" => method = Some(reader.string()?),
             b"params" => params = Params(reader.raw_value()?),
             _ => reader.skip_value()?,
@@ -211,19 +211,15 @@
     });
     if object.is_none() || !reader.at_end() {
         return Err(CallError {
-            call: number,
+            call_id: id,
             code: ErrorCode::ParseError,
         });
     }
     let method = method.ok_or(CallError {
-        call: number,
+        call_id: id,
         code: ErrorCode::InvalidRequest,
     })?;
-    Ok(Call {
-        number,
-        method,
-        params,
-    })
+    Ok(Call { id, method, params })
 }
 
 const RESPONSE_START: &str = "{\"jsonrpc\":\"2.0\",\"id\":";
@@ -233,20 +229,20 @@
 
 /// Writes the start of a result whose text has `text_bytes` bytes. The caller writes the text, which must not need JSON
 /// escapes, and then [`RESULT_END`].
-pub fn write_result_start(output: &mut Vec<u8>, call: u64, text_bytes: usize) {
-    let call_digits = call.checked_ilog10().unwrap_or(0) as usize + 1;
+pub fn write_result_start(output: &mut Vec<u8>, call_id: u64, text_bytes: usize) {
+    let call_id_digits = call_id.checked_ilog10().unwrap_or(0) as usize + 1;
     let message_bytes = RESPONSE_START.len()
-        + call_digits
+        + call_id_digits
         + RESULT_TEXT_START.len()
         + text_bytes
         + RESULT_END.len();
     write_frame_header(output, message_bytes);
-    output.extend(format!("{RESPONSE_START}{call}{RESULT_TEXT_START}").as_bytes());
+    output.extend(format!("{RESPONSE_START}{call_id}{RESULT_TEXT_START}").as_bytes());
 }
 
 /// Writes the response to a health check: whether the gateway wants requests.
-pub fn write_health(output: &mut Vec<u8>, call: u64, is_healthy: bool) {
-    let message = format!("{RESPONSE_START}{call},\"result\":{{\"fit\":{is_healthy}}}}}");
+pub fn write_health(output: &mut Vec<u8>, call_id: u64, is_healthy: bool) {
+    let message = format!("{RESPONSE_START}{call_id},\"result\":{{\"fit\":{is_healthy}}}}}");
     write_frame(output, &message);
 }
 
@@ -254,7 +250,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorResponse<'a> {
     /// The call that it responds to; `None` where the call's `id` is unknown.
-    pub call: Option<u64>,
+    pub call_id: Option<u64>,
     /// The error code.
     pub code: ErrorCode,
     /// A short text, which must not need JSON escapes.
@@ -266,8 +262,8 @@
 impl ErrorResponse<'_> {
     /// Appends the response with its frame header.
     pub fn write(&self, output: &mut Vec<u8>) {
-        let call = match self.call {
-            Some(call) => call.to_string(),
+        let call_id = match self.call_id {
+            Some(call_id) => call_id.to_string(),
             None => String::from("null"),
         };
         let advice = match self.retry_after_ms {
@@ -279,7 +275,7 @@
         let error = format!("{{\"code\":{code},\"message\":\"{text}\"{advice}}}");
         write_frame(
             output,
-            &format!("{RESPONSE_START}{call},\"error\":{error}}}"),
+            &format!("{RESPONSE_START}{call_id},\"error\":{error}}}"),
         );
     }
 }
--- a/crates/protocol/tests/parsers.rs
+++ b/crates/protocol/tests/parsers.rs
@@ -39,7 +39,7 @@
 
     let call = rpc::read_call(CALL).unwrap();
     let params = call.params;
-    assert_eq!(call.number, Some(7));
+    assert_eq!(call.id, Some(7));
     assert_eq!(&*call.method, b"report");
     assert_eq!(
         params.string("id").as_deref(),
@@ -78,7 +78,7 @@
 #[test]
 fn malformed_call_is_reported_with_its_number_and_error_code() {
     let read = |message: &[u8]| rpc::read_call(message).unwrap_err();
-    let error = |call, code| CallError { call, code };
+    let error = |call_id, code| CallError { call_id, code };
     let parse_error = error(None, ErrorCode::ParseError);
     assert_eq!(read(b"{\"id\":3"), error(Some(3), ErrorCode::ParseError));
     assert_eq!(
@@ -126,7 +126,7 @@
     }
     let mut output = Vec::new();
     let error = ErrorResponse {
-        call: Some(7),
+        call_id: Some(7),
         code: ErrorCode::Rejected,
         message: "turned back",
         retry_after_ms: 200.0,
--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -1,6 +1,6 @@
 //! An attempt on its way to an engine.
 
-use crate::messages::Id;
+use crate::messages::RequestId;
 use crate::pool::BufferChain;
 use ironstair::{EndpointState, Millis};
 use std::cell::Cell;
@@ -13,7 +13,7 @@
 /// the owner of the connection checks them right before the write.
 pub struct Attempt {
     /// The request.
-    pub id: Id,
+    pub id: RequestId,
     /// The index of the request's class.
     pub class: usize,
     /// The statement to run.
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -14,5 +14,7 @@
 
 pub use attempt::Attempt;
 pub use hash::fnv1a_64;
-pub use messages::{DiscoveredEndpoint, DispatcherMessage, EngineMessage, Id, NewRequest, Reply};
+pub use messages::{
+    DiscoveredEndpoint, DispatcherMessage, EngineMessage, NewRequest, Reply, RequestId,
+};
 pub use shared::{Metrics, Shared};
--- a/crates/runtime/src/messages.rs
+++ b/crates/runtime/src/messages.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// A request's id as its client chose it.
-pub type Id = [u8; 16];
+pub type RequestId = [u8; 16];
 
 /// A message to the dispatcher, which owns the policy.
 pub enum DispatcherMessage {
@@ -21,7 +21,7 @@
     /// A client cancelled a request.
     Cancelled {
         /// The request.
-        id: Id,
+        id: RequestId,
         /// The reply channel of the client; only the client that sent a request may cancel it.
         reply_to: Sender<Reply>,
     },
@@ -29,14 +29,14 @@
     /// answered; no further attempt starts.
     ClientClosed {
         /// The request.
-        id: Id,
+        id: RequestId,
         /// The reply channel of the client.
         reply_to: Sender<Reply>,
     },
     /// The attempt in flight for a request ended.
     AttemptEnded {
         /// The request.
-        id: Id,
+        id: RequestId,
         /// How the attempt ended.
         outcome: Outcome,
         /// The rows of a complete answer.
@@ -60,7 +60,7 @@
 /// A request from a front end.
 pub struct NewRequest {
     /// The id that the client chose.
-    pub id: Id,
+    pub id: RequestId,
     /// The number of the call on the client's connection; replies carry it.
     pub call_id: u64,
     /// What the policy needs to know of the request.
@@ -113,7 +113,7 @@
     /// Changes the priority of the request's attempt in flight.
     SetPriority {
         /// The request.
-        id: Id,
+        id: RequestId,
         /// The new priority.
         priority: u8,
     },
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -28,7 +28,7 @@
     /// Replaced as a whole when the configuration file brings other settings.
     pub transport_config: RefCell<Rc<TransportConfig>>,
     /// Whether clients may name their tenant.
-    pub tenants: bool,
+    pub accepts_tenant_names: bool,
     /// The limit on connections to all engines together.
     pub max_engine_connections: usize,
     /// Endpoints in the current list.
--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -3,7 +3,7 @@
 use crate::error::SettingsError;
 use crate::fields::{
     duration, flag, flag_of_class, indices, list, list_length, number, number_of_list, number_or,
-    text, unknown,
+    required_string, unknown,
 };
 use ironstair::{ClassPolicy, DedupScope, Effect, Millis};
 use serde_json::Value;
@@ -15,8 +15,8 @@
 ///
 /// # Errors
 /// Fails if there is no list of classes, or one has no name.
-pub fn classes(settings: &Value) -> Result<Vec<String>, SettingsError> {
-    let name = |class| text(class, "name").map(String::from);
+pub fn class_names(settings: &Value) -> Result<Vec<String>, SettingsError> {
+    let name = |class| required_string(class, "name").map(String::from);
     list(settings, "classes")?.iter().map(name).collect()
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Fails if there is no list of classes, or one has no hard limit.
-pub fn limits(settings: &Value) -> Result<Vec<Millis>, SettingsError> {
+pub fn hard_limits(settings: &Value) -> Result<Vec<Millis>, SettingsError> {
     let limit = |class| duration(class, "give_up_ns");
     list(settings, "classes")?.iter().map(limit).collect()
 }
@@ -76,7 +76,7 @@
         Some("cell") => DedupScope::DedupDomain,
         Some(other) => return Err(unknown("group", other)),
     };
-    match text(class, "semantics")? {
+    match required_string(class, "semantics")? {
         "pure" => Ok(Effect::Idempotent),
         "token" => Ok(Effect::Deduplicated(within)),
         "side_effect" => Ok(Effect::NonIdempotent),
@@ -104,7 +104,7 @@
     let count = list_length(settings, names);
     match indices.iter().flatten().find(|x| **x as usize >= count) {
         None => Ok(()),
-        Some(&index) => Err(SettingsError::IndexPastNames {
+        Some(&index) => Err(SettingsError::IndexOutOfRange {
             path: path.into(),
             index,
             names: names.into(),
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -26,7 +26,7 @@
     },
     /// A field is missing or not a string.
     #[error("{path} is missing or not a string")]
-    NotAText {
+    NotAString {
         /// The path of the field.
         path: String,
     },
@@ -44,7 +44,7 @@
     },
     /// A list of names contains another item.
     #[error("{path} contains an item that is not a string")]
-    NotAName {
+    NotAStringItem {
         /// The path of the list.
         path: String,
     },
@@ -58,7 +58,7 @@
     },
     /// An item of a list is missing, or neither true nor false.
     #[error("{path}[{index}] is missing or not true or false")]
-    NotABoolOfClass {
+    NotABoolItem {
         /// The path of the list.
         path: String,
         /// The index of the class.
@@ -74,7 +74,7 @@
     },
     /// An index exceeds the list of names that it refers to.
     #[error("{path} names {index}, and {names} has {count}")]
-    IndexPastNames {
+    IndexOutOfRange {
         /// The path of the field.
         path: String,
         /// The index.
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -45,10 +45,10 @@
 ///
 /// # Errors
 /// Fails if the field is missing or not a string.
-pub fn text<'a>(value: &'a Value, path: &str) -> Result<&'a str, SettingsError> {
+pub fn required_string<'a>(value: &'a Value, path: &str) -> Result<&'a str, SettingsError> {
     at(value, path)
         .and_then(Value::as_str)
-        .ok_or_else(|| SettingsError::NotAText { path: path.into() })
+        .ok_or_else(|| SettingsError::NotAString { path: path.into() })
 }
 
 pub(crate) fn list<'a>(value: &'a Value, path: &str) -> Result<&'a Vec<Value>, SettingsError> {
@@ -69,7 +69,7 @@
     let name = |n: &Value| {
         n.as_str()
             .map(String::from)
-            .ok_or_else(|| SettingsError::NotAName { path: path.into() })
+            .ok_or_else(|| SettingsError::NotAStringItem { path: path.into() })
     };
     list(value, path)?.iter().map(name).collect()
 }
@@ -123,7 +123,7 @@
     let path = path.to_owned();
     all.get(index)
         .and_then(Value::as_bool)
-        .ok_or(SettingsError::NotABoolOfClass { path, index })
+        .ok_or(SettingsError::NotABoolItem { path, index })
 }
 
 pub(crate) fn unknown(path: &str, value: &str) -> SettingsError {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,8 +7,8 @@
 mod policy;
 mod transport;
 
-pub use class::{classes, limits};
+pub use class::{class_names, hard_limits};
 pub use error::SettingsError;
-pub use fields::text;
-pub use policy::{kinds, policy_config, read, zones};
+pub use fields::required_string;
+pub use policy::{machine_type_names, policy_config, read_policy_config, zone_names};
 pub use transport::{transport_config, TransportConfig};
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -3,8 +3,8 @@
 use crate::class::class_policies;
 use crate::error::SettingsError;
 use crate::fields::{
-    at, duration, flag, flag_or, list_length, names, number, number_of_list, number_or, text,
-    unknown,
+    at, duration, flag, flag_or, list_length, names, number, number_of_list, number_or,
+    required_string, unknown,
 };
 use ironstair::{ClassPolicy, LoadMetric, MachineType, Millis, PolicyConfig, RetryBudget};
 use serde_json::Value;
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// Fails if there is no list of names.
-pub fn zones(settings: &Value) -> Result<Vec<String>, SettingsError> {
+pub fn zone_names(settings: &Value) -> Result<Vec<String>, SettingsError> {
     names(settings, "dcs")
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Fails if there is no list of names.
-pub fn kinds(settings: &Value) -> Result<Vec<String>, SettingsError> {
+pub fn machine_type_names(settings: &Value) -> Result<Vec<String>, SettingsError> {
     names(settings, "machine_types")
 }
 
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 /// Fails if the text is not JSON, or a field is missing or invalid.
-pub fn read(json: &[u8]) -> Result<PolicyConfig, SettingsError> {
+pub fn read_policy_config(json: &[u8]) -> Result<PolicyConfig, SettingsError> {
     policy_config(&serde_json::from_slice(json)?)
 }
 
@@ -64,7 +64,7 @@
         },
         max_attempts: number(settings, "policy_limits.max_attempts")?.clamp(0.0, MAX_ATTEMPTS)
             as u8,
-        must_subscribe: text(settings, "registry_mode")? == "subscribe",
+        must_subscribe: required_string(settings, "registry_mode")? == "subscribe",
         slow_start_from: number(settings, "guarantees.cold_from")?,
         slow_start_duration: duration(settings, "guarantees.warm_after_ns")?,
         overload_factor: number(settings, "guarantees.overload_factor")?,
@@ -113,7 +113,7 @@
     if at(settings, path).is_none() {
         return Ok(true);
     }
-    match text(settings, path)? {
+    match required_string(settings, path)? {
         "line_up" => Ok(true),
         "cut" | "overcommit" => Ok(false),
         other => Err(unknown(path, other)),
--- a/crates/settings/src/transport.rs
+++ b/crates/settings/src/transport.rs
@@ -1,6 +1,6 @@
 //! Reads the settings of connections to engines.
 
-use crate::class::limits;
+use crate::class::hard_limits;
 use crate::error::SettingsError;
 use crate::fields::{duration, names, number, number_or};
 use ironstair::Millis;
@@ -12,15 +12,15 @@
     /// The timeout of establishing a connection, in ms.
     pub connect_timeout: Millis,
     /// The time in ms after which an idle connection is closed.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// The limit of attempts on one connection.
-    pub streams: usize,
+    pub max_attempts_per_connection: usize,
     /// The limit of open requests.
     pub max_open_requests: usize,
     /// The longest hard limit of the classes, in ms.
-    pub longest: Millis,
+    pub max_deadline: Millis,
     /// The names of the numbers in an engine's load report, in their order.
-    pub reports: Vec<String>,
+    pub report_fields: Vec<String>,
 }
 
 /// Reads the settings of connections from a settings object.
@@ -30,10 +30,10 @@
 pub fn transport_config(settings: &Value) -> Result<TransportConfig, SettingsError> {
     Ok(TransportConfig {
         connect_timeout: duration(settings, "policy_limits.connect_timeout_ns")?,
-        idle: duration(settings, "policy_limits.keepalive_ns")?,
-        streams: number(settings, "policy_limits.multiplex")?.max(1.0) as usize,
+        idle_timeout: duration(settings, "policy_limits.keepalive_ns")?,
+        max_attempts_per_connection: number(settings, "policy_limits.multiplex")?.max(1.0) as usize,
         max_open_requests: number_or(settings, "policy_limits.max_open", f64::MAX)? as usize,
-        reports: names(settings, "report.fields").unwrap_or_default(),
-        longest: limits(settings)?.into_iter().fold(0.0, Millis::max),
+        report_fields: names(settings, "report.fields").unwrap_or_default(),
+        max_deadline: hard_limits(settings)?.into_iter().fold(0.0, Millis::max),
     })
 }
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -8,7 +8,8 @@
 };
 use ironstair_pinned_forms::PinnedForms;
 use ironstair_settings::{
-    classes, kinds, limits, policy_config, read, transport_config, zones, TransportConfig,
+    class_names, hard_limits, machine_type_names, policy_config, read_policy_config,
+    transport_config, zone_names, TransportConfig,
 };
 use serde_json::{json, Value};
 
@@ -106,25 +107,31 @@
 fn every_key_is_read_with_the_pinned_value() {
     let settings = FORMS.json("settings.json");
     assert_eq!(policy_config(&settings).unwrap(), full());
-    assert_eq!(read(settings.to_string().as_bytes()).unwrap(), full());
+    assert_eq!(
+        read_policy_config(settings.to_string().as_bytes()).unwrap(),
+        full()
+    );
     let texts = |all: &[&str]| all.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     assert_eq!(
-        classes(&settings).unwrap(),
+        class_names(&settings).unwrap(),
         texts(&["lookup", "post", "mark", "all", "once"])
     );
-    assert_eq!(zones(&settings).unwrap(), texts(&["a", "b"]));
-    assert_eq!(kinds(&settings).unwrap(), texts(&["std", "big"]));
+    assert_eq!(zone_names(&settings).unwrap(), texts(&["a", "b"]));
     assert_eq!(
-        limits(&settings).unwrap(),
+        machine_type_names(&settings).unwrap(),
+        texts(&["std", "big"])
+    );
+    assert_eq!(
+        hard_limits(&settings).unwrap(),
         vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]
     );
     let want = TransportConfig {
         connect_timeout: 250.0,
-        idle: 30_000.0,
-        streams: 32,
+        idle_timeout: 30_000.0,
+        max_attempts_per_connection: 32,
         max_open_requests: 5000,
-        longest: 9000.0,
-        reports: ["concurrent", "load_share", "x0", "x1", "disk"]
+        max_deadline: 9000.0,
+        report_fields: ["concurrent", "load_share", "x0", "x1", "disk"]
             .map(String::from)
             .to_vec(),
     };
@@ -171,11 +178,11 @@
     let max_open_requests = f64::MAX as usize;
     let want = TransportConfig {
         connect_timeout: 6.0,
-        idle: 7.0,
-        streams: 1,
+        idle_timeout: 7.0,
+        max_attempts_per_connection: 1,
         max_open_requests,
-        longest: 2.0,
-        reports: Vec::new(),
+        max_deadline: 2.0,
+        report_fields: Vec::new(),
     };
     assert_eq!(transport_config(&settings).unwrap(), want);
 }
--- a/crates/settings/tests/refusals.rs
+++ b/crates/settings/tests/refusals.rs
@@ -1,6 +1,8 @@
 //! The field that the error of an invalid settings object names.
 
-use ironstair_settings::{classes, kinds, policy_config, transport_config, zones};
+use ironstair_settings::{
+    class_names, machine_type_names, policy_config, transport_config, zone_names,
+};
 use serde_json::Value;
 use std::path::Path;
 
@@ -190,11 +192,11 @@
             members.insert(key.into(), serde_json::from_str(value).unwrap());
         }
         let all = [
-            zones(&settings).err(),
-            kinds(&settings).err(),
+            zone_names(&settings).err(),
+            machine_type_names(&settings).err(),
             policy_config(&settings).err(),
             transport_config(&settings).err(),
-            classes(&settings).err(),
+            class_names(&settings).err(),
         ];
         let why = all
             .into_iter()
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -7,7 +7,7 @@
 use crate::instance::Instance;
 use crate::time::to_millis;
 use ironstair::Millis;
-use ironstair_settings::read as read_policy_config;
+use ironstair_settings::read_policy_config;
 use std::collections::BTreeMap;
 
 /// The simulated gateways by number, and the endpoint lists that were sent.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -12,5 +12,5 @@
 mod time;
 
 pub use error::{AdapterError, RecordError};
-pub use ironstair_settings::read as read_policy_config;
+pub use ironstair_settings::read_policy_config;
 pub use serve::serve;
