--- a/crates/runtime/src/attempt.rs
+++ b/crates/runtime/src/attempt.rs
@@ -8,9 +8,9 @@
 
 /// One attempt to run a request at an engine.
 ///
-/// An attempt starts when its first byte is written, not when the policy decides it. Queues, slow connects and blocked
-/// writes lie between the two. The conditions under which it may still start therefore travel with the attempt, and
-/// the owner of the connection checks them right before the write.
+/// An attempt starts when its first byte is written to the connection, not when the policy decides on it: queues, slow
+/// connects and blocked writes may delay the write. The conditions under which it may still start are therefore part of
+/// the attempt, and the owner of the connection checks them immediately before the write.
 pub struct Attempt {
     /// The request.
     pub id: RequestId,
@@ -20,18 +20,18 @@
     pub statement: Rc<BufferChain>,
     /// The client's key by which engines recognize a repeated request of a deduplicated class.
     pub idempotency_key: Option<Rc<str>>,
-    /// The priority at the engine, if the engine heeds one.
+    /// The priority at the engine, if engines honor priorities.
     pub priority: Cell<Option<u8>>,
     /// When the client gives up.
     pub deadline: Millis,
-    /// The latest time at which the attempt may start, as the policy decided. It lies in the past once the attempt is
-    /// withdrawn.
+    /// The time from which the attempt may no longer start, as the policy decided. Withdrawing the attempt sets it to
+    /// the past.
     pub start_before: Cell<Millis>,
-    /// Whether the client still waits; shared with the actor of its connection.
+    /// Whether the client still waits for the reply; shared with the actor of its connection.
     pub client_is_waiting: Rc<Cell<bool>>,
     /// The engine's state in the endpoint list; shared with the dispatcher.
     pub endpoint_state: Rc<Cell<EndpointState>>,
-    /// Set with the first byte.
+    /// Whether the first byte has been written.
     pub started: Cell<bool>,
 }
 
@@ -43,7 +43,7 @@
             && self.endpoint_state.get() == EndpointState::Ready
     }
 
-    /// Prevents the attempt from starting, in whichever queue it waits. An attempt that has started is withdrawn by
+    /// Prevents the attempt from starting, whichever queue holds it. An attempt that has started is withdrawn with
     /// [`EngineMessage::WithdrawAttempt`](crate::EngineMessage::WithdrawAttempt).
     pub fn withdraw(&self) {
         self.start_before.set(f64::NEG_INFINITY);
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -5,10 +5,10 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// A century: longer than a gateway runs, and short enough to be added to any instant without overflow.
+/// About a century, in ms: longer than a gateway runs, and short enough to be added to any instant without overflow.
 const MAX_TIMER_SPAN: Millis = 3e12;
 
-/// Reads the system time once, at the start, and counts on by the monotonic clock.
+/// Reads the system time once, when it is started, and advances with the monotonic clock.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -16,7 +16,7 @@
 }
 
 impl Clock {
-    /// Starts the clock at the system's time.
+    /// Starts the clock at the current system time.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -42,16 +42,16 @@
         self.unix_at_start + elapsed.as_secs_f64() * MILLIS_PER_SECOND
     }
 
-    /// The instant of a point in time, for timers.
+    /// The monotonic instant of a point in time, for timers.
     ///
-    /// It is computed from the start, not from the current time. Reading the clock again could yield a slightly earlier
-    /// instant; a task woken before its time would find nothing due and would not ask for another wake-up.
+    /// It is computed from the start of the clock, not from the current time: a second reading of the clock could
+    /// yield a slightly earlier instant. A task that is woken early finds nothing due and sets no other timer.
     pub fn instant_at(&self, time: Millis) -> Instant {
         self.started + duration(time - self.unix_at_start)
     }
 }
 
-/// A span as a [`Duration`], for timers. Negative spans become zero, very long ones are capped.
+/// Converts a span in ms to a [`Duration`], for timers. Negative spans become zero, very long ones are capped.
 pub fn duration(span: Millis) -> Duration {
     Duration::from_secs_f64(span.clamp(0.0, MAX_TIMER_SPAN) / MILLIS_PER_SECOND)
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! The messages that the gateway's actors exchange, and the state that all of them share.
 //!
-//! A front end or a manager needs nothing else of the gateway: it sends a [`DispatcherMessage`] to the dispatcher and
-//! receives a [`Reply`].
+//! Front ends and management depend on no other part of the gateway: they send a [`DispatcherMessage`] to the
+//! dispatcher and receive a [`Reply`].
 
 mod attempt;
 pub mod clock;
--- a/crates/runtime/src/messages.rs
+++ b/crates/runtime/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between fronts, the dispatcher and the engines' actors.
+//! The messages between front ends, the dispatcher and the engines' actors.
 
 use crate::attempt::Attempt;
 use crate::pool::{Buffer, BufferChain};
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// A request's id as its client chose it.
+/// The id that a client chose for a request.
 pub type RequestId = [u8; 16];
 
 /// A message to the dispatcher, which owns the policy.
@@ -22,11 +22,11 @@
     Cancelled {
         /// The request.
         id: RequestId,
-        /// The reply channel of the client; only the client that sent a request may cancel it.
+        /// The reply channel of the client. Only the client that sent a request may cancel it.
         reply_to: Sender<Reply>,
     },
-    /// The client of a request closed its connection or at least its sending half. An attempt in flight may still be
-    /// answered; no further attempt starts.
+    /// The client of a request closed its connection or the sending half of it. An attempt in flight may still be
+    /// answered, but no further attempt starts.
     ClientClosed {
         /// The request.
         id: RequestId,
@@ -39,21 +39,21 @@
         id: RequestId,
         /// How the attempt ended.
         outcome: Outcome,
-        /// The rows of a complete answer.
+        /// The rows of a complete reply.
         rows: Option<BufferChain>,
     },
     /// An engine reported its load.
     LoadReport {
         /// The engine's index.
         engine: usize,
-        /// The values in the order of the setting `report.fields`.
+        /// The reported values, in the order of the setting `report.fields`.
         values: Vec<f64>,
     },
-    /// Discovery found a new endpoint list: endpoints by name.
+    /// Discovery received a new endpoint list: the endpoints by name.
     Endpoints(BTreeMap<String, DiscoveredEndpoint>),
-    /// The process must end by that time.
+    /// The process must exit by this time.
     ShutdownRequested(Millis),
-    /// A command from a thread other than the gateway's.
+    /// A command from management, or from a reload of the configuration file.
     Command(ManagementCommand),
 }
 
@@ -61,11 +61,11 @@
 pub struct NewRequest {
     /// The id that the client chose.
     pub id: RequestId,
-    /// The number of the call on the client's connection; replies carry it.
+    /// The id of the call on the client's connection, which replies repeat.
     pub call_id: u64,
-    /// What the policy needs to know of the request.
+    /// The request as the policy sees it.
     pub request: Request,
-    /// The tenant: the hash of the name that the client gave. Without one the tenant follows from the table group.
+    /// The hash of the tenant's name, if the client gave one. Otherwise the tenant follows from the table group.
     pub tenant: Option<u64>,
     /// When the gateway received the request.
     pub received_at: Millis,
@@ -73,34 +73,34 @@
     pub statement: BufferChain,
     /// The key by which engines recognize a repeated request of a deduplicated class.
     pub idempotency_key: Option<Rc<str>>,
-    /// Where the final answer goes.
+    /// The channel that receives the final reply.
     pub reply_to: Sender<Reply>,
-    /// Whether the client still waits. The actor of its connection clears it; the flag is faster than any queued
-    /// message.
+    /// Whether the client still waits for the reply. The actor of its connection clears the flag, which takes effect
+    /// before any queued message.
     pub client_is_waiting: Rc<Cell<bool>>,
 }
 
-/// A message to a front end about one of its calls. Each call receives exactly one final answer.
+/// A message to a front end about one of its calls. Each call receives exactly one final reply.
 pub enum Reply {
     /// The request completed.
     Completed {
         /// The call.
         call_id: u64,
-        /// The rows of the answer.
+        /// The rows of the result.
         rows: BufferChain,
     },
     /// The request was rejected and has not run.
     Rejected {
         /// The call.
         call_id: u64,
-        /// After how long the client should retry.
+        /// The delay after which the client should retry.
         retry_after: Millis,
     },
     /// The call failed; the request may have run.
     Failed(u64),
     /// The call used the id of a request that is still open.
     DuplicateId(u64),
-    /// A whole message that was encoded without the dispatcher.
+    /// A complete message that the front end encoded itself, without the dispatcher.
     Encoded(Vec<u8>),
 }
 
@@ -110,7 +110,7 @@
     StartAttempt(Rc<Attempt>),
     /// Withdraws an attempt.
     WithdrawAttempt(Rc<Attempt>),
-    /// Changes the priority of the request's attempt in flight.
+    /// Changes the priority of a request's attempt in flight.
     SetPriority {
         /// The request.
         id: RequestId,
@@ -119,7 +119,7 @@
     },
     /// Asks the engine for a load report.
     RequestLoadReport,
-    /// The endpoint's state changed: attempts that have not started must not start any more.
+    /// The endpoint's state changed: attempts that have not started must no longer start.
     EndpointStateChanged,
     /// A connection was established.
     Connected {
@@ -128,7 +128,7 @@
         /// Its stream.
         stream: Rc<Async<TcpStream>>,
     },
-    /// The connection of that number accepts bytes again after its send buffer was full.
+    /// The connection with this number accepts bytes again after its send buffer was full.
     Writable(u64),
     /// Bytes arrived on a connection.
     Received {
@@ -141,7 +141,7 @@
     Disconnected {
         /// The connection's number.
         connection: u64,
-        /// What that means for the attempts on it.
+        /// The outcome of the attempts on it.
         outcome: Outcome,
     },
 }
@@ -155,10 +155,10 @@
     pub zone: u16,
     /// The index of its machine type.
     pub machine_type: u16,
-    /// The group of engines that share the keys of deduplicated requests.
+    /// The index of the group of engines that share the keys of deduplicated requests.
     pub dedup_domain: u16,
     /// Whether the engine takes attempts.
     pub state: EndpointState,
-    /// When the engine last started; zero if that was long ago.
+    /// When the engine last started; zero if that was long ago or is unknown.
     pub started_at: Millis,
 }
--- a/crates/runtime/src/pool.rs
+++ b/crates/runtime/src/pool.rs
@@ -1,4 +1,4 @@
-//! A bounded pool of buffers of one size; a buffer returns to its pool when it is dropped.
+//! A bounded pool of buffers of one size. A buffer returns to its pool when it is dropped.
 
 use crate::wait::wait_for;
 use event_listener::Event;
@@ -12,11 +12,12 @@
 /// The smallest pool: one buffer to read into and one to write from.
 const MIN_BUFFERS: usize = 2;
 
-/// New work may use the pool up to one half. The other half is reserved for open requests: otherwise answers could wait
-/// for buffers that only those answers would release.
-const NEW_WORK_DIVISOR: usize = 2;
+/// New requests may use up to half of the pool. The other half is reserved for open requests: otherwise replies could
+/// wait for buffers that only these replies would release.
+const NEW_REQUEST_DIVISOR: usize = 2;
 
-/// Long messages may use the pool up to a quarter: half-received ones must leave buffers to all other messages.
+/// Long messages may use up to a quarter of the pool: partly received ones must not take the buffers of all other
+/// messages.
 const LONG_MESSAGE_DIVISOR: usize = 4;
 
 /// A bounded pool of buffers.
@@ -37,7 +38,7 @@
 }
 
 impl BufferPool {
-    /// A pool of that many bytes.
+    /// Creates a pool whose buffers hold up to `bytes` bytes together. It has at least two buffers.
     pub fn with_capacity(bytes: usize) -> Rc<Self> {
         Rc::new(BufferPool {
             max_buffers: (bytes / BUFFER_SIZE).max(MIN_BUFFERS),
@@ -47,7 +48,7 @@
         })
     }
 
-    /// How much of the pool is in use.
+    /// The buffers in use and their limit.
     pub fn usage(&self) -> PoolUsage {
         PoolUsage {
             in_use: self.in_use.get(),
@@ -55,23 +56,23 @@
         }
     }
 
-    /// A buffer for an open request; `None` if all are in use.
+    /// Takes a buffer for an open request; `None` if all are in use.
     pub fn try_acquire(self: &Rc<Self>) -> Option<Buffer> {
         self.acquire_below(self.max_buffers)
     }
 
-    /// A buffer for a message that needs many; `None` if a quarter of the pool is in use.
+    /// Takes a buffer for a message that needs many of them; `None` if a quarter of the pool is in use.
     pub fn try_acquire_for_long_message(self: &Rc<Self>) -> Option<Buffer> {
         self.acquire_below(self.max_buffers / LONG_MESSAGE_DIVISOR)
     }
 
-    /// Waits for a buffer for new work.
+    /// Waits for a buffer for a new request, until less than half of the pool is in use.
     pub async fn acquire(self: &Rc<Self>) -> Buffer {
-        let limit = self.max_buffers - self.max_buffers / NEW_WORK_DIVISOR;
+        let limit = self.max_buffers - self.max_buffers / NEW_REQUEST_DIVISOR;
         wait_for(&self.released, || self.acquire_below(limit)).await
     }
 
-    /// Waits for a buffer for an open request.
+    /// Waits for a buffer for an open request, until any buffer is free.
     pub async fn acquire_for_open_request(self: &Rc<Self>) -> Buffer {
         wait_for(&self.released, || self.try_acquire()).await
     }
@@ -109,12 +110,12 @@
 }
 
 impl Buffer {
-    /// The bytes that are not consumed yet.
+    /// The bytes that have not been consumed.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// The free space behind the bytes, which are first moved to the front.
+    /// The free space after the bytes, which are moved to the front of the buffer first.
     pub fn spare_capacity(&mut self) -> &mut [u8] {
         self.bytes.copy_within(self.start..self.end, 0);
         self.end -= self.start;
@@ -122,7 +123,7 @@
         &mut self.bytes[self.end..]
     }
 
-    /// Counts `count` bytes of the spare capacity as written.
+    /// Adds the first `count` bytes of the spare capacity to the buffer's bytes.
     pub fn advance(&mut self, count: usize) {
         self.end = (self.end + count).min(self.bytes.len());
     }
@@ -142,7 +143,7 @@
     }
 }
 
-/// A long body: the bytes of several buffers in order.
+/// A byte sequence that may span several buffers, such as a statement or the rows of a result.
 #[derive(Default)]
 pub struct BufferChain(
     /// The buffers in order.
@@ -155,7 +156,7 @@
         self.0.iter().map(|buffer| buffer.bytes().len()).sum()
     }
 
-    /// The bytes in one piece; copied only if they lie in several buffers.
+    /// The bytes as one slice. They are copied unless there is exactly one buffer.
     pub fn joined(&self) -> Cow<'_, [u8]> {
         match &self.0[..] {
             [buffer] => Cow::Borrowed(buffer.bytes()),
--- a/crates/runtime/src/pool/tests.rs
+++ b/crates/runtime/src/pool/tests.rs
@@ -2,7 +2,7 @@
 use futures_lite::future::{block_on, poll_once};
 
 #[test]
-fn new_work_waits_while_open_requests_still_get_buffers() {
+fn new_requests_wait_while_open_requests_still_get_buffers() {
     let pool = BufferPool::with_capacity(100 * BUFFER_SIZE);
     let mut in_use: Vec<Buffer> = (0..50).filter_map(|_| pool.try_acquire()).collect();
     assert!(block_on(poll_once(pool.acquire())).is_none());
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn buffer_that_is_consumed_from_the_front_has_its_space_again() {
+fn consumed_space_of_a_buffer_is_reused() {
     let mut buffer = BufferPool::with_capacity(BUFFER_SIZE)
         .try_acquire()
         .unwrap();
--- a/crates/runtime/src/shared.rs
+++ b/crates/runtime/src/shared.rs
@@ -1,4 +1,4 @@
-//! The state that all actors of the gateway's thread share.
+//! The state that all actors on the gateway's thread share.
 
 use crate::clock::Clock;
 use crate::messages::DispatcherMessage;
@@ -12,30 +12,31 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// An estimate of work above this multiple of the longest deadline is an error of the sender and is capped.
+/// Work above this multiple of the longest deadline is an error of the sender: a request with such an estimate is
+/// rejected, and such a cost in an engine's reply is ignored.
 const MAX_WORK_FACTOR: f64 = 1000.0;
 
-/// What all actors of the gateway's thread share.
+/// The state that all actors on the gateway's thread share.
 pub struct Shared {
     /// The gateway's clock.
     pub clock: Clock,
-    /// The buffers for requests and answers.
+    /// The buffers for requests and replies.
     pub pool: Rc<BufferPool>,
-    /// The classes by the policy's index; replaced as a whole when the configuration changes.
+    /// The classes, by the policy's index. Replaced as a whole when the configuration changes.
     pub classes: RefCell<Rc<Vec<ClassSummary>>>,
     /// The longest deadline that a request may have.
     pub max_deadline: Cell<Millis>,
-    /// Replaced as a whole when the configuration file brings other settings.
+    /// The settings of connections. Replaced as a whole when a reloaded configuration file changes them.
     pub transport_config: RefCell<Rc<TransportConfig>>,
-    /// Whether clients may name their tenant.
+    /// Whether requests may name their tenant.
     pub accepts_tenant_names: bool,
-    /// The limit on connections to all engines together.
+    /// The limit on the connections to all engines together.
     pub max_engine_connections: usize,
-    /// Endpoints in the current list.
+    /// The number of endpoints in the current list.
     pub endpoint_count: Cell<usize>,
-    /// Until when the gateway may decide by its configuration; infinite without a fleet.
+    /// When the lease ends under which the gateway may decide; infinite outside a fleet.
     pub lease_until: Cell<Millis>,
-    /// Counters for the state tree.
+    /// Values that the state tree shows.
     pub metrics: Metrics,
     /// The root logger.
     pub log: Logger,
@@ -45,22 +46,22 @@
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
-/// State of single actors that the state tree shows.
+/// Values of individual actors that the state tree shows.
 #[derive(Default)]
 pub struct Metrics {
     /// Open client connections.
     pub client_connections: Rc<Cell<u32>>,
     /// The limit on client connections.
     pub max_client_connections: Cell<u32>,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub discovery_source: RefCell<String>,
-    /// The serial number of the last change of the endpoint list.
+    /// The serial number of the current endpoint list.
     pub endpoint_list_serial: Cell<u32>,
-    /// When the name service last answered; zero if it never did.
+    /// When the name service last answered; zero if it never has.
     pub last_heard_at: Cell<Millis>,
-    /// Requests that the policy still knows.
+    /// The number of requests that the policy tracks.
     pub open_requests: Cell<usize>,
-    /// Until when requests with a key wait after the start.
+    /// The time until which requests with a key are held back after a start.
     pub key_quarantine: Cell<Millis>,
 }
 
@@ -75,12 +76,12 @@
         self.transport_config.borrow().clone()
     }
 
-    /// Whether the lease holds now.
+    /// Whether the lease is valid now.
     pub fn holds_lease(&self) -> bool {
         self.clock.now() < self.lease_until.get()
     }
 
-    /// The largest amount of work that a client or engine may report.
+    /// The largest amount of work that a client may estimate or an engine may report.
     pub fn max_work(&self) -> Millis {
         MAX_WORK_FACTOR * self.max_deadline.get()
     }
--- a/crates/runtime/src/state_watch.rs
+++ b/crates/runtime/src/state_watch.rs
@@ -1,7 +1,7 @@
-//! How other threads read the gateway's state and command its dispatcher.
+//! How other threads read the gateway's state and send commands to its dispatcher.
 //!
-//! Both directions are free of locks: the dispatcher never waits for a reader, and builds a snapshot only when a
-//! reader has asked for one.
+//! Both directions are lock-free: the dispatcher never waits for a reader, and builds a snapshot only on a reader's
+//! request.
 
 use arc_swap::ArcSwap;
 use async_channel::Sender;
@@ -12,35 +12,35 @@
 use ironstair_settings::TransportConfig;
 use std::sync::Arc;
 
-/// A command from another thread to the dispatcher.
+/// A command to the dispatcher from management, or from a reload of the configuration file.
 pub enum ManagementCommand {
     /// Publishes a snapshot of the current state to the [`StateWatch`].
     PublishState,
     /// Replaces the configuration.
     UpdateConfig(Box<ConfigUpdate>),
-    /// Extends or ends the lease under which the gateway decides.
+    /// Extends or ends the lease under which the gateway may decide.
     RenewLease {
         /// The end of the lease, by the gateway's clock.
         until: Millis,
-        /// This gateway's share of fleet-wide limits, if the fleet counts its members. It refers to the
-        /// configuration that was updated last.
+        /// This gateway's share of fleet-wide limits, if the fleet counts its members. It refers to the latest
+        /// configuration.
         share: Option<Share>,
     },
 }
 
-/// A new configuration, applied as a whole between two messages of the dispatcher.
+/// A new configuration. The dispatcher applies it as a whole, between two messages.
 pub struct ConfigUpdate {
     /// The policy's configuration.
     pub policy_config: PolicyConfig,
-    /// The classes by the policy's index, including those out of service.
+    /// The classes, by the policy's index, including those that are out of service.
     pub classes: Vec<ClassSummary>,
     /// The longest deadline that a request may have.
     pub max_deadline: Millis,
     /// The cells of engines and tenants; `None` leaves them unchanged, `Some(None)` removes them.
     pub cells: Option<Option<CellDirectory>>,
-    /// New transport settings, if a configuration file brings some.
+    /// New settings of connections, if they come from a configuration file.
     pub transport_config: Option<TransportConfig>,
-    /// Receives one message when the update is applied.
+    /// Receives one message once the update is applied.
     pub done: Sender<()>,
 }
 
@@ -55,7 +55,7 @@
     pub in_service: bool,
 }
 
-/// A cell that holds the latest snapshot; both operations are lock-free.
+/// Holds the latest snapshot. Both operations are lock-free.
 pub trait SnapshotCell {
     /// Replaces the snapshot.
     fn store(&self, snapshot: Arc<Snapshot>);
@@ -63,9 +63,9 @@
     fn load(&self) -> Arc<Snapshot>;
 }
 
-/// Wakes all tasks that listened before the notification.
+/// Wakes all tasks that started to listen before a notification.
 pub trait Notifier {
-    /// Completes with the first notification after it was made.
+    /// Completes at the first notification after its creation.
     type Listener;
     /// Starts to listen.
     fn listen(&self) -> Self::Listener;
@@ -94,7 +94,8 @@
 
 /// The latest snapshot of the gateway's state, with a notification for each new one.
 ///
-/// Cell and notifier are type parameters so that a test can play every interleaving of reader and writer.
+/// The cell and the notifier are type parameters so that tests can replace them and explore the interleavings of reader
+/// and writer.
 #[derive(Default)]
 pub struct StateWatch<C = ArcSwap<Snapshot>, N = event_listener::Event> {
     cell: C,
@@ -102,7 +103,7 @@
 }
 
 impl<C: SnapshotCell, N: Notifier> StateWatch<C, N> {
-    /// A watch built from its parts.
+    /// Creates a watch from its parts.
     pub fn new(cell: C, notifier: N) -> Self {
         StateWatch { cell, notifier }
     }
@@ -118,10 +119,10 @@
         self.cell.load()
     }
 
-    /// Completes with the next publication.
+    /// Completes at the next publication.
     ///
-    /// A reader takes the listener before it asks for a snapshot; otherwise it could miss the publication that
-    /// answers it and wait forever.
+    /// A reader must call this before it requests a snapshot. Otherwise it could miss the publication of that snapshot
+    /// and wait forever.
     pub fn changed(&self) -> N::Listener {
         self.notifier.listen()
     }
--- a/crates/runtime/src/wait.rs
+++ b/crates/runtime/src/wait.rs
@@ -1,4 +1,4 @@
-//! The ways in which actors wait.
+//! Waiting for conditions, deadlines and messages.
 
 use crate::clock::{duration, Clock};
 use async_channel::{Receiver, RecvError};
@@ -12,7 +12,7 @@
 /// Waits until `condition` returns a value; it is evaluated again after each notification.
 pub async fn wait_for<T>(notifier: &Event, condition: impl Fn() -> Option<T>) -> T {
     loop {
-        // Listening starts before the condition is evaluated: a notification between the two must not be missed.
+        // Listening starts before the condition is evaluated: otherwise a notification between the two would be missed.
         let notified = notifier.listen();
         if let Some(value) = condition() {
             return value;
@@ -24,7 +24,7 @@
 /// Runs `work` for at most `limit`.
 ///
 /// # Errors
-/// The error of `work`, or [`io::ErrorKind::TimedOut`].
+/// Returns the error of `work`, or [`io::ErrorKind::TimedOut`] after `limit`.
 pub async fn timeout<T>(limit: Millis, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
     let expired = async {
         Timer::after(duration(limit)).await;
@@ -33,7 +33,7 @@
     or(work, expired).await
 }
 
-/// Waits until `deadline`; forever without one.
+/// Waits until `deadline`, or forever if there is none.
 pub async fn sleep_until(clock: &Clock, deadline: Option<Millis>) {
     match deadline {
         Some(time) => Timer::at(clock.instant_at(time)).await,
@@ -44,7 +44,7 @@
 /// Receives the next message, or `None` if `deadline` comes first.
 ///
 /// # Errors
-/// The channel is empty and closed.
+/// Fails if the channel is empty and closed.
 pub async fn recv_until<T>(
     clock: &Clock,
     queue: &Receiver<T>,
--- a/crates/runtime/tests/state_watch.rs
+++ b/crates/runtime/tests/state_watch.rs
@@ -1,21 +1,21 @@
-//! The handover of snapshots between the gateway's thread and a reader, in many interleavings of the two (shuttle).
+//! Passes snapshots from the gateway's thread to a reader, in many interleavings of the two (shuttle).
 
 use ironstair_data_tree::state::Snapshot;
 use ironstair_runtime::state_watch::{Notifier, SnapshotCell, StateWatch};
 use shuttle::sync::mpsc::channel;
 use shuttle::sync::{Arc, Condvar, Mutex};
-use std::sync::Arc as Shared;
+use std::sync::Arc as StdArc;
 
 type TestWatch = StateWatch<LockedCell, CountingNotifier>;
 
-/// Lets the scheduler switch threads at each store and load, as at an atomic operation.
-struct LockedCell(Mutex<Shared<Snapshot>>);
+/// A cell whose lock lets the scheduler switch threads at each store and load, as at an atomic operation.
+struct LockedCell(Mutex<StdArc<Snapshot>>);
 
 impl SnapshotCell for LockedCell {
-    fn store(&self, snapshot: Shared<Snapshot>) {
+    fn store(&self, snapshot: StdArc<Snapshot>) {
         *self.0.lock().unwrap() = snapshot;
     }
-    fn load(&self) -> Shared<Snapshot> {
+    fn load(&self) -> StdArc<Snapshot> {
         self.0.lock().unwrap().clone()
     }
 }
@@ -56,13 +56,14 @@
 
 enum Command {
     Publish,
-    Change(u32),
+    SetSerial(u32),
 }
 
-/// Plays a reader that sometimes gives up waiting, changes something and reads again; it must always see its change.
-fn play(publish: fn(&TestWatch, Snapshot)) {
+/// Runs a writer thread and a reader that requests a snapshot, does not wait for it, changes the serial and reads again.
+/// The reader must always see its own change.
+fn run_reader_and_writer(publish: fn(&TestWatch, Snapshot)) {
     let notifier = CountingNotifier(Arc::new((Mutex::new(0), Condvar::new())));
-    let watch = StateWatch::new(LockedCell(Mutex::new(Shared::default())), notifier);
+    let watch = StateWatch::new(LockedCell(Mutex::new(StdArc::default())), notifier);
     let watch = Arc::new(watch);
     let (commands, received_commands) = channel();
     let (done, changes_done) = channel();
@@ -79,8 +80,8 @@
                             ..Default::default()
                         },
                     ),
-                    Command::Change(to) => {
-                        serial = to;
+                    Command::SetSerial(new_serial) => {
+                        serial = new_serial;
                         done.send(()).unwrap();
                     }
                 }
@@ -88,9 +89,9 @@
         })
     };
     for serial in 1..=3 {
-        // The reader gives up on this publication: its notification may come in the midst of the steps that follow.
+        // The reader does not wait for this publication: its notification may arrive at any of the following steps.
         commands.send(Command::Publish).unwrap();
-        commands.send(Command::Change(serial)).unwrap();
+        commands.send(Command::SetSerial(serial)).unwrap();
         changes_done.recv().unwrap();
         let changed = watch.changed();
         commands.send(Command::Publish).unwrap();
@@ -107,17 +108,24 @@
 
 #[test]
 fn reader_sees_its_change_in_every_interleaving() {
-    shuttle::check_pct(|| play(|watch, new| watch.publish(new)), 3000, 3);
-    shuttle::check_random(|| play(|watch, new| watch.publish(new)), 3000);
+    shuttle::check_pct(
+        || run_reader_and_writer(|watch, new| watch.publish(new)),
+        3000,
+        3,
+    );
+    shuttle::check_random(
+        || run_reader_and_writer(|watch, new| watch.publish(new)),
+        3000,
+    );
 }
 
 #[test]
 #[should_panic(expected = "a snapshot from before the change")]
 fn notification_before_the_store_is_detected() {
     fn publish_too_early(watch: &TestWatch, new: Snapshot) {
-        // Notifies for the snapshot before this one.
+        // Publishes the previous snapshot again: a reader that this wakes finds the state from before the change.
         watch.publish(Snapshot::clone(&watch.current()));
         watch.publish(new);
     }
-    shuttle::check_random(|| play(publish_too_early), 3000);
+    shuttle::check_random(|| run_reader_and_writer(publish_too_early), 3000);
 }
