--- a/crates/gateway/tests/switch/invalid_files.rs
+++ b/crates/gateway/tests/switch/invalid_files.rs
@@ -11,12 +11,12 @@
         (
             "/classes/0/semantics",
             json!("sometimes"),
-            "classes[0]: semantics sometimes is unknown",
+            "classes[0]: semantics: unknown value sometimes",
         ),
         (
             "/classes/1/machine_types_allowed",
             json!([5]),
-            "classes[1]: machine_types_allowed names 5",
+            "classes[1]: machine_types_allowed contains index 5",
         ),
         (
             "/classes/2/worth",
@@ -41,7 +41,7 @@
         (
             "/family_info/when_short",
             json!("beg"),
-            "family_info.when_short beg is unknown",
+            "family_info.when_short: unknown value beg",
         ),
         (
             "/guarantees/settle_after_doubt_ns",
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,10 +1,10 @@
-//! Errors of reading a settings object.
+//! Errors in a settings object.
 
-/// Why a settings object can't be read, with the path of the field.
+/// Why a settings object can't be used, with the path of the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The text is not JSON.
-    #[error(transparent)]
+    #[error("the settings object is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
     /// A mandatory field is missing.
     #[error("{path} is missing")]
@@ -13,13 +13,13 @@
         path: String,
     },
     /// A field is not a finite number of at least 0.
-    #[error("{path} is not a number")]
+    #[error("{path} is not a number of at least 0")]
     NotANumber {
         /// The path of the field.
         path: String,
     },
     /// A field is neither true nor false.
-    #[error("{path} is not true or false")]
+    #[error("{path} is neither true nor false")]
     NotABool {
         /// The path of the field.
         path: String,
@@ -36,13 +36,13 @@
         /// The path of the field.
         path: String,
     },
-    /// A list of indices contains another item.
-    #[error("{path} contains an item that is not an index")]
+    /// A list of indices contains an item that is not an index.
+    #[error("{path} contains an item that is not an integer from 0 to 65535")]
     NotAnIndex {
         /// The path of the list.
         path: String,
     },
-    /// A list of names contains another item.
+    /// A list of names contains an item that is not a string.
     #[error("{path} contains an item that is not a string")]
     NotAStringItem {
         /// The path of the list.
@@ -56,8 +56,8 @@
         /// The index of the item.
         index: usize,
     },
-    /// An item of a list is missing, or neither true nor false.
-    #[error("{path}[{index}] is missing or not true or false")]
+    /// A class's item of a list is missing, or neither true nor false.
+    #[error("{path}[{index}] is missing, or neither true nor false")]
     NotABoolItem {
         /// The path of the list.
         path: String,
@@ -65,21 +65,23 @@
         index: usize,
     },
     /// A field has an unknown value.
-    #[error("{path} {value} is unknown")]
+    #[error("{path}: unknown value {value}, expected one of {allowed}")]
     UnknownChoice {
         /// The path of the field.
         path: String,
         /// The value.
         value: String,
+        /// The values that are allowed.
+        allowed: &'static str,
     },
-    /// An index exceeds the list of names that it refers to.
-    #[error("{path} names {index}, and {names} has {count}")]
+    /// An index is beyond the end of the list that it refers to.
+    #[error("{path} contains index {index}, but {names} has {count} entries")]
     IndexOutOfRange {
         /// The path of the field.
         path: String,
         /// The index.
         index: u16,
-        /// The list of names.
+        /// The path of the list that the index refers to.
         names: String,
         /// The length of that list.
         count: usize,
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -6,39 +6,42 @@
 
 const NANOSECONDS_PER_MS: f64 = 1e6;
 
-/// The value at a path of names separated by dots; `None` if it is missing or null.
-pub(crate) fn at<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
+/// The value at a path of keys separated by dots; `None` if it is missing or null.
+pub(crate) fn lookup<'a>(value: &'a Value, path: &str) -> Option<&'a Value> {
     let found = path
         .split('.')
-        .try_fold(value, |table, key| table.get(key))?;
+        .try_fold(value, |object, key| object.get(key))?;
     (!found.is_null()).then_some(found)
 }
 
+/// Reads a mandatory number of at least 0.
 pub(crate) fn number(value: &Value, path: &str) -> Result<f64, SettingsError> {
-    let found = at(value, path).ok_or_else(|| SettingsError::Missing { path: path.into() })?;
-    found
+    let field = lookup(value, path).ok_or_else(|| SettingsError::Missing { path: path.into() })?;
+    field
         .as_f64()
-        .filter(|x| x.is_finite() && *x >= 0.0)
+        .filter(|number| number.is_finite() && *number >= 0.0)
         .ok_or_else(|| SettingsError::NotANumber { path: path.into() })
 }
 
-pub(crate) fn number_or(value: &Value, path: &str, absent: f64) -> Result<f64, SettingsError> {
-    at(value, path).map_or(Ok(absent), |_| number(value, path))
+/// Reads a number of at least 0; `default` if it is missing.
+pub(crate) fn number_or(value: &Value, path: &str, default: f64) -> Result<f64, SettingsError> {
+    lookup(value, path).map_or(Ok(default), |_| number(value, path))
 }
 
-/// Reads a duration in nanoseconds, and returns it in ms.
+/// Reads a mandatory duration in nanoseconds and returns it in ms.
 pub(crate) fn duration(value: &Value, path: &str) -> Result<Millis, SettingsError> {
     Ok(number(value, path)? / NANOSECONDS_PER_MS)
 }
 
-/// Reads a flag, which is false if it is missing.
+/// Reads a flag; false if it is missing.
 pub(crate) fn flag(value: &Value, path: &str) -> Result<bool, SettingsError> {
     flag_or(value, path, false)
 }
 
-pub(crate) fn flag_or(value: &Value, path: &str, absent: bool) -> Result<bool, SettingsError> {
+/// Reads a flag; `default` if it is missing.
+pub(crate) fn flag_or(value: &Value, path: &str, default: bool) -> Result<bool, SettingsError> {
     let not_a_bool = || SettingsError::NotABool { path: path.into() };
-    at(value, path).map_or(Ok(absent), |field| field.as_bool().ok_or_else(not_a_bool))
+    lookup(value, path).map_or(Ok(default), |field| field.as_bool().ok_or_else(not_a_bool))
 }
 
 /// Reads a mandatory string.
@@ -46,28 +49,29 @@
 /// # Errors
 /// Fails if the field is missing or not a string.
 pub fn required_string<'a>(value: &'a Value, path: &str) -> Result<&'a str, SettingsError> {
-    at(value, path)
+    lookup(value, path)
         .and_then(Value::as_str)
         .ok_or_else(|| SettingsError::NotAString { path: path.into() })
 }
 
+/// Reads a mandatory list.
 pub(crate) fn list<'a>(value: &'a Value, path: &str) -> Result<&'a Vec<Value>, SettingsError> {
-    at(value, path)
+    lookup(value, path)
         .and_then(Value::as_array)
         .ok_or_else(|| SettingsError::NotAList { path: path.into() })
 }
 
-/// The length of a list; 0 if there is no list.
+/// The length of a list; 0 if it is missing.
 pub(crate) fn list_length(value: &Value, path: &str) -> usize {
-    at(value, path)
+    lookup(value, path)
         .and_then(Value::as_array)
         .map_or(0, Vec::len)
 }
 
-/// Reads a list of names.
+/// Reads a mandatory list of names.
 pub(crate) fn names(value: &Value, path: &str) -> Result<Vec<String>, SettingsError> {
-    let name = |n: &Value| {
-        n.as_str()
+    let name = |item: &Value| {
+        item.as_str()
             .map(String::from)
             .ok_or_else(|| SettingsError::NotAStringItem { path: path.into() })
     };
@@ -76,12 +80,12 @@
 
 /// Reads a list of indices; `None` if it is missing.
 pub(crate) fn indices(value: &Value, path: &str) -> Result<Option<Vec<u16>>, SettingsError> {
-    if at(value, path).is_none() {
+    if lookup(value, path).is_none() {
         return Ok(None);
     }
-    let index = |x: &Value| {
-        x.as_u64()
-            .and_then(|x| u16::try_from(x).ok())
+    let index = |item: &Value| {
+        item.as_u64()
+            .and_then(|index| u16::try_from(index).ok())
             .ok_or_else(|| SettingsError::NotAnIndex { path: path.into() })
     };
     list(value, path)?
@@ -91,44 +95,46 @@
         .map(Some)
 }
 
-/// Reads one item of a list, a number of at least 1. Returns `absent` if there is no list, or it has fewer items.
-pub(crate) fn number_of_list(
+/// Reads one item of a list, a number of at least 1. Returns `default` if the list is missing or has fewer items.
+pub(crate) fn number_in_list(
     value: &Value,
     path: &str,
     index: usize,
-    absent: f64,
+    default: f64,
 ) -> Result<f64, SettingsError> {
-    if at(value, path).is_none() {
-        return Ok(absent);
+    if lookup(value, path).is_none() {
+        return Ok(default);
     }
-    let Some(found) = list(value, path)?.get(index) else {
-        return Ok(absent);
+    let Some(item) = list(value, path)?.get(index) else {
+        return Ok(default);
     };
     let path = path.to_owned();
-    found
-        .as_f64()
-        .filter(|x| x.is_finite() && *x >= 1.0)
+    item.as_f64()
+        .filter(|number| number.is_finite() && *number >= 1.0)
         .ok_or(SettingsError::BelowOne { path, index })
 }
 
-/// Reads the flag of one class from a list; false if there is no list.
+/// Reads the flag of one class from a list with an item per class; false if the list is missing.
 pub(crate) fn flag_of_class(
     value: &Value,
     path: &str,
     index: usize,
 ) -> Result<bool, SettingsError> {
-    let Some(all) = at(value, path) else {
+    let Some(flags) = lookup(value, path) else {
         return Ok(false);
     };
     let path = path.to_owned();
-    all.get(index)
+    flags
+        .get(index)
         .and_then(Value::as_bool)
         .ok_or(SettingsError::NotABoolItem { path, index })
 }
 
-pub(crate) fn unknown(path: &str, value: &str) -> SettingsError {
+/// The error of a field whose value is not one of the `allowed` ones.
+pub(crate) fn unknown_choice(path: &str, value: &str, allowed: &'static str) -> SettingsError {
     SettingsError::UnknownChoice {
         path: path.into(),
         value: value.into(),
+        allowed,
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object that every host of the policy receives. A number that a rule depends on has no default:
-//! the host can't start without it.
+//! Reads the settings object that each host of the policy receives. A number on which a rule of the policy depends has
+//! no default: the host can't start without it.
 
 mod class;
 mod error;
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,18 +1,18 @@
-//! Reads the policy config.
+//! Reads the configuration of the policy.
 
 use crate::class::class_policies;
 use crate::error::SettingsError;
 use crate::fields::{
-    at, duration, flag, flag_or, list_length, names, number, number_of_list, number_or,
-    required_string, unknown,
+    duration, flag, flag_or, list_length, lookup, names, number, number_in_list, number_or,
+    required_string, unknown_choice,
 };
 use ironstair::{ClassPolicy, LoadMetric, MachineType, Millis, PolicyConfig, RetryBudget};
 use serde_json::Value;
 
-/// The largest limit of attempts per request that can be set.
+/// The largest limit of attempts per request. Larger settings are lowered to it.
 const MAX_ATTEMPTS: f64 = 255.0;
 
-/// The names of the zones by index.
+/// The names of the zones, by index.
 ///
 /// # Errors
 /// Fails if there is no list of names.
@@ -20,7 +20,7 @@
     names(settings, "dcs")
 }
 
-/// The names of the machine types by index.
+/// The names of the machine types, by index.
 ///
 /// # Errors
 /// Fails if there is no list of names.
@@ -28,7 +28,7 @@
     names(settings, "machine_types")
 }
 
-/// Reads the policy config from the JSON text of a settings object.
+/// Reads the configuration of the policy from the JSON text of a settings object.
 ///
 /// # Errors
 /// Fails if the text is not JSON, or a field is missing or invalid.
@@ -36,7 +36,7 @@
     policy_config(&serde_json::from_slice(json)?)
 }
 
-/// Reads the policy config from a settings object.
+/// Reads the configuration of the policy from a settings object.
 ///
 /// # Errors
 /// Fails if a field is missing or invalid.
@@ -48,15 +48,15 @@
     Ok(PolicyConfig {
         gateway_count: number(settings, "fleet_size")?.max(1.0),
         classes,
-        machine_types: machine_kinds(settings)?,
+        machine_types: machine_types(settings)?,
         max_memory_grant: number_or(settings, "family_info.largest_share", 1.0)?,
         honors_memory_grants: flag(settings, "family_info.takes_grants")?,
         honors_priorities: flag(settings, "family_info.lanes_count")?,
-        queues_when_memory_full: lines_up(settings)?,
+        queues_when_memory_full: queues_when_memory_full(settings)?,
         retries_are_marked: flag_or(settings, "callers.marks_retry", true)?,
         may_withdraw: flag(settings, "policy_limits.may_cancel")?,
         may_probe: flag(settings, "policy_limits.probes")?,
-        report_fields: reports(settings),
+        report_fields: report_fields(settings),
         max_retry_after: if is_retry_after_sent {
             duration(settings, "policy_limits.max_retry_after_ns")?
         } else {
@@ -76,7 +76,7 @@
 }
 
 fn retry_budget(settings: &Value) -> Result<Option<RetryBudget>, SettingsError> {
-    if at(settings, "guarantees.budget_span_ns").is_none() {
+    if lookup(settings, "guarantees.budget_span_ns").is_none() {
         return Ok(None);
     }
     Ok(Some(RetryBudget {
@@ -86,7 +86,8 @@
     }))
 }
 
-/// The time in ms for which a key is quarantined after an unknown outcome. Only classes that run in order need it.
+/// The time in ms for which a key is quarantined after an unknown outcome. It is mandatory if a class preserves the
+/// order of the requests of a key, and not read otherwise.
 fn key_quarantine(settings: &Value, classes: &[ClassPolicy]) -> Result<Millis, SettingsError> {
     if classes.iter().any(|class| class.preserves_key_order) {
         duration(settings, "guarantees.settle_after_doubt_ns")
@@ -95,39 +96,39 @@
     }
 }
 
-fn machine_kinds(settings: &Value) -> Result<Vec<MachineType>, SettingsError> {
-    let kind = |index| {
+fn machine_types(settings: &Value) -> Result<Vec<MachineType>, SettingsError> {
+    let machine_type = |index| {
         Ok(MachineType {
-            cores: number_of_list(settings, "family_info.size_cores", index, 1.0)?,
-            memory_mb: number_of_list(settings, "family_info.ram_of_kind_mb", index, 0.0)?,
+            cores: number_in_list(settings, "family_info.size_cores", index, 1.0)?,
+            memory_mb: number_in_list(settings, "family_info.ram_of_kind_mb", index, 0.0)?,
         })
     };
     (0..list_length(settings, "machine_types"))
-        .map(kind)
+        .map(machine_type)
         .collect()
 }
 
-/// Whether a query waits at its engine if memory is short.
-fn lines_up(settings: &Value) -> Result<bool, SettingsError> {
+/// Whether an engine that is short of memory queues queries; true if the settings do not state it.
+fn queues_when_memory_full(settings: &Value) -> Result<bool, SettingsError> {
     let path = "family_info.when_short";
-    if at(settings, path).is_none() {
+    if lookup(settings, path).is_none() {
         return Ok(true);
     }
     match required_string(settings, path)? {
         "line_up" => Ok(true),
         "cut" | "overcommit" => Ok(false),
-        other => Err(unknown(path, other)),
+        other => Err(unknown_choice(path, other, "line_up, cut, overcommit")),
     }
 }
 
-/// The meaning of each number of an engine's load report.
-fn reports(settings: &Value) -> Vec<LoadMetric> {
-    let fields = at(settings, "report.fields")
+/// The meaning of each value of an engine's load report.
+fn report_fields(settings: &Value) -> Vec<LoadMetric> {
+    let names = lookup(settings, "report.fields")
         .and_then(Value::as_array)
         .into_iter()
         .flatten();
-    fields
-        .map(|field| match field.as_str() {
+    names
+        .map(|name| match name.as_str() {
             Some("load_share" | "x0" | "x1") => LoadMetric::Utilization,
             Some("concurrent") => LoadMetric::HeldQueries,
             _ => LoadMetric::Other,
--- a/crates/settings/src/transport.rs
+++ b/crates/settings/src/transport.rs
@@ -6,20 +6,20 @@
 use ironstair::Millis;
 use serde_json::Value;
 
-/// The settings of the gateway's connections. No decision of the policy depends on them.
+/// The settings of the gateway's connections, on which no decision of the policy depends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransportConfig {
-    /// The timeout of establishing a connection, in ms.
+    /// The timeout for establishing a connection, in ms.
     pub connect_timeout: Millis,
-    /// The time in ms after which an idle connection is closed.
+    /// The time after which an idle connection is closed, in ms.
     pub idle_timeout: Millis,
-    /// The limit of attempts on one connection.
+    /// The limit on attempts that share a connection at a time.
     pub max_attempts_per_connection: usize,
-    /// The limit of open requests.
+    /// The limit on open requests.
     pub max_open_requests: usize,
-    /// The longest hard limit of the classes, in ms.
+    /// The longest deadline that a request may have: the longest hard limit of the classes, in ms.
     pub max_deadline: Millis,
-    /// The names of the numbers in an engine's load report, in their order.
+    /// The names of the values in an engine's load report, in order.
     pub report_fields: Vec<String>,
 }
 
--- a/crates/settings/tests/pinned_forms.rs
+++ b/crates/settings/tests/pinned_forms.rs
@@ -1,7 +1,6 @@
-//! The settings object that a gateway is told at start, as JSON: every key of it, with the value that it is read as,
-//! what stands for a key that is not there, and the field that the refusal of a wrong one names. The files under
-//! `pinned` are such objects as an earlier version of the program reads them; who tells a gateway is not this
-//! project, so no key may change.
+//! The settings object that a gateway receives at start, as JSON: the value that is read from each key, and the default
+//! of a missing one; `refusals.rs` tests the errors. The files under `pinned` are settings objects that an earlier
+//! version reads. Programs outside this project write such objects, so no key may change.
 
 use ironstair::{
     ClassPolicy, DedupScope, Effect, LoadMetric, MachineType, PolicyConfig, RetryBudget,
@@ -15,21 +14,22 @@
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-fn full_classes() -> Vec<ClassPolicy> {
-    let class_policy = |expected: f64, value: f64, threads: f64, repeat: Effect| ClassPolicy {
-        base_objective: expected,
-        objective_per_work: 0.0,
-        value,
-        threads,
-        effect: repeat,
-        dedup_window: 0.0,
-        preserves_key_order: false,
-        pins_table_group: false,
-        zones: None,
-        machine_types: None,
-        out_of_service: false,
-    };
-    let tagged = Effect::Deduplicated;
+fn all_classes() -> Vec<ClassPolicy> {
+    let class_policy =
+        |base_objective: f64, value: f64, threads: f64, effect: Effect| ClassPolicy {
+            base_objective,
+            objective_per_work: 0.0,
+            value,
+            threads,
+            effect,
+            dedup_window: 0.0,
+            preserves_key_order: false,
+            pins_table_group: false,
+            zones: None,
+            machine_types: None,
+            out_of_service: false,
+        };
+    let deduplicated = Effect::Deduplicated;
     vec![
         ClassPolicy {
             objective_per_work: 2.5,
@@ -41,15 +41,15 @@
         ClassPolicy {
             dedup_window: 3000.0,
             pins_table_group: true,
-            ..class_policy(2000.0, 6.0, 4.0, tagged(DedupScope::Zone))
+            ..class_policy(2000.0, 6.0, 4.0, deduplicated(DedupScope::Zone))
         },
         ClassPolicy {
             dedup_window: 4.0,
-            ..class_policy(3.0, 0.5, 2.0, tagged(DedupScope::DedupDomain))
+            ..class_policy(3.0, 0.5, 2.0, deduplicated(DedupScope::DedupDomain))
         },
         ClassPolicy {
             dedup_window: 5.0,
-            ..class_policy(1e-6, 1.0, 1.0, tagged(DedupScope::AllEngines))
+            ..class_policy(1e-6, 1.0, 1.0, deduplicated(DedupScope::AllEngines))
         },
         ClassPolicy {
             pins_table_group: true,
@@ -58,10 +58,10 @@
     ]
 }
 
-fn full() -> PolicyConfig {
+fn all_settings() -> PolicyConfig {
     PolicyConfig {
         gateway_count: 3.0,
-        classes: full_classes(),
+        classes: all_classes(),
         machine_types: vec![
             MachineType {
                 cores: 8.0,
@@ -106,26 +106,26 @@
 #[test]
 fn every_key_is_read_with_the_pinned_value() {
     let settings = FORMS.json("settings.json");
-    assert_eq!(policy_config(&settings).unwrap(), full());
+    assert_eq!(policy_config(&settings).unwrap(), all_settings());
     assert_eq!(
         read_policy_config(settings.to_string().as_bytes()).unwrap(),
-        full()
+        all_settings()
     );
-    let texts = |all: &[&str]| all.iter().map(|t| t.to_string()).collect::<Vec<_>>();
+    let strings = |all: &[&str]| all.iter().map(|text| text.to_string()).collect::<Vec<_>>();
     assert_eq!(
         class_names(&settings).unwrap(),
-        texts(&["lookup", "post", "mark", "all", "once"])
+        strings(&["lookup", "post", "mark", "all", "once"])
     );
-    assert_eq!(zone_names(&settings).unwrap(), texts(&["a", "b"]));
+    assert_eq!(zone_names(&settings).unwrap(), strings(&["a", "b"]));
     assert_eq!(
         machine_type_names(&settings).unwrap(),
-        texts(&["std", "big"])
+        strings(&["std", "big"])
     );
     assert_eq!(
         hard_limits(&settings).unwrap(),
         vec![5000.0, 9000.0, 8.0, 1e-6, 6.0]
     );
-    let want = TransportConfig {
+    let expected = TransportConfig {
         connect_timeout: 250.0,
         idle_timeout: 30_000.0,
         max_attempts_per_connection: 32,
@@ -135,11 +135,11 @@
             .map(String::from)
             .to_vec(),
     };
-    assert_eq!(transport_config(&settings).unwrap(), want);
+    assert_eq!(transport_config(&settings).unwrap(), expected);
 }
 
 #[test]
-fn what_is_not_given_has_the_pinned_value() {
+fn missing_keys_have_the_pinned_defaults() {
     let settings = FORMS.json("settings-least.json");
     let class_policy = ClassPolicy {
         base_objective: 1.0,
@@ -148,7 +148,7 @@
         effect: Effect::Idempotent,
         ..ClassPolicy::default()
     };
-    let want = PolicyConfig {
+    let expected = PolicyConfig {
         gateway_count: 1.0,
         classes: vec![class_policy],
         machine_types: vec![MachineType {
@@ -174,9 +174,9 @@
         key_quarantine: 0.0,
         clock_resolution: 2.0,
     };
-    assert_eq!(policy_config(&settings).unwrap(), want);
+    assert_eq!(policy_config(&settings).unwrap(), expected);
     let max_open_requests = f64::MAX as usize;
-    let want = TransportConfig {
+    let expected = TransportConfig {
         connect_timeout: 6.0,
         idle_timeout: 7.0,
         max_attempts_per_connection: 1,
@@ -184,36 +184,36 @@
         max_deadline: 2.0,
         report_fields: Vec::new(),
     };
-    assert_eq!(transport_config(&settings).unwrap(), want);
+    assert_eq!(transport_config(&settings).unwrap(), expected);
 }
 
 #[test]
-fn the_texts_of_a_choice_are_read_as_pinned() {
-    let with = |at: &str, value: Value| {
+fn enumerated_values_are_read_as_pinned() {
+    let config_with = |pointer: &str, value: Value| {
         let mut settings = FORMS.json("settings.json");
-        *settings.pointer_mut(at).unwrap() = value;
+        *settings.pointer_mut(pointer).unwrap() = value;
         policy_config(&settings).unwrap()
     };
-    for (text, lines_up) in [("line_up", true), ("cut", false), ("overcommit", false)] {
+    for (text, queues) in [("line_up", true), ("cut", false), ("overcommit", false)] {
         assert_eq!(
-            with("/family_info/when_short", json!(text)).queues_when_memory_full,
-            lines_up,
+            config_with("/family_info/when_short", json!(text)).queues_when_memory_full,
+            queues,
             "{text}"
         );
     }
-    for (text, must) in [("subscribe", true), ("automatic", false)] {
+    for (text, must_subscribe) in [("subscribe", true), ("automatic", false)] {
         assert_eq!(
-            with("/registry_mode", json!(text)).must_subscribe,
-            must,
+            config_with("/registry_mode", json!(text)).must_subscribe,
+            must_subscribe,
             "{text}"
         );
     }
     assert_eq!(
-        with("/policy_limits/retry_after", json!(false)).max_retry_after,
+        config_with("/policy_limits/retry_after", json!(false)).max_retry_after,
         0.0
     );
     assert_eq!(
-        with("/classes/0/by_arrival", json!(false)).key_quarantine,
+        config_with("/classes/0/by_arrival", json!(false)).key_quarantine,
         0.0
     );
 }
--- a/crates/settings/tests/refusals.rs
+++ b/crates/settings/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! The field that the error of an invalid settings object names.
+//! The error of an invalid settings object names the field, so that operators can find it.
 
 use ironstair_settings::{
     class_names, machine_type_names, policy_config, transport_config, zone_names,
@@ -6,10 +6,11 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// The key to change, the JSON in its place (`None` takes the key out), and the field that is named.
+/// The key to change as a JSON pointer, its new JSON (`None` removes the key), and the field that the error names.
 type Case = (&'static str, Option<&'static str>, &'static str);
 
-const NOT_A_NUMBER: &str = "\"x\"";
+/// A string that is invalid for every number, flag and choice in the cases.
+const INVALID_STRING: &str = "\"x\"";
 
 const CASES: [Case; 45] = [
     ("/classes", None, "classes"),
@@ -25,12 +26,12 @@
     ("/classes/0/worth", None, "classes[0]: worth"),
     (
         "/classes/0/aim_stretch",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "classes[0]: aim_stretch",
     ),
     (
         "/classes/0/by_arrival",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "classes[0]: by_arrival",
     ),
     (
@@ -70,22 +71,22 @@
     ),
     (
         "/family_info/largest_share",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "family_info.largest_share",
     ),
     (
         "/family_info/takes_grants",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "family_info.takes_grants",
     ),
     (
         "/family_info/lanes_count",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "family_info.lanes_count",
     ),
     (
         "/family_info/when_short",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "family_info.when_short",
     ),
     ("/fleet_size", None, "fleet_size"),
@@ -93,7 +94,7 @@
     ("/resolution_ns", None, "resolution_ns"),
     (
         "/callers/marks_retry",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "callers.marks_retry",
     ),
     ("/guarantees/cold_from", None, "guarantees.cold_from"),
@@ -110,7 +111,7 @@
     ("/guarantees/fall_ns", None, "guarantees.fall_ns"),
     (
         "/guarantees/budget_span_ns",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "guarantees.budget_span_ns",
     ),
     (
@@ -131,17 +132,17 @@
     ),
     (
         "/policy_limits/may_cancel",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "policy_limits.may_cancel",
     ),
     (
         "/policy_limits/probes",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "policy_limits.probes",
     ),
     (
         "/policy_limits/retry_after",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "policy_limits.retry_after",
     ),
     (
@@ -162,7 +163,7 @@
     ("/policy_limits/multiplex", None, "policy_limits.multiplex"),
     (
         "/policy_limits/max_open",
-        Some(NOT_A_NUMBER),
+        Some(INVALID_STRING),
         "policy_limits.max_open",
     ),
     ("/classes/0/give_up_ns", None, "give_up_ns"),
@@ -171,39 +172,39 @@
     ("/machine_types", Some("[1]"), "machine_types"),
 ];
 
-fn pinned() -> Value {
+fn pinned_settings() -> Value {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/pinned/settings.json");
-    let text = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    let text = std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     serde_json::from_slice(&text).unwrap()
 }
 
 #[test]
-fn a_wrong_key_is_refused_by_the_pinned_field() {
-    for (at, value, field) in CASES {
-        let mut settings = pinned();
-        let (parent, key) = at.rsplit_once('/').unwrap();
+fn error_of_an_invalid_value_names_the_pinned_field() {
+    for (pointer, value, field) in CASES {
+        let mut settings = pinned_settings();
+        let (parent, key) = pointer.rsplit_once('/').unwrap();
         let members = settings
             .pointer_mut(parent)
             .unwrap()
             .as_object_mut()
             .unwrap();
-        assert!(members.remove(key).is_some(), "{at}");
+        assert!(members.remove(key).is_some(), "{pointer}");
         if let Some(value) = value {
             members.insert(key.into(), serde_json::from_str(value).unwrap());
         }
-        let all = [
+        let errors = [
             zone_names(&settings).err(),
             machine_type_names(&settings).err(),
             policy_config(&settings).err(),
             transport_config(&settings).err(),
             class_names(&settings).err(),
         ];
-        let why = all
+        let error = errors
             .into_iter()
             .flatten()
             .next()
-            .unwrap_or_else(|| panic!("{at} is taken as {value:?}"))
+            .unwrap_or_else(|| panic!("{pointer}: {value:?} is accepted"))
             .to_string();
-        assert!(why.starts_with(field), "{at}: {why}");
+        assert!(error.starts_with(field), "{pointer}: {error}");
     }
 }
