--- a/crates/protocol/src/dns.rs
+++ b/crates/protocol/src/dns.rs
@@ -1,9 +1,9 @@
-//! DNS messages (RFC 1035, SRV records by RFC 2782): the query for a service, and its answer as a list of hosts.
+//! DNS messages (RFC 1035, with SRV records as in RFC 2782): the query for a service, and the hosts in its answer.
 
 use std::net::Ipv4Addr;
 use std::ops::Range;
 
-/// Longest answer that is accepted, in bytes.
+/// Maximum length of an accepted answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 8192;
 
 const TYPE_A: u16 = 1;
@@ -19,46 +19,46 @@
 const POINTER_MASK: u16 = 0x3FFF;
 
 const HEADER_BYTES: usize = 12;
-/// Length of a question's type and class, which follow its name.
+/// Length of a question's type and class, which follow its name, in bytes.
 const QUESTION_FIXED_BYTES: usize = 4;
-/// Length of a record's type, class, time to live and data length, which follow its name.
+/// Length of a record's type, class, time to live and data length, which follow its name, in bytes.
 const RECORD_FIXED_BYTES: usize = 10;
-/// Length of an SRV record's priority, weight and port, which its target follows.
+/// Length of an SRV record's priority, weight and port, which its target follows, in bytes.
 const SRV_FIXED_BYTES: usize = 6;
 const MAX_LABEL_BYTES: usize = 63;
 const MAX_NAME_BYTES: usize = 255;
 
-/// An answer that cannot be used.
+/// Why an answer can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AnswerError {
-    /// A field lies beyond the message's end.
-    #[error("message ends early")]
+    /// A field extends beyond the message's end.
+    #[error("DNS message ends inside a field")]
     EndsEarly,
-    /// A name is too long, not text, or its pointers do not lead backwards.
-    #[error("malformed name")]
+    /// A name is too long, not UTF-8, or a pointer in it does not lead backwards.
+    #[error("malformed name in DNS message")]
     MalformedName,
-    /// The answer belongs to another query.
-    #[error("unexpected query id {0}")]
+    /// No query with this id waits for an answer.
+    #[error("DNS answer with unexpected query id {0}")]
     UnexpectedId(u16),
     /// The message is a query, is marked as truncated, or reports an error.
-    #[error("not a complete answer, flags {0:#06x}")]
+    #[error("not a complete DNS answer without error: flags {0:#06x}")]
     Flags(u16),
-    /// Bytes follow the records that the header announces.
-    #[error("bytes behind the last record")]
+    /// Bytes follow the records that the header counts.
+    #[error("DNS message continues after the last record that its header counts")]
     TrailingBytes,
-    /// No SOA record: the list's version is unknown.
-    #[error("no serial of the zone")]
+    /// There is no SOA record, whose serial is the version of the list.
+    #[error("DNS answer has no SOA record with the zone's serial")]
     SerialMissing,
-    /// A host of the list has no address or no text record.
-    #[error("host without address or text record")]
+    /// A host of the list has no A record or no TXT record.
+    #[error("host in DNS answer has no A record or no TXT record")]
     IncompleteHost,
 }
 
 /// One host of an answer.
 pub struct Host<'a> {
-    /// The first label of its name.
+    /// The first label of the host's name.
     pub name: &'a str,
-    /// The second label of its name: the availability zone.
+    /// The second label of the host's name: the availability zone.
     pub zone: &'a str,
     /// The priority in its SRV record.
     pub priority: u16,
@@ -71,7 +71,7 @@
 }
 
 impl<'a> Host<'a> {
-    /// The value of the attribute `name=value` among the host's text records (RFC 1464).
+    /// The value of the attribute `name=value` in the host's TXT records (RFC 1464).
     pub fn attribute(&self, name: &str) -> Option<&'a str> {
         let mut text_records = self
             .records
@@ -92,10 +92,10 @@
     }
 }
 
-/// Appends the query for the SRV records of `name`. Empty labels and labels that are too long are left out.
+/// Appends the query for the SRV records of `name`. Empty labels and labels that are too long are omitted.
 pub fn write_query(output: &mut Vec<u8>, id: u16, name: &str) {
     output.extend(id.to_be_bytes());
-    // No flags, one question and one additional record, which states the longest answer.
+    // No flags, one question and one additional record, which states the maximum length of an answer.
     output.extend([0, 0, 0, 1, 0, 0, 0, 0, 0, 1]);
     let fits = |label: &&str| (1..=MAX_LABEL_BYTES).contains(&label.len());
     for label in name.split('.').filter(fits) {
@@ -113,11 +113,11 @@
 
 /// Reads an answer, calls `on_host` for each host and returns the zone's serial.
 ///
-/// `is_expected` says whether a query with that id waits for its answer.
+/// `is_expected` returns whether a query with this id waits for its answer.
 ///
 /// # Errors
-/// The message is not a complete answer to such a query. Hosts for which `on_host` was called before must then be
-/// discarded: a list that was cut off would read as engines that are gone.
+/// Fails if the message is not a complete answer to such a query. The hosts passed to `on_host` until then must be
+/// discarded: the engines missing from a truncated list would be taken for gone.
 pub fn read_answer(
     message: &[u8],
     is_expected: impl FnOnce(u16) -> bool,
@@ -127,7 +127,7 @@
     message.check_header(is_expected)?;
     let mut records = message.records()?;
     let serial = message.serial(&records)?;
-    // Sorted by owner: each host's records are found without a search of the whole list.
+    // Sorted by owner, so that each host's records are found without a scan of the whole list.
     records.sort_by(|left, right| left.owner.cmp(&right.owner));
     let is_service =
         |record: &&Record| record.record_type == TYPE_SRV && record.data.len() > SRV_FIXED_BYTES;
@@ -149,6 +149,7 @@
     Ok(serial)
 }
 
+/// The records of one owner, of records that are sorted by owner.
 fn records_of<'a>(sorted: &'a [Record], owner: &str) -> &'a [Record] {
     let start = sorted.partition_point(|record| record.owner.as_str() < owner);
     let from_owner = &sorted[start..];
@@ -160,7 +161,7 @@
     /// The name that the record belongs to, in lower case.
     owner: String,
     record_type: u16,
-    /// The position of its data in the message.
+    /// The range of its data in the message.
     data: Range<usize>,
 }
 
@@ -195,9 +196,9 @@
         Ok(())
     }
 
-    /// Reads a name in lower case, its labels separated by dots, and returns it with the position behind it.
+    /// Reads a name in lower case, with its labels separated by dots. Returns it with the position after it.
     ///
-    /// Each pointer must lead further back than the one before, otherwise a message could keep this in an endless loop.
+    /// Each pointer must lead further back than the previous one; otherwise a message could cause an endless loop.
     fn name_at(&self, start: usize) -> Result<(String, usize), AnswerError> {
         let mut name = String::new();
         let mut position = start;
@@ -276,18 +277,19 @@
         })
     }
 
-    /// The serial in the zone's SOA record, behind the names of its server and its contact.
+    /// The serial in the zone's SOA record, after the names of its server and its contact.
     fn serial(&self, records: &[Record]) -> Result<u32, AnswerError> {
-        let mut zones = records
+        let mut soa_records = records
             .iter()
             .filter(|record| record.record_type == TYPE_SOA);
-        let zone = zones.next().ok_or(AnswerError::SerialMissing)?;
-        let (_, server_end) = self.name_at(zone.data.start)?;
+        let soa = soa_records.next().ok_or(AnswerError::SerialMissing)?;
+        let (_, server_end) = self.name_at(soa.data.start)?;
         let (_, contact_end) = self.name_at(server_end)?;
         self.u32_at(contact_end)
     }
 
-    /// The address of a host that has all of its records. A host without its text record would read as one of no kind.
+    /// The address of a host. Fails unless the host also has a TXT record: without it, the host would have no machine
+    /// type.
     fn address(&self, records: &[Record]) -> Result<Ipv4Addr, AnswerError> {
         let is_address = |record: &&Record| {
             record.record_type == TYPE_A && record.data.len() == size_of::<u32>()
--- a/crates/protocol/src/json.rs
+++ b/crates/protocol/src/json.rs
@@ -1,17 +1,17 @@
-//! A JSON reader that walks over a buffer value by value. Strings without escape sequences are borrowed.
+//! A JSON reader that reads a buffer value by value. Strings without escape sequences are borrowed.
 
 use std::borrow::Cow;
 
-/// Most nested objects and arrays in a value that is skipped. The clients' messages nest less; without a limit a
-/// message of opening brackets would overflow the stack.
+/// Maximum depth of nested objects and arrays in a value that is skipped. The clients' messages nest less; without a
+/// limit, a message of opening brackets would overflow the stack.
 const MAX_DEPTH: usize = 32;
-/// Numbers are read as `f64`, which holds every whole number below this one exactly (2^53).
+/// 2^53. Numbers are read as `f64`, which represents every whole number below this one exactly.
 const EXACT_INTEGER_LIMIT: f64 = 9007199254740992.0;
 
 /// Reads JSON values from a buffer, one after the other.
 ///
-/// Every method returns `None` where the next value is malformed or of another type. The position is then unspecified
-/// and the reader must not be used any further.
+/// Every method returns `None` if the next value is malformed or of another type. The position is then unspecified and
+/// the reader must not be used any further.
 pub struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -35,7 +35,7 @@
         (self.peek()? == byte).then(|| self.position += 1)
     }
 
-    /// Reads an object. `on_key` is called with each key and has to consume the key's value.
+    /// Reads an object. `on_key` is called with each key and must consume the key's value.
     pub fn object(&mut self, mut on_key: impl FnMut(&[u8], &mut Self) -> Option<()>) -> Option<()> {
         self.expect(b'{')?;
         self.items(b'}', |reader| {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Decodes the escape sequence behind a backslash.
+    /// Decodes the escape sequence after a backslash.
     fn escape_sequence(&mut self, decoded: &mut Vec<u8>) -> Option<()> {
         let byte = match self.next_byte()? {
             b'n' => b'\n',
@@ -105,7 +105,7 @@
         Some(())
     }
 
-    /// Decodes the digits behind `\u`, and the second half of a surrogate pair where one follows.
+    /// Decodes the digits after `\u`, and the second half of a surrogate pair if one follows.
     fn unicode_escape(&mut self) -> Option<char> {
         let first = self.utf16_unit()?;
         let is_high_surrogate = (0xD800..0xDC00).contains(&first);
@@ -187,7 +187,7 @@
         Some(())
     }
 
-    /// Whether only white space is left.
+    /// Whether only white space remains.
     pub fn at_end(&mut self) -> bool {
         self.peek().is_none()
     }
--- a/crates/protocol/src/lines.rs
+++ b/crates/protocol/src/lines.rs
@@ -7,17 +7,17 @@
 use std::num::ParseIntError;
 use std::str::Utf8Error;
 
-/// Longest reply line that is accepted, in bytes.
+/// Maximum length of an accepted reply line, in bytes.
 pub const MAX_LINE_BYTES: usize = 1024;
-/// Longest body of one reply, in bytes.
+/// Maximum length of the body of one reply, in bytes.
 pub const MAX_BODY_BYTES: usize = 6144;
-/// Columns of a result row.
+/// The number of columns in a result row.
 const RESULT_COLUMNS: usize = 3;
 
 /// The kind of a reply: the end of an attempt, a page, or a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyKind {
-    /// The query has run; the body is the first page of its result.
+    /// The query has run. The body is the first page of its result.
     Done,
     /// The engine has no capacity for the attempt.
     Full,
@@ -63,18 +63,18 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The value of the field with that name.
+    /// The value of the field with this name.
     pub fn field(&self, name: &str) -> Option<&'a [u8]> {
         let mut fields = self.0.split(|byte| *byte == b',');
         fields.find_map(|field| field.strip_prefix(name.as_bytes())?.strip_prefix(b"="))
     }
 
-    /// The value of the field with that name, where it is a finite number.
+    /// The value of the field with this name, if it is a finite number.
     pub fn number(&self, name: &str) -> Option<f64> {
         finite_number(self.field(name)?)
     }
 
-    /// The values of the load report, in the engine's order. Values that are not numbers are left out.
+    /// The values of the load report, in the engine's order. Values that are not numbers are omitted.
     pub fn load(&self) -> impl Iterator<Item = LoadValue<'a>> {
         let report = self.field("load").unwrap_or_default();
         let entries = report.split(|byte| *byte == b';');
@@ -93,7 +93,7 @@
     number.is_finite().then_some(number)
 }
 
-/// Whether a page consists of complete rows, each with its line feed and three columns of UTF-8 text.
+/// Whether a page consists of complete rows, each of three columns of UTF-8 text and a line feed.
 pub fn is_complete_page(page: &[u8]) -> bool {
     let mut rows = page.split(|byte| *byte == b'\n');
     let ends_with_line_feed = rows.next_back().is_some_and(<[u8]>::is_empty);
@@ -107,52 +107,52 @@
 pub struct Reply<'a> {
     /// The request's id, or the tag of a load report request.
     pub id: &'a [u8],
-    /// Its kind.
+    /// The kind of the reply.
     pub kind: ReplyKind,
-    /// Its fields.
+    /// The reply's fields.
     pub fields: Fields<'a>,
-    /// Its body; empty where it has none.
+    /// The reply's body; empty if it has none.
     pub body: &'a [u8],
     /// Length of the whole reply in the buffer, in bytes.
     pub encoded_bytes: usize,
 }
 
-/// Bytes that are not a reply. The start of the next reply is unknown after them.
+/// Why bytes are not a valid reply. The start of the next reply is unknown after them.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplyError {
-    /// No line feed within the longest line.
-    #[error("line longer than {MAX_LINE_BYTES} bytes")]
+    /// There is no line feed within the maximum length of a line.
+    #[error("reply line longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
     /// The line feed has no carriage return before it.
-    #[error("line does not end with CR LF")]
+    #[error("reply line does not end with CR LF")]
     LineEndMissing,
     /// The line has fewer than two words.
-    #[error("line without an id and a kind")]
+    #[error("reply line without an id and a kind")]
     KindMissing,
     /// The second word is not a kind of reply.
-    #[error("unknown kind of reply")]
+    #[error("unknown kind of reply, expected DONE, WAIT, BROKE, PAST, MORE, FIT or UNFIT")]
     UnknownKind,
-    /// The body's length is not text.
-    #[error("body length is not text")]
+    /// The body's length is not UTF-8 text.
+    #[error("body length of a reply is not UTF-8 text")]
     LengthNotText(#[source] Utf8Error),
     /// The body's length is not a whole number.
-    #[error("body length is not a whole number")]
+    #[error("body length of a reply is not a whole number")]
     LengthNotNumber(#[source] ParseIntError),
-    /// The body would be too long.
-    #[error("body of {0} bytes, at most {MAX_BODY_BYTES} are accepted")]
+    /// The body is longer than the limit.
+    #[error("reply body of {0} bytes exceeds the limit of {MAX_BODY_BYTES}")]
     BodyTooLong(usize),
     /// The body is not followed by CR LF.
-    #[error("body does not end with CR LF")]
+    #[error("reply body does not end with CR LF")]
     BodyEndMissing,
 }
 
 /// Reads the first reply in `bytes`; `None` while it is incomplete.
 ///
 /// # Errors
-/// The bytes are not a reply, or the reply is too long.
+/// Fails if the bytes are not a valid reply, or the reply is too long.
 pub fn read_reply(bytes: &[u8]) -> Result<Option<Reply<'_>>, ReplyError> {
-    let mut longest_line = bytes.iter().take(MAX_LINE_BYTES);
-    let Some(line_feed) = longest_line.position(|byte| *byte == b'\n') else {
+    let mut line_window = bytes.iter().take(MAX_LINE_BYTES);
+    let Some(line_feed) = line_window.position(|byte| *byte == b'\n') else {
         if bytes.len() >= MAX_LINE_BYTES {
             return Err(ReplyError::LineTooLong);
         }
@@ -197,7 +197,7 @@
     Ok(length)
 }
 
-/// The bytes behind a body, of a reply and of an attempt alike.
+/// The bytes after a body, in replies as well as in attempts.
 pub const BODY_END: &[u8] = b"\r\n";
 
 /// The command that starts an attempt. The statement and [`BODY_END`] follow it.
@@ -207,11 +207,11 @@
     pub id: &'a str,
     /// The name of the request's class.
     pub class: &'a str,
-    /// The key by which engines recognize a repeated request, where the client gave one.
+    /// The key by which engines recognize a repeated request, if the client gave one.
     pub idempotency_key: Option<&'a str>,
-    /// How long the engine may take, in ms.
+    /// The time that the engine may take, in ms.
     pub time_remaining_ms: u64,
-    /// The priority; the engine has a default.
+    /// The priority; `None` for the engine's default.
     pub priority: Option<u8>,
     /// Length of the statement that follows, in bytes.
     pub statement_bytes: usize,
--- a/crates/protocol/src/rpc.rs
+++ b/crates/protocol/src/rpc.rs
@@ -6,22 +6,22 @@
 use std::num::ParseIntError;
 use std::str::Utf8Error;
 
-/// Longest frame header that is accepted, in bytes.
+/// Maximum length of an accepted frame header, in bytes.
 pub const MAX_HEADER_BYTES: usize = 512;
-/// Longest message that is accepted, in bytes.
+/// Maximum length of an accepted message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 /// The error codes of responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(i32)]
 pub enum ErrorCode {
-    /// The gateway does not accept the request now; the client may send it again later.
+    /// The gateway does not accept the request now. The client may send it again later.
     Rejected = -32014,
     /// No attempt of the request has succeeded, and no further one starts.
     Failed = -32002,
-    /// The message is not valid JSON, or its frame is broken.
+    /// The message is not valid JSON, or its frame is malformed.
     ParseError = -32700,
-    /// The message is JSON, but not a call that is possible on this connection.
+    /// The message is JSON, but not a call that is valid on this connection.
     InvalidRequest = -32600,
     /// No class has the method's name.
     MethodNotFound = -32601,
@@ -36,19 +36,19 @@
     }
 }
 
-/// The lengths that a frame's header states.
+/// The length of a frame's header, and the length of the message that it states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// Length of the header with the empty line behind it, in bytes.
+    /// Length of the header including the empty line after it, in bytes.
     pub header_bytes: usize,
     /// Length of the message that follows, in bytes.
     pub message_bytes: usize,
 }
 
-/// A frame header that cannot be read. The start of the next message is unknown after it.
+/// Why a frame header can't be used. The start of the next message is unknown after it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// No empty line within the longest header.
+    /// There is no empty line within the maximum length of a header.
     #[error("frame header longer than {MAX_HEADER_BYTES} bytes")]
     HeaderTooLong,
     /// A header line has no colon.
@@ -57,21 +57,21 @@
     /// The header ends without a length.
     #[error("frame header without Content-Length")]
     MissingLength,
-    /// The length is not text.
-    #[error("Content-Length is not text")]
+    /// The length is not UTF-8 text.
+    #[error("Content-Length is not UTF-8 text")]
     LengthNotText(#[source] Utf8Error),
     /// The length is not a whole number.
     #[error("Content-Length is not a whole number")]
     LengthNotNumber(#[source] ParseIntError),
-    /// The message would be too long.
-    #[error("message of {0} bytes, at most {MAX_MESSAGE_BYTES} are accepted")]
+    /// The message is longer than the limit.
+    #[error("message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")]
     MessageTooLong(usize),
 }
 
 /// Reads a frame's header from the start of `bytes`; `None` while the header is incomplete.
 ///
 /// # Errors
-/// The header is malformed, or it or its message is too long.
+/// Fails if the header is malformed, or the header or its message is too long.
 pub fn frame_header(bytes: &[u8]) -> Result<Option<FrameHeader>, FrameError> {
     let mut position = 0;
     let mut message_bytes = None;
@@ -113,23 +113,23 @@
     Ok(Some(length))
 }
 
-/// A call's parameters. Each is looked up by name in the message itself, without a copy.
+/// A call's parameters. Each is looked up by name in the message, without a copy.
 #[derive(Clone, Copy, Debug)]
 pub struct Params<'a>(&'a [u8]);
 
-/// A parameter that is present, but not a number within its bounds.
+/// A parameter is present, but not a number within its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 #[error("parameter is not a number from 0 to {max}")]
 pub struct OutOfBounds {
-    /// Largest number that is accepted.
+    /// The largest accepted number.
     pub max: f64,
 }
 
 impl<'a> Params<'a> {
     fn find<T>(&self, name: &str, read: impl Fn(&mut Reader<'a>) -> Option<T>) -> Option<T> {
         let mut found = None;
-        // Ends early at a value of another type. Syntax errors can't be missed by that: `read_call` has already read
-        // the whole message.
+        // Stops at a parameter whose value is of another type. This can't hide a syntax error: `read_call` has already
+        // read the whole message.
         Reader::new(self.0).object(|key, reader| {
             if key == name.as_bytes() {
                 found = Some(read(reader)?);
@@ -140,26 +140,26 @@
         found
     }
 
-    /// The string with that name; `None` where it is missing or of another type.
+    /// The string with this name; `None` if it is missing or of another type.
     pub fn string(&self, name: &str) -> Option<Cow<'a, [u8]>> {
         self.find(name, Reader::string)
     }
 
-    /// The number with that name; `None` where it is missing or of another type.
+    /// The number with this name; `None` if it is missing or of another type.
     pub fn number(&self, name: &str) -> Option<f64> {
         self.find(name, Reader::number)
     }
 
-    /// The whole number from 0 with that name; `None` where it is missing or not one.
+    /// The whole number of at least 0 with this name; `None` if it is missing or of another type.
     pub fn unsigned(&self, name: &str) -> Option<u64> {
         self.find(name, Reader::unsigned)
     }
 
-    /// The number with that name; `None` only where it is missing.
+    /// The number with this name; `None` only if it is missing.
     ///
     /// # Errors
-    /// The parameter is present, but not a number from 0 to `max`. Taken for missing, such a value would be replaced
-    /// by a default without the client's knowledge.
+    /// Fails if the parameter is present, but not a number from 0 to `max`. If such a value were taken for missing, a
+    /// default would replace it without the client's knowledge.
     pub fn bounded_number(&self, name: &str, max: f64) -> Result<Option<f64>, OutOfBounds> {
         match self.number(name) {
             Some(number) if (0.0..=max).contains(&number) => Ok(Some(number)),
@@ -172,19 +172,19 @@
 /// A call from a client.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// The call's `id`, which its response repeats; `None` where it is missing or `null`.
+    /// The call's `id`, which its response repeats; `None` if it is missing or `null`.
     pub id: Option<u64>,
     /// The method's name.
     pub method: Cow<'a, [u8]>,
-    /// The parameters; empty where the call has none.
+    /// The parameters; empty if the call has none.
     pub params: Params<'a>,
 }
 
-/// A message that is not a usable call.
+/// Why a message is not a usable call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unusable call, error code {}", .code.value())]
 pub struct CallError {
-    /// The call's `id`, where it could be read.
+    /// The call's `id`, if it could be read.
     pub call_id: Option<u64>,
     /// The error code of the response.
     pub code: ErrorCode,
@@ -193,7 +193,7 @@
 /// Reads a whole message as a call.
 ///
 /// # Errors
-/// The message is not a JSON object, or has no method.
+/// Fails if the message is not a JSON object, or has no method.
 pub fn read_call(message: &[u8]) -> Result<Call<'_>, CallError> {
     let mut id = None;
     let mut method = None;
@@ -224,7 +224,7 @@
 
 const RESPONSE_START: &str = "{\"jsonrpc\":\"2.0\",\"id\":";
 const RESULT_TEXT_START: &str = ",\"result\":{\"bytes\":\"";
-/// The end of a result, behind its text.
+/// The end of a result, after its text.
 pub const RESULT_END: &str = "\"}}";
 
 /// Writes the start of a result whose text has `text_bytes` bytes. The caller writes the text, which must not need JSON
@@ -240,7 +240,7 @@
     output.extend(format!("{RESPONSE_START}{call_id}{RESULT_TEXT_START}").as_bytes());
 }
 
-/// Writes the response to a health check: whether the gateway wants requests.
+/// Writes the response to a health check: whether the gateway accepts requests.
 pub fn write_health(output: &mut Vec<u8>, call_id: u64, is_healthy: bool) {
     let message = format!("{RESPONSE_START}{call_id},\"result\":{{\"fit\":{is_healthy}}}}}");
     write_frame(output, &message);
@@ -249,13 +249,13 @@
 /// An error response.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorResponse<'a> {
-    /// The call that it responds to; `None` where the call's `id` is unknown.
+    /// The `id` of the call that it responds to; `None` if it is unknown.
     pub call_id: Option<u64>,
     /// The error code.
     pub code: ErrorCode,
     /// A short text, which must not need JSON escapes.
     pub message: &'a str,
-    /// When the client should send the request again, in ms from now. Below 1 no advice is written.
+    /// The time in ms after which the client should send the request again. It is written only if it is at least 1.
     pub retry_after_ms: f64,
 }
 
@@ -266,13 +266,13 @@
             Some(call_id) => call_id.to_string(),
             None => String::from("null"),
         };
-        let advice = match self.retry_after_ms {
+        let retry_advice = match self.retry_after_ms {
             after if after >= 1.0 => format!(",\"data\":{{\"after\":{after:.0}}}"),
             _ => String::new(),
         };
         let code = self.code.value();
         let text = self.message;
-        let error = format!("{{\"code\":{code},\"message\":\"{text}\"{advice}}}");
+        let error = format!("{{\"code\":{code},\"message\":\"{text}\"{retry_advice}}}");
         write_frame(
             output,
             &format!("{RESPONSE_START}{call_id},\"error\":{error}}}"),
--- a/crates/protocol/src/statement.rs
+++ b/crates/protocol/src/statement.rs
@@ -1,21 +1,21 @@
-//! Finds the table group of an SQL statement: the number behind the underscore in the name of a schema, such as 17 in
-//! `sales_17.orders`.
+//! Finds the table group of an SQL statement: the number after the last underscore in the name of a schema, such as 17
+//! in `sales_17.orders`.
 
-/// After these keywords a name with a dot is a table.
+/// After these keywords, a name with a dot is a table.
 const TABLE_KEYWORDS: [&[u8]; 8] = [
     b"from", b"join", b"into", b"update", b"table", b"using", b"copy", b"only",
 ];
-/// After these keywords a name with a dot may be the column of a table or alias.
+/// After these keywords, a name with a dot may be a column of a table or alias.
 const COLUMN_KEYWORDS: [&[u8]; 9] = [
     b"select", b"where", b"on", b"set", b"group", b"order", b"having", b"values", b"limit",
 ];
-/// Schemas of this name hold copies on the way into another table: their number is not a table group.
+/// Schemas of this name hold copies on their way into another table: their number is not a table group.
 const STAGING_SCHEMA: &[u8] = b"staging";
 
-/// Returns the statement's table group; `None` where no schema's name has a number.
+/// Returns the statement's table group; `None` if no schema's name has a number.
 ///
-/// The first table decides. A name with a dot elsewhere may be an alias and its column: it counts only where the
-/// statement names no table with a group.
+/// The first table with a group decides. A name with a dot elsewhere may be an alias and its column: it counts only if
+/// the statement names no table with a group.
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let mut scan = Scan::default();
     let mut tokens = Tokens { rest: statement };
@@ -24,26 +24,26 @@
         .or(scan.column_group)
 }
 
-/// The position in a statement that is searched token by token.
+/// The state of the search through a statement, token by token.
 #[derive(Default)]
 struct Scan<'a> {
-    /// The last keyword is followed by tables.
+    /// Whether the last keyword is followed by tables.
     tables_follow: bool,
-    /// The last name that is not behind a dot.
+    /// The last name that does not follow a dot.
     name: Option<&'a [u8]>,
     previous: Option<Token<'a>>,
-    /// The first group in a name that may be a column's.
+    /// The first group in a name that may be that of a column.
     column_group: Option<u64>,
 }
 
 impl<'a> Scan<'a> {
-    /// Reads one more token and returns the group of the table whose schema ends there.
+    /// Processes the next token. Returns the group of a table if the token ends the name of its schema.
     fn table_group(&mut self, token: Token<'a>) -> Option<u64> {
         let previous = self.previous.replace(token);
         match token {
             Token::Name(_) if previous == Some(Token::Dot) => {}
             Token::Name(name) => {
-                self.note_keyword(name);
+                self.update_keyword(name);
                 self.name = Some(name);
             }
             Token::Dot => {
@@ -60,7 +60,7 @@
         None
     }
 
-    fn note_keyword(&mut self, name: &[u8]) {
+    fn update_keyword(&mut self, name: &[u8]) {
         let is_name = |keyword: &&[u8]| name.eq_ignore_ascii_case(keyword);
         if TABLE_KEYWORDS.iter().any(is_name) {
             self.tables_follow = true;
@@ -92,7 +92,7 @@
     Other(u8),
 }
 
-/// Splits a statement into tokens; comments and dollar-quoted strings are skipped.
+/// Splits a statement into tokens. Comments and dollar-quoted strings are skipped.
 struct Tokens<'a> {
     rest: &'a [u8],
 }
