--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -16,16 +16,16 @@
 const REFUSE_START: u16 = 76;
 const REJECT: u16 = 77;
 
-/// The field for an attempt's expiry: it expires when the client gives up.
+/// The expiry field of an attempt without an expiry of its own: the attempt expires when the client gives up.
 const NO_EXPIRY: u64 = 0;
 
-/// The field of a wake-up that the simulator returns with it; the policy needs none.
+/// The token field of a wake-up, which the simulator returns in the timer's record. The policy does not use it.
 const NO_TOKEN: u64 = 0;
 
-/// A flag that is set.
+/// The value of a flag field that is set.
 const ON: u8 = 1;
 
-/// Writes the actions of one instance.
+/// Writes the actions of one instance as records.
 pub(crate) struct ActionWriter<'a> {
     pub(crate) instance: u16,
     pub(crate) output: &'a mut Vec<u8>,
@@ -50,14 +50,14 @@
     output.extend(instance.to_le_bytes());
 }
 
-/// Writes a text behind its length; a longer text than the length can say is cut.
+/// Writes a text after its length. A text that is too long for the length field is truncated.
 fn write_text(output: &mut Vec<u8>, text: &str) {
     let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
     output.extend((bytes.len() as u16).to_le_bytes());
     output.extend(bytes);
 }
 
-/// Writes that an instance can't be started.
+/// Writes the record that refuses to start an instance.
 pub(crate) fn write_start_refused(output: &mut Vec<u8>, instance: u16, reason: &str) {
     write_header(output, REFUSE_START, instance);
     write_text(output, reason);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why input can't be served.
+//! Errors in the simulator's input.
 
 use std::io;
 
@@ -6,25 +6,25 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// The frame ends inside a field.
-    #[error("frame ends inside {field}: {expected} bytes wanted at byte {at}, {remaining} left")]
+    #[error("frame ends inside field {field} at byte {offset}: expected {expected} bytes, {remaining} left")]
     Truncated {
         /// The field.
         field: &'static str,
         /// The field's length.
         expected: usize,
-        /// The position of the field's first byte.
-        at: usize,
-        /// Bytes left in the frame.
+        /// The offset of the field in the frame's body.
+        offset: usize,
+        /// The bytes left in the frame.
         remaining: usize,
     },
     /// The record has a code that the protocol does not define.
-    #[error("unknown code {0}")]
+    #[error("unknown record code {0}")]
     UnknownCode(u16),
     /// An outcome has a status that the protocol does not define.
-    #[error("unknown outcome {0}")]
+    #[error("unknown outcome status {0}, expected 0 to 7")]
     UnknownOutcome(u8),
     /// The record is for an instance that was not started.
-    #[error("code {code} for instance {instance}, which was not started")]
+    #[error("record with code {code} for instance {instance}, which was not started")]
     UnknownInstance {
         /// The record's code.
         code: u16,
@@ -32,17 +32,17 @@
         instance: u16,
     },
     /// The request's class is not in the instance's settings.
-    #[error("class {0} is not among those of the start message")]
+    #[error("class {0} is not in the settings of the instance")]
     UnknownClass(usize),
     /// The record refers to an endpoint list that was not sent.
-    #[error("list {0} was never sent")]
+    #[error("endpoint list {0} was not sent")]
     UnknownList(u8),
     /// An endpoint list is longer than the address space.
-    #[error("list too long")]
+    #[error("length of the endpoint list exceeds the address space")]
     ListTooLong,
 }
 
-/// Why serving ended before the end of the input.
+/// Why `serve` stopped before the end of the input.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input ends inside a frame's header.
@@ -50,7 +50,7 @@
     TruncatedHeader {
         /// The frame's number, counted from 0.
         batch: u64,
-        /// Bytes of the header that were read.
+        /// The bytes of the header that were read.
         bytes: usize,
     },
     /// The input ends inside a frame.
@@ -58,13 +58,13 @@
     TruncatedFrame {
         /// The frame's number.
         batch: u64,
-        /// Bytes of the body that were read.
+        /// The bytes of the body that were read.
         bytes: usize,
         /// The body's length.
         expected: usize,
     },
-    /// A frame's length does not include its clock.
-    #[error("batch {batch}: length {length} is below 8")]
+    /// A frame's length is too small to include its clock.
+    #[error("batch {batch}: frame length {length} is less than 8, the length of the clock")]
     InvalidLength {
         /// The frame's number.
         batch: u64,
@@ -72,19 +72,19 @@
         length: usize,
     },
     /// A record can't be used.
-    #[error("batch {batch}: record {record} at byte {at}: {source}")]
+    #[error("batch {batch}: record {record} at byte {offset}: {source}")]
     Record {
         /// The frame's number.
         batch: u64,
         /// The record's number in the frame.
         record: u32,
-        /// The position of the record's first byte in the body.
-        at: usize,
+        /// The offset of the record in the frame's body.
+        offset: usize,
         /// The reason.
         source: RecordError,
     },
-    /// A frame is longer than its records.
-    #[error("batch {batch}: {bytes} bytes left over after {records} records")]
+    /// A frame continues after its last record.
+    #[error("batch {batch}: {bytes} bytes left after {records} records")]
     TrailingBytes {
         /// The frame's number.
         batch: u64,
@@ -94,7 +94,7 @@
         records: u32,
     },
     /// The input can't be read.
-    #[error("batch {batch}: {source}")]
+    #[error("batch {batch}: can't read the input: {source}")]
     Read {
         /// The frame's number.
         batch: u64,
@@ -102,7 +102,7 @@
         source: io::Error,
     },
     /// The reply can't be written.
-    #[error("batch {batch}: reply: {source}")]
+    #[error("batch {batch}: can't write the reply: {source}")]
     Write {
         /// The frame's number.
         batch: u64,
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -18,17 +18,17 @@
 pub(crate) const ATTEMPT_ENDED: u16 = 11;
 pub(crate) const PEER_MESSAGE: u16 = 12;
 
-/// The topic of a progress record that reports the share done.
+/// The topic of a progress record that reports which share of an attempt is done.
 const SHARE_DONE: u8 = 1;
 
 /// Flags of a request.
 const HAS_WORK_ESTIMATE: u8 = 1;
 const IS_RETRY: u8 = 2;
 
-/// The bytes of one endpoint in a list.
+/// Length of one endpoint in a list, in bytes.
 const ENDPOINT_BYTES: usize = 25;
 
-/// A cost is one number: work in ms times this, plus memory in units of [`MEMORY_UNIT_MB`].
+/// A cost is encoded as one number: work in ms times this factor, plus memory in units of [`MEMORY_UNIT_MB`].
 const WORK_FACTOR: u32 = 4096;
 const MEMORY_UNIT_MB: u32 = 4;
 
@@ -36,13 +36,13 @@
 pub(crate) enum Event {
     /// Time has passed.
     Timer,
-    /// An attempt of the request is done to that share.
+    /// This share of an attempt of the request is done.
     Progress { request: u64, share: f64 },
     /// A client sent a request.
     Request(RequestRecord),
     /// The endpoint list changed.
     Endpoints(EndpointsRecord),
-    /// The client cancelled the request.
+    /// A client cancelled a request.
     Cancelled { request: u64 },
     /// An engine reported its load.
     LoadReport {
@@ -51,7 +51,7 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEndedRecord),
-    /// The record contains nothing that the policy uses.
+    /// The policy uses nothing in the record.
     Unused,
 }
 
@@ -60,7 +60,7 @@
     pub(crate) class: usize,
     pub(crate) key: u64,
     pub(crate) time_remaining: Millis,
-    /// The client's estimate of the work, if it gives one.
+    /// The client's estimate of the work, if it gave one.
     pub(crate) work: Option<Millis>,
     pub(crate) memory_mb: f64,
     pub(crate) table_group: u64,
@@ -68,16 +68,16 @@
 }
 
 pub(crate) enum EndpointsRecord {
-    /// No further change will be sent.
+    /// No further changes will be sent.
     WatchLost,
-    /// The list of that number has the changes, or the whole endpoint list.
+    /// The list with this number contains the whole endpoint list, or only the changes to it.
     List { is_full: bool, list: u8 },
 }
 
 pub(crate) struct AttemptEndedRecord {
     pub(crate) request: u64,
     pub(crate) outcome: Outcome,
-    /// Whether the client has its answer or is gone.
+    /// Whether the request has ended: its client has the answer or is gone.
     pub(crate) is_final: bool,
     pub(crate) engine: EngineAddress,
     /// The engine's load, if it came with the answer.
@@ -101,7 +101,7 @@
 }
 
 impl Event {
-    /// Decodes the record of that code, behind its code and instance.
+    /// Decodes the rest of a record, after its code and instance.
     pub(crate) fn read(code: u16, reader: &mut FrameReader<'_>) -> Result<Event, RecordError> {
         match code {
             TIMER => {
@@ -178,7 +178,7 @@
 }
 
 impl EndpointsRecord {
-    /// The mode in which only changes follow.
+    /// The mode of a list that contains only changes.
     const CHANGES: u8 = 0;
     const WATCH_LOST: u8 = 3;
 
@@ -230,7 +230,7 @@
     })
 }
 
-/// The cost in an answer; zero means that the answer contains none.
+/// Decodes the cost in an answer; zero means that the answer contains none.
 fn decode_cost(cost: u32) -> Option<Cost> {
     (cost > 0).then(|| Cost {
         work: f64::from(cost / WORK_FACTOR),
@@ -247,7 +247,7 @@
     }
 }
 
-/// An endpoint list as it was sent, by its number.
+/// An endpoint list as the simulator sent it, with its number.
 pub(crate) struct EndpointList {
     pub(crate) number: u8,
     pub(crate) bytes: Vec<u8>,
@@ -265,7 +265,7 @@
     }
 }
 
-/// The endpoints of a list.
+/// Decodes the endpoints of a list.
 pub(crate) fn endpoints(
     list: &[u8],
 ) -> impl Iterator<Item = Result<EndpointRecord, RecordError>> + '_ {
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,11 +1,11 @@
-//! Reads the fields of a frame: little-endian, without padding.
+//! Reads the fields of a frame, which are little-endian and without padding.
 
 use crate::error::RecordError;
 
 /// An engine's IPv4 address and port.
 pub(crate) type EngineAddress = [u8; 6];
 
-/// Reads fields one after the other. An error names the field and its position.
+/// Reads fields one after the other. An error names the field and its offset.
 pub(crate) struct FrameReader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -33,19 +33,19 @@
         let bytes = rest.get(..count).ok_or(RecordError::Truncated {
             field,
             expected: count,
-            at: self.position,
+            offset: self.position,
             remaining: rest.len(),
         })?;
         self.position += count;
         Ok(bytes)
     }
 
-    pub(crate) fn array<const N: usize>(
+    pub(crate) fn array<const LENGTH: usize>(
         &mut self,
         field: &'static str,
-    ) -> Result<[u8; N], RecordError> {
+    ) -> Result<[u8; LENGTH], RecordError> {
         let mut array = [0; N];
-        array.copy_from_slice(self.bytes(N, field)?);
+        array.copy_from_slice(self.bytes(LENGTH, field)?);
         Ok(array)
     }
 
@@ -73,7 +73,7 @@
         self.array("engine")
     }
 
-    /// The values of a load report, behind their number.
+    /// Reads the number of values in a load report, and the values.
     pub(crate) fn load_report(&mut self) -> Result<Vec<f64>, RecordError> {
         let count = self.u8("report length")?;
         (0..count).map(|_| self.f32("report")).collect()
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The simulated gateways of one process.
+//! The simulated gateways in one process.
 
 use crate::action_writer::write_start_refused;
 use crate::error::{AdapterError, RecordError};
@@ -10,14 +10,14 @@
 use ironstair_settings::read_policy_config;
 use std::collections::BTreeMap;
 
-/// The simulated gateways by number, and the endpoint lists that were sent.
+/// The simulated gateways, by instance number, and the last endpoint list of each list number.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<u16, Instance>,
     lists: BTreeMap<u8, Vec<u8>>,
 }
 
-/// One frame without its header.
+/// The contents of one frame.
 pub(crate) struct Batch<'a> {
     pub(crate) number: u64,
     pub(crate) record_count: u32,
@@ -26,18 +26,18 @@
 }
 
 impl Host {
-    /// Handles all records of a batch at the batch's clock. Returns the reply without its header.
+    /// Handles all records of a batch at the time of the batch's clock. Returns the reply without its header.
     pub(crate) fn handle(&mut self, batch: &Batch<'_>) -> Result<Vec<u8>, AdapterError> {
         let mut output = Vec::new();
         let mut reader = FrameReader::new(batch.body);
         let now = to_millis(batch.clock_nanos);
         for record in 0..batch.record_count {
-            let at = reader.position();
+            let offset = reader.position();
             let handled = self.handle_record(&mut reader, now, &mut output);
             handled.map_err(|source| AdapterError::Record {
                 batch: batch.number,
                 record,
-                at,
+                offset,
                 source,
             })?;
         }
@@ -58,7 +58,7 @@
         output: &mut Vec<u8>,
     ) -> Result<(), RecordError> {
         let code = reader.u16("code")?;
-        // The only record that belongs to no instance.
+        // This record is the only one that does not belong to an instance.
         if code == event::ENDPOINT_LIST {
             let list = EndpointList::read(reader)?;
             self.lists.insert(list.number, list.bytes);
@@ -78,19 +78,19 @@
                 Ok(())
             }
             _ => {
-                let known = self.instances.get_mut(&instance);
-                let known = known.ok_or(RecordError::UnknownInstance { code, instance })?;
+                let started = self.instances.get_mut(&instance);
+                let started = started.ok_or(RecordError::UnknownInstance { code, instance })?;
                 match Event::read(code, reader)? {
                     Event::Endpoints(record) => {
-                        on_endpoints(known, &self.lists, now, &record, output)
+                        on_endpoints(started, &self.lists, now, &record, output)
                     }
-                    event => known.on_event(now, event, output),
+                    event => started.on_event(now, event, output),
                 }
             }
         }
     }
 
-    /// Starts an instance. Settings that can't be used are refused in the reply; other instances continue.
+    /// Starts an instance. If its settings can't be used, the reply refuses the start and other instances continue.
     fn start(&mut self, instance: u16, record: &StartRecord<'_>, output: &mut Vec<u8>) {
         match read_policy_config(record.settings) {
             Ok(config) => {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,7 @@
 use ironstair::policy::Gateway;
 use ironstair::{Endpoint, Millis, PolicyConfig, Request};
 
-/// The policy of one gateway, and the indices by which it knows engines and requests.
+/// The policy of one gateway, with the indices that it uses for engines and requests.
 pub(crate) struct Instance {
     number: u16,
     gateway: Gateway,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Hands an event other than an endpoint list to the policy and writes its actions to `output`.
+    /// Passes an event other than an endpoint list to the policy and writes the resulting actions to `output`.
     pub(crate) fn on_event(
         &mut self,
         now: Millis,
@@ -67,7 +67,7 @@
         gateway.endpoint_watch_lost(now, &mut actions);
     }
 
-    /// Hands an endpoint list to the policy, or the changes of one.
+    /// Passes a whole endpoint list, or the changes to it, to the policy.
     pub(crate) fn on_endpoints(
         &mut self,
         now: Millis,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,6 +1,7 @@
-//! Runs the policy behind the simulator's binary protocol: frames in, events to the policy, its actions in frames out.
+//! Runs the policy behind the simulator's binary protocol. Input frames become events for the policy, and its actions
+//! become reply frames.
 //!
-//! The package decides nothing. [`serve`] reads batches of records and hands them to the simulated gateways.
+//! The package makes no decisions. [`serve`] reads batches of records and passes them to the simulated gateways.
 
 mod action_writer;
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that the simulator starts: reads frames from standard input, writes replies to standard output.
+//! The program that the simulator starts. It reads frames from standard input and writes replies to standard output.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/serve.rs
+++ b/crates/simulator-adapter/src/serve.rs
@@ -1,19 +1,19 @@
-//! The loop over frames.
+//! Reads frames, and writes a reply to each.
 
 use crate::error::AdapterError;
 use crate::host::{Batch, Host};
 use std::io::{self, Read, Write};
 
-/// The bytes of a frame's header: the number of records, the length, the clock.
+/// Length of a frame's header in bytes: the number of records, the frame's length and the clock.
 const HEADER_BYTES: usize = 16;
 
-/// A frame's length includes the clock, which is read with the header.
+/// Length of the clock in bytes. A frame's length includes the clock, although it is read with the header.
 const CLOCK_BYTES: usize = 8;
 
-/// Serves frames until the input ends between two of them.
+/// Serves frames until the input ends after a whole frame.
 ///
 /// # Errors
-/// The input or the reply can't be read or written, or a frame can't be used.
+/// Fails if the input can't be read, a reply can't be written, or a frame is invalid.
 pub fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut body = Vec::new();
@@ -39,7 +39,7 @@
     clock_nanos: u64,
 }
 
-/// Reads a header; `None` if the input ends before it.
+/// Reads a header; `None` if the input ends before its first byte.
 fn read_header(input: &mut impl Read, batch: u64) -> Result<Option<Header>, AdapterError> {
     let mut header = [0; HEADER_BYTES];
     let mut filled = 0;
--- a/crates/simulator-adapter/src/time.rs
+++ b/crates/simulator-adapter/src/time.rs
@@ -1,4 +1,4 @@
-//! The simulator counts time in nanoseconds, the policy in milliseconds.
+//! Conversion between the simulator's time in nanoseconds and the policy's in milliseconds.
 
 use ironstair::Millis;
 
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter on bytes: frames are built here from the protocol's page, independently of the adapter's own code.
+//! Tests the adapter on encoded frames. They are built here from the protocol's documentation, independently of the
+//! adapter's own code.
 
 use ironstair_simulator_adapter::{read_policy_config, serve};
 
@@ -8,16 +9,21 @@
     "guarantees": {"cold_from": 0.3, "warm_after_ns": 15000000000, "overload_factor": 4.0, "fall_ns": 1000000000},
     "policy_limits": {"max_attempts": 6, "may_cancel": true}, "resolution_ns": 5000000}"#;
 
+/// Codes of actions in replies.
+const START_ATTEMPT: u16 = 67;
+const REFUSE_START: u16 = 76;
+const REJECT: u16 = 77;
+
 /// The number of the instance in all records.
 const INSTANCE: [u8; 2] = 3u16.to_le_bytes();
 
 fn batch(clock: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let mut all = (records.len() as u32).to_le_bytes().to_vec();
-    all.extend((body.len() as u32 + 8).to_le_bytes());
-    all.extend(clock.to_le_bytes());
-    all.extend(body);
-    all
+    let mut frame = (records.len() as u32).to_le_bytes().to_vec();
+    frame.extend((body.len() as u32 + 8).to_le_bytes());
+    frame.extend(clock.to_le_bytes());
+    frame.extend(body);
+    frame
 }
 
 fn start_instance(settings: &str) -> Vec<u8> {
@@ -58,8 +64,8 @@
 }
 
 fn request(id: u64) -> Vec<u8> {
-    let head = [
-        &INSTANCE[..],
+    let start = [
+        &3u16.to_le_bytes()[..],
         &INSTANCE,
         &id.to_le_bytes(),
         &[0, 0, 0],
@@ -67,7 +73,7 @@
     ]
     .concat();
     [
-        &head[..],
+        &start[..],
         &4_000_000_000u64.to_le_bytes(),
         &100_000_000u64.to_le_bytes(),
         &[0; 8],
@@ -77,7 +83,7 @@
 }
 
 fn attempt_ended(id: u64, status: u8, is_final: u8) -> Vec<u8> {
-    let head = [
+    let start = [
         &11u16.to_le_bytes()[..],
         &INSTANCE,
         &id.to_le_bytes(),
@@ -86,7 +92,7 @@
     ]
     .concat();
     [
-        &head[..],
+        &start[..],
         &[is_final],
         &[10, 18, 74, 7],
         &8000u16.to_le_bytes(),
@@ -95,7 +101,7 @@
     .concat()
 }
 
-/// Serves the input. Returns the error's sentence, if there is one, and the replies without their headers.
+/// Serves the input. Returns the error's message, if there is one, and the replies without their headers.
 fn serve_bytes(input: &[u8]) -> (Result<(), String>, Vec<Vec<u8>>) {
     let mut output = Vec::new();
     let result = serve(input, &mut output).map_err(|error| error.to_string());
@@ -109,7 +115,7 @@
     (result, frames)
 }
 
-/// Whether the frame contains a record of that code about that request.
+/// Whether the frame contains a record with this code for this request.
 fn has_record(frame: &[u8], code: u16, id: u64) -> bool {
     let record = [&code.to_le_bytes()[..], &INSTANCE, &id.to_le_bytes()].concat();
     frame.windows(record.len()).any(|window| window == record)
@@ -132,16 +138,23 @@
     ];
     let (result, frames) = serve_bytes(&batch(1, &events));
     assert_eq!(result, Ok(()));
-    let sent = [
-        &67u16.to_le_bytes()[..],
+    let start_attempt = [
+        &START_ATTEMPT.to_le_bytes()[..],
         &INSTANCE,
         &7u64.to_le_bytes(),
         &[10, 18, 74, 7],
     ]
     .concat();
-    let sent = [&sent[..], &8000u16.to_le_bytes(), &0u64.to_le_bytes()].concat();
+    let start_attempt = [
+        &start_attempt[..],
+        &8000u16.to_le_bytes(),
+        &0u64.to_le_bytes(),
+    ]
+    .concat();
     assert!(
-        frames[0].windows(sent.len()).any(|w| w == sent),
+        frames[0]
+            .windows(start_attempt.len())
+            .any(|window| window == start_attempt),
         "{:02x?}",
         frames[0]
     );
@@ -169,16 +182,16 @@
     let (result, frames) = serve_bytes(&input.concat());
     assert_eq!(result, Ok(()));
     assert!(
-        has_record(&frames[0], 67, 7) && has_record(&frames[1], 67, 7),
-        "attempted, and retried"
+        has_record(&frames[0], START_ATTEMPT, 7) && has_record(&frames[1], START_ATTEMPT, 7),
+        "the request is attempted and retried"
     );
     assert!(
-        !has_record(&frames[2], 67, 7) && !has_record(&frames[2], 77, 7),
-        "completed"
+        !has_record(&frames[2], START_ATTEMPT, 7) && !has_record(&frames[2], REJECT, 7),
+        "a completed request is neither retried nor rejected"
     );
     assert!(
-        has_record(&frames[3], 67, 8),
-        "started again in the batch that stopped it"
+        has_record(&frames[3], START_ATTEMPT, 8),
+        "the instance starts again in the batch that stopped it"
     );
 }
 
@@ -188,22 +201,22 @@
     assert!(serve_bytes(&unknown)
         .0
         .unwrap_err()
-        .contains("unknown code 99"));
-    let cut = batch(1, &[start_instance(SETTINGS)]);
-    assert!(serve_bytes(&cut[..40])
+        .contains("unknown record code 99"));
+    let start = batch(1, &[start_instance(SETTINGS)]);
+    assert!(serve_bytes(&start[..40])
         .0
         .unwrap_err()
         .contains("input ends inside the frame"));
-    assert!(serve_bytes(&cut[..7])
+    assert!(serve_bytes(&start[..7])
         .0
         .unwrap_err()
         .contains("inside the header, after 7 bytes"));
-    let short = batch(1, &[request(7)[..20].to_vec()]);
-    assert!(serve_bytes(&short).0.unwrap_err().contains("record 0"));
+    let truncated = batch(1, &[request(7)[..20].to_vec()]);
+    assert!(serve_bytes(&truncated).0.unwrap_err().contains("record 0"));
 }
 
 #[test]
-fn missing_setting_refuses_that_instance_alone() {
+fn missing_setting_refuses_only_that_instance() {
     let settings = SETTINGS.replace("\"cold_from\": 0.3, ", "");
     assert!(read_policy_config(settings.as_bytes())
         .unwrap_err()
@@ -211,5 +224,6 @@
         .contains("guarantees.cold_from"));
     let (result, frames) = serve_bytes(&batch(1, &[start_instance(&settings)]));
     assert_eq!(result, Ok(()));
-    assert_eq!(frames[0][..4], [76, 0, 3, 0]);
+    assert_eq!(frames[0][..2], REFUSE_START.to_le_bytes());
+    assert_eq!(frames[0][2..4], INSTANCE);
 }
