--- a/crates/protocol/src/statement.rs
+++ b/crates/protocol/src/statement.rs
@@ -43,7 +43,7 @@
         match token {
             Token::Name(_) if previous == Some(Token::Dot) => {}
             Token::Name(name) => {
-                self.update_keyword(name);
+                self.update_tables_follow(name);
                 self.name = Some(name);
             }
             Token::Dot => {
@@ -60,7 +60,7 @@
         None
     }
 
-    fn update_keyword(&mut self, name: &[u8]) {
+    fn update_tables_follow(&mut self, name: &[u8]) {
         let is_name = |keyword: &&[u8]| name.eq_ignore_ascii_case(keyword);
         if TABLE_KEYWORDS.iter().any(is_name) {
             self.tables_follow = true;
--- a/crates/protocol/tests/parsers.rs
+++ b/crates/protocol/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers on complete, truncated, concatenated and corrupted messages.
+//! Tests the parsers on complete, truncated, concatenated and corrupted messages.
 
 use ironstair_protocol::dns::{self, AnswerError};
 use ironstair_protocol::json::Reader;
@@ -99,13 +99,13 @@
 
 #[test]
 fn malformed_frame_header_is_rejected() {
-    let header = |bytes: &[u8]| rpc::frame_header(bytes);
-    assert!(header(b"Content-Length: 999999999\r\n\r\n").is_err());
+    let frame_header = |bytes: &[u8]| rpc::frame_header(bytes);
+    assert!(frame_header(b"Content-Length: 999999999\r\n\r\n").is_err());
     assert!(
-        header(&[b'x'; rpc::MAX_HEADER_BYTES]).is_err(),
-        "a header without an end is not waited for"
+        frame_header(&[b'x'; rpc::MAX_HEADER_BYTES]).is_err(),
+        "a header without an end is rejected at the maximum length"
     );
-    assert!(header(b"Content-Length: -1\r\n\r\n").is_err());
+    assert!(frame_header(b"Content-Length: -1\r\n\r\n").is_err());
 }
 
 #[test]
@@ -139,11 +139,11 @@
 
 #[test]
 fn engine_reply_is_read_once_complete() {
-    let first =
+    let first_reply =
         b"9b1f03aa5c7e2d41 DONE pages=3,cost=81.5,load=inflight:7;util:0.61 5\r\na\tb\r\n\r\n";
-    let second = b"r1 UNFIT - 0\r\n\r\n";
-    let bytes = [&first[..], second].concat();
-    for length in 0..first.len() {
+    let second_reply = b"r1 UNFIT - 0\r\n\r\n";
+    let bytes = [&first_reply[..], second_reply].concat();
+    for length in 0..first_reply.len() {
         assert_eq!(lines::read_reply(&bytes[..length]), Ok(None), "{length}");
     }
 
@@ -159,10 +159,12 @@
         load,
         [load_value(b"inflight", 7.0), load_value(b"util", 0.61)]
     );
-    assert_eq!(reply.encoded_bytes, first.len());
+    assert_eq!(reply.encoded_bytes, first_reply.len());
 
-    let reply = lines::read_reply(&bytes[first.len()..]).unwrap().unwrap();
-    assert_eq!(reply.encoded_bytes, second.len());
+    let reply = lines::read_reply(&bytes[first_reply.len()..])
+        .unwrap()
+        .unwrap();
+    assert_eq!(reply.encoded_bytes, second_reply.len());
     assert_eq!(reply.kind, ReplyKind::NotReady);
 }
 
@@ -228,22 +230,22 @@
 fn record(owner: &[u8], record_type: u16, data: &[u8]) -> Vec<u8> {
     let record_type = record_type.to_be_bytes();
     let length = (data.len() as u16).to_be_bytes();
-    let class_and_time_to_live = [0, 1, 0, 0, 0, 0];
-    [owner, &record_type, &class_and_time_to_live, &length, data].concat()
+    let class_and_ttl = [0, 1, 0, 0, 0, 0];
+    [owner, &record_type, &class_and_ttl, &length, data].concat()
 }
 
 const HOST_TEXTS: [&[u8]; 2] = [b"\x08kind=std\x06cell=2", b"\x0dstarted=12345"];
 
-/// The list of one draining engine, with names that point back into the message.
+/// A list of one draining engine, whose names contain pointers back into the message.
 fn endpoint_list() -> Vec<u8> {
     let service = b"\x05_data\x04_tcp\x04farm\x03lan\x00";
     let mut message = vec![0, 9, 0x84, 0, 0, 1, 0, 1, 0, 1, 0, 3];
     message.extend(service);
     message.extend([0, 33, 0, 1]);
     let target_position = message.len() + 12 + 6;
-    let target = b"\x0as-00c41f7a\x04East\x05hosts\x00";
+    let target_name = b"\x0as-00c41f7a\x04East\x05hosts\x00";
     let priority_weight_port = [0, 1, 0, 40, 0x1F, 0x90];
-    let srv_data = [&priority_weight_port, &target[..]].concat();
+    let srv_data = [&priority_weight_port, &target_name[..]].concat();
     message.extend(record(&[0xC0, 12], 33, &srv_data));
     let soa_data = [&[0xC0, 12, 0xC0, 12][..], &41u32.to_be_bytes(), &[0; 16]].concat();
     message.extend(record(&[0xC0, 12], 6, &soa_data));
@@ -280,7 +282,7 @@
     );
     assert_eq!(serial, Ok(41));
     assert_eq!(hosts, 1);
-    // Engines must not read as gone, or as of no kind, because a part of the answer is missing.
+    // A truncated answer must not make engines appear gone or without a machine type.
     for length in 0..message.len() {
         assert!(read_list(&message[..length]).is_err(), "{length}");
     }
@@ -310,17 +312,17 @@
 }
 
 #[test]
-fn query_names_the_service_as_the_answer_does() {
+fn query_encodes_the_service_name_as_the_answer_does() {
     let mut query = Vec::new();
     dns::write_query(&mut query, 9, "_data._tcp.farm.lan");
     assert_eq!(query[12..33], endpoint_list()[12..33]);
 }
 
-/// Changes one byte at a place that `draw` names, or removes it or all behind it.
-fn corrupt(message: &mut Vec<u8>, draw: u64) {
-    let position = (draw >> 33) as usize % message.len();
-    let byte = draw >> 20;
-    match draw >> 62 {
+/// Corrupts the message at a random position: changes or removes the byte there, or truncates the message after it.
+fn corrupt(message: &mut Vec<u8>, random: u64) {
+    let position = (random >> 33) as usize % message.len();
+    let byte = random >> 20;
+    match random >> 62 {
         0 => message.truncate(position + 1),
         1 => message[position] = byte as u8,
         2 => message[position] = b"\"\\{}[],:;= \r\n*/$'"[byte as usize % 17],
@@ -340,14 +342,14 @@
         b"select $a$ '\" /* -- from sales_17.orders where x.y = `q`".to_vec(),
         endpoint_list(),
     ];
-    let mut draw = 0x2545_F491_4F6C_DD1Du64;
+    let mut random = 0x2545_F491_4F6C_DD1Du64;
     for round in 0..40_000 {
         let mut message = messages[round % 5].clone();
         for _ in 0..1 + round % 4 {
-            draw = draw
+            random = random
                 .wrapping_mul(6364136223846793005)
                 .wrapping_add(1442695040888963407);
-            corrupt(&mut message, draw);
+            corrupt(&mut message, random);
         }
         let _ = rpc::frame_header(&message);
         if let Ok(call) = rpc::read_call(&message) {
--- a/crates/simulator-adapter/src/action_writer.rs
+++ b/crates/simulator-adapter/src/action_writer.rs
@@ -64,7 +64,7 @@
 }
 
 impl Actions for ActionWriter<'_> {
-    fn start_attempt(&mut self, request: usize, engine: usize, _by: Millis) {
+    fn start_attempt(&mut self, request: usize, engine: usize, _start_before: Millis) {
         self.request_record(START_ATTEMPT, request);
         self.output.extend(self.engines.id(engine));
         self.output.extend(NO_EXPIRY.to_le_bytes());
