--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -44,7 +44,7 @@
         &mut self,
         field: &'static str,
     ) -> Result<[u8; LENGTH], RecordError> {
-        let mut array = [0; N];
+        let mut array = [0; LENGTH];
         array.copy_from_slice(self.bytes(LENGTH, field)?);
         Ok(array)
     }
