--- a/crates/gateway/src/dispatcher/executor.rs
+++ b/crates/gateway/src/dispatcher/executor.rs
@@ -9,7 +9,7 @@
 use ironstair_data_tree::state::Counts;
 use ironstair_runtime::pool::BufferChain;
 use ironstair_runtime::{
-    Attempt, DiscoveredEndpoint, DispatcherMessage, EngineMessage, Id, Reply, Shared,
+    Attempt, DiscoveredEndpoint, DispatcherMessage, EngineMessage, Reply, RequestId, Shared,
 };
 use slog::info;
 use std::cell::Cell;
@@ -80,7 +80,7 @@
     /// The time at which the current message is handled.
     pub(super) now: Millis,
     /// Assigns indices to open requests.
-    pub(super) request_ids: Interner<Id>,
+    pub(super) request_ids: Interner<RequestId>,
     /// Open requests by index.
     pub(super) requests: Vec<Option<OpenRequest>>,
     pub(super) open_requests: usize,
@@ -212,7 +212,7 @@
 
     /// Reports an attempt that no actor has received as unsent. A separate task sends the message: the dispatcher would
     /// block forever if it waited for space in its own queue.
-    fn report_unsent(&self, id: Id) {
+    fn report_unsent(&self, id: RequestId) {
         let unsent = DispatcherMessage::AttemptEnded {
             id,
             outcome: Outcome::Unsent,
--- a/crates/gateway/src/server/initial_state.rs
+++ b/crates/gateway/src/server/initial_state.rs
@@ -51,7 +51,7 @@
         classes: RefCell::default(),
         max_deadline: Cell::new(0.0),
         metrics: Metrics::default(),
-        tenants: false,
+        accepts_tenant_names: false,
         transport_config: RefCell::new(Rc::new(config.transport_config.clone())),
         log,
         dispatcher,
@@ -127,7 +127,7 @@
     InitialPolicy {
         classes: classes.collect(),
         config: config.policy_config.clone(),
-        max_deadline: config.transport_config.longest,
+        max_deadline: config.transport_config.max_deadline,
     }
 }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! The messages that the gateway's actors exchange, and the state that all of them share.
 //!
-//! A front end or a manager needs nothing else of the gateway: it sends a [`DispatcherMessage`] to the dispatcher and
-//! receives a [`Reply`].
+//! Front ends and management depend on no other part of the gateway: they send a [`DispatcherMessage`] to the
+//! dispatcher and receive a [`Reply`].
 
 mod attempt;
 pub mod clock;
@@ -14,5 +14,7 @@
 
 pub use attempt::Attempt;
 pub use hash::fnv1a_64;
-pub use messages::{DiscoveredEndpoint, DispatcherMessage, EngineMessage, Id, NewRequest, Reply};
+pub use messages::{
+    DiscoveredEndpoint, DispatcherMessage, EngineMessage, NewRequest, Reply, RequestId,
+};
 pub use shared::{Metrics, Shared};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object that every host of the policy receives. A number that a rule depends on has no default:
-//! the host can't start without it.
+//! Reads the settings object that each host of the policy receives. A number on which a rule of the policy depends has
+//! no default: the host can't start without it.
 
 mod class;
 mod error;
@@ -7,8 +7,8 @@
 mod policy;
 mod transport;
 
-pub use class::{classes, limits};
+pub use class::{class_names, hard_limits};
 pub use error::SettingsError;
-pub use fields::text;
-pub use policy::{kinds, policy_config, read, zones};
+pub use fields::required_string;
+pub use policy::{machine_type_names, policy_config, read_policy_config, zone_names};
 pub use transport::{transport_config, TransportConfig};
