--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use ironstair_data_tree::state::{self, RecoveryStage, Snapshot};
-use ironstair_recovery::{stage, Facts};
+use ironstair_recovery::{stage, StageInputs};
 use ironstair_runtime::state_watch::StateWatch;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -38,13 +38,13 @@
         let shared = &executor.shared;
         let metrics = &shared.metrics;
         let buffers = shared.pool.usage();
-        let facts = Facts {
+        let inputs = StageInputs {
             has_lease: shared.holds_lease(),
-            has_heard_list: metrics.last_heard_at.get() > 0.0,
-            key_quarantine: metrics.key_quarantine.get(),
+            has_received_list: metrics.last_heard_at.get() > 0.0,
+            key_quarantine_until: metrics.key_quarantine.get(),
             has_slow_start_share: executor.share.map(|share| share.taken),
         };
-        let (stage, reason) = stage(executor.now, &facts);
+        let (stage, reason) = stage(executor.now, &inputs);
         Snapshot {
             at: executor.now,
             engines,
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -100,10 +100,10 @@
         let endpoint = DiscoveredEndpoint {
             address: engine.address,
             zone: index.zone(&engine.zone),
-            machine_type: index.kind(&engine.kind),
-            dedup_domain: engine.marks,
+            machine_type: index.kind(&engine.machine_type),
+            dedup_domain: engine.dedup_domain,
             state: EndpointState::Ready,
-            started_at: engine.since,
+            started_at: engine.started_at,
         };
         (engine.name, endpoint)
     };
@@ -167,10 +167,10 @@
         name: name.to_owned(),
         address: endpoint.address,
         zone: name_of(&index.zones, endpoint.zone),
-        kind: name_of(&index.kinds, endpoint.machine_type),
-        marks: endpoint.dedup_domain,
+        machine_type: name_of(&index.kinds, endpoint.machine_type),
+        dedup_domain: endpoint.dedup_domain,
         draining: endpoint.state != EndpointState::Ready,
-        since: endpoint.started_at,
+        started_at: endpoint.started_at,
     }
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -8,4 +8,4 @@
 
 pub use recover::{recover, RecoveredList, Recovery, MAX_LIST_AGE};
 pub use snapshot::{decode, encode, DecodeError, EncodeError, Engine, Snapshot, MAX_BYTES};
-pub use stage::{stage, Facts, Stage};
+pub use stage::{stage, Stage, StageInputs};
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -23,13 +23,16 @@
     /// The name of its zone.
     pub zone: String,
     /// The name of its machine type.
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     /// Its deduplication domain.
-    pub marks: u16,
+    #[serde(rename = "marks")]
+    pub dedup_domain: u16,
     /// Whether it accepts no new requests.
     pub draining: bool,
     /// Its latest start; Unix time in ms.
-    pub since: Millis,
+    #[serde(rename = "since")]
+    pub started_at: Millis,
 }
 
 /// The state that a process persists for the next one.
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -27,20 +27,20 @@
 
 /// The inputs from which the stage is derived.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Facts {
+pub struct StageInputs {
     /// Whether its lease is valid.
     pub has_lease: bool,
     /// Whether the endpoint list was heard since the start.
-    pub has_heard_list: bool,
+    pub has_received_list: bool,
     /// The end of the quarantine of idempotency keys; Unix time in ms.
-    pub key_quarantine: Millis,
+    pub key_quarantine_until: Millis,
     /// Whether it uses its share of the slow-start limits; `None` if the fleet does not count its members.
     pub has_slow_start_share: Option<bool>,
 }
 
 /// A condition that keeps the gateway at a stage.
 struct Restriction {
-    applies: fn(Millis, &Facts) -> bool,
+    applies: fn(Millis, &StageInputs) -> bool,
     stage: Stage,
     reason: &'static str,
 }
@@ -48,32 +48,32 @@
 /// The conditions in order; the first that applies gives the stage and the reason.
 const RESTRICTIONS: [Restriction; 4] = [
     Restriction {
-        applies: |_, facts| !facts.has_lease,
+        applies: |_, inputs| !inputs.has_lease,
         stage: Stage::CatchingUp,
         reason: "the fleet's policy is not known",
     },
     Restriction {
-        applies: |_, facts| !facts.has_heard_list,
+        applies: |_, inputs| !inputs.has_received_list,
         stage: Stage::Cautious,
         reason: "the list of engines was not heard since the start",
     },
     Restriction {
-        applies: |now, facts| now < facts.key_quarantine,
+        applies: |now, inputs| now < inputs.key_quarantine_until,
         stage: Stage::Cautious,
         reason: "keys rest: what the last process had out is not known",
     },
     Restriction {
-        applies: |_, facts| facts.has_slow_start_share == Some(false),
+        applies: |_, inputs| inputs.has_slow_start_share == Some(false),
         stage: Stage::Cautious,
         reason: "no share of cold engines yet",
     },
 ];
 
 /// The stage at `now` (Unix time in ms), and the reason why it is not [`Stage::Full`].
-pub fn stage(now: Millis, facts: &Facts) -> (Stage, Option<&'static str>) {
+pub fn stage(now: Millis, inputs: &StageInputs) -> (Stage, Option<&'static str>) {
     let first = RESTRICTIONS
         .iter()
-        .find(|restriction| (restriction.applies)(now, facts));
+        .find(|restriction| (restriction.applies)(now, inputs));
     first.map_or((Stage::Full, None), |restriction| {
         (restriction.stage, Some(restriction.reason))
     })
--- a/crates/recovery/tests/pinned_forms.rs
+++ b/crates/recovery/tests/pinned_forms.rs
@@ -13,19 +13,19 @@
         name: "engine-1".into(),
         address: "10.1.2.3:9001".parse().unwrap(),
         zone: "zone-a".into(),
-        kind: "kind-m".into(),
-        marks: 513,
+        machine_type: "kind-m".into(),
+        dedup_domain: 513,
         draining: false,
-        since: 1.75e12,
+        started_at: 1.75e12,
     };
     let second = Engine {
         name: "engine-2".into(),
         address: "[fd00::1:2]:9002".parse().unwrap(),
         zone: String::new(),
-        kind: "kind-n".into(),
-        marks: 0,
+        machine_type: "kind-n".into(),
+        dedup_domain: 0,
         draining: true,
-        since: 0.0,
+        started_at: 0.0,
     };
     Snapshot {
         gateway: "gateway-1".into(),
--- a/crates/recovery/tests/recover.rs
+++ b/crates/recovery/tests/recover.rs
@@ -1,20 +1,20 @@
 //! The parts of the snapshot that a process uses after a start, by its content.
 
-use ironstair_recovery::{decode, encode, recover, stage, Engine, Facts, Snapshot, Stage};
+use ironstair_recovery::{decode, encode, recover, stage, Engine, Snapshot, Stage, StageInputs};
 
 const NOW: f64 = 1.8e12;
 
 fn engine(name: &str, draining: bool) -> Engine {
     let address = ([10, 1, 0, 1], 9001).into();
-    let (zone, kind) = ("a".to_owned(), "m".to_owned());
+    let (zone, machine_type) = ("a".to_owned(), "m".to_owned());
     Engine {
         name: name.into(),
         address,
         zone,
-        kind,
-        marks: 2,
+        machine_type,
+        dedup_domain: 2,
         draining,
-        since: 5.0,
+        started_at: 5.0,
     }
 }
 
@@ -144,56 +144,56 @@
 
 #[test]
 fn a_stage_has_its_first_reason() {
-    let back = Facts {
+    let back = StageInputs {
         has_lease: true,
-        has_heard_list: true,
-        key_quarantine: 0.0,
+        has_received_list: true,
+        key_quarantine_until: 0.0,
         has_slow_start_share: Some(true),
     };
-    for (facts, want) in [
+    for (inputs, want) in [
         (back, Stage::Full),
         (
-            Facts {
+            StageInputs {
                 has_slow_start_share: None,
                 ..back
             },
             Stage::Full,
         ),
         (
-            Facts {
+            StageInputs {
                 has_lease: false,
-                has_heard_list: false,
+                has_received_list: false,
                 ..back
             },
             Stage::CatchingUp,
         ),
         (
-            Facts {
-                has_heard_list: false,
+            StageInputs {
+                has_received_list: false,
                 ..back
             },
             Stage::Cautious,
         ),
         (
-            Facts {
-                key_quarantine: 2.0,
+            StageInputs {
+                key_quarantine_until: 2.0,
                 ..back
             },
             Stage::Cautious,
         ),
         (
-            Facts {
+            StageInputs {
                 has_slow_start_share: Some(false),
                 ..back
             },
             Stage::Cautious,
         ),
     ] {
-        let (is, why) = stage(1.0, &facts);
+        let (is, why) = stage(1.0, &inputs);
         assert_eq!(
             (is, why.is_none()),
             (want, want == Stage::Full),
-            "{facts:?}"
+            "{inputs:?}"
         );
     }
 }
