--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -152,7 +152,8 @@
                 logged("snapshot not written") == 1
             }),
             "corrupt" => assert_eq!(
-                logged("it is no file of a gateway's") + logged("of another version"),
+                logged("is not a gateway snapshot")
+                    + logged("is not supported, this program reads"),
                 1
             ),
             "slow" => assert_eq!(logged("not read within"), 1),
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,5 +1,5 @@
-//! The state that a gateway persists for its next process ([`Snapshot`]), the rules for its use by that process
-//! ([`recover()`]), and the stage of recovery ([`stage()`]). The package has no I/O, clock or thread.
+//! The state that a gateway persists for its next process ([`Snapshot`]), the rules by which that process uses it
+//! ([`recover()`]), and the stage of a gateway's recovery ([`stage()`]). The package has no I/O, clock or thread.
 //! `docs/design/recovery.md` states the guarantees.
 
 mod recover;
--- a/crates/recovery/tests/pinned_forms.rs
+++ b/crates/recovery/tests/pinned_forms.rs
@@ -1,14 +1,14 @@
-//! The bytes of the file that a gateway keeps for its next process (`gateway.kept`), and the names of its stages. The
-//! files under `pinned` were written by an earlier version of the program: a gateway that is updated reads the file of
-//! the one before it, so every field has to keep its place, its type and its meaning.
+//! Pins the bytes of the snapshot that a gateway leaves for its next process (`gateway.kept`), and the names of the
+//! recovery stages. The files under `pinned` were written by an earlier version of the program. After an update a
+//! gateway reads the snapshot of the earlier version, so every field must keep its position, type and meaning.
 
 use ironstair_pinned_forms::{hex, PinnedForms};
 use ironstair_recovery::{decode, encode, Engine, Snapshot, Stage};
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// Every field with a value of its own, so that none can stand in another's place.
-fn full() -> Snapshot {
+/// A snapshot in which no two fields of a type have the same value, so that exchanged fields would be noticed.
+fn full_snapshot() -> Snapshot {
     let first = Engine {
         name: "engine-1".into(),
         address: "10.1.2.3:9001".parse().unwrap(),
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn what_is_kept_for_the_next_process_is_read_and_written_in_the_pinned_bytes() {
+fn snapshots_are_encoded_to_and_decoded_from_the_pinned_bytes() {
     let clean = Snapshot {
         ended_cleanly: true,
         engines: Vec::new(),
-        ..full()
+        ..full_snapshot()
     };
     for (name, snapshot) in [
-        ("full.hex", full()),
+        ("full.hex", full_snapshot()),
         ("clean.hex", clean),
         ("blank.hex", Snapshot::default()),
     ] {
@@ -55,22 +55,22 @@
 }
 
 #[test]
-fn a_file_of_another_form_is_refused() {
+fn another_format_version_or_magic_number_is_rejected() {
     let bytes = FORMS.bytes("full.hex");
     assert_eq!(
         &bytes[..8],
         b"irst\x01\0\0\0",
-        "the magic number and the number of the form"
+        "the magic number and the format version"
     );
-    let mut other = bytes.clone();
-    other[4] = 2;
-    assert!(decode(&other)
+    let mut other_version = bytes.clone();
+    other_version[4] = 2;
+    assert!(decode(&other_version)
         .unwrap_err()
         .to_string()
-        .contains("its form 2 "));
-    let mut other = bytes;
-    other[0] = b'x';
-    assert!(decode(&other).is_err());
+        .contains("format version 2 "));
+    let mut other_magic = bytes;
+    other_magic[0] = b'x';
+    assert!(decode(&other_magic).is_err());
 }
 
 #[test]
--- a/crates/recovery/tests/recover.rs
+++ b/crates/recovery/tests/recover.rs
@@ -1,4 +1,4 @@
-//! The parts of the snapshot that a process uses after a start, by its content.
+//! Which parts of the snapshot a process uses after a start, depending on the snapshot's content.
 
 use ironstair_recovery::{decode, encode, recover, stage, Engine, Snapshot, Stage, StageInputs};
 
@@ -30,36 +30,36 @@
     }
 }
 
-type Found = Result<Option<Snapshot>, String>;
+type ReadResult = Result<Option<Snapshot>, String>;
 
 /// The expected recovery.
-struct Want {
+struct ExpectedRecovery {
     has_list: bool,
     needs_key_quarantine: bool,
     note: Option<&'static str>,
 }
 
-fn without_list(needs_key_quarantine: bool, note: &'static str) -> Want {
-    Want {
+fn without_list(needs_key_quarantine: bool, note: &'static str) -> ExpectedRecovery {
+    ExpectedRecovery {
         has_list: false,
         needs_key_quarantine,
         note: Some(note),
     }
 }
 
-fn assert_recovery(found: Found, serial: u32, want: &Want) {
-    let recovery = recover(found.clone(), "g1", NOW, serial);
+fn assert_recovery(read: ReadResult, config_serial: u32, expected: &ExpectedRecovery) {
+    let recovery = recover(read.clone(), "g1", NOW, config_serial);
     assert_eq!(
         (recovery.endpoints.is_some(), recovery.needs_key_quarantine),
-        (want.has_list, want.needs_key_quarantine),
-        "{found:?}"
+        (expected.has_list, expected.needs_key_quarantine),
+        "{read:?}"
     );
-    assert_eq!(recovery.note.as_deref(), want.note, "{found:?}");
+    assert_eq!(recovery.note.as_deref(), expected.note, "{read:?}");
     if let Some(list) = recovery.endpoints {
         assert_eq!(
             (list.serial, list.age, list.engines),
             (7, 1000.0, vec![engine("e1", false)]),
-            "draining ones are left out"
+            "draining engines are left out"
         );
     }
 }
@@ -72,26 +72,35 @@
 }
 
 #[test]
-fn a_recent_list_is_used_and_keys_are_held_back_but_after_a_clean_end() {
-    for (found, needs_key_quarantine) in [(snapshot(), true), (ended_cleanly(snapshot()), false)] {
-        let want = Want {
+fn a_recent_list_is_used_and_keys_are_quarantined_unless_the_end_was_clean() {
+    for (snapshot, needs_key_quarantine) in [(snapshot(), true), (ended_cleanly(snapshot()), false)]
+    {
+        let expected = ExpectedRecovery {
             has_list: true,
             needs_key_quarantine,
             note: None,
         };
-        assert_recovery(Ok(Some(found)), 7, &want);
+        assert_recovery(Ok(Some(snapshot)), 7, &expected);
     }
 }
 
 #[test]
-fn a_list_that_is_not_used_is_left_out_with_the_stated_reason() {
-    let newer = without_list(true, "the configuration file's list is newer");
+fn a_rejected_list_is_reported_with_its_reason() {
+    let newer = without_list(
+        true,
+        "the endpoint list of the configuration file is newer than the one in the snapshot",
+    );
     assert_recovery(Ok(Some(snapshot())), 8, &newer);
     let old = Snapshot {
         heard_at: NOW - 61_000.0,
         ..snapshot()
     };
-    let too_old = |needs_key_quarantine| without_list(needs_key_quarantine, "its list is too old");
+    let too_old = |needs_key_quarantine| {
+        without_list(
+            needs_key_quarantine,
+            "the endpoint list in the snapshot exceeds its age limit",
+        )
+    };
     assert_recovery(Ok(Some(old.clone())), 0, &too_old(true));
     assert_recovery(Ok(Some(ended_cleanly(old))), 0, &too_old(false));
     // The clock was set back: the age of the snapshot is unknown.
@@ -100,62 +109,70 @@
         heard_at: NOW + 5000.0,
         ..ended_cleanly(snapshot())
     };
-    let went_back = without_list(true, "it is of the future: a clock went back");
+    let went_back = without_list(
+        true,
+        "the snapshot was written in the future: the clock was set back",
+    );
     assert_recovery(Ok(Some(future)), 0, &went_back);
     let empty = Snapshot {
         engines: vec![],
         ..snapshot()
     };
-    let no_engine = without_list(true, "it lists no engine");
+    let no_engine = without_list(true, "the endpoint list in the snapshot is empty");
     assert_recovery(Ok(Some(empty)), 0, &no_engine);
 }
 
 #[test]
-fn without_a_snapshot_of_its_own_a_gateway_starts_with_nothing() {
+fn a_gateway_without_a_snapshot_of_its_own_recovers_nothing() {
     let other = Snapshot {
         gateway: "g2".into(),
         ..ended_cleanly(snapshot())
     };
-    let not_its_own = without_list(true, "it is another gateway's");
+    let not_its_own = without_list(true, "the snapshot belongs to gateway g2, not to g1");
     assert_recovery(Ok(Some(other)), 0, &not_its_own);
-    let nothing = Want {
+    let nothing = ExpectedRecovery {
         has_list: false,
         needs_key_quarantine: true,
         note: None,
     };
     assert_recovery(Ok(None), 0, &nothing);
-    let damaged = without_list(true, "it is not what was written");
-    assert_recovery(Err("it is not what was written".to_owned()), 0, &damaged);
+    let damaged = without_list(true, "the snapshot is damaged");
+    assert_recovery(Err("the snapshot is damaged".to_owned()), 0, &damaged);
 }
 
 #[test]
-fn bytes_cut_or_changed_anywhere_are_named_and_never_used() {
+fn a_snapshot_truncated_or_with_one_bit_flipped_is_rejected() {
     let bytes = encode(&snapshot()).unwrap();
     assert_eq!(decode(&bytes), Ok(snapshot()));
-    (0..bytes.len()).for_each(|n| assert!(decode(&bytes[..n]).is_err(), "cut at {n}"));
-    for n in 0..bytes.len() {
+    (0..bytes.len()).for_each(|length| {
+        assert!(
+            decode(&bytes[..length]).is_err(),
+            "truncated to {length} bytes"
+        );
+    });
+    for offset in 0..bytes.len() {
         for bit in 0..8 {
-            let mut other = bytes.clone();
-            other[n] ^= 1 << bit;
-            assert!(decode(&other).is_err(), "bit {bit} of byte {n}");
+            let mut damaged = bytes.clone();
+            damaged[offset] ^= 1 << bit;
+            assert!(decode(&damaged).is_err(), "bit {bit} of byte {offset}");
         }
     }
 }
 
 #[test]
-fn a_stage_has_its_first_reason() {
-    let back = StageInputs {
+fn the_first_restriction_determines_the_stage_and_only_full_has_no_reason() {
+    let unrestricted = StageInputs {
         has_lease: true,
         has_received_list: true,
         key_quarantine_until: 0.0,
         has_slow_start_share: Some(true),
     };
-    for (inputs, want) in [
-        (back, Stage::Full),
+    for (inputs, expected) in [
+        (unrestricted, Stage::Full),
         (
             StageInputs {
                 has_slow_start_share: None,
-                ..back
+                ..unrestricted
             },
             Stage::Full,
         ),
@@ -163,36 +180,36 @@
             StageInputs {
                 has_lease: false,
                 has_received_list: false,
-                ..back
+                ..unrestricted
             },
             Stage::CatchingUp,
         ),
         (
             StageInputs {
                 has_received_list: false,
-                ..back
+                ..unrestricted
             },
             Stage::Cautious,
         ),
         (
             StageInputs {
                 key_quarantine_until: 2.0,
-                ..back
+                ..unrestricted
             },
             Stage::Cautious,
         ),
         (
             StageInputs {
                 has_slow_start_share: Some(false),
-                ..back
+                ..unrestricted
             },
             Stage::Cautious,
         ),
     ] {
-        let (is, why) = stage(1.0, &inputs);
+        let (stage, reason) = stage(1.0, &inputs);
         assert_eq!(
-            (is, why.is_none()),
-            (want, want == Stage::Full),
+            (stage, reason.is_none()),
+            (expected, expected == Stage::Full),
             "{inputs:?}"
         );
     }
