--- a/crates/raft-storage/src/error.rs
+++ b/crates/raft-storage/src/error.rs
@@ -16,16 +16,21 @@
         source: io::Error,
     },
     /// The file is larger than any that this package writes.
-    #[error("{}: {bytes} bytes are too large for a log", path.display())]
+    #[error("{}: the log file has {bytes} bytes, at most {limit} are allowed", path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
-        /// Its size.
+        /// The size of the file.
         bytes: u64,
+        /// The size limit.
+        limit: u64,
     },
-    /// The file has the format of another version.
-    #[error("{}: the file has format version {found}, this version reads {supported}", path.display())]
-    UnsupportedForm {
+    /// The file has a format version that this program does not read.
+    #[error(
+        "{}: log format version {found} is not supported, this program reads {supported}",
+        path.display()
+    )]
+    UnsupportedVersion {
         /// The file.
         path: PathBuf,
         /// The format version of the file.
@@ -35,7 +40,8 @@
     },
     /// The file belongs to another gateway or fleet.
     #[error(
-        "{}: it is of gateway {gateway} in fleet {fleet}, not of {wanted_gateway} in {wanted_fleet}",
+        "{}: the log belongs to gateway {gateway} of fleet {fleet}, \
+         not to gateway {expected_gateway} of fleet {expected_fleet}",
         path.display()
     )]
     OtherOwner {
@@ -46,32 +52,32 @@
         /// The fleet that the file belongs to.
         fleet: String,
         /// The gateway that opens it.
-        wanted_gateway: String,
+        expected_gateway: String,
         /// The fleet of the gateway that opens it.
-        wanted_fleet: String,
+        expected_fleet: String,
     },
     /// The file is not open.
-    #[error("{}: the log is not open", path.display())]
+    #[error("{}: the log file is not open", path.display())]
     Closed {
         /// The file.
         path: PathBuf,
     },
     /// A record can't be encoded.
-    #[error("the record can't be encoded: {0}")]
+    #[error("a log record can't be encoded: {0}")]
     Encode(#[from] postcard::Error),
     /// A record is larger than its length field allows.
-    #[error("a record of {bytes} bytes is too long")]
+    #[error("a log record has {bytes} bytes, at most {} are allowed", u32::MAX)]
     RecordTooLong {
-        /// Its length.
+        /// The length of the record's value.
         bytes: usize,
     },
 }
 
-/// Why a file's content can't be trusted.
+/// Why a file is corrupt: confirmed writes may be missing from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Corruption {
-    #[error("the record at byte {at} is damaged")]
-    Record { at: usize },
-    #[error("the record of the file's owner is missing or damaged")]
+    #[error("the record at byte offset {offset} is damaged")]
+    Record { offset: usize },
+    #[error("the first record can't be decoded as the file's owner")]
     Owner,
 }
--- a/crates/raft-storage/tests/pinned_forms.rs
+++ b/crates/raft-storage/tests/pinned_forms.rs
@@ -1,6 +1,6 @@
-//! Pins the bytes of a replica's file on disk, in hex: the record of whose disk it is, each step with its length and
-//! both checksums, and the file as it is rewritten at the next start. Today's steps must write the sample's bytes;
-//! the sample in a folder must be opened as today's image, and the rewritten file must be its own sample.
+//! Pins the bytes of a replica's log file, in hex: the record of the owner, the record of each write, and the file as
+//! the next start rewrites it. The writes below must produce the bytes of the samples; a file with the bytes of a sample
+//! must open as the same image, and must be rewritten as the sample for the rewritten file.
 
 use ironstair_pinned_forms::{bytes_of_hex, PinnedForms};
 use ironstair_raft_replica::{Image, Save};
@@ -12,28 +12,34 @@
 const FILE: &str = "fleet.log";
 
 fn hex(bytes: &[u8]) -> String {
-    let lines = bytes
-        .chunks(32)
-        .map(|row| row.iter().map(|b| format!("{b:02x}")).collect::<String>() + "\n");
+    let lines = bytes.chunks(32).map(|row| {
+        row.iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+            + "\n"
+    });
     lines.collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     bytes_of_hex(&hex.split_whitespace().collect::<String>())
 }
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-fn open(folder: &Path, number: u64) -> Opened {
-    Storage::open(folder, "north", "g1", number).unwrap()
+fn open(folder: &Path, id: u64) -> Opened {
+    Storage::open(folder, "north", "g1", id).unwrap()
 }
 
-/// Each part of a step alone, all together, and none.
-fn steps() -> Vec<Save> {
+/// Writes with each part alone, with all parts, and with none.
+fn saves() -> Vec<Save> {
     let entries = |first: u64, texts: &[&str]| {
-        Some((first, texts.iter().map(|t| t.as_bytes().to_vec()).collect()))
+        Some((
+            first,
+            texts.iter().map(|text| text.as_bytes().to_vec()).collect(),
+        ))
     };
-    let all = Save {
+    let all_parts = Save {
         hard_state: Some(b"vote 3".to_vec()),
         snapshot: Some((3, b"all up to 3".to_vec())),
         entries: entries(5, &["entry 5 anew"]),
@@ -54,13 +60,13 @@
             snapshot: None,
             entries: entries(2, &["entry 2", "entry 3", "entry 4", "entry 5"]),
         },
-        all,
+        all_parts,
         Save::default(),
     ]
 }
 
-/// What the disk holds after all of them.
-fn image() -> Image {
+/// The content of the disk after all writes.
+fn final_image() -> Image {
     Image {
         id: 0x0102_0304_0506_0708,
         hard_state: b"vote 3".to_vec(),
@@ -69,22 +75,24 @@
     }
 }
 
-/// A folder whose file is written by these steps.
-fn after(steps: &[Save]) -> Vec<u8> {
+/// The bytes of a new file after these writes.
+fn file_after(saves: &[Save]) -> Vec<u8> {
     let folder = tempdir().unwrap();
-    let mut storage = open(folder.path(), image().id).storage;
-    steps.iter().for_each(|s| storage.save(s.clone()).unwrap());
+    let mut storage = open(folder.path(), final_image().id).storage;
+    saves
+        .iter()
+        .for_each(|save| storage.save(save.clone()).unwrap());
     std::fs::read(folder.path().join(FILE)).unwrap()
 }
 
-/// What a start makes of a file with these bytes, and the file after it.
-fn found(bytes: &[u8]) -> (Image, Option<String>, Vec<u8>) {
+/// Opens a file with these bytes; returns the image, the note, and the bytes of the rewritten file.
+fn open_bytes(bytes: &[u8]) -> (Image, Option<String>, Vec<u8>) {
     let folder = tempdir().unwrap();
     std::fs::write(folder.path().join(FILE), bytes).unwrap();
     let Opened { storage, note } = open(folder.path(), 9);
     let names = std::fs::read_dir(folder.path())
         .unwrap()
-        .map(|e| e.unwrap().file_name());
+        .map(|entry| entry.unwrap().file_name());
     assert_eq!(names.collect::<Vec<_>>(), [FILE]);
     (
         storage.image().clone(),
@@ -94,25 +102,26 @@
 }
 
 #[test]
-fn a_replicas_file_is_written_and_read_as_in_its_samples() {
-    let blank = Image::blank(image().id);
-    let rewritten = found(&after(&steps())).2;
+fn log_files_are_written_and_read_as_in_the_samples() {
+    let blank = Image::blank(final_image().id);
+    let written = file_after(&saves());
+    let rewritten = open_bytes(&written).2;
     let table = [
-        // The sample, what is written today, the image that is read from it, and the sample of the file after that.
-        ("blank.hex", after(&[]), blank, "blank.hex"),
-        ("steps.hex", after(&steps()), image(), "rewritten.hex"),
-        ("rewritten.hex", rewritten, image(), "rewritten.hex"),
+        // The sample, the bytes that are written today, the image in the sample, and the sample of the rewritten file.
+        ("blank.hex", file_after(&[]), blank, "blank.hex"),
+        ("steps.hex", written, final_image(), "rewritten.hex"),
+        ("rewritten.hex", rewritten, final_image(), "rewritten.hex"),
     ];
     for (file, written, _, _) in &table {
         assert_eq!(hex(written), FORMS.text(file), "{file}: written");
     }
-    for (file, _, want, then) in &table {
-        let (image, note, after) = found(&bytes(&FORMS.text(file)));
-        assert_eq!((&image, note), (want, None), "{file}: read");
+    for (file, _, expected, rewritten_file) in &table {
+        let (image, note, rewritten) = open_bytes(&decode_hex(&FORMS.text(file)));
+        assert_eq!((&image, note), (expected, None), "{file}: read");
         assert_eq!(
-            hex(&after),
-            FORMS.text(then),
-            "{file}: written again as {then}"
+            hex(&rewritten),
+            FORMS.text(rewritten_file),
+            "{file}: rewritten as {rewritten_file}"
         );
     }
 }
