--- a/crates/raft-replica/src/image.rs
+++ b/crates/raft-replica/src/image.rs
@@ -5,34 +5,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The content of a replica's disk. Each part is encoded as the library encodes it.
+/// The content of a replica's disk. The parts are encoded by the library.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
     /// The voter id that belongs to this disk.
     pub id: u64,
-    /// Term, vote and commit index; empty if there are none.
+    /// The encoded hard state (term, vote and commit index); empty if there is none.
     pub hard_state: Vec<u8>,
-    /// The state up to some index; empty if there is none.
+    /// The encoded snapshot of the state up to some index; empty if there is none.
     pub snapshot: Vec<u8>,
-    /// The entries after the snapshot, by index.
+    /// The encoded entries after the snapshot, by index.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
-/// One write to a disk, which is applied completely or not at all.
+/// One write to a disk, which must be applied completely or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Save {
-    /// The new hard state.
+    /// The new hard state, if it changes.
     #[serde(rename = "hard")]
     pub hard_state: Option<Vec<u8>>,
-    /// A snapshot up to an index: the entries up to there are obsolete.
+    /// A new snapshot and the last index that it covers; it replaces the entries up to that index.
     #[serde(rename = "whole")]
     pub snapshot: Option<(u64, Vec<u8>)>,
-    /// All entries from this index on.
+    /// The first index, and the entries from it on; they replace all entries from that index on.
     pub entries: Option<(u64, Vec<Vec<u8>>)>,
 }
 
 impl Image {
-    /// A disk without a log, with a voter id that was drawn at random for it.
+    /// A disk without a log, under a voter id that the caller has drawn at random.
     pub fn blank(id: u64) -> Image {
         Image {
             id,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The disk of a cluster's first voter, with that state.
+    /// The disk of a cluster's only voter, with a snapshot of the encoded state.
     pub(crate) fn bootstrap(id: u64, state: Vec<u8>) -> Image {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(state.into());
@@ -63,11 +63,11 @@
 
     /// The write that turns a blank disk into this image.
     pub fn to_save(&self) -> Save {
-        let first = self.entries.keys().next().copied();
+        let first_index = self.entries.keys().next().copied();
         Save {
             hard_state: Some(self.hard_state.clone()),
             snapshot: Some((0, self.snapshot.clone())),
-            entries: first.map(|first| (first, self.entries.values().cloned().collect())),
+            entries: first_index.map(|index| (index, self.entries.values().cloned().collect())),
         }
     }
 
@@ -76,18 +76,19 @@
         if let Some(hard_state) = save.hard_state {
             self.hard_state = hard_state;
         }
-        if let Some((index, snapshot)) = save.snapshot {
+        if let Some((last_index, snapshot)) = save.snapshot {
             self.snapshot = snapshot;
-            self.entries.retain(|i, _| *i > index);
+            self.entries.retain(|index, _| *index > last_index);
         }
-        if let Some((first, entries)) = save.entries {
-            self.entries.retain(|i, _| *i < first);
-            self.entries.extend((first..).zip(entries));
+        if let Some((first_index, entries)) = save.entries {
+            self.entries.retain(|index, _| *index < first_index);
+            self.entries.extend((first_index..).zip(entries));
         }
     }
 }
 
-/// The message's bytes. Writing to memory fails only for a message with a missing required field; these have none.
+/// The message's bytes. Encoding to memory fails only if a required field is missing; the library's messages have no
+/// required fields.
 pub(crate) fn encode(message: &dyn Message) -> Vec<u8> {
     message.write_to_bytes().unwrap_or_default()
 }
--- a/crates/raft-replica/src/log_store.rs
+++ b/crates/raft-replica/src/log_store.rs
@@ -1,4 +1,5 @@
-//! The library's view of a replica's log: hard state, snapshot and entries in memory, and which of them the disk lacks.
+//! The library's storage of a replica's log: hard state, snapshot and entries in memory, and which of them are not on the
+//! disk yet.
 
 use crate::error::ReplicaError;
 use crate::image::{encode, Image, Save};
@@ -6,7 +7,7 @@
 use raft::prelude::{ConfState, Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// The parts of the log that the disk lacks.
+/// The parts of the log that are not on the disk yet.
 #[derive(Default)]
 struct Unsaved {
     hard_state: bool,
@@ -27,7 +28,7 @@
 }
 
 impl LogStore {
-    /// The log that the disk holds.
+    /// Decodes the log on the disk.
     pub(crate) fn from_image(image: &Image) -> Result<LogStore, ReplicaError> {
         let hard_state = HardState::parse_from_bytes(&image.hard_state)
             .map_err(ReplicaError::DecodeHardState)?;
@@ -35,12 +36,14 @@
             Snapshot::parse_from_bytes(&image.snapshot).map_err(ReplicaError::DecodeSnapshot)?;
         let entries = image
             .entries
-            .values()
-            .map(|bytes| Entry::parse_from_bytes(bytes))
-            .collect::<Result<Vec<_>, _>>()
-            .map_err(ReplicaError::DecodeEntry)?;
-        let first = snapshot.get_metadata().index + 1;
-        for (entry, expected) in entries.iter().zip(first..) {
+            .iter()
+            .map(|(&index, bytes)| {
+                Entry::parse_from_bytes(bytes)
+                    .map_err(|source| ReplicaError::DecodeEntry { index, source })
+            })
+            .collect::<Result<Vec<_>, _>>()?;
+        let first_index = snapshot.get_metadata().index + 1;
+        for (entry, expected) in entries.iter().zip(first_index..) {
             if entry.index != expected {
                 return Err(ReplicaError::EntryOutOfPlace {
                     expected,
@@ -83,12 +86,13 @@
         self.unsaved.entries_from = Some(self.snapshot_index() + 1);
     }
 
-    /// Appends entries. They replace all entries from the index of their first one on.
+    /// Appends entries, which replace all entries from the index of the first one on, and sets the hard state.
     pub(crate) fn append(&mut self, entries: Vec<Entry>, hard_state: Option<HardState>) {
-        if let Some(first) = entries.first().map(|entry| entry.index) {
-            self.entries.truncate(self.position(first));
+        if let Some(first_index) = entries.first().map(|entry| entry.index) {
+            self.entries.truncate(self.position(first_index));
             self.entries.extend(entries);
-            let from = self.unsaved.entries_from.map_or(first, |i| i.min(first));
+            let from = self.unsaved.entries_from;
+            let from = from.map_or(first_index, |index| index.min(first_index));
             self.unsaved.entries_from = Some(from);
         }
         if let Some(hard_state) = hard_state {
@@ -97,21 +101,21 @@
         }
     }
 
-    /// Replaces the entries up to that index by a snapshot of the state after them.
+    /// Replaces the entries up to that index by a snapshot; `state` is the encoded state after them.
     pub(crate) fn compact(&mut self, index: u64, conf_state: ConfState, state: Vec<u8>) {
         let Ok(term) = self.term(index) else { return };
-        let covered = (index - self.snapshot_index()) as usize;
-        self.entries.drain(..covered);
+        let covered_entries = (index - self.snapshot_index()) as usize;
+        self.entries.drain(..covered_entries);
         let metadata = self.snapshot.mut_metadata();
         metadata.index = index;
         metadata.term = term;
         metadata.set_conf_state(conf_state);
         self.snapshot.set_data(state.into());
         self.unsaved.snapshot = true;
-        self.unsaved.entries_from = self.unsaved.entries_from.map(|i| i.max(index + 1));
+        self.unsaved.entries_from = self.unsaved.entries_from.map(|from| from.max(index + 1));
     }
 
-    /// The write that brings the disk up to date. The next call returns only later changes.
+    /// The write that brings the disk up to date, if it is not. The next call returns only later changes.
     pub(crate) fn take_unsaved(&mut self) -> Option<Save> {
         let unsaved = std::mem::take(&mut self.unsaved);
         let save = Save {
@@ -120,14 +124,14 @@
                 .snapshot
                 .then(|| (self.snapshot_index(), encode(&self.snapshot))),
             entries: unsaved.entries_from.map(|from| {
-                let new = self.entries.iter().filter(|entry| entry.index >= from);
-                (from, new.map(|entry| encode(entry)).collect())
+                let unsaved_entries = self.entries.iter().filter(|entry| entry.index >= from);
+                (from, unsaved_entries.map(|entry| encode(entry)).collect())
             }),
         };
         (save != Save::default()).then_some(save)
     }
 
-    /// The position of an entry in the list; its index must be after the snapshot.
+    /// The position in `entries` of the entry with that index, which must be after the snapshot.
     fn position(&self, index: u64) -> usize {
         (index - self.snapshot_index() - 1) as usize
     }
@@ -152,10 +156,10 @@
             return Err(StorageError::Compacted.into());
         }
         let range = self.position(low)..self.position(high);
-        let found = self.entries.get(range);
-        let mut found = found.ok_or(StorageError::Unavailable)?.to_vec();
-        raft::util::limit_size(&mut found, max_bytes.into());
-        Ok(found)
+        let entries = self.entries.get(range);
+        let mut entries = entries.ok_or(StorageError::Unavailable)?.to_vec();
+        raft::util::limit_size(&mut entries, max_bytes.into());
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
@@ -165,8 +169,8 @@
         if index < self.snapshot_index() {
             return Err(StorageError::Compacted.into());
         }
-        let found = self.entries.get(self.position(index));
-        Ok(found.ok_or(StorageError::Unavailable)?.term)
+        let entry = self.entries.get(self.position(index));
+        Ok(entry.ok_or(StorageError::Unavailable)?.term)
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/crates/raft-replica/src/replica/leadership.rs
+++ b/crates/raft-replica/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! The leader's part of a replica: it answers heartbeats once a quorum has confirmed its leadership, and writes
+//! The leader's part of a replica: it answers heartbeats once a quorum has confirmed its leadership, and proposes
 //! records.
 
 use super::{LeaderTerm, Output, Replica};
@@ -8,29 +8,29 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// A heartbeat that waits for a leadership check, and the token for its answer.
+/// A member's heartbeat that waits for a leadership check, and the token of its answer.
 pub(super) struct WaitingHeartbeat {
     pub(super) token: u64,
     pub(super) heartbeat: Heartbeat,
 }
 
-/// A request to the quorum to confirm that this replica still is the leader.
+/// A request to the voters to confirm that this replica is still the leader.
 pub(super) struct LeadershipCheck {
     number: u64,
-    since: Millis,
-    /// The heartbeats to answer once a quorum has confirmed.
+    started_at: Millis,
+    /// The heartbeats to answer once a quorum has confirmed the leadership.
     heartbeats: Vec<WaitingHeartbeat>,
 }
 
 impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
-    /// Starts or ends this replica's leadership as the library reports it.
-    pub(super) fn follow_leadership(&mut self) {
+    /// Creates or drops the leader's state when the library begins or ends this replica's leadership.
+    pub(super) fn update_leadership(&mut self) {
         let term = self.node.raft.term;
         let is_leader = self.node.raft.state == StateRole::Leader;
         self.leader = self
             .leader
             .take()
-            .filter(|current| is_leader && current.term == term);
+            .filter(|leader_term| is_leader && leader_term.term == term);
         if is_leader && self.leader.is_none() {
             let leader = Leader::new(self.now, self.lease);
             self.leader = Some(LeaderTerm { term, leader });
@@ -48,28 +48,28 @@
         raft.commit_to_current_term() && self.applied == raft.raft_log.committed
     }
 
-    /// Asks the quorum to confirm the leadership if heartbeats wait for that: after a pause or a partition the other
+    /// Asks the voters to confirm the leadership if heartbeats wait for that: after a pause or a partition the other
     /// voters may have elected another leader.
-    pub(super) fn check_leadership(&mut self) {
+    pub(super) fn start_leadership_check(&mut self) {
         if self.leader.is_none() || self.heartbeats.is_empty() {
             return;
         }
         let check = self.leadership_check.as_ref();
-        if check.is_some_and(|check| self.now < check.since + self.lease) {
+        if check.is_some_and(|check| self.now < check.started_at + self.lease) {
             return;
         }
         if !self.node.raft.commit_to_current_term() {
             return;
         }
-        // The members whose heartbeats an overdue check holds send them again.
+        // The heartbeats of an overdue check are rejected, and their members send new ones.
         self.abandon_leadership_check();
-        self.leadership_checks += 1;
+        self.last_check_number += 1;
         self.leadership_check = Some(LeadershipCheck {
-            number: self.leadership_checks,
-            since: self.now,
+            number: self.last_check_number,
+            started_at: self.now,
             heartbeats: std::mem::take(&mut self.heartbeats),
         });
-        self.node.read_index(check_context(self.leadership_checks));
+        self.node.read_index(check_context(self.last_check_number));
     }
 
     fn abandon_leadership_check(&mut self) {
@@ -94,42 +94,42 @@
             return;
         };
         let has_applied_all = self.has_applied_all();
-        let Some(current) = self.leader.as_mut() else {
+        let Some(leader_term) = self.leader.as_mut() else {
             return;
         };
         for WaitingHeartbeat { token, heartbeat } in check.heartbeats {
             self.outputs.push(if has_applied_all {
                 let fleet = &self.state.fleet;
-                let response = current.leader.heartbeat(self.now, fleet, &heartbeat);
+                let response = leader_term.leader.heartbeat(self.now, fleet, &heartbeat);
                 Output::HeartbeatResponse(token, response)
             } else {
-                // The log contains committed records that this leader has not applied yet: the member's next heartbeat
-                // is answered.
+                // This leader has not applied all committed records yet. The member is sent back to this replica, which
+                // answers a later heartbeat.
                 Output::NotLeader(token, Some(self.name.clone()))
             });
         }
     }
 
-    /// Writes the leader's next record to the log, if it is time to look for one.
-    pub(super) fn write(&mut self) {
-        if !self.has_applied_all() || !std::mem::take(&mut self.is_write_due) {
+    /// Proposes the leader's next record and the next membership change, if there are any and a proposal is due.
+    pub(super) fn propose_next(&mut self) {
+        if !self.has_applied_all() || !std::mem::take(&mut self.is_proposal_due) {
             return;
         }
-        let Some(current) = self.leader.as_mut() else {
+        let Some(leader_term) = self.leader.as_mut() else {
             return;
         };
-        if let Some(record) = current.leader.next_record(self.now, &self.state.fleet) {
+        if let Some(record) = leader_term.leader.next_record(self.now, &self.state.fleet) {
             let is_proposed = serde_json::to_vec(&record)
                 .is_ok_and(|bytes| self.node.propose(Vec::new(), bytes).is_ok());
             if !is_proposed {
-                current.leader.record_settled();
+                leader_term.leader.record_settled();
             }
         }
         self.admit_joining_replica();
     }
 }
 
-/// The context that the library returns with the confirmation of a check.
+/// The context of a check, which the library returns with the confirmation.
 fn check_context(number: u64) -> Vec<u8> {
     number.to_le_bytes().to_vec()
 }
--- a/crates/raft-replica/src/replica/log.rs
+++ b/crates/raft-replica/src/replica/log.rs
@@ -1,4 +1,4 @@
-//! Handles the library's output: messages, entries to write and to apply, and snapshots.
+//! Handles the library's output: messages to send, entries to write and to apply, and snapshots.
 
 use super::{Output, Replica};
 use crate::state::MembershipChange;
@@ -8,13 +8,13 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The log is compacted after this many applied entries since the snapshot, which bounds its size and the time of a
-/// start.
+/// The log is compacted when more than this many applied entries follow the snapshot, which bounds the log's size and
+/// the time of a start.
 const MAX_ENTRIES_BEHIND_SNAPSHOT: u64 = 256;
 
 impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
-    /// Handles the library's output, except for the part that waits for the disk, which follows in
-    /// [`Self::handle_persisted`].
+    /// Handles the library's output, except for the part that must wait for the disk: [`Self::handle_persisted`] handles
+    /// that.
     pub(super) fn handle_ready(&mut self) {
         let mut ready = self.node.ready();
         self.send(ready.take_messages());
@@ -29,30 +29,31 @@
         for read_state in ready.take_read_states() {
             self.handle_leadership_confirmed(&read_state.request_ctx);
         }
-        self.sent_after_save = ready.take_persisted_messages();
+        self.messages_after_save = ready.take_persisted_messages();
         let number = ready.number();
         self.node.advance_append_async(ready);
         match self.node.mut_store().take_unsaved() {
             Some(save) => {
-                self.saving = Some(number);
+                self.ready_in_progress = Some(number);
                 self.outputs.push(Output::Save(save));
             }
             None => self.handle_persisted(number),
         }
     }
 
-    /// Sends the messages that waited for the disk.
+    /// Reports the library's output with that number as persisted, compacts the log if that is due, and sends the messages
+    /// that waited for the disk.
     pub(super) fn handle_persisted(&mut self, number: u64) {
         self.node.on_persist_ready(number);
         self.node.advance_apply_to(self.applied);
-        // The log must not be compacted earlier: the library still reads entries that it counts as not applied. The
-        // next write brings the snapshot to the disk.
+        // The log must not be compacted before this point: the library still reads entries that it does not count as
+        // applied. The next write saves the new snapshot.
         let snapshot_index = self.node.store().snapshot_index();
-        let is_long = self.applied > snapshot_index + MAX_ENTRIES_BEHIND_SNAPSHOT;
-        if std::mem::take(&mut self.is_compaction_due) || is_long {
+        let is_too_long = self.applied > snapshot_index + MAX_ENTRIES_BEHIND_SNAPSHOT;
+        if std::mem::take(&mut self.is_compaction_due) || is_too_long {
             self.compact();
         }
-        let messages = std::mem::take(&mut self.sent_after_save);
+        let messages = std::mem::take(&mut self.messages_after_save);
         self.send(messages);
     }
 
@@ -73,7 +74,7 @@
     }
 
     fn apply(&mut self, entries: Vec<Entry>) {
-        self.is_write_due |= !entries.is_empty();
+        self.is_proposal_due |= !entries.is_empty();
         for entry in entries {
             self.applied = entry.index;
             match entry.get_entry_type() {
@@ -85,13 +86,13 @@
     }
 
     fn apply_record(&mut self, entry: &Entry) {
-        // An entry without a record: a leader begins its term with an empty one.
+        // Not every entry holds a record: a leader begins its term with an empty entry.
         let Ok(record) = serde_json::from_slice::<Record<D>>(entry.get_data()) else {
             return;
         };
         self.state.fleet.apply(record);
-        if let Some(current) = &mut self.leader {
-            current.leader.record_settled();
+        if let Some(leader_term) = &mut self.leader {
+            leader_term.leader.record_settled();
         }
     }
 
@@ -117,7 +118,8 @@
         }
     }
 
-    /// The name of the replica with that id. A blank replica has no list of voters and knows only its last sender.
+    /// The name of the replica with that id. A blank replica may have no list of voters, and then knows only the sender
+    /// of its last message.
     fn name_of(&self, id: u64) -> Option<&str> {
         let last_sender = self.last_sender.as_ref().filter(|sender| sender.id == id);
         self.state
--- a/crates/raft-replica/src/replica/membership.rs
+++ b/crates/raft-replica/src/replica/membership.rs
@@ -1,5 +1,5 @@
-//! Changes of the voters: a blank replica asks to join, receives the log, and then votes in place of the earlier id of
-//! its name.
+//! Membership changes: a blank replica asks to join, receives the log as a learner, and then becomes a voter in place of
+//! the previous id of its name.
 
 use super::Replica;
 use crate::state::MembershipChange;
@@ -10,11 +10,11 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// How long a join request is valid, in ms; a blank replica repeats it as long as it is blank.
-const JOIN_REQUEST_VALID_FOR: Millis = 3000.0;
-/// Limit of the stored join requests of replicas that are not voters.
+/// How long a join request is valid, in ms. A blank replica repeats its request.
+const JOIN_REQUEST_VALIDITY: Millis = 3000.0;
+/// Limit of the stored join requests. Replicas with the name of a voter are exempt.
 const MAX_JOIN_REQUESTS: usize = 64;
-/// The time in ms without an acknowledgement after which a snapshot is sent again.
+/// The time in ms after which a snapshot that was not acknowledged is sent again.
 const SNAPSHOT_TIMEOUT: Millis = 2000.0;
 
 /// A blank replica's request to join.
@@ -24,14 +24,14 @@
 }
 
 impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
-    /// Whether a voter is being replaced. Until the replacement is complete, the loss of another disk may lose the
-    /// quorum.
+    /// Whether a replica is joining or a voter is being replaced. Until that is complete, the loss of another disk may
+    /// lose the quorum.
     pub fn is_replacing_voter(&self) -> bool {
         let conf_state = self.node.raft.prs().conf().to_conf_state();
         !self.state.joining.is_empty() || !conf_state.get_voters_outgoing().is_empty()
     }
 
-    /// The name and id that this replica sends to the others as long as it is blank.
+    /// The name and id that this replica must send to the others as its join request, as long as it is blank.
     pub fn join_request(&self) -> Option<(String, u64)> {
         self.is_blank().then(|| (self.name.clone(), self.id))
     }
@@ -47,9 +47,10 @@
         }
     }
 
-    /// Admits one replica at a time: it first receives the log, then votes in place of the earlier id of its name.
+    /// Admits one replica at a time: it first receives the log as a learner, then becomes a voter in place of the previous
+    /// id of its name.
     pub(super) fn admit_joining_replica(&mut self) {
-        self.drop_old_join_requests();
+        self.drop_stale_join_requests();
         if self.node.raft.has_pending_conf() {
             return;
         }
@@ -57,7 +58,7 @@
             return;
         };
         let id = request.id;
-        let receives_log = self.state.joining.get(name) == Some(&id);
+        let is_learner = self.state.joining.get(name) == Some(&id);
         let matched = self
             .node
             .raft
@@ -65,25 +66,25 @@
             .get(id)
             .map_or(0, |progress| progress.matched);
         let has_log = matched + 1 >= self.node.raft.raft_log.committed;
-        if receives_log && !has_log {
+        if is_learner && !has_log {
             return;
         }
         let change = MembershipChange {
             name: name.clone(),
             id,
-            votes: receives_log,
+            votes: is_learner,
         };
         self.propose_membership(&change);
     }
 
-    /// Drops the requests of ids that vote now, and those that were not repeated: no replica has such an id any more,
-    /// and its admission would block the others.
-    fn drop_old_join_requests(&mut self) {
+    /// Drops the requests of ids that vote now, and those that were not repeated in time: no replica has such an id any
+    /// more, and its admission would block the others.
+    fn drop_stale_join_requests(&mut self) {
         let voters = &self.state.voters;
         let now = self.now;
         self.join_requests.retain(|name, request| {
             let is_voter = voters.get(name) == Some(&request.id);
-            !is_voter && now < request.received_at + JOIN_REQUEST_VALID_FOR
+            !is_voter && now < request.received_at + JOIN_REQUEST_VALIDITY
         });
     }
 
@@ -101,14 +102,14 @@
         conf_change.set_changes(changes.into());
         let context = serde_json::to_vec(change).unwrap_or_default();
         conf_change.set_context(context.into());
-        // If the library rejects the proposal, the next call proposes it again.
+        // If the library rejects the proposal, the next proposal repeats it.
         let _ = self.node.propose_conf_change(Vec::new(), conf_change);
     }
 
     /// Reports a snapshot as failed if it was not acknowledged in time. The snapshot or its acknowledgement may have
     /// been lost, and the library sends nothing else to that replica until it gets a report.
     pub(super) fn retry_lost_snapshots(&mut self) {
-        let waiting: Vec<u64> = self
+        let pending_ids: Vec<u64> = self
             .node
             .raft
             .prs()
@@ -116,8 +117,9 @@
             .filter(|(_, progress)| progress.state == ProgressState::Snapshot)
             .map(|(id, _)| *id)
             .collect();
-        self.snapshots_sent_at.retain(|id, _| waiting.contains(id));
-        for id in waiting {
+        self.snapshots_sent_at
+            .retain(|id, _| pending_ids.contains(id));
+        for id in pending_ids {
             let sent_at = *self.snapshots_sent_at.entry(id).or_insert(self.now);
             if self.now >= sent_at + SNAPSHOT_TIMEOUT {
                 self.snapshots_sent_at.remove(&id);
--- a/crates/raft-replica/src/replica/mod.rs
+++ b/crates/raft-replica/src/replica/mod.rs
@@ -22,23 +22,22 @@
 
 /// How often [`Replica::tick`] has to be called, in ms.
 pub const TICK: Millis = 50.0;
-/// Limit of the heartbeats that wait for a quorum's confirmation.
+/// Limit of the heartbeats that wait for the next leadership check.
 const MAX_WAITING_HEARTBEATS: usize = 4096;
 
-/// An action that the caller must carry out. The outputs of one call must be carried out in order.
+/// An action for the caller. The outputs of one call must be handled in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output<D> {
-    /// Write this to the disk, then call [`Replica::save_completed`]. Only one write is in progress at a time.
+    /// Write this to the disk, then call [`Replica::save_completed`]. At most one write is in progress at a time.
     Save(Save),
     /// Send these bytes to the replica of that name.
     Send(String, Vec<u8>),
     /// Answer the heartbeat with that token.
     HeartbeatResponse(u64, HeartbeatResponse<D>),
-    /// Answer the heartbeat with that token that this replica is not the leader, with the name of the leader if it is
-    /// known.
+    /// Answer the heartbeat with that token that this replica can't answer it as the leader, and name the replica to
+    /// which it should be sent, if that is known.
     NotLeader(u64, Option<String>),
-    /// The leader knows of entries that this disk has confirmed and does not contain: it is an older copy and must not
-    /// be used any more.
+    /// The disk lacks entries that it has confirmed to the leader: it is an older copy, and must not be used any more.
     DiskOutdated,
 }
 
@@ -54,36 +53,37 @@
     leader: Option<LeaderTerm<D>>,
     lease: Millis,
     now: Millis,
-    /// The library's number of the write in progress.
-    saving: Option<u64>,
-    /// Messages that must wait for the end of the write in progress.
-    sent_after_save: Vec<Message>,
+    /// The number of the library's output whose write is in progress.
+    ready_in_progress: Option<u64>,
+    /// Messages that must not be sent before the write in progress is complete.
+    messages_after_save: Vec<Message>,
     /// Heartbeats that wait for the next leadership check.
     heartbeats: Vec<WaitingHeartbeat>,
     leadership_check: Option<LeadershipCheck>,
     /// The number of the last leadership check.
-    leadership_checks: u64,
+    last_check_number: u64,
     /// The latest join request of each blank replica, by name.
     join_requests: BTreeMap<String, JoinRequest>,
-    /// The time at which a snapshot was first sent to each replica, by id.
+    /// When each unacknowledged snapshot was first seen as sent, by the id of the receiver.
     snapshots_sent_at: BTreeMap<u64, Millis>,
     /// The sender of the last message that this replica received while it was blank.
     last_sender: Option<Sender>,
-    /// Whether the leader has to look for a record to write. It does not look after each heartbeat: with hundreds of
-    /// members, each look visits all of them.
-    is_write_due: bool,
-    /// Whether the log has to be compacted: a new replica must find itself among the voters of the snapshot.
+    /// Whether the leader has to look for a record to propose. It does not do so after each heartbeat, because the search
+    /// visits all members, of which there may be hundreds.
+    is_proposal_due: bool,
+    /// Whether the log has to be compacted after a membership change: a new replica must find itself among the members in
+    /// the snapshot.
     is_compaction_due: bool,
     outputs: Vec<Output<D>>,
 }
 
-/// The leader of a term of the library.
+/// The leader's state in one term of the library.
 struct LeaderTerm<D> {
     term: u64,
     leader: Leader<D>,
 }
 
-/// A replica that sent a message.
+/// The sender of a message.
 struct Sender {
     id: u64,
     name: String,
@@ -95,39 +95,39 @@
         &self.state
     }
 
-    /// The name of the leader, as far as this replica knows.
+    /// The name of the leader, if this replica knows it.
     pub fn leader_name(&self) -> Option<&str> {
-        let leader = self.node.raft.leader_id;
+        let leader_id = self.node.raft.leader_id;
         let mut voters = self.state.voters.iter();
-        let (name, _) = voters.find(|(_, id)| **id == leader)?;
+        let (name, _) = voters.find(|(_, id)| **id == leader_id)?;
         Some(name)
     }
 
-    /// The leader's memory, if this replica is the leader and has applied the whole log.
+    /// The leader's state, if this replica is the leader.
     pub fn leader(&self) -> Option<&Leader<D>> {
-        self.leader.as_ref().map(|leading| &leading.leader)
+        self.leader.as_ref().map(|leader_term| &leader_term.leader)
     }
 
-    /// Whether this replica does not vote: it has no log, or its id was replaced.
+    /// Whether this replica is not a voter: it has not been admitted yet, or its id was replaced.
     pub fn is_blank(&self) -> bool {
         !self.state.voters.values().any(|id| *id == self.id)
     }
 
-    /// Advances the time by a tick.
+    /// Advances the library's time by one tick. Must be called every [`TICK`].
     pub fn tick(&mut self, now: Millis) -> Vec<Output<D>> {
         self.now = now;
         self.node.tick();
-        self.is_write_due = true;
+        self.is_proposal_due = true;
         self.retry_lost_snapshots();
         self.advance()
     }
 
-    /// Handles a message of the library from the replica of that name. A message that can't be decoded or has another
-    /// addressee is dropped.
+    /// Handles a message of the library from the replica of that name. A message that can't be decoded or is addressed to
+    /// another id is dropped.
     pub fn handle_message(&mut self, now: Millis, from: &str, bytes: &[u8]) -> Vec<Output<D>> {
         self.now = now;
         if let Ok(message) = Message::parse_from_bytes(bytes) {
-            // Messages to another id are for an earlier replica of this name, whose disk is lost.
+            // A message to another id is for a previous replica of this name, whose disk was lost.
             if message.to == self.id {
                 self.step(from, message);
             }
@@ -137,14 +137,14 @@
 
     fn step(&mut self, from: &str, message: Message) {
         if self.is_blank() {
-            // A blank replica has no list of voters: it answers the sender of the last message.
+            // A blank replica may have no list of voters: it keeps the sender's name for the answer.
             self.last_sender = Some(Sender {
                 id: message.from,
                 name: from.to_owned(),
             });
         }
-        // The library panics if the leader counts on entries that this disk had confirmed and does not contain any
-        // more. Agreement depends on them too: such a replica must start blank, as if its disk were lost.
+        // The library panics if the leader counts on entries that this disk had confirmed and no longer contains.
+        // Consensus depends on them, too: such a replica must start blank, as if its disk were lost.
         let last_index = self.node.raft.raft_log.last_index();
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
         let is_current = message.term >= self.node.raft.term;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Handles a member's heartbeat. The answer is an output with the token.
+    /// Handles a member's heartbeat. The answer is an output with that token, of this call or a later one.
     pub fn heartbeat(&mut self, now: Millis, token: u64, heartbeat: Heartbeat) -> Vec<Output<D>> {
         self.now = now;
         let is_leader = self.node.raft.state == StateRole::Leader;
@@ -175,16 +175,16 @@
     /// Fails if the command does not fit the state, or this replica is not the leader.
     pub fn submit(&mut self, now: Millis, command: Command<D>) -> Result<Vec<Output<D>>, Refusal> {
         self.now = now;
-        let current = self.leader.as_mut().ok_or(Refusal::NotBootstrapped)?;
-        current.leader.submit(&self.state.fleet, command)?;
-        self.is_write_due = true;
+        let leader_term = self.leader.as_mut().ok_or(Refusal::NotBootstrapped)?;
+        leader_term.leader.submit(&self.state.fleet, command)?;
+        self.is_proposal_due = true;
         Ok(self.advance())
     }
 
     /// Must be called when the write of [`Output::Save`] is complete.
     pub fn save_completed(&mut self, now: Millis) -> Vec<Output<D>> {
         self.now = now;
-        if let Some(number) = self.saving.take() {
+        if let Some(number) = self.ready_in_progress.take() {
             self.handle_persisted(number);
         }
         self.advance()
@@ -193,10 +193,10 @@
     /// Advances the library until it has no output, or a write is in progress.
     fn advance(&mut self) -> Vec<Output<D>> {
         loop {
-            self.follow_leadership();
-            self.check_leadership();
-            self.write();
-            if self.saving.is_some() || !self.node.has_ready() {
+            self.update_leadership();
+            self.start_leadership_check();
+            self.propose_next();
+            if self.ready_in_progress.is_some() || !self.node.has_ready() {
                 return std::mem::take(&mut self.outputs);
             }
             self.handle_ready();
--- a/crates/raft-replica/src/replica/open.rs
+++ b/crates/raft-replica/src/replica/open.rs
@@ -1,4 +1,4 @@
-//! The start of a replica from its disk, and the first disk of a cluster.
+//! Starts a replica from its disk, and creates the first disk of a generation.
 
 use super::Replica;
 use crate::error::ReplicaError;
@@ -13,23 +13,23 @@
 use slog::Logger;
 use std::collections::BTreeMap;
 
-/// Ticks between two heartbeats of the library's leader.
+/// Ticks between two heartbeats that the leader sends to the other replicas.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks without a leader until the first voter begins an election.
+/// Ticks without a leader after which the voter of rank 0 begins an election.
 const ELECTION_TICKS: usize = 12;
-/// Additional ticks for each further voter, so that no two voters begin an election at the same time.
+/// Additional ticks for each further rank, so that no two voters begin an election at the same time.
 const ELECTION_TICKS_PER_RANK: usize = 4;
-/// The largest message of the library, in bytes.
+/// Limit of the entries in one message of the library, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 1 << 20;
 /// Limit of the library's messages in flight to one replica.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
 
 impl<D: Policy + Serialize + DeserializeOwned> Replica<D> {
-    /// The first disk of a generation, whose only voter has that name and id. After a disaster recovery `revision`
+    /// The first disk of a generation, whose only voter has that name and id. After a disaster recovery, `revision`
     /// records who ran it.
     ///
     /// # Errors
-    /// Fails if the document can't be encoded.
+    /// Fails if the state can't be encoded.
     pub fn bootstrap_image(
         name: &str,
         id: u64,
@@ -49,8 +49,8 @@
         Ok(Image::bootstrap(id, data))
     }
 
-    /// Creates a replica from the content of its disk. `election_rank` is its position among the configured voters;
-    /// `lease` is in ms. A blank replica waits until the others admit it under its id.
+    /// Creates a replica from the content of its disk. `election_rank` is its position among the configured voters, and
+    /// `lease` is in ms. A blank replica has to wait until the others admit it under its id.
     ///
     /// # Errors
     /// Fails if the image can't be decoded, or the library can't start with it.
@@ -79,15 +79,15 @@
             leader: None,
             lease,
             now,
-            saving: None,
-            sent_after_save: Vec::new(),
+            ready_in_progress: None,
+            messages_after_save: Vec::new(),
             heartbeats: Vec::new(),
             leadership_check: None,
-            leadership_checks: 0,
+            last_check_number: 0,
             join_requests: BTreeMap::new(),
             snapshots_sent_at: BTreeMap::new(),
             last_sender: None,
-            is_write_due: true,
+            is_proposal_due: true,
             is_compaction_due: false,
             outputs: Vec::new(),
         })
@@ -100,14 +100,14 @@
         id,
         election_tick: ELECTION_TICKS,
         heartbeat_tick: HEARTBEAT_TICKS,
-        // A range of one value: without a random timeout, a seeded test always runs the same.
+        // The range holds one value, so that the timeout is not random and a seeded test always runs the same.
         min_election_tick: election_ticks,
         max_election_tick: election_ticks + 1,
         applied,
         max_size_per_msg: MAX_MESSAGE_BYTES,
         max_inflight_msgs: MAX_MESSAGES_IN_FLIGHT,
-        // A leader that reaches no quorum steps down, and a replica that was partitioned does not depose the next
-        // leader.
+        // With `check_quorum` a leader that reaches no quorum steps down; with `pre_vote` a replica that returns from a
+        // partition does not depose the current leader.
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
--- a/crates/raft-replica/src/state.rs
+++ b/crates/raft-replica/src/state.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound(serialize = "D: Serialize", deserialize = "D: DeserializeOwned"))]
 pub struct State<D> {
-    /// The cluster's policy, members and changes.
+    /// The fleet's policy, members and changes.
     pub fleet: Fleet<D>,
     /// The ids of the replicas that vote, by name.
     pub voters: BTreeMap<String, u64>,
@@ -40,12 +40,13 @@
         self.voters
             .iter()
             .chain(&self.joining)
-            .find(|(_, known)| **known == id)
+            .find(|(_, replica_id)| **replica_id == id)
             .map(|(name, _)| name.as_str())
     }
 }
 
-/// The meaning of a configuration change of the library for the state. It is the context of that change.
+/// The addition of a joining replica or a voter to the state. It is the context of a configuration change of the
+/// library.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct MembershipChange {
     pub(crate) name: String,
