--- a/crates/raft-replica/tests/pinned_forms.rs
+++ b/crates/raft-replica/tests/pinned_forms.rs
@@ -1,8 +1,8 @@
-//! Pins what a voter of the fleet's log writes to its disk and sends to other voters, as the agreement library's
-//! protobuf bytes in hex: the vote, the snapshot, the log's entries with the records and voter changes inside them,
-//! and one message of each kind between two voters; and the JSON of the replicated state. A fixed run of two voters
-//! must write exactly the sample's bytes; each sample is read by the library and by a voter, and written again as the
-//! same bytes.
+//! Pins what a voter of the fleet's log writes to its disk and sends to other voters, as the Raft library's protobuf
+//! bytes in hex: the hard state, the snapshot, the log's entries with the records and membership changes inside them,
+//! and one message of each kind between two voters. Also pins the JSON of the replicated state. A fixed run of two
+//! voters must write exactly the bytes of the sample, the library and a voter must read the sample, and encoding what
+//! the library has read must give the same bytes.
 
 mod two_voters;
 
@@ -13,10 +13,10 @@
 use protobuf::Message as _;
 use raft::prelude::{ConfChangeV2, Entry, EntryType, HardState, Message, Snapshot};
 use std::collections::{BTreeMap, BTreeSet};
-use two_voters::{open, run, Limit, GENERATION};
+use two_voters::{open, record_run, Limit, GENERATION};
 
-/// The kinds of entries and messages in the run.
-const KINDS_OF_ENTRIES: [&str; 10] = [
+/// The kinds of entries in the run; membership changes stand for themselves.
+const ENTRY_KINDS: [&str; 10] = [
     "binding",
     "confirmed",
     "decided",
@@ -28,7 +28,8 @@
     r#"{"name":"b","id":22,"votes":false}"#,
     r#"{"name":"b","id":22,"votes":true}"#,
 ];
-const KINDS_OF_MESSAGES: [&str; 9] = [
+/// The kinds of messages in the run.
+const MESSAGE_KINDS: [&str; 9] = [
     "MsgAppend",
     "MsgAppendResponse",
     "MsgHeartbeat",
@@ -42,20 +43,20 @@
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// The disk's content according to the sample, read write by write.
-fn disk(lines: &str, name: &str, id: u64) -> Image {
+/// The disk's content of the voter of that name and id after the writes in the sample.
+fn image_of_voter(sample: &str, name: &str, id: u64) -> Image {
     let mut image = Image::blank(id);
-    for line in lines.lines() {
+    for line in sample.lines() {
         let save = match line.split(' ').collect::<Vec<_>>()[..] {
-            [by, "vote", hard] if by == name => Save {
-                hard_state: Some(bytes_of_hex(hard)),
+            [writer, "vote", hard_state] if writer == name => Save {
+                hard_state: Some(bytes_of_hex(hard_state)),
                 ..Save::default()
             },
-            [by, "snapshot", index, whole] if by == name => Save {
-                snapshot: Some((index.parse().unwrap(), bytes_of_hex(whole))),
+            [writer, "snapshot", index, snapshot] if writer == name => Save {
+                snapshot: Some((index.parse().unwrap(), bytes_of_hex(snapshot))),
                 ..Save::default()
             },
-            [by, "entry", index, entry] if by == name => Save {
+            [writer, "entry", index, entry] if writer == name => Save {
                 entries: Some((index.parse().unwrap(), vec![bytes_of_hex(entry)])),
                 ..Save::default()
             },
@@ -66,15 +67,15 @@
     image
 }
 
-/// Decodes the bytes by the library and encodes them again.
-fn again<M: protobuf::Message>(hex: &str, read: impl FnOnce(&M)) -> Vec<u8> {
+/// Decodes a message of the library, checks it, and encodes it again.
+fn reencode<M: protobuf::Message>(hex: &str, check: impl FnOnce(&M)) -> Vec<u8> {
     let message = M::parse_from_bytes(&bytes_of_hex(hex)).unwrap();
-    read(&message);
+    check(&message);
     message.write_to_bytes().unwrap()
 }
 
-/// The kind of an entry. Its content must be the same JSON after it is decoded and encoded.
-fn kind_of_entry(entry: &Entry) -> String {
+/// The kind of an entry. Checks that a record in it is encoded to the same JSON.
+fn check_entry(entry: &Entry) -> String {
     match entry.get_entry_type() {
         _ if entry.get_data().is_empty() => "empty".into(),
         EntryType::EntryNormal => {
@@ -96,22 +97,22 @@
             let change = ConfChangeV2::parse_from_bytes(entry.get_data()).unwrap();
             String::from_utf8(change.get_context().to_vec()).unwrap()
         }
-        EntryType::EntryConfChange => panic!("not written by a replica"),
+        EntryType::EntryConfChange => panic!("a replica proposes no EntryConfChange"),
     }
 }
 
 #[test]
 fn two_replicas_write_and_read_the_bytes_of_the_sample() {
-    let run = run();
-    let written: String = run.lines.iter().map(|l| format!("{l}\n")).collect();
-    let text = FORMS.text("run.txt");
-    for (number, (line, want)) in written.lines().zip(text.lines()).enumerate() {
-        assert_eq!(line, want, "run.txt, line {}", number + 1);
+    let run = record_run();
+    let written: String = run.lines.iter().map(|line| format!("{line}\n")).collect();
+    let sample = FORMS.text("run.txt");
+    for (index, (line, expected)) in written.lines().zip(sample.lines()).enumerate() {
+        assert_eq!(line, expected, "run.txt, line {}", index + 1);
     }
-    assert_eq!(written, text);
+    assert_eq!(written, sample);
     // The disks of the sample equal those of the run, and a voter can open them.
     for (name, election_rank, id) in [("a", 0, 1), ("b", 1, 22)] {
-        let image = disk(&text, name, id);
+        let image = image_of_voter(&sample, name, id);
         assert_eq!(image, run.images[name], "{name}");
         let state = open(name, election_rank, &image, run.now).state().clone();
         assert_eq!(
@@ -124,50 +125,53 @@
 }
 
 /// Decodes the state in a snapshot, and checks that it is encoded to the same bytes.
-fn check_state(data: &[u8], at: &str) {
+fn check_state(data: &[u8], position: &str) {
     if !data.is_empty() {
         let state: State<Limit> = serde_json::from_slice(data).unwrap();
-        assert_eq!(serde_json::to_vec(&state).unwrap(), data, "{at}");
+        assert_eq!(serde_json::to_vec(&state).unwrap(), data, "{position}");
     }
 }
 
 #[test]
-fn the_library_reads_each_line_of_the_sample_and_writes_the_same_bytes() {
-    let text = FORMS.text("run.txt");
-    let mut entries = BTreeSet::new();
-    let mut messages = BTreeSet::new();
-    for (number, line) in text.lines().enumerate() {
-        let at = format!("run.txt, line {}", number + 1);
-        let (hex, written) = match line.split(' ').collect::<Vec<_>>()[..] {
-            [_, "vote", h] => (h, again::<HardState>(h, |_| ())),
-            [_, "snapshot", _, h] => (h, again::<Snapshot>(h, |s| check_state(s.get_data(), &at))),
-            [_, "entry", index, h] => {
-                let read = |entry: &Entry| {
-                    assert_eq!(entry.index.to_string(), index, "{at}");
-                    entries.insert(kind_of_entry(entry));
+fn the_library_decodes_each_line_of_the_sample_and_encodes_the_same_bytes() {
+    let sample = FORMS.text("run.txt");
+    let mut entry_kinds = BTreeSet::new();
+    let mut message_kinds = BTreeSet::new();
+    for (index, line) in sample.lines().enumerate() {
+        let position = format!("run.txt, line {}", index + 1);
+        let (hex, encoded) = match line.split(' ').collect::<Vec<_>>()[..] {
+            [_, "vote", hex] => (hex, reencode::<HardState>(hex, |_| ())),
+            [_, "snapshot", _, hex] => {
+                let check = |snapshot: &Snapshot| check_state(snapshot.get_data(), &position);
+                (hex, reencode::<Snapshot>(hex, check))
+            }
+            [_, "entry", index, hex] => {
+                let check = |entry: &Entry| {
+                    assert_eq!(entry.index.to_string(), index, "{position}");
+                    entry_kinds.insert(check_entry(entry));
                 };
-                (h, again::<Entry>(h, read))
+                (hex, reencode::<Entry>(hex, check))
             }
-            [_, "sends", kind, h] => {
-                let read = |message: &Message| {
-                    assert_eq!(format!("{:?}", message.get_msg_type()), kind, "{at}");
-                    messages.insert(kind);
+            [_, "sends", kind, hex] => {
+                let check = |message: &Message| {
+                    assert_eq!(format!("{:?}", message.get_msg_type()), kind, "{position}");
+                    message_kinds.insert(kind);
                 };
-                (h, again::<Message>(h, read))
+                (hex, reencode::<Message>(hex, check))
             }
-            _ => panic!("{at}: {line}"),
+            _ => panic!("{position}: unknown form of a line: {line}"),
         };
-        assert_eq!(written, bytes_of_hex(hex), "{at}");
+        assert_eq!(encoded, bytes_of_hex(hex), "{position}");
     }
     assert_eq!(
-        entries.iter().map(String::as_str).collect::<Vec<_>>(),
-        KINDS_OF_ENTRIES
+        entry_kinds.iter().map(String::as_str).collect::<Vec<_>>(),
+        ENTRY_KINDS
     );
-    assert_eq!(messages.into_iter().collect::<Vec<_>>(), KINDS_OF_MESSAGES);
+    assert_eq!(message_kinds.into_iter().collect::<Vec<_>>(), MESSAGE_KINDS);
 }
 
 #[test]
-fn the_replicated_state_is_read_and_written_as_in_its_sample() {
+fn the_replicated_state_is_encoded_and_decoded_as_in_the_sample() {
     let mut fleet = Fleet::default();
     assert!(fleet.apply(Record::Bootstrapped {
         generation: GENERATION,
@@ -197,10 +201,12 @@
     let states = [state, blank];
     let written: String = states
         .iter()
-        .map(|s| serde_json::to_string(s).unwrap() + "\n")
+        .map(|state| serde_json::to_string(state).unwrap() + "\n")
         .collect();
-    let text = FORMS.text("states.jsonl");
-    assert_eq!(written, text);
-    let read = text.lines().map(|line| serde_json::from_str(line).unwrap());
-    assert_eq!(read.collect::<Vec<State<Limit>>>(), states);
+    let sample = FORMS.text("states.jsonl");
+    assert_eq!(written, sample);
+    let decoded = sample
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap());
+    assert_eq!(decoded.collect::<Vec<State<Limit>>>(), states);
 }
--- a/crates/raft-replica/tests/two_voters/mod.rs
+++ b/crates/raft-replica/tests/two_voters/mod.rs
@@ -1,4 +1,4 @@
-//! A fixed run of two voters, with their writes and messages.
+//! A fixed run of two voters that records their writes and messages.
 
 use ironstair_coordination::leader::Command;
 use ironstair_coordination::record::ChangeProposal;
@@ -10,10 +10,11 @@
 use slog::{o, Discard, Logger};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// In ms.
 pub(crate) const LEASE: f64 = 1000.0;
 pub(crate) const GENERATION: u64 = 1 << 48 | 7;
 
-/// A policy document for the test; the form of the real one belongs to another package.
+/// A policy document for the test; another package defines the real one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Limit {
     pub limit: f64,
@@ -32,82 +33,88 @@
     Replica::open(name, election_rank, LEASE, image, now, &log).unwrap()
 }
 
-/// Voters with links that lose nothing, and their writes.
-pub(crate) struct Run {
+/// Voters that receive each other's messages at once, and the record of their writes and messages.
+pub(crate) struct RecordedRun {
     pub voters: BTreeMap<&'static str, Replica<Limit>>,
     pub images: BTreeMap<&'static str, Image>,
     pub now: f64,
+    /// The writes of each voter and its first message of each kind, a line each.
     pub lines: Vec<String>,
-    pub kinds: BTreeSet<(String, String)>,
+    /// The senders and kinds of the recorded messages.
+    pub recorded_kinds: BTreeSet<(String, String)>,
 }
 
-pub(crate) fn disk_lines(name: &str, save: &Save) -> Vec<String> {
-    let hard = save
+/// The lines that record a write of the voter of that name.
+pub(crate) fn save_lines(name: &str, save: &Save) -> Vec<String> {
+    let hard_state = save
         .hard_state
         .iter()
-        .map(|h| format!("{name} vote {}", super::hex(h)));
-    let whole = save
+        .map(|hard_state| format!("{name} vote {}", super::hex(hard_state)));
+    let snapshot = save
         .snapshot
         .iter()
-        .map(|(index, w)| format!("{name} snapshot {index} {}", super::hex(w)));
-    let entries = save.entries.iter().flat_map(|(first, all)| {
-        let numbered = (*first..).zip(all);
+        .map(|(index, snapshot)| format!("{name} snapshot {index} {}", super::hex(snapshot)));
+    let entries = save.entries.iter().flat_map(|(first_index, entries)| {
+        let numbered = (*first_index..).zip(entries);
         numbered
-            .map(|(index, e)| format!("{name} entry {index} {}", super::hex(e)))
+            .map(|(index, entry)| format!("{name} entry {index} {}", super::hex(entry)))
             .collect::<Vec<_>>()
     });
-    hard.chain(whole).chain(entries).collect()
+    hard_state.chain(snapshot).chain(entries).collect()
 }
 
-impl Run {
-    pub(crate) fn add(&mut self, name: &'static str, election_rank: usize, image: Image) {
-        self.lines.extend(disk_lines(name, &image.to_save()));
+impl RecordedRun {
+    /// Starts a voter from that disk.
+    pub(crate) fn add_voter(&mut self, name: &'static str, election_rank: usize, image: Image) {
+        self.lines.extend(save_lines(name, &image.to_save()));
         self.voters
             .insert(name, open(name, election_rank, &image, self.now));
         self.images.insert(name, image);
     }
 
-    pub(crate) fn carry(&mut self, name: &'static str, outputs: Vec<Output<Limit>>) {
-        let mut waiting: VecDeque<_> = outputs.into_iter().map(|output| (name, output)).collect();
-        while let Some((from, output)) = waiting.pop_front() {
-            let (by, more) = match output {
+    /// Carries out a voter's outputs, and those that follow from them, until none is left.
+    pub(crate) fn handle_outputs(&mut self, name: &'static str, outputs: Vec<Output<Limit>>) {
+        let mut queue: VecDeque<_> = outputs.into_iter().map(|output| (name, output)).collect();
+        while let Some((from, output)) = queue.pop_front() {
+            let (voter, new_outputs) = match output {
                 Output::Save(save) => {
-                    self.lines.extend(disk_lines(from, &save));
+                    self.lines.extend(save_lines(from, &save));
                     self.images.get_mut(from).unwrap().apply(save);
                     (
                         from,
                         self.voters.get_mut(from).unwrap().save_completed(self.now),
                     )
                 }
-                Output::Send(to, sent) => {
+                Output::Send(to, bytes) => {
                     let kind = format!(
                         "{:?}",
-                        Message::parse_from_bytes(&sent).unwrap().get_msg_type()
+                        Message::parse_from_bytes(&bytes).unwrap().get_msg_type()
                     );
-                    if self.kinds.insert((from.into(), kind.clone())) {
+                    if self.recorded_kinds.insert((from.into(), kind.clone())) {
                         self.lines
-                            .push(format!("{from} sends {kind} {}", super::hex(&sent)));
+                            .push(format!("{from} sends {kind} {}", super::hex(&bytes)));
                     }
-                    let Some((to, replica)) = self.voters.iter_mut().find(|k| *k.0 == to) else {
+                    let mut voters = self.voters.iter_mut();
+                    let Some((to, replica)) = voters.find(|(name, _)| **name == to) else {
                         continue;
                     };
-                    (*to, replica.handle_message(self.now, from, &sent))
+                    (*to, replica.handle_message(self.now, from, &bytes))
                 }
                 Output::HeartbeatResponse(..) | Output::NotLeader(..) | Output::DiskOutdated => {
                     continue
                 }
             };
-            waiting.extend(more.into_iter().map(|output| (by, output)));
+            queue.extend(new_outputs.into_iter().map(|output| (voter, output)));
         }
     }
 
     pub(crate) fn tick(&mut self, name: &'static str) {
         let outputs = self.voters.get_mut(name).unwrap().tick(self.now);
-        self.carry(name, outputs);
+        self.handle_outputs(name, outputs);
     }
 
-    /// Advances the time of all voters; a member sends heartbeats to the first.
-    pub(crate) fn go_on(&mut self, ticks: usize, member: bool) {
+    /// Advances the time of all voters. If `with_heartbeats`, a member sends a heartbeat to the first voter at each tick.
+    pub(crate) fn advance(&mut self, ticks: usize, with_heartbeats: bool) {
         for _ in 0..ticks {
             self.now += TICK;
             let names: Vec<&'static str> = self.voters.keys().copied().collect();
@@ -118,7 +125,7 @@
                     .unwrap()
                     .handle_join_request(name, id);
             }
-            if member {
+            if with_heartbeats {
                 self.heartbeat();
             }
         }
@@ -129,7 +136,7 @@
         let validated = fleet
             .change
             .as_ref()
-            .map(|c| Validation::accepted(c.number));
+            .map(|change| Validation::accepted(change.number));
         let heartbeat = Heartbeat {
             name: "g1".into(),
             start: 11,
@@ -148,7 +155,7 @@
             .get_mut("a")
             .unwrap()
             .heartbeat(self.now, 1, heartbeat);
-        self.carry("a", outputs);
+        self.handle_outputs("a", outputs);
     }
 
     pub(crate) fn submit(&mut self, command: Command<Limit>) {
@@ -158,11 +165,12 @@
             .unwrap()
             .submit(self.now, command)
             .unwrap();
-        self.carry("a", outputs);
+        self.handle_outputs("a", outputs);
     }
 }
 
-pub(crate) fn change(policy_index: u64, token: u64) -> Command<Limit> {
+/// The command that proposes a lower limit, which has to be confirmed.
+pub(crate) fn propose_limit(policy_index: u64, token: u64) -> Command<Limit> {
     Command::Change(ChangeProposal {
         token,
         author: "operator".into(),
@@ -177,46 +185,49 @@
 }
 
 /// One voter is bootstrapped, a member joins, a second voter joins. One change is confirmed, one rolled back and one
-/// cancelled before it is decided. Then the first voter starts again from its disk and the second is elected.
-pub(crate) fn run() -> Run {
-    let mut run = Run {
+/// cancelled before it is decided. Then the first voter restarts from its disk and the second is elected.
+pub(crate) fn record_run() -> RecordedRun {
+    let mut run = RecordedRun {
         voters: BTreeMap::new(),
         images: BTreeMap::new(),
         now: 0.0,
         lines: Vec::new(),
-        kinds: BTreeSet::new(),
+        recorded_kinds: BTreeSet::new(),
     };
-    run.add(
+    run.add_voter(
         "a",
         0,
         Replica::bootstrap_image("a", 1, GENERATION, Limit { limit: 10.5 }, None).unwrap(),
     );
-    run.go_on(40, true);
-    run.add("b", 1, Image::blank(22));
-    run.go_on(30, true);
+    run.advance(40, true);
+    run.add_voter("b", 1, Image::blank(22));
+    run.advance(30, true);
     for token in 1..=3 {
-        run.submit(change(run.voters["a"].state().fleet.policy_index, token));
+        run.submit(propose_limit(
+            run.voters["a"].state().fleet.policy_index,
+            token,
+        ));
         let id = format!("trial-{token}");
         let author = "operator".to_owned();
         match token {
             1 => {
-                run.go_on(10, true);
+                run.advance(10, true);
                 run.submit(Command::Confirm { id });
             }
             2 => {
-                run.go_on(10, true);
+                run.advance(10, true);
                 run.submit(Command::Cancel {
                     id: Some(id),
                     author,
                 });
             }
-            // The member sends no heartbeat, so that the change waits for its validation.
+            // The member sends no heartbeat, so the change waits for its validation until it is cancelled.
             _ => {
-                run.go_on(2, false);
+                run.advance(2, false);
                 run.submit(Command::Cancel { id: None, author });
             }
         }
-        run.go_on(10, true);
+        run.advance(10, true);
     }
     let image = run.images["a"].clone();
     run.voters.insert("a", open("a", 0, &image, run.now));
