--- a/crates/gateway/tests/recovery/disaster_recovery.rs
+++ b/crates/gateway/tests/recovery/disaster_recovery.rs
@@ -114,7 +114,9 @@
     cluster.restore_disk(2, &disk);
     cluster.start(2);
     wait_until("the gateway logs whose disk it is", || {
-        cluster.log(2).contains("the log belongs to gateway g2 of fleet")
+        cluster
+            .log(2)
+            .contains("the log belongs to gateway g2 of fleet")
     });
     cluster.wait_for_answers_at(0, AnswerKind::Settled, 100);
     cluster.wipe_disk(2);
