--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -112,7 +112,7 @@
 fn assert_serves_by_the_snapshot(gateway: &stub::Gateway) {
     wait_until("the gateway reports that its list is a snapshot's", || {
         leaves(gateway, "/state/process/held-back-by")[0]["value"]
-            == json!("no endpoint list received since the start")
+            == json!("the list of engines was not heard since the start")
     });
     let engines = leaves(gateway, "/state/engine").to_string();
     assert!(
@@ -176,7 +176,7 @@
     wait_until("the gateway knows its engines", || {
         text("/state/engine[name=e1]/zone") == "a"
     });
-    text("/state/process/held-back-by").contains("keys are quarantined")
+    text("/state/process/held-back-by").contains("keys rest")
 }
 
 #[test]
--- a/crates/recovery/src/recover.rs
+++ b/crates/recovery/src/recover.rs
@@ -14,7 +14,7 @@
 pub struct Recovery {
     /// The endpoint list to use until the name service answers.
     pub endpoints: Option<RecoveredList>,
-    /// Whether ordering keys must be quarantined, because the previous process may have left attempts in flight.
+    /// Whether idempotency keys must be quarantined, because the previous process may have left attempts in flight.
     pub needs_key_quarantine: bool,
     /// Why the snapshot or its endpoint list is not used, for the log; `None` if both are used or there is no snapshot.
     pub note: Option<String>,
--- a/crates/recovery/src/stage.rs
+++ b/crates/recovery/src/stage.rs
@@ -1,4 +1,4 @@
-//! The stage of a gateway's recovery, which is reported to operators and checked by tests. No decision relies on it.
+//! The stage of a gateway's recovery, for operators and for the invariant checker of a test. No decision relies on it.
 
 use ironstair::Millis;
 
@@ -15,7 +15,7 @@
 }
 
 impl Stage {
-    /// The name of the stage in the data tree.
+    /// The name of the stage in the tree.
     pub fn as_str(self) -> &'static str {
         match self {
             Stage::CatchingUp => "catching-up",
@@ -28,40 +28,39 @@
 /// The inputs from which the stage is derived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StageInputs {
-    /// Whether the gateway has a valid lease.
+    /// Whether its lease is valid.
     pub has_lease: bool,
-    /// Whether the process has received an endpoint list since its start.
+    /// Whether the endpoint list was heard since the start.
     pub has_received_list: bool,
-    /// The end of the quarantine of ordering keys; Unix time in ms.
+    /// The end of the quarantine of idempotency keys; Unix time in ms.
     pub key_quarantine_until: Millis,
-    /// Whether the gateway uses its share of the slow-start limits; `None` if the fleet does not count its members.
+    /// Whether it uses its share of the slow-start limits; `None` if the fleet does not count its members.
     pub has_slow_start_share: Option<bool>,
 }
 
-/// A condition that keeps the gateway at a stage, with the reason that operators see.
+/// A condition that keeps the gateway at a stage.
 struct Restriction {
     applies: fn(Millis, &StageInputs) -> bool,
     stage: Stage,
     reason: &'static str,
 }
 
-/// The conditions, in the order in which they are checked; the first that applies gives the stage and the reason.
+/// The conditions in order; the first that applies gives the stage and the reason.
 const RESTRICTIONS: [Restriction; 4] = [
     Restriction {
         applies: |_, inputs| !inputs.has_lease,
         stage: Stage::CatchingUp,
-        reason: "no valid lease: the fleet's current policy is unknown",
+        reason: "the fleet's policy is not known",
     },
     Restriction {
         applies: |_, inputs| !inputs.has_received_list,
         stage: Stage::Cautious,
-        reason: "no endpoint list received since the start",
+        reason: "the list of engines was not heard since the start",
     },
     Restriction {
         applies: |now, inputs| now < inputs.key_quarantine_until,
         stage: Stage::Cautious,
-        reason:
-            "ordering keys are quarantined: the previous process may have left attempts in flight",
+        reason: "keys rest: what the last process had out is not known",
     },
     Restriction {
         applies: |_, inputs| inputs.has_slow_start_share == Some(false),
