--- a/crates/data-tree/src/document.rs
+++ b/crates/data-tree/src/document.rs
@@ -11,7 +11,7 @@
 
 impl Schema {
     /// An error for each mandatory setting that is missing, and for each list with too few or too many entries.
-    pub fn missing(&self, leaves: &LeafMap) -> Vec<ValidationError> {
+    pub fn completeness_errors(&self, leaves: &LeafMap) -> Vec<ValidationError> {
         let mut errors = Vec::new();
         for node in self.root.children.iter().filter(|node| node.config) {
             let path = Path::root().child(&node.name, None);
@@ -23,9 +23,9 @@
     /// The settings as a document.
     ///
     /// # Errors
-    /// Fails with every error of [`Schema::missing`], or with the one for which the document can't be read.
+    /// Fails with every error of [`Schema::completeness_errors`], or with the one for which the document can't be read.
     pub fn document(&self, leaves: &LeafMap) -> Result<Document, Vec<ValidationError>> {
-        let missing = self.missing(leaves);
+        let missing = self.completeness_errors(leaves);
         if !missing.is_empty() {
             return Err(missing);
         }
@@ -98,9 +98,9 @@
     let Some(last) = list.0.last() else {
         return BTreeSet::new();
     };
-    below(leaves, list.first(depth - 1))
+    below(leaves, list.prefix(depth - 1))
         .map(|(leaf, _)| leaf)
         .filter(|leaf| leaf.0.len() > depth && leaf.0[depth - 1].name == last.name)
-        .map(|leaf| leaf.first(depth))
+        .map(|leaf| leaf.prefix(depth))
         .collect()
 }
--- a/crates/data-tree/src/edit.rs
+++ b/crates/data-tree/src/edit.rs
@@ -57,7 +57,7 @@
         pattern: &Pattern,
         json: &Json,
     ) -> Result<LeafMap, ValidationError> {
-        let path = self.single(pattern)?;
+        let path = self.resolve_single(pattern)?;
         check_is_setting(&Pattern::of(&path))?;
         let replacement = self.leaves(&path, json)?;
         let replaced = self.resolve(&Pattern::of(&path))?;
@@ -71,7 +71,7 @@
         pattern: &Pattern,
         json: &Json,
     ) -> Result<LeafMap, ValidationError> {
-        let path = self.single(pattern)?;
+        let path = self.resolve_single(pattern)?;
         check_is_setting(&Pattern::of(&path))?;
         Ok(self.leaves(&path, json)?.union(leaves))
     }
@@ -93,7 +93,7 @@
                 .child(&step.name)
                 .ok_or_else(|| ValidationError::new(path, "there is no such node"))?;
             if let (NodeKind::List { key }, Some(value)) = (&node.kind, &step.key) {
-                let entry = path.first(index + 1);
+                let entry = path.prefix(index + 1);
                 let key_leaf = node.key_leaf(key, &entry)?;
                 let value = key_leaf.value(&entry, &Json::String(value.to_string()))?;
                 leaves.insert(entry.child(key, None), value);
--- a/crates/data-tree/src/encoding.rs
+++ b/crates/data-tree/src/encoding.rs
@@ -34,7 +34,7 @@
     /// Fails if a member is unknown, a value is not of its type, or an entry has no key or another one than its path.
     pub fn leaves(&self, path: &Path, json: &Json) -> Result<LeafMap, ValidationError> {
         let node = self
-            .at(path)
+            .node_at(path)
             .ok_or_else(|| ValidationError::new(path, "there is no such node"))?;
         let mut leaves = LeafMap::new();
         let is_entry = path.0.last().is_some_and(|step| step.key.is_some());
--- a/crates/data-tree/src/leaves.rs
+++ b/crates/data-tree/src/leaves.rs
@@ -36,13 +36,13 @@
 /// `...` yields the paths of the leaves. The pattern must be resolved by the schema.
 pub fn nodes(leaves: &LeafMap, pattern: &Pattern) -> Vec<Path> {
     let covered = select(leaves, pattern).map(|(path, _)| path);
-    if pattern.deep() {
+    if pattern.has_any_steps() {
         return covered.cloned().collect();
     }
     let mut nodes: Vec<Path> = Vec::new();
     for path in covered {
         if !nodes.last().is_some_and(|node| path.starts_with(node)) {
-            nodes.push(path.first(pattern.0.len()));
+            nodes.push(path.prefix(pattern.0.len()));
         }
     }
     nodes
--- a/crates/data-tree/src/path.rs
+++ b/crates/data-tree/src/path.rs
@@ -90,7 +90,7 @@
     }
 
     /// The path of the first `step_count` steps; the whole path if it has fewer.
-    pub fn first(&self, step_count: usize) -> Path {
+    pub fn prefix(&self, step_count: usize) -> Path {
         Path(self.0[..step_count.min(self.0.len())].into())
     }
 }
@@ -176,7 +176,7 @@
     }
 
     /// Whether the pattern contains `...`: the matched nodes may then differ in depth.
-    pub fn deep(&self) -> bool {
+    pub fn has_any_steps(&self) -> bool {
         self.0.contains(&StepPattern::AnySteps)
     }
 
--- a/crates/data-tree/src/schema.rs
+++ b/crates/data-tree/src/schema.rs
@@ -94,7 +94,7 @@
 
 impl Schema {
     /// The node at the path.
-    pub fn at(&self, path: &Path) -> Option<&Node> {
+    pub fn node_at(&self, path: &Path) -> Option<&Node> {
         path.0
             .iter()
             .try_fold(&self.root, |node, step| node.child(&step.name))
--- a/crates/data-tree/src/schema/from_yang.rs
+++ b/crates/data-tree/src/schema/from_yang.rs
@@ -89,8 +89,12 @@
             typedef: None,
             children: children(&module, &module, true)?,
         };
-        let revision = module.arg("revision").ok_or(SchemaError::NoRevision)?;
-        let namespace = module.arg("namespace").ok_or(SchemaError::NoNamespace)?;
+        let revision = module
+            .argument_of("revision")
+            .ok_or(SchemaError::NoRevision)?;
+        let namespace = module
+            .argument_of("namespace")
+            .ok_or(SchemaError::NoNamespace)?;
         Ok(Schema {
             root,
             revision: revision.to_owned(),
@@ -125,7 +129,7 @@
     module: &Statement,
     config: bool,
 ) -> Result<Option<Node>, SchemaError> {
-    let config = config && statement.arg("config") != Some("false");
+    let config = config && statement.argument_of("config") != Some("false");
     let Some(kind) = node_kind(statement, module)? else {
         return Ok(None);
     };
@@ -133,12 +137,12 @@
         name: statement.argument.as_str().into(),
         kind,
         config,
-        mandatory: statement.arg("mandatory") == Some("true"),
-        presence: statement.one("presence").is_some(),
+        mandatory: statement.argument_of("mandatory") == Some("true"),
+        presence: statement.first("presence").is_some(),
         min_elements: element_count(statement, "min-elements", 0)?,
         max_elements: element_count(statement, "max-elements", usize::MAX)?,
-        units: statement.arg("units").map(String::from),
-        typedef: statement.arg("type").map(String::from),
+        units: statement.argument_of("units").map(String::from),
+        typedef: statement.argument_of("type").map(String::from),
         children: children(statement, module, config)?,
     }))
 }
@@ -163,7 +167,9 @@
 }
 
 fn list_key(statement: &Statement) -> Result<Arc<str>, SchemaError> {
-    let key = statement.arg("key").filter(|key| !key.contains(' '));
+    let key = statement
+        .argument_of("key")
+        .filter(|key| !key.contains(' '));
     match key {
         Some(key) => Ok(key.into()),
         None => Err(SchemaError::at(statement, StatementFault::ListKey)),
@@ -175,7 +181,7 @@
     keyword: &str,
     default: usize,
 ) -> Result<usize, SchemaError> {
-    match statement.arg(keyword) {
+    match statement.argument_of(keyword) {
         Some(count) => count
             .parse()
             .map_err(|_| SchemaError::at(statement, StatementFault::ElementCount)),
@@ -195,7 +201,7 @@
         let mut definition = leaf;
         loop {
             let type_statement = definition
-                .one("type")
+                .first("type")
                 .ok_or_else(|| SchemaError::at(definition, StatementFault::NoType))?;
             types.push(type_statement);
             let typedef = module
@@ -217,7 +223,7 @@
     fn restriction(&self, keyword: &str) -> Option<&'a str> {
         self.types
             .iter()
-            .find_map(|statement| statement.arg(keyword))
+            .find_map(|statement| statement.argument_of(keyword))
     }
 
     /// The argument of the `range` statement; the whole range of the type where there is none.
@@ -244,9 +250,9 @@
     }
 }
 
-fn unsigned_type(chain: &TypeChain, max: u64, wide: bool) -> Result<LeafType, SchemaError> {
+fn unsigned_type(chain: &TypeChain, max: u64, is_64_bit: bool) -> Result<LeafType, SchemaError> {
     let ranges = ranges(chain.range(), 0, max, |bound| bound.parse().ok())?;
-    Ok(LeafType::Uint { wide, ranges })
+    Ok(LeafType::Uint { is_64_bit, ranges })
 }
 
 fn decimal_type(chain: &TypeChain, leaf: &Statement) -> Result<LeafType, SchemaError> {
@@ -268,7 +274,7 @@
     let patterns = chain
         .types
         .iter()
-        .filter_map(|statement| statement.arg("pattern"))
+        .filter_map(|statement| statement.argument_of("pattern"))
         .map(|pattern| Regex::new(&format!("^(?:{pattern})$")))
         .collect::<Result<_, _>>()?;
     Ok(LeafType::Text { lengths, patterns })
--- a/crates/data-tree/src/schema/resolve.rs
+++ b/crates/data-tree/src/schema/resolve.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// Fails if the pattern has wildcards, lacks a key, or can match no path.
-    pub fn single(&self, pattern: &Pattern) -> Result<Path, ValidationError> {
+    pub fn resolve_single(&self, pattern: &Pattern) -> Result<Path, ValidationError> {
         let resolved = self.resolve(pattern)?;
         let stem = resolved.stem();
         let step_count = resolved.0.len();
--- a/crates/data-tree/src/state/tree.rs
+++ b/crates/data-tree/src/state/tree.rs
@@ -52,7 +52,7 @@
 
     /// Sets a uint64.
     fn total(&mut self, name: &str, total: u64) {
-        self.set(name, Value::Wide(total));
+        self.set(name, Value::Uint64(total));
     }
 
     fn decimal(&mut self, name: &str, number: f64, digits: u8) {
@@ -60,7 +60,7 @@
     }
 
     fn moment(&mut self, name: &str, at: Millis) {
-        self.set(name, Value::Wide(at.max(0.0) as u64));
+        self.set(name, Value::Uint64(at.max(0.0) as u64));
     }
 
     fn text(&mut self, name: &str, text: &str) {
--- a/crates/data-tree/src/value.rs
+++ b/crates/data-tree/src/value.rs
@@ -17,7 +17,7 @@
     /// An unsigned integer of at most 32 bits, a number in JSON.
     Uint(u64),
     /// A uint64, which is text in JSON.
-    Wide(u64),
+    Uint64(u64),
     /// A decimal64: the number of units of its last fraction digit, and the number of fraction digits.
     Decimal(i64, u8),
     /// A string or the name of an enumeration.
@@ -53,7 +53,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Value::Bool(flag) => write!(f, "{flag}"),
-            Value::Uint(number) | Value::Wide(number) => write!(f, "{number}"),
+            Value::Uint(number) | Value::Uint64(number) => write!(f, "{number}"),
             Value::Text(text) => f.write_str(text),
             Value::Decimal(units, digits) => write_decimal(f, *units, *digits),
             Value::List(values) => write_list(f, values),
@@ -93,7 +93,7 @@
     /// An unsigned integer.
     Uint {
         /// Whether it is a uint64, which is text in JSON.
-        wide: bool,
+        is_64_bit: bool,
         /// The ranges, one of which contains the value.
         ranges: Vec<RangeInclusive<u64>>,
     },
@@ -161,7 +161,7 @@
     pub(crate) fn value(&self, json: &Json) -> Result<Value, ValueError> {
         match self {
             LeafType::Bool => boolean(json),
-            LeafType::Uint { wide, ranges } => unsigned(json, *wide, ranges),
+            LeafType::Uint { is_64_bit, ranges } => unsigned(json, *is_64_bit, ranges),
             LeafType::Decimal { digits, ranges } => decimal(json, *digits, ranges),
             LeafType::Text { lengths, patterns } => string(json, lengths, patterns),
             LeafType::Enum(names) => enumeration(json, names),
@@ -178,13 +178,17 @@
     }
 }
 
-fn unsigned(json: &Json, wide: bool, ranges: &[RangeInclusive<u64>]) -> Result<Value, ValueError> {
+fn unsigned(
+    json: &Json,
+    is_64_bit: bool,
+    ranges: &[RangeInclusive<u64>],
+) -> Result<Value, ValueError> {
     let number = number_text(json)
         .and_then(|text| text.parse::<u64>().ok())
         .ok_or_else(|| ValueError::NotUnsigned(quoted(json)))?;
     check_range(number, ranges, |bound| bound.to_string())?;
-    Ok(if wide {
-        Value::Wide(number)
+    Ok(if is_64_bit {
+        Value::Uint64(number)
     } else {
         Value::Uint(number)
     })
--- a/crates/data-tree/src/yang.rs
+++ b/crates/data-tree/src/yang.rs
@@ -25,15 +25,15 @@
     }
 
     /// The first substatement with the keyword.
-    pub fn one(&self, keyword: &str) -> Option<&Statement> {
+    pub fn first(&self, keyword: &str) -> Option<&Statement> {
         self.substatements
             .iter()
             .find(|statement| statement.keyword == keyword)
     }
 
     /// The argument of the first substatement with the keyword.
-    pub fn arg(&self, keyword: &str) -> Option<&str> {
-        self.one(keyword)
+    pub fn argument_of(&self, keyword: &str) -> Option<&str> {
+        self.first(keyword)
             .map(|statement| statement.argument.as_str())
     }
 }
--- a/crates/data-tree/src/yang/tests.rs
+++ b/crates/data-tree/src/yang/tests.rs
@@ -5,10 +5,10 @@
     let text =
         "module m { // one\n /* two */ leaf \"a\" + 'b' { pattern '[a-z\\-]'; x \"q\\\"\\n\"; } }";
     let m = parse(text).unwrap();
-    let leaf = m.one("leaf").unwrap();
+    let leaf = m.first("leaf").unwrap();
     assert_eq!((leaf.argument.as_str(), leaf.line), ("ab", 2));
     assert_eq!(
-        (leaf.arg("pattern"), leaf.arg("x")),
+        (leaf.argument_of("pattern"), leaf.argument_of("x")),
         (Some("[a-z\\-]"), Some("q\"\n"))
     );
 }
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -63,10 +63,10 @@
 fn nodes(node: &Node, at: &str, to: &mut String) {
     let of = |t: &LeafType| match t {
         LeafType::Bool => "boolean".to_owned(),
-        LeafType::Uint { wide, ranges } => {
+        LeafType::Uint { is_64_bit, ranges } => {
             format!(
                 "{} {:?}",
-                if *wide { "uint64" } else { "uint" },
+                if *is_64_bit { "uint64" } else { "uint" },
                 bounds(ranges)
             )
         }
@@ -313,7 +313,11 @@
     // The schema contains every leaf, and the value is of its type.
     for (path, value) in &all {
         assert_eq!(
-            schema.at(path).unwrap().value(path, &value.json()).as_ref(),
+            schema
+                .node_at(path)
+                .unwrap()
+                .value(path, &value.json())
+                .as_ref(),
             Ok(value),
             "{path}"
         );
--- a/crates/gnmi/src/codec.rs
+++ b/crates/gnmi/src/codec.rs
@@ -162,7 +162,7 @@
     use typed_value::Value as Typed;
     let value = match value {
         Value::Bool(is_true) => Typed::BoolVal(*is_true),
-        Value::Uint(number) | Value::Wide(number) => Typed::UintVal(*number),
+        Value::Uint(number) | Value::Uint64(number) => Typed::UintVal(*number),
         Value::Decimal(units, digits) => {
             Typed::DoubleVal(*units as f64 / 10f64.powi(i32::from(*digits)))
         }
--- a/crates/gnmi/src/set.rs
+++ b/crates/gnmi/src/set.rs
@@ -48,8 +48,8 @@
         edits: edits.edits,
     };
     match extensions.commit {
-        Some(commit) => change.with_commit(context, commit).await?,
-        None => change.for_good(context).await?,
+        Some(commit) => change.run_commit_action(context, commit).await?,
+        None => change.apply_without_commit(context).await?,
     }
     let tree = context.management.tree().await;
     Ok(gnmi::SetResponse {
@@ -214,14 +214,18 @@
 impl RequestedChange {
     /// Changes the settings without a commit extension. A request without edits changes nothing; a client may send it
     /// for its master arbitration alone.
-    async fn for_good(self, context: &ServiceContext) -> Result<(), Status> {
+    async fn apply_without_commit(self, context: &ServiceContext) -> Result<(), Status> {
         if self.edits.is_empty() {
             return Ok(());
         }
         self.apply(context, None).await
     }
 
-    async fn with_commit(self, context: &ServiceContext, commit: &Commit) -> Result<(), Status> {
+    async fn run_commit_action(
+        self,
+        context: &ServiceContext,
+        commit: &Commit,
+    ) -> Result<(), Status> {
         let id = commit.id.clone();
         if id.is_empty() || id.len() > MAX_COMMIT_ID_BYTES {
             return Err(Status::invalid_argument(
--- a/crates/gnmi/src/update_queue.rs
+++ b/crates/gnmi/src/update_queue.rs
@@ -207,7 +207,7 @@
         pattern.0.len() <= ENTRY_DEPTH && !pattern.0.contains(&StepPattern::AnySteps);
     let is_entry = is_in_atomic_entry(path) && covers_whole_entries;
     let path = if is_entry {
-        path.first(ENTRY_DEPTH)
+        path.prefix(ENTRY_DEPTH)
     } else {
         path.clone()
     };
