--- a/crates/data-tree/src/document.rs
+++ b/crates/data-tree/src/document.rs
@@ -1,4 +1,4 @@
-//! The settings of the tree as a settings document, and the check that they are complete.
+//! Conversion between the settings of the tree and a settings document, and the check that the settings are complete.
 
 use crate::encoding::object;
 use crate::leaves::{below, LeafMap};
@@ -23,7 +23,7 @@
     /// The settings as a document.
     ///
     /// # Errors
-    /// Fails with every error of [`Schema::completeness_errors`], or with the one for which the document can't be read.
+    /// Fails with all errors of [`Schema::completeness_errors`], or with the error of the conversion.
     pub fn document(&self, leaves: &LeafMap) -> Result<Document, Vec<ValidationError>> {
         let missing = self.completeness_errors(leaves);
         if !missing.is_empty() {
@@ -59,7 +59,10 @@
     match &node.kind {
         NodeKind::Leaf(_) | NodeKind::LeafList(_) => {
             if node.mandatory && !leaves.contains_key(path) {
-                errors.push(ValidationError::new(path, "is missing"));
+                errors.push(ValidationError::new(
+                    path,
+                    "the mandatory setting is missing",
+                ));
             }
         }
         NodeKind::Container => {
@@ -84,7 +87,7 @@
     if count < least || count > most {
         errors.push(ValidationError::new(
             path,
-            format!("{count} entries; {least} to {most} may be there"),
+            format!("the list has {count} entries, {least} to {most} are allowed"),
         ));
     }
     for entry in &entries {
--- a/crates/data-tree/src/edit.rs
+++ b/crates/data-tree/src/edit.rs
@@ -6,12 +6,12 @@
 use serde_json::Value as Json;
 use std::sync::Arc;
 
-/// One operation of a change.
+/// One operation of a change to the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Edit {
     /// Removes the nodes that the pattern matches.
     Delete(Pattern),
-    /// Sets the node to the value, and removes everything at the node that the value does not contain.
+    /// Sets the node to the value, and removes all of its leaves that the value does not contain.
     Replace(Pattern, Json),
     /// Sets the leaves that the value contains, and keeps the other leaves of the node.
     Update(Pattern, Json),
@@ -46,7 +46,7 @@
     fn delete(&self, leaves: &mut LeafMap, pattern: &Pattern) -> Result<(), ValidationError> {
         let pattern = self.resolve(pattern)?;
         check_is_setting(&pattern)?;
-        check_is_no_key(&pattern)?;
+        check_is_not_key(&pattern)?;
         remove_selected(leaves, &pattern);
         Ok(())
     }
@@ -76,7 +76,8 @@
         Ok(self.leaves(&path, json)?.union(leaves))
     }
 
-    /// The leaves with the key leaf of every list entry: an edit of one leaf of a new entry does not contain the key.
+    /// The leaves, completed by the key leaf of every list entry: an edit that creates an entry by setting one of its
+    /// leaves does not contain the key leaf.
     fn with_entry_keys(&self, leaves: &LeafMap) -> Result<LeafMap, ValidationError> {
         let mut with_keys = leaves.clone();
         for path in leaves.keys() {
@@ -91,7 +92,7 @@
         for (index, step) in path.0.iter().enumerate() {
             node = node
                 .child(&step.name)
-                .ok_or_else(|| ValidationError::new(path, "there is no such node"))?;
+                .ok_or_else(|| ValidationError::new(path, "unknown node"))?;
             if let (NodeKind::List { key }, Some(value)) = (&node.kind, &step.key) {
                 let entry = path.prefix(index + 1);
                 let key_leaf = node.key_leaf(key, &entry)?;
@@ -112,7 +113,7 @@
     }
 }
 
-/// The names of the steps; `None` for a wildcard. Steps written `...` are left out.
+/// The names of the steps; `None` for `*`. The wildcard `...` is left out.
 fn step_names(pattern: &Pattern) -> Vec<Option<Arc<str>>> {
     let name = |step: &StepPattern| match step {
         StepPattern::Step { name, .. } => Some(name.clone()),
@@ -127,20 +128,20 @@
     if first.is_some_and(|name| name.as_deref() != Some("settings")) {
         return Err(ValidationError::new(
             pattern,
-            "only settings can be changed",
+            "only paths below /settings can be changed",
         ));
     }
     Ok(())
 }
 
-/// An entry must not lose its key leaf while its other leaves stay.
-fn check_is_no_key(pattern: &Pattern) -> Result<(), ValidationError> {
+/// Rejects deletion of a key leaf alone: the entry would remain without its key.
+fn check_is_not_key(pattern: &Pattern) -> Result<(), ValidationError> {
     let names = step_names(pattern);
     if let [_, Some(list), Some(leaf)] = names.as_slice() {
         if **list == *"band" && **leaf == *"name" {
             return Err(ValidationError::new(
                 pattern,
-                "a key goes with its entry only",
+                "the key of an entry can only be deleted with the entry",
             ));
         }
     }
--- a/crates/data-tree/src/encoding.rs
+++ b/crates/data-tree/src/encoding.rs
@@ -1,4 +1,4 @@
-//! The tree as JSON (RFC 7951), written and read.
+//! Writes the tree as JSON (RFC 7951), and reads it.
 
 use crate::leaves::{below, LeafMap};
 use crate::path::{Path, Step};
@@ -28,14 +28,15 @@
         Json::Object(members.map(with_prefix).collect())
     }
 
-    /// The leaves that the JSON of the node at the path contains.
+    /// The leaves in the JSON of the node at the path.
     ///
     /// # Errors
-    /// Fails if a member is unknown, a value is not of its type, or an entry has no key or another one than its path.
+    /// Fails if a member is unknown, a value is not of its type, or an entry has no key or a key other than that in its
+    /// path.
     pub fn leaves(&self, path: &Path, json: &Json) -> Result<LeafMap, ValidationError> {
         let node = self
             .node_at(path)
-            .ok_or_else(|| ValidationError::new(path, "there is no such node"))?;
+            .ok_or_else(|| ValidationError::new(path, "unknown node"))?;
         let mut leaves = LeafMap::new();
         let is_entry = path.0.last().is_some_and(|step| step.key.is_some());
         match (&node.kind, json) {
@@ -43,7 +44,10 @@
                 read_entry(node, key, path, json, &mut leaves)?;
             }
             (NodeKind::List { .. }, _) if is_entry => {
-                return Err(ValidationError::new(path, "an entry needs an object"));
+                return Err(ValidationError::new(
+                    path,
+                    "a list entry must be a JSON object",
+                ));
             }
             _ => read_node(node, path, json, &mut leaves)?,
         }
@@ -55,7 +59,7 @@
     /// The key leaf of a list.
     pub(crate) fn key_leaf(&self, key: &str, path: &Path) -> Result<&Node, ValidationError> {
         self.child(key)
-            .ok_or_else(|| ValidationError::new(path, "the list has no key leaf"))
+            .ok_or_else(|| ValidationError::new(path, format!("the list has no key leaf {key}")))
     }
 }
 
@@ -107,9 +111,10 @@
         (NodeKind::List { key }, Json::Array(entries)) => {
             read_list(node, key, path, entries, leaves)
         }
-        (NodeKind::List { .. }, _) => {
-            Err(ValidationError::new(path, "a list needs a list of entries"))
-        }
+        (NodeKind::List { .. }, _) => Err(ValidationError::new(
+            path,
+            "a list must be a JSON array of entries",
+        )),
         (NodeKind::Leaf(_) | NodeKind::LeafList(_), _) => {
             let value = node.value(path, json)?;
             // RFC 7950 does not distinguish an empty leaf-list from an absent one.
@@ -129,7 +134,10 @@
     leaves: &mut LeafMap,
 ) -> Result<(), ValidationError> {
     let Json::Object(members) = json else {
-        return Err(ValidationError::new(path, "a container needs an object"));
+        return Err(ValidationError::new(
+            path,
+            "a container or list entry must be a JSON object",
+        ));
     };
     for (name, value) in members {
         let name = without_module(path, name)?;
@@ -138,9 +146,12 @@
         };
         read_node(child, &path.child(&child.name, None), value, leaves)?;
     }
-    // A map of leaves can't hold an empty container: the change would be accepted and have no effect.
+    // The tree holds leaves only and can't represent an empty container: the change would be accepted without effect.
     if node.presence && below(leaves, path.clone()).next().is_none() {
-        return Err(ValidationError::new(path, "is there with nothing in it"));
+        return Err(ValidationError::new(
+            path,
+            "the container is empty, it must contain at least one leaf",
+        ));
     }
     Ok(())
 }
@@ -149,7 +160,10 @@
     let names: Vec<&str> = node.children.iter().map(|child| &*child.name).collect();
     ValidationError::new(
         path,
-        format!("{name} is unknown here; there are {}", names.join(", ")),
+        format!(
+            "unknown member {name}, expected one of {}",
+            names.join(", ")
+        ),
     )
 }
 
@@ -159,7 +173,7 @@
         Some((MODULE_NAME, name)) => Ok(name),
         Some((other, _)) => Err(ValidationError::new(
             path,
-            format!("{other} is no module of this gateway"),
+            format!("unknown module {other}, expected {MODULE_NAME}"),
         )),
         None => Ok(name),
     }
@@ -177,11 +191,14 @@
         let key_json = json
             .get(&**key)
             .or_else(|| json.get(format!("{MODULE_NAME}:{key}")))
-            .ok_or_else(|| ValidationError::new(path, format!("an entry without its {key}")))?;
+            .ok_or_else(|| ValidationError::new(path, format!("an entry has no key leaf {key}")))?;
         let key_value = node.key_leaf(key, path)?.value(path, key_json)?.to_string();
         let entry = with_key(path, &key_value);
         if !keys.insert(key_value) {
-            return Err(ValidationError::new(&entry, "the entry is there twice"));
+            return Err(ValidationError::new(
+                &entry,
+                "the entry occurs more than once",
+            ));
         }
         read_entry(node, key, &entry, json, leaves)?;
     }
@@ -197,7 +214,7 @@
     Path(steps.into())
 }
 
-/// Reads one entry of a list. The key that the entry states, if it does, must be that of its path.
+/// Reads one entry of a list. If the entry contains its key leaf, this must agree with the key in the path.
 fn read_entry(
     node: &Node,
     key: &Arc<str>,
@@ -213,7 +230,7 @@
         if stated.to_string() != *path_key {
             return Err(ValidationError::new(
                 path,
-                format!("the entry says that its {key} is {stated}"),
+                format!("the entry has the {key} {stated}, expected {path_key} as in its path"),
             ));
         }
     }
--- a/crates/data-tree/src/leaves.rs
+++ b/crates/data-tree/src/leaves.rs
@@ -1,4 +1,4 @@
-//! A tree as a persistent map from paths to leaves, and reading it by pattern.
+//! A tree as a persistent map from paths to leaves, and queries of it by pattern.
 
 use crate::path::{Path, Pattern};
 use crate::value::Value;
@@ -32,7 +32,7 @@
     }
 }
 
-/// The paths of the nodes that the pattern matches and that have leaves; for a list one path per entry. A pattern with
+/// The paths of the nodes that the pattern matches and that have leaves; for a list, one path per entry. A pattern with
 /// `...` yields the paths of the leaves. The pattern must be resolved by the schema.
 pub fn nodes(leaves: &LeafMap, pattern: &Pattern) -> Vec<Path> {
     let covered = select(leaves, pattern).map(|(path, _)| path);
--- a/crates/data-tree/src/lib.rs
+++ b/crates/data-tree/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! At start the program parses the YANG module ([`yang`]) into a schema ([`schema`]), which checks values ([`value`])
 //! and resolves paths ([`path`]). A tree is a persistent map from paths to leaves ([`leaves`]). Its leaves come from the
-//! settings document and from snapshots of the gateway's state ([`state`]). Changes of the settings are [`Edit`]s.
+//! settings document and from snapshots of the gateway's state ([`state`]). [`Edit`]s change the settings.
 
 mod document;
 mod edit;
--- a/crates/data-tree/src/path.rs
+++ b/crates/data-tree/src/path.rs
@@ -1,13 +1,14 @@
-//! Paths of the tree, and patterns over them. Every list of the tree has one key: a step holds its value only.
+//! Paths of the tree, and patterns that match them. Every list of the tree has exactly one key, so that a step holds
+//! only the value of the key.
 
 use crate::schema::MODULE_NAME;
 use std::fmt;
 use std::sync::Arc;
 
-/// Limit of the steps of a pattern, above the depth of the tree: matching `...` calls itself for each step.
+/// Limit on the number of steps of a pattern; the tree is less deep. Matching `...` recurses once per step.
 pub const MAX_STEPS: usize = 16;
 
-/// Limit of the text of a pattern in bytes, above that of any path of the tree: clients may send any text.
+/// Limit on the text of a pattern in bytes, because clients may send any text; no path of the tree is as long.
 pub const MAX_TEXT_BYTES: usize = 1024;
 
 /// One step: the name of a node and, for an entry of a list, its key.
@@ -19,7 +20,7 @@
     pub key: Option<Arc<str>>,
 }
 
-/// The place of a node. In the order of paths the nodes below a node follow it directly.
+/// The path of a node from the root. Paths are ordered such that the nodes below a node follow it directly.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Path(pub Arc<[Step]>);
 
@@ -28,18 +29,18 @@
 pub enum StepPattern {
     /// Matches one step.
     Step {
-        /// The name; any where it is `None`, written `*`.
+        /// The name; `None`, written `*`, matches any name.
         name: Option<Arc<str>>,
-        /// The value of the key; any where it is `None`.
+        /// The value of the key; `None` matches any value.
         key: Option<Arc<str>>,
         /// The name of the key. [`Schema::resolve`](crate::Schema::resolve) fills it in for lists.
         key_name: Option<Arc<str>>,
     },
-    /// Matches any number of steps, also none; written `...`.
+    /// Matches zero or more steps; written `...`.
     AnySteps,
 }
 
-/// Matches every path that begins with steps that its own steps match: the nodes and all below them.
+/// A sequence of step patterns. It matches nodes, and covers every path that is at or below a matched node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Pattern(pub Vec<StepPattern>);
 
@@ -47,30 +48,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
     /// The text is longer than [`MAX_TEXT_BYTES`].
-    #[error("a path of {0} bytes is too long")]
+    #[error("the path has {0} bytes, at most {MAX_TEXT_BYTES} are allowed")]
     TooLong(usize),
     /// The pattern has more steps than [`MAX_STEPS`].
-    #[error("a path of {0} steps is too deep")]
+    #[error("the path has {0} steps, at most {MAX_STEPS} are allowed")]
     TooDeep(usize),
     /// A step has no name.
-    #[error("{0}: a name is missing")]
+    #[error("{0}: a step has no name")]
     MissingName(String),
     /// A bracket contains no `=`.
-    #[error("{0}: a key without =")]
+    #[error("{0}: a key has no =, expected [name=value]")]
     KeyWithoutValue(String),
     /// A bracket is not closed.
-    #[error("{0}: ] is missing")]
+    #[error("{0}: a key is not closed, expected ]")]
     UnclosedBracket(String),
     /// A step has two keys.
-    #[error("{0}: a list here has one key")]
+    #[error("{0}: a step has two keys, at most one is allowed")]
     SecondKey(String),
-    /// A bracket is followed by something else than a slash.
-    #[error("{0}: / is missing after ]")]
+    /// A bracket is followed by something other than a slash.
+    #[error("{0}: expected / after ]")]
     MissingSlash(String),
 }
 
 impl Path {
-    /// The path without steps.
+    /// The path of the root, which has no steps.
     pub fn root() -> Path {
         Path(Arc::new([]))
     }
@@ -89,7 +90,7 @@
         self.0.starts_with(&other.0)
     }
 
-    /// The path of the first `step_count` steps; the whole path if it has fewer.
+    /// The first `step_count` steps of the path; the whole path if it has fewer.
     pub fn prefix(&self, step_count: usize) -> Path {
         Path(self.0[..step_count.min(self.0.len())].into())
     }
@@ -149,7 +150,7 @@
         Pattern(steps).checked()
     }
 
-    /// The pattern itself.
+    /// Returns the pattern if it is not too deep.
     ///
     /// # Errors
     /// Fails if it has more than [`MAX_STEPS`] steps.
@@ -160,7 +161,7 @@
         Ok(self)
     }
 
-    /// The pattern that matches the path and all below it.
+    /// The pattern that matches the node at the path.
     pub fn of(path: &Path) -> Pattern {
         let step_pattern = |step: &Step| StepPattern::Step {
             name: Some(step.name.clone()),
@@ -175,18 +176,18 @@
         Pattern(self.0.iter().chain(&more.0).cloned().collect())
     }
 
-    /// Whether the pattern contains `...`: the matched nodes may then differ in depth.
+    /// Whether the pattern contains `...`, so that the matched nodes may differ in depth.
     pub fn has_any_steps(&self) -> bool {
         self.0.contains(&StepPattern::AnySteps)
     }
 
-    /// Whether the path is a node that the pattern matches, or below one.
+    /// Whether the path is at or below a node that the pattern matches.
     pub fn covers(&self, path: &Path) -> bool {
         covers(&self.0, &path.0)
     }
 
-    /// The longest path with which every matched path begins. The pattern must be resolved: an unresolved one does not
-    /// tell lists without a key from containers.
+    /// The longest path that is a prefix of every matched path. The pattern must be resolved by the schema: in an
+    /// unresolved one a list without a key can't be distinguished from a container.
     pub fn stem(&self) -> Path {
         let literal_steps = self.0.iter().map_while(|step| match step {
             StepPattern::Step {
@@ -208,7 +209,8 @@
     }
 }
 
-/// Reads the step at the start of `rest`, and returns it with the text after it. `text` is the whole pattern.
+/// Reads the step at the start of `rest`, and returns it with the text after it. `text` is the whole pattern, which
+/// errors quote.
 fn read_step<'a>(rest: &'a str, text: &str) -> Result<(StepPattern, &'a str), PatternError> {
     let name_end = rest.find(['/', '[']).unwrap_or(rest.len());
     let (name, after_name) = rest.split_at(name_end);
@@ -230,7 +232,7 @@
     Ok((step, after))
 }
 
-/// Reads the value of a key up to its closing bracket, and returns it without escapes and the text after the bracket.
+/// Reads the value of a key up to its closing bracket. Returns the unescaped value and the text after the bracket.
 fn read_key(text: &str) -> Option<(String, &str)> {
     let mut key = String::new();
     let mut is_escaped = false;
@@ -249,7 +251,7 @@
 }
 
 impl StepPattern {
-    /// The pattern of a step as written: the name, and the name and value of its key.
+    /// The pattern of a step from its name and from the name and value of its key, in which `*` is a wildcard.
     pub fn of(name: &str, key: Option<(&str, &str)>) -> StepPattern {
         if name == "..." {
             return StepPattern::AnySteps;
--- a/crates/data-tree/src/path/tests.rs
+++ b/crates/data-tree/src/path/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn paths_are_written_as_they_are_read() {
+fn paths_are_written_in_the_form_in_which_they_are_read() {
     for text in [
         "/",
         "/settings",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_is_no_path_is_refused() {
+fn invalid_paths_are_rejected() {
     let deep = "/a".repeat(99);
     let long = "a".repeat(9999);
     for text in [
--- a/crates/data-tree/src/schema.rs
+++ b/crates/data-tree/src/schema.rs
@@ -35,21 +35,21 @@
 pub struct Node {
     /// The name, without the prefix of the YANG module.
     pub name: Arc<str>,
-    /// The kind, with its type or key.
+    /// The kind of the node, with its type or key.
     pub kind: NodeKind,
-    /// Whether the node is a setting; a node of the state otherwise.
+    /// Whether the node is a setting; otherwise it is state.
     pub config: bool,
-    /// Whether a leaf must be present when its parent is.
+    /// Whether a leaf must be present if its parent is.
     pub mandatory: bool,
     /// Whether the presence of a container has a meaning; other containers always exist.
     pub presence: bool,
-    /// The least number of entries of a list.
+    /// The minimum number of entries of a list.
     pub min_elements: usize,
-    /// The greatest number of entries of a list.
+    /// The maximum number of entries of a list.
     pub max_elements: usize,
     /// The unit of a leaf's value.
     pub units: Option<String>,
-    /// The name of the type as the leaf states it: a typedef of the YANG module or a built-in type.
+    /// The name of the type in the leaf's `type` statement: a typedef of the YANG module or a built-in type.
     pub typedef: Option<String>,
     /// The nodes directly below, in the order of the YANG module.
     pub children: Vec<Node>,
@@ -60,7 +60,7 @@
 pub struct ValidationError {
     /// The path of the value, as text.
     pub path: String,
-    /// A sentence that says why.
+    /// Why the value or path is not allowed, in one sentence.
     pub reason: String,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Node {
-    /// The node of that name directly below this.
+    /// The child node of that name.
     pub fn child(&self, name: &str) -> Option<&Node> {
         self.children.iter().find(|child| *child.name == *name)
     }
@@ -132,7 +132,7 @@
     /// The value of the leaf at `path` that the JSON (RFC 7951) encodes. Numbers are accepted as text as well.
     ///
     /// # Errors
-    /// Fails if the JSON is not of the leaf's type, or the node is no leaf.
+    /// Fails if the JSON is not of the leaf's type, or the node is neither a leaf nor a leaf-list.
     pub fn value(&self, path: &Path, json: &Json) -> Result<Value, ValidationError> {
         let checked = |leaf_type: &LeafType, json: &Json| {
             leaf_type
@@ -151,9 +151,9 @@
             }
             (NodeKind::LeafList(_), _) => Err(ValidationError::new(
                 path,
-                "a leaf-list needs a list of values",
+                "the value of a leaf-list must be a JSON array",
             )),
-            _ => Err(ValidationError::new(path, "this is no leaf")),
+            _ => Err(ValidationError::new(path, "the node is not a leaf")),
         }
     }
 }
@@ -163,7 +163,7 @@
         if values[..index].contains(value) {
             return Err(ValidationError::new(
                 path,
-                format!("{value} is there twice"),
+                format!("{value} occurs more than once"),
             ));
         }
     }
--- a/crates/data-tree/src/schema/from_yang.rs
+++ b/crates/data-tree/src/schema/from_yang.rs
@@ -7,7 +7,8 @@
 use std::ops::RangeInclusive;
 use std::sync::Arc;
 
-/// Typedefs that may refer to each other before the chain is cut off: it ends a circle of typedefs.
+/// Limit on the number of types in a chain of typedefs, so that typedefs that refer to each other in a cycle are not
+/// followed for ever.
 const MAX_TYPEDEF_CHAIN: usize = 8;
 
 /// Why a YANG module can't be used as the schema.
@@ -17,10 +18,10 @@
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
     /// The YANG module has no `revision` statement.
-    #[error("the module has no revision")]
+    #[error("the YANG module has no revision statement")]
     NoRevision,
     /// The YANG module has no `namespace` statement.
-    #[error("the module has no namespace")]
+    #[error("the YANG module has no namespace statement")]
     NoNamespace,
     /// A statement is incomplete or uses a part of YANG that is not implemented.
     #[error("line {line}: {fault}")]
@@ -31,7 +32,7 @@
         fault: StatementFault,
     },
     /// The argument of a `range` or `length` statement can't be read.
-    #[error("{0} is not a range")]
+    #[error("{0:?} is not a valid range or length")]
     Range(String),
     /// The argument of a `pattern` statement is not a regular expression.
     #[error(transparent)]
@@ -42,19 +43,19 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementFault {
     /// A list has no key, or more than one.
-    #[error("a list needs one key")]
+    #[error("a list must have exactly one key")]
     ListKey,
     /// The statement is a part of YANG that is not implemented.
-    #[error("the statement is not supported")]
+    #[error("the statement is a part of YANG that is not supported")]
     UnsupportedStatement,
-    /// A number of elements can't be read.
-    #[error("the number of elements is not a number")]
+    /// The argument of `min-elements` or `max-elements` is not a number.
+    #[error("the argument of min-elements or max-elements is not a number")]
     ElementCount,
     /// A leaf or typedef has no type.
-    #[error("the type is missing")]
+    #[error("the type statement is missing")]
     NoType,
-    /// A decimal64 has no `fraction-digits`.
-    #[error("a decimal64 needs fraction-digits")]
+    /// A decimal64 has no `fraction-digits`, or their number can't be read.
+    #[error("a decimal64 must have a valid fraction-digits statement")]
     FractionDigits,
     /// The type is a part of YANG that is not implemented.
     #[error("the type {0} is not supported")]
@@ -105,7 +106,7 @@
     /// Reads the schema from the YANG module that is compiled into the program.
     ///
     /// # Errors
-    /// Fails if the module can't be read; the tests read it, so that this is a fault of the build.
+    /// Fails if the module can't be read. The tests read it, so that a failure means a faulty build.
     pub fn shipped() -> Result<Schema, SchemaError> {
         Schema::read(crate::MODULE)
     }
@@ -219,14 +220,15 @@
         }
     }
 
-    /// The argument of a restriction. The one nearest to the leaf counts: it may only narrow those of the typedefs.
+    /// The argument of a restriction. The one nearest to the leaf applies: YANG allows it only to narrow those of the
+    /// typedefs.
     fn restriction(&self, keyword: &str) -> Option<&'a str> {
         self.types
             .iter()
             .find_map(|statement| statement.argument_of(keyword))
     }
 
-    /// The argument of the `range` statement; the whole range of the type where there is none.
+    /// The argument of the `range` statement; the whole range of the type without one.
     fn range(&self) -> &'a str {
         self.restriction("range").unwrap_or("min .. max")
     }
--- a/crates/data-tree/src/schema/resolve.rs
+++ b/crates/data-tree/src/schema/resolve.rs
@@ -34,10 +34,10 @@
         Ok(resolved)
     }
 
-    /// The one path that the pattern means, with the key of its last list or without.
+    /// The single path that the pattern denotes. If its last step is a list, the key of that step may be missing.
     ///
     /// # Errors
-    /// Fails if the pattern has wildcards, lacks a key, or can match no path.
+    /// Fails if the pattern contains wildcards, lacks the key of another list, or can match no path.
     pub fn resolve_single(&self, pattern: &Pattern) -> Result<Path, ValidationError> {
         let resolved = self.resolve(pattern)?;
         let stem = resolved.stem();
@@ -53,7 +53,7 @@
             }) if stem.0.len() + 1 == step_count => Ok(stem.child(name, None)),
             _ => Err(ValidationError::new(
                 pattern,
-                "a change needs one path, without wildcards and with every key",
+                "the path of a change must denote a single node, without wildcards and with the key of each list entry",
             )),
         }
     }
@@ -76,7 +76,7 @@
     Ok(matching)
 }
 
-/// The key of the first list among the nodes. Fails if the pattern names a key that none of them has.
+/// The name of the key of the first list among the nodes. Fails if the pattern names a key that none of them has.
 fn key_of_list(
     nodes: &[&Node],
     key_name: Option<&Arc<str>>,
@@ -86,11 +86,11 @@
     match (key_name, keys.first()) {
         (Some(named), Some(key)) if !keys.contains(&named) => Err(ValidationError::new(
             walked,
-            format!("the list's key is {key}, not {named}"),
+            format!("the key of the list is {key}, not {named}"),
         )),
         (Some(_), None) => Err(ValidationError::new(
             walked,
-            "this is no list and has no key",
+            "the node is not a list and has no key",
         )),
         (_, key) => Ok(key.map(|key| (*key).clone())),
     }
@@ -103,8 +103,8 @@
         .map(|child| &*child.name)
         .collect();
     if is_named && !names.is_empty() {
-        format!("there is no such node; there are {}", names.join(", "))
+        format!("unknown node, expected one of {}", names.join(", "))
     } else {
-        "there is nothing below this".to_owned()
+        "unknown node, its parent has no children".to_owned()
     }
 }
--- a/crates/data-tree/src/state.rs
+++ b/crates/data-tree/src/state.rs
@@ -1,6 +1,6 @@
-//! The state of a gateway as it publishes it, and the leaves of that state.
+//! The state that a gateway publishes, and its conversion to leaves.
 //!
-//! Fields may be named differently from the YANG nodes that show them: clients depend on the names of the nodes.
+//! Fields may be named differently from the YANG nodes that show them, because clients depend on the node names.
 
 mod tree;
 
@@ -14,7 +14,7 @@
 /// One engine of the endpoint list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// The id by which the gateway stores the engine.
+    /// The id under which the gateway stores the engine.
     pub id: u64,
     /// The address and port.
     pub address: String,
@@ -22,17 +22,17 @@
     pub zone: Arc<str>,
     /// The name of the machine type.
     pub machine_type: Arc<str>,
-    /// The engines with the same number share one memory of idempotency keys.
+    /// Engines with the same number share one store of idempotency keys.
     pub dedup_domain: u16,
-    /// The names of the cells that contain it, separated by spaces; empty without cells.
+    /// The names of the cells that contain the engine, separated by spaces; empty without cells.
     pub cells: Arc<str>,
-    /// Unix time in ms of its latest start; 0 if that was long ago.
+    /// Unix time in ms of the engine's latest start; 0 if that was long ago.
     pub started_at: Millis,
-    /// The attempts of this gateway that wait for its reply.
+    /// The attempts of this gateway that wait for the engine's reply.
     pub in_flight: u32,
-    /// The open connections to it.
+    /// The open connections to the engine.
     pub connections: u32,
-    /// What the policy knows of it.
+    /// What the policy knows about the engine.
     pub view: EngineView,
 }
 
@@ -45,11 +45,11 @@
     pub in_service: bool,
     /// The requests since the start of the process, by outcome.
     pub counts: Counts,
-    /// What the policy knows of it.
+    /// What the policy knows about the class.
     pub view: ClassView,
 }
 
-/// The requests of one class since the start of the process.
+/// Counters of the requests of one class since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests accepted from clients.
@@ -68,7 +68,7 @@
     pub late: u64,
 }
 
-/// Engines by name. Copies share the entries that they have in common.
+/// Engines by name. Clones share their common entries.
 pub type EngineMap = imbl::OrdMap<Arc<str>, Engine>;
 
 /// How far the gateway has recovered since its start.
@@ -76,20 +76,20 @@
 pub struct RecoveryStage {
     /// The name of the stage.
     pub name: &'static str,
-    /// What prevents the next stage; empty at the last one.
+    /// What the transition to the next stage waits for; empty at the last stage.
     pub held_back_by: &'static str,
 }
 
-/// The state of a gateway at one moment. Times are Unix times in ms.
+/// The state of a gateway at one point in time. Times are Unix times in ms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The moment; 0 before the first snapshot.
+    /// The time of the snapshot; 0 before the first one.
     pub at: Millis,
     /// The engines of the endpoint list.
     pub engines: EngineMap,
     /// The request classes, in the order of their indices.
     pub classes: Vec<Class>,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub discovery_source: String,
     /// The serial number of the endpoint list.
     pub endpoint_list_serial: u32,
@@ -99,7 +99,7 @@
     pub connections: u32,
     /// The limit of client connections.
     pub max_client_connections: u32,
-    /// The requests that are not answered yet.
+    /// The requests that have no answer yet.
     pub open_requests: u32,
     /// The buffers of the pool that are in use.
     pub buffers_in_use: u32,
@@ -109,11 +109,11 @@
     pub started_at: Millis,
     /// Whether the gateway is shutting down.
     pub shutting_down: bool,
-    /// How far it has recovered since its start.
+    /// How far the gateway has recovered since its start.
     pub stage: RecoveryStage,
 }
 
-/// What a gateway knows of its fleet. Times are Unix times in ms.
+/// What a gateway knows about its fleet. Times are Unix times in ms.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
     /// The name of the fleet.
@@ -122,15 +122,16 @@
     pub generation: u64,
     /// The revision of the fleet policy that the gateway has applied.
     pub revision: u64,
-    /// The end of its lease; infinite if the lease does not expire.
+    /// The end of the gateway's lease; infinite if the lease does not expire.
     pub lease_end: Millis,
-    /// Whether the gateway goes on without a lease and blocks changes meanwhile; otherwise it rejects requests.
+    /// Whether the gateway continues to serve requests without a lease, in which case the fleet decides no change until
+    /// the gateway has applied it; otherwise it rejects requests.
     pub steady: bool,
-    /// Whether it is a voter.
+    /// Whether the gateway is a voter.
     pub is_voter: bool,
     /// The name of the leader, empty if none is known.
     pub leader: String,
-    /// Its share of fleet-wide limits, if the fleet counts its members.
+    /// The gateway's share of fleet-wide limits, if the fleet counts its members.
     pub share: Option<Share>,
     /// The members; empty unless this gateway is the leader.
     pub members: Vec<Member>,
@@ -141,12 +142,12 @@
 pub struct Member {
     /// The name.
     pub name: String,
-    /// Whether it goes on without a lease; see [`Fleet::steady`].
+    /// Whether the member continues to serve requests without a lease; see [`Fleet::steady`].
     pub steady: bool,
-    /// When the leader last received a message from it.
+    /// When the leader last received a message from the member.
     pub last_heard_at: Millis,
-    /// The latest time at which its lease may end.
+    /// The latest time at which the member's lease may end.
     pub lease_end: Millis,
-    /// Whether it has applied the current policy of the fleet.
+    /// Whether the member has applied the current policy of the fleet.
     pub policy_applied: bool,
 }
--- a/crates/data-tree/src/state/tree.rs
+++ b/crates/data-tree/src/state/tree.rs
@@ -1,4 +1,4 @@
-//! The leaves of the state, and their update from one snapshot to the next.
+//! Writes the leaves of the state, and updates them from one snapshot to the next.
 
 use super::{Class, Engine, Fleet, Member, Snapshot};
 use crate::leaves::{below, remove_below, LeafMap};
@@ -8,11 +8,11 @@
 use ironstair::{EndpointState, Millis};
 use ironstair_config_change::{RevisionState, RevisionSummary};
 
-/// Limit of a shown time in ms, far beyond any clock: a lease without an end has no JSON otherwise.
-const MAX_MOMENT: Millis = 1e15;
-/// Limit of a shown cost: larger numbers do not fit a decimal64 with three fraction digits.
+/// Limit on a published time in ms, far beyond any clock: the infinite end of a lease can't be written as an integer.
+const MAX_TIME: Millis = 1e15;
+/// Limit on a published cost: larger numbers do not fit a decimal64 with three fraction digits.
 const MAX_WORK: f64 = 1e15;
-/// Limit of a shown factor: larger numbers do not fit a decimal64 with nine fraction digits.
+/// Limit on a published factor: larger numbers do not fit a decimal64 with nine fraction digits.
 const MAX_FACTOR: f64 = 1e9;
 /// Fraction digits of times, costs and shares in the YANG module.
 const DIGITS: u8 = 3;
@@ -45,7 +45,7 @@
         self.set(name, Value::Bool(flag));
     }
 
-    /// Sets a uint32; larger numbers are shown as its greatest one.
+    /// Sets a uint32, to which larger numbers are clamped.
     fn count(&mut self, name: &str, count: u64) {
         self.set(name, Value::Uint(count.min(u64::from(u32::MAX))));
     }
@@ -59,7 +59,7 @@
         self.set(name, Value::decimal(number, digits));
     }
 
-    fn moment(&mut self, name: &str, at: Millis) {
+    fn time(&mut self, name: &str, at: Millis) {
         self.set(name, Value::Uint64(at.max(0.0) as u64));
     }
 
@@ -75,12 +75,12 @@
     }
 }
 
-/// The path of the state, followed by the steps.
+/// The path below `/state` with the given steps.
 fn state_path(steps: impl IntoIterator<Item = Step>) -> Path {
     Path([step("state", None)].into_iter().chain(steps).collect())
 }
 
-/// The leaves of the process that do not change while it runs.
+/// The leaves of the process that are constant while it runs.
 pub fn process_leaves(name: &str, version: &str) -> LeafMap {
     let mut leaves = LeafMap::new();
     let mut process = NodeWriter::container(&mut leaves, "process");
@@ -114,7 +114,7 @@
                 old: (_, old),
                 new: (name, engine),
             } => {
-                if has_other_leaves(old, engine) {
+                if has_different_leaves(old, engine) {
                     remove_engine(leaves, name);
                 }
                 write_engine(leaves, name, engine, current.at);
@@ -128,12 +128,12 @@
     remove_below(leaves, &state_path([step("engine", Some(name))]));
 }
 
-/// Whether the optional leaves differ: those that are no longer present must be removed.
-fn has_other_leaves(old: &Engine, new: &Engine) -> bool {
-    let is_slow_start_other =
+/// Whether different optional leaves are present, in which case those that no longer exist must be removed.
+fn has_different_leaves(old: &Engine, new: &Engine) -> bool {
+    let slow_start_differs =
         old.view.slow_start_allowance.is_some() != new.view.slow_start_allowance.is_some();
-    let is_ejection_other = old.view.next_probe_at.is_some() != new.view.next_probe_at.is_some();
-    is_slow_start_other || is_ejection_other
+    let ejection_differs = old.view.next_probe_at.is_some() != new.view.next_probe_at.is_some();
+    slow_start_differs || ejection_differs
 }
 
 fn write_engine(leaves: &mut LeafMap, name: &str, engine: &Engine, now: Millis) {
@@ -160,7 +160,7 @@
     if !engine.cells.is_empty() {
         node.text("cell", &engine.cells);
     }
-    node.moment("since", engine.started_at);
+    node.time("since", engine.started_at);
 }
 
 fn write_engine_load(node: &mut NodeWriter, engine: &Engine) {
@@ -175,7 +175,7 @@
     let share = view.last_report.map_or(own_share, |report| report.share);
     node.decimal("util", share, DIGITS);
     let reported_at = view.last_report.map_or(0.0, |report| report.at);
-    node.moment("util-told", reported_at);
+    node.time("util-told", reported_at);
     node.decimal("pace", view.slowdown.min(MAX_FACTOR), DIGITS);
 }
 
@@ -219,7 +219,7 @@
     let mut list = NodeWriter::container(leaves, "list");
     list.text("source", &snapshot.discovery_source);
     list.count("serial", u64::from(snapshot.endpoint_list_serial));
-    list.moment("heard", snapshot.last_heard_at);
+    list.time("heard", snapshot.last_heard_at);
     list.count("engines", snapshot.engines.len() as u64);
 }
 
@@ -239,13 +239,13 @@
 
 fn write_process(leaves: &mut LeafMap, snapshot: &Snapshot) {
     let mut process = NodeWriter::container(leaves, "process");
-    process.moment("started", snapshot.started_at);
+    process.time("started", snapshot.started_at);
     process.flag("ending", snapshot.shutting_down);
     process.text("stage", snapshot.stage.name);
     process.text("held-back-by", snapshot.stage.held_back_by);
 }
 
-/// The leaves with those of the fleet in place of the ones there.
+/// A copy of the leaves in which those of the fleet are replaced.
 pub fn with_fleet(leaves: &LeafMap, fleet: &Fleet) -> LeafMap {
     let mut leaves = leaves.clone();
     remove_below(&mut leaves, &state_path([step("fleet", None)]));
@@ -256,7 +256,7 @@
     node.text("name", &fleet.name);
     node.text("history", &format!("{:016x}", fleet.generation));
     node.total("revision", fleet.revision);
-    node.moment("held-until", fleet.lease_end.min(MAX_MOMENT));
+    node.time("held-until", fleet.lease_end.min(MAX_TIME));
     node.text("cut-off", cut_off(fleet.steady));
     node.flag("keeper", fleet.is_voter);
     node.text("chair", &fleet.leader);
@@ -272,8 +272,8 @@
     let mut node = NodeWriter { path, leaves };
     node.text("name", &member.name);
     node.text("cut-off", cut_off(member.steady));
-    node.moment("heard", member.last_heard_at);
-    node.moment("lease-until", member.lease_end);
+    node.time("heard", member.last_heard_at);
+    node.time("lease-until", member.lease_end);
     node.flag("holds", member.policy_applied);
 }
 
@@ -285,7 +285,7 @@
     }
 }
 
-/// The leaves with those of the revisions in place of the ones there.
+/// A copy of the leaves in which those of the revisions are replaced.
 pub fn with_revisions<'a>(
     leaves: &LeafMap,
     revisions: impl Iterator<Item = &'a RevisionSummary>,
@@ -314,7 +314,7 @@
     let mut node = NodeWriter::entry(leaves, "revision", &revision.number.to_string());
     node.total("number", revision.number);
     node.text("who", &revision.author);
-    node.moment("when", revision.created_at);
+    node.time("when", revision.created_at);
     node.text("what", &revision.summary);
     let outcome = match revision.state {
         RevisionState::Running => "running",
@@ -324,7 +324,7 @@
     };
     node.text("outcome", outcome);
     if let Some(until) = revision.until {
-        node.moment("until", until);
+        node.time("until", until);
     }
     if let Some(commit) = &revision.commit {
         node.text("commit", commit);
--- a/crates/data-tree/src/value.rs
+++ b/crates/data-tree/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of leaves, the types that limit them, and their JSON (RFC 7951).
+//! Values of leaves, their types, and their JSON encoding (RFC 7951).
 
 use regex::Regex;
 use serde_json::{json, Value as Json};
@@ -6,7 +6,7 @@
 use std::ops::RangeInclusive;
 use std::sync::Arc;
 
-/// Characters of a rejected value that an error quotes: clients may send values of any length.
+/// Limit on the characters of a rejected value that an error quotes, because clients may send values of any length.
 const MAX_QUOTED_CHARACTERS: usize = 60;
 
 /// The value of a leaf.
@@ -16,18 +16,18 @@
     Bool(bool),
     /// An unsigned integer of at most 32 bits, a number in JSON.
     Uint(u64),
-    /// A uint64, which is text in JSON.
+    /// A uint64, which is a string in JSON.
     Uint64(u64),
-    /// A decimal64: the number of units of its last fraction digit, and the number of fraction digits.
+    /// A decimal64: the number in units of the last fraction digit, and the number of fraction digits.
     Decimal(i64, u8),
-    /// A string or the name of an enumeration.
+    /// A string, or the name of a member of an enumeration.
     Text(Arc<str>),
     /// A leaf-list, in its order.
     List(Vec<Value>),
 }
 
 impl Value {
-    /// A text value.
+    /// A [`Value::Text`].
     pub fn text(text: impl AsRef<str>) -> Value {
         Value::Text(text.as_ref().into())
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// Writes the canonical form of a decimal64: at least one fraction digit, no trailing zeros after it.
+/// Writes the canonical form of a decimal64: at least one fraction digit, and otherwise no trailing zeros.
 fn write_decimal(formatter: &mut fmt::Formatter, units: i64, digits: u8) -> fmt::Result {
     let units_per_one = 10u64.pow(u32::from(digits));
     let sign = if units < 0 { "-" } else { "" };
@@ -92,7 +92,7 @@
     Bool,
     /// An unsigned integer.
     Uint {
-        /// Whether it is a uint64, which is text in JSON.
+        /// Whether it is a uint64, which is a string in JSON.
         is_64_bit: bool,
         /// The ranges, one of which contains the value.
         ranges: Vec<RangeInclusive<u64>>,
@@ -106,26 +106,26 @@
     },
     /// `string`.
     Text {
-        /// The ranges of lengths in characters; any length where it is empty.
+        /// The allowed ranges of the length in characters; empty if any length is allowed.
         lengths: Vec<RangeInclusive<u64>>,
-        /// The patterns, all of which the whole text matches.
+        /// The patterns; the text must match all of them.
         patterns: Vec<Regex>,
     },
     /// `enumeration`: the names of its members.
     Enum(Vec<Arc<str>>),
 }
 
-/// Why a JSON value is not of a leaf's type. Values are quoted as JSON, cut to a fixed length.
+/// Why a JSON value is not of a leaf's type. Values are quoted as JSON and truncated.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ValueError {
     /// The value is not a boolean.
-    #[error("{0} is neither true nor false")]
+    #[error("{0} is not a boolean, expected true or false")]
     NotBoolean(String),
     /// The value is not an unsigned integer.
-    #[error("{0} is no whole number from 0 on")]
+    #[error("{0} is not an unsigned integer")]
     NotUnsigned(String),
     /// The value is not a decimal, or has too many fraction digits.
-    #[error("{value} is no decimal with at most {digits} fraction digits")]
+    #[error("{value} is not a decimal number with at most {digits} fraction digits")]
     NotDecimal {
         /// The rejected value.
         value: String,
@@ -133,17 +133,17 @@
         digits: u8,
     },
     /// The value is not a string.
-    #[error("{0} is no text")]
+    #[error("{0} is not a string")]
     NotText(String),
     /// The text does not match a pattern of its type.
-    #[error("{0} is not of the form that the type requires")]
+    #[error("{0} does not match the pattern that its type requires")]
     PatternMismatch(String),
     /// The value is not a member of the enumeration.
-    #[error("{value} is none of {names}")]
+    #[error("{value} is not one of {names}")]
     NotInEnumeration {
         /// The rejected value.
         value: String,
-        /// The names of the enumeration, separated by commas.
+        /// The names of the members of the enumeration, separated by commas.
         names: String,
     },
     /// The value is in none of the ranges of its type.
@@ -157,7 +157,8 @@
 }
 
 impl LeafType {
-    /// The value that the JSON encodes. Numbers are accepted as text and text of digits as numbers.
+    /// The value that the JSON encodes. Numbers and booleans are accepted as such and as strings, whichever of the two
+    /// RFC 7951 requires.
     pub(crate) fn value(&self, json: &Json) -> Result<Value, ValueError> {
         match self {
             LeafType::Bool => boolean(json),
@@ -245,7 +246,7 @@
     }
 }
 
-/// The JSON as text, cut to a length that fits into an error.
+/// The JSON as text, truncated to [`MAX_QUOTED_CHARACTERS`].
 fn quoted(json: &Json) -> String {
     let text = json.to_string();
     let start: String = text.chars().take(MAX_QUOTED_CHARACTERS).collect();
@@ -256,8 +257,8 @@
     }
 }
 
-/// The number of units of the last of `digits` fraction digits. `None` if the text is not a decimal, has more
-/// fraction digits, or does not fit 64 bits.
+/// The decimal in units of the last of `digits` fraction digits. `None` if the text is not a decimal, has more fraction
+/// digits, or does not fit 64 bits.
 pub(crate) fn decimal_units(text: &str, digits: u8) -> Option<i64> {
     let (sign, unsigned) = match text.strip_prefix('-') {
         Some(rest) => (-1, rest),
@@ -279,7 +280,7 @@
     units.parse::<i64>().ok()?.checked_mul(sign)
 }
 
-/// Fails if ranges are given and none of them contains the value; `show` writes a bound for the error.
+/// Fails if ranges are given and none of them contains the value. `show` formats the value and the bounds for errors.
 fn check_range<T: PartialOrd + Copy>(
     value: T,
     ranges: &[RangeInclusive<T>],
--- a/crates/data-tree/src/yang.rs
+++ b/crates/data-tree/src/yang.rs
@@ -1,4 +1,5 @@
-//! Parses the statements of a YANG module (RFC 7950, section 6), as far as one module without imports needs them.
+//! Parses the statements of a YANG module (RFC 7950, section 6). Only what a single module without imports needs is
+//! implemented.
 
 /// A statement: its keyword, its argument and its substatements.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -7,31 +8,31 @@
     pub keyword: String,
     /// The argument, empty if there is none.
     pub argument: String,
-    /// The statements within its braces, in order.
+    /// The statements in its block, in order.
     pub substatements: Vec<Statement>,
     /// The line of the keyword, from 1.
     pub line: usize,
 }
 
-/// Limit of nested statements. The parser calls itself for each: deeper text must not exhaust the stack.
+/// Limit on the nesting depth of statements: the parser recurses once per level and must not overflow the stack.
 const MAX_DEPTH: usize = 32;
 
 impl Statement {
-    /// The substatements with the keyword.
+    /// The substatements with that keyword.
     pub fn all<'a>(&'a self, keyword: &'a str) -> impl Iterator<Item = &'a Statement> {
         self.substatements
             .iter()
             .filter(move |statement| statement.keyword == keyword)
     }
 
-    /// The first substatement with the keyword.
+    /// The first substatement with that keyword.
     pub fn first(&self, keyword: &str) -> Option<&Statement> {
         self.substatements
             .iter()
             .find(|statement| statement.keyword == keyword)
     }
 
-    /// The argument of the first substatement with the keyword.
+    /// The argument of the first substatement with that keyword.
     pub fn argument_of(&self, keyword: &str) -> Option<&str> {
         self.first(keyword)
             .map(|statement| statement.argument.as_str())
@@ -52,28 +53,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxFault {
     /// Text follows the closing brace of the YANG module.
-    #[error("text after the module")]
+    #[error("unexpected text after the module statement")]
     TextAfterModule,
     /// A comment is not closed.
-    #[error("the comment is not closed")]
+    #[error("unterminated comment, expected */")]
     UnclosedComment,
     /// A keyword or argument is missing.
-    #[error("a word is missing")]
+    #[error("expected a keyword or an argument")]
     MissingWord,
     /// A quoted string is not closed.
-    #[error("the string is not closed")]
+    #[error("unterminated string, expected a closing quote")]
     UnclosedString,
     /// A double-quoted string contains an unknown escape.
-    #[error("unknown escape")]
+    #[error("unknown escape sequence in a string, expected \\n, \\t, \\\" or \\\\")]
     UnknownEscape,
     /// No quoted string follows a `+`.
-    #[error("no string after +")]
+    #[error("expected a quoted string after +")]
     MissingOperand,
     /// The statements are nested too deeply.
-    #[error("statements are nested too deeply")]
+    #[error("statements are nested too deeply, at most {MAX_DEPTH} levels are allowed")]
     TooDeep,
     /// Neither a semicolon nor a block ends the statement.
-    #[error("neither ; nor {{")]
+    #[error("expected ; or {{ after the statement")]
     UnterminatedStatement,
 }
 
@@ -96,9 +97,9 @@
 }
 
 struct Parser<'a> {
-    /// The text that is not parsed yet.
+    /// The text that remains to be parsed.
     rest: &'a str,
-    /// The line where it begins, from 1.
+    /// The line at which `rest` begins, from 1.
     line: usize,
 }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Consumes and returns the next bytes.
+    /// Consumes and returns the next `byte_count` bytes.
     fn advance(&mut self, byte_count: usize) -> &str {
         let (consumed, rest) = self.rest.split_at(byte_count);
         self.line += consumed.matches('\n').count();
@@ -146,6 +147,7 @@
         Ok(is_next)
     }
 
+    /// Consumes an unquoted keyword or argument.
     fn word(&mut self) -> Result<String, SyntaxError> {
         self.skip_blank()?;
         let ends_word = |character: char| {
@@ -158,7 +160,7 @@
         Ok(self.advance(length).to_owned())
     }
 
-    /// A quoted string, or `None` if no quote comes next.
+    /// Consumes a quoted string; `None` if no quote comes next.
     fn quoted(&mut self) -> Result<Option<String>, SyntaxError> {
         self.skip_blank()?;
         let first = self.rest.chars().next();
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A backslash and the character after it.
+    /// Consumes a backslash and the character after it, and returns the character that they stand for.
     fn escape(&mut self) -> Result<char, SyntaxError> {
         let escape: String = self.rest.chars().take(2).collect();
         let character = match escape.as_str() {
@@ -195,7 +197,7 @@
         Ok(character)
     }
 
-    /// A word, or quoted strings joined by `+`.
+    /// Consumes an argument: a word, or quoted strings joined by `+`.
     fn argument(&mut self) -> Result<String, SyntaxError> {
         let Some(mut text) = self.quoted()? else {
             return self.word();
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -94,27 +94,27 @@
     );
     assert_refused(
         &update(&lookup("expected"), json!(-1)),
-        "/settings/band[name=lookup]/expected: -1 is no whole number",
+        "/settings/band[name=lookup]/expected: -1 is not an unsigned integer",
     );
     assert_refused(
         &update(&lookup("payoff"), json!("1.0000001")),
-        "/settings/band[name=lookup]/payoff: \"1.0000001\" is no decimal",
+        "/settings/band[name=lookup]/payoff: \"1.0000001\" is not a decimal number with at most",
     );
     assert_refused(
         &update(&lookup("repeat"), json!("twice")),
-        "/settings/band[name=lookup]/repeat: \"twice\" is none of repeatable",
+        "/settings/band[name=lookup]/repeat: \"twice\" is not one of repeatable",
     );
     assert_refused(
         &update(&lookup("in-order"), json!(1)),
-        "/settings/band[name=lookup]/in-order: 1 is neither",
+        "/settings/band[name=lookup]/in-order: 1 is not a boolean",
     );
     assert_refused(
         &update(&lookup("zone"), json!(["a", "a"])),
-        "/settings/band[name=lookup]/zone: a is there twice",
+        "/settings/band[name=lookup]/zone: a occurs more than once",
     );
     assert_refused(
         &update(&lookup("zone"), json!(["?"])),
-        "/settings/band[name=lookup]/zone: \"?\" is not of the form",
+        "/settings/band[name=lookup]/zone: \"?\" does not match the pattern",
     );
 }
 
@@ -122,47 +122,47 @@
 fn invalid_paths_and_entries_are_refused_with_their_path() {
     assert_refused(
         &update("/settings/bnd", json!({})),
-        "/settings/bnd: there is no such node; there are band, gateways",
+        "/settings/bnd: unknown node, expected one of band, gateways",
     );
     assert_refused(
         &update("/settings", json!({"bnd": 1})),
-        "/settings: bnd is unknown here",
+        "/settings: unknown member bnd, expected one of band, gateways",
     );
     assert_refused(
         &update("/settings", json!({"other:band": 1})),
-        "/settings: other is no module",
+        "/settings: unknown module other",
     );
     assert_refused(
         &update("/settings/gateways", json!({"a": 1})),
-        "/settings/gateways: {\"a\":1} is no whole number",
+        "/settings/gateways: {\"a\":1} is not an unsigned integer",
     );
     assert_refused(
         &update("/settings/band[nam=x]/payoff", json!("1")),
-        "/settings/band[nam=x]: the list's key is name",
+        "/settings/band[nam=x]: the key of the list is name, not nam",
     );
     assert_refused(
         &update("/settings/band/payoff", json!("1")),
-        "/settings/band/payoff: a change needs one path",
+        "/settings/band/payoff: the path of a change must denote a single node",
     );
     assert_refused(
         &update("/settings/band[name=lookup]", json!({"name": "post"})),
-        "/settings/band[name=lookup]: the entry says",
+        "/settings/band[name=lookup]: the entry has the name post, expected lookup",
     );
     assert_refused(
         &update("/settings/band", json!([{"payoff": "1"}])),
-        "/settings/band: an entry without its name",
+        "/settings/band: an entry has no key leaf name",
     );
     assert_refused(
         &update("/settings/ration", json!({})),
-        "/settings/ration: is there with nothing in it",
+        "/settings/ration: the container is empty",
     );
     assert_refused(
         &update("/settings", json!({"cells": {"cell": []}})),
-        "/settings/cells: is there with nothing in it",
+        "/settings/cells: the container is empty",
     );
     assert_refused(
         &update("/state/process/name", json!("x")),
-        "/state/process/name: only settings",
+        "/state/process/name: only paths below /settings",
     );
 }
 
@@ -170,21 +170,24 @@
 fn incomplete_settings_are_refused_with_their_path() {
     assert_refused(
         &update("/settings/band[name=new]", json!({"payoff": "1.0"})),
-        "/settings/band[name=new]/expected: is missing",
+        "/settings/band[name=new]/expected: the mandatory setting is missing",
     );
     assert_refused(
         &[Edit::Delete(pattern(&lookup("name")))],
-        "/settings/band[name=lookup]/name: a key goes",
+        "/settings/band[name=lookup]/name: the key of an entry can only be deleted",
     );
     assert_refused(
         &[Edit::Delete(pattern("/settings/cold/span"))],
-        "/settings/cold/span: is missing",
+        "/settings/cold/span: the mandatory setting is missing",
     );
     assert_refused(
         &[Edit::Delete(pattern("/settings/band"))],
-        "/settings/band: 0 entries; 1 to 64",
+        "/settings/band: the list has 0 entries, 1 to 64",
+    );
+    assert_refused(
+        &[Edit::Delete(pattern("/"))],
+        "/settings/band: the list has 0 entries",
     );
-    assert_refused(&[Edit::Delete(pattern("/"))], "/settings/band: 0 entries");
 }
 
 #[test]
--- a/crates/gateway/tests/manage/refused_calls.rs
+++ b/crates/gateway/tests/manage/refused_calls.rs
@@ -60,7 +60,7 @@
             JSON_IETF,
             0,
             Code::InvalidArgument,
-            "/settings/bands: there is no such node",
+            "/settings/bands: unknown node",
         ),
         (
             "/settings/band[name=none]",
@@ -112,7 +112,7 @@
         (foreign_origin, "origin \"openconfig\""),
         (foreign_target, "target \"n9\""),
         (two_keys, "band: a list here has one key"),
-        (path(&"/a".repeat(40)), "a path of 40 steps"),
+        (path(&"/a".repeat(40)), "the path has 40 steps"),
     ] {
         let request = get_request(at, JSON_IETF, 0);
         assert_get_refused(client, request, Code::InvalidArgument, reason).await;
@@ -181,10 +181,7 @@
     });
     for (first, reason) in [
         (one_subscription(too_frequent), "sample_interval is outside"),
-        (
-            one_subscription(unknown_node),
-            "/nothing: there is no such node",
-        ),
+        (one_subscription(unknown_node), "/nothing: unknown node"),
         (poll_request(), "a stream begins with a subscription list"),
         (empty_list, "1 to 64 subscriptions"),
     ] {
