--- a/crates/data-tree/src/lib.rs
+++ b/crates/data-tree/src/lib.rs
@@ -1,8 +1,8 @@
 //! The gateway's settings and state as one tree, modelled by its YANG module.
 //!
 //! At start the program parses the YANG module ([`yang`]) into a schema ([`schema`]), which checks values ([`value`])
-//! and resolves paths ([`path`]). A tree is a persistent map from paths to leaves ([`leaves`]). Its leaves come from the
-//! settings document and from snapshots of the gateway's state ([`state`]). [`Edit`]s change the settings.
+//! and resolves paths ([`path`]). A tree is a persistent map from paths to leaves ([`leaves`]). Its leaves come from
+//! the settings document and from snapshots of the gateway's state ([`state`]). [`Edit`]s change the settings.
 
 mod document;
 mod edit;
--- a/crates/gateway/tests/manage/arbitration.rs
+++ b/crates/gateway/tests/manage/arbitration.rs
@@ -39,7 +39,7 @@
             .unwrap_err();
 
         assert_eq!(older.code(), Code::PermissionDenied);
-        assert!(older.message().contains("older than"), "{older:?}");
+        assert!(older.message().contains("lower than"), "{older:?}");
         set_advice_as_master(&mut client, (1, 0), 4).await.unwrap();
         assert_eq!(get(&mut client, ADVICE).await.unwrap(), json!(4));
     });
--- a/crates/gateway/tests/manage/certificate_rotation.rs
+++ b/crates/gateway/tests/manage/certificate_rotation.rs
@@ -156,7 +156,10 @@
     let denied = set(reader, ADVICE, json!(2)).await.unwrap_err();
     assert_eq!(
         (denied.code(), denied.message()),
-        (Code::PermissionDenied, "reader may read, not change")
+        (
+            Code::PermissionDenied,
+            "client reader may read settings but not change them"
+        )
     );
 }
 
--- a/crates/gateway/tests/manage/refused_calls.rs
+++ b/crates/gateway/tests/manage/refused_calls.rs
@@ -67,14 +67,14 @@
             JSON_IETF,
             0,
             Code::NotFound,
-            "/settings/band[name=none]: there is nothing",
+            "/settings/band[name=none]: the tree has no data",
         ),
         (
             "/state/list",
             JSON_IETF,
             1,
             Code::NotFound,
-            "/state/list: there is nothing",
+            "/state/list: the tree has no data",
         ),
         ("/settings", BYTES, 0, Code::Unimplemented, "encoding BYTES"),
         (
@@ -111,7 +111,7 @@
     for (at, reason) in [
         (foreign_origin, "origin \"openconfig\""),
         (foreign_target, "target \"n9\""),
-        (two_keys, "band: a list here has one key"),
+        (two_keys, "band: the elem has 2 keys, at most one"),
         (path(&"/a".repeat(40)), "the path has 40 steps"),
     ] {
         let request = get_request(at, JSON_IETF, 0);
@@ -122,7 +122,13 @@
         encoding: JSON_IETF,
         ..Default::default()
     };
-    assert_get_refused(client, too_many, Code::InvalidArgument, "more than 256").await;
+    assert_get_refused(
+        client,
+        too_many,
+        Code::InvalidArgument,
+        "the request has 300 paths, at most 256",
+    )
+    .await;
 }
 
 async fn assert_bad_sets_refused(client: &mut GnmiClient) {
@@ -137,7 +143,7 @@
         (union_with_update, "union_replace cannot be combined"),
         (
             set_request(advice(), commit("a", confirm)),
-            "a confirmation, a cancel",
+            "confirm, cancel and set_rollback_duration",
         ),
         (
             set_request(advice(), commit("a", rollback_after(0, 5))),
@@ -145,7 +151,7 @@
         ),
         (
             set_request(advice(), commit("", rollback_after(5, 0))),
-            "a commit needs an id",
+            "the commit id has 0 bytes, 1 to 128",
         ),
     ] {
         let refused = send_set(client, request).await.unwrap_err();
@@ -180,10 +186,19 @@
         ..Default::default()
     });
     for (first, reason) in [
-        (one_subscription(too_frequent), "sample_interval is outside"),
+        (
+            one_subscription(too_frequent),
+            "sample_interval is 5 ns, 100 ms to",
+        ),
         (one_subscription(unknown_node), "/nothing: unknown node"),
-        (poll_request(), "a stream begins with a subscription list"),
-        (empty_list, "1 to 64 subscriptions"),
+        (
+            poll_request(),
+            "the first message of a stream must be a subscription list",
+        ),
+        (
+            empty_list,
+            "the subscription list has 0 subscriptions, 1 to 64",
+        ),
     ] {
         let mut stream = subscribe(client, first).await.unwrap();
         let refused = stream.message().await.unwrap_err();
--- a/crates/gnmi/build.rs
+++ b/crates/gnmi/build.rs
@@ -1,4 +1,4 @@
-//! Code from the `.proto` files, without an external compiler.
+//! Generates code from the `.proto` files with protox, so that no `protoc` has to be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto");
--- a/crates/gnmi/src/arbitration.rs
+++ b/crates/gnmi/src/arbitration.rs
@@ -1,4 +1,4 @@
-//! Master arbitration: of several clients in one role, only the one with the highest election id may change settings.
+//! Master arbitration: among the clients of one role, only that with the highest election id may change settings.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 /// Why a client is not the master of its role.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ArbitrationError {
-    /// Another client came with a higher election id.
-    #[error("election id {election_id} is older than {highest}, which holds the role {role:?}")]
+    /// Another client has claimed the role with a higher election id.
+    #[error("election id {election_id} is lower than {highest}, which is that of the master of role {role:?}")]
     OutdatedElection {
         /// The role.
         role: String,
@@ -18,8 +18,8 @@
         /// The master's election id.
         highest: u128,
     },
-    /// There are too many roles.
-    #[error("more than {MAX_ROLES} roles")]
+    /// The role is new, and the limit on roles is reached.
+    #[error("the role is new, and there are {MAX_ROLES} others already, which is the limit")]
     TooManyRoles,
 }
 
@@ -28,10 +28,10 @@
 pub struct ArbitrationTable(BTreeMap<String, u128>);
 
 impl ArbitrationTable {
-    /// Makes the client with that election id the master of its role.
+    /// Makes the client with that election id the master of the role.
     ///
     /// # Errors
-    /// Another client is the master, or there are too many roles.
+    /// Another client is the master, or the limit on roles is reached.
     pub fn claim(&mut self, role: &str, election_id: u128) -> Result<(), ArbitrationError> {
         match self.0.get(role) {
             Some(&highest) if election_id < highest => {
--- a/crates/gnmi/src/codec.rs
+++ b/crates/gnmi/src/codec.rs
@@ -8,16 +8,16 @@
 use serde_json::Value as Json;
 use tonic::Status;
 
-/// The limit on values in a leaf-list.
+/// The limit on values in a leaf-list that a client sends.
 const MAX_LIST_VALUES: usize = 1024;
 
-/// The origin of paths that mean the fleet's settings instead of this gateway's.
+/// The origin of paths that address the fleet's settings instead of this gateway's.
 pub const FLEET: &str = "fleet";
 
 /// The origins under which this gateway's own tree is served.
 const OWN_ORIGINS: [&str; 3] = ["", MODULE_NAME, "rfc7951"];
 
-/// Whose settings a request means.
+/// Whose settings a request addresses.
 pub(crate) fn scope(prefix: Option<&gnmi::Path>) -> Scope {
     match prefix {
         Some(prefix) if prefix.origin == FLEET => Scope::Fleet,
@@ -25,7 +25,7 @@
     }
 }
 
-/// The prefix without the origin that means the fleet.
+/// The prefix without the origin that addresses the fleet.
 pub(crate) fn without_scope(mut prefix: gnmi::Path) -> gnmi::Path {
     if prefix.origin == FLEET {
         prefix.origin.clear();
@@ -42,7 +42,7 @@
     NewGeneration,
 }
 
-/// The bootstrap command that a path stands for.
+/// The bootstrap command that a path denotes.
 pub(crate) fn bootstrap_command(path: &gnmi::Path) -> Option<BootstrapCommand> {
     match path.elem.as_slice() {
         [element] if element.name == "begin" => Some(BootstrapCommand::Initial),
@@ -51,7 +51,7 @@
     }
 }
 
-/// The pattern of a path and its prefix. `gateway` is the name that a target must have.
+/// The pattern of a path with its prefix. `gateway` is the only target that is accepted.
 pub(crate) fn pattern(
     prefix: Option<&gnmi::Path>,
     path: &gnmi::Path,
@@ -71,20 +71,20 @@
     if !OWN_ORIGINS.contains(&path.origin.as_str()) {
         let origin = &path.origin;
         return Err(Status::invalid_argument(format!(
-            "origin {origin:?} is not served; {MODULE_NAME} is"
+            "origin {origin:?} is unknown, expected {MODULE_NAME:?}"
         )));
     }
     if !path.target.is_empty() && path.target != gateway {
         let target = &path.target;
         return Err(Status::invalid_argument(format!(
-            "target {target:?} is not this gateway, which is {gateway:?}"
+            "target {target:?} is not this gateway, expected {gateway:?}"
         )));
     }
     #[expect(deprecated, reason = "paths in the deprecated form are refused")]
     let has_deprecated_elements = !path.element.is_empty();
     if has_deprecated_elements {
         return Err(Status::invalid_argument(
-            "paths come as elem; element is of before gNMI 0.4",
+            "the path uses the field element, which is deprecated since gNMI 0.4; expected elem",
         ));
     }
     Ok(())
@@ -92,12 +92,15 @@
 
 fn step(element: &gnmi::PathElem) -> Result<StepPattern, Status> {
     if element.name.is_empty() {
-        return Err(Status::invalid_argument("a step of a path has no name"));
+        return Err(Status::invalid_argument(
+            "the path has an elem without a name",
+        ));
     }
     if element.key.len() > 1 {
         let name = &element.name;
         return Err(Status::invalid_argument(format!(
-            "{name}: a list here has one key"
+            "{name}: the elem has {} keys, at most one is allowed",
+            element.key.len()
         )));
     }
     let key = element.key.iter().next();
@@ -105,7 +108,7 @@
     Ok(StepPattern::of(&element.name, key))
 }
 
-/// A path of the tree as a message.
+/// A path of the tree as a gNMI message.
 pub(crate) fn path(path: &Path) -> gnmi::Path {
     let elements = path.0.iter().map(|step| {
         let key = step.key.iter();
@@ -122,7 +125,7 @@
     }
 }
 
-/// A client's value in the tree's JSON.
+/// A client's value as JSON of the tree.
 pub(crate) fn json(value: Option<&TypedValue>, at: &Pattern) -> Result<Json, Status> {
     use typed_value::Value as Typed;
     let invalid = |reason: &str| Status::invalid_argument(format!("{at}: {reason}"));
@@ -131,29 +134,36 @@
     };
     match value {
         Typed::JsonVal(bytes) | Typed::JsonIetfVal(bytes) => serde_json::from_slice(bytes)
-            .map_err(|error| invalid(&format!("the value is no JSON: {error}"))),
+            .map_err(|error| invalid(&format!("the value is not valid JSON: {error}"))),
         Typed::StringVal(text) | Typed::AsciiVal(text) => Ok(Json::String(text.clone())),
         Typed::IntVal(number) => Ok((*number).into()),
         Typed::UintVal(number) => Ok((*number).into()),
         Typed::BoolVal(is_true) => Ok((*is_true).into()),
         Typed::DoubleVal(number) => serde_json::Number::from_f64(*number)
             .map(Json::Number)
-            .ok_or_else(|| invalid("a number that is none")),
-        // As text: a float converted to a double would show digits that the client did not send.
+            .ok_or_else(|| invalid(&format!("double_val is {number}, expected a finite number"))),
+        // As a string: a float converted to a double would show digits that the client did not send.
         Typed::FloatVal(number) => Ok(Json::String(number.to_string())),
         Typed::DecimalVal(decimal) => match decimal.precision {
             0..=18 => Ok(Json::String(
                 Value::Decimal(decimal.digits, decimal.precision as u8).to_string(),
             )),
-            _ => Err(invalid("a decimal with more than 18 digits")),
+            precision => Err(invalid(&format!(
+                "decimal_val has the precision {precision}, at most 18 is allowed"
+            ))),
         },
         Typed::LeaflistVal(list) if list.element.len() <= MAX_LIST_VALUES => list
             .element
             .iter()
             .map(|element| json(Some(element), at))
             .collect(),
-        Typed::LeaflistVal(_) => Err(invalid("too many values")),
-        Typed::BytesVal(_) | Typed::ProtoBytes(_) => Err(invalid("bytes are no value here")),
+        Typed::LeaflistVal(list) => Err(invalid(&format!(
+            "leaflist_val has {} values, at most {MAX_LIST_VALUES} are allowed",
+            list.element.len()
+        ))),
+        Typed::BytesVal(_) | Typed::ProtoBytes(_) => Err(invalid(
+            "bytes_val and proto_bytes are not supported, expected JSON or a scalar",
+        )),
     }
 }
 
@@ -174,7 +184,7 @@
     TypedValue { value: Some(value) }
 }
 
-/// The encoding in which a client wants values.
+/// The encoding of values that a client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Encoding {
     Json,
@@ -193,7 +203,7 @@
             Ok(other) => {
                 let name = other.as_str_name();
                 Err(Status::unimplemented(format!(
-                    "encoding {name} is not served"
+                    "encoding {name} is not supported, expected JSON, JSON_IETF or PROTO"
                 )))
             }
             Err(_) => Err(Status::invalid_argument(format!(
@@ -202,7 +212,7 @@
         }
     }
 
-    /// A subtree as one value. PROTO has no form of its own for subtrees and uses the IETF's JSON.
+    /// A subtree as one value. PROTO has no encoding of subtrees, so that JSON_IETF is used.
     pub(crate) fn subtree(self, json: &Json) -> TypedValue {
         let bytes = json.to_string().into_bytes();
         let value = match self {
--- a/crates/gnmi/src/connection.rs
+++ b/crates/gnmi/src/connection.rs
@@ -10,7 +10,7 @@
 use tokio_rustls::server::TlsStream;
 use tonic::transport::server::Connected;
 
-/// A connection whose client is identified.
+/// A connection of an identified client.
 pub(crate) struct ClientConnection {
     pub(crate) stream: ClientStream,
     pub(crate) identity: Identity,
@@ -18,7 +18,7 @@
     pub(crate) _permit: OwnedSemaphorePermit,
 }
 
-/// The bytes of a connection.
+/// The byte stream of a connection.
 pub(crate) enum ClientStream {
     Plain(TcpStream),
     Tls(Box<TlsStream<TcpStream>>),
--- a/crates/gnmi/src/context.rs
+++ b/crates/gnmi/src/context.rs
@@ -1,4 +1,4 @@
-//! What all calls of the service share.
+//! State and helpers that all calls of the service share.
 
 use crate::codec;
 use crate::proto::gnmi;
@@ -15,7 +15,7 @@
 /// The limit on paths in one request.
 pub(crate) const MAX_PATHS: usize = 256;
 
-/// The tree, the gateway's name and the limit on streams.
+/// Access to the tree, the gateway's name, and the limit on streams.
 #[derive(Clone)]
 pub(crate) struct ServiceContext {
     pub(crate) management: ManagementHandle,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A permit for one stream, released when dropped; `None` if as many are open as allowed.
+    /// A permit for one stream, which is released when dropped; `None` if the limit on open streams is reached.
     pub(crate) fn acquire_stream(&self) -> Option<OwnedSemaphorePermit> {
         self.streams.clone().try_acquire_owned().ok()
     }
@@ -47,7 +47,7 @@
         self.management
             .schema()
             .resolve(&pattern)
-            .map_err(|misfit| Status::invalid_argument(misfit.to_string()))
+            .map_err(|error| Status::invalid_argument(error.to_string()))
     }
 }
 
@@ -55,13 +55,13 @@
 pub(crate) fn check_path_count(count: usize) -> Result<(), Status> {
     if count > MAX_PATHS {
         return Err(Status::invalid_argument(format!(
-            "more than {MAX_PATHS} paths"
+            "the request has {count} paths, at most {MAX_PATHS} are allowed"
         )));
     }
     Ok(())
 }
 
-/// A point in time as gNMI's timestamp.
+/// A Unix time as a gNMI timestamp, which is in nanoseconds.
 pub(crate) fn timestamp(at: Millis) -> i64 {
     (at * NANOS_PER_MILLI) as i64
 }
--- a/crates/gnmi/src/get.rs
+++ b/crates/gnmi/src/get.rs
@@ -1,4 +1,4 @@
-//! The call Get.
+//! The Get call.
 
 use crate::codec::{self, Encoding};
 use crate::context::{check_path_count, refused, timestamp, ServiceContext};
@@ -36,7 +36,7 @@
     })
 }
 
-/// The state of the whole fleet, as its leader knows it.
+/// Answers with the state of the whole fleet, as its leader knows it.
 async fn fleet_state(
     context: &ServiceContext,
     prefix: Option<gnmi::Path>,
@@ -72,7 +72,7 @@
     paths.map(|path| context.resolve(prefix, path)).collect()
 }
 
-/// The prefix of a response. Paths are absolute, so that the prefix only repeats the target.
+/// The prefix of a response. Its paths are absolute, so that the prefix contains only the target.
 fn target_prefix(request_prefix: Option<&gnmi::Path>) -> Option<gnmi::Path> {
     let target = request_prefix.map(|prefix| prefix.target.clone())?;
     (!target.is_empty()).then(|| gnmi::Path {
@@ -101,7 +101,7 @@
         let is_exact = pattern.stem().0.len() == pattern.0.len();
         if update.is_empty() && is_exact && !pattern.0.is_empty() {
             return Err(Status::not_found(format!(
-                "{pattern}: there is nothing there now"
+                "{pattern}: the tree has no data of the requested type at this path"
             )));
         }
         Ok(gnmi::Notification {
@@ -112,10 +112,11 @@
         })
     }
 
-    /// The updates of one node: one for each leaf with the encoding PROTO, otherwise one for the whole node.
+    /// The updates of one node: one for each leaf with encoding PROTO, otherwise one for the whole node.
     fn updates(&self, node: &Path) -> Vec<gnmi::Update> {
         let below = Pattern::of(node);
-        let leaves = select(&self.tree.leaves, &below).filter(|(path, _)| self.is_wanted(path));
+        let leaves =
+            select(&self.tree.leaves, &below).filter(|(path, _)| self.has_requested_type(path));
         let leaves: Vec<(&Path, &Value)> = leaves.collect();
         if self.encoding == Encoding::Proto {
             return leaves
@@ -131,7 +132,7 @@
         vec![update(node, self.encoding.subtree(&json))]
     }
 
-    fn is_wanted(&self, path: &Path) -> bool {
+    fn has_requested_type(&self, path: &Path) -> bool {
         let Some(root) = path.0.first() else {
             return false;
         };
--- a/crates/gnmi/src/lib.rs
+++ b/crates/gnmi/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gNMI service of a gateway's settings and state tree.
+//! The gNMI service for a gateway's tree of settings and state.
 //!
-//! [`Service`] answers Capabilities, Get, Set and Subscribe; [`server`] accepts its connections. Three modules decide
-//! without input or output: [`update_queue`] what a subscriber receives and when it is disconnected, [`arbitration`]
-//! and [`roles`] who may change settings.
+//! [`Service`] answers Capabilities, Get, Set and Subscribe; [`server`] accepts its connections. Three modules contain
+//! decisions only and do no I/O: [`update_queue`] decides what a subscriber receives and when it is disconnected,
+//! [`arbitration`] and [`roles`] decide who may change settings.
 
 pub mod arbitration;
 mod codec;
@@ -23,7 +23,7 @@
 pub use service::Service;
 pub use tls_keys::TlsKeys;
 
-/// The messages and the service, generated from `proto/`.
+/// The messages and the service trait, generated from `proto/`.
 pub mod proto {
     #![allow(
         clippy::all,
--- a/crates/gnmi/src/roles.rs
+++ b/crates/gnmi/src/roles.rs
@@ -1,15 +1,15 @@
-//! What a client may do, by the names in its certificate. The module reads no certificate.
+//! The permissions of clients, by the names in their certificates. The certificates are parsed elsewhere.
 
 /// A client and its permission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The client's name: from its certificate, or its address without TLS.
+    /// The client's name: a name from its certificate, or its address without TLS.
     pub name: String,
     /// Whether the client may change settings; otherwise it may only read.
     pub may_change: bool,
 }
 
-/// The names that have a role. A name with `*` at the end stands for all names with that prefix.
+/// The names that have a role. A name that ends in `*` matches all names with that prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Roles {
     /// Names that may change settings.
@@ -37,11 +37,11 @@
 }
 
 fn first_with_role<'a>(names: &'a [String], roles: &[String]) -> Option<&'a String> {
-    let has_role = |name: &&String| roles.iter().any(|role| matches(role, name));
+    let has_role = |name: &&String| roles.iter().any(|role| role_matches(role, name));
     names.iter().find(has_role)
 }
 
-fn matches(role: &str, name: &str) -> bool {
+fn role_matches(role: &str, name: &str) -> bool {
     match role.strip_suffix('*') {
         Some(prefix) => name.starts_with(prefix),
         None => role == name,
--- a/crates/gnmi/src/server.rs
+++ b/crates/gnmi/src/server.rs
@@ -1,4 +1,4 @@
-//! The listener of the service: its connections, their limits, and the identification of clients.
+//! The listener of the service: accepts connections, enforces their limits, and identifies clients.
 
 use crate::connection::{ClientConnection, ClientStream};
 use crate::proto::gnmi::g_nmi_server::GNmiServer;
@@ -22,27 +22,27 @@
 /// The limit on bytes of one request.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
 
-/// A client that does not answer a ping in time is gone.
+/// How often clients are pinged. A client that does not answer within [`PING_TIMEOUT`] is disconnected.
 const PING_INTERVAL: Duration = Duration::from_secs(20);
 const PING_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The limit on calls at once on one connection.
+/// The limit on concurrent calls on one connection.
 const MAX_CALLS_PER_CONNECTION: u32 = 64;
 
 /// The limit on connections, including those in their TLS handshake.
 const MAX_CONNECTIONS: usize = 256;
 
-/// The limit on the time of a TLS handshake.
+/// The limit on the duration of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long the listener pauses after a failed accept, which usually means that no descriptor is free.
+/// How long the listener pauses after a failed accept, which usually means that no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Millis = 50.0;
 
 /// Why the service can't listen or serve.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
     /// The address can't be bound.
-    #[error("management.listen: {address}: {source}")]
+    #[error("management.listen: cannot bind {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
@@ -57,7 +57,7 @@
     Transport(tonic::transport::Error),
 }
 
-/// Binds the listener. This happens before any other start-up step, so that a port in use is reported at once.
+/// Binds the listener. The program does so before any other start-up step, so that a port in use is reported at once.
 ///
 /// # Errors
 /// The address can't be bound.
@@ -70,8 +70,8 @@
 
 /// Serves until the process ends.
 ///
-/// With keys, clients connect by TLS and are identified by their certificates. Without keys, which is allowed on
-/// loopback only, every client may read and change settings. A message on `reload_keys` reloads the keys.
+/// With keys, clients connect over TLS and are identified by their certificates. Without keys, which is allowed on the
+/// loopback interface only, every client may read and change settings. A message on `reload_keys` reloads the keys.
 ///
 /// # Errors
 /// The listener failed.
@@ -114,7 +114,8 @@
 }
 
 impl Acceptor {
-    /// Each client is identified in a task of its own, so that a slow handshake does not delay others.
+    /// Accepts connections for ever. Each client is identified in its own task, so that a slow handshake does not delay
+    /// others.
     async fn run(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -125,8 +126,8 @@
                 sleep(duration(ACCEPT_RETRY_DELAY)).await;
                 continue;
             };
-            // Without this option small answers would wait for the client's acknowledgement; the connection works
-            // either way.
+            // Without TCP_NODELAY small answers would wait for the client's acknowledgement. An error is ignored: the
+            // connection works either way.
             let _ = stream.set_nodelay(true);
             tokio::spawn(self.clone().identify(stream, address, permit));
         }
@@ -144,24 +145,24 @@
                     identity,
                     _permit: permit,
                 };
-                // Fails only if the server has ended, with which the connection ends as well.
+                // Fails only if the server has ended; the connection is then dropped.
                 let _ = self.identified.send(connection).await;
             }
             Err(error) => {
-                info!(self.log, "management client refused"; "address" => address, "error" => %error);
+                info!(self.log, "management client rejected"; "address" => address, "error" => %error);
             }
         }
     }
 }
 
-/// Why a client is refused.
+/// Why a client is rejected.
 #[derive(Debug, thiserror::Error)]
-enum ClientRefused {
-    #[error("no handshake in time")]
+enum ClientRejected {
+    #[error("TLS handshake not completed within {} s", HANDSHAKE_TIMEOUT.as_secs())]
     HandshakeTimeout,
     #[error(transparent)]
     Handshake(io::Error),
-    #[error("no name in its certificate may read or change settings")]
+    #[error("no name in the client's certificate has a role that may read or change settings")]
     NoRole,
 }
 
@@ -176,14 +177,14 @@
 async fn accept_tls(
     keys: &TlsKeys,
     stream: TcpStream,
-) -> Result<(ClientStream, Identity), ClientRefused> {
+) -> Result<(ClientStream, Identity), ClientRejected> {
     let handshake = timeout(HANDSHAKE_TIMEOUT, keys.acceptor().accept(stream)).await;
     let stream = handshake
-        .map_err(|_| ClientRefused::HandshakeTimeout)?
-        .map_err(ClientRefused::Handshake)?;
+        .map_err(|_| ClientRejected::HandshakeTimeout)?
+        .map_err(ClientRejected::Handshake)?;
     let (_, session) = stream.get_ref();
     let certificate = session.peer_certificates().and_then(|chain| chain.first());
     let identity = certificate.and_then(|certificate| keys.identify(certificate));
-    let identity = identity.ok_or(ClientRefused::NoRole)?;
+    let identity = identity.ok_or(ClientRejected::NoRole)?;
     Ok((ClientStream::Tls(Box::new(stream)), identity))
 }
--- a/crates/gnmi/src/service.rs
+++ b/crates/gnmi/src/service.rs
@@ -1,4 +1,4 @@
-//! The gNMI service. Each call is handed to management; its errors become statuses with a sentence that names the path.
+//! The gNMI service. Calls are passed to management, whose errors become statuses with a message that names the path.
 
 use crate::arbitration::ArbitrationTable;
 use crate::context::ServiceContext;
@@ -13,7 +13,7 @@
 /// The version of gNMI that is served.
 const GNMI_VERSION: &str = "0.10.0";
 
-/// The organization that the YANG module names.
+/// The organization in the YANG module.
 const ORGANIZATION: &str = "ironstair";
 
 const SUPPORTED_ENCODINGS: [Encoding; 3] = [Encoding::JsonIetf, Encoding::Json, Encoding::Proto];
@@ -26,7 +26,7 @@
 }
 
 impl Service {
-    /// A service of the gateway with that name, for at most `max_streams` subscriptions at once.
+    /// A service of the gateway with that name, for at most `max_streams` concurrent Subscribe calls.
     pub fn new(management: ManagementHandle, gateway: &str, max_streams: usize) -> Service {
         Service {
             context: ServiceContext::new(management, gateway, max_streams),
@@ -74,7 +74,7 @@
         if !identity.may_change {
             let name = identity.name;
             return Err(Status::permission_denied(format!(
-                "{name} may read, not change"
+                "client {name} may read settings but not change them"
             )));
         }
         let request = request.into_inner();
--- a/crates/gnmi/src/set.rs
+++ b/crates/gnmi/src/set.rs
@@ -1,4 +1,4 @@
-//! The call Set: changes of the settings, and the commands of the commit extension.
+//! The Set call: changes of the settings, and the commands of the commit extension.
 
 use crate::arbitration::ArbitrationTable;
 use crate::codec::{self, BootstrapCommand};
@@ -94,7 +94,9 @@
 impl Claim {
     fn read(message: &gnmi_ext::MasterArbitration) -> Result<Claim, Status> {
         let id = message.election_id.as_ref();
-        let id = id.ok_or_else(|| Status::invalid_argument("an election without id"))?;
+        let id = id.ok_or_else(|| {
+            Status::invalid_argument("the master_arbitration extension has no election_id")
+        })?;
         let role = message.role.as_ref();
         Ok(Claim {
             role: role.map(|role| role.id.clone()).unwrap_or_default(),
@@ -111,25 +113,31 @@
 
 impl Extensions<'_> {
     fn read(all: &[Extension]) -> Result<Extensions<'_>, Status> {
-        let mut found = Extensions {
+        let mut extensions = Extensions {
             commit: None,
             claim: None,
         };
         for extension in all {
             match &extension.ext {
-                Some(Ext::Commit(commit)) if found.commit.is_none() => found.commit = Some(commit),
+                Some(Ext::Commit(commit)) if extensions.commit.is_none() => {
+                    extensions.commit = Some(commit)
+                }
                 Some(Ext::Commit(_)) => {
-                    return Err(Status::invalid_argument("two commit extensions"));
+                    return Err(Status::invalid_argument(
+                        "the request has more than one commit extension",
+                    ));
+                }
+                Some(Ext::MasterArbitration(message)) => {
+                    extensions.claim = Some(Claim::read(message)?)
                 }
-                Some(Ext::MasterArbitration(message)) => found.claim = Some(Claim::read(message)?),
                 _ => {}
             }
         }
-        Ok(found)
+        Ok(extensions)
     }
 }
 
-/// The edits of a request, and the result for each that the response reports.
+/// The edits of a request, and their results for the response.
 struct Edits<'a> {
     context: &'a ServiceContext,
     prefix: Option<gnmi::Path>,
@@ -163,7 +171,7 @@
         Ok(edits)
     }
 
-    /// Replaces all settings by the union of the updates.
+    /// Replaces all settings with the union of the updates.
     fn push_union(&mut self, updates: &[gnmi::Update]) -> Result<(), Status> {
         if !self.edits.is_empty() {
             return Err(Status::invalid_argument(
@@ -205,6 +213,7 @@
     }
 }
 
+/// A change that a client requests.
 struct RequestedChange {
     author: String,
     scope: Scope,
@@ -221,6 +230,7 @@
         self.apply(context, None).await
     }
 
+    /// Runs the action of a commit extension: a change that must be confirmed, or a command for a pending one.
     async fn run_commit_action(
         self,
         context: &ServiceContext,
@@ -228,15 +238,18 @@
     ) -> Result<(), Status> {
         let id = commit.id.clone();
         if id.is_empty() || id.len() > MAX_COMMIT_ID_BYTES {
-            return Err(Status::invalid_argument(
-                "a commit needs an id of 1 to 128 bytes",
-            ));
+            return Err(Status::invalid_argument(format!(
+                "the commit id has {} bytes, 1 to {MAX_COMMIT_ID_BYTES} are allowed",
+                id.len()
+            )));
         }
         let command = match &commit.action {
             Some(Action::Commit(request)) => {
                 let within = rollback_duration(request.rollback_duration.as_ref())?;
                 if self.edits.is_empty() {
-                    return Err(Status::invalid_argument("a commit without a change"));
+                    return Err(Status::invalid_argument(
+                        "a commit request must change at least one setting",
+                    ));
                 }
                 let confirmation = Confirmation { id, within };
                 return self.apply(context, Some(confirmation)).await;
@@ -249,13 +262,13 @@
             },
             None => {
                 return Err(Status::invalid_argument(
-                    "a commit extension without an action",
+                    "the commit extension has no action",
                 ));
             }
         };
         if !self.edits.is_empty() {
             return Err(Status::invalid_argument(
-                "a confirmation, a cancel or a new duration comes without changes",
+                "confirm, cancel and set_rollback_duration cannot be combined with changes",
             ));
         }
         let commanded = context.management.command(command, self.author, self.scope);
@@ -289,7 +302,7 @@
         .map_err(|reason| Status::invalid_argument(format!("rollback_duration {reason}")))
 }
 
-/// The summary by which a revision is listed: the paths of its first edits.
+/// The summary of a revision for its list entry: the operations and paths of its first edits.
 fn summary(edits: &[Edit]) -> String {
     let describe = |edit: &Edit| match edit {
         Edit::Delete(path) => format!("delete {path}"),
--- a/crates/gnmi/src/subscribe.rs
+++ b/crates/gnmi/src/subscribe.rs
@@ -1,4 +1,5 @@
-//! The call Subscribe: each stream is a task that follows the tree and sends as much as its reader accepts.
+//! The Subscribe call. Each stream has a task that follows the tree and sends updates as fast as the client accepts
+//! them.
 
 mod notification;
 mod request;
@@ -9,7 +10,7 @@
     subscribe_request::Request as ClientMessage, subscribe_response::Response as ServerMessage,
     subscription_list, SubscribeRequest, SubscribeResponse,
 };
-use crate::update_queue::{Disconnected, UpdateQueue, STALLED_TIMEOUT};
+use crate::update_queue::{Disconnected, UpdateQueue, MAX_QUEUED_PATHS, STALLED_TIMEOUT};
 use ironstair::Millis;
 use ironstair_runtime::clock::{duration, Clock};
 use notification::NotificationWriter;
@@ -26,12 +27,16 @@
 /// The approximate number of leaves in one message.
 const MAX_LEAVES_PER_MESSAGE: usize = 512;
 
-/// Messages that wait for the reader. One is enough: later changes are read from the newest tree when they are sent.
-const QUEUED_MESSAGES: usize = 1;
+/// The capacity of the channel to the client. One message is enough, because values are read from the newest tree when
+/// they are sent.
+const MESSAGE_CAPACITY: usize = 1;
 
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// The status with which a stream ended; `None` while it runs, and after a regular end.
 type FinalStatus = Arc<Mutex<Option<Status>>>;
 
-/// The answers of one stream: messages, then the status with which it ended.
+/// The responses of one stream: messages, then the status with which it ended.
 pub struct SubscriptionStream {
     messages: mpsc::Receiver<SubscribeResponse>,
     final_status: FinalStatus,
@@ -58,12 +63,14 @@
     context: ServiceContext,
     requests: Streaming<SubscribeRequest>,
 ) -> SubscriptionStream {
-    let (sender, messages) = mpsc::channel(QUEUED_MESSAGES);
+    let (sender, messages) = mpsc::channel(MESSAGE_CAPACITY);
     let final_status = FinalStatus::default();
     let task_status = final_status.clone();
     tokio::spawn(async move {
         let Some(_permit) = context.acquire_stream() else {
-            let status = Status::resource_exhausted("too many streams are open");
+            let status = Status::resource_exhausted(
+                "the limit on open streams (management.streams) is reached",
+            );
             *lock(&task_status) = Some(status);
             return;
         };
@@ -86,7 +93,7 @@
     let first = first.and_then(|message| message.request);
     let Some(ClientMessage::Subscribe(list)) = first else {
         return Err(Status::invalid_argument(
-            "a stream begins with a subscription list",
+            "the first message of a stream must be a subscription list",
         ));
     };
     let request = SubscriptionRequest::read(context, list)?;
@@ -98,7 +105,7 @@
         },
         clock: Clock::start(),
     };
-    // The watch starts before the tree is read: no change falls between the two.
+    // The watch starts before the tree is read, so that no change between the two is missed.
     let mut watch = context.management.watch();
     let tree = context.management.tree().await;
     watch.trees.mark_unchanged();
@@ -120,7 +127,7 @@
     }
 }
 
-/// Answers each poll with the whole subscription, or only with the changes if `updates_only` is set.
+/// Answers each poll with everything that is subscribed to, or only with the changes if `updates_only` is set.
 async fn serve_polls(
     context: &ServiceContext,
     requests: &mut Streaming<SubscribeRequest>,
@@ -131,12 +138,12 @@
     while let Some(message) = requests.message().await? {
         let Some(ClientMessage::Poll(_)) = message.request else {
             return Err(Status::invalid_argument(
-                "a stream that polls sends polls only",
+                "a stream in mode POLL accepts only poll messages after the subscription list",
             ));
         };
         let tree = context.management.tree().await;
         if updates_only {
-            // The reader of a poll waits for the answer and is never stalled.
+            // The error is ignored: a client that polls waits for the answer and is never stalled.
             let _ = queue.poll(client.clock.now(), &tree.leaves);
         } else {
             queue = queue.resume(client.clock.now(), tree.leaves.clone());
@@ -156,7 +163,7 @@
 }
 
 impl Client {
-    /// Sends all queued updates, then the message that says so.
+    /// Sends all queued updates, then a sync response.
     async fn send_all(&self, mut queue: UpdateQueue, at: Millis) -> Result<(), Status> {
         while !queue.is_empty() {
             let updates = queue.next_updates(self.clock.now(), MAX_LEAVES_PER_MESSAGE);
@@ -177,15 +184,20 @@
 }
 
 fn client_gone() -> Status {
-    Status::cancelled("the client is gone")
+    Status::cancelled("the client has closed the stream")
 }
 
 fn disconnected(reason: Disconnected) -> Status {
     Status::resource_exhausted(match reason {
         Disconnected::TooFarBehind => {
-            "the subscriber is too far behind: too many changed paths wait for it"
+            format!(
+                "the subscriber is too slow: more than {MAX_QUEUED_PATHS} changed paths are queued"
+            )
         }
-        Disconnected::Stalled => "the subscriber has read nothing for 30 s while messages waited",
+        Disconnected::Stalled => format!(
+            "the subscriber has read nothing for {} s although messages were queued",
+            STALLED_TIMEOUT / MILLIS_PER_SECOND
+        ),
     })
 }
 
--- a/crates/gnmi/src/subscribe/notification.rs
+++ b/crates/gnmi/src/subscribe/notification.rs
@@ -1,4 +1,4 @@
-//! Writes updates as gNMI's notifications.
+//! Writes updates as gNMI notifications.
 
 use crate::codec::{self, Encoding};
 use crate::context::timestamp;
@@ -10,7 +10,7 @@
 /// Writes the notifications of one stream.
 pub(super) struct NotificationWriter {
     pub(super) encoding: Encoding,
-    /// The target that each prefix names; empty if the client named none.
+    /// The target in the prefix of each notification; empty if the client named none.
     pub(super) target: String,
 }
 
@@ -39,7 +39,7 @@
         notifications.into_iter().map(response).collect()
     }
 
-    /// A notification that replaces all leaves below its prefix.
+    /// An atomic notification: its leaves replace all leaves below its prefix.
     fn atomic_notification(&self, at: Millis, update: &PathUpdate) -> gnmi::Notification {
         let prefix_length = update.at.0.len();
         gnmi::Notification {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The leaves of an update, with paths that leave out the prefix's steps.
+    /// The leaves of an update, with paths relative to a prefix of `prefix_length` steps.
     fn leaf_updates<'a>(
         &'a self,
         update: &'a PathUpdate,
--- a/crates/gnmi/src/subscribe/request.rs
+++ b/crates/gnmi/src/subscribe/request.rs
@@ -13,13 +13,13 @@
 
 const NANOS_PER_MILLI: f64 = 1e6;
 
-/// A subscription list that can be served.
+/// A valid subscription list.
 pub(super) struct SubscriptionRequest {
     pub(super) subscriptions: Vec<Subscription>,
     pub(super) mode: subscription_list::Mode,
     pub(super) encoding: Encoding,
     pub(super) updates_only: bool,
-    /// The target that the answers repeat.
+    /// The target that is repeated in each response.
     pub(super) target: String,
 }
 
@@ -31,7 +31,8 @@
         let encoding = Encoding::of(list.encoding)?;
         if list.subscription.is_empty() || list.subscription.len() > MAX_SUBSCRIPTIONS {
             return Err(Status::invalid_argument(format!(
-                "1 to {MAX_SUBSCRIPTIONS} subscriptions are served"
+                "the subscription list has {} subscriptions, 1 to {MAX_SUBSCRIPTIONS} are allowed",
+                list.subscription.len()
             )));
         }
         let prefix = list.prefix.as_ref();
@@ -40,8 +41,12 @@
             subscription(requested, context.resolve(prefix, &path)?)
         });
         let subscriptions = subscriptions.collect::<Result<Vec<_>, Status>>()?;
-        let mode = subscription_list::Mode::try_from(list.mode)
-            .map_err(|_| Status::invalid_argument(format!("mode {} is unknown", list.mode)))?;
+        let mode = subscription_list::Mode::try_from(list.mode).map_err(|_| {
+            Status::invalid_argument(format!(
+                "mode {} of the subscription list is unknown",
+                list.mode
+            ))
+        })?;
         Ok(SubscriptionRequest {
             subscriptions,
             mode,
@@ -70,7 +75,9 @@
         Ok(SubscriptionMode::TargetDefined) => Mode::target_defined(&pattern),
         Err(_) => {
             let mode = requested.mode;
-            return Err(Status::invalid_argument(format!("mode {mode} is unknown")));
+            return Err(Status::invalid_argument(format!(
+                "mode {mode} of a subscription is unknown"
+            )));
         }
     };
     Ok(Subscription::new(pattern, mode, heartbeat))
@@ -82,6 +89,6 @@
         return Ok(millis);
     }
     Err(Status::invalid_argument(format!(
-        "{field} is outside {MIN_SAMPLE_INTERVAL} ms to one day"
+        "{field} is {nanos} ns, {MIN_SAMPLE_INTERVAL} ms to {MAX_SAMPLE_INTERVAL} ms are allowed"
     )))
 }
--- a/crates/gnmi/src/subscribe/stream.rs
+++ b/crates/gnmi/src/subscribe/stream.rs
@@ -1,4 +1,4 @@
-//! A stream in the mode STREAM: it sends changes until the client ends it.
+//! A stream in mode STREAM, which sends changes until the client ends it.
 
 use super::{client_gone, disconnected, sync_response, Client, MAX_LEAVES_PER_MESSAGE};
 use crate::proto::gnmi::{SubscribeRequest, SubscribeResponse};
@@ -14,9 +14,9 @@
     client: Client,
     watch: Watch,
     queue: UpdateQueue,
-    /// When the tree of the queue was read.
+    /// The time of the tree in the queue.
     tree_time: Millis,
-    /// Messages with the values of one batch. What changes meanwhile is queued again.
+    /// The messages of one batch of updates. Paths that change while it is sent are queued again.
     batch: VecDeque<SubscribeResponse>,
     is_synced: bool,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Fills the batch with queued updates, and once with the message that the initial updates are complete.
+    /// Fills the batch with queued updates. Once the initial updates are sent, it adds the sync response.
     fn fill_batch(&mut self) {
         let now = self.client.clock.now();
         let updates = self.queue.next_updates(now, MAX_LEAVES_PER_MESSAGE);
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Waits for the first of: room for a message, a change of the tree, the queue's next due time, and the client.
+    /// Waits for the first of these events: the channel has capacity for a message, the tree changes, the queue is due,
+    /// or the client sends a message or closes the stream.
     async fn step(&mut self, requests: &mut Streaming<SubscribeRequest>) -> Result<Step, Status> {
         let until_due = self.queue.next_due_at() - self.client.clock.now();
         // `None` after a message was sent.
@@ -77,7 +78,7 @@
                 None
             }
             changed = self.watch.trees.changed() => {
-                changed.map_err(|_| Status::unavailable("the gateway is about to end"))?;
+                changed.map_err(|_| Status::unavailable("the gateway is shutting down"))?;
                 Some(self.watch.trees.borrow_and_update().clone())
             }
             () = sleep(duration(until_due.max(0.0))) => {
@@ -85,7 +86,9 @@
             }
             request = requests.message() => {
                 if request?.is_some() {
-                    return Err(Status::invalid_argument("a stream takes one subscription list"));
+                    return Err(Status::invalid_argument(
+                        "a stream in mode STREAM accepts no message after the subscription list",
+                    ));
                 }
                 return Ok(Step::Ended);
             }
--- a/crates/gnmi/src/tls_files.rs
+++ b/crates/gnmi/src/tls_files.rs
@@ -1,4 +1,4 @@
-//! The files with the server's key and certificate and the clients' certificate authority.
+//! The files with the server's key and certificate, and with the certificate authority of the clients.
 
 use crate::roles::Roles;
 use rustls::pki_types::pem::{self, PemObject};
@@ -11,13 +11,13 @@
 use std::time::SystemTime;
 use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
 
-/// A larger file is neither a key nor a certificate bundle.
+/// The limit on the size of a file; no key or certificate bundle is as large.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// The protocol that clients negotiate by ALPN.
+/// The ALPN identifier of HTTP/2.
 const HTTP_2: &[u8] = b"h2";
 
-/// The files, and the roles of the clients that the authority certifies.
+/// The paths of the files, and the roles of the clients that the authority certifies.
 #[derive(Clone, Debug)]
 pub struct TlsFiles {
     /// The server's certificate chain.
@@ -42,7 +42,7 @@
         source: io::Error,
     },
     /// A file is larger than any key or certificate.
-    #[error("{}: {bytes} bytes are no key or certificate", path.display())]
+    #[error("{}: the file has {bytes} bytes, at most {MAX_FILE_BYTES} are allowed", path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
@@ -50,7 +50,7 @@
         bytes: u64,
     },
     /// A file is not in the PEM format.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: invalid PEM: {source}", path.display())]
     Pem {
         /// The file.
         path: PathBuf,
@@ -58,33 +58,33 @@
         source: pem::Error,
     },
     /// A file contains no certificate.
-    #[error("{}: holds no certificate", path.display())]
+    #[error("{}: the file contains no certificate", path.display())]
     NoCertificate {
         /// The file.
         path: PathBuf,
     },
     /// The authority's certificates can't be used.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: unusable certificate authority: {source}", path.display())]
     Authority {
         /// The file.
         path: PathBuf,
         /// The verifier's error.
         source: VerifierBuilderError,
     },
-    /// A certificate can't be used, or the key does not fit it.
-    #[error("{}: {source}", path.display())]
+    /// A certificate can't be used, or does not belong to the key.
+    #[error("{}: unusable certificate or key: {source}", path.display())]
     Certificate {
         /// The file.
         path: PathBuf,
         /// The TLS library's error.
         source: rustls::Error,
     },
-    /// The TLS library supports no protocol version.
+    /// The TLS library's default protocol versions are not supported.
     #[error(transparent)]
     Protocol(rustls::Error),
 }
 
-/// When the files were modified, and their sizes; `None` for a file that can't be read.
+/// The modification times and sizes of the files, by which changes are detected; `None` for a file that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct FileVersions([Option<FileVersion>; 3]);
 
@@ -110,7 +110,7 @@
         FileVersions(files.map(|path| FileVersion::of(path)))
     }
 
-    /// Reads the files: the configuration of connections that are accepted from now on.
+    /// Reads the files into a TLS configuration for connections that are accepted from now on.
     ///
     /// # Errors
     /// A file can't be used; the error names it.
--- a/crates/gnmi/src/tls_keys.rs
+++ b/crates/gnmi/src/tls_keys.rs
@@ -1,4 +1,4 @@
-//! The TLS keys in use. They are replaced while connections that were accepted with earlier keys continue.
+//! The TLS keys in use. Connections that were accepted with earlier keys continue after the keys are replaced.
 
 use crate::roles::Identity;
 use crate::tls_files::{certificate_names, TlsFileError, TlsFiles};
@@ -45,7 +45,7 @@
         self.config.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the files again; if they can't be used the earlier keys stay in use.
+    /// Reads the files again. If they can't be used, the earlier keys stay in use.
     fn reload(&self, log: &Logger) {
         match self.files.read() {
             Ok(config) => {
@@ -53,12 +53,12 @@
                 info!(log, "management TLS keys reloaded");
             }
             Err(error) => {
-                warn!(log, "management TLS keys rejected, the earlier ones stay"; "error" => %error);
+                warn!(log, "new management TLS keys rejected, earlier keys stay in use"; "error" => %error);
             }
         }
     }
 
-    /// Reloads the keys with each message, and whenever a file has changed.
+    /// Reloads the keys on each message, and whenever the files have changed.
     pub(crate) async fn watch_files(&self, mut reload: mpsc::Receiver<()>, log: Logger) {
         let mut loaded = self.files.versions();
         let mut last_seen = loaded.clone();
--- a/crates/gnmi/src/update_queue.rs
+++ b/crates/gnmi/src/update_queue.rs
@@ -1,7 +1,7 @@
-//! Decides what a subscriber receives and when it is disconnected, without input, output or clock.
+//! Decides what a subscriber receives and when it is disconnected. It does no I/O and reads no clock.
 //!
 //! The queue is bounded and holds paths, never values. The values below a path are read from the newest tree when they
-//! are sent. Later values therefore replace earlier ones, and a slow reader costs no second copy of the tree.
+//! are sent. Later values therefore replace earlier ones, and a slow subscriber needs no second copy of the tree.
 
 use imbl::ordmap::DiffItem;
 use ironstair::Millis;
@@ -10,28 +10,28 @@
 use ironstair_data_tree::{LeafMap, Path, Pattern, Value};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The limit on paths that wait for one subscriber.
+/// The limit on paths that are queued for one subscriber.
 pub const MAX_QUEUED_PATHS: usize = 65_536;
 
-/// How long a subscriber may accept nothing while something waits for it.
+/// How long a subscriber may accept nothing while updates are queued for it.
 pub const STALLED_TIMEOUT: Millis = 30_000.0;
 
-/// The shortest sample interval: the tree changes no more often than its snapshots are taken.
+/// The shortest sample interval. The tree does not change more often than its snapshots are taken.
 pub const MIN_SAMPLE_INTERVAL: Millis = 100.0;
 
 /// The longest sample interval: one day.
 pub const MAX_SAMPLE_INTERVAL: Millis = 86_400_000.0;
 
-/// The sample interval of state if the client leaves the mode to the target.
+/// The sample interval of state with mode TARGET_DEFINED.
 const TARGET_DEFINED_INTERVAL: Millis = 1000.0;
 
-/// The number of steps to a list's entry below the root.
+/// The number of steps in the path of an entry of a list below `/settings` or `/state`.
 const ENTRY_DEPTH: usize = 2;
 
 /// When a subscription sends updates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// With each change.
+    /// On each change.
     OnChange,
     /// At regular intervals.
     Sample {
@@ -43,8 +43,8 @@
 }
 
 impl Mode {
-    /// The mode that the target chooses. Settings change seldom and each change counts, so that they are sent on change;
-    /// state has counters that change all the time, so that its changes are sampled.
+    /// The mode for TARGET_DEFINED. Settings are sent on change, because they change seldom and every change matters.
+    /// State is sampled, because it has counters that change all the time.
     pub fn target_defined(pattern: &Pattern) -> Mode {
         match pattern.0.first() {
             Some(StepPattern::Step {
@@ -92,7 +92,7 @@
         self.next_heartbeat_at = now + self.heartbeat.unwrap_or(0.0);
     }
 
-    /// What has to be queued at this time; advances the due times.
+    /// Determines what is to be queued at this time, and advances the due times.
     fn poll(&mut self, now: Millis) -> DueUpdates {
         let is_heartbeat_due = self.heartbeat.is_some() && self.next_heartbeat_at <= now;
         if is_heartbeat_due {
@@ -132,7 +132,7 @@
         sample.min(heartbeat)
     }
 
-    /// The units of everything that the subscription covers.
+    /// The paths of all units that the subscription covers.
     fn all_units(&self, tree: &LeafMap) -> Vec<Path> {
         let covered = select(tree, &self.pattern);
         let mut units: Vec<Path> = covered
@@ -142,7 +142,7 @@
         units
     }
 
-    /// The units that differ from the last tree; the new tree becomes the last one.
+    /// The paths of the units that differ between the last tree and this one, which becomes the last tree.
     fn changed_units(&mut self, tree: &LeafMap) -> Vec<Path> {
         let last_tree = std::mem::replace(&mut self.last_tree, tree.clone());
         let mut units: Vec<Path> = Vec::new();
@@ -155,7 +155,7 @@
                 continue;
             }
             let unit = unit(path, &self.pattern);
-            // Leaves of one entry that changed together are one change of the entry.
+            // Changed leaves of one entry count as one change of the entry.
             if unit.is_entry && last_entry.as_ref() == Some(&unit.path) {
                 continue;
             }
@@ -166,6 +166,7 @@
     }
 }
 
+/// Which updates a subscription has to queue.
 struct DueUpdates {
     changes: bool,
     everything: bool,
@@ -176,29 +177,29 @@
 pub struct PathUpdate {
     /// The path.
     pub at: Path,
-    /// Whether nothing exists at the path any more.
+    /// Whether the node at the path no longer exists.
     pub is_deleted: bool,
-    /// Whether the leaves replace everything that existed below the path.
+    /// Whether the leaves replace all earlier leaves below the path.
     pub is_atomic: bool,
     /// The leaves at or below the path.
     pub leaves: Vec<(Path, Value)>,
-    /// How many earlier changes this update replaces.
+    /// The number of earlier changes that this update replaces.
     pub duplicates: u32,
 }
 
 /// Why a subscriber is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disconnected {
-    /// More paths wait for it than [`MAX_QUEUED_PATHS`].
+    /// More than [`MAX_QUEUED_PATHS`] paths are queued for it.
     TooFarBehind,
     /// It has accepted nothing for [`STALLED_TIMEOUT`].
     Stalled,
 }
 
-/// The part of the tree that is sent together.
+/// A part of the tree that is queued and sent as one.
 struct Unit {
     path: Path,
-    /// Whether the unit is a whole entry of a list, so that no reader sees half of a change. Otherwise it is a leaf.
+    /// Whether the unit is a whole entry of a list, so that no subscriber sees half of a change. Otherwise a leaf.
     is_entry: bool,
 }
 
@@ -214,7 +215,7 @@
     Unit { path, is_entry }
 }
 
-/// Whether the path lies below an entry whose leaves change together.
+/// Whether the path is below an entry of a list whose leaves change together.
 fn is_in_atomic_entry(path: &Path) -> bool {
     if path.0.len() <= ENTRY_DEPTH {
         return false;
@@ -231,19 +232,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct UpdateQueue {
     subscriptions: Vec<Subscription>,
-    /// The queued paths, each with the number of changes beyond the first.
+    /// The queued paths, each with the number of changes after the first.
     queued: BTreeMap<Path, u32>,
-    /// The queued paths in the order in which they are sent: a path that changes all the time does not delay others.
+    /// The queued paths in the order of their first change, in which they are sent: a path that changes all the time
+    /// does not delay others.
     order: VecDeque<Path>,
     tree: LeafMap,
-    /// Since when something waits that the reader has not accepted.
+    /// Since when there have been updates that the subscriber has not accepted.
     waiting_since: Option<Millis>,
     /// Whether updates were taken from the queue and not yet sent.
     has_unsent_updates: bool,
 }
 
 impl UpdateQueue {
-    /// Starts with the tree as it is. Everything that the subscriptions cover is queued, unless `updates_only` is set.
+    /// Starts with the current tree. Everything that the subscriptions cover is queued, unless `updates_only` is set.
     pub fn start(
         subscriptions: Vec<Subscription>,
         now: Millis,
@@ -265,7 +267,7 @@
         queue
     }
 
-    /// Starts again with a new tree, of which everything is queued.
+    /// Restarts the subscriptions with a new tree, and queues everything that they cover.
     #[must_use]
     pub fn resume(self, now: Millis, tree: LeafMap) -> UpdateQueue {
         UpdateQueue::start(self.subscriptions, now, tree, false)
@@ -274,7 +276,7 @@
     /// Queues the updates of the newest tree that are due.
     ///
     /// # Errors
-    /// The subscriber has to be disconnected.
+    /// The subscriber is too slow and has to be disconnected.
     pub fn poll(&mut self, now: Millis, tree: &LeafMap) -> Result<(), Disconnected> {
         self.tree = tree.clone();
         for index in 0..self.subscriptions.len() {
@@ -296,7 +298,7 @@
         }
     }
 
-    /// When [`UpdateQueue::poll`] is due if the tree does not change before.
+    /// When [`UpdateQueue::poll`] is due next if the tree does not change earlier.
     pub fn next_due_at(&self) -> Millis {
         let subscriptions = self.subscriptions.iter().map(Subscription::next_due_at);
         let stalled_at = self.waiting_since.map(|since| since + STALLED_TIMEOUT);
@@ -310,19 +312,19 @@
         self.order.is_empty()
     }
 
-    /// Records that the reader accepted a message.
+    /// Records that the subscriber accepted a message.
     pub fn on_reader_progress(&mut self, now: Millis) {
         self.waiting_since = None;
         self.update_waiting(now);
     }
 
-    /// Records that the reader accepted all updates that were taken from the queue.
+    /// Records that the subscriber accepted all updates that were taken from the queue.
     pub fn sent(&mut self, now: Millis) {
         self.has_unsent_updates = false;
         self.on_reader_progress(now);
     }
 
-    /// Takes the next updates from the queue, until they have `max_leaves` leaves or more.
+    /// Takes updates from the queue until they contain at least `max_leaves` leaves or the queue is empty.
     pub fn next_updates(&mut self, now: Millis, max_leaves: usize) -> Vec<PathUpdate> {
         let mut updates = Vec::new();
         let mut leaf_count = 0;
@@ -334,7 +336,7 @@
                 continue;
             };
             let update = self.read_update(at, duplicates);
-            // A deletion has no leaves but is a part of the message as well.
+            // A deletion has no leaves but takes space in the message as well.
             leaf_count += update.leaves.len().max(1);
             updates.push(update);
         }
@@ -348,7 +350,7 @@
         let leaves: Vec<(Path, Value)> = select(&self.tree, &below)
             .map(|(path, value)| (path.clone(), value.clone()))
             .collect();
-        // A leaf may lie as deep as an entry; it is not atomic.
+        // A path as deep as an entry may be that of a leaf, which is not atomic.
         let is_leaf = leaves.first().is_none_or(|(path, _)| *path == at);
         PathUpdate {
             is_deleted: leaves.is_empty(),
