--- a/crates/gnmi/src/set.rs
+++ b/crates/gnmi/src/set.rs
@@ -120,7 +120,7 @@
         for extension in all {
             match &extension.ext {
                 Some(Ext::Commit(commit)) if extensions.commit.is_none() => {
-                    extensions.commit = Some(commit)
+                    extensions.commit = Some(commit);
                 }
                 Some(Ext::Commit(_)) => {
                     return Err(Status::invalid_argument(
@@ -128,7 +128,7 @@
                     ));
                 }
                 Some(Ext::MasterArbitration(message)) => {
-                    extensions.claim = Some(Claim::read(message)?)
+                    extensions.claim = Some(Claim::read(message)?);
                 }
                 _ => {}
             }
