--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -1,6 +1,7 @@
-//! The YANG module without what is written for people, the nodes that the schema makes of it, and the JSON of a fixed
-//! tree of settings and state, which is what reads over gNMI and `ironstair get` answer. The files under `pinned` were
-//! written by an earlier version of the program; clients, dashboards and scripts hold the same names.
+//! Guards against changes of names and encodings on which clients, dashboards and scripts depend. The files under
+//! `pinned` were written by an earlier version of the program: the YANG module without its documentation, the nodes of
+//! the schema that is built from it, and the JSON of a fixed tree of settings and state, as gNMI reads and
+//! `ironstair get` return it.
 
 use ironstair::policy::{ClassView, EngineView, LoadReport};
 use ironstair::EndpointState;
@@ -21,8 +22,8 @@
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-/// The statements that do not affect clients: texts for people, and the dates of the YANG module.
-const FOR_PEOPLE: [&str; 6] = [
+/// The statements that do not affect clients: documentation, and the dates of the YANG module.
+const IGNORED_STATEMENTS: [&str; 6] = [
     "description",
     "contact",
     "organization",
@@ -31,37 +32,40 @@
     "revision",
 ];
 
-fn statements(s: &Statement, depth: usize, to: &mut String) {
-    if !FOR_PEOPLE.contains(&s.keyword.as_str()) {
-        let argument: Vec<&str> = s.argument.split_whitespace().collect();
+/// Writes a statement and those in its block, one per line.
+fn write_statement(statement: &Statement, depth: usize, to: &mut String) {
+    if !IGNORED_STATEMENTS.contains(&statement.keyword.as_str()) {
+        let argument: Vec<&str> = statement.argument.split_whitespace().collect();
         writeln!(
             to,
             "{}{}",
             "  ".repeat(depth),
-            format!("{} {}", s.keyword, argument.join(" ")).trim_end()
+            format!("{} {}", statement.keyword, argument.join(" ")).trim_end()
         )
         .unwrap();
-        s.substatements
+        statement
+            .substatements
             .iter()
-            .for_each(|inner| statements(inner, depth + 1, to));
+            .for_each(|inner| write_statement(inner, depth + 1, to));
     }
 }
 
 #[test]
-fn the_module_has_the_pinned_statements() {
+fn yang_module_has_the_pinned_statements() {
     let mut text = String::new();
-    statements(&parse(MODULE).unwrap(), 0, &mut text);
+    write_statement(&parse(MODULE).unwrap(), 0, &mut text);
     FORMS.assert_same("module.txt", &text);
 }
 
-/// The ranges as pairs, which is how the pinned file shows them.
+/// The ranges as pairs, which is the form in the pinned file.
 fn bounds<T: Copy>(ranges: &[RangeInclusive<T>]) -> Vec<(T, T)> {
     let pair = |range: &RangeInclusive<T>| (*range.start(), *range.end());
     ranges.iter().map(pair).collect()
 }
 
-fn nodes(node: &Node, at: &str, to: &mut String) {
-    let of = |t: &LeafType| match t {
+/// Writes a node and those below it, one per line. `at` is the path of the parent.
+fn write_node(node: &Node, at: &str, to: &mut String) {
+    let describe_type = |leaf_type: &LeafType| match leaf_type {
         LeafType::Bool => "boolean".to_owned(),
         LeafType::Uint { is_64_bit, ranges } => {
             format!(
@@ -75,7 +79,10 @@
             format!(
                 "text {:?} {:?}",
                 bounds(lengths),
-                patterns.iter().map(|p| p.as_str()).collect::<Vec<_>>()
+                patterns
+                    .iter()
+                    .map(|pattern| pattern.as_str())
+                    .collect::<Vec<_>>()
             )
         }
         LeafType::Enum(names) => format!("one of {}", names.join(" ")),
@@ -83,18 +90,18 @@
     let kind = match &node.kind {
         NodeKind::Container => "container".to_owned(),
         NodeKind::List { key } => format!("list by {key}"),
-        NodeKind::Leaf(t) => format!("leaf {}", of(t)),
-        NodeKind::LeafList(t) => format!("leaf-list {}", of(t)),
+        NodeKind::Leaf(leaf_type) => format!("leaf {}", describe_type(leaf_type)),
+        NodeKind::LeafList(leaf_type) => format!("leaf-list {}", describe_type(leaf_type)),
     };
     let path = format!("{at}/{}", node.name);
     let mut line = format!("{path} {kind}");
-    for (is, word) in [
+    for (is_set, word) in [
         (node.config, "config"),
         (node.mandatory, "mandatory"),
         (node.presence, "presence"),
     ] {
-        line += if is { " " } else { "" };
-        line += if is { word } else { "" };
+        line += if is_set { " " } else { "" };
+        line += if is_set { word } else { "" };
     }
     let elements = (node.min_elements, node.max_elements);
     if elements != (0, usize::MAX) {
@@ -103,18 +110,18 @@
     writeln!(to, "{line}").unwrap();
     node.children
         .iter()
-        .for_each(|inner| nodes(inner, &path, to));
+        .for_each(|inner| write_node(inner, &path, to));
 }
 
 #[test]
-fn the_schema_has_the_pinned_nodes() {
+fn schema_has_the_pinned_nodes() {
     let schema = Schema::shipped().unwrap();
     let mut text = format!("{} {}\n", schema.root.name, schema.namespace);
     schema
         .root
         .children
         .iter()
-        .for_each(|n| nodes(n, "", &mut text));
+        .for_each(|node| write_node(node, "", &mut text));
     FORMS.assert_same("nodes.txt", &text);
 }
 
@@ -231,15 +238,16 @@
     }
 }
 
-fn lines() -> Vec<RevisionSummary> {
+/// One revision in each state.
+fn revisions() -> Vec<RevisionSummary> {
     use RevisionState::{Replaced, RolledBack, Running, Unconfirmed};
-    let all = [
+    let states = [
         (1, Replaced),
         (2, Running),
         (3, RolledBack),
         (4, Unconfirmed),
     ];
-    let line = |(number, state)| RevisionSummary {
+    let revision = |(number, state)| RevisionSummary {
         number,
         author: "CN=op".into(),
         created_at: 1.8e12 + number as f64,
@@ -248,7 +256,7 @@
         commit: (state == Unconfirmed).then(|| "c1".into()),
         until: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
     };
-    all.map(line).to_vec()
+    states.map(revision).to_vec()
 }
 
 fn fleet() -> Fleet {
@@ -287,31 +295,32 @@
     Pattern::read(text).unwrap().stem()
 }
 
-fn all(schema: &Schema) -> LeafMap {
+/// The leaves of the pinned settings and of the state above.
+fn all_leaves(schema: &Schema) -> LeafMap {
     let document: Document = serde_json::from_str(&FORMS.text("settings.json")).unwrap();
     let state = state::with_changes(
         &state::process_leaves("n0", "0.1.0"),
         &Snapshot::default(),
         &snapshot(),
     );
-    let state = state::with_fleet(&state::with_revisions(&state, lines().iter()), &fleet());
+    let state = state::with_fleet(&state::with_revisions(&state, revisions().iter()), &fleet());
     schema.settings(&document).unwrap().union(state)
 }
 
 #[test]
 fn settings_and_state_have_the_pinned_json_and_paths() {
     let schema = Schema::shipped().unwrap();
-    let all = all(&schema);
+    let tree = all_leaves(&schema);
     let root = Pattern::read("/").unwrap();
-    let json = schema.json(&path("/"), select(&all, &root));
+    let json = schema.json(&path("/"), select(&tree, &root));
     FORMS.assert_same("tree.json", &format!("{json:#}\n"));
-    let leaves: String = all
+    let leaves: String = tree
         .iter()
         .map(|(path, value)| format!("{path} {value}\n"))
         .collect();
     FORMS.assert_same("leaves.txt", &leaves);
-    // The schema contains every leaf, and the value is of its type.
-    for (path, value) in &all {
+    // The schema contains a node for every leaf, and accepts the value of the leaf.
+    for (path, value) in &tree {
         assert_eq!(
             schema
                 .node_at(path)
@@ -327,20 +336,20 @@
 }
 
 #[test]
-fn the_pinned_settings_are_read_and_written_the_same() {
+fn pinned_settings_are_unchanged_after_conversion_to_a_document() {
     let schema = Schema::shipped().unwrap();
     let text = FORMS.text("settings-tree.json");
     let json = serde_json::from_str(&text).unwrap();
     let leaves = schema.leaves(&path("/settings"), &json).unwrap();
     let document = schema.document(&leaves).unwrap();
-    let again = schema.settings(&document).unwrap();
-    assert_eq!(again, leaves);
-    let wanted = Pattern::read("/settings").unwrap();
+    let converted = schema.settings(&document).unwrap();
+    assert_eq!(converted, leaves);
+    let settings = Pattern::read("/settings").unwrap();
     FORMS.assert_same(
         "settings-tree.json",
         &format!(
             "{:#}\n",
-            schema.json(&path("/settings"), select(&again, &wanted))
+            schema.json(&path("/settings"), select(&converted, &settings))
         ),
     );
 }
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -1,4 +1,5 @@
-//! The tree over the shipped module: values, changes, and JSON there and back.
+//! The settings tree with the schema of the shipped YANG module: values, edits, patterns, and conversion from and to
+//! JSON.
 
 use ironstair_config_change::Document;
 use ironstair_data_tree::leaves::{nodes, select};
@@ -6,7 +7,8 @@
 use proptest::prelude::*;
 use serde_json::{json, Value as Json};
 
-fn settings() -> Json {
+/// Settings with two classes, as JSON of the tree.
+fn initial_settings() -> Json {
     json!({
         "band": [
             {"name": "lookup", "expected": 1000, "hard-limit": 5000, "payoff": "1.0", "repeat": "repeatable"},
@@ -17,9 +19,11 @@
         "cold": {"from": "0.34", "warm-after": 15000, "multiple": "4.0", "span": 1000}})
 }
 
-fn start() -> (Schema, LeafMap) {
+fn initial_tree() -> (Schema, LeafMap) {
     let schema = Schema::shipped().unwrap();
-    let leaves = schema.leaves(&path("/settings"), &settings()).unwrap();
+    let leaves = schema
+        .leaves(&path("/settings"), &initial_settings())
+        .unwrap();
     (schema, leaves)
 }
 
@@ -31,160 +35,166 @@
     pattern(text).stem()
 }
 
-fn faults(edits: &[Edit]) -> String {
-    let (schema, leaves) = start();
+/// The errors of the edits, or of the document that they result in.
+fn edit_errors(edits: &[Edit]) -> String {
+    let (schema, leaves) = initial_tree();
     match schema.edit(&leaves, edits) {
-        Err(e) => e.to_string(),
-        Ok(new) => schema
-            .document(&new)
+        Err(error) => error.to_string(),
+        Ok(edited) => schema
+            .document(&edited)
             .unwrap_err()
             .iter()
-            .map(|m| m.to_string())
+            .map(|error| error.to_string())
             .collect(),
     }
 }
 
-fn changed(edits: &[Edit]) -> Document {
-    let (schema, leaves) = start();
+/// The document that results from the edits.
+fn edited_document(edits: &[Edit]) -> Document {
+    let (schema, leaves) = initial_tree();
     schema
         .document(&schema.edit(&leaves, edits).unwrap())
         .unwrap()
 }
 
 #[test]
-fn a_document_is_the_same_there_and_back() {
-    let (schema, leaves) = start();
+fn document_is_unchanged_after_conversion_to_leaves_and_json() {
+    let (schema, leaves) = initial_tree();
     let document = schema.document(&leaves).unwrap();
     assert_eq!(
         (document.class[1].value.get(), document.class[0].threads),
         (6.25, 1)
     );
-    let again = schema.settings(&document).unwrap();
-    assert_eq!(schema.document(&again).unwrap(), document);
+    let converted = schema.settings(&document).unwrap();
+    assert_eq!(schema.document(&converted).unwrap(), document);
     assert_eq!(
-        again.get(&path("/settings/log/level")),
+        converted.get(&path("/settings/log/level")),
         Some(&Value::text("info")),
-        "defaults are there"
+        "leaves of a document include the defaults"
+    );
+    let json = schema.json(
+        &path("/settings"),
+        select(&converted, &pattern("/settings")),
     );
-    let json = schema.json(&path("/settings"), select(&again, &pattern("/settings")));
     assert_eq!(json["ironstair-gateway:band"][1]["zone"], json!(["a", "b"]));
-    assert_eq!(schema.leaves(&path("/settings"), &json).unwrap(), again);
+    assert_eq!(schema.leaves(&path("/settings"), &json).unwrap(), converted);
 }
 
-fn update(at: &str, value: Json) -> Vec<Edit> {
+fn update_edit(at: &str, value: Json) -> Vec<Edit> {
     vec![Edit::Update(pattern(at), value)]
 }
 
-fn lookup(leaf: &str) -> String {
+/// The path of a leaf of the class `lookup`.
+fn lookup_leaf(leaf: &str) -> String {
     format!("/settings/band[name=lookup]/{leaf}")
 }
 
-/// The refusal names the path first, then the reason.
+/// Asserts that the edits are rejected. The error names the path first, then the reason.
 #[track_caller]
-fn assert_refused(edits: &[Edit], reason: &str) {
-    let reported = faults(edits);
+fn assert_rejected(edits: &[Edit], reason: &str) {
+    let reported = edit_errors(edits);
     assert!(reported.starts_with(reason), "{reason}: {reported}");
 }
 
 #[test]
-fn invalid_values_are_refused_with_their_path() {
-    assert_refused(
-        &update(&lookup("expected"), json!(0)),
+fn invalid_values_are_rejected_with_their_path() {
+    assert_rejected(
+        &update_edit(&lookup_leaf("expected"), json!(0)),
         "/settings/band[name=lookup]/expected: 0 is outside 1 to 3600000",
     );
-    assert_refused(
-        &update(&lookup("expected"), json!(-1)),
+    assert_rejected(
+        &update_edit(&lookup_leaf("expected"), json!(-1)),
         "/settings/band[name=lookup]/expected: -1 is not an unsigned integer",
     );
-    assert_refused(
-        &update(&lookup("payoff"), json!("1.0000001")),
+    assert_rejected(
+        &update_edit(&lookup_leaf("payoff"), json!("1.0000001")),
         "/settings/band[name=lookup]/payoff: \"1.0000001\" is not a decimal number with at most",
     );
-    assert_refused(
-        &update(&lookup("repeat"), json!("twice")),
+    assert_rejected(
+        &update_edit(&lookup_leaf("repeat"), json!("twice")),
         "/settings/band[name=lookup]/repeat: \"twice\" is not one of repeatable",
     );
-    assert_refused(
-        &update(&lookup("in-order"), json!(1)),
+    assert_rejected(
+        &update_edit(&lookup_leaf("in-order"), json!(1)),
         "/settings/band[name=lookup]/in-order: 1 is not a boolean",
     );
-    assert_refused(
-        &update(&lookup("zone"), json!(["a", "a"])),
+    assert_rejected(
+        &update_edit(&lookup_leaf("zone"), json!(["a", "a"])),
         "/settings/band[name=lookup]/zone: a occurs more than once",
     );
-    assert_refused(
-        &update(&lookup("zone"), json!(["?"])),
+    assert_rejected(
+        &update_edit(&lookup_leaf("zone"), json!(["?"])),
         "/settings/band[name=lookup]/zone: \"?\" does not match the pattern",
     );
 }
 
 #[test]
-fn invalid_paths_and_entries_are_refused_with_their_path() {
-    assert_refused(
-        &update("/settings/bnd", json!({})),
+fn invalid_paths_and_entries_are_rejected_with_their_path() {
+    assert_rejected(
+        &update_edit("/settings/bnd", json!({})),
         "/settings/bnd: unknown node, expected one of band, gateways",
     );
-    assert_refused(
-        &update("/settings", json!({"bnd": 1})),
+    assert_rejected(
+        &update_edit("/settings", json!({"bnd": 1})),
         "/settings: unknown member bnd, expected one of band, gateways",
     );
-    assert_refused(
-        &update("/settings", json!({"other:band": 1})),
+    assert_rejected(
+        &update_edit("/settings", json!({"other:band": 1})),
         "/settings: unknown module other",
     );
-    assert_refused(
-        &update("/settings/gateways", json!({"a": 1})),
+    assert_rejected(
+        &update_edit("/settings/gateways", json!({"a": 1})),
         "/settings/gateways: {\"a\":1} is not an unsigned integer",
     );
-    assert_refused(
-        &update("/settings/band[nam=x]/payoff", json!("1")),
+    assert_rejected(
+        &update_edit("/settings/band[nam=x]/payoff", json!("1")),
         "/settings/band[nam=x]: the key of the list is name, not nam",
     );
-    assert_refused(
-        &update("/settings/band/payoff", json!("1")),
+    assert_rejected(
+        &update_edit("/settings/band/payoff", json!("1")),
         "/settings/band/payoff: the path of a change must denote a single node",
     );
-    assert_refused(
-        &update("/settings/band[name=lookup]", json!({"name": "post"})),
+    assert_rejected(
+        &update_edit("/settings/band[name=lookup]", json!({"name": "post"})),
         "/settings/band[name=lookup]: the entry has the name post, expected lookup",
     );
-    assert_refused(
-        &update("/settings/band", json!([{"payoff": "1"}])),
+    assert_rejected(
+        &update_edit("/settings/band", json!([{"payoff": "1"}])),
         "/settings/band: an entry has no key leaf name",
     );
-    assert_refused(
-        &update("/settings/ration", json!({})),
+    assert_rejected(
+        &update_edit("/settings/ration", json!({})),
         "/settings/ration: the container is empty",
     );
-    assert_refused(
-        &update("/settings", json!({"cells": {"cell": []}})),
+    assert_rejected(
+        &update_edit("/settings", json!({"cells": {"cell": []}})),
         "/settings/cells: the container is empty",
     );
-    assert_refused(
-        &update("/state/process/name", json!("x")),
+    assert_rejected(
+        &update_edit("/state/process/name", json!("x")),
         "/state/process/name: only paths below /settings",
     );
 }
 
 #[test]
-fn incomplete_settings_are_refused_with_their_path() {
-    assert_refused(
-        &update("/settings/band[name=new]", json!({"payoff": "1.0"})),
+fn incomplete_settings_are_rejected_with_their_path() {
+    assert_rejected(
+        &update_edit("/settings/band[name=new]", json!({"payoff": "1.0"})),
         "/settings/band[name=new]/expected: the mandatory setting is missing",
     );
-    assert_refused(
-        &[Edit::Delete(pattern(&lookup("name")))],
+    assert_rejected(
+        &[Edit::Delete(pattern(&lookup_leaf("name")))],
         "/settings/band[name=lookup]/name: the key of an entry can only be deleted",
     );
-    assert_refused(
+    assert_rejected(
         &[Edit::Delete(pattern("/settings/cold/span"))],
         "/settings/cold/span: the mandatory setting is missing",
     );
-    assert_refused(
+    assert_rejected(
         &[Edit::Delete(pattern("/settings/band"))],
         "/settings/band: the list has 0 entries, 1 to 64",
     );
-    assert_refused(
+    assert_rejected(
         &[Edit::Delete(pattern("/"))],
         "/settings/band: the list has 0 entries",
     );
@@ -192,7 +202,7 @@
 
 #[test]
 fn deletions_come_first_then_replacements_then_updates() {
-    let d = changed(&[
+    let document = edited_document(&[
         Edit::Update(pattern("/settings/band[name=lookup]/expected"), json!(900)),
         Edit::Replace(
             pattern("/settings/band[name=lookup]"),
@@ -201,106 +211,117 @@
         Edit::Delete(pattern("/settings/band")),
     ]);
     assert_eq!(
-        (d.class.len(), d.class[0].expected, d.class[0].hard_limit),
+        (
+            document.class.len(),
+            document.class[0].expected,
+            document.class[0].hard_limit
+        ),
         (1, 900, 4000)
     );
-    let d = changed(&[
+    let document = edited_document(&[
         Edit::Delete(pattern("/settings/ration")),
         Edit::Delete(pattern("/settings/.../zone")),
     ]);
-    assert!(d.retry_budget.is_none() && d.class.iter().all(|b| b.zone.is_empty()));
-    let d = changed(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
+    assert!(
+        document.retry_budget.is_none() && document.class.iter().all(|class| class.zone.is_empty())
+    );
+    let document = edited_document(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
     assert_eq!(
-        d.class[1].threads, 1,
-        "what is taken out goes back to its default"
+        document.class[1].threads, 1,
+        "a deleted setting returns to its default"
     );
 }
 
 #[test]
-fn wildcards_mean_every_entry_and_a_list_its_entries() {
-    let (schema, leaves) = start();
-    let found = |text: &str| {
-        let wanted = schema.resolve(&pattern(text)).unwrap();
-        nodes(&leaves, &wanted)
+fn wildcards_and_lists_without_a_key_match_every_entry() {
+    let (schema, leaves) = initial_tree();
+    let matched = |text: &str| {
+        let resolved = schema.resolve(&pattern(text)).unwrap();
+        nodes(&leaves, &resolved)
             .iter()
-            .map(|p| p.to_string())
+            .map(|path| path.to_string())
             .collect::<Vec<_>>()
     };
     let values = [
         "/settings/band[name=lookup]/payoff",
         "/settings/band[name=post]/payoff",
     ];
-    assert_eq!(found("/settings/band[name=*]/payoff"), values);
-    assert_eq!(found("/settings/band/payoff"), values);
-    assert_eq!(found("/.../payoff"), values);
+    assert_eq!(matched("/settings/band[name=*]/payoff"), values);
+    assert_eq!(matched("/settings/band/payoff"), values);
+    assert_eq!(matched("/.../payoff"), values);
     assert_eq!(
-        found("/settings/band"),
+        matched("/settings/band"),
         ["/settings/band[name=lookup]", "/settings/band[name=post]"]
     );
-    assert_eq!(found("/*"), ["/settings"]);
+    assert_eq!(matched("/*"), ["/settings"]);
     assert!(schema.resolve(&pattern("/state/nothing")).is_err());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(5), failure_persistence: None, ..Default::default() })]
 
-    /// A slow plain model of edits on nested JSON: the leaves agree with it.
+    /// Compares edits of classes with a model that holds the value of `expected` of each class, and whether all of its
+    /// mandatory settings are present.
     #[test]
-    fn edits_of_classes_agree_with_a_plain_model(
+    fn edits_of_classes_agree_with_a_model(
         edits in proptest::collection::vec((0..3u8, 0..3usize, 1..5000u32), 1..8)
     ) {
-        let (schema, leaves) = start();
+        let (schema, leaves) = initial_tree();
         let names = ["lookup", "post", "new"];
-        let whole = |v: u32| json!({"expected": v, "hard-limit": 9000, "payoff": "1.0", "repeat": "repeatable"});
-        let at = |n: usize| format!("/settings/band[name={}]", names[n]);
-        let all: Vec<Edit> = edits.iter().map(|&(what, n, v)| match what {
-            0 => Edit::Delete(pattern(&at(n))),
-            1 => Edit::Replace(pattern(&at(n)), whole(v)),
-            _ => Edit::Update(pattern(&format!("{}/expected", at(n))), json!(v)),
+        let complete_class = |expected: u32| {
+            json!({"expected": expected, "hard-limit": 9000, "payoff": "1.0", "repeat": "repeatable"})
+        };
+        let class_path = |index: usize| format!("/settings/band[name={}]", names[index]);
+        let all: Vec<Edit> = edits.iter().map(|&(operation, index, expected)| match operation {
+            0 => Edit::Delete(pattern(&class_path(index))),
+            1 => Edit::Replace(pattern(&class_path(index)), complete_class(expected)),
+            _ => Edit::Update(pattern(&format!("{}/expected", class_path(index))), json!(expected)),
         }).collect();
         let mut model: std::collections::BTreeMap<&str, (Option<u32>, bool)> =
             [("lookup", (Some(1000), true)), ("post", (Some(4000), true))].into();
-        for turn in 0..3 {
-            for &(what, n, v) in edits.iter().filter(|e| e.0 == turn) {
-                match what {
-                    0 => drop(model.remove(names[n])),
-                    1 => drop(model.insert(names[n], (Some(v), true))),
-                    _ => model.entry(names[n]).or_insert((None, false)).0 = Some(v),
+        // Deletions are applied first, then replacements, then updates.
+        for current in 0..3 {
+            for &(operation, index, expected) in edits.iter().filter(|edit| edit.0 == current) {
+                match operation {
+                    0 => drop(model.remove(names[index])),
+                    1 => drop(model.insert(names[index], (Some(expected), true))),
+                    _ => model.entry(names[index]).or_insert((None, false)).0 = Some(expected),
                 }
             }
         }
-        let new = schema.edit(&leaves, &all).unwrap();
-        let whole = !model.is_empty() && model.values().all(|b| b.1);
-        match schema.document(&new) {
-            Ok(d) => {
-                prop_assert!(whole);
-                let got: Vec<_> = d.class.iter().map(|b| (b.name.as_str(), Some(b.expected))).collect();
-                let want: Vec<_> = model.iter().map(|(n, b)| (*n, b.0)).collect();
-                prop_assert_eq!(got, want);
+        let edited = schema.edit(&leaves, &all).unwrap();
+        let is_complete = !model.is_empty() && model.values().all(|class| class.1);
+        match schema.document(&edited) {
+            Ok(document) => {
+                prop_assert!(is_complete);
+                let actual: Vec<_> =
+                    document.class.iter().map(|class| (class.name.as_str(), Some(class.expected))).collect();
+                let modelled: Vec<_> = model.iter().map(|(name, class)| (*name, class.0)).collect();
+                prop_assert_eq!(actual, modelled);
             }
-            Err(_) => prop_assert!(!whole),
+            Err(_) => prop_assert!(!is_complete),
         }
     }
 
     #[test]
-    fn any_json_anywhere_is_taken_or_refused_without_a_panic(
+    fn arbitrary_json_is_accepted_or_rejected_without_a_panic(
         at in "(/|/settings|/settings/band|/settings/band\\[name=[a-z]{1,3}\\]|/settings/cold|/settings/band\\[name=a\\]/zone)",
         text in "[\\[\\]{}\":,a-z0-9. -]{0,40}"
     ) {
-        let (schema, leaves) = start();
+        let (schema, leaves) = initial_tree();
         let json = serde_json::from_str(&text).unwrap_or(json!(text));
         let edits = [Edit::Update(pattern(&at), json.clone()), Edit::Replace(pattern(&at), json)];
-        if let Ok(new) = schema.edit(&leaves, &edits) {
-            let _ = schema.document(&new);
+        if let Ok(edited) = schema.edit(&leaves, &edits) {
+            let _ = schema.document(&edited);
         }
     }
 
     #[test]
-    fn any_text_is_a_path_or_none_without_a_panic(text in "[/\\[\\]=*.a-z\\\\]{0,30}") {
-        if let Ok(p) = Pattern::read(&text) {
-            let (schema, leaves) = start();
-            if let Ok(found) = schema.resolve(&p) {
-                prop_assert!(nodes(&leaves, &found).len() <= leaves.len());
+    fn arbitrary_text_is_accepted_or_rejected_as_a_path_without_a_panic(text in "[/\\[\\]=*.a-z\\\\]{0,30}") {
+        if let Ok(pattern) = Pattern::read(&text) {
+            let (schema, leaves) = initial_tree();
+            if let Ok(resolved) = schema.resolve(&pattern) {
+                prop_assert!(nodes(&leaves, &resolved).len() <= leaves.len());
             }
         }
     }
--- a/crates/gnmi/tests/update_queue.rs
+++ b/crates/gnmi/tests/update_queue.rs
@@ -1,5 +1,6 @@
-//! A subscriber that has caught up holds the same leaves as the tree, whatever it missed meanwhile: on generated changes,
-//! beside a plain model of the reader. The other tests check single rules of the queue.
+//! The queue of updates for one subscriber. A property test applies generated changes and checks that a subscriber that
+//! has received all queued updates holds the leaves of the tree, however slow it was. The other tests check single
+//! rules.
 
 use ironstair_data_tree::leaves::select;
 use ironstair_data_tree::{LeafMap, Path, Pattern, Schema, Value};
@@ -13,6 +14,7 @@
     Pattern::read(text).unwrap().stem()
 }
 
+/// The pattern, resolved by the shipped schema.
 fn pattern(text: &str) -> Pattern {
     Schema::shipped()
         .unwrap()
@@ -20,11 +22,11 @@
         .unwrap()
 }
 
-/// A reader that applies each update to a plain map.
+/// A subscriber that applies each update to a map.
 #[derive(Default)]
-struct Reader(BTreeMap<Path, Value>);
+struct Subscriber(BTreeMap<Path, Value>);
 
-impl Reader {
+impl Subscriber {
     fn apply(&mut self, updates: Vec<PathUpdate>) {
         for update in updates {
             if update.is_deleted || update.is_atomic {
@@ -59,7 +61,7 @@
 ];
 
 /// Applies one change to the tree: an entry is added or removed, or one of its leaves is set or removed.
-fn change(tree: &mut LeafMap, kind: u8, entry: u8, value: u64) {
+fn change_tree(tree: &mut LeafMap, kind: u8, entry: u8, value: u64) {
     let lists = [
         "/settings/band[name=",
         "/state/engine[name=",
@@ -94,40 +96,42 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(9), failure_persistence: None, ..Default::default() })]
 
     #[test]
-    fn reader_that_has_caught_up_has_the_tree(
+    fn subscriber_that_has_received_all_updates_has_the_tree(
         start in proptest::collection::vec((0..4u8, 0..12u8, 0..9u64), 0..12),
         steps in proptest::collection::vec((0..7u8, 0..12u8, 0..9u64), 0..60),
         requested in proptest::collection::vec((0..8usize, 0..3usize), 1..4),
         heartbeats in any::<bool>(),
     ) {
         let mut tree = LeafMap::new();
-        start.iter().for_each(|&(kind, entry, value)| change(&mut tree, kind, entry, value));
-        let subscriptions = requested.iter().map(|&(p, m)| {
-            Subscription::new(pattern(PATTERNS[p]), MODES[m], heartbeats.then_some(500.0))
+        start.iter().for_each(|&(kind, entry, value)| change_tree(&mut tree, kind, entry, value));
+        let subscriptions = requested.iter().map(|&(index, mode)| {
+            Subscription::new(pattern(PATTERNS[index]), MODES[mode], heartbeats.then_some(500.0))
         });
-        let (mut now, mut reader) = (1000.0, Reader::default());
+        let (mut now, mut subscriber) = (1000.0, Subscriber::default());
         let mut queue = UpdateQueue::start(subscriptions.collect(), now, tree.clone(), false);
         for (kind, entry, value) in steps {
             now += 40.0;
             match kind {
-                0..=3 => change(&mut tree, kind, entry, value),
+                0..=3 => change_tree(&mut tree, kind, entry, value),
                 4 => prop_assert!(queue.poll(now, &tree).is_ok()),
-                // The reader accepts few updates, or none for a long time.
-                _ => reader.apply(queue.next_updates(now, 1 + value as usize % 3)),
+                // The subscriber accepts few updates at a time, and none during the other steps.
+                _ => subscriber.apply(queue.next_updates(now, 1 + value as usize % 3)),
             }
         }
         now += 1000.0;
         prop_assert!(queue.poll(now, &tree).is_ok());
         while !queue.is_empty() {
-            reader.apply(queue.next_updates(now, 5));
+            subscriber.apply(queue.next_updates(now, 5));
         }
-        let want: BTreeMap<Path, Value> = requested.iter()
-            .flat_map(|&(p, _)| {
-                let pattern = pattern(PATTERNS[p]);
-                select(&tree, &pattern).map(|(p, v)| (p.clone(), v.clone())).collect::<Vec<_>>()
+        let expected: BTreeMap<Path, Value> = requested.iter()
+            .flat_map(|&(index, _)| {
+                let pattern = pattern(PATTERNS[index]);
+                select(&tree, &pattern)
+                    .map(|(path, value)| (path.clone(), value.clone()))
+                    .collect::<Vec<_>>()
             })
             .collect();
-        prop_assert_eq!(reader.0, want);
+        prop_assert_eq!(subscriber.0, expected);
     }
 }
 
@@ -147,9 +151,9 @@
     tree.insert(leaf.clone(), Value::Uint(0));
     let mut queue = queue_of("/state/list", Mode::OnChange, &tree);
     assert_eq!(queue.next_updates(0.0, 9).len(), 1);
-    for n in 1..=5 {
-        tree.insert(leaf.clone(), Value::Uint(n));
-        queue.poll(n as f64, &tree).unwrap();
+    for value in 1..=5 {
+        tree.insert(leaf.clone(), Value::Uint(value));
+        queue.poll(value as f64, &tree).unwrap();
     }
     let updates = queue.next_updates(6.0, 9);
     assert_eq!(
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn atomic_entry_is_sent_whole() {
+fn entry_with_atomic_updates_is_sent_as_a_whole() {
     let mut tree = LeafMap::new();
     for (name, value) in [("number", 1), ("who", 2), ("what", 3)] {
         tree.insert(
@@ -216,7 +220,7 @@
         assert_eq!(
             queue.next_updates(250.0, 9).len(),
             0,
-            "not between two samples"
+            "no update is sent between two samples"
         );
         queue.poll(300.0, &tree).unwrap();
         assert_eq!(queue.next_updates(300.0, 9).len(), at_300);
@@ -224,12 +228,15 @@
 }
 
 #[test]
-fn heartbeat_sends_everything_without_a_change() {
+fn heartbeat_sends_all_leaves_without_a_change() {
     let mut tree = LeafMap::new();
     tree.insert(path("/state/list/serial"), Value::Uint(0));
     let subscription = Subscription::new(pattern("/state/list"), Mode::OnChange, Some(500.0));
     let mut queue = UpdateQueue::start(vec![subscription], 0.0, tree.clone(), true);
-    assert!(queue.next_updates(0.0, 9).is_empty(), "updates only");
+    assert!(
+        queue.next_updates(0.0, 9).is_empty(),
+        "no initial updates with updates_only"
+    );
     queue.poll(499.0, &tree).unwrap();
     assert!(queue.next_updates(499.0, 9).is_empty());
     queue.poll(500.0, &tree).unwrap();
@@ -240,7 +247,7 @@
 }
 
 #[test]
-fn reader_that_accepts_nothing_is_disconnected_at_the_timeout_and_not_before() {
+fn subscriber_that_accepts_nothing_is_disconnected_at_the_timeout_and_not_before() {
     let mut tree = LeafMap::new();
     tree.insert(path("/state/list/serial"), Value::Uint(0));
     let mut queue = queue_of("/state/list", Mode::OnChange, &tree);
@@ -250,7 +257,7 @@
         queue.poll(STALLED_TIMEOUT, &tree),
         Err(Disconnected::Stalled)
     );
-    // Updates that were taken and not sent wait as well.
+    // Updates that were taken from the queue and not yet sent count as waiting.
     let mut queue = queue_of("/state/list", Mode::OnChange, &tree);
     queue.next_updates(0.0, 9);
     assert_eq!(
@@ -263,7 +270,7 @@
     assert_eq!(
         queue.poll(10.0 * STALLED_TIMEOUT, &tree),
         Ok(()),
-        "a reader without anything to read is not stalled"
+        "a subscriber without queued updates is not stalled"
     );
 }
 
@@ -271,9 +278,9 @@
 fn queue_of_one_subscriber_is_bounded() {
     let mut queue = queue_of("/state/engine", Mode::OnChange, &LeafMap::new());
     let mut tree = LeafMap::new();
-    for n in 0..=MAX_QUEUED_PATHS {
+    for index in 0..=MAX_QUEUED_PATHS {
         tree.insert(
-            path(&format!("/state/engine[name=e{n}]/inflight")),
+            path(&format!("/state/engine[name=e{index}]/inflight")),
             Value::Uint(0),
         );
     }
