--- a/crates/data-tree/src/leaves.rs
+++ b/crates/data-tree/src/leaves.rs
@@ -1,4 +1,4 @@
-//! A tree as a persistent map from paths to leaves, and reading it by pattern.
+//! A tree as a persistent map from paths to leaves, and queries of it by pattern.
 
 use crate::path::{Path, Pattern};
 use crate::value::Value;
@@ -32,17 +32,17 @@
     }
 }
 
-/// The paths of the nodes that the pattern matches and that have leaves; for a list one path per entry. A pattern with
+/// The paths of the nodes that the pattern matches and that have leaves; for a list, one path per entry. A pattern with
 /// `...` yields the paths of the leaves. The pattern must be resolved by the schema.
 pub fn nodes(leaves: &LeafMap, pattern: &Pattern) -> Vec<Path> {
     let covered = select(leaves, pattern).map(|(path, _)| path);
-    if pattern.deep() {
+    if pattern.has_any_steps() {
         return covered.cloned().collect();
     }
     let mut nodes: Vec<Path> = Vec::new();
     for path in covered {
         if !nodes.last().is_some_and(|node| path.starts_with(node)) {
-            nodes.push(path.first(pattern.0.len()));
+            nodes.push(path.prefix(pattern.0.len()));
         }
     }
     nodes
--- a/crates/data-tree/src/schema/from_yang.rs
+++ b/crates/data-tree/src/schema/from_yang.rs
@@ -7,7 +7,8 @@
 use std::ops::RangeInclusive;
 use std::sync::Arc;
 
-/// Typedefs that may refer to each other before the chain is cut off: it ends a circle of typedefs.
+/// Limit on the number of types in a chain of typedefs, so that typedefs that refer to each other in a cycle are not
+/// followed for ever.
 const MAX_TYPEDEF_CHAIN: usize = 8;
 
 /// Why a YANG module can't be used as the schema.
@@ -17,10 +18,10 @@
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
     /// The YANG module has no `revision` statement.
-    #[error("the module has no revision")]
+    #[error("the YANG module has no revision statement")]
     NoRevision,
     /// The YANG module has no `namespace` statement.
-    #[error("the module has no namespace")]
+    #[error("the YANG module has no namespace statement")]
     NoNamespace,
     /// A statement is incomplete or uses a part of YANG that is not implemented.
     #[error("line {line}: {fault}")]
@@ -31,7 +32,7 @@
         fault: StatementFault,
     },
     /// The argument of a `range` or `length` statement can't be read.
-    #[error("{0} is not a range")]
+    #[error("{0:?} is not a valid range or length")]
     Range(String),
     /// The argument of a `pattern` statement is not a regular expression.
     #[error(transparent)]
@@ -42,19 +43,19 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StatementFault {
     /// A list has no key, or more than one.
-    #[error("a list needs one key")]
+    #[error("a list must have exactly one key")]
     ListKey,
     /// The statement is a part of YANG that is not implemented.
-    #[error("the statement is not supported")]
+    #[error("the statement is a part of YANG that is not supported")]
     UnsupportedStatement,
-    /// A number of elements can't be read.
-    #[error("the number of elements is not a number")]
+    /// The argument of `min-elements` or `max-elements` is not a number.
+    #[error("the argument of min-elements or max-elements is not a number")]
     ElementCount,
     /// A leaf or typedef has no type.
-    #[error("the type is missing")]
+    #[error("the type statement is missing")]
     NoType,
-    /// A decimal64 has no `fraction-digits`.
-    #[error("a decimal64 needs fraction-digits")]
+    /// A decimal64 has no `fraction-digits`, or their number can't be read.
+    #[error("a decimal64 must have a valid fraction-digits statement")]
     FractionDigits,
     /// The type is a part of YANG that is not implemented.
     #[error("the type {0} is not supported")]
@@ -89,8 +90,12 @@
             typedef: None,
             children: children(&module, &module, true)?,
         };
-        let revision = module.arg("revision").ok_or(SchemaError::NoRevision)?;
-        let namespace = module.arg("namespace").ok_or(SchemaError::NoNamespace)?;
+        let revision = module
+            .argument_of("revision")
+            .ok_or(SchemaError::NoRevision)?;
+        let namespace = module
+            .argument_of("namespace")
+            .ok_or(SchemaError::NoNamespace)?;
         Ok(Schema {
             root,
             revision: revision.to_owned(),
@@ -101,7 +106,7 @@
     /// Reads the schema from the YANG module that is compiled into the program.
     ///
     /// # Errors
-    /// Fails if the module can't be read; the tests read it, so that this is a fault of the build.
+    /// Fails if the module can't be read. The tests read it, so that a failure means a faulty build.
     pub fn shipped() -> Result<Schema, SchemaError> {
         Schema::read(crate::MODULE)
     }
@@ -125,7 +130,7 @@
     module: &Statement,
     config: bool,
 ) -> Result<Option<Node>, SchemaError> {
-    let config = config && statement.arg("config") != Some("false");
+    let config = config && statement.argument_of("config") != Some("false");
     let Some(kind) = node_kind(statement, module)? else {
         return Ok(None);
     };
@@ -133,12 +138,12 @@
         name: statement.argument.as_str().into(),
         kind,
         config,
-        mandatory: statement.arg("mandatory") == Some("true"),
-        presence: statement.one("presence").is_some(),
+        mandatory: statement.argument_of("mandatory") == Some("true"),
+        presence: statement.first("presence").is_some(),
         min_elements: element_count(statement, "min-elements", 0)?,
         max_elements: element_count(statement, "max-elements", usize::MAX)?,
-        units: statement.arg("units").map(String::from),
-        typedef: statement.arg("type").map(String::from),
+        units: statement.argument_of("units").map(String::from),
+        typedef: statement.argument_of("type").map(String::from),
         children: children(statement, module, config)?,
     }))
 }
@@ -163,7 +168,9 @@
 }
 
 fn list_key(statement: &Statement) -> Result<Arc<str>, SchemaError> {
-    let key = statement.arg("key").filter(|key| !key.contains(' '));
+    let key = statement
+        .argument_of("key")
+        .filter(|key| !key.contains(' '));
     match key {
         Some(key) => Ok(key.into()),
         None => Err(SchemaError::at(statement, StatementFault::ListKey)),
@@ -175,7 +182,7 @@
     keyword: &str,
     default: usize,
 ) -> Result<usize, SchemaError> {
-    match statement.arg(keyword) {
+    match statement.argument_of(keyword) {
         Some(count) => count
             .parse()
             .map_err(|_| SchemaError::at(statement, StatementFault::ElementCount)),
@@ -195,7 +202,7 @@
         let mut definition = leaf;
         loop {
             let type_statement = definition
-                .one("type")
+                .first("type")
                 .ok_or_else(|| SchemaError::at(definition, StatementFault::NoType))?;
             types.push(type_statement);
             let typedef = module
@@ -213,14 +220,15 @@
         }
     }
 
-    /// The argument of a restriction. The one nearest to the leaf counts: it may only narrow those of the typedefs.
+    /// The argument of a restriction. The one nearest to the leaf applies: YANG allows it only to narrow those of the
+    /// typedefs.
     fn restriction(&self, keyword: &str) -> Option<&'a str> {
         self.types
             .iter()
-            .find_map(|statement| statement.arg(keyword))
+            .find_map(|statement| statement.argument_of(keyword))
     }
 
-    /// The argument of the `range` statement; the whole range of the type where there is none.
+    /// The argument of the `range` statement; the whole range of the type without one.
     fn range(&self) -> &'a str {
         self.restriction("range").unwrap_or("min .. max")
     }
@@ -244,9 +252,9 @@
     }
 }
 
-fn unsigned_type(chain: &TypeChain, max: u64, wide: bool) -> Result<LeafType, SchemaError> {
+fn unsigned_type(chain: &TypeChain, max: u64, is_64_bit: bool) -> Result<LeafType, SchemaError> {
     let ranges = ranges(chain.range(), 0, max, |bound| bound.parse().ok())?;
-    Ok(LeafType::Uint { wide, ranges })
+    Ok(LeafType::Uint { is_64_bit, ranges })
 }
 
 fn decimal_type(chain: &TypeChain, leaf: &Statement) -> Result<LeafType, SchemaError> {
@@ -268,7 +276,7 @@
     let patterns = chain
         .types
         .iter()
-        .filter_map(|statement| statement.arg("pattern"))
+        .filter_map(|statement| statement.argument_of("pattern"))
         .map(|pattern| Regex::new(&format!("^(?:{pattern})$")))
         .collect::<Result<_, _>>()?;
     Ok(LeafType::Text { lengths, patterns })
