--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -230,7 +230,7 @@
             AgentMessage::RecoveryChecked { request, result } => {
                 self.finish_disaster_recovery(request, result);
             }
-            AgentMessage::GenerationHeard(generation) => self.handle_generation(generation),
+            AgentMessage::GenerationReported(generation) => self.handle_generation(generation),
             AgentMessage::Leave(response) => self.handle_leave(response),
         }
     }
@@ -291,13 +291,13 @@
 }
 
 fn new_member(config: &FleetConfig, identity: &Identity) -> Member {
-    let proof_of_end = if is_disabled(Guard::ProofOfEnd) {
+    let exclusive_resource = if is_disabled(Guard::ProofOfEnd) {
         String::new()
     } else {
         exclusive_address(config.listen)
     };
     Member::new(&config.name, identity.start, config.steady, config.lease)
-        .with_exclusive_resource(proof_of_end)
+        .with_exclusive_resource(exclusive_resource)
 }
 
 /// Spawns the task of the listener, which ends with the process or when the listener fails.
--- a/crates/fleet-agent/src/actor/bootstrap.rs
+++ b/crates/fleet-agent/src/actor/bootstrap.rs
@@ -17,7 +17,7 @@
     /// Asks all other voters whether they know a cluster generation. [`Actor::finish_bootstrap`] continues with the
     /// result.
     pub(super) fn start_bootstrap(&self, request: BootstrapRequest) {
-        if let Err(error) = self.check_bootstrap_here() {
+        if let Err(error) = self.check_local_preconditions() {
             return refuse(request.responder, error);
         }
         let connections = self.connections.clone();
@@ -30,7 +30,7 @@
         });
     }
 
-    fn check_bootstrap_here(&self) -> Result<(), BootstrapError> {
+    fn check_local_preconditions(&self) -> Result<(), BootstrapError> {
         let voter = self.voter.as_ref().ok_or(BootstrapError::NotVoter)?;
         // Only one voter may bootstrap the fleet: two bootstraps would begin two clusters.
         let first_voter = self.config.voters.keys().next();
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -87,8 +87,8 @@
             let command = FleetCommand::Command(command);
             match search.command(handle, command, within).await {
                 CommandResponse::Done(number) => drop(responder.send(Ok(number))),
-                CommandResponse::Refused(why) => refuse(responder, why),
-                _ => refuse(responder, "no leader"),
+                CommandResponse::Refused(reason) => refuse(responder, reason),
+                _ => refuse(responder, "no leader of the fleet answered"),
             }
         });
     }
@@ -103,8 +103,8 @@
                 .await;
             let _ = responder.send(match response {
                 CommandResponse::Shown(status) => Ok(status),
-                CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
-                _ => Err(Refused::Fleet("no leader".into())),
+                CommandResponse::Refused(reason) => Err(Refused::Fleet(reason)),
+                _ => Err(Refused::Fleet("no leader of the fleet answered".into())),
             });
         });
     }
@@ -122,11 +122,11 @@
         response: oneshot::Sender<CommandResponse>,
     ) {
         let now = self.clock.now();
-        let leading = self.voter.as_ref().and_then(|voter| {
+        let leadership = self.voter.as_ref().and_then(|voter| {
             let leader = voter.replica.leader()?;
             Some((voter, leader))
         });
-        let Some((voter, leader)) = leading else {
+        let Some((voter, leader)) = leadership else {
             let _ = response.send(self.not_leader());
             return;
         };
--- a/crates/fleet-agent/src/actor/disaster_recovery.rs
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -19,10 +19,10 @@
 use std::collections::BTreeMap;
 use tokio::time::sleep;
 
-/// A search for a leader, and the delay after it in ms.
+/// A search for a leader, and the delay in ms that follows it.
 struct LeaderCheck {
     search: LeaderSearch,
-    then_wait: Millis,
+    delay_after: Millis,
 }
 
 /// The initial state of a new cluster generation.
@@ -40,11 +40,11 @@
             return refuse(request.responder, BootstrapError::RecoveryNotVoter);
         }
         let lease = self.config.lease;
-        // The search runs twice. In between it waits for the longest lease that a leader which has just ended may have
-        // granted.
-        let checks = [grace_period(lease), 0.0].map(|then_wait| LeaderCheck {
+        // The search runs twice. The delay between the searches covers the longest lease that a leader which has just
+        // ended may have granted.
+        let checks = [grace_period(lease), 0.0].map(|delay_after| LeaderCheck {
             search: self.leader_search(),
-            then_wait,
+            delay_after,
         });
         let connections = self.connections.clone();
         let identity = self.identity.clone();
@@ -122,28 +122,28 @@
         if voter.replica.leader().is_some() {
             return Err(BootstrapError::LeaderExists("this voter".into()));
         }
-        let left = &voter.replica.state().fleet;
+        let remaining = &voter.replica.state().fleet;
         let remembered = self.member.applied_state().generation;
         let mut generations = known.to_vec();
-        generations.extend([left.generation, remembered, self.latest_generation]);
+        generations.extend([remaining.generation, remembered, self.latest_generation]);
         let generation = successor(generations.iter().copied(), random_number())
             .map_err(|error| BootstrapError::Generation(error.to_string()))?;
-        let (document, with) = match &left.running {
+        let (document, policy_source) = match &remaining.running {
             Some((number, running)) => (running.clone(), format!("revision {number}")),
             None => (
                 document,
                 "the settings that this gateway started with".to_owned(),
             ),
         };
-        let lost = generations.iter().copied().max().unwrap_or(0);
-        let silent = self.connections.len().saturating_sub(known.len());
+        let latest = generations.iter().copied().max().unwrap_or(0);
+        let unanswered = self.connections.len().saturating_sub(known.len());
         let revision = RevisionSummary {
             number: 0,
             token: 0,
             author,
             created_at: self.clock.now(),
             summary: format!(
-                "disaster recovery after generation {lost:016x} with {with}: what was decided after that is lost; {silent} voters did not answer"
+                "disaster recovery after generation {latest:016x} with {policy_source}: later decisions are lost; {unanswered} voters did not answer"
             ),
             state: RevisionState::Running,
             commit: None,
@@ -163,14 +163,18 @@
     handle: &AgentHandle,
     lease: Millis,
 ) -> Option<String> {
-    for LeaderCheck { search, then_wait } in checks {
+    for LeaderCheck {
+        search,
+        delay_after,
+    } in checks
+    {
         let response = search
             .command(handle.clone(), FleetCommand::Show, lease)
             .await;
         if let CommandResponse::Shown(status) = response {
             return Some(status["chair"].as_str().unwrap_or("one").to_owned());
         }
-        sleep(duration(then_wait)).await;
+        sleep(duration(delay_after)).await;
     }
     None
 }
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -72,11 +72,11 @@
         if self.is_leader() {
             return self.submit_heartbeat(heartbeat, HeartbeatSource::Local);
         }
-        let most = match self.leader_name() {
+        let limit = match self.leader_name() {
             Some(_) => MAX_HEARTBEATS_IN_FLIGHT,
             None => MAX_HEARTBEATS_WITHOUT_LEADER,
         };
-        if self.heartbeats_in_flight >= most {
+        if self.heartbeats_in_flight >= limit {
             return;
         }
         self.heartbeats_in_flight += 1;
--- a/crates/fleet-agent/src/actor/membership.rs
+++ b/crates/fleet-agent/src/actor/membership.rs
@@ -111,7 +111,9 @@
                     .known_generation(&identity, GENERATION_CHECK_TIMEOUT)
                     .await;
                 if let Ok(generation) = known {
-                    let _ = handle.send(AgentMessage::GenerationHeard(generation)).await;
+                    let _ = handle
+                        .send(AgentMessage::GenerationReported(generation))
+                        .await;
                 }
             });
         }
--- a/crates/fleet-agent/src/actor/pending_commands.rs
+++ b/crates/fleet-agent/src/actor/pending_commands.rs
@@ -11,22 +11,22 @@
     Finished(CommandResponse),
     Waiting,
     /// The leader dropped the command, since an earlier record made it invalid.
-    PassedOver,
+    Dropped,
 }
 
 impl Actor {
     /// Answers the commands whose outcome is known or whose time is over.
     pub(super) fn answer_pending_commands(&mut self) {
         let now = self.clock.now();
-        let mut passed_over = Vec::new();
+        let mut dropped = Vec::new();
         for pending in std::mem::take(&mut self.pending_commands) {
             match self.progress(now, &pending) {
                 Progress::Finished(response) => drop(pending.response.send(response)),
                 Progress::Waiting => self.pending_commands.push(pending),
-                Progress::PassedOver => passed_over.push(pending),
+                Progress::Dropped => dropped.push(pending),
             }
         }
-        for pending in passed_over {
+        for pending in dropped {
             self.submit_again(now, pending);
         }
     }
@@ -48,13 +48,13 @@
                 Progress::Waiting
             }
             Outcome::Final(response) => Progress::Finished(response),
-            Outcome::Unknown if !leader.is_pending(&pending.command) => Progress::PassedOver,
+            Outcome::Unknown if !leader.is_pending(&pending.command) => Progress::Dropped,
             _ if is_overdue => {
                 let names = status::waits_for(now, fleet, leader).join(", ");
-                let why = format!(
-                    "it is not done yet, and waits for {names}: it goes on, and can be cancelled"
+                let reason = format!(
+                    "the command is still in progress and waits for {names}: it continues, and can be cancelled"
                 );
-                Progress::Finished(CommandResponse::Refused(why))
+                Progress::Finished(CommandResponse::Refused(reason))
             }
             _ => Progress::Waiting,
         }
--- a/crates/fleet-agent/src/error.rs
+++ b/crates/fleet-agent/src/error.rs
@@ -125,6 +125,6 @@
 }
 
 /// Sends an operator the refusal of a request, with its reason.
-pub(crate) fn refuse(responder: Responder, why: impl std::fmt::Display) {
-    let _ = responder.send(Err(Refused::Fleet(why.to_string())));
+pub(crate) fn refuse(responder: Responder, reason: impl std::fmt::Display) {
+    let _ = responder.send(Err(Refused::Fleet(reason.to_string())));
 }
--- a/crates/fleet-agent/src/fault_injection.rs
+++ b/crates/fleet-agent/src/fault_injection.rs
@@ -2,7 +2,7 @@
 //! otherwise. A release build ignores them.
 
 /// The environment variable that names the disabled guards, separated by commas.
-const VARIABLE: &str = "IRONSTAIR_DISABLED_GUARDS";
+const ENVIRONMENT_VARIABLE: &str = "IRONSTAIR_DISABLED_GUARDS";
 
 /// A guard that a test can disable in a debug build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,6 +62,6 @@
 /// Whether the environment variable `IRONSTAIR_DISABLED_GUARDS` names the guard, in a debug build.
 pub fn is_disabled(guard: Guard) -> bool {
     cfg!(debug_assertions)
-        && std::env::var(VARIABLE)
+        && std::env::var(ENVIRONMENT_VARIABLE)
             .is_ok_and(|names| names.split(',').any(|name| name == guard.as_str()))
 }
--- a/crates/fleet-agent/src/leader_search.rs
+++ b/crates/fleet-agent/src/leader_search.rs
@@ -40,7 +40,7 @@
 }
 
 /// The step after an attempt to send a command to a voter.
-enum Next {
+enum NextStep {
     Respond(CommandResponse),
     /// The voter to try next; `None` if there is no other.
     Try(Option<String>),
@@ -130,9 +130,9 @@
         let mut candidate = self.last_leader.clone();
         let mut last_error = String::from("no voter answers");
         while self.clock.now() < deadline {
-            match self.command_here(&local, &command, candidate).await {
-                Some(Next::Respond(response)) => return response,
-                Some(Next::Try(next)) => candidate = next,
+            match self.submit_locally(&local, &command, candidate).await {
+                Some(NextStep::Respond(response)) => return response,
+                Some(NextStep::Try(next)) => candidate = next,
                 None => break,
             }
             let Some(voter) = candidate else { break };
@@ -143,9 +143,9 @@
             if let Err(CallError::Status(status)) = &answer {
                 last_error = format!("{voter}: {}", status.message());
             }
-            match self.after_answer(&voter, answer) {
-                Next::Respond(response) => return response,
-                Next::Try(next) => candidate = next,
+            match self.step_after(&voter, answer) {
+                NextStep::Respond(response) => return response,
+                NextStep::Try(next) => candidate = next,
             }
             sleep(duration(COMMAND_RETRY_DELAY)).await;
         }
@@ -155,43 +155,44 @@
     }
 
     /// Passes the command to this gateway's own actor; `None` if the actor has ended.
-    async fn command_here(
+    async fn submit_locally(
         &self,
         local: &AgentHandle,
         command: &FleetCommand,
         candidate: Option<String>,
-    ) -> Option<Next> {
+    ) -> Option<NextStep> {
         let (response, answered) = oneshot::channel();
         let message = AgentMessage::Command {
             command: command.clone(),
             response,
         };
         local.send(message).await.ok()?;
-        let next = match answered.await.map_err(|_| RequestError::Dropped) {
+        let step = match answered.await.map_err(|_| RequestError::Dropped) {
             Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
                 // The candidate found earlier has precedence: this gateway may name a leader that it has lost contact
                 // with.
                 let hinted = leader.filter(|name| self.connections.contains_key(name));
-                Next::Try(candidate.or(hinted).or_else(|| self.voter_after(None)))
+                NextStep::Try(candidate.or(hinted).or_else(|| self.voter_after(None)))
             }
-            Ok(response) => Next::Respond(response),
-            Err(_) => Next::Try(candidate),
+            Ok(response) => NextStep::Respond(response),
+            Err(_) => NextStep::Try(candidate),
         };
-        Some(next)
+        Some(step)
     }
 
-    fn after_answer(&self, voter: &String, answer: Result<CommandResponse, CallError>) -> Next {
+    /// The step that follows a voter's answer to a command.
+    fn step_after(&self, voter: &String, answer: Result<CommandResponse, CallError>) -> NextStep {
         match answer {
             Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
                 let other =
                     leader.filter(|name| name != voter && self.connections.contains_key(name));
-                Next::Try(other.or_else(|| self.voter_after(Some(voter))))
+                NextStep::Try(other.or_else(|| self.voter_after(Some(voter))))
             }
-            Ok(response) => Next::Respond(response),
-            Err(CallError::Body(error)) => Next::Respond(CommandResponse::Refused(format!(
-                "{voter} answers what can't be decoded: {error}"
+            Ok(response) => NextStep::Respond(response),
+            Err(CallError::Body(error)) => NextStep::Respond(CommandResponse::Refused(format!(
+                "the answer of voter {voter} can't be decoded: {error}"
             ))),
-            Err(CallError::Status(_)) => Next::Try(self.voter_after(Some(voter))),
+            Err(CallError::Status(_)) => NextStep::Try(self.voter_after(Some(voter))),
         }
     }
 }
--- a/crates/fleet-agent/src/message.rs
+++ b/crates/fleet-agent/src/message.rs
@@ -105,7 +105,7 @@
         result: Result<Vec<u64>, BootstrapError>,
     },
     /// Another voter has reported the cluster generation that it knows; 0 if it knows none.
-    GenerationHeard(u64),
+    GenerationReported(u64),
     /// This process is about to end; the sender is notified once the fleet knows.
     Leave(oneshot::Sender<()>),
 }
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -39,7 +39,7 @@
 
 fn revision_of<'a>(fleet: &'a Fleet<Json>, command: &Command<Json>) -> Option<&'a RevisionSummary> {
     let revisions = &fleet.revisions;
-    let last_under = |id: &String| {
+    let latest_with_id = |id: &String| {
         let mut newest_first = revisions.iter().rev();
         newest_first.find(|revision| revision.commit.as_ref() == Some(id))
     };
@@ -47,16 +47,16 @@
         Command::Change(proposal) => revisions
             .iter()
             .find(|revision| revision.token == proposal.token),
-        Command::Confirm { id } => last_under(id),
-        Command::Cancel { id, .. } => id.as_ref().and_then(last_under),
+        Command::Confirm { id } => latest_with_id(id),
+        Command::Cancel { id, .. } => id.as_ref().and_then(latest_with_id),
     }
 }
 
 fn refused(revision: &RevisionSummary) -> Outcome {
-    let (by, why) = revision.refused.clone().unwrap_or_default();
+    let (refused_by, reason) = revision.refused.clone().unwrap_or_default();
     let number = revision.number;
     Outcome::Final(CommandResponse::Refused(format!(
-        "revision {number} was refused by {by}: {why}"
+        "revision {number} was refused by {refused_by}: {reason}"
     )))
 }
 
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -97,9 +97,10 @@
         let envelope = self.validated(request)?;
         let heartbeat: Heartbeat = decode(&envelope)?;
         if heartbeat.name != envelope.from || heartbeat.start != envelope.start {
-            return Err(Status::invalid_argument(
-                "a heartbeat in another gateway's name",
-            ));
+            return Err(Status::invalid_argument(format!(
+                "the heartbeat is of {} (start {}), but its envelope of {} (start {})",
+                heartbeat.name, heartbeat.start, envelope.from, envelope.start
+            )));
         }
         let message = |response| AgentMessage::Heartbeat {
             heartbeat,
@@ -120,11 +121,12 @@
 
     async fn knock(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let envelope = self.validated(request)?;
-        let number: u64 = decode(&envelope)?;
+        // 0 is not the id of a replica: it asks for the cluster generation only.
+        let replica_id: u64 = decode(&envelope)?;
         let message = |response| {
             AgentMessage::JoinRequest(JoinRequest {
                 voter: envelope.from,
-                replica_id: (number != 0).then_some(number),
+                replica_id: (replica_id != 0).then_some(replica_id),
                 response,
             })
         };
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -39,15 +39,15 @@
     name: &str,
     session: &Session,
 ) -> Json {
-    let seen = leader.member_status(name);
-    let lease_left = seen.map_or(0.0, |status| (status.lease_end - now).max(0.0));
+    let status = leader.member_status(name);
+    let lease_left = status.map_or(0.0, |status| (status.lease_end - now).max(0.0));
     let cut_off = if session.steady { "steady" } else { "strict" };
     json!({
         "name": name,
         "cut-off": cut_off,
-        "heard-ms-ago": seen.map(|status| (now - status.heard_at).round()),
+        "heard-ms-ago": status.map(|status| (now - status.heard_at).round()),
         "lease-left-ms": lease_left.round(),
-        "holds-what-is-held": seen.is_some_and(|status| status.applied_index == fleet.policy_index),
+        "holds-what-is-held": status.is_some_and(|status| status.applied_index == fleet.policy_index),
         "counts": leader.may_decide(now, fleet, name),
     })
 }
@@ -108,12 +108,12 @@
     let Some(change) = &fleet.change else {
         return Vec::new();
     };
-    let has_done_its_part = |name: &str| match change.step {
+    let has_completed_step = |name: &str| match change.step {
         Step::Staged => leader.has_validated(name, change.number),
         _ => leader
             .member_status(name)
             .is_some_and(|status| status.applied_index == fleet.policy_index),
     };
-    let waits = |name: &&String| leader.may_decide(now, fleet, name) && !has_done_its_part(name);
+    let waits = |name: &&String| leader.may_decide(now, fleet, name) && !has_completed_step(name);
     fleet.members.keys().filter(waits).cloned().collect()
 }
