--- a/crates/fleet-agent/src/config.rs
+++ b/crates/fleet-agent/src/config.rs
@@ -5,16 +5,16 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The shortest lease in ms. A shorter one costs many heartbeats, and a pause of a process would let it expire.
+/// The shortest lease in ms. A shorter one needs many heartbeats, and expires during a short pause of the process.
 const MIN_LEASE: Millis = 1000.0;
-/// The longest lease in ms. With a longer one a change waits longer for members that are gone.
+/// The longest lease in ms. The longer the lease, the longer a change waits for members that are gone.
 const MAX_LEASE: Millis = 60_000.0;
 /// The longest name in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// The possible numbers of voters: a majority of them survives one or two losses.
+/// The allowed numbers of voters. Of 3 one may be lost, of 5 two, and a majority remains.
 const VOTER_COUNTS: [usize; 2] = [3, 5];
 
-/// One gateway's part in a fleet.
+/// The settings of a gateway's membership in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
     /// The fleet's name.
@@ -27,7 +27,8 @@
     pub voters: BTreeMap<String, SocketAddr>,
     /// The lease's length in ms.
     pub lease: Millis,
-    /// Whether the gateway continues to decide without a lease. No change is decided until it has applied it.
+    /// Whether the gateway continues to decide after its lease has expired. The fleet decides no change that such a
+    /// gateway has not applied.
     pub steady: bool,
     /// Whether fleet-wide limits are divided by the current number of members, in place of the number in the settings.
     pub counts_members: bool,
@@ -39,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
     /// A name is empty, too long, or has control characters.
-    #[error("fleet.{field}: {name:?} is no name of 1 to {MAX_NAME_BYTES} bytes")]
+    #[error("fleet.{field}: the name {name:?} must have 1 to {MAX_NAME_BYTES} bytes and no control characters")]
     Name {
         /// The field.
         field: &'static str,
@@ -47,13 +48,13 @@
         name: String,
     },
     /// The gateway's own name is empty or too long.
-    #[error("fleet: the gateway's own name is empty or too long to be one of a fleet's")]
+    #[error("fleet: the gateway's own name must have 1 to {MAX_NAME_BYTES} bytes")]
     OwnName,
     /// There are too few voters, too many, or an even number.
-    #[error("fleet.keepers: 3 or 5 are named, not {0}")]
+    #[error("fleet.keepers: expected 3 or 5 voters, found {0}")]
     VoterCount(usize),
     /// Two voters have one address.
-    #[error("fleet.keepers.{voter}: {address} is another's address too")]
+    #[error("fleet.keepers.{voter}: {address} is also the address of another voter")]
     SharedAddress {
         /// One of the two.
         voter: String,
@@ -61,18 +62,16 @@
         address: SocketAddr,
     },
     /// The lease is too short or too long, in ms.
-    #[error("fleet.lease_ms: {0} is outside {MIN_LEASE} to {MAX_LEASE}")]
+    #[error("fleet.lease_ms: {0} is outside the range {MIN_LEASE} to {MAX_LEASE}")]
     Lease(Millis),
     /// A steady gateway can't count members.
-    #[error(
-        "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members"
-    )]
+    #[error("fleet.count: a steady gateway can't count members; it requires \"told\"")]
     SteadyCounts,
     /// A voter has no folder.
-    #[error("fleet.state: {0} is a voter, and needs a folder for its log")]
+    #[error("fleet.state: {0} is a voter and requires a folder for its log")]
     FolderMissing(String),
     /// A folder is configured for a gateway that is not a voter.
-    #[error("fleet.state: {0} is not among the voters and has no log")]
+    #[error("fleet.state: {0} is not among the voters and must not have a folder for a log")]
     FolderUnused(String),
 }
 
--- a/crates/fleet-agent/src/envelope.rs
+++ b/crates/fleet-agent/src/envelope.rs
@@ -2,9 +2,9 @@
 
 use crate::proto::Envelope;
 
-/// The format of bodies that this version writes and understands.
+/// The version of the body format that this program writes and supports.
 pub const FORMAT_VERSION: u32 = 1;
-/// The longest message in bytes. The whole state of a log with hundreds of members is below a megabyte.
+/// The largest message in bytes. The whole state of a log with hundreds of members is smaller than a megabyte.
 pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 /// The identity of this gateway in its fleet.
@@ -18,11 +18,11 @@
     pub start: u64,
 }
 
-/// Why a message of another gateway is rejected.
+/// Why a message from another gateway is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvelopeError {
     /// The sender's version writes bodies in another format.
-    #[error("{sender} speaks form {theirs}, {receiver} here knows {ours}")]
+    #[error("{sender} sends message format {theirs}, {receiver} supports only format {ours}")]
     UnknownFormat {
         /// The sending gateway.
         sender: String,
@@ -34,7 +34,7 @@
         ours: u32,
     },
     /// The sender belongs to another fleet.
-    #[error("{sender} is of fleet {theirs:?}, {receiver} here of {ours:?}")]
+    #[error("{sender} belongs to fleet {theirs:?}, {receiver} to fleet {ours:?}")]
     OtherFleet {
         /// The sending gateway.
         sender: String,
@@ -46,7 +46,7 @@
         ours: String,
     },
     /// The sender uses this gateway's name.
-    #[error("another process is called {name} too")]
+    #[error("another process is already using the gateway name {name}")]
     NameInUse {
         /// The name of both.
         name: String,
--- a/crates/fleet-agent/src/error.rs
+++ b/crates/fleet-agent/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the agent. Errors of the packages below are carried as text.
+//! Errors of the agent. Errors of the packages that it uses are carried as text.
 
 use ironstair_management::fleet_channel::Responder;
 use ironstair_management::Refused;
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The listener's address can't be used.
-    #[error("fleet.listen: {address}: {source}")]
+    #[error("fleet.listen: can't listen on {address}: {source}")]
     Listen {
         /// The address to listen on.
         address: SocketAddr,
@@ -16,7 +16,7 @@
         source: std::io::Error,
     },
     /// The listener's socket can't be kept open until the process ends.
-    #[error("fleet.listen: {0}")]
+    #[error("fleet.listen: can't duplicate the listening socket: {0}")]
     HoldListener(#[source] std::io::Error),
     /// The folder of the log can't be used.
     #[error("fleet.state: {0}")]
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NoLeader {
     /// No voter answered as the leader.
-    #[error("there is no leader")]
+    #[error("no voter answered as the leader")]
     NotFound,
     /// A voter rejected the heartbeat; the text is its reason.
     #[error("{0}")]
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PolicyError {
     /// The policy names a field that this version does not know.
-    #[error("this version can't read it: unknown field `{0}`")]
+    #[error("this version can't read the policy: unknown field `{0}`")]
     UnknownField(&'static str),
     /// Management rejected the policy; the text is its error.
     #[error("{0}")]
@@ -76,20 +76,22 @@
 /// Why a bootstrap or a disaster recovery was refused.
 #[derive(Debug, thiserror::Error)]
 pub enum BootstrapError {
-    /// This gateway has no log.
+    /// This gateway is not a voter, and has no log.
     #[error("only a voter can bootstrap the fleet")]
     NotVoter,
     /// Only the named voter may bootstrap the fleet.
-    #[error("the fleet is bootstrapped at the voter {0}")]
+    #[error("the fleet can be bootstrapped only at voter {0}")]
     OtherVoter(String),
     /// The log here has a cluster generation.
     #[error("the fleet is bootstrapped already")]
     AlreadyBootstrapped,
     /// Another voter knows a cluster generation.
-    #[error("{0} knows a cluster generation: this voter's disk is lost, not the fleet's")]
+    #[error(
+        "{0} knows a cluster generation: the fleet exists, and only the log of this voter is lost"
+    )]
     GenerationKnown(String),
     /// Another voter did not answer.
-    #[error("{voter} must answer, and does not: {reason}")]
+    #[error("voter {voter} did not answer, which a bootstrap requires: {reason}")]
     NoAnswer {
         /// The voter's name.
         voter: String,
@@ -97,7 +99,7 @@
         reason: String,
     },
     /// Another voter's answer can't be decoded.
-    #[error("{voter}: {source}")]
+    #[error("the answer of voter {voter} can't be decoded: {source}")]
     Undecodable {
         /// The voter's name.
         voter: String,
@@ -105,18 +107,18 @@
         source: serde_json::Error,
     },
     /// A write to the disk is in progress.
-    #[error("the disk is being written")]
+    #[error("a write to the fleet log is in progress, try again")]
     DiskBusy,
-    /// This gateway has no log to recover from.
+    /// This gateway is not a voter, and has no log to recover from.
     #[error("only a voter can start a disaster recovery")]
     RecoveryNotVoter,
     /// This gateway lost its log while the request was in progress.
-    #[error("this gateway is no voter any more")]
+    #[error("this gateway is no longer a voter")]
     NoLongerVoter,
     /// The fleet has a leader.
     #[error("{0} is the leader: the fleet's state is not lost")]
     LeaderExists(String),
-    /// No number is left for another cluster generation.
+    /// No further cluster generation can be numbered; the text is the reason.
     #[error("{0}")]
     Generation(String),
     /// The log or its disk can't be used.
--- a/crates/fleet-agent/src/handle.rs
+++ b/crates/fleet-agent/src/handle.rs
@@ -15,25 +15,25 @@
     /// The queue is full; the sender may retry.
     #[error("the message queue is full")]
     MailboxFull,
-    /// The actor dropped the request: it can't answer it any more.
-    #[error("not the leader any more")]
+    /// The actor dropped the request, because it can no longer answer it.
+    #[error("the request was dropped: this voter is no longer the leader")]
     Dropped,
 }
 
 /// The actor has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the fleet's actor has ended")]
+#[error("the fleet agent has ended")]
 pub(crate) struct ActorEnded;
 
 impl AgentHandle {
-    /// Creates a handle and the queue of that capacity to which it sends.
+    /// Creates a queue of that capacity, and a handle that sends to it.
     pub fn channel(capacity: usize) -> (AgentHandle, mpsc::Receiver<AgentMessage>) {
         let (sender, mailbox) = mpsc::channel(capacity);
         (AgentHandle { sender }, mailbox)
     }
 
-    /// Announces the end of this process; all its requests must have been answered. The receiver resolves when the
-    /// fleet knows. `None` if the actor's queue is full or closed.
+    /// Announces the end of this process to the fleet. The caller must have answered all of its clients' requests. The
+    /// receiver resolves once the fleet knows. `None` if the actor's queue is full or closed.
     pub fn announce_leave(&self) -> Option<oneshot::Receiver<()>> {
         let (response, left) = oneshot::channel();
         let sent = self.sender.try_send(AgentMessage::Leave(response));
--- a/crates/fleet-agent/tests/config.rs
+++ b/crates/fleet-agent/tests/config.rs
@@ -66,15 +66,15 @@
         name: "n".repeat(65),
         ..member()
     };
-    let own_name = "fleet: the gateway's own name is empty or too long to be one of a fleet's";
+    let own_name = "fleet: the gateway's own name must have 1 to 64 bytes";
     assert_invalid([
         (
             fleet_named(""),
-            r#"fleet.name: "" is no name of 1 to 64 bytes"#,
+            r#"fleet.name: the name "" must have 1 to 64 bytes and no control characters"#,
         ),
         (
             fleet_named("a\nb"),
-            r#"fleet.name: "a\nb" is no name of 1 to 64 bytes"#,
+            r#"fleet.name: the name "a\nb" must have 1 to 64 bytes and no control characters"#,
         ),
         (long_own_name, own_name),
     ]);
@@ -87,10 +87,10 @@
     let mut shared_address = member();
     shared_address.voters.insert("g2".into(), address(1));
     assert_invalid([
-        (two_voters, "fleet.keepers: 3 or 5 are named, not 2"),
+        (two_voters, "fleet.keepers: expected 3 or 5 voters, found 2"),
         (
             shared_address,
-            "fleet.keepers.g1: 127.0.0.1:1 is another's address too",
+            "fleet.keepers.g1: 127.0.0.1:1 is also the address of another voter",
         ),
     ]);
 }
@@ -115,18 +115,21 @@
         ..member()
     };
     assert_invalid([
-        (short_lease, "fleet.lease_ms: 999 is outside 1000 to 60000"),
+        (
+            short_lease,
+            "fleet.lease_ms: 999 is outside the range 1000 to 60000",
+        ),
         (
             steady_counts,
-            "fleet.count: a steady gateway goes by the number of gateways in its settings, not by members",
+            r#"fleet.count: a steady gateway can't count members; it requires "told""#,
         ),
         (
             no_folder,
-            "fleet.state: g1 is a voter, and needs a folder for its log",
+            "fleet.state: g1 is a voter and requires a folder for its log",
         ),
         (
             unused_folder,
-            "fleet.state: g4 is not among the voters and has no log",
+            "fleet.state: g4 is not among the voters and must not have a folder for a log",
         ),
     ]);
 }
--- a/crates/fleet-agent/tests/pinned_forms/messages.rs
+++ b/crates/fleet-agent/tests/pinned_forms/messages.rs
@@ -173,9 +173,9 @@
         all
     });
     let wanted = [
-        "g1 speaks form 2, g2 here knows 1",
-        r#"g1 is of fleet "south", g2 here of "north""#,
-        "another process is called g2 too",
+        "g1 sends message format 2, g2 supports only format 1",
+        r#"g1 belongs to fleet "south", g2 to fleet "north""#,
+        "another process is already using the gateway name g2",
     ];
     let wanted = wanted.map(|why| (tonic::Code::FailedPrecondition, why.to_owned()));
     assert_eq!(refused, wanted);
--- a/crates/gateway/src/operator_config/tests.rs
+++ b/crates/gateway/src/operator_config/tests.rs
@@ -58,11 +58,11 @@
     assert!(fleet_config(&two, "a")
         .unwrap_err()
         .to_string()
-        .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
+        .starts_with("fleet.keepers.b: 127.0.0.1:3 is also the address of another voter"));
     two.voters.remove("c");
     assert_eq!(
         fleet_config(&two, "a").unwrap_err().to_string(),
-        "fleet.keepers: 3 or 5 are named, not 2"
+        "fleet.keepers: expected 3 or 5 voters, found 2"
     );
     let platform = include_str!("../../../../deploy/balancer.toml");
     assert!(platform.contains("ironstair serve") && !platform.contains("operator"));
--- a/crates/gateway/tests/fleet/foreign_gateways.rs
+++ b/crates/gateway/tests/fleet/foreign_gateways.rs
@@ -43,7 +43,7 @@
     (0..4).for_each(|gateway| cluster.start(gateway));
     cluster.bootstrap_voters();
     wait_until("the other fleet's gateway logs the reason", || {
-        cluster.log(3).contains(r#"g4 is of fleet "other""#)
+        cluster.log(3).contains(r#"g4 belongs to fleet "other""#)
     });
     assert!((0..3).any(|voter| cluster
         .log(voter)
--- a/crates/gateway/tests/fleet/refusals.rs
+++ b/crates/gateway/tests/fleet/refusals.rs
@@ -61,7 +61,7 @@
     let mut cluster = Cluster::started_under_load("case-8", &plan);
     let output = cluster.set(0, &[ADVICE, "500"]);
     output.assert_refused_with("g5");
-    output.assert_refused_with("can't read it");
+    output.assert_refused_with("can't read the policy");
     cluster.wait_for_setting_everywhere(ADVICE, &json!(0));
     cluster.kill(4);
     cluster.set(0, &[ADVICE, "500"]).assert_success();
