--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -1,6 +1,6 @@
-//! The actor that owns a gateway's part in its fleet: one task with one queue. Slow operations (disk writes, calls to
-//! other gateways, the application of settings) run in tasks of their own, each of which ends with a message to the
-//! queue, so that none of them delays heartbeats.
+//! The actor that runs a gateway's membership in its fleet: one task with one queue. Slow operations (disk writes,
+//! calls to other gateways, applying settings) run in tasks of their own, each of which reports its end by a message to
+//! the queue, so that none of them delays heartbeats.
 
 mod bootstrap;
 mod commands;
@@ -43,7 +43,7 @@
 /// Capacity of the actor's queue.
 const MAILBOX_CAPACITY: usize = 1024;
 
-/// The sender of a heartbeat that this voter's replica has to answer.
+/// The origin of a heartbeat that this voter's replica has to answer.
 enum HeartbeatSource {
     Local,
     Remote(oneshot::Sender<HeartbeatReply>),
@@ -54,25 +54,25 @@
     replica: Replica<Json>,
     /// The disk; `None` while a task writes to it.
     storage: Option<Storage>,
-    /// Set if the log has to be quarantined, with the reason; that happens once the disk is not being written.
+    /// Why the log has to be quarantined, if it has to; the quarantine follows once no write is in progress.
     quarantine_reason: Option<&'static str>,
     /// The time of the next join request, in ms.
     join_request_due: Millis,
     /// The time of the next check of the other voters' cluster generations, in ms.
     generation_check_due: Millis,
-    /// Whether the failure of writes has been logged.
+    /// Whether the current failure to write has been logged.
     failure_logged: bool,
 }
 
 /// A command whose outcome this leader waits for.
 struct PendingCommand {
     command: Command<Json>,
-    /// The time in ms at which its sender gets the answer that the command is still in progress.
+    /// The time in ms at which the sender is told that the command is still in progress.
     deadline: Millis,
     response: oneshot::Sender<CommandResponse>,
 }
 
-/// A gateway's part in its fleet. [`Actor::start`] creates it, [`Actor::run`] runs it until the process ends.
+/// A gateway's membership in its fleet. [`Actor::start`] creates it, [`Actor::run`] runs it until the process ends.
 pub struct Actor {
     config: FleetConfig,
     identity: Identity,
@@ -119,16 +119,16 @@
     pub status: watch::Sender<state::Fleet>,
     /// The manager, which validates and applies policies.
     pub management: ManagementHandle,
-    /// The queue of the dispatcher, which receives its lease through it.
+    /// The dispatcher's queue of commands, through which it receives its lease.
     pub gateway_commands: async_channel::Sender<ManagementCommand>,
 }
 
 impl Actor {
-    /// Starts the task of the listener and the connections to the voters. The caller has to run the actor with
+    /// Spawns the listener's task and creates the connections to the voters. The caller has to run the actor with
     /// [`Actor::run`]. Must be called on the runtime that runs the tasks.
     ///
     /// # Errors
-    /// Fails if the disk holds no log of a voter, or an address is invalid.
+    /// Fails if a voter's address is invalid, or the replica can't start with the content of the log.
     pub fn start(
         prepared: PreparedAgent,
         channels: AgentChannels,
@@ -142,7 +142,7 @@
             start: random_number(),
         };
         if let Some(note) = prepared.storage_note {
-            warn!(log, "fleet log damaged at start, mended or quarantined"; "reason" => note);
+            warn!(log, "fleet log was damaged, repaired or quarantined at start"; "reason" => note);
         }
         let connections = connect_to_other_voters(&config)?;
         let member = new_member(&config, &identity);
@@ -188,8 +188,8 @@
     /// Runs until the process ends.
     pub async fn run(mut self) {
         let mut ticks = interval(duration(TICK));
-        // The Raft library counts ticks. After a pause of the process, missed ticks must not follow in a burst: it
-        // would take them for an election timeout.
+        // The Raft library measures time in ticks. A burst of missed ticks after a pause of the process would look like
+        // an election timeout.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             self.advance();
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Carries out what is due, and publishes the new state.
+    /// Sends a due heartbeat, answers finished commands, and logs and publishes the new state.
     fn advance(&mut self) {
         if self.clock.now() >= self.member.next_heartbeat_at() {
             self.drive_member(Input::Due);
@@ -300,12 +300,12 @@
         .with_exclusive_resource(exclusive_resource)
 }
 
-/// Spawns the task of the listener, which ends with the process or when the listener fails.
+/// Spawns the listener's task, which runs until the process ends or the listener fails.
 fn spawn_listener(listener: TcpListener, identity: Identity, handle: AgentHandle, log: Logger) {
     let serving = server::serve(listener, identity, handle, log.clone());
     tokio::spawn(async move {
         if let Err(error) = serving.await {
-            error!(log, "fleet listener ended"; "error" => %error);
+            error!(log, "fleet listener failed"; "error" => %error);
         }
     });
 }
--- a/crates/fleet-agent/src/actor/bootstrap.rs
+++ b/crates/fleet-agent/src/actor/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The bootstrap of a fleet: it begins the first cluster generation with one voter, whose log the others join.
+//! The bootstrap of a fleet: the first cluster generation begins with one voter, and the other voters join it.
 
 use super::commands::CALL_TIMEOUT;
 use super::Actor;
@@ -32,7 +32,7 @@
 
     fn check_local_preconditions(&self) -> Result<(), BootstrapError> {
         let voter = self.voter.as_ref().ok_or(BootstrapError::NotVoter)?;
-        // Only one voter may bootstrap the fleet: two bootstraps would begin two clusters.
+        // Only the first voter may bootstrap the fleet: bootstraps at two voters would begin two clusters.
         let first_voter = self.config.voters.keys().next();
         if first_voter != Some(&self.config.name) {
             let name = first_voter.cloned().unwrap_or_default();
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Opens the voter with the content of its disk after a new log was written to it.
+    /// Opens the voter with the content of its disk, after a new log was written to it, and returns the error of either.
     pub(super) fn reopen_voter(
         &mut self,
         storage: Storage,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Asks all voters. The result is the error of the first voter that prevents a bootstrap.
+/// Asks all voters, and returns the error for the first one that prevents a bootstrap.
 async fn check_no_generation_known(
     connections: &BTreeMap<String, VoterConnection>,
     identity: &Identity,
--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: this gateway's manager sends them to the leader, which writes them to the log.
+//! Operators' commands: this gateway relays those of its manager to the leader, which writes them to the log.
 
 use super::{Actor, PendingCommand};
 use crate::error::refuse;
@@ -19,11 +19,12 @@
 
 /// Limit of the commands that wait for their outcome at this leader.
 const MAX_PENDING_COMMANDS: usize = 64;
-/// The time in leases within which the outcome of a change is awaited.
+/// The timeout for the outcome of a command, in leases.
 const OUTCOME_TIMEOUT_LEASES: f64 = 5.0;
-/// The least time in ms within which the outcome of a change is awaited.
+/// The shortest timeout for the outcome of a command, in ms.
 const MIN_OUTCOME_TIMEOUT: Millis = 15_000.0;
-/// The timeout in ms of a call that does not wait for an outcome, and the additional time of one that does.
+/// The timeout in ms of a call that does not wait for an outcome. A call that does has this time in addition to the
+/// timeout for the outcome.
 pub(super) const CALL_TIMEOUT: Millis = MIN_OUTCOME_TIMEOUT / 3.0;
 
 impl Actor {
@@ -109,7 +110,7 @@
         });
     }
 
-    /// The time in ms within which the outcome of a command is awaited.
+    /// The timeout in ms for the outcome of a command.
     fn outcome_timeout(&self) -> Millis {
         (OUTCOME_TIMEOUT_LEASES * self.config.lease).max(MIN_OUTCOME_TIMEOUT)
     }
@@ -164,7 +165,7 @@
                 proposal.base_revision = fleet.policy_index;
             }
         }
-        // The log may contain a command that another gateway sends again.
+        // The log may already contain the command: a gateway that got no answer sends it again.
         if matches!(outcome(fleet, &command), Outcome::Unknown) {
             let outputs = voter.replica.submit(self.clock.now(), command.clone())?;
             self.execute(outputs);
--- a/crates/fleet-agent/src/actor/disaster_recovery.rs
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Begins a new cluster generation if no leader was found.
+    /// Begins a new cluster generation, unless a leader was found.
     pub(super) fn finish_disaster_recovery(
         &mut self,
         request: RecoveryRequest,
@@ -157,7 +157,7 @@
     }
 }
 
-/// Searches for a leader, and returns the name of one that answers.
+/// Runs the searches for a leader in order, and returns the name of the first that answers.
 async fn find_leader(
     checks: [LeaderCheck; 2],
     handle: &AgentHandle,
@@ -172,7 +172,12 @@
             .command(handle.clone(), FleetCommand::Show, lease)
             .await;
         if let CommandResponse::Shown(status) = response {
-            return Some(status["chair"].as_str().unwrap_or("one").to_owned());
+            return Some(
+                status["chair"]
+                    .as_str()
+                    .unwrap_or("another voter")
+                    .to_owned(),
+            );
         }
         sleep(duration(delay_after)).await;
     }
--- a/crates/fleet-agent/src/actor/heartbeats.rs
+++ b/crates/fleet-agent/src/actor/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of this gateway to the leader, and those of members that this voter answers.
+//! The heartbeats that this gateway sends to the leader, and those of members that it answers as a voter.
 
 use super::{Actor, HeartbeatSource};
 use crate::error::NoLeader;
@@ -13,8 +13,8 @@
 
 /// Limit of this gateway's heartbeats in flight while a leader is known.
 const MAX_HEARTBEATS_IN_FLIGHT: usize = 4;
-/// Limit of this gateway's heartbeats in flight while no leader is known. It is smaller since hundreds of members
-/// search at the same time.
+/// Limit of this gateway's heartbeats in flight while no leader is known. It is smaller, because hundreds of members may
+/// search for a leader at the same time.
 const MAX_HEARTBEATS_WITHOUT_LEADER: usize = 1;
 
 impl Actor {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Logs why no leader answered, once per reason and not with each heartbeat.
+    /// Logs why no leader answered, if the lease has expired: once per reason, and not for each heartbeat.
     fn log_search_error(&mut self, error: NoLeader) {
         let is_known = self.last_search_error.as_ref() == Some(&error);
         if is_known || self.member.has_lease(self.clock.now()) {
             return;
         }
-        warn!(self.log, "no voter answers as the fleet's leader"; "error" => %error);
+        warn!(self.log, "no leader of the fleet found"; "error" => %error);
         self.last_search_error = Some(error);
     }
 
--- a/crates/fleet-agent/src/actor/membership.rs
+++ b/crates/fleet-agent/src/actor/membership.rs
@@ -8,15 +8,15 @@
 
 /// The interval in ms at which a blank voter asks to join.
 const JOIN_REQUEST_INTERVAL: Millis = 500.0;
-/// The timeout of such a request in ms.
+/// The timeout of a request to join in ms.
 const JOIN_REQUEST_TIMEOUT: Millis = JOIN_REQUEST_INTERVAL * 0.8;
 /// The interval in ms at which each voter asks the others for their cluster generations.
 const GENERATION_CHECK_INTERVAL: Millis = 2000.0;
-/// The timeout of such a question in ms.
+/// The timeout of a query for the cluster generation in ms.
 const GENERATION_CHECK_TIMEOUT: Millis = GENERATION_CHECK_INTERVAL;
 
 impl Actor {
-    /// Handles the request of a voter to join, or its question for the cluster generation.
+    /// Handles a voter's request to join, or its query for the cluster generation.
     pub(super) fn handle_join_request(&mut self, request: JoinRequest) {
         if let (Some(voter), Some(replica_id)) = (&mut self.voter, request.replica_id) {
             if self.config.voters.contains_key(&request.voter) {
@@ -26,8 +26,8 @@
         let _ = request.response.send(self.known_generation());
     }
 
-    /// The cluster generation that is known here, 0 if none. A blank voter, whose disk is lost, may still know it as a
-    /// member.
+    /// The cluster generation that is known here, 0 if none. A voter that lost its disk, and is blank, may still know it
+    /// as a member.
     fn known_generation(&self) -> u64 {
         match self.generation_on_disk() {
             0 => self.member.applied_state().generation,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The name of the leader as far as this gateway knows.
+    /// The name of the leader, if this gateway knows it.
     pub(super) fn leader_name(&self) -> Option<String> {
         match &self.voter {
             Some(voter) => voter.replica.leader_name().map(String::from),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Advances the time of this voter's replica.
+    /// Advances the clock of this voter's replica by a tick, and sends what is due to the other voters.
     pub(super) fn tick(&mut self) {
         let now = self.clock.now();
         let Some(voter) = &mut self.voter else { return };
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Asks all other voters for their cluster generations, if it is time for that.
+    /// Asks all other voters for their cluster generations, if that is due.
     fn check_generations(&mut self, now: Millis) {
         let Some(voter) = &mut self.voter else { return };
         if now < voter.generation_check_due {
--- a/crates/fleet-agent/src/actor/pending_commands.rs
+++ b/crates/fleet-agent/src/actor/pending_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that this leader has passed to the log, until their outcome is known.
+//! The commands that this leader has submitted to the log, until their outcome is known.
 
 use super::{Actor, PendingCommand};
 use crate::message::CommandResponse;
@@ -15,7 +15,7 @@
 }
 
 impl Actor {
-    /// Answers the commands whose outcome is known or whose time is over.
+    /// Answers the commands whose outcome is known or whose deadline has passed, and submits dropped ones again.
     pub(super) fn answer_pending_commands(&mut self) {
         let now = self.clock.now();
         let mut dropped = Vec::new();
--- a/crates/fleet-agent/src/actor/policy.rs
+++ b/crates/fleet-agent/src/actor/policy.rs
@@ -1,4 +1,4 @@
-//! The fleet's policy at this gateway: management validates and applies it, and it is in force as long as the lease.
+//! The fleet's policy at this gateway: management validates and applies it, and it is in force while the lease lasts.
 
 use super::Actor;
 use crate::error::PolicyError;
@@ -15,7 +15,7 @@
 const FIELD_OF_LATER_VERSIONS: &str = "advice";
 
 impl Actor {
-    /// Starts the application of a policy.
+    /// Starts applying a policy.
     pub(super) fn apply_policy(&self, applied_index: u64, revision: u64, document: Json) {
         let management = self.management.clone();
         let handle = self.handle.clone();
@@ -46,7 +46,7 @@
         });
     }
 
-    /// Starts the check whether this gateway could apply a policy.
+    /// Starts validating a policy, that is, checking whether this gateway could apply it.
     pub(super) fn validate_policy(&self, revision: u64, document: Json) {
         let management = self.management.clone();
         let handle = self.handle.clone();
@@ -99,7 +99,8 @@
         .map_err(PolicyError::rejected)
 }
 
-/// Management checks the document in any case, so that the order of its work does not depend on the policy.
+/// Validates a policy. Management validates the document even if it has an unknown field, so that the order of its work
+/// does not depend on the policy.
 async fn validate(management: &ManagementHandle, document: Json) -> Result<(), PolicyError> {
     let known_fields = check_known_fields(&document);
     let validated = management.validate(document).await;
--- a/crates/fleet-agent/src/actor/reporting.rs
+++ b/crates/fleet-agent/src/actor/reporting.rs
@@ -1,4 +1,4 @@
-//! Reports this gateway's part in the fleet to operators, by log lines and by the state that the manager shows.
+//! Reports this gateway's membership in the fleet to operators, by log lines and by the state that the manager shows.
 
 use super::Actor;
 use crate::outcome::state_name;
@@ -8,7 +8,7 @@
 use slog::{info, warn};
 
 impl Actor {
-    /// Logs once that this voter has a vote.
+    /// Logs when this voter obtains a vote.
     pub(super) fn log_vote(&mut self) {
         let has_vote = self
             .voter
@@ -20,7 +20,7 @@
         self.vote_logged = has_vote;
     }
 
-    /// Logs that a lease has begun or expired.
+    /// Logs when a lease begins or expires.
     pub(super) fn log_lease(&mut self) {
         let holds_lease = self.member.has_lease(self.clock.now());
         if holds_lease == self.lease_logged {
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Logs each step of a change, at every voter.
+    /// Logs each new state of a revision, at every voter.
     pub(super) fn log_revision_changes(&mut self) {
         let Some(voter) = &self.voter else { return };
         let revisions = &voter.replica.state().fleet.revisions;
--- a/crates/fleet-agent/src/actor/storage_tasks.rs
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -1,4 +1,4 @@
-//! A voter's replica and its disk. A task owns the disk while it writes.
+//! A voter's replica and its disk. While a write is in progress, its task owns the disk.
 
 use super::{Actor, HeartbeatSource, Voter};
 use crate::error::StorageError;
@@ -15,7 +15,7 @@
 
 /// The delay in ms before the next write after a failed one.
 const STORAGE_RETRY_DELAY: Millis = 500.0;
-/// The duration in ms of a write to a disk that a test has made slow.
+/// The delay in ms of a write to a disk that a test has made slow.
 const SLOW_DISK_DELAY: Millis = 1000.0;
 
 impl Actor {
@@ -30,7 +30,7 @@
             .map_err(StorageError::new)?;
         let generation = format!("{:016x}", replica.state().fleet.generation);
         info!(self.log, "voter opened the fleet log"; "generation" => generation);
-        // The new replica can't answer heartbeats passed to an earlier one; their senders repeat them.
+        // The new replica can't answer heartbeats that were passed to an earlier one; their senders repeat them.
         self.pending_heartbeats.clear();
         // Revisions from before the start must not be logged again.
         self.logged_revisions
@@ -78,7 +78,9 @@
                         let _ = to.send(Err(LeaderHint { leader }));
                     }
                 }
-                Output::DiskOutdated => self.quarantine_log("the log here is an older copy"),
+                Output::DiskOutdated => {
+                    self.quarantine_log("the log on this disk is an older copy")
+                }
             }
         }
     }
@@ -93,7 +95,7 @@
         self.voter.as_mut().and_then(|voter| voter.storage.take())
     }
 
-    /// Writes in a blocking task after a delay in ms. The message with the result returns the disk.
+    /// Writes in a blocking task after a delay in ms. The message with the result hands the disk back.
     fn spawn_save(&self, mut storage: Storage, save: Save, delay: Option<Millis>) {
         let handle = self.handle.clone();
         tokio::spawn(async move {
@@ -108,8 +110,7 @@
                     result,
                 }
             });
-            // If the write panics the disk is lost to this process: the voter then writes nothing and does not vote any
-            // more.
+            // If the write panics, this process no longer has the disk: the voter writes nothing and no longer votes.
             if let Ok(outcome) = work.await {
                 let message = AgentMessage::SaveFinished(Box::new(outcome));
                 let _ = handle.send(message).await;
@@ -118,7 +119,7 @@
     }
 
     /// Handles the end of a write. After a failure the voter does not vote or send messages that depend on the write
-    /// until the disk has it.
+    /// until the write has succeeded.
     pub(super) fn finish_save(&mut self, outcome: SaveOutcome) {
         let now = self.clock.now();
         let Some(voter) = &mut self.voter else { return };
@@ -128,7 +129,7 @@
         }
         if let Err(error) = outcome.result {
             if !std::mem::replace(&mut voter.failure_logged, true) {
-                warn!(self.log, "fleet log can't be written, this voter takes no part until it can"; "error" => %error);
+                warn!(self.log, "fleet log can't be written, this voter does not vote until it can"; "error" => %error);
             }
             return self.spawn_save(outcome.storage, outcome.save, Some(STORAGE_RETRY_DELAY));
         }
@@ -140,8 +141,8 @@
         self.execute(outputs);
     }
 
-    /// Quarantines the log: it lacks entries that it has confirmed, or belongs to a superseded generation. To continue
-    /// under its replica id would lose entries that others rely on. If a write is in progress this waits for its end.
+    /// Quarantines a log that lacks entries which it has confirmed, or that belongs to a superseded generation. To
+    /// continue under its replica id would lose entries that other voters rely on. Waits for a write in progress to end.
     pub(super) fn quarantine_log(&mut self, reason: &'static str) {
         let Some(voter) = &mut self.voter else { return };
         voter.quarantine_reason = Some(reason);
@@ -155,17 +156,17 @@
         let reopened = quarantined.and_then(|path| self.open_voter(storage).map(|()| path));
         match reopened {
             Ok(path) => {
-                warn!(self.log, "fleet log quarantined, this voter begins blank";
+                warn!(self.log, "fleet log quarantined, this voter starts with a blank one";
                     "reason" => reason, "path" => path);
             }
             Err(error) => {
-                error!(self.log, "this voter takes no part any more"; "error" => %error);
+                error!(self.log, "fleet log can't be quarantined and reopened, this gateway is no longer a voter"; "error" => %error);
             }
         }
     }
 }
 
-/// Writes to the disk, which is slow or full if a test has made it so.
+/// Writes to the disk. A test can make it slow or full by a file of that name in its folder.
 fn write(storage: &mut Storage, save: &Save) -> Result<(), StorageError> {
     if is_disabled(Guard::FastDisk) && storage.folder().join("slow").exists() {
         std::thread::sleep(duration(SLOW_DISK_DELAY));
