--- a/crates/fleet-agent/build.rs
+++ b/crates/fleet-agent/build.rs
@@ -1,4 +1,4 @@
-//! Code from the `.proto` file, without an external compiler.
+//! Generates the code of the `.proto` file without an external `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto");
--- a/crates/fleet-agent/src/fault_injection.rs
+++ b/crates/fleet-agent/src/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Guards that a test can disable, to verify that it fails without them, and disk faults that a test can't cause
-//! otherwise. A release build ignores them.
+//! Guards that a test can disable, to verify that it fails without them, and disk faults that a test can't cause in
+//! another way. A release build ignores them.
 
 /// The environment variable that names the disabled guards, separated by commas.
 const ENVIRONMENT_VARIABLE: &str = "IRONSTAIR_DISABLED_GUARDS";
@@ -17,7 +17,7 @@
     PolicyValidated,
     /// A policy with a field that this version does not know is rejected.
     KnownFields,
-    /// A gateway that continues to decide without a lease reports that.
+    /// A gateway that continues to decide without a lease reports that in its heartbeats.
     SteadyReported,
     /// A change that is not confirmed in time is rolled back.
     ConfirmTimeout,
@@ -27,13 +27,13 @@
     RandomReplicaId,
     /// Voters compare their cluster generations.
     GenerationCheck,
-    /// A process proves that the previous one has ended.
+    /// A member's process proves by an exclusive resource that the previous one of its name has ended.
     ProofOfEnd,
-    /// The disk is fast, also with a file `slow` in its folder.
+    /// A write to the log is not delayed by a file `slow` in its folder.
     FastDisk,
-    /// The disk has space, also with a file `full` in its folder.
+    /// A write to the log is not rejected because of a file `full` in its folder.
     DiskSpace,
-    /// A write that a full disk rejected is reported as failed.
+    /// A write that was rejected because of the file `full` is reported as failed.
     WriteErrors,
 }
 
--- a/crates/fleet-agent/src/incoming.rs
+++ b/crates/fleet-agent/src/incoming.rs
@@ -9,12 +9,12 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tonic::transport::server::Connected;
 
-/// Limit of connections; a member has one to each voter.
+/// Limit of the open connections; a member has one to each voter.
 const MAX_CONNECTIONS: usize = 1024;
 /// The delay before the next attempt to accept after a failure, for example if no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An accepted connection, with its permit of the limit.
+/// An accepted connection, with its permit out of [`MAX_CONNECTIONS`].
 pub(crate) struct IncomingConnection {
     stream: TcpStream,
     _permit: OwnedSemaphorePermit,
--- a/crates/fleet-agent/src/leader_search.rs
+++ b/crates/fleet-agent/src/leader_search.rs
@@ -19,7 +19,7 @@
 
 /// Attempts per lease and voter while no leader is known.
 const ATTEMPTS_PER_LEASE: f64 = 10.0;
-/// The delay in ms between two attempts to send an operator's command.
+/// The delay in ms before an operator's command is sent again.
 const COMMAND_RETRY_DELAY: Millis = 50.0;
 
 /// One search for the leader.
@@ -47,14 +47,14 @@
 }
 
 impl LeaderSearch {
-    /// The next voter in the order of names; the first one after the last, or if none is given.
+    /// The next voter in the order of names. The last one, or `None`, is followed by the first.
     fn voter_after(&self, voter: Option<&String>) -> Option<String> {
         let later = voter.and_then(|voter| self.connections.keys().find(|name| *name > voter));
         later.or(self.connections.keys().next()).cloned()
     }
 
-    /// Sends a heartbeat to the last known leader first. If it does not answer as the leader, sends it to all voters,
-    /// and repeats it to each that answers otherwise. A slow voter is not given up before the lease is over.
+    /// Sends a heartbeat to the last known leader first. If that does not answer as the leader, sends it to all voters,
+    /// and again to each that does not answer as the leader. A slow voter's answer is awaited for the whole lease.
     pub(crate) async fn heartbeat(self, envelope: Envelope) -> Result<HeartbeatAnswer, NoLeader> {
         let deadline = self.clock.now() + self.lease;
         let mut error = NoLeader::NotFound;
@@ -73,7 +73,7 @@
                         response,
                     })
                 }
-                // A voter's reason for the rejection is more useful to the operator than that no leader was found.
+                // The reason for a rejection is more useful to the operator than the fact that no leader was found.
                 Err(CallError::Status(status)) if status.code() == Code::FailedPrecondition => {
                     error = NoLeader::Rejected(status.message().to_owned());
                 }
@@ -128,7 +128,7 @@
         let deadline = self.clock.now() + within;
         let body = serde_json::to_vec(&command).unwrap_or_default();
         let mut candidate = self.last_leader.clone();
-        let mut last_error = String::from("no voter answers");
+        let mut last_error = String::from("no voter answered");
         while self.clock.now() < deadline {
             match self.submit_locally(&local, &command, candidate).await {
                 Some(NextStep::Respond(response)) => return response,
@@ -139,7 +139,7 @@
             let remaining = deadline - self.clock.now();
             let envelope = self.identity.envelope(body.clone());
             let answer = self.connections[&voter].command(envelope, remaining).await;
-            // It is safe to send the command again: the log recognizes it by its token.
+            // Sending the command again is safe, because the log recognizes it by its token.
             if let Err(CallError::Status(status)) = &answer {
                 last_error = format!("{voter}: {}", status.message());
             }
@@ -150,7 +150,7 @@
             sleep(duration(COMMAND_RETRY_DELAY)).await;
         }
         CommandResponse::Refused(format!(
-            "the fleet has no leader that answers ({last_error}): `ironstair fleet` shows what became of the command"
+            "no leader of the fleet answered ({last_error}): `ironstair fleet` shows whether the command took effect"
         ))
     }
 
@@ -169,8 +169,8 @@
         local.send(message).await.ok()?;
         let step = match answered.await.map_err(|_| RequestError::Dropped) {
             Ok(CommandResponse::NotLeader(LeaderHint { leader })) => {
-                // The candidate found earlier has precedence: this gateway may name a leader that it has lost contact
-                // with.
+                // The candidate found earlier takes precedence: the leader named by this gateway may be one that it has
+                // lost contact with.
                 let hinted = leader.filter(|name| self.connections.contains_key(name));
                 NextStep::Try(candidate.or(hinted).or_else(|| self.voter_after(None)))
             }
--- a/crates/fleet-agent/src/lib.rs
+++ b/crates/fleet-agent/src/lib.rs
@@ -1,12 +1,13 @@
-//! The actor that connects a gateway to its fleet. It runs on management's thread and alone owns the connections to the
-//! voters and, at a voter, the disk of the log. It passes heartbeats, messages, commands and completed writes to the
-//! decisions (`ironstair-coordination`, `ironstair-raft-replica`) and carries out their actions. Its only own decision
-//! is which voter to send to next.
+//! The actor that connects a gateway to its fleet. It runs on the management thread and is the only owner of the
+//! connections to the voters and, on a voter, of the log's disk. It passes heartbeats, Raft messages, commands and
+//! completed writes to the decision logic (`ironstair-coordination`, `ironstair-raft-replica`) and carries out the
+//! resulting actions. The only decision of its own is which voter to send to next.
 //!
-//! [`config`] is the operator's section. [`prepared`] opens the listener and the disk before the gateway serves.
-//! [`actor`] owns the state; other tasks reach it through [`handle`] with the messages in [`message`]. [`server`] is
-//! the listener for other gateways, [`peer`] a connection to one voter, [`envelope`] the envelope of every message,
-//! [`status`] the view for operators, and [`fault_injection`] the guards that tests can disable.
+//! [`config`] is the operator's section `fleet`. [`prepared`] opens the listener and the disk before the gateway
+//! serves. [`actor`] owns the state; other tasks reach it through [`handle`] with the messages in [`message`].
+//! [`server`] is the listener for other gateways, [`peer`] a connection to one voter, [`leader_search`] the search for
+//! the leader, [`envelope`] the envelope of every message, [`status`] the view for operators, and [`fault_injection`]
+//! the guards that tests can disable.
 
 pub mod actor;
 pub mod config;
@@ -28,7 +29,7 @@
 pub use handle::AgentHandle;
 pub use prepared::PreparedAgent;
 
-/// The messages and the service, from `proto/`.
+/// The generated code of the messages and the service in `proto/`.
 pub mod proto {
     #![allow(
         clippy::all,
--- a/crates/fleet-agent/src/message.rs
+++ b/crates/fleet-agent/src/message.rs
@@ -21,10 +21,10 @@
     Show,
 }
 
-/// The answer of a voter that is not the leader.
+/// What a voter that is not the leader answers.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// The name of the leader as far as the voter knows.
+    /// The name of the leader, if the voter knows it.
     #[serde(rename = "chair")]
     pub leader: Option<String>,
 }
@@ -35,7 +35,7 @@
 pub enum CommandResponse {
     /// All members that may decide have applied the revision of that number.
     Done(u64),
-    /// The command was refused; a sentence says why.
+    /// The command was refused, with the reason as a sentence.
     Refused(String),
     /// The fleet's status.
     Shown(Json),
@@ -44,7 +44,7 @@
     NotLeader(LeaderHint),
 }
 
-/// A voter's reply to a heartbeat: the leader's response, or where the leader may be found.
+/// A voter's reply to a heartbeat: the leader's response, or another voter's hint at the leader.
 pub type HeartbeatReply = Result<HeartbeatResponse<Json>, LeaderHint>;
 
 /// A message to the actor.
@@ -74,9 +74,9 @@
     },
     /// The outcome of a heartbeat of this gateway.
     HeartbeatAnswered(Result<HeartbeatAnswer, NoLeader>),
-    /// The gateway has applied a policy of the fleet, or can't.
+    /// The gateway has applied a policy of the fleet, or has failed to.
     PolicyApplied {
-        /// The applied index that the policy belongs to.
+        /// The index of the policy.
         applied_index: u64,
         /// Why it can't be applied.
         result: Result<(), PolicyError>,
@@ -90,27 +90,28 @@
     },
     /// A write to the log's disk has ended.
     SaveFinished(Box<SaveOutcome>),
-    /// The check of the other voters' cluster generations before a bootstrap has ended.
+    /// The other voters have been asked for their cluster generations before a bootstrap.
     BootstrapChecked {
         /// The operator's request.
         request: BootstrapRequest,
         /// Why the fleet can't be bootstrapped.
         result: Result<(), BootstrapError>,
     },
-    /// The check of the other voters' cluster generations before a disaster recovery has ended.
+    /// A leader has been searched for, and the other voters have been asked for their cluster generations, before a
+    /// disaster recovery.
     RecoveryChecked {
         /// The operator's request.
         request: RecoveryRequest,
-        /// The generations that the other voters know, one for each that answered.
+        /// The generations that the other voters know, one for each that answered; or why recovery is refused.
         result: Result<Vec<u64>, BootstrapError>,
     },
     /// Another voter has reported the cluster generation that it knows; 0 if it knows none.
     GenerationReported(u64),
-    /// This process is about to end; the sender is notified once the fleet knows.
+    /// This process is about to end. The sender is notified once the fleet knows.
     Leave(oneshot::Sender<()>),
 }
 
-/// A voter's request to join, or its question for the cluster generation.
+/// A voter's request to join, or its query for the cluster generation.
 pub struct JoinRequest {
     /// The requesting gateway's name.
     pub voter: String,
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -5,9 +5,9 @@
 use ironstair_coordination::{Fleet, RevisionState, RevisionSummary};
 use serde_json::Value as Json;
 
-/// What became of a command.
+/// The outcome of a command, as far as the log shows it.
 pub(crate) enum Outcome {
-    /// It has ended.
+    /// The command has ended, with this response.
     Final(CommandResponse),
     /// The log contains the command, which is still in progress.
     InProgress,
@@ -37,6 +37,7 @@
     }
 }
 
+/// The revision that the command made, or that it confirms or cancels.
 fn revision_of<'a>(fleet: &'a Fleet<Json>, command: &Command<Json>) -> Option<&'a RevisionSummary> {
     let revisions = &fleet.revisions;
     let latest_with_id = |id: &String| {
@@ -60,7 +61,7 @@
     )))
 }
 
-/// The state of a revision as log lines name it.
+/// The name of a revision's state in log lines.
 pub(crate) fn state_name(state: RevisionState) -> &'static str {
     match state {
         RevisionState::Staged => "staged",
--- a/crates/fleet-agent/src/peer.rs
+++ b/crates/fleet-agent/src/peer.rs
@@ -1,4 +1,4 @@
-//! The connection to one voter. It is established again after a failure. A message that can't be sent in time is
+//! The connection to one voter, which is re-established after a failure. A message that can't be sent in time is
 //! dropped, since every sender repeats its messages. A slow voter delays only the task that calls it.
 
 use crate::envelope::{Identity, MAX_MESSAGE_BYTES};
@@ -19,7 +19,7 @@
 const MAX_QUEUED_MESSAGES: usize = 128;
 /// Limit of the Raft library's messages in flight to one voter.
 const MAX_MESSAGES_IN_FLIGHT: usize = 32;
-/// The timeout of such a message in ms.
+/// The timeout of a message of the Raft library in ms.
 const RAFT_MESSAGE_TIMEOUT: Millis = 2000.0;
 /// The timeout for establishing a connection in ms.
 const CONNECT_TIMEOUT: Millis = 500.0;
@@ -27,7 +27,7 @@
 const KEEPALIVE_INTERVAL: Millis = 1000.0;
 /// The time in ms without an answer to a probe after which a connection is closed.
 const KEEPALIVE_TIMEOUT: Millis = 1000.0;
-/// The body of a join request that asks for the cluster generation alone.
+/// The body of a join request that only asks for the cluster generation.
 const GENERATION_QUERY: &[u8] = b"0";
 
 /// The connection to one voter; clones share it.
@@ -81,7 +81,7 @@
     /// Sends a heartbeat, with a timeout in ms.
     ///
     /// # Errors
-    /// No answer in time, or none that can be used.
+    /// Fails if the voter rejects the call or does not answer in time, or its answer can't be decoded.
     pub async fn heartbeat(
         &self,
         envelope: Envelope,
@@ -95,7 +95,7 @@
     /// knows none.
     ///
     /// # Errors
-    /// No answer in time, or none that can be used.
+    /// Fails if the voter rejects the call or does not answer in time, or its answer can't be decoded.
     pub async fn request_join(&self, envelope: Envelope, within: Millis) -> Result<u64, CallError> {
         let mut client = self.client.clone();
         decoded(timeout(duration(within), client.knock(envelope)).await)
@@ -104,7 +104,7 @@
     /// Asks for the cluster generation that the voter knows, with a timeout in ms; 0 if it knows none.
     ///
     /// # Errors
-    /// No answer in time, or none that can be used.
+    /// Fails if the voter rejects the call or does not answer in time, or its answer can't be decoded.
     pub async fn known_generation(
         &self,
         identity: &Identity,
@@ -117,7 +117,7 @@
     /// Sends an operator's command, with a timeout in ms.
     ///
     /// # Errors
-    /// No answer in time, or none that can be used.
+    /// Fails if the voter rejects the call or does not answer in time, or its answer can't be decoded.
     pub async fn command(
         &self,
         envelope: Envelope,
@@ -128,6 +128,7 @@
     }
 }
 
+/// Decodes the body of a response that arrived in time.
 fn decoded<T: DeserializeOwned>(response: TimedResponse) -> Result<T, CallError> {
     let response = response.map_err(|_| Status::new(Code::DeadlineExceeded, "no answer in time"));
     let envelope = response
@@ -137,13 +138,13 @@
     Ok(serde_json::from_slice(&envelope.body)?)
 }
 
-/// Sends messages in order without waiting for the answer to each, so that a path with a long delay carries several at
-/// a time.
+/// Sends the Raft library's messages in order without waiting for the answer to each, so that several are in flight on
+/// a path with a high latency.
 async fn send_raft_messages(client: FleetClient<Channel>, mut queue: mpsc::Receiver<Envelope>) {
     let in_flight = Arc::new(Semaphore::new(MAX_MESSAGES_IN_FLIGHT));
     while let Some(envelope) = queue.recv().await {
-        // A message above the limit is dropped, which keeps a voter that does not answer from holding memory; the
-        // library sends it again.
+        // A message above the limit is dropped, so that messages to a voter that does not answer can't use up memory.
+        // The library sends it again.
         let Ok(permit) = in_flight.clone().try_acquire_owned() else {
             continue;
         };
--- a/crates/fleet-agent/src/prepared.rs
+++ b/crates/fleet-agent/src/prepared.rs
@@ -1,5 +1,5 @@
-//! Opens the listener and the disk of the log before the gateway serves, so that an address or disk that can't be used
-//! is reported at once.
+//! Opens the listener and the log's disk before the gateway serves, so that an address or disk that can't be used is
+//! reported at start.
 
 use crate::config::FleetConfig;
 use crate::error::{StartError, StorageError};
@@ -10,21 +10,21 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
 
-/// A gateway's part in its fleet, opened and not started.
+/// The opened listener and log of an agent that [`crate::Actor::start`] starts.
 pub struct PreparedAgent {
     pub(crate) config: FleetConfig,
     pub(crate) listener: TcpListener,
-    /// The disk of a voter.
+    /// The disk of a voter's log.
     pub(crate) storage: Option<Storage>,
-    /// A sentence about a damage of the log that was found and repaired.
+    /// A sentence about damage that was found in the log when it was opened.
     pub(crate) storage_note: Option<String>,
 }
 
 impl PreparedAgent {
-    /// Binds the listener, and opens the log of a voter.
+    /// Binds the listener and, for a voter, opens the log.
     ///
     /// # Errors
-    /// Fails if the address is not free, or the disk can't be used.
+    /// Fails if the address can't be listened on, or the disk can't be used.
     pub fn open(config: FleetConfig) -> Result<PreparedAgent, StartError> {
         let listener = server::bind(config.listen)?;
         // The socket must stay open until the process ends, even if this thread ends earlier: the gateway still decides
@@ -60,7 +60,7 @@
 
 /// The name of a resource that only this process can hold until it ends: its listening address, together with the boot
 /// id of the machine and the network namespace. A stopped process still holds it, as does one whose threads have not
-/// all ended. Empty if the system does not provide both.
+/// all ended. Empty if the system does not provide the boot id and the namespace, or the port is 0.
 pub(crate) fn exclusive_address(listen: SocketAddr) -> String {
     let machine = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
     let network = std::fs::read_link("/proc/self/ns/net");
@@ -72,7 +72,7 @@
     }
 }
 
-/// A random number other than 0, since 0 means that there is none.
+/// A random number other than 0, which stands for a missing number.
 pub(crate) fn random_number() -> u64 {
     std::collections::hash_map::RandomState::new()
         .build_hasher()
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -20,7 +20,7 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-/// The interval of keepalive probes.
+/// The interval of keepalive probes on a connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// The time without an answer to a probe after which a connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -43,7 +43,7 @@
     identity: Identity,
     agent: AgentHandle,
     log: Logger,
-    /// The last logged reason for a rejected message: the same reason is not logged with each heartbeat.
+    /// The last logged reason for a rejection. The same reason is not logged again for each heartbeat.
     last_rejection: Mutex<Option<EnvelopeError>>,
 }
 
@@ -87,8 +87,9 @@
 }
 
 fn decode<T: serde::de::DeserializeOwned>(envelope: &Envelope) -> Result<T, Status> {
-    serde_json::from_slice(&envelope.body)
-        .map_err(|error| Status::invalid_argument(format!("the body can't be decoded: {error}")))
+    serde_json::from_slice(&envelope.body).map_err(|error| {
+        Status::invalid_argument(format!("the message body can't be decoded: {error}"))
+    })
 }
 
 #[tonic::async_trait]
@@ -143,10 +144,10 @@
     }
 }
 
-/// Serves until the process ends.
+/// Serves calls of other gateways until the process ends.
 ///
 /// # Errors
-/// The listener fails.
+/// Fails if the listener or the server fails.
 pub async fn serve(
     bound: BoundListener,
     identity: Identity,
@@ -175,7 +176,7 @@
     Ok(server.serve_with_incoming(connections).await?)
 }
 
-/// Binds the listener before anything is started, so that a port in use is reported at once.
+/// Binds the listener. That happens before anything is started, so that a port in use is reported at start.
 ///
 /// # Errors
 /// Fails with the system's error and the address.
--- a/crates/fleet-agent/src/status.rs
+++ b/crates/fleet-agent/src/status.rs
@@ -1,5 +1,5 @@
-//! The leader's view of its fleet for operators: JSON for the command line, and members for the state tree. Clients
-//! depend on the keys of the JSON, which may differ from the names in the code.
+//! The leader's view of its fleet for operators: JSON for the command line, and the members for the state tree.
+//! Operators' tools depend on the keys of the JSON, some of which differ from the names in the code.
 
 use ironstair::Millis;
 use ironstair_coordination::fleet::{Change, Step};
@@ -103,7 +103,7 @@
     fleet.members.iter().map(member).collect()
 }
 
-/// The names of the members that the change in progress waits for.
+/// The names of the members that the change in progress still waits for; empty if there is no change.
 pub fn waits_for(now: Millis, fleet: &Fleet<Json>, leader: &Leader<Json>) -> Vec<String> {
     let Some(change) = &fleet.change else {
         return Vec::new();
