--- a/crates/fleet-agent/tests/config.rs
+++ b/crates/fleet-agent/tests/config.rs
@@ -1,4 +1,4 @@
-//! Invalid fields of the operator's section, and the errors that name them.
+//! Invalid fields of the operator's section `fleet`, and the errors that name them.
 
 use ironstair_fleet_agent::FleetConfig;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_member_and_a_voter_are_valid_up_to_the_bounds() {
+fn member_and_voter_are_valid_up_to_the_bounds() {
     for lease in [1000.0, 60_000.0] {
         let config = FleetConfig { lease, ..member() };
         assert_eq!(config.clone().validated(), Ok(config));
@@ -50,14 +50,14 @@
 }
 
 fn assert_invalid<const N: usize>(cases: [(FleetConfig, &str); N]) {
-    for (config, sentence) in cases {
-        let error = config.validated().expect_err(sentence);
-        assert_eq!(error.to_string(), sentence);
+    for (config, expected) in cases {
+        let error = config.validated().expect_err(expected);
+        assert_eq!(error.to_string(), expected);
     }
 }
 
 #[test]
-fn a_name_that_is_not_valid_is_named_with_its_value() {
+fn invalid_name_is_rejected_with_its_field_and_value() {
     let fleet_named = |fleet: &str| FleetConfig {
         fleet: fleet.into(),
         ..member()
@@ -66,7 +66,7 @@
         name: "n".repeat(65),
         ..member()
     };
-    let own_name = "fleet: the gateway's own name must have 1 to 64 bytes";
+    let own_name_error = "fleet: the gateway's own name must have 1 to 64 bytes";
     assert_invalid([
         (
             fleet_named(""),
@@ -76,12 +76,12 @@
             fleet_named("a\nb"),
             r#"fleet.name: the name "a\nb" must have 1 to 64 bytes and no control characters"#,
         ),
-        (long_own_name, own_name),
+        (long_own_name, own_name_error),
     ]);
 }
 
 #[test]
-fn voters_that_are_too_few_or_share_an_address_are_not_valid() {
+fn too_few_voters_or_a_shared_address_are_rejected() {
     let mut two_voters = member();
     two_voters.voters.remove("g3");
     let mut shared_address = member();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_lease_a_count_or_a_folder_that_does_not_fit_is_not_valid() {
+fn unsuitable_lease_count_or_folder_is_rejected() {
     let short_lease = FleetConfig {
         lease: 999.0,
         ..member()
--- a/crates/fleet-agent/tests/pinned_forms/cases.rs
+++ b/crates/fleet-agent/tests/pinned_forms/cases.rs
@@ -1,4 +1,4 @@
-//! Every message between gateways, with every variant of its content.
+//! One case for each message between gateways and each variant of its content.
 
 use crate::{document, proposal};
 use ironstair_coordination::leader::Command;
@@ -24,7 +24,7 @@
     }
 }
 
-fn answer() -> HeartbeatResponse<Json> {
+fn heartbeat_response() -> HeartbeatResponse<Json> {
     HeartbeatResponse {
         start: 11,
         sent: 1000.25,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A message that the listener must pass to the actor, and the actor's response.
+/// A message that the listener must pass to the actor, and the actor's response to it.
 pub(crate) enum Case {
     Heartbeat(Heartbeat, HeartbeatReply),
     RaftMessage(Vec<u8>),
@@ -65,51 +65,57 @@
         match self {
             Case::Heartbeat(heartbeat, _) => serde_json::to_vec(heartbeat).unwrap(),
             Case::RaftMessage(bytes) => bytes.clone(),
-            Case::Join(number, _) => number.to_string().into_bytes(),
+            Case::Join(replica_id, _) => replica_id.to_string().into_bytes(),
             Case::Command(command, _) => serde_json::to_vec(command).unwrap(),
         }
     }
 
-    /// Checks what the listener read, and responds.
-    pub(crate) fn take(self, message: AgentMessage) {
+    /// Checks the message that the listener passed on, and responds to it.
+    pub(crate) fn check_and_respond(self, message: AgentMessage) {
         let text = |command: &FleetCommand| format!("{command:?}");
         match (self, message) {
             (
-                Case::Heartbeat(want, answer),
+                Case::Heartbeat(expected, reply),
                 AgentMessage::Heartbeat {
                     heartbeat,
                     response,
                 },
             ) => {
-                assert_eq!(heartbeat, want);
-                response.send(answer).unwrap();
+                assert_eq!(heartbeat, expected);
+                response.send(reply).unwrap();
             }
-            (Case::RaftMessage(want), AgentMessage::RaftMessage { from, bytes }) => {
-                assert_eq!((from.as_str(), bytes), ("g1", want));
+            (Case::RaftMessage(expected), AgentMessage::RaftMessage { from, bytes }) => {
+                assert_eq!((from.as_str(), bytes), ("g1", expected));
             }
-            (Case::Join(want, generation), AgentMessage::JoinRequest(request)) => {
-                let wanted_id = (want != 0).then_some(want);
+            (Case::Join(replica_id, generation), AgentMessage::JoinRequest(request)) => {
+                let expected_id = (replica_id != 0).then_some(replica_id);
                 assert_eq!(
                     (request.voter.as_str(), request.replica_id),
-                    ("g1", wanted_id)
+                    ("g1", expected_id)
                 );
                 request.response.send(generation).unwrap();
             }
-            (Case::Command(want, wanted_response), AgentMessage::Command { command, response }) => {
-                assert_eq!(text(&command), text(&want));
-                response.send(wanted_response).unwrap();
+            (
+                Case::Command(expected, command_response),
+                AgentMessage::Command { command, response },
+            ) => {
+                assert_eq!(text(&command), text(&expected));
+                response.send(command_response).unwrap();
             }
-            (case, _) => panic!("{} was handed on as something else", case.method()),
+            (case, _) => panic!(
+                "the listener passed {} on as another message",
+                case.method()
+            ),
         }
     }
 }
 
-/// Every message, in the order of the samples.
+/// All cases with their names, in the order of the samples.
 pub(crate) fn cases() -> Vec<(&'static str, Case)> {
-    let mut all = heartbeat_cases();
-    all.extend(replica_cases());
-    all.extend(command_cases());
-    all
+    let mut cases = heartbeat_cases();
+    cases.extend(replica_cases());
+    cases.extend(command_cases());
+    cases
 }
 
 fn hint(leader: Option<&str>) -> LeaderHint {
@@ -124,7 +130,7 @@
     vec![
         (
             "heartbeat answered",
-            Case::Heartbeat(heartbeat(), Ok(answer())),
+            Case::Heartbeat(heartbeat(), Ok(heartbeat_response())),
         ),
         (
             "heartbeat to a keeper that is not the chair",
--- a/crates/fleet-agent/tests/pinned_forms/main.rs
+++ b/crates/fleet-agent/tests/pinned_forms/main.rs
@@ -1,7 +1,7 @@
-//! Pins what gateways of one fleet send to each other, as protobuf bytes in hex with the JSON body in plain text, and
-//! the JSON of a fleet's status that an operator is shown. Each sample request is sent by its full method path to the
-//! running listener, which must read the value here from it and answer with the sample's bytes. The bytes of the
-//! Raft library themselves are pinned by the voter's package.
+//! Guards against a change of the messages between gateways of one fleet and of the status JSON for operators. The
+//! samples under `pinned/` hold each message as protobuf bytes in hex, with its JSON body as text. The tests send each
+//! sample request by its full method path to a running listener, which must decode it to the value in `cases` and
+//! answer with the sample's bytes. The encoding of the Raft library's messages is pinned in `ironstair-raft-replica`.
 
 mod cases;
 mod messages;
@@ -12,18 +12,18 @@
 use slog::{o, Discard, Logger};
 use std::path::Path;
 
-fn sample(file: &str) -> String {
+fn read_sample(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/pinned")
         .join(file);
-    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+    std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 fn log() -> Logger {
     Logger::root(Discard, o!())
 }
 
-/// The settings that a fleet agrees on.
+/// A policy of the fleet.
 fn document(expected: u32) -> Json {
     json!({
         "band": [{"name": "short", "expected": expected, "hard-limit": 1000, "payoff": "1.0", "repeat": "repeatable"}],
@@ -34,12 +34,11 @@
 }
 
 fn proposal(base_revision: u64, commit: Option<(String, f64)>) -> ChangeProposal<Json> {
-    let (who, what) = ("operator".into(), "a new limit".into());
     ChangeProposal {
         token: 42,
-        author: who,
+        author: "operator".into(),
         created_at: 1_700_000_000_000.5,
-        summary: what,
+        summary: "a new limit".into(),
         base_revision,
         document: document(60),
         commit,
