--- a/crates/fleet-agent/src/actor/storage_tasks.rs
+++ b/crates/fleet-agent/src/actor/storage_tasks.rs
@@ -79,7 +79,7 @@
                     }
                 }
                 Output::DiskOutdated => {
-                    self.quarantine_log("the log on this disk is an older copy")
+                    self.quarantine_log("the log on this disk is an older copy");
                 }
             }
         }
