--- a/crates/fleet-agent/src/error.rs
+++ b/crates/fleet-agent/src/error.rs
@@ -87,7 +87,7 @@
     AlreadyBootstrapped,
     /// Another voter knows a cluster generation.
     #[error(
-        "{0} knows a cluster generation: the fleet exists, and only the log of this voter is lost"
+        "{0} knows a cluster generation: the fleet was bootstrapped before, and this voter's log is missing"
     )]
     GenerationKnown(String),
     /// Another voter did not answer.
