--- a/crates/fleet-agent/src/actor.rs
+++ b/crates/fleet-agent/src/actor.rs
@@ -142,7 +142,7 @@
             start: random_number(),
         };
         if let Some(note) = prepared.storage_note {
-            warn!(log, "fleet log was damaged, repaired or quarantined at start"; "reason" => note);
+            warn!(log, "damaged fleet log repaired or quarantined at start"; "reason" => note);
         }
         let connections = connect_to_other_voters(&config)?;
         let member = new_member(&config, &identity);
