--- a/crates/fleet-agent/src/actor/commands.rs
+++ b/crates/fleet-agent/src/actor/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: this gateway's manager sends them to the leader, which writes them to the log.
+//! Operators' commands: this gateway relays those of its manager to the leader, which writes them to the log.
 
 use super::{Actor, PendingCommand};
 use crate::error::refuse;
@@ -19,11 +19,12 @@
 
 /// Limit of the commands that wait for their outcome at this leader.
 const MAX_PENDING_COMMANDS: usize = 64;
-/// The time in leases within which the outcome of a change is awaited.
+/// The timeout for the outcome of a command, in leases.
 const OUTCOME_TIMEOUT_LEASES: f64 = 5.0;
-/// The least time in ms within which the outcome of a change is awaited.
+/// The shortest timeout for the outcome of a command, in ms.
 const MIN_OUTCOME_TIMEOUT: Millis = 15_000.0;
-/// The timeout in ms of a call that does not wait for an outcome, and the additional time of one that does.
+/// The timeout in ms of a call that does not wait for an outcome. A call that does has this time in addition to the
+/// timeout for the outcome.
 pub(super) const CALL_TIMEOUT: Millis = MIN_OUTCOME_TIMEOUT / 3.0;
 
 impl Actor {
@@ -87,8 +88,8 @@
             let command = FleetCommand::Command(command);
             match search.command(handle, command, within).await {
                 CommandResponse::Done(number) => drop(responder.send(Ok(number))),
-                CommandResponse::Refused(why) => refuse(responder, why),
-                _ => refuse(responder, "no leader"),
+                CommandResponse::Refused(reason) => refuse(responder, reason),
+                _ => refuse(responder, "no leader of the fleet answered"),
             }
         });
     }
@@ -103,13 +104,13 @@
                 .await;
             let _ = responder.send(match response {
                 CommandResponse::Shown(status) => Ok(status),
-                CommandResponse::Refused(why) => Err(Refused::Fleet(why)),
-                _ => Err(Refused::Fleet("no leader".into())),
+                CommandResponse::Refused(reason) => Err(Refused::Fleet(reason)),
+                _ => Err(Refused::Fleet("no leader of the fleet answered".into())),
             });
         });
     }
 
-    /// The time in ms within which the outcome of a command is awaited.
+    /// The timeout in ms for the outcome of a command.
     fn outcome_timeout(&self) -> Millis {
         (OUTCOME_TIMEOUT_LEASES * self.config.lease).max(MIN_OUTCOME_TIMEOUT)
     }
@@ -122,11 +123,11 @@
         response: oneshot::Sender<CommandResponse>,
     ) {
         let now = self.clock.now();
-        let leading = self.voter.as_ref().and_then(|voter| {
+        let leadership = self.voter.as_ref().and_then(|voter| {
             let leader = voter.replica.leader()?;
             Some((voter, leader))
         });
-        let Some((voter, leader)) = leading else {
+        let Some((voter, leader)) = leadership else {
             let _ = response.send(self.not_leader());
             return;
         };
@@ -164,7 +165,7 @@
                 proposal.base_revision = fleet.policy_index;
             }
         }
-        // The log may contain a command that another gateway sends again.
+        // The log may already contain the command: a gateway that got no answer sends it again.
         if matches!(outcome(fleet, &command), Outcome::Unknown) {
             let outputs = voter.replica.submit(self.clock.now(), command.clone())?;
             self.execute(outputs);
--- a/crates/fleet-agent/src/outcome.rs
+++ b/crates/fleet-agent/src/outcome.rs
@@ -5,9 +5,9 @@
 use ironstair_coordination::{Fleet, RevisionState, RevisionSummary};
 use serde_json::Value as Json;
 
-/// What became of a command.
+/// The outcome of a command, as far as the log shows it.
 pub(crate) enum Outcome {
-    /// It has ended.
+    /// The command has ended, with this response.
     Final(CommandResponse),
     /// The log contains the command, which is still in progress.
     InProgress,
@@ -37,9 +37,10 @@
     }
 }
 
+/// The revision that the command made, or that it confirms or cancels.
 fn revision_of<'a>(fleet: &'a Fleet<Json>, command: &Command<Json>) -> Option<&'a RevisionSummary> {
     let revisions = &fleet.revisions;
-    let last_under = |id: &String| {
+    let latest_with_id = |id: &String| {
         let mut newest_first = revisions.iter().rev();
         newest_first.find(|revision| revision.commit.as_ref() == Some(id))
     };
@@ -47,20 +48,20 @@
         Command::Change(proposal) => revisions
             .iter()
             .find(|revision| revision.token == proposal.token),
-        Command::Confirm { id } => last_under(id),
-        Command::Cancel { id, .. } => id.as_ref().and_then(last_under),
+        Command::Confirm { id } => latest_with_id(id),
+        Command::Cancel { id, .. } => id.as_ref().and_then(latest_with_id),
     }
 }
 
 fn refused(revision: &RevisionSummary) -> Outcome {
-    let (by, why) = revision.refused.clone().unwrap_or_default();
+    let (refused_by, reason) = revision.refused.clone().unwrap_or_default();
     let number = revision.number;
     Outcome::Final(CommandResponse::Refused(format!(
-        "revision {number} was refused by {by}: {why}"
+        "revision {number} was refused by {refused_by}: {reason}"
     )))
 }
 
-/// The state of a revision as log lines name it.
+/// The name of a revision's state in log lines.
 pub(crate) fn state_name(state: RevisionState) -> &'static str {
     match state {
         RevisionState::Staged => "staged",
--- a/crates/fleet-agent/src/server.rs
+++ b/crates/fleet-agent/src/server.rs
@@ -20,7 +20,7 @@
 use tonic::transport::Server;
 use tonic::{Request, Response, Status};
 
-/// The interval of keepalive probes.
+/// The interval of keepalive probes on a connection.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
 /// The time without an answer to a probe after which a connection is closed.
 const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -43,7 +43,7 @@
     identity: Identity,
     agent: AgentHandle,
     log: Logger,
-    /// The last logged reason for a rejected message: the same reason is not logged with each heartbeat.
+    /// The last logged reason for a rejection. The same reason is not logged again for each heartbeat.
     last_rejection: Mutex<Option<EnvelopeError>>,
 }
 
@@ -87,8 +87,9 @@
 }
 
 fn decode<T: serde::de::DeserializeOwned>(envelope: &Envelope) -> Result<T, Status> {
-    serde_json::from_slice(&envelope.body)
-        .map_err(|error| Status::invalid_argument(format!("the body can't be decoded: {error}")))
+    serde_json::from_slice(&envelope.body).map_err(|error| {
+        Status::invalid_argument(format!("the message body can't be decoded: {error}"))
+    })
 }
 
 #[tonic::async_trait]
@@ -97,9 +98,10 @@
         let envelope = self.validated(request)?;
         let heartbeat: Heartbeat = decode(&envelope)?;
         if heartbeat.name != envelope.from || heartbeat.start != envelope.start {
-            return Err(Status::invalid_argument(
-                "a heartbeat in another gateway's name",
-            ));
+            return Err(Status::invalid_argument(format!(
+                "the heartbeat is of {} (start {}), but its envelope of {} (start {})",
+                heartbeat.name, heartbeat.start, envelope.from, envelope.start
+            )));
         }
         let message = |response| AgentMessage::Heartbeat {
             heartbeat,
@@ -120,11 +122,12 @@
 
     async fn knock(&self, request: Request<Envelope>) -> Result<Response<Envelope>, Status> {
         let envelope = self.validated(request)?;
-        let number: u64 = decode(&envelope)?;
+        // 0 is not the id of a replica: it asks for the cluster generation only.
+        let replica_id: u64 = decode(&envelope)?;
         let message = |response| {
             AgentMessage::JoinRequest(JoinRequest {
                 voter: envelope.from,
-                replica_id: (number != 0).then_some(number),
+                replica_id: (replica_id != 0).then_some(replica_id),
                 response,
             })
         };
@@ -141,10 +144,10 @@
     }
 }
 
-/// Serves until the process ends.
+/// Serves calls of other gateways until the process ends.
 ///
 /// # Errors
-/// The listener fails.
+/// Fails if the listener or the server fails.
 pub async fn serve(
     bound: BoundListener,
     identity: Identity,
@@ -173,7 +176,7 @@
     Ok(server.serve_with_incoming(connections).await?)
 }
 
-/// Binds the listener before anything is started, so that a port in use is reported at once.
+/// Binds the listener. That happens before anything is started, so that a port in use is reported at start.
 ///
 /// # Errors
 /// Fails with the system's error and the address.
--- a/crates/gateway/src/operator_config/tests.rs
+++ b/crates/gateway/src/operator_config/tests.rs
@@ -62,11 +62,11 @@
     assert!(fleet_config(&section, "a")
         .unwrap_err()
         .to_string()
-        .starts_with("fleet.keepers.b: 127.0.0.1:3 is another's"));
+        .starts_with("fleet.keepers.b: 127.0.0.1:3 is also the address of another voter"));
     section.voters.remove("c");
     assert_eq!(
         fleet_config(&section, "a").unwrap_err().to_string(),
-        "fleet.keepers: 3 or 5 are named, not 2"
+        "fleet.keepers: expected 3 or 5 voters, found 2"
     );
     let platform = include_str!("../../../../deploy/balancer.toml");
     assert!(platform.contains("ironstair serve") && !platform.contains("operator"));
