--- a/crates/fleet-agent/src/actor/disaster_recovery.rs
+++ b/crates/fleet-agent/src/actor/disaster_recovery.rs
@@ -143,7 +143,7 @@
             author,
             created_at: self.clock.now(),
             summary: format!(
-                "disaster recovery after generation {latest:016x} with {policy_source}: later decisions are lost; {unanswered} voters did not answer"
+                "disaster recovery after generation {latest:016x} with {policy_source}: what was decided after that is lost; {unanswered} voters did not answer"
             ),
             state: RevisionState::Running,
             commit: None,
