--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -5,7 +5,7 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
-use common::{config, done, engine, started, Client};
+use common::{done_reply, gateway_config, start_engine, start_gateway_with_config, Client};
 use ironstair::policy::Gateway as Module;
 use ironstair::{Actions, Cost, Endpoint, EndpointState, Millis, Outcome, Request};
 use serde_json::json;
@@ -119,7 +119,7 @@
 /// A call on one of so many table groups: each has its engines.
 fn ask(c: &mut Client, call: u64, groups: u64) {
     let bytes = STANDARD.encode(format!("select x from sales_{}.orders", call % groups));
-    c.say(&format!(
+    c.send(&format!(
         r#"{{"jsonrpc":"2.0","id":{call},"method":"lookup","params":{{"id":"{call:016x}","wait":4000,"bytes":"{bytes}"}}}}"#
     ));
 }
@@ -130,7 +130,7 @@
     for n in SIZES {
         // Eight that answer at once stand behind all names.
         let real: Vec<SocketAddr> = (0..8)
-            .map(|_| engine(|line, _| (done(line, "a\tb\tc\n"), false)).0)
+            .map(|_| start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false)).0)
             .collect();
         let names: Vec<String> = (0..n).map(|i| format!("engine-{i}")).collect();
         let listed: Vec<(&str, SocketAddr)> = names
@@ -139,9 +139,9 @@
             .map(|(i, n)| (n.as_str(), real[i % 8]))
             .collect();
         let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-        let (mut config, endpoints) = config(1, json!([class]), &listed);
+        let (mut config, endpoints) = gateway_config(1, json!([class]), &listed);
         config["limits"] = json!({"memory_mb": 512, "sockets": 8192});
-        let gateway = started(
+        let gateway = start_gateway_with_config(
             &format!("bench-calls-{groups}-{n}"),
             config,
             endpoints,
@@ -152,13 +152,13 @@
             let (before, since) = (processor_us(gateway.process.id()), Instant::now());
             let clients: Vec<_> = (0..32u64)
                 .map(|who| {
-                    let mut c = Client::of(&gateway);
+                    let mut c = Client::connect(&gateway);
                     thread::spawn(move || {
                         let base = (round * 32 + who) * 1_000_000 + 1;
                         let most = 400;
                         (0..16).for_each(|k| ask(&mut c, base + k, groups));
                         for k in 0..most {
-                            c.hear();
+                            c.receive();
                             if k + 16 < most {
                                 ask(&mut c, base + k + 16, groups);
                             }
--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -150,11 +150,11 @@
 
 fn shares() {
     let share = |cluster: &mut Cluster| {
-        cluster.wait_for_answers(AnswerKind::Settled, 100);
-        let answers = cluster.finish();
+        cluster.wait_for_answers(AnswerKind::Rows, 100);
+        let answers = cluster.stop_load_and_check();
         let all: usize = answers.values().sum();
         (
-            all - answers.get(&AnswerKind::Settled).copied().unwrap_or(0),
+            all - answers.get(&AnswerKind::Rows).copied().unwrap_or(0),
             all,
         )
     };
@@ -186,17 +186,17 @@
     for _ in 0..5 {
         let cost = |cluster: &mut Cluster| {
             cluster.start_load();
-            cluster.wait_for_answers(AnswerKind::Settled, 50);
+            cluster.wait_for_answers(AnswerKind::Rows, 50);
             let (had, used) = (
-                cluster.request_log.answers()[&AnswerKind::Settled],
+                cluster.request_log.answer_counts()[&AnswerKind::Rows],
                 processor(cluster.pid(1)),
             );
-            cluster.wait_for_answers(AnswerKind::Settled, 1200);
+            cluster.wait_for_answers(AnswerKind::Rows, 1200);
             let (has, uses) = (
-                cluster.request_log.answers()[&AnswerKind::Settled],
+                cluster.request_log.answer_counts()[&AnswerKind::Rows],
                 processor(cluster.pid(1)),
             );
-            cluster.finish();
+            cluster.stop_load_and_check();
             // Three gateways serve alike.
             (uses - used) / (has - had) as f64 * 3.0 * 1e6
         };
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -5,7 +5,7 @@
 #[path = "../tests/managed/mod.rs"]
 mod managed;
 
-use common::{done, engine, Client};
+use common::{done_reply, start_engine, Client};
 use hdrhistogram::Histogram;
 use ironstair_gnmi::proto::gnmi::{self, subscribe_response::Response as Sent, SubscriptionMode};
 use managed::{
@@ -218,10 +218,10 @@
 fn telling() -> (SocketAddr, Receiver<Instant>) {
     let (tell, config) = channel();
     let tell = Mutex::new(tell);
-    let (at, _) = engine(move |line, _| {
+    let (at, _) = start_engine(move |line, _| {
         if line.starts_with("fetch") {
             let _ = tell.lock().unwrap().send(Instant::now());
-            return (done(line, "a\tb\tc\n"), false);
+            return (done_reply(line, "a\tb\tc\n"), false);
         }
         (Vec::new(), false)
     });
@@ -289,7 +289,7 @@
     (0..20).for_each(|nth| spawn_caller(nth, at, busy.clone()));
     (0..30).for_each(|_| spawn_subscriber(at, busy.clone()));
     thread::sleep(Duration::from_millis(500));
-    let mut asker = Client::of(&gateway);
+    let mut asker = Client::connect(&gateway);
     let mut sides = [(Vec::new(), Vec::new(), Vec::new()), Default::default()];
     let mut call = 0;
     for round in 0..2 * ROUNDS {
@@ -301,10 +301,10 @@
             call += 1;
             while config.try_recv().is_ok() {}
             let since = Instant::now();
-            asker.ask(call);
+            asker.send_call(call);
             let there = config.recv().unwrap();
             h.record((there - since).as_nanos() as u64).unwrap();
-            asker.rows();
+            asker.receive_rows();
         }
         sides[side].0.push(us(&h, 0.5));
         sides[side].1.push(us(&h, 0.99));
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -3,7 +3,10 @@
 use ironstair_test_cluster::stub as common;
 mod managed;
 
-use common::{answer, config, done, engine, id, started, Client, Gateway, Seen};
+use common::{
+    done_reply, engine_list_answer, gateway_config, request_id, start_engine,
+    start_gateway_with_config, Client, Gateway, RecordedLines,
+};
 use managed::{connect, get, runtime, set};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +17,7 @@
 
 /// Calls a class for a tenant, with the statement `select 1`.
 fn call_for_tenant(client: &mut Client, class: &str, call: u64, tenant: &str) {
-    client.say(&format!(
+    client.send(&format!(
         r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
     ));
 }
@@ -33,12 +36,12 @@
 /// An engine that settles every request.
 struct SettlingEngine {
     address: SocketAddr,
-    seen: Seen,
+    seen: RecordedLines,
 }
 
 impl SettlingEngine {
     fn start() -> SettlingEngine {
-        let (address, seen) = engine(|line, _| (done(line, "a\tb\tc\n"), false));
+        let (address, seen) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
         SettlingEngine { address, seen }
     }
 
@@ -47,7 +50,7 @@
         let lines = self.seen.lock().unwrap();
         let fetches = lines.iter().filter(|line| line.starts_with("fetch"));
         fetches
-            .map(|line| u64::from_str_radix(id(line), 16).unwrap())
+            .map(|line| u64::from_str_radix(request_id(line), 16).unwrap())
             .collect()
     }
 }
@@ -56,8 +59,11 @@
     let engines = [SettlingEngine::start(), SettlingEngine::start()];
     let named_engines = [("e1", engines[0].address), ("e2", engines[1].address)];
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-    let (config, name_answer) = config(1, json!([class]), &named_engines);
-    (started(test, config, name_answer, operator), engines)
+    let (config, name_answer) = gateway_config(1, json!([class]), &named_engines);
+    (
+        start_gateway_with_config(test, config, name_answer, operator),
+        engines,
+    )
 }
 
 /// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, fifteen open at a time, and waits for their rows.
@@ -68,7 +74,7 @@
             let tenant = if call <= 30 { "t1" } else { "t2" };
             call_for_tenant(client, "lookup", call, tenant);
         }
-        (0..15).for_each(|_| drop(client.rows()));
+        (0..15).for_each(|_| drop(client.receive_rows()));
     }
 }
 
@@ -76,7 +82,7 @@
 fn requests_of_a_tenant_reach_only_engines_of_its_cell() {
     let (gateway, engines) =
         start_with_two_engines("cells", Some(two_cells(json!({"turn_back": 500}))));
-    play_two_tenants(&mut Client::of(&gateway));
+    play_two_tenants(&mut Client::connect(&gateway));
     assert_eq!(engines[0].calls(), (1..=30).collect());
     assert_eq!(engines[1].calls(), (31..=60).collect());
 }
@@ -84,7 +90,7 @@
 #[test]
 fn control_without_cells_both_tenants_reach_the_same_engines() {
     let (gateway, engines) = start_with_two_engines("cells-off", None);
-    play_two_tenants(&mut Client::of(&gateway));
+    play_two_tenants(&mut Client::connect(&gateway));
     let engines_reached_by = |calls: std::ops::RangeInclusive<u64>| {
         engines
             .iter()
@@ -104,7 +110,7 @@
     let deadline = Instant::now() + Duration::from_secs(5);
     for call in 1000.. {
         call_for_tenant(client, "lookup", call, "t1");
-        if client.hear()["error"].is_object() {
+        if client.receive()["error"].is_object() {
             return;
         }
         assert!(
@@ -123,19 +129,19 @@
         let (gateway, engines) = start_with_two_engines(test, Some(two_cells(without_capacity)));
         // Engine e1 is draining, so cell a has no ready engine.
         let list = [("e1", engines[0].address, 1), ("e2", engines[1].address, 0)];
-        *gateway.name_answer.lock().unwrap() = answer(2, &list);
-        let mut client = Client::of(&gateway);
+        *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &list);
+        let mut client = Client::connect(&gateway);
         wait_until_cell_has_no_engine(&mut client);
         let calls_before = engines[0].calls();
         let mut lent: u32 = 0;
         let since = Instant::now();
         for call in 1..=20 {
             call_for_tenant(&mut client, "lookup", call, "t1");
-            lent += client.hear()["result"].is_object() as u32;
+            lent += client.receive()["result"].is_object() as u32;
             call_for_tenant(&mut client, "lookup", 100 + call, "t2");
-            assert_eq!(client.rows().0, 100 + call);
+            assert_eq!(client.receive_rows().0, 100 + call);
             call_for_tenant(&mut client, "lookup", 200 + call, "both");
-            assert_eq!(client.rows().0, 200 + call);
+            assert_eq!(client.receive_rows().0, 200 + call);
         }
         assert!(since.elapsed() < Duration::from_secs(2), "at once");
         assert_eq!(
@@ -166,7 +172,7 @@
         let attempt_count = AtomicUsize::new(0);
         let received = ReceivedAttempts::default();
         let shared = Arc::clone(&received);
-        let (address, _) = engine(move |line, _| {
+        let (address, _) = start_engine(move |line, _| {
             if !line.starts_with("fetch") {
                 return (Vec::new(), false);
             }
@@ -177,7 +183,7 @@
             std::thread::sleep(Duration::from_millis(3));
             match attempt_count.fetch_add(1, Ordering::Relaxed) % fails_every == fails_every - 1 {
                 true => (Vec::new(), true),
-                false => (done(line, "a\tb\tc\n"), false),
+                false => (done_reply(line, "a\tb\tc\n"), false),
             }
         });
         FailingEngine { address, received }
@@ -212,7 +218,7 @@
         .collect();
     let class = |name: &str, semantics: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0});
     let classes = json!([class("lookup", "pure"), class("post", "side_effect")]);
-    let (config, name_answer) = config(1, classes, &named_engines);
+    let (config, name_answer) = gateway_config(1, classes, &named_engines);
     let listen: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
     let management = SocketAddr::new(listen.ip(), 9339);
     let cell_by_engine: serde_json::Map<String, Value> = ENGINE_NAMES
@@ -229,7 +235,7 @@
         },
     });
     (
-        started(test, config, name_answer, Some(operator)),
+        start_gateway_with_config(test, config, name_answer, Some(operator)),
         management,
     )
 }
@@ -255,7 +261,7 @@
             call_for_tenant(&mut client, class, call, tenant);
             open.insert(call);
         }
-        let answer = client.hear();
+        let answer = client.receive();
         assert!(
             open.remove(&answer["id"].as_u64().unwrap()),
             "a second answer: {answer}"
@@ -318,7 +324,7 @@
     for (index, engine) in engines.iter().enumerate() {
         for attempt in engine.received.lock().unwrap().iter() {
             let line = &attempt.line;
-            let call = u64::from_str_radix(id(line), 16).unwrap();
+            let call = u64::from_str_radix(request_id(line), 16).unwrap();
             let is_of_first_tenant = call < first_call_of_second_tenant;
             let is_cell_a_or_b = index < ENGINES_OF_CELL_B.end;
             assert_eq!(
@@ -327,7 +333,9 @@
                 ENGINE_NAMES[index]
             );
             if line.contains(" c=post,") {
-                *attempts_by_request.entry(id(line).into()).or_default() += 1;
+                *attempts_by_request
+                    .entry(request_id(line).into())
+                    .or_default() += 1;
             }
             if ENGINES_OF_CELL_A.contains(&index) {
                 last_in_cell_a = last_in_cell_a.max(Some(attempt.at));
@@ -351,7 +359,7 @@
     let (gateway, management) = start_gateway_of_three_cells(test, &engines);
     let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|client_index| {
-            let client = Client::of(&gateway);
+            let client = Client::connect(&gateway);
             std::thread::spawn(move || play_client(client, client_index))
         })
         .collect();
--- a/crates/gateway/tests/crossings/client_close.rs
+++ b/crates/gateway/tests/crossings/client_close.rs
@@ -14,15 +14,15 @@
     let malformed = ["GET / HTTP/1.1\r\n\r\n", "Content-Length: 1e9\r\n\r\n"];
     for (nth, message) in malformed.into_iter().enumerate() {
         let gateway = patient_gateway(&format!("unread-{nth}"), &[("e1", at)]);
-        let mut client = Client::of(&gateway);
+        let mut client = Client::connect(&gateway);
         ask_patiently(&mut client, "lookup", 1);
-        assert_eq!(client.rows().0, 1);
+        assert_eq!(client.receive_rows().0, 1);
 
         client.0.get_mut().write_all(message.as_bytes()).unwrap();
         let mut sending_half = client.0.get_ref().try_clone().unwrap();
         let flood = thread::spawn(move || drop(sending_half.write_all(&[b'x'; 100_000])));
 
-        assert_eq!(client.hear()["error"]["code"], -32700, "{nth}");
+        assert_eq!(client.receive()["error"]["code"], -32700, "{nth}");
         flood.join().unwrap();
         let end = client.0.read(&mut [0; 1]);
         assert!(matches!(end, Ok(0)), "{nth}: {end:?}");
@@ -33,9 +33,9 @@
 fn request_that_crosses_an_idle_close_finds_the_end_of_the_connection_and_no_reset() {
     let (at, seen) = answering_engine();
     let mut gateway = patient_gateway("idle-close", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     ask_patiently(&mut client, "lookup", 1);
-    assert_eq!(client.rows().0, 1);
+    assert_eq!(client.receive_rows().0, 1);
     gateway.signal("-TERM");
     // The connection is idle, so it is closed.
     assert_closed(&mut client);
@@ -44,7 +44,7 @@
     ask_patiently(&mut client, "lookup", 2);
     thread::sleep(Duration::from_millis(20));
 
-    assert!(client.try_say("{}"), "reset");
+    assert!(client.try_send("{}"), "reset");
     assert_eq!(fetch_count(&seen), 1, "read after the end, it is not sent");
     drop(client);
     assert!(gateway.process.wait().unwrap().success());
--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -5,7 +5,7 @@
     patient_gateway, patient_gateway_with_limits, start,
 };
 use crate::support::{assert_closed, cancellation, engine_with_status, fetch_count};
-use ironstair_test_cluster::stub::{framed, soon, Client, Gate, REJECTED};
+use ironstair_test_cluster::stub::{becomes_true, framed, Client, FullListener, REJECTED};
 use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -20,14 +20,14 @@
 /// The ways in which a client gives up its eight requests.
 fn hangups() -> [fn(Client); 4] {
     let cancel_all = |mut client: Client| {
-        (1..=8).for_each(|call| client.say(&cancellation(call)));
+        (1..=8).for_each(|call| client.send(&cancellation(call)));
         await_processed(&mut client);
     };
     let close = |client: Client| client.0.get_ref().shutdown(Shutdown::Both).unwrap();
     let half_close = |mut client: Client| {
         client.0.get_ref().shutdown(Shutdown::Write).unwrap();
         // The connection is kept open for its answers.
-        thread::spawn(move || while client.try_hear().is_some() {});
+        thread::spawn(move || while client.try_receive().is_some() {});
     };
     let reset = |client: Client| {
         set_socket_linger(client.0.get_ref(), Some(Duration::ZERO)).unwrap();
@@ -38,21 +38,21 @@
 #[test]
 fn client_that_hung_up_while_its_engine_connection_came_up_has_no_attempt_started() {
     for (nth, hang_up) in hangups().into_iter().enumerate() {
-        let (at, gate) = Gate::shut();
+        let (at, gate) = FullListener::bind();
         let gateway = patient_gateway(&format!("left-{nth}"), &[("e1", at)]);
-        let mut client = Client::of(&gateway);
+        let mut client = Client::connect(&gateway);
         (1..=8).for_each(|call| ask_patiently(&mut client, "lookup", call));
-        gate.until_kept_back(8);
+        gate.wait_for_pending_connections(8);
 
         hang_up(client);
         thread::sleep(MAX_START_AFTER_CLOSE);
         let opened = gate.open(answer_one_row);
-        opened.until_up(8);
+        opened.wait_for_established_connections(8);
 
-        let mut other = Client::of(&gateway);
+        let mut other = Client::connect(&gateway);
         ask_patiently(&mut other, "lookup", 77);
-        assert_eq!(other.rows().0, 77, "{nth}");
-        let seen = opened.seen.lock().unwrap();
+        assert_eq!(other.receive_rows().0, 77, "{nth}");
+        let seen = opened.recorded_lines.lock().unwrap();
         assert!(
             seen.iter()
                 .all(|l| l.starts_with("fetch 000000000000004d ")),
@@ -94,16 +94,16 @@
     });
     // For each of the two more than the system buffers for a peer that reads nothing (4 MiB).
     let long_statement = "QUJD".repeat(62_000);
-    let mut filling = [Client::of(&gateway), Client::of(&gateway)];
+    let mut filling = [Client::connect(&gateway), Client::connect(&gateway)];
     for call in 1..=60u64 {
-        filling[call as usize % 2].say(&patient_call(call, "lookup", &long_statement));
+        filling[call as usize % 2].send(&patient_call(call, "lookup", &long_statement));
     }
     filling.iter_mut().for_each(await_processed);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     ask_patiently(&mut client, "lookup", 77);
     await_processed(&mut client);
 
-    client.say(&cancellation(77));
+    client.send(&cancellation(77));
     await_processed(&mut client);
     start_reading.send(()).unwrap();
 
@@ -123,14 +123,14 @@
     // The engine is full: the request waits between two attempts.
     let (at, seen) = engine_with_status("WAIT");
     let gateway = patient_gateway("half-closed", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     ask_patiently(&mut client, "lookup", 1);
-    assert!(soon(|| fetch_count(&seen) >= 1));
+    assert!(becomes_true(|| fetch_count(&seen) >= 1));
 
     client.0.get_ref().shutdown(Shutdown::Write).unwrap();
     let closed_at = Instant::now();
 
-    assert_eq!(client.hear()["error"]["code"], REJECTED);
+    assert_eq!(client.receive()["error"]["code"], REJECTED);
     let elapsed = closed_at.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
     assert_closed(&mut client);
@@ -140,12 +140,12 @@
 fn client_that_closes_while_the_gateway_does_not_read_it_has_no_attempt_started() {
     // The requests of another client occupy more than half of the buffers: the gateway does not read what this client
     // sends then, and its close comes behind that.
-    let (at, gate) = Gate::shut();
+    let (at, gate) = FullListener::bind();
     let gateway = patient_gateway_with_limits("unread", &[("e1", at)], 1, 64);
-    let mut client = Client::of(&gateway);
-    let mut occupying = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
+    let mut occupying = Client::connect(&gateway);
     (1..=4).for_each(|call| ask_patiently(&mut client, "lookup", call));
-    gate.until_kept_back(4);
+    gate.wait_for_pending_connections(4);
     let calls = (100..130).map(|call| framed(&patient_call(call, "lookup", "c2VsZWN0IDE=")));
     let calls: String = calls.chain([framed(&marker())]).collect();
     // In one write, so that the gateway reads it whole, whatever buffers are free then.
@@ -158,10 +158,10 @@
     thread::sleep(Duration::from_millis(200));
     let opened = gate.open(answer_one_row);
 
-    (0..30).for_each(|_| assert!(occupying.rows().0 >= 100));
+    (0..30).for_each(|_| assert!(occupying.receive_rows().0 >= 100));
     // At the end of the connection the gateway has read all that the client sent.
     let _ = client.0.read_to_end(&mut Vec::new());
-    let seen = opened.seen.lock().unwrap();
+    let seen = opened.recorded_lines.lock().unwrap();
     let is_of_client = |line: &&String| line.starts_with("fetch 000000000000000");
     assert_eq!(seen.iter().filter(is_of_client).count(), 0, "{seen:?}");
 }
--- a/crates/gateway/tests/crossings/engine_connection.rs
+++ b/crates/gateway/tests/crossings/engine_connection.rs
@@ -2,15 +2,19 @@
 
 use crate::patient_gateway::{answer_one_row, answering_engine, ask_patiently, patient_gateway};
 use crate::support::{engine_with_status, fetch_count};
-use ironstair_test_cluster::stub::{answer, id, Client, Gate, Seen, FAILED};
+use ironstair_test_cluster::stub::{
+    engine_list_answer, request_id, Client, FullListener, RecordedLines, FAILED,
+};
 use serde_json::Value;
 use std::thread;
 use std::time::Duration;
 
 /// The ids of the requests that an engine received.
-fn request_ids(seen: &Seen) -> Vec<String> {
+fn request_ids(seen: &RecordedLines) -> Vec<String> {
     let seen = seen.lock().unwrap();
-    seen.iter().map(|line| id(line).to_owned()).collect()
+    seen.iter()
+        .map(|line| request_id(line).to_owned())
+        .collect()
 }
 
 #[test]
@@ -18,11 +22,11 @@
     // Some requests fail at the first engine. The policy decides their second attempt within the window, and the
     // connection for it comes up after the window.
     let (failing, failing_seen) = engine_with_status("BROKE");
-    let (late, gate) = Gate::shut();
+    let (late, gate) = FullListener::bind();
     let gateway = patient_gateway("window", &[("e1", failing), ("e2", late)]);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     (1..=8).for_each(|call| ask_patiently(&mut client, "stow", call));
-    gate.until_kept_back(8);
+    gate.wait_for_pending_connections(8);
     assert!(
         failing_seen.lock().unwrap()[0].contains(",i=o"),
         "sent with its idempotency key"
@@ -30,11 +34,11 @@
 
     thread::sleep(Duration::from_millis(600));
     let opened = gate.open(answer_one_row);
-    opened.until_up(8);
+    opened.wait_for_established_connections(8);
 
-    let answers: Vec<Value> = (0..8).map(|_| client.hear()).collect();
+    let answers: Vec<Value> = (0..8).map(|_| client.receive()).collect();
     let before = request_ids(&failing_seen);
-    let after = request_ids(&opened.seen);
+    let after = request_ids(&opened.recorded_lines);
     assert!(
         before.iter().all(|id| !after.contains(id)),
         "again after the window: {before:?}, {after:?}"
@@ -49,25 +53,26 @@
 
 #[test]
 fn request_that_waits_for_a_connection_is_sent_elsewhere_when_its_engine_starts_to_drain() {
-    let (late, gate) = Gate::shut();
+    let (late, gate) = FullListener::bind();
     let (other, other_seen) = answering_engine();
     let gateway = patient_gateway("drains", &[("e1", late)]);
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     (1..=8).for_each(|call| ask_patiently(&mut client, "post", call));
-    gate.until_kept_back(8);
+    gate.wait_for_pending_connections(8);
 
-    *gateway.name_answer.lock().unwrap() = answer(2, &[("e1", late, 1), ("e2", other, 0)]);
+    *gateway.name_answer.lock().unwrap() =
+        engine_list_answer(2, &[("e1", late, 1), ("e2", other, 0)]);
     // Only the other engine can answer: the gateway has the new list then.
-    let mut probe = Client::of(&gateway);
+    let mut probe = Client::connect(&gateway);
     ask_patiently(&mut probe, "lookup", 77);
-    assert_eq!(probe.rows().0, 77);
+    assert_eq!(probe.receive_rows().0, 77);
     let opened = gate.open(answer_one_row);
-    opened.until_up(8);
+    opened.wait_for_established_connections(8);
 
-    let mut calls: Vec<u64> = (0..8).map(|_| client.rows().0).collect();
+    let mut calls: Vec<u64> = (0..8).map(|_| client.receive_rows().0).collect();
     calls.sort_unstable();
     assert_eq!(calls, Vec::from_iter(1..=8));
     assert_eq!(fetch_count(&other_seen), 9);
-    let seen = opened.seen.lock().unwrap();
+    let seen = opened.recorded_lines.lock().unwrap();
     assert!(seen.is_empty(), "{seen:?}");
 }
--- a/crates/gateway/tests/crossings/name_service.rs
+++ b/crates/gateway/tests/crossings/name_service.rs
@@ -2,7 +2,7 @@
 
 use crate::patient_gateway::patient_gateway;
 use crate::support::{engine_with_rows, move_name_service};
-use ironstair_test_cluster::stub::{answer, soon, Client};
+use ironstair_test_cluster::stub::{becomes_true, engine_list_answer, Client};
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
 
@@ -13,7 +13,7 @@
     thread::spawn(move || {
         let mut query = [0; 512];
         let mut first = None;
-        let list = answer(2, &[("e2", engine, 0)]);
+        let list = engine_list_answer(2, &[("e2", engine, 0)]);
         while let Ok((_, from)) = service.recv_from(&mut query) {
             if *first.get_or_insert(from) != from {
                 let _ = service.send_to(&[&query[..2], &list].concat(), from);
@@ -28,15 +28,15 @@
     let (old, _) = engine_with_rows("old\t\t\n");
     let (new, _) = engine_with_rows("new\t\t\n");
     let gateway = patient_gateway("silent-socket", &[("e1", old)]);
-    drop(Client::of(&gateway));
+    drop(Client::connect(&gateway));
 
     move_name_service(&gateway, name_service_deaf_to_first_socket(new));
 
-    let mut client = Client::of(&gateway);
+    let mut client = Client::connect(&gateway);
     let mut call = 1;
-    assert!(soon(|| {
+    assert!(becomes_true(|| {
         call += 1;
-        client.ask(call);
-        client.rows().1 == b"new\t\t\n"
+        client.send_call(call);
+        client.receive_rows().1 == b"new\t\t\n"
     }));
 }
--- a/crates/gateway/tests/crossings/patient_gateway.rs
+++ b/crates/gateway/tests/crossings/patient_gateway.rs
@@ -1,7 +1,9 @@
 //! A gateway that waits long for connections to engines, and calls with long deadlines.
 
 use crate::support::{call_with_fields, engine_with_rows, health_check, ROW};
-use ironstair_test_cluster::stub::{config, done, started, Client, Gateway, Seen};
+use ironstair_test_cluster::stub::{
+    done_reply, gateway_config, start_gateway_with_config, Client, Gateway, RecordedLines,
+};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -10,11 +12,11 @@
 
 /// The reply of an engine that answers every line with one row, and keeps the connection.
 pub(crate) fn answer_one_row(line: &str, _: &str) -> (Vec<u8>, bool) {
-    (done(line, ROW), false)
+    (done_reply(line, ROW), false)
 }
 
 /// An engine that answers every line with one row.
-pub(crate) fn answering_engine() -> (SocketAddr, Seen) {
+pub(crate) fn answering_engine() -> (SocketAddr, RecordedLines) {
     engine_with_rows(ROW)
 }
 
@@ -54,10 +56,10 @@
     engines: &[(&str, SocketAddr)],
     edit: impl FnOnce(&mut Value),
 ) -> Gateway {
-    let (mut config, name_answer) = config(2, classes(), engines);
+    let (mut config, name_answer) = gateway_config(2, classes(), engines);
     config["settings"]["policy_limits"]["connect_timeout_ns"] = json!(6e9);
     edit(&mut config);
-    started(test, config, name_answer, None)
+    start_gateway_with_config(test, config, name_answer, None)
 }
 
 /// A call with a deadline of 7 s and a statement in base64.
@@ -70,7 +72,7 @@
 pub(crate) fn ask_patiently(client: &mut Client, class: &str, call: u64) {
     let fields =
         format!(r#""id":"{call:016x}","wait":7000,"bytes":"c2VsZWN0IDE=","once":"o{call}""#);
-    client.say(&call_with_fields(call, class, &fields));
+    client.send(&call_with_fields(call, class, &fields));
 }
 
 /// The health check whose answer [`await_marker`] waits for.
@@ -80,11 +82,11 @@
 
 /// Reads until the answer to the marker: the policy has all earlier messages of the client then.
 pub(crate) fn await_marker(client: &mut Client) {
-    while client.hear()["id"] != MARKER_CALL {}
+    while client.receive()["id"] != MARKER_CALL {}
 }
 
 /// Waits until the policy has all messages that the client has sent.
 pub(crate) fn await_processed(client: &mut Client) {
-    client.say(&marker());
+    client.send(&marker());
     await_marker(client);
 }
--- a/crates/gateway/tests/fleet/changes.rs
+++ b/crates/gateway/tests/fleet/changes.rs
@@ -19,7 +19,7 @@
     cancel_a_change_that_waits_for_a_paused_gateway(&mut cluster);
     confirm_a_change_too_late(&cluster, &first_value);
     confirm_a_change_in_time(&cluster);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 /// Exactly one of two simultaneous changes is made. Returns the value that it set.
--- a/crates/gateway/tests/fleet/disks.rs
+++ b/crates/gateway/tests/fleet/disks.rs
@@ -37,15 +37,15 @@
     assert!((1..5).all(|gateway| !cluster.is_fit(gateway)));
     cluster.start(0);
     cluster.wait_for_revision_everywhere(2);
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
     // Once the wiped voter has a vote again, the fleet works without voter 0.
     wait_until("the wiped voter has a vote again", || {
         cluster.log(1).matches("this voter has a vote").count() == 2
     });
     cluster.kill(0);
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
     cluster.set(1, &[MAX_ATTEMPTS, "5"]).assert_success();
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let plan = Plan::default().disable_guard("random-replica-id");
     let mut cluster = restarted_with_a_wiped_and_an_old_disk("control-7", &plan);
     cluster.wait_until_fit(2);
-    cluster.wait_for_answers(AnswerKind::Settled, 100);
+    cluster.wait_for_answers(AnswerKind::Rows, 100);
     let violations = cluster.stop_load();
     assert!(
         (1..3).any(|gateway| used_stale_policy(&violations, gateway)),
@@ -93,7 +93,7 @@
     });
     cluster.set(2, &[MAX_ATTEMPTS, "5"]).assert_success();
     cluster.wait_for_revision_everywhere(3);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 /// The value of [`MAX_ATTEMPTS`] that every voter's disk holds before the disks are filled.
--- a/crates/gateway/tests/fleet/leader_loss.rs
+++ b/crates/gateway/tests/fleet/leader_loss.rs
@@ -112,8 +112,8 @@
             "{step:?}: {applied}"
         );
     }
-    cluster.wait_for_answers(AnswerKind::Settled, 100);
-    cluster.finish();
+    cluster.wait_for_answers(AnswerKind::Rows, 100);
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -124,13 +124,13 @@
     // The calls of its own client would be lost with it.
     cluster.pause_load(leader);
     cluster.kill(leader);
-    cluster.wait_for_answers(AnswerKind::Settled, 500);
+    cluster.wait_for_answers(AnswerKind::Rows, 500);
     assert_ne!(cluster.leader(), leader);
     cluster.set(3, &[MAX_ATTEMPTS, "5"]).assert_success();
-    let answers = cluster.finish();
+    let answers = cluster.stop_load_and_check();
     assert_eq!(
         answers.keys().collect::<Vec<_>>(),
-        [&AnswerKind::Settled],
+        [&AnswerKind::Rows],
         "{answers:?}"
     );
 }
--- a/crates/gateway/tests/fleet/leases.rs
+++ b/crates/gateway/tests/fleet/leases.rs
@@ -32,16 +32,16 @@
     assert!(!cluster.is_fit(4));
     cluster.heal_links();
     cluster.wait_for_revision_everywhere(2);
-    cluster.wait_for_answers(AnswerKind::Settled, 300);
+    cluster.wait_for_answers(AnswerKind::Rows, 300);
     cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &json!(5));
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
 fn control_start_without_lease_uses_the_old_policy() {
     let plan = Plan::default().disable_guard("no-lease-at-start");
     let mut cluster = two_gateways_down_at_a_change("control-1", &plan);
-    cluster.wait_for_answers(AnswerKind::Settled, 300);
+    cluster.wait_for_answers(AnswerKind::Rows, 300);
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
 
@@ -50,7 +50,7 @@
     let plan = Plan::default().disable_guard_at(4, "policy-applied");
     let mut cluster = Cluster::started_under_load("control-1b", &plan);
     cluster.forbid_zone_b(1, "lookup").assert_success();
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
 
@@ -63,7 +63,7 @@
     ] {
         cluster.isolate(4, isolation);
         cluster.forbid_zone_b(0, class).assert_success();
-        cluster.wait_for_answers(AnswerKind::Settled, 100);
+        cluster.wait_for_answers(AnswerKind::Rows, 100);
         cluster.heal_links();
         cluster.wait_until_fit(4);
     }
@@ -74,7 +74,7 @@
 fn gateway_cut_off_in_one_direction_does_not_use_the_old_policy() {
     let mut cluster = cut_off_in_each_direction_over_a_change("case-3", &Plan::default());
     cluster.wait_for_revision_everywhere(2);
-    let answers = cluster.finish();
+    let answers = cluster.stop_load_and_check();
     assert!(
         answers[&AnswerKind::Rejected] > 0,
         "it was without a lease: {answers:?}"
@@ -99,7 +99,7 @@
     cluster.forbid_zone_b(0, "post").assert_success();
     cluster.resume(3);
     cluster.wait_until_fit(3);
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
     cluster
 }
 
@@ -107,7 +107,7 @@
 fn gateway_paused_over_changes_does_not_use_the_old_policy() {
     let mut cluster = paused_over_two_changes("case-4", &Plan::default());
     cluster.wait_for_revision_everywhere(2);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
--- a/crates/gateway/tests/fleet/majority_loss.rs
+++ b/crates/gateway/tests/fleet/majority_loss.rs
@@ -12,7 +12,7 @@
     cluster.kill(0);
     cluster.kill(1);
     (2..4).for_each(|gateway| cluster.wait_for_answers_at(gateway, AnswerKind::Rejected, 20));
-    cluster.wait_for_answers_at(4, AnswerKind::Settled, 100);
+    cluster.wait_for_answers_at(4, AnswerKind::Rows, 100);
     assert!(cluster.is_fit(4) && !cluster.is_fit(3));
     cluster
         .set(3, &[MAX_ATTEMPTS, "5"])
@@ -21,7 +21,7 @@
     cluster.start(1);
     cluster.wait_for_revision_everywhere(0);
     assert_eq!(cluster.setting(4, "/state/fleet/cut-off"), json!("steady"));
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -35,7 +35,7 @@
             .log(3)
             .contains("lease expired, rejecting new requests")
     });
-    cluster.wait_for_answers_at(3, AnswerKind::Settled, 100);
+    cluster.wait_for_answers_at(3, AnswerKind::Rows, 100);
 }
 
 #[test]
@@ -47,13 +47,13 @@
     wait_until("the change waits for the steady gateway", || {
         cluster.fleet_status(1)["change"]["waits-for"] == json!(["g5"])
     });
-    cluster.wait_for_answers_at(4, AnswerKind::Settled, 300);
+    cluster.wait_for_answers_at(4, AnswerKind::Rows, 300);
     let revision = cluster.fleet_status(1)["revision"].clone();
     assert_eq!((revision, change.is_finished()), (json!(0), false));
     cluster.heal_links();
     change.join().unwrap().assert_success();
     cluster.wait_for_revision_everywhere(1);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -64,6 +64,6 @@
     let mut cluster = Cluster::started_under_load("control-steady", &plan);
     cluster.isolate(4, Isolation::Full);
     cluster.forbid_zone_b(0, "lookup").assert_success();
-    cluster.wait_for_answers_at(4, AnswerKind::Settled, 200);
+    cluster.wait_for_answers_at(4, AnswerKind::Rows, 200);
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
--- a/crates/gateway/tests/fleet/random_schedules.rs
+++ b/crates/gateway/tests/fleet/random_schedules.rs
@@ -16,11 +16,11 @@
 
 /// Plays one schedule on a fleet of its own. Returns how many changes were made.
 fn play_seed(seed: u64) -> usize {
-    let steps = schedule::generate(seed);
+    let steps = schedule::generate_steps(seed);
     let played = std::panic::catch_unwind(|| {
         let mut cluster = Cluster::started_under_load(&format!("case-9-{seed}"), &Plan::default());
-        let changes_made = schedule::play(&mut cluster, &steps);
-        cluster.finish();
+        let changes_made = schedule::run(&mut cluster, &steps);
+        cluster.stop_load_and_check();
         changes_made
     });
     match played {
@@ -37,7 +37,7 @@
     let first_seed = number_from_environment("FIRST", 1);
     let next_seed = AtomicU64::new(first_seed);
     let changes_made = AtomicUsize::new(0);
-    assert_eq!(schedule::generate(7), schedule::generate(7));
+    assert_eq!(schedule::generate_steps(7), schedule::generate_steps(7));
     std::thread::scope(|scope| {
         for _ in 0..seed_count.min(MAX_CONCURRENT_SCHEDULES) {
             scope.spawn(|| loop {
--- a/crates/gateway/tests/fleet/refusals.rs
+++ b/crates/gateway/tests/fleet/refusals.rs
@@ -35,8 +35,8 @@
     );
     cluster.wait_for_revision_everywhere(0);
     cluster.wait_for_setting_everywhere(LOOKUP_ZONES, &Value::Null);
-    cluster.wait_for_answers(AnswerKind::Settled, 100);
-    cluster.finish();
+    cluster.wait_for_answers(AnswerKind::Rows, 100);
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -81,7 +81,7 @@
     // With a policy that it can read, the older gateway is a member again.
     cluster.set(1, &[ADVICE, "0"]).assert_success();
     cluster.wait_until_fit(4);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
--- a/crates/gateway/tests/manage/change_under_load.rs
+++ b/crates/gateway/tests/manage/change_under_load.rs
@@ -2,7 +2,9 @@
 
 use crate::managed::{connect, managed_gateway, runtime, set, GnmiClient};
 use crate::support::slow_engine_that_hangs_up;
-use ironstair_test_cluster::stub::{answer, id, Client, NameServiceAnswer, Seen};
+use ironstair_test_cluster::stub::{
+    engine_list_answer, request_id, Client, NameServiceAnswer, RecordedLines,
+};
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -97,7 +99,7 @@
                 .enumerate()
                 .map(|(nth, (name, address))| (*name, *address, state(nth)))
                 .collect();
-            *name_answer.lock().unwrap() = answer(serial, &listed);
+            *name_answer.lock().unwrap() = engine_list_answer(serial, &listed);
             thread::sleep(Duration::from_millis(300));
             if stop.load(Ordering::Relaxed) {
                 return;
@@ -127,10 +129,10 @@
             while asks_on(result.requested) && open.len() < MAX_OPEN_PER_CLIENT {
                 result.requested += 1;
                 let call = client_number * 1_000_000 + result.requested as u64;
-                client.ask_in(["lookup", "report", "post"][result.requested % 3], call);
+                client.send_call_of_class(["lookup", "report", "post"][result.requested % 3], call);
                 open.insert(call, Instant::now());
             }
-            let reply = client.hear();
+            let reply = client.receive();
             let call = reply["id"].as_u64().unwrap();
             let asked_at = open
                 .remove(&call)
@@ -155,11 +157,11 @@
 }
 
 /// A request of a class with effect may have run once it was sent: the engines received each one once.
-fn assert_requests_with_effect_sent_once(engines: &[(SocketAddr, Seen)]) {
+fn assert_requests_with_effect_sent_once(engines: &[(SocketAddr, RecordedLines)]) {
     let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
     for line in engines.iter().flat_map(|e| e.1.lock().unwrap().clone()) {
         if line.starts_with("fetch") && line.contains(" c=post,") {
-            *attempts.entry(id(&line).to_owned()).or_default() += 1;
+            *attempts.entry(request_id(&line).to_owned()).or_default() += 1;
         }
     }
     assert!(attempts.len() > 200, "{}", attempts.len());
@@ -193,7 +195,7 @@
 #[test]
 fn requests_get_one_answer_in_time_while_settings_change_under_load() {
     // Two engines now and then lose a connection with everything that is open on it.
-    let engines: Vec<(SocketAddr, Seen)> = (0..4)
+    let engines: Vec<(SocketAddr, RecordedLines)> = (0..4)
         .map(|nth| {
             let latency = Duration::from_millis(4 + 3 * nth);
             slow_engine_that_hangs_up(latency, move |fetch| nth < 2 && fetch % 23 == 22)
@@ -211,7 +213,7 @@
     let changer = spawn_changer(at, stop.clone(), attempted.clone());
     let drains = spawn_drain_toggler(addresses, gateway.name_answer.clone(), stop.clone());
     let clients: Vec<_> = (0..CLIENTS)
-        .map(|number| spawn_client(number, Client::of(&gateway), attempted.clone()))
+        .map(|number| spawn_client(number, Client::connect(&gateway), attempted.clone()))
         .collect();
     let results: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
     stop.store(true, Ordering::Relaxed);
--- a/crates/gateway/tests/manage/class_removal.rs
+++ b/crates/gateway/tests/manage/class_removal.rs
@@ -1,7 +1,7 @@
 //! A class is deleted and created again while its requests are in flight.
 
 use crate::managed::{connect, delete, get, managed_gateway, runtime, set, GnmiClient};
-use ironstair_test_cluster::stub::{done, engine, soon, Client};
+use ironstair_test_cluster::stub::{becomes_true, done_reply, start_engine, Client};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,14 +20,14 @@
 fn held_engine() -> (SocketAddr, Arc<AtomicBool>) {
     let is_open = Arc::new(AtomicBool::new(false));
     let opened = is_open.clone();
-    let (address, _) = engine(move |line, _| {
+    let (address, _) = start_engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
         while !opened.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(2));
         }
-        (done(line, "a\tb\tc\n"), false)
+        (done_reply(line, "a\tb\tc\n"), false)
     });
     (address, is_open)
 }
@@ -36,7 +36,7 @@
 /// gateway reads after the class was deleted is rejected.
 fn await_twelve_running(rt: &Runtime, client: &mut GnmiClient) {
     let mut state = Value::Null;
-    let all_accepted = soon(|| {
+    let all_accepted = becomes_true(|| {
         state = rt.block_on(get(client, REPORT_STATE)).unwrap();
         state["ironstair-gateway:taken"] == "12"
     });
@@ -49,7 +49,7 @@
 fn assert_running_finish_and_later_rejected(asker: &mut Client, deleted_at: Instant) {
     let (mut finished, mut rejected) = (BTreeSet::new(), BTreeMap::new());
     while finished.len() + rejected.len() < 17 {
-        let reply = asker.hear();
+        let reply = asker.receive();
         let call = reply["id"].as_u64().unwrap();
         let is_first = match reply["error"]["code"].as_i64() {
             None => finished.insert(call),
@@ -78,13 +78,13 @@
     let (gateway, at) = managed_gateway("case-2", &[("e1", at_engine)]);
     let rt = runtime();
     let mut client = rt.block_on(connect(at));
-    let mut asker = Client::of(&gateway);
-    (1..=12).for_each(|call| asker.ask_in("report", call));
+    let mut asker = Client::connect(&gateway);
+    (1..=12).for_each(|call| asker.send_call_of_class("report", call));
     await_twelve_running(&rt, &mut client);
 
     rt.block_on(delete(&mut client, REPORT_SETTINGS)).unwrap();
     let deleted_at = Instant::now();
-    (101..=105).for_each(|call| asker.ask_in("report", call));
+    (101..=105).for_each(|call| asker.send_call_of_class("report", call));
     engine_is_open.store(true, Ordering::Relaxed);
 
     assert_running_finish_and_later_rejected(&mut asker, deleted_at);
@@ -106,6 +106,6 @@
     );
     rt.block_on(set(&mut client, REPORT_SETTINGS, report_class(4)))
         .unwrap();
-    asker.ask_in("report", 200);
-    assert_eq!(asker.rows().0, 200);
+    asker.send_call_of_class("report", 200);
+    assert_eq!(asker.receive_rows().0, 200);
 }
--- a/crates/gateway/tests/manage/confirmed_commit.rs
+++ b/crates/gateway/tests/manage/confirmed_commit.rs
@@ -47,7 +47,7 @@
     gateway.process.kill().unwrap();
     gateway.process.wait().unwrap();
     std::fs::write(&journal, &bytes[..bytes.len() - 7]).unwrap();
-    gateway.again();
+    gateway.restart();
 }
 
 /// A commit of 1 s, prolonged to 2 s, is in force after 1.3 s and rolled back after 2.3 s.
@@ -77,7 +77,7 @@
         assert_failed_precondition(&mut client, request).await;
     });
     assert_eq!(rt.block_on(objective(at)), json!(800));
-    gateway.again();
+    gateway.restart();
     assert_eq!(
         rt.block_on(objective(at)),
         json!(900),
@@ -92,7 +92,7 @@
             .unwrap();
         send_set(&mut client, confirmation("c2")).await.unwrap();
     });
-    gateway.again();
+    gateway.restart();
     assert_eq!(rt.block_on(objective(at)), json!(700), "confirmed, kept");
 
     // The revision before the torn record comes into force.
--- a/crates/gateway/tests/manage/persistence.rs
+++ b/crates/gateway/tests/manage/persistence.rs
@@ -56,15 +56,15 @@
         assert!(refused.message().contains("was not made"), "{refused:?}");
         let advice = get(&mut client, "/settings/advice").await.unwrap();
         assert_eq!(advice, json!(0));
-        let mut asker = Client::of(&gateway);
-        asker.ask(1);
-        assert_eq!(asker.rows().0, 1);
+        let mut asker = Client::connect(&gateway);
+        asker.send_call(1);
+        assert_eq!(asker.receive_rows().0, 1);
         std::fs::remove_file(gateway.dir.join("state/revisions.new")).unwrap();
         set(&mut client, "/settings/advice", json!(10))
             .await
             .unwrap();
     });
-    gateway.again();
+    gateway.restart();
     let persisted = rt.block_on(async { get(&mut connect(at).await, "/settings/advice").await });
     assert_eq!(persisted.unwrap(), json!(10));
 }
@@ -87,8 +87,8 @@
 
     gateway.signal("-HUP");
     assert_eq!(fleet_size(), json!(5), "a signal changes no settings");
-    gateway.again();
+    gateway.restart();
     assert_eq!(fleet_size(), json!(8));
-    gateway.again();
+    gateway.restart();
     assert_eq!(fleet_size(), json!(8), "and so it stays");
 }
--- a/crates/gateway/tests/manage/process.rs
+++ b/crates/gateway/tests/manage/process.rs
@@ -1,7 +1,9 @@
 //! Threads, descriptors and log lines of the gateway's process.
 
 use crate::managed::{classes, connect, get, managed_gateway, runtime};
-use ironstair_test_cluster::stub::{config, own_address, started, Client};
+use ironstair_test_cluster::stub::{
+    allocate_address, gateway_config, start_gateway_with_config, Client,
+};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
@@ -29,10 +31,10 @@
 #[test]
 fn management_without_the_operators_file_has_no_thread_and_no_descriptor() {
     let (managed, at) = managed_gateway("holds-with", &[]);
-    let (config, name_answer) = config(1, classes(), &[]);
-    let unmanaged = started("holds-without", config, name_answer, None);
-    Client::of(&managed).ask(1);
-    Client::of(&unmanaged).ask(1);
+    let (config, name_answer) = gateway_config(1, classes(), &[]);
+    let unmanaged = start_gateway_with_config("holds-without", config, name_answer, None);
+    Client::connect(&managed).send_call(1);
+    Client::connect(&unmanaged).send_call(1);
     runtime().block_on(async { get(&mut connect(at).await, "/settings").await.unwrap() });
 
     let with = ProcessResources::of(managed.process.id());
@@ -51,8 +53,8 @@
 
 #[test]
 fn log_as_json_lines_has_stable_keys() {
-    let (config, name_answer) = config(1, classes(), &[]);
-    let gateway = started("log-json", config, name_answer, None);
+    let (config, name_answer) = gateway_config(1, classes(), &[]);
+    let gateway = start_gateway_with_config("log-json", config, name_answer, None);
     let path = gateway.dir.join("other.json");
     let serve = || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ironstair"));
@@ -66,7 +68,7 @@
     );
     let config = std::fs::read_to_string(gateway.dir.join("told.json")).unwrap();
     let mut config: Value = serde_json::from_str(&config).unwrap();
-    config["listen"] = json!(own_address().to_string());
+    config["listen"] = json!(allocate_address().to_string());
     std::fs::write(&path, config.to_string()).unwrap();
 
     let mut process = serve().stderr(Stdio::piped()).spawn().unwrap();
--- a/crates/gateway/tests/manage/stalled_subscribers.rs
+++ b/crates/gateway/tests/manage/stalled_subscribers.rs
@@ -69,8 +69,8 @@
         loop {
             traffic.calls += 1;
             let asked_at = Instant::now();
-            asker.ask(traffic.calls);
-            assert_eq!(asker.rows().0, traffic.calls);
+            asker.send_call(traffic.calls);
+            assert_eq!(asker.receive_rows().0, traffic.calls);
             traffic.slowest = traffic.slowest.max(asked_at.elapsed());
             if stop.load(Ordering::Relaxed) {
                 return traffic;
@@ -158,7 +158,7 @@
     let (at_engine, _) = slow_engine(Duration::from_millis(1));
     let (gateway, at) = managed_gateway("case-3", &[("e1", at_engine)]);
     let stop = Arc::new(AtomicBool::new(false));
-    let traffic = spawn_traffic(Client::of(&gateway), stop.clone());
+    let traffic = spawn_traffic(Client::connect(&gateway), stop.clone());
 
     runtime().block_on(async {
         let before = resident_kib(gateway.process.id());
--- a/crates/gateway/tests/manage/support.rs
+++ b/crates/gateway/tests/manage/support.rs
@@ -2,7 +2,7 @@
 
 use crate::managed::{path, path_text, subscription_list_request};
 use ironstair_gnmi::proto::gnmi::{self, TypedValue};
-use ironstair_test_cluster::stub::{done, engine, Seen};
+use ironstair_test_cluster::stub::{done_reply, start_engine, RecordedLines};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// An engine that answers each fetch after `latency`, and records the lines that it received.
-pub(crate) fn slow_engine(latency: Duration) -> (SocketAddr, Seen) {
+pub(crate) fn slow_engine(latency: Duration) -> (SocketAddr, RecordedLines) {
     slow_engine_that_hangs_up(latency, |_| false)
 }
 
@@ -19,9 +19,9 @@
 pub(crate) fn slow_engine_that_hangs_up(
     latency: Duration,
     hangs_up: impl Fn(usize) -> bool + Send + Sync + 'static,
-) -> (SocketAddr, Seen) {
+) -> (SocketAddr, RecordedLines) {
     let fetches = AtomicUsize::new(0);
-    engine(move |line, _| {
+    start_engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
@@ -29,7 +29,7 @@
         if hangs_up(fetches.fetch_add(1, Ordering::Relaxed)) {
             return (Vec::new(), true);
         }
-        (done(line, "a\tb\tc\n"), false)
+        (done_reply(line, "a\tb\tc\n"), false)
     })
 }
 
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -6,7 +6,7 @@
     self, subscribe_request, typed_value, SubscriptionMode, TypedValue,
 };
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Extension};
-use ironstair_test_cluster::stub::{config, started, Gateway};
+use ironstair_test_cluster::stub::{gateway_config, start_gateway_with_config, Gateway};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
     engines: &[(&str, SocketAddr)],
     edit: impl FnOnce(&mut Value, &Path),
 ) -> (Gateway, SocketAddr) {
-    let (config, name_answer) = config(1, classes(), engines);
+    let (config, name_answer) = gateway_config(1, classes(), engines);
     let listen: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
     let at = SocketAddr::new(listen.ip(), GNMI_PORT);
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
@@ -53,7 +53,10 @@
         json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
     std::fs::create_dir_all(&dir).unwrap();
     edit(&mut operator, &dir);
-    (started(test, config, name_answer, Some(operator)), at)
+    (
+        start_gateway_with_config(test, config, name_answer, Some(operator)),
+        at,
+    )
 }
 
 /// As [`managed_gateway_with`], with the operator's file as it is.
--- a/crates/gateway/tests/pinned_forms/printed_json.rs
+++ b/crates/gateway/tests/pinned_forms/printed_json.rs
@@ -6,7 +6,7 @@
 };
 use crate::FORMS;
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
-use ironstair_test_cluster::stub::{done, engine};
+use ironstair_test_cluster::stub::{done_reply, start_engine};
 use serde_json::{json, Map, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
 
 #[test]
 fn get_and_revisions_print_the_pinned_json() {
-    let (at_engine, _) = engine(|line, _| (done(line, "a\tb\tc\n"), false));
+    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
     let (_gateway, address) = managed_gateway("pinned-get", &[("e1", at_engine)]);
     let at = address.to_string();
     let json_of = |args: &[&str]| -> Value {
--- a/crates/gateway/tests/pinned_forms/snapshot_file.rs
+++ b/crates/gateway/tests/pinned_forms/snapshot_file.rs
@@ -2,13 +2,13 @@
 
 use crate::managed::managed_gateway_with;
 use ironstair_test_cluster::cluster::wait_until;
-use ironstair_test_cluster::stub::{answer, done, engine};
+use ironstair_test_cluster::stub::{done_reply, engine_list_answer, start_engine};
 use serde_json::json;
 use std::path::PathBuf;
 
 #[test]
 fn snapshot_for_the_next_process_is_in_the_pinned_file() {
-    let (at_engine, _) = engine(|line, _| (done(line, "a\tb\tc\n"), false));
+    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
     let mut folder = PathBuf::new();
     let engines = [("e1", at_engine)];
     let (gateway, _) = managed_gateway_with("pinned-kept", &engines, |operator, dir| {
@@ -24,7 +24,7 @@
         ironstair_recovery::decode(&bytes).unwrap()
     };
 
-    *gateway.name_answer.lock().unwrap() = answer(2, &[("e1", at_engine, 0)]);
+    *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &[("e1", at_engine, 0)]);
     wait_until("it is written", || file_names() == ["gateway.kept"]);
     wait_until("with its engine", || snapshot().engines.len() == 1);
 
--- a/crates/gateway/tests/recovery/disaster_recovery.rs
+++ b/crates/gateway/tests/recovery/disaster_recovery.rs
@@ -56,14 +56,14 @@
     assert!(cluster
         .log(2)
         .contains("disaster recovery done, new cluster generation begins"));
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
     cluster.wait_until_all_vote(3);
     cluster.set(4, &[MAX_ATTEMPTS, "3"]).assert_success();
     wait_until_all_fit_with_max_attempts(&cluster, &json!(3));
     cluster
         .cli(2, &["fleet", "begin-anew"])
         .assert_refused_with("is the leader: the fleet's state is not lost");
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 /// Against two generations of the same number, of which neither supersedes the other: they would stay two fleets.
@@ -118,11 +118,11 @@
             .log(2)
             .contains("the log belongs to gateway g2 of fleet")
     });
-    cluster.wait_for_answers_at(0, AnswerKind::Settled, 100);
+    cluster.wait_for_answers_at(0, AnswerKind::Rows, 100);
     cluster.wipe_disk(2);
     cluster.start(2);
     cluster.wait_until_fit(2);
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 /// Kills a majority of the voters, which their operator believes lost, begins a new generation without them, and
@@ -158,7 +158,7 @@
     });
     cluster.wait_until_all_vote(3);
     wait_until_all_fit_with_max_attempts(&cluster, &json!(2));
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
--- a/crates/gateway/tests/recovery/restarts.rs
+++ b/crates/gateway/tests/recovery/restarts.rs
@@ -40,10 +40,10 @@
         killed.iter().for_each(|gateway| cluster.start(*gateway));
         cluster.wait_until_all_fit();
         for gateway in 0..cluster.size() {
-            cluster.wait_for_answers_at(gateway, AnswerKind::Settled, 20);
+            cluster.wait_for_answers_at(gateway, AnswerKind::Rows, 20);
         }
     }
-    cluster.finish();
+    cluster.stop_load_and_check();
 }
 
 #[test]
@@ -63,8 +63,8 @@
         .into_iter()
         .for_each(|gateway| cluster.resume(gateway));
     cluster.wait_until_all_fit();
-    cluster.wait_for_answers(AnswerKind::Settled, 200);
-    cluster.finish();
+    cluster.wait_for_answers(AnswerKind::Rows, 200);
+    cluster.stop_load_and_check();
 }
 
 /// Kills gateway 3 as soon as it listens, then as soon as it is fit, three times.
@@ -76,6 +76,6 @@
         cluster.kill(3);
         cluster.start(3);
         cluster.wait_until_fit(3);
-        cluster.wait_for_answers_at(0, AnswerKind::Settled, 20);
+        cluster.wait_for_answers_at(0, AnswerKind::Rows, 20);
     }
 }
--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -2,7 +2,7 @@
 
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
-use ironstair_test_cluster::stub::{self, answer, engine, Client};
+use ironstair_test_cluster::stub::{self, engine_list_answer, start_engine, Client};
 use serde_json::{json, Value};
 use std::fs;
 use std::net::SocketAddr;
@@ -24,20 +24,20 @@
 /// Starts it with a snapshot folder, or without.
 fn start_discovering_gateway(test: &str, folder: Option<&Path>) -> DiscoveringGateway {
     let settle = |line: &str, _: &str| match line.starts_with("fetch") {
-        true => (stub::done(line, "a\tb\tc\n"), false),
+        true => (stub::done_reply(line, "a\tb\tc\n"), false),
         false => (Vec::new(), false),
     };
-    let (ready_engine, _) = engine(settle);
-    let (draining_engine, _) = engine(settle);
+    let (ready_engine, _) = start_engine(settle);
+    let (draining_engine, _) = start_engine(settle);
     let classes = json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}]);
-    let (mut config, name_answer) = stub::config(1, classes, &[]);
+    let (mut config, name_answer) = stub::gateway_config(1, classes, &[]);
     config["known"] = json!({"rev": 0, "notices": []});
     let mut operator = json!({"management": {"listen": management_address(&config)}});
     if let Some(folder) = folder {
         operator["recovery"] = json!({"state": folder});
     }
     DiscoveringGateway {
-        gateway: stub::started(test, config, name_answer, Some(operator)),
+        gateway: stub::start_gateway_with_config(test, config, name_answer, Some(operator)),
         ready_engine,
         draining_engine,
     }
@@ -51,8 +51,8 @@
 
 /// The leaves below a path of a gateway's tree, by the command line; null where it answers none.
 fn leaves(gateway: &stub::Gateway, path: &str) -> Value {
-    let management = SocketAddr::new(gateway.at.ip(), gateway.at.port() + 1).to_string();
-    let output = Command::new(stub::binary())
+    let management = SocketAddr::new(gateway.address.ip(), gateway.address.port() + 1).to_string();
+    let output = Command::new(stub::gateway_binary())
         .args(["get", path, "--json", "--at", &management])
         .output()
         .unwrap();
@@ -61,9 +61,9 @@
 
 /// Whether a call is settled; otherwise it was given up.
 fn is_settled(gateway: &stub::Gateway, call: u64) -> bool {
-    let mut client = Client::of(gateway);
-    client.ask(call);
-    client.hear()["result"].is_object()
+    let mut client = Client::connect(gateway);
+    client.send_call(call);
+    client.receive()["result"].is_object()
 }
 
 #[test]
@@ -72,7 +72,7 @@
     for has_folder in [true, false] {
         let test = format!("remembers-{has_folder}");
         let mut started = start_discovering_gateway(&test, has_folder.then_some(folder.path()));
-        *started.gateway.name_answer.lock().unwrap() = answer(
+        *started.gateway.name_answer.lock().unwrap() = engine_list_answer(
             7,
             &[
                 ("e1", started.ready_engine, READY),
@@ -92,7 +92,7 @@
         });
         // The name service answers no list any more.
         started.gateway.name_answer.lock().unwrap().clear();
-        started.gateway.again();
+        started.gateway.restart();
         assert_eq!(
             is_settled(&started.gateway, 2),
             has_folder,
@@ -145,7 +145,7 @@
         cluster.start(0);
         cluster.wait_until_fit(0);
         cluster.start_load();
-        cluster.wait_for_answers(AnswerKind::Settled, 30);
+        cluster.wait_for_answers(AnswerKind::Rows, 30);
         let logged = |text: &str| cluster.log(0).matches(text).count();
         match name {
             "file" => wait_until("the failed write is logged once", || {
@@ -161,7 +161,7 @@
                 folder.join(SNAPSHOT_FILE).exists()
             }),
         }
-        cluster.finish();
+        cluster.stop_load_and_check();
     }
 }
 
@@ -182,19 +182,20 @@
 #[test]
 fn keys_are_quarantined_after_a_kill_and_not_after_a_clean_end() {
     let folder = tempfile::tempdir().unwrap();
-    let (mut config, name_answer) = stub::config(1, json!([]), &[]);
+    let (mut config, name_answer) = stub::gateway_config(1, json!([]), &[]);
     let class = json!({"name": "post", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "side_effect", "worth": 1.0,
         "by_arrival": true});
     config["settings"]["classes"] = json!([class]);
     config["settings"]["family_info"]["threads_by_class"] = json!([1]);
     config["settings"]["guarantees"]["settle_after_doubt_ns"] = json!(60e9);
-    let (engine_address, _) = engine(|_, _| (Vec::new(), false));
-    *name_answer.lock().unwrap() = answer(7, &[("e1", engine_address, READY)]);
+    let (engine_address, _) = start_engine(|_, _| (Vec::new(), false));
+    *name_answer.lock().unwrap() = engine_list_answer(7, &[("e1", engine_address, READY)]);
     let operator = json!({
         "management": {"listen": management_address(&config)},
         "recovery": {"state": folder.path()},
     });
-    let mut gateway = stub::started("keys-rest", config, name_answer, Some(operator));
+    let mut gateway =
+        stub::start_gateway_with_config("keys-rest", config, name_answer, Some(operator));
     assert!(
         quarantines_keys(&gateway),
         "nothing is known of a process before the first"
@@ -207,7 +208,7 @@
             gateway.signal("-TERM");
             gateway.process.wait().unwrap();
         }
-        gateway.again();
+        gateway.restart();
         assert_eq!(
             quarantines_keys(&gateway),
             !ends_cleanly,
@@ -215,8 +216,8 @@
         );
     }
     // The last process is killed before it can write a snapshot. The folder holds that of the process before it.
-    gateway.again();
-    gateway.again();
+    gateway.restart();
+    gateway.restart();
     assert!(
         quarantines_keys(&gateway),
         "a snapshot of the process before the last one is no evidence"
--- a/crates/gateway/tests/serve/client_calls.rs
+++ b/crates/gateway/tests/serve/client_calls.rs
@@ -4,7 +4,9 @@
     assert_closed, call_with_fields, cancellation, engine_with_latency, engine_with_rows,
     health_check, ROW,
 };
-use ironstair_test_cluster::stub::{self, done, engine, framed, soon, Client, Seen};
+use ironstair_test_cluster::stub::{
+    self, becomes_true, done_reply, framed, start_engine, Client, RecordedLines,
+};
 use serde_json::{json, Value};
 use std::io::Write;
 use std::time::Duration;
@@ -15,62 +17,66 @@
     call_with_fields(call, "lookup", fields)
 }
 
-fn last_line(seen: &Seen) -> String {
+fn last_line(seen: &RecordedLines) -> String {
     seen.lock().unwrap().last().unwrap().clone()
 }
 
 #[test]
 fn ambiguous_calls_are_refused() {
     let (at, seen) = engine_with_latency(Duration::from_millis(500));
-    let gateway = stub::gateway("head", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
-    let mut other = Client::of(&gateway);
-    client.ask(1);
-    assert!(soon(|| seen.lock().unwrap().len() == 1));
+    let gateway = stub::start_gateway("head", &[("e1", at)]);
+    let mut client = Client::connect(&gateway);
+    let mut other = Client::connect(&gateway);
+    client.send_call(1);
+    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
 
-    other.say(&duplicate_request(5));
-    assert_eq!(other.hear()["error"]["code"], -32602, "an id in use");
+    other.send(&duplicate_request(5));
+    assert_eq!(other.receive()["error"]["code"], -32602, "an id in use");
     let refused_and_cancelled = framed(&duplicate_request(6)) + &framed(&cancellation(6));
     let socket = other.0.get_mut();
     socket.write_all(refused_and_cancelled.as_bytes()).unwrap();
-    assert_eq!(client.rows().0, 1, "another client cannot cancel it");
+    assert_eq!(
+        client.receive_rows().0,
+        1,
+        "another client cannot cancel it"
+    );
 
-    client.ask(1);
-    assert!(soon(|| seen.lock().unwrap().len() == 2));
-    client.ask(1);
-    let refused = client.hear();
+    client.send_call(1);
+    assert!(becomes_true(|| seen.lock().unwrap().len() == 2));
+    client.send_call(1);
+    let refused = client.receive();
     assert_eq!(
         (&refused["error"]["code"], &refused["id"]),
         (&json!(-32600), &Value::Null),
         "a call number in use"
     );
     assert_closed(&mut client);
-    assert!(soon(|| last_line(&seen) == "abort 0000000000000001"));
+    assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
 
-    other.ask(2);
+    other.send_call(2);
     let socket = other.0.get_mut();
     socket.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(other.hear()["error"]["code"], -32700);
+    assert_eq!(other.receive()["error"]["code"], -32700);
     assert_closed(&mut other);
 }
 
 #[test]
 fn cancelled_call_is_withdrawn_and_never_answered() {
-    let (at, seen) = engine(|line, _| match line.ends_with("prio=9") {
-        true => (done(line, ""), false),
+    let (at, seen) = start_engine(|line, _| match line.ends_with("prio=9") {
+        true => (done_reply(line, ""), false),
         false => (Vec::new(), false),
     });
-    let gateway = stub::gateway("interrupt", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
-    client.ask(1);
-    assert!(soon(|| seen.lock().unwrap().len() == 1));
+    let gateway = stub::start_gateway("interrupt", &[("e1", at)]);
+    let mut client = Client::connect(&gateway);
+    client.send_call(1);
+    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
 
-    client.say(&cancellation(1));
+    client.send(&cancellation(1));
 
-    assert!(soon(|| last_line(&seen) == "abort 0000000000000001"));
-    client.say(&health_check(2));
+    assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
+    client.send(&health_check(2));
     assert_eq!(
-        client.hear(),
+        client.receive(),
         json!({"jsonrpc": "2.0", "id": 2, "result": {"fit": true}})
     );
 }
@@ -78,30 +84,30 @@
 #[test]
 fn malformed_calls_are_refused_and_the_connection_serves_on() {
     let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::gateway("faults", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
+    let gateway = stub::start_gateway("faults", &[("e1", at)]);
+    let mut client = Client::connect(&gateway);
     let short_id = call_with_fields(2, "lookup", r#""id":"short","wait":9,"bytes":"""#);
     for (call, code) in [
         ("{\"id\":", -32700),
         (r#"{"jsonrpc":"2.0","id":1,"method":"drop"}"#, -32601),
         (&short_id, -32602),
     ] {
-        client.say(call);
-        assert_eq!(client.hear()["error"]["code"], code);
+        client.send(call);
+        assert_eq!(client.receive()["error"]["code"], code);
     }
     let statement = "QUJD".repeat(30_000);
     let fields = format!(r#""id":"{:016x}","wait":4000,"bytes":"{statement}""#, 3);
-    client.say(&call_with_fields(3, "lookup", &fields));
-    assert_eq!(client.rows().0, 3, "a statement of many buffers");
-    client.ask(4);
-    assert_eq!(client.rows().0, 4);
+    client.send(&call_with_fields(3, "lookup", &fields));
+    assert_eq!(client.receive_rows().0, 3, "a statement of many buffers");
+    client.send_call(4);
+    assert_eq!(client.receive_rows().0, 4);
 }
 
 #[test]
 fn calls_with_invalid_numbers_are_refused_and_never_sent() {
     // A number that cannot be read must not be treated as missing, and the call be served.
     let (at, seen) = engine_with_rows(ROW);
-    let gateway = stub::gateway("rude-calls", &[("e1", at)]);
+    let gateway = stub::start_gateway("rude-calls", &[("e1", at)]);
     for fields in [
         r#""wait":-1,"bytes":"""#,
         r#""wait":0,"bytes":"""#,
@@ -112,10 +118,10 @@
         r#""wait":400,"bytes":"","retry":[]"#,
         r#""wait":400"#,
     ] {
-        let mut client = Client::of(&gateway);
+        let mut client = Client::connect(&gateway);
         let fields = format!(r#""id":"00000000000000aa",{fields}"#);
-        client.say(&call_with_fields(1, "lookup", &fields));
-        assert_eq!(client.hear()["error"]["code"], -32602, "{fields}");
+        client.send(&call_with_fields(1, "lookup", &fields));
+        assert_eq!(client.receive()["error"]["code"], -32602, "{fields}");
     }
     assert!(seen.lock().unwrap().is_empty());
 }
--- a/crates/gateway/tests/serve/client_connections.rs
+++ b/crates/gateway/tests/serve/client_connections.rs
@@ -11,11 +11,11 @@
 fn connect_silent_beside_usual(gateway: &Gateway) -> Vec<Client> {
     let mut silent = Vec::new();
     for nth in 0..600 {
-        silent.push(Client::of(gateway));
+        silent.push(Client::connect(gateway));
         if nth % 100 == 99 {
-            let mut usual = Client::of(gateway);
-            usual.ask(nth);
-            assert_eq!(usual.rows().0, nth);
+            let mut usual = Client::connect(gateway);
+            usual.send_call(nth);
+            assert_eq!(usual.receive_rows().0, nth);
         }
     }
     silent
@@ -24,23 +24,23 @@
 #[test]
 fn silent_incomplete_and_flooding_clients_are_closed_and_usual_ones_served() {
     let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::gateway("rude", &[("e1", at)]);
+    let gateway = stub::start_gateway("rude", &[("e1", at)]);
     let started_at = Instant::now();
-    let mut incomplete = Client::of(&gateway);
+    let mut incomplete = Client::connect(&gateway);
     let socket = incomplete.0.get_mut();
     socket.write_all(b"Content-Length: 90\r\n\r\n{").unwrap();
 
     for mut client in connect_silent_beside_usual(&gateway) {
         assert_eq!(client.0.read(&mut [0; 1]).unwrap_or(0), 0);
     }
-    assert_eq!(incomplete.hear()["error"]["code"], -32700);
+    assert_eq!(incomplete.receive()["error"]["code"], -32700);
     let elapsed = started_at.elapsed();
     assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
 
     // The gateway answers a few malformed messages, then closes the connection.
-    let mut flooding = Client::of(&gateway);
+    let mut flooding = Client::connect(&gateway);
     for call in 1..200 {
-        flooding.say(&format!("{call}{}", "|".repeat(100)));
+        flooding.send(&format!("{call}{}", "|".repeat(100)));
     }
     let mut lines = 0;
     while flooding
@@ -57,21 +57,21 @@
 fn each_of_more_clients_than_places_is_answered() {
     // A place must not be taken from a connection whose first call has arrived and is not read yet.
     let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::gateway("crowd", &[("e1", at)]);
-    Client::of(&gateway).ask(9999);
+    let gateway = stub::start_gateway("crowd", &[("e1", at)]);
+    Client::connect(&gateway).send_call(9999);
     for round in 0..2 {
         let first = 1 + 700 * round;
         let calls = first..first + 700;
         let mut clients: Vec<Client> = calls
             .clone()
             .map(|call| {
-                let mut client = Client::of(&gateway);
-                client.ask(call);
+                let mut client = Client::connect(&gateway);
+                client.send_call(call);
                 client
             })
             .collect();
         for (client, call) in clients.iter_mut().zip(calls) {
-            assert_eq!(client.hear()["id"], call);
+            assert_eq!(client.receive()["id"], call);
         }
     }
 }
@@ -79,10 +79,10 @@
 #[test]
 fn client_that_has_closed_its_sending_half_still_receives_its_answer() {
     let (at, _) = engine_with_latency(Duration::from_millis(100));
-    let gateway = stub::gateway("half", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
-    client.ask(1);
+    let gateway = stub::start_gateway("half", &[("e1", at)]);
+    let mut client = Client::connect(&gateway);
+    client.send_call(1);
     client.0.get_mut().shutdown(Shutdown::Write).unwrap();
-    assert_eq!(client.rows().0, 1);
+    assert_eq!(client.receive_rows().0, 1);
     assert_closed(&mut client);
 }
--- a/crates/gateway/tests/serve/name_service.rs
+++ b/crates/gateway/tests/serve/name_service.rs
@@ -1,7 +1,9 @@
 //! The list of engines follows the name service, also a moved or a slow one.
 
 use crate::support::{engine_with_rows, move_name_service};
-use ironstair_test_cluster::stub::{self, answer, name_service, own_address, soon, Client};
+use ironstair_test_cluster::stub::{
+    self, allocate_address, becomes_true, engine_list_answer, start_name_service, Client,
+};
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
 use std::time::Duration;
@@ -18,7 +20,7 @@
 impl Asker {
     fn new(gateway: &stub::Gateway) -> Asker {
         Asker {
-            client: Client::of(gateway),
+            client: Client::connect(gateway),
             last_call: 0,
         }
     }
@@ -26,15 +28,15 @@
     /// The rows of the next call.
     fn ask(&mut self) -> String {
         self.last_call += 1;
-        self.client.ask(self.last_call);
-        let (call, rows) = self.client.rows();
+        self.client.send_call(self.last_call);
+        let (call, rows) = self.client.receive_rows();
         assert_eq!(call, self.last_call);
         String::from_utf8(rows).unwrap()
     }
 
     /// Asks until the rows are these, for five seconds.
     fn receives_soon(&mut self, rows: &str) -> bool {
-        soon(|| self.ask() == rows)
+        becomes_true(|| self.ask() == rows)
     }
 }
 
@@ -42,11 +44,11 @@
 fn engines_follow_the_name_service() {
     let (old, old_seen) = engine_with_rows(OLD_ROW);
     let (new, _) = engine_with_rows(NEW_ROW);
-    let gateway = stub::gateway("names", &[("e1", old)]);
+    let gateway = stub::start_gateway("names", &[("e1", old)]);
     let mut asker = Asker::new(&gateway);
     assert_eq!(asker.ask(), OLD_ROW);
 
-    *gateway.name_answer.lock().unwrap() = answer(2, &[("e1", old, 1), ("e2", new, 0)]);
+    *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &[("e1", old, 1), ("e2", new, 0)]);
     assert!(asker.receives_soon(NEW_ROW));
     let before = old_seen.lock().unwrap().len();
     for _ in 0..10 {
@@ -63,7 +65,7 @@
     assert!(asker.receives_soon(NEW_ROW), "the last good list stays");
 
     // The engine is gone, and another one has its address: requests open with the old one are sent again.
-    *gateway.name_answer.lock().unwrap() = answer(3, &[("e3", old, 0)]);
+    *gateway.name_answer.lock().unwrap() = engine_list_answer(3, &[("e3", old, 0)]);
     assert!(asker.receives_soon(OLD_ROW));
 }
 
@@ -71,7 +73,7 @@
 fn reload_moves_the_name_service_and_nothing_else() {
     let (old, _) = engine_with_rows(OLD_ROW);
     let (new, _) = engine_with_rows(NEW_ROW);
-    let mut gateway = stub::gateway("reload", &[("e1", old)]);
+    let mut gateway = stub::start_gateway("reload", &[("e1", old)]);
     let mut asker = Asker::new(&gateway);
     assert_eq!(asker.ask(), OLD_ROW);
 
@@ -82,12 +84,14 @@
     gateway.signal("-HUP");
     thread::sleep(Duration::from_millis(100));
     for (serial, at, rows) in [(2, new, NEW_ROW), (3, old, OLD_ROW)] {
-        let (names, name_answer) = name_service();
-        gateway.moves(&config, names);
+        let (names, name_answer) = start_name_service();
+        gateway.reload_with_name_service(&config, names);
         thread::sleep(Duration::from_millis(100));
         // The former name service has a higher serial number, and must not be heard any more.
-        *gateway.name_answer.lock().unwrap() = answer(serial + 5, &[("e9", own_address(), 0)]);
-        *name_answer.lock().unwrap() = answer(serial, &[(&format!("e{serial}"), at, 0)]);
+        *gateway.name_answer.lock().unwrap() =
+            engine_list_answer(serial + 5, &[("e9", allocate_address(), 0)]);
+        *name_answer.lock().unwrap() =
+            engine_list_answer(serial, &[(&format!("e{serial}"), at, 0)]);
         assert!(asker.receives_soon(rows));
     }
     assert!(gateway.process.try_wait().unwrap().is_none());
@@ -100,9 +104,9 @@
     thread::spawn(move || {
         let mut query = [0; 512];
         let mut query_ids = Vec::new();
-        let mut malformed = answer(9, &[]);
+        let mut malformed = engine_list_answer(9, &[]);
         malformed.truncate(20);
-        let list = answer(2, &[("e2", engine, 0)]);
+        let list = engine_list_answer(2, &[("e2", engine, 0)]);
         while let Ok((_, from)) = service.recv_from(&mut query) {
             query_ids.push([query[0], query[1]]);
             let _ = service.send_to(&[&query[..2], &malformed].concat(), from);
@@ -119,7 +123,7 @@
     // An answer must not be dropped because the next query has been sent already.
     let (old, _) = engine_with_rows(OLD_ROW);
     let (new, _) = engine_with_rows(NEW_ROW);
-    let gateway = stub::gateway("late", &[("e1", old)]);
+    let gateway = stub::start_gateway("late", &[("e1", old)]);
     let mut asker = Asker::new(&gateway);
     assert_eq!(asker.ask(), OLD_ROW);
     move_name_service(&gateway, late_name_service(new));
--- a/crates/gateway/tests/serve/process.rs
+++ b/crates/gateway/tests/serve/process.rs
@@ -1,7 +1,10 @@
 //! Shutdown, and the size of the process's descriptor table.
 
 use crate::support::{assert_closed, engine_with_rows, health_check, idempotent_class, ROW};
-use ironstair_test_cluster::stub::{self, config, done, engine, id, soon, started, Client};
+use ironstair_test_cluster::stub::{
+    self, becomes_true, done_reply, gateway_config, request_id, start_engine,
+    start_gateway_with_config, Client,
+};
 use serde_json::json;
 use std::net::TcpStream;
 use std::thread;
@@ -10,19 +13,19 @@
 #[test]
 fn shutdown_answers_open_requests_and_ends_with_success() {
     // The second call would take longer than the shutdown, though its client would wait: it is rejected.
-    let (at, seen) = engine(|line, _| {
+    let (at, seen) = start_engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
-        match id(line).ends_with('1') {
-            true => (done(line, ROW), false),
+        match request_id(line).ends_with('1') {
+            true => (done_reply(line, ROW), false),
             false => (Vec::new(), false),
         }
     });
-    let mut gateway = stub::gateway("drain", &[("e1", at)]);
-    let mut client = Client::of(&gateway);
-    let mut idle = Client::of(&gateway);
-    client.ask(1);
-    assert!(soon(|| seen.lock().unwrap().len() == 1));
-    client.ask(2);
+    let mut gateway = stub::start_gateway("drain", &[("e1", at)]);
+    let mut client = Client::connect(&gateway);
+    let mut idle = Client::connect(&gateway);
+    client.send_call(1);
+    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
+    client.send_call(2);
 
     let signalled_at = Instant::now();
     gateway.signal("-TERM");
@@ -30,16 +33,16 @@
     gateway.signal("-HUP");
     gateway.signal("-TERM");
 
-    let mut late = Client::of(&gateway);
-    late.say(&health_check(1));
-    assert_eq!(late.hear()["result"]["fit"], false);
+    let mut late = Client::connect(&gateway);
+    late.send(&health_check(1));
+    assert_eq!(late.receive()["result"]["fit"], false);
     // Idle connections are closed.
     assert_closed(&mut idle);
-    assert_eq!(client.rows().0, 1);
-    assert_eq!(client.hear()["error"]["code"], -32014);
+    assert_eq!(client.receive_rows().0, 1);
+    assert_eq!(client.receive()["error"]["code"], -32014);
     let elapsed = signalled_at.elapsed();
     assert!(elapsed < Duration::from_millis(3700), "{elapsed:?}");
-    let ended = soon(|| TcpStream::connect(gateway.at).is_err());
+    let ended = becomes_true(|| TcpStream::connect(gateway.address).is_err());
     assert!(ended && gateway.process.wait().unwrap().success());
 }
 
@@ -56,12 +59,13 @@
     let (at, _) = engine_with_rows(ROW);
     for (sockets, min_size) in [(json!(384), 384), (json!(1e9), 512)] {
         let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-        let (mut config, name_answer) = config(2, classes, &[("e1", at)]);
+        let (mut config, name_answer) = gateway_config(2, classes, &[("e1", at)]);
         config["limits"] = json!({"memory_mb": 192, "sockets": sockets});
-        let gateway = started(&format!("room-{min_size}"), config, name_answer, None);
-        let mut client = Client::of(&gateway);
-        client.ask(1);
-        assert_eq!(client.rows().0, 1);
+        let gateway =
+            start_gateway_with_config(&format!("room-{min_size}"), config, name_answer, None);
+        let mut client = Client::connect(&gateway);
+        client.send_call(1);
+        assert_eq!(client.receive_rows().0, 1);
         let size = descriptor_table_size(gateway.process.id());
         assert!(size >= min_size, "{size} for {sockets}");
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,7 +1,9 @@
 //! Engines, classes and observations that several test binaries share. Each binary compiles them and uses some of them.
 #![allow(dead_code)]
 
-use ironstair_test_cluster::stub::{done, engine, id, Client, Gateway, Seen};
+use ironstair_test_cluster::stub::{
+    done_reply, request_id, start_engine, Client, Gateway, RecordedLines,
+};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::thread;
@@ -11,35 +13,35 @@
 pub(crate) const ROW: &str = "x\ty\tz\n";
 
 /// An engine that answers every line with these rows.
-pub(crate) fn engine_with_rows(rows: &'static str) -> (SocketAddr, Seen) {
-    engine(move |line, _| (done(line, rows), false))
+pub(crate) fn engine_with_rows(rows: &'static str) -> (SocketAddr, RecordedLines) {
+    start_engine(move |line, _| (done_reply(line, rows), false))
 }
 
 /// An engine that answers every line with one row after `latency`.
-pub(crate) fn engine_with_latency(latency: Duration) -> (SocketAddr, Seen) {
-    engine(move |line, _| {
+pub(crate) fn engine_with_latency(latency: Duration) -> (SocketAddr, RecordedLines) {
+    start_engine(move |line, _| {
         thread::sleep(latency);
-        (done(line, ROW), false)
+        (done_reply(line, ROW), false)
     })
 }
 
 /// An engine that reads and never answers.
-pub(crate) fn silent_engine() -> (SocketAddr, Seen) {
-    engine(|_, _| (Vec::new(), false))
+pub(crate) fn silent_engine() -> (SocketAddr, RecordedLines) {
+    start_engine(|_, _| (Vec::new(), false))
 }
 
 /// An engine that answers every line with a status and no rows, such as `WAIT` or `BROKE`.
-pub(crate) fn engine_with_status(status: &'static str) -> (SocketAddr, Seen) {
-    engine(move |line, _| (status_reply(line, status), false))
+pub(crate) fn engine_with_status(status: &'static str) -> (SocketAddr, RecordedLines) {
+    start_engine(move |line, _| (status_reply(line, status), false))
 }
 
 /// The reply to `line` with this status and no rows.
 pub(crate) fn status_reply(line: &str, status: &str) -> Vec<u8> {
-    format!("{} {status} - 0\r\n\r\n", id(line)).into_bytes()
+    format!("{} {status} - 0\r\n\r\n", request_id(line)).into_bytes()
 }
 
 /// The attempts that an engine received.
-pub(crate) fn fetch_count(seen: &Seen) -> usize {
+pub(crate) fn fetch_count(seen: &RecordedLines) -> usize {
     let seen = seen.lock().unwrap();
     seen.iter().filter(|l| l.starts_with("fetch")).count()
 }
@@ -72,7 +74,7 @@
 /// Replaces the address of the name service in the gateway's configuration file, and reloads it.
 pub(crate) fn move_name_service(gateway: &Gateway, to: SocketAddr) {
     let config = std::fs::read_to_string(gateway.dir.join("told.json")).unwrap();
-    gateway.moves(&config, to);
+    gateway.reload_with_name_service(&config, to);
 }
 
 /// Reads until the gateway has closed the connection.
--- a/crates/gateway/tests/switch/invalid_files.rs
+++ b/crates/gateway/tests/switch/invalid_files.rs
@@ -2,7 +2,7 @@
 
 use crate::reload::{other_settings, LoggedGateway, RELOADED};
 use crate::support::{engine_with_rows, idempotent_class, ROW};
-use ironstair_test_cluster::stub::{config, Client};
+use ironstair_test_cluster::stub::{gateway_config, Client};
 use serde_json::{json, Value};
 
 /// Invalid values by JSON pointer, and the text by which the log names the member.
@@ -55,36 +55,36 @@
 fn invalid_file_leaves_the_settings_unchanged_and_the_log_names_the_member() {
     let (at, _) = engine_with_rows(ROW);
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-    let (config, name_answer) = config(2, classes, &[("e1", at)]);
+    let (config, name_answer) = gateway_config(2, classes, &[("e1", at)]);
     let logged = LoggedGateway::start("bad", &config, name_answer, None);
-    let mut client = Client::of(&logged.gateway);
+    let mut client = Client::connect(&logged.gateway);
     let valid = other_settings(&config["settings"]);
     for (pointer, value, named) in invalid_members() {
         let mut invalid = valid.clone();
         *invalid.pointer_mut(pointer).unwrap() = value;
         logged.reload_settings(&config, &invalid);
         assert!(logged.logs_soon(named), "{named}: {:?}", logged.log());
-        client.ask_in("report", 1);
-        assert_eq!(client.rows().0, 1, "{named}");
+        client.send_call_of_class("report", 1);
+        assert_eq!(client.receive_rows().0, 1, "{named}");
     }
     assert_eq!(logged.log_count(RELOADED), 0);
 
     logged.reload_settings(&config, &valid);
     assert!(logged.logs_soon(RELOADED));
-    client.ask_in("load", 2);
-    assert_eq!(client.rows().0, 2);
+    client.send_call_of_class("load", 2);
+    assert_eq!(client.receive_rows().0, 2);
     logged.reload_settings(&config, &config["settings"]);
     assert!(logged.reloads_soon(2));
-    client.ask_in("load", 3);
+    client.send_call_of_class("load", 3);
     assert_eq!(
-        client.hear()["error"]["code"],
+        client.receive()["error"]["code"],
         -32014,
         "out of service again"
     );
 
     // The same file again is no change.
     logged.reload_settings(&config, &config["settings"]);
-    client.ask_in("lookup", 4);
-    assert_eq!(client.rows().0, 4);
+    client.send_call_of_class("lookup", 4);
+    assert_eq!(client.receive_rows().0, 4);
     assert_eq!(logged.log_count(RELOADED), 2);
 }
--- a/crates/gateway/tests/switch/reload.rs
+++ b/crates/gateway/tests/switch/reload.rs
@@ -1,6 +1,6 @@
 //! Other settings, their reload, and a gateway whose log lines are recorded.
 
-use ironstair_test_cluster::stub::{soon, Gateway, NameServiceAnswer, Seen};
+use ironstair_test_cluster::stub::{becomes_true, Gateway, NameServiceAnswer, RecordedLines};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::process::{ChildStderr, Command, Stdio};
@@ -47,7 +47,7 @@
 /// A gateway whose log lines are recorded.
 pub(crate) struct LoggedGateway {
     pub gateway: Gateway,
-    lines: Seen,
+    lines: RecordedLines,
 }
 
 impl LoggedGateway {
@@ -75,7 +75,7 @@
         let lines = record_lines(process.stderr.take().unwrap());
         let gateway = Gateway {
             process,
-            at: config["listen"].as_str().unwrap().parse().unwrap(),
+            address: config["listen"].as_str().unwrap().parse().unwrap(),
             name_answer,
             dir,
         };
@@ -95,12 +95,12 @@
 
     /// Whether a log line contains `text` within five seconds.
     pub(crate) fn logs_soon(&self, text: &str) -> bool {
-        soon(|| self.log_count(text) > 0)
+        becomes_true(|| self.log_count(text) > 0)
     }
 
     /// Whether this number of reloads is applied within five seconds.
     pub(crate) fn reloads_soon(&self, times: usize) -> bool {
-        soon(|| self.log_count(RELOADED) == times)
+        becomes_true(|| self.log_count(RELOADED) == times)
     }
 
     /// All log lines, for the message of a failed assertion.
@@ -109,8 +109,8 @@
     }
 }
 
-fn record_lines(stderr: ChildStderr) -> Seen {
-    let lines = Seen::default();
+fn record_lines(stderr: ChildStderr) -> RecordedLines {
+    let lines = RecordedLines::default();
     let recorded = lines.clone();
     thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
--- a/crates/gateway/tests/switch/reload_under_load.rs
+++ b/crates/gateway/tests/switch/reload_under_load.rs
@@ -3,7 +3,10 @@
 
 use crate::reload::{other_settings, reload_settings};
 use crate::support::{idempotent_class, ROW};
-use ironstair_test_cluster::stub::{config, done, engine, id, soon, started, Client, Gateway};
+use ironstair_test_cluster::stub::{
+    becomes_true, done_reply, gateway_config, request_id, start_engine, start_gateway_with_config,
+    Client, Gateway,
+};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -71,18 +74,18 @@
 }
 
 /// The id under which the engines see a call.
-fn request_id(call: u64) -> String {
+fn id_of_call(call: u64) -> String {
     format!("{call:016x}")
 }
 
 /// An engine that answers after [`SERVICE_TIME`], and records attempts and withdrawals.
 fn recording_engine(zone: &'static str, received: &ReceivedById) -> SocketAddr {
     let received = received.clone();
-    let (address, _) = engine(move |line, _| {
+    let (address, _) = start_engine(move |line, _| {
         record(&received, zone, line);
         thread::sleep(SERVICE_TIME);
         match line.starts_with("fetch") {
-            true => (done(line, ROW), false),
+            true => (done_reply(line, ROW), false),
             false => (Vec::new(), false),
         }
     });
@@ -95,13 +98,13 @@
     if line.starts_with("fetch") {
         let class = line.split("c=").nth(1);
         let class = class.and_then(|rest| rest.split(',').next()).unwrap();
-        let request = received.entry(id(line).to_owned()).or_default();
+        let request = received.entry(request_id(line).to_owned()).or_default();
         request.attempts.push(Attempt {
             zone,
             class: class.to_owned(),
         });
     } else if line.starts_with("abort") {
-        let request = received.entry(id(line).to_owned()).or_default();
+        let request = received.entry(request_id(line).to_owned()).or_default();
         request.withdrawals.push(now);
     }
 }
@@ -129,19 +132,19 @@
 /// are protocol errors, of which a connection may make few; after this the class is known, and only out of service.
 fn make_load_class_known(gateway: &Gateway, config: &Value, second: &Value) {
     // A reload signal before the gateway accepts connections would end it.
-    drop(Client::of(gateway));
+    drop(Client::connect(gateway));
     reload_settings(gateway, config, second);
     let mut attempts = 0;
-    assert!(soon(|| {
+    assert!(becomes_true(|| {
         attempts += 1;
-        let mut client = Client::of(gateway);
-        client.ask_in("load", (1 << 40) + attempts);
-        client.hear()["result"].is_object()
+        let mut client = Client::connect(gateway);
+        client.send_call_of_class("load", (1 << 40) + attempts);
+        client.receive()["result"].is_object()
     }));
 }
 
 fn record_answer(client: &mut Client, answers: &Answers) {
-    let answer = client.hear();
+    let answer = client.receive();
     let kind = match (&answer["result"], answer["error"]["code"].as_i64()) {
         (Value::Object(_), _) => AnswerKind::Rows,
         (_, Some(-32014)) => AnswerKind::Rejected,
@@ -165,8 +168,8 @@
             let first = 1 + client_number * 100_000 + turn * CALLS_PER_TURN;
             for call in first..first + CALLS_PER_TURN {
                 let now = Instant::now();
-                asked_at.lock().unwrap().insert(request_id(call), now);
-                client.ask_in(CLASSES[(call % 3) as usize], call);
+                asked_at.lock().unwrap().insert(id_of_call(call), now);
+                client.send_call_of_class(CLASSES[(call % 3) as usize], call);
             }
             for _ in 0..CALLS_PER_TURN {
                 record_answer(&mut client, &answers);
@@ -237,10 +240,10 @@
 /// Waits until the engines have read the withdrawals: those come by another connection than the next attempt, and may
 /// be read last. The assertions that follow fail if some are missing.
 fn await_withdrawals(answers: &BTreeMap<u64, Vec<AnswerKind>>, received: &ReceivedById) {
-    soon(|| {
+    becomes_true(|| {
         let received = received.lock().unwrap();
         answers.iter().all(|(call, answer)| {
-            let received = received.get(&request_id(*call));
+            let received = received.get(&id_of_call(*call));
             received.is_none_or(|received| received.is_each_withdrawn(answer[0]))
         })
     });
@@ -252,7 +255,7 @@
     asked_at: &BTreeMap<String, Instant>,
 ) {
     for (call, answer) in answers {
-        let request = request_id(*call);
+        let request = id_of_call(*call);
         match received.get(&request) {
             Some(received) => {
                 assert_attempts_allowed(&request, received, answer[0], asked_at[&request]);
@@ -264,7 +267,7 @@
             ),
         }
     }
-    let asked: BTreeSet<String> = answers.keys().map(|call| request_id(*call)).collect();
+    let asked: BTreeSet<String> = answers.keys().map(|call| id_of_call(*call)).collect();
     let of_no_call = received.keys().filter(|request| !asked.contains(*request));
     assert_eq!(of_no_call.count(), 1, "the call before the load alone");
 }
@@ -277,16 +280,16 @@
     let engines = [("e1", "a"), ("e2", "a"), ("e3", "b"), ("e4", "b")]
         .map(|(name, zone)| (name, recording_engine(zone, &received)));
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-    let (mut config, name_answer) = config(2, classes, &engines);
+    let (mut config, name_answer) = gateway_config(2, classes, &engines);
     let (first, second) = settings_with_report_by_zone(&mut config);
-    let gateway = started("switch", config.clone(), name_answer, None);
+    let gateway = start_gateway_with_config("switch", config.clone(), name_answer, None);
     make_load_class_known(&gateway, &config, &second);
     reload_settings(&gateway, &config, &first);
 
     let (answers, asked_at) = (Answers::default(), AskedAt::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let client = Client::of(&gateway);
+            let client = Client::connect(&gateway);
             spawn_client(number, client, answers.clone(), asked_at.clone())
         })
         .collect();
--- a/crates/gateway/tests/switch/unanswered_requests.rs
+++ b/crates/gateway/tests/switch/unanswered_requests.rs
@@ -2,7 +2,10 @@
 
 use crate::reload::LoggedGateway;
 use crate::support::{idempotent_class, ROW};
-use ironstair_test_cluster::stub::{config, done, engine, id, soon, started, Client, Seen, FAILED};
+use ironstair_test_cluster::stub::{
+    becomes_true, done_reply, gateway_config, request_id, start_engine, start_gateway_with_config,
+    Client, RecordedLines, FAILED,
+};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,38 +23,39 @@
 const BEFORE_HARD_LIMIT: Duration = Duration::from_secs(3);
 
 /// An engine that never answers the first attempt of a request with the statement [`HELD`].
-fn holding_engine() -> (SocketAddr, Seen) {
+fn holding_engine() -> (SocketAddr, RecordedLines) {
     let held = Mutex::new(BTreeSet::new());
-    engine(move |line, body| {
-        let is_held = body.starts_with(HELD) && held.lock().unwrap().insert(id(line).to_owned());
+    start_engine(move |line, body| {
+        let is_held =
+            body.starts_with(HELD) && held.lock().unwrap().insert(request_id(line).to_owned());
         match line.starts_with("fetch") && !is_held {
-            true => (done(line, ROW), false),
+            true => (done_reply(line, ROW), false),
             false => (Vec::new(), false),
         }
     })
 }
 
-fn line_count(seen: &Seen, word: &str, call: u64) -> usize {
+fn line_count(seen: &RecordedLines, word: &str, call: u64) -> usize {
     let start = format!("{word} {call:016x}");
     let seen = seen.lock().unwrap();
     seen.iter().filter(|line| line.starts_with(&start)).count()
 }
 
-fn attempt_count(seen: &Seen, call: u64) -> usize {
+fn attempt_count(seen: &RecordedLines, call: u64) -> usize {
     line_count(seen, "fetch", call)
 }
 
 /// Whether the request was sent again, or withdrawn before its hard limit.
-fn was_sent_again_or_withdrawn(seen: &Seen, call: u64, asked_at: Instant) -> bool {
+fn was_sent_again_or_withdrawn(seen: &RecordedLines, call: u64, asked_at: Instant) -> bool {
     let is_withdrawn = line_count(seen, "abort", call) > 0;
     let is_before_limit = asked_at.elapsed() < BEFORE_HARD_LIMIT;
     attempt_count(seen, call) > 1 || is_withdrawn && is_before_limit
 }
 
 /// Sends the held request, and waits until its first attempt has arrived.
-fn ask_held(client: &mut Client, class: &str, call: u64, seen: &Seen) {
-    assert!(client.try_ask_of(class, call, HELD));
-    assert!(soon(|| attempt_count(seen, call) == 1));
+fn ask_held(client: &mut Client, class: &str, call: u64, seen: &RecordedLines) {
+    assert!(client.try_send_statement(class, call, HELD));
+    assert!(becomes_true(|| attempt_count(seen, call) == 1));
 }
 
 /// A client whose answered requests overtake the held one.
@@ -73,8 +77,8 @@
         let end = Instant::now() + time;
         while Instant::now() < end && !condition() {
             self.last_call += 1;
-            self.client.ask_in(class, self.last_call);
-            assert_eq!(self.client.hear()["id"], self.last_call);
+            self.client.send_call_of_class(class, self.last_call);
+            assert_eq!(self.client.receive()["id"], self.last_call);
         }
         condition()
     }
@@ -98,22 +102,22 @@
         class_with_far_objective("lookup", "pure"),
         class_with_far_objective("report", "pure")
     ]);
-    let (config, name_answer) = config(1, idempotent, &[("e1", at)]);
+    let (config, name_answer) = gateway_config(1, idempotent, &[("e1", at)]);
     let mut with_effect = config["settings"].clone();
     with_effect["classes"][1] = class_with_far_objective("report", "side_effect");
     let logged = LoggedGateway::start("held", &config, name_answer, None);
-    let mut waiting = Client::of(&logged.gateway);
-    let mut overtaker = Overtaker::new(Client::of(&logged.gateway));
+    let mut waiting = Client::connect(&logged.gateway);
+    let mut overtaker = Overtaker::new(Client::connect(&logged.gateway));
 
     overtaker.teach_service_time("report");
     ask_held(&mut waiting, "report", 1, &seen);
     let is_sent_again = || attempt_count(&seen, 1) > 1;
     assert!(overtaker.overtake("report", Duration::from_secs(5), is_sent_again));
-    assert_eq!(waiting.rows().0, 1);
+    assert_eq!(waiting.receive_rows().0, 1);
     // A withdrawal comes by another connection than the next attempt: it may be read last.
     let attempts = attempt_count(&seen, 1);
     assert!(
-        soon(|| line_count(&seen, "abort", 1) + 1 >= attempts),
+        becomes_true(|| line_count(&seen, "abort", 1) + 1 >= attempts),
         "each withdrawn but the last"
     );
 
@@ -134,7 +138,7 @@
         "had when accepted"
     );
     assert_eq!(
-        waiting.hear()["error"]["code"],
+        waiting.receive()["error"]["code"],
         FAILED,
         "whether it ran is unknown"
     );
@@ -146,10 +150,10 @@
     // Where an engine is slow with every request, further attempts would only add to its load.
     let (at, seen) = holding_engine();
     let classes = json!([idempotent_class("lookup")]);
-    let (config, name_answer) = config(1, classes, &[("e1", at)]);
-    let gateway = started("not-overtaken", config, name_answer, None);
-    let mut waiting = Client::of(&gateway);
-    Overtaker::new(Client::of(&gateway)).teach_service_time("lookup");
+    let (config, name_answer) = gateway_config(1, classes, &[("e1", at)]);
+    let gateway = start_gateway_with_config("not-overtaken", config, name_answer, None);
+    let mut waiting = Client::connect(&gateway);
+    Overtaker::new(Client::connect(&gateway)).teach_service_time("lookup");
     let asked_at = Instant::now();
     ask_held(&mut waiting, "lookup", 1, &seen);
 
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -4,7 +4,7 @@
 mod managed;
 
 use ironstair_gnmi::proto::gnmi;
-use ironstair_test_cluster::stub::{done, engine, Client};
+use ironstair_test_cluster::stub::{done_reply, start_engine, Client};
 use managed::{
     commit, connect, get, managed_gateway, rollback_after, runtime, send_set, set, set_request,
     update, GnmiClient,
@@ -193,12 +193,12 @@
 fn yanglint_accepts_the_module_and_the_data_of_a_running_gateway() {
     let module = Command::new("yanglint").arg(yang_module()).status();
     assert!(module.unwrap().success());
-    let (at_engine, _) = engine(|line, _| (done(line, "a\tb\tc\n"), false));
+    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
     let (gateway, at) = managed_gateway("yang-data", &[("e1", at_engine)]);
-    let mut asker = Client::of(&gateway);
+    let mut asker = Client::connect(&gateway);
     for call in 1..9 {
-        asker.ask(call);
-        asker.rows();
+        asker.send_call(call);
+        asker.receive_rows();
     }
     runtime().block_on(async {
         let mut client = connect(at).await;
--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -101,8 +101,9 @@
             .map(|_| GatewayAddresses::allocate())
             .collect();
         let gateways = (0..plan.gateway_count).map(|gateway| {
-            let engines = [0, 1]
-                .map(|engine| start_engine(&request_log, gateway, engine, plan.service_time_ms));
+            let engines = [0, 1].map(|engine| {
+                start_recording_engine(&request_log, gateway, engine, plan.service_time_ms)
+            });
             prepare_gateway(test, plan, gateway, &addresses, engines, &dir)
         });
         let gateways = gateways.collect();
@@ -197,25 +198,25 @@
 }
 
 /// Starts a stub engine for one gateway, which records each attempt in the request log and answers it.
-fn start_engine(
+fn start_recording_engine(
     request_log: &RequestLog,
     gateway: usize,
     engine: usize,
     service_time_ms: u64,
 ) -> SocketAddr {
     let request_log = request_log.clone();
-    let (address, _) = stub::engine(move |line, _| {
+    let (address, _) = stub::start_engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
         request_log.record(Observation::AttemptReceived {
             gateway,
             engine,
-            submission: stub::id(line).to_owned(),
+            request_id: stub::request_id(line).to_owned(),
             class: class_of_attempt(line).to_owned(),
         });
         thread::sleep(Duration::from_millis(service_time_ms));
-        (stub::done(line, "a\tb\tc\n"), false)
+        (stub::done_reply(line, "a\tb\tc\n"), false)
     });
     address
 }
--- a/crates/test-cluster/src/cluster/commands.rs
+++ b/crates/test-cluster/src/cluster/commands.rs
@@ -2,7 +2,7 @@
 
 use super::{Cluster, CONDITION_TIMEOUT};
 use crate::invariants::Observation;
-use crate::stub::binary;
+use crate::stub::gateway_binary;
 use std::net::SocketAddr;
 use std::process::Command;
 use std::thread::{self, JoinHandle};
@@ -154,7 +154,7 @@
 }
 
 fn run_command(management: SocketAddr, args: &[&str]) -> CommandOutput {
-    let output = Command::new(binary())
+    let output = Command::new(gateway_binary())
         .args(args)
         .arg("--at")
         .arg(management.to_string())
--- a/crates/test-cluster/src/cluster/config_files.rs
+++ b/crates/test-cluster/src/cluster/config_files.rs
@@ -28,7 +28,7 @@
 impl GatewayAddresses {
     /// Three ports of an address that no other test uses.
     pub(super) fn allocate() -> GatewayAddresses {
-        let clients = stub::own_address();
+        let clients = stub::allocate_address();
         let port_after = |offset| SocketAddr::new(clients.ip(), clients.port() + offset);
         GatewayAddresses {
             clients,
@@ -78,7 +78,7 @@
         let named_engines = [("e1", self.engines[0]), ("e2", self.engines[1])];
         let classes = json!([class(CLASSES[0], "pure"), class(CLASSES[1], "side_effect")]);
         let gateway_count = self.plan.gateway_count as u32;
-        let (mut config, _) = stub::config(gateway_count, classes, &named_engines);
+        let (mut config, _) = stub::gateway_config(gateway_count, classes, &named_engines);
         let seed = SEED_STEP.wrapping_mul(self.gateway as u64 + 1);
         config["name"] = json!(gateway_name(self.gateway));
         config["listen"] = json!(self.addresses[self.gateway].clients.to_string());
--- a/crates/test-cluster/src/cluster/load.rs
+++ b/crates/test-cluster/src/cluster/load.rs
@@ -159,12 +159,12 @@
             .record(Observation::Requested { id, class });
         let table_group = self.calls_sent / 2 % TABLE_GROUP_COUNT;
         let statement = format!("select a from s_{table_group}.t");
-        self.stream.try_ask_of(class, call, &statement)
+        self.stream.try_send_statement(class, call, &statement)
     }
 
     /// Waits for an answer and records it. False if the connection has ended.
     fn receive_answer(&mut self) -> bool {
-        let Some(answer) = self.stream.try_hear() else {
+        let Some(answer) = self.stream.try_receive() else {
             return false;
         };
         let id = self.id(answer["id"].as_u64().unwrap_or(0));
@@ -177,9 +177,9 @@
 
 fn answer_kind(answer: &Value) -> AnswerKind {
     match answer["error"]["code"].as_i64() {
-        None => AnswerKind::Settled,
+        None => AnswerKind::Rows,
         Some(stub::REJECTED) => AnswerKind::Rejected,
         Some(stub::FAILED) => AnswerKind::Failed,
-        Some(_) => AnswerKind::Refused,
+        Some(_) => AnswerKind::OtherError,
     }
 }
--- a/crates/test-cluster/src/cluster/load_control.rs
+++ b/crates/test-cluster/src/cluster/load_control.rs
@@ -17,7 +17,7 @@
     pub fn started_under_load(test: &str, plan: &Plan) -> Cluster {
         let mut cluster = Cluster::started(test, plan);
         cluster.start_load();
-        cluster.wait_for_answers(AnswerKind::Settled, 100);
+        cluster.wait_for_answers(AnswerKind::Rows, 100);
         cluster
     }
 
@@ -74,7 +74,7 @@
     /// If that takes more than 40 seconds.
     pub fn wait_for_answers(&self, kind: AnswerKind, count: usize) {
         let answers = || {
-            let answers = self.request_log.answers();
+            let answers = self.request_log.answer_counts();
             answers.get(&kind).copied().unwrap_or(0)
         };
         let before = answers();
@@ -88,7 +88,7 @@
     ///
     /// If that takes more than 40 seconds.
     pub fn wait_for_answers_at(&self, gateway: usize, kind: AnswerKind, count: usize) {
-        let answers = || self.request_log.answers_to(gateway, kind);
+        let answers = || self.request_log.answer_count_of_client(gateway, kind);
         let before = answers();
         let name = gateway_name(gateway);
         let condition_name = format!("{count} further answers {kind:?} of {name}");
@@ -107,7 +107,7 @@
     /// # Panics
     ///
     /// If the run violates an invariant.
-    pub fn finish(&mut self) -> BTreeMap<AnswerKind, usize> {
+    pub fn stop_load_and_check(&mut self) -> BTreeMap<AnswerKind, usize> {
         let violations = self.stop_load();
         let named: Vec<String> = violations
             .iter()
@@ -120,6 +120,6 @@
             violations.len(),
             named.join("; ")
         );
-        self.request_log.answers()
+        self.request_log.answer_counts()
     }
 }
--- a/crates/test-cluster/src/cluster/process.rs
+++ b/crates/test-cluster/src/cluster/process.rs
@@ -30,7 +30,7 @@
             .open(self.log_path())
             .expect("the gateway's directory is writable");
         let stdout = log.try_clone().expect("a file handle can be duplicated");
-        let mut serve = Command::new(stub::binary());
+        let mut serve = Command::new(stub::gateway_binary());
         serve
             .arg("serve")
             .arg(self.dir.join(CONFIG_FILE))
--- a/crates/test-cluster/src/cluster/state.rs
+++ b/crates/test-cluster/src/cluster/state.rs
@@ -40,11 +40,11 @@
         }
         let mut client = Client(BufReader::new(stream));
         let check = r#"{"jsonrpc":"2.0","id":1,"method":"check","params":{}}"#;
-        if !client.try_say(check) {
+        if !client.try_send(check) {
             return false;
         }
         client
-            .try_hear()
+            .try_receive()
             .is_some_and(|answer| answer["result"]["fit"] == json!(true))
     }
 
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -73,7 +73,7 @@
         /// The engine's index.
         engine: usize,
         /// The request's id on the engines' wire, which all its attempts share.
-        submission: String,
+        request_id: String,
         /// The request's class.
         class: String,
     },
@@ -97,13 +97,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerKind {
     /// Rows.
-    Settled,
+    Rows,
     /// The gateway gave the request up, or didn't accept it.
     Rejected,
     /// The engine reported an error.
     Failed,
     /// Any other error.
-    Refused,
+    OtherError,
 }
 
 /// A broken promise.
@@ -126,7 +126,7 @@
     /// Rule 2: a request that may be executed once reached engines twice.
     DuplicateExecution {
         /// The request's id on the engines' wire.
-        submission: String,
+        request_id: String,
     },
     /// A gateway decided by a policy that the fleet had replaced.
     StalePolicy {
@@ -151,9 +151,9 @@
             Violation::MissingAnswer { client, call } => {
                 write!(formatter, "client {client}: no answer to call {call}")
             }
-            Violation::DuplicateExecution { submission } => write!(
+            Violation::DuplicateExecution { request_id } => write!(
                 formatter,
-                "submission {submission}, which may be executed once, reached engines twice"
+                "request {request_id}, which may be executed once, reached engines twice"
             ),
             Violation::StalePolicy {
                 gateway,
@@ -232,7 +232,7 @@
 struct Checker<'a> {
     exactly_once_classes: &'a [&'a str],
     awaiting_answer: BTreeSet<CallId>,
-    /// Attempts by submission, of the classes that may be executed once.
+    /// Attempts by request id, of the classes that may be executed once.
     attempts: BTreeMap<&'a str, u32>,
     /// Since when a class may not be sent to an engine, by engine and class.
     forbidden_since_ms: BTreeMap<(usize, &'a str), f64>,
@@ -250,11 +250,11 @@
             Observation::AttemptReceived {
                 gateway,
                 engine,
-                submission,
+                request_id,
                 class,
             } => {
                 self.check_policy(*gateway, *engine, class, entry.at_ms);
-                self.check_execution(submission, class);
+                self.check_execution(request_id, class);
             }
             Observation::EngineForbidden { engine, class } => {
                 self.forbidden_since_ms
@@ -286,16 +286,16 @@
         }
     }
 
-    fn check_execution(&mut self, submission: &'a str, class: &str) {
+    fn check_execution(&mut self, request_id: &'a str, class: &str) {
         if !self.exactly_once_classes.contains(&class) {
             return;
         }
-        let attempts = self.attempts.entry(submission).or_default();
+        let attempts = self.attempts.entry(request_id).or_default();
         *attempts += 1;
         // Reported once, however many attempts follow.
         if *attempts == 2 {
             self.found.push(Violation::DuplicateExecution {
-                submission: submission.to_owned(),
+                request_id: request_id.to_owned(),
             });
         }
     }
--- a/crates/test-cluster/src/invariants/request_log.rs
+++ b/crates/test-cluster/src/invariants/request_log.rs
@@ -53,7 +53,7 @@
     }
 
     /// The number of answers by kind, over all clients.
-    pub fn answers(&self) -> BTreeMap<AnswerKind, usize> {
+    pub fn answer_counts(&self) -> BTreeMap<AnswerKind, usize> {
         let mut count_by_kind = BTreeMap::new();
         for entry in self.entries() {
             if let Observation::Answered { kind, .. } = entry.observation {
@@ -64,7 +64,7 @@
     }
 
     /// The number of answers of a kind to one client.
-    pub fn answers_to(&self, client: usize, kind: AnswerKind) -> usize {
+    pub fn answer_count_of_client(&self, client: usize, kind: AnswerKind) -> usize {
         let is_counted = |observation: &Observation| match observation {
             Observation::Answered { id, kind: actual } => id.client == client && *actual == kind,
             _ => false,
--- a/crates/test-cluster/src/invariants/tests.rs
+++ b/crates/test-cluster/src/invariants/tests.rs
@@ -16,15 +16,15 @@
 
 fn answered(call: u64) -> Observation {
     let id = id(call);
-    let kind = AnswerKind::Settled;
+    let kind = AnswerKind::Rows;
     Observation::Answered { id, kind }
 }
 
-fn attempted(submission: &str, engine: usize) -> Observation {
+fn attempted(request_id: &str, engine: usize) -> Observation {
     Observation::AttemptReceived {
         gateway: 2,
         engine,
-        submission: submission.into(),
+        request_id: request_id.into(),
         class: "post".into(),
     }
 }
@@ -81,10 +81,10 @@
 
 #[test]
 fn second_attempt_of_an_exactly_once_class_is_a_duplicate_execution() {
-    let submission = "x".into();
+    let request_id = "x".into();
     assert_violations(
         vec![attempted("x", 0), attempted("x", 1)],
-        &[Violation::DuplicateExecution { submission }],
+        &[Violation::DuplicateExecution { request_id }],
     );
 }
 
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -60,7 +60,7 @@
     /// Sets how often a request is attempted at most.
     MaxAttempts(u64),
     /// No change.
-    Nothing,
+    None,
 }
 
 /// A fault, and a change that is requested halfway through it.
@@ -73,11 +73,11 @@
     /// The change.
     pub change: Change,
     /// The gateway that is asked for the change.
-    pub requested_at: usize,
+    pub request_gateway: usize,
 }
 
 /// The schedule of a seed.
-pub fn generate(seed: u64) -> Vec<Step> {
+pub fn generate_steps(seed: u64) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     (0..STEP_COUNT).map(|_| random_step(&mut random)).collect()
 }
@@ -95,12 +95,12 @@
     let duration_range = FAULT_DURATION_MS.end - FAULT_DURATION_MS.start;
     let duration_ms = FAULT_DURATION_MS.start + below(random, duration_range);
     let change = random_change(random);
-    let requested_at = below(random, GATEWAY_COUNT as u64) as usize;
+    let request_gateway = below(random, GATEWAY_COUNT as u64) as usize;
     Step {
         fault,
         duration_ms,
         change,
-        requested_at,
+        request_gateway,
     }
 }
 
@@ -136,7 +136,7 @@
         0 | 1 => Change::ForbidZoneB(class),
         2 => Change::AllowZoneB(class),
         3 => Change::MaxAttempts(max_attempts),
-        _ => Change::Nothing,
+        _ => Change::None,
     }
 }
 
@@ -145,7 +145,7 @@
 /// # Panics
 ///
 /// If the cluster doesn't recover from a fault in time, or the gateways' settings differ at the end.
-pub fn play(cluster: &mut Cluster, steps: &[Step]) -> usize {
+pub fn run(cluster: &mut Cluster, steps: &[Step]) -> usize {
     let mut player = Player {
         cluster,
         last_wipe: None,
@@ -244,9 +244,9 @@
     }
 
     fn spawn_change(&self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
-        let gateway = step.requested_at;
+        let gateway = step.request_gateway;
         match step.change {
-            Change::Nothing => None,
+            Change::None => None,
             Change::ForbidZoneB(class) => Some(self.cluster.spawn_forbid_zone_b(gateway, class)),
             Change::AllowZoneB(class) => Some(self.cluster.spawn_allow_zone_b(gateway, class)),
             Change::MaxAttempts(max_attempts) => {
--- a/crates/test-cluster/src/schedule/tests.rs
+++ b/crates/test-cluster/src/schedule/tests.rs
@@ -1,11 +1,11 @@
-use super::{generate, Change, Fault, Isolation, Step};
+use super::{generate_steps, Change, Fault, Isolation, Step};
 
-fn step(fault: Fault, duration_ms: u64, change: Change, requested_at: usize) -> Step {
+fn step(fault: Fault, duration_ms: u64, change: Change, request_gateway: usize) -> Step {
     Step {
         fault,
         duration_ms,
         change,
-        requested_at,
+        request_gateway,
     }
 }
 
@@ -25,13 +25,13 @@
             Change::AllowZoneB("post"),
             0,
         ),
-        step(isolate(0, Isolation::Outbound), 994, Change::Nothing, 4),
+        step(isolate(0, Isolation::Outbound), 994, Change::None, 4),
         step(Fault::WipeDisk(1), 1575, Change::ForbidZoneB("lookup"), 0),
-        step(Fault::Delay { gateway, delay_ms }, 798, Change::Nothing, 3),
+        step(Fault::Delay { gateway, delay_ms }, 798, Change::None, 3),
         step(Fault::Pause(4), 1315, Change::MaxAttempts(4), 3),
         step(Fault::Kill(1), 1797, Change::ForbidZoneB("post"), 1),
     ];
-    assert_eq!(generate(7), expected);
+    assert_eq!(generate_steps(7), expected);
 }
 
 #[test]
@@ -46,8 +46,8 @@
             0,
         ),
         step(Fault::Pause(3), 1493, Change::ForbidZoneB("post"), 4),
-        step(Fault::Pause(0), 2599, Change::Nothing, 1),
+        step(Fault::Pause(0), 2599, Change::None, 1),
         step(Fault::WipeDisk(0), 2541, Change::ForbidZoneB("post"), 0),
     ];
-    assert_eq!(generate(1000), expected);
+    assert_eq!(generate_steps(1000), expected);
 }
--- a/crates/test-cluster/src/stub.rs
+++ b/crates/test-cluster/src/stub.rs
@@ -8,22 +8,27 @@
 mod name_service;
 
 pub use client::{framed, Client, FAILED, REJECTED};
-pub use engine::{done, engine, id, Seen};
-pub use gateway::{binary, config, gateway, gateway_among, own_address, serve, started, Gateway};
-pub use late_listener::{Gate, Opened};
-pub use name_service::{answer, name_service, names, NameServiceAnswer};
+pub use engine::{done_reply, request_id, start_engine, RecordedLines};
+pub use gateway::{
+    allocate_address, gateway_binary, gateway_config, spawn_gateway_process, start_gateway,
+    start_gateway_in_fleet, start_gateway_with_config, Gateway,
+};
+pub use late_listener::{FullListener, OpenedListener};
+pub use name_service::{
+    append_domain_name, engine_list_answer, start_name_service, NameServiceAnswer,
+};
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time limit of [`soon`].
-const SOON_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of [`becomes_true`].
+const BECOMES_TRUE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two checks of a condition, or two attempts to connect.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Whether a condition holds within five seconds.
-pub fn soon(mut condition: impl FnMut() -> bool) -> bool {
-    let deadline = Instant::now() + SOON_TIMEOUT;
+pub fn becomes_true(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + BECOMES_TRUE_TIMEOUT;
     while Instant::now() < deadline {
         if condition() {
             return true;
--- a/crates/test-cluster/src/stub/client.rs
+++ b/crates/test-cluster/src/stub/client.rs
@@ -35,10 +35,10 @@
     /// # Panics
     ///
     /// If the gateway doesn't listen within ten seconds.
-    pub fn of(gateway: &Gateway) -> Client {
+    pub fn connect(gateway: &Gateway) -> Client {
         let deadline = Instant::now() + CLIENT_TIMEOUT;
         loop {
-            match TcpStream::connect(gateway.at) {
+            match TcpStream::connect(gateway.address) {
                 Ok(stream) => {
                     stream
                         .set_read_timeout(Some(CLIENT_TIMEOUT))
@@ -56,12 +56,12 @@
     /// # Panics
     ///
     /// If the connection has ended.
-    pub fn say(&mut self, message: &str) {
-        assert!(self.try_say(message), "the connection has ended");
+    pub fn send(&mut self, message: &str) {
+        assert!(self.try_send(message), "the connection has ended");
     }
 
     /// Sends a message. False if the connection has ended.
-    pub fn try_say(&mut self, message: &str) -> bool {
+    pub fn try_send(&mut self, message: &str) -> bool {
         let frame = framed(message);
         self.0.get_mut().write_all(frame.as_bytes()).is_ok()
     }
@@ -71,8 +71,8 @@
     /// # Panics
     ///
     /// If the connection has ended.
-    pub fn ask(&mut self, call: u64) {
-        self.ask_in("lookup", call);
+    pub fn send_call(&mut self, call: u64) {
+        self.send_call_of_class("lookup", call);
     }
 
     /// Calls a class with the statement `select 1`.
@@ -80,19 +80,22 @@
     /// # Panics
     ///
     /// If the connection has ended.
-    pub fn ask_in(&mut self, class: &str, call: u64) {
-        assert!(self.try_ask_in(class, call), "the connection has ended");
+    pub fn send_call_of_class(&mut self, class: &str, call: u64) {
+        assert!(
+            self.try_send_call_of_class(class, call),
+            "the connection has ended"
+        );
     }
 
     /// Calls a class with the statement `select 1`. False if the connection has ended.
-    pub fn try_ask_in(&mut self, class: &str, call: u64) -> bool {
-        self.try_ask_of(class, call, "select 1")
+    pub fn try_send_call_of_class(&mut self, class: &str, call: u64) -> bool {
+        self.try_send_statement(class, call, "select 1")
     }
 
     /// Calls a class with a statement, and a wait of four seconds. False if the connection has ended.
-    pub fn try_ask_of(&mut self, class: &str, call: u64, statement: &str) -> bool {
+    pub fn try_send_statement(&mut self, class: &str, call: u64, statement: &str) -> bool {
         let bytes = STANDARD.encode(statement);
-        self.try_say(&format!(
+        self.try_send(&format!(
             r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"{bytes}"}}}}"#
         ))
     }
@@ -102,12 +105,12 @@
     /// # Panics
     ///
     /// If the connection has ended, or no answer came in time.
-    pub fn hear(&mut self) -> Value {
-        self.try_hear().expect("an answer")
+    pub fn receive(&mut self) -> Value {
+        self.try_receive().expect("an answer")
     }
 
     /// Waits for the next answer. None if the connection has ended, or no answer came in time.
-    pub fn try_hear(&mut self) -> Option<Value> {
+    pub fn try_receive(&mut self) -> Option<Value> {
         let mut header = String::new();
         let count = self.0.read_line(&mut header).ok()?;
         if count == 0 {
@@ -126,8 +129,8 @@
     /// # Panics
     ///
     /// If the next answer is another, or none comes.
-    pub fn rows(&mut self) -> (u64, Vec<u8>) {
-        let answer = self.hear();
+    pub fn receive_rows(&mut self) -> (u64, Vec<u8>) {
+        let answer = self.receive();
         let text = answer["result"]["bytes"]
             .as_str()
             .unwrap_or_else(|| panic!("{answer}"));
--- a/crates/test-cluster/src/stub/engine.rs
+++ b/crates/test-cluster/src/stub/engine.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 /// The lines that an engine received so far, each with its body.
-pub type Seen = Arc<Mutex<Vec<String>>>;
+pub type RecordedLines = Arc<Mutex<Vec<String>>>;
 
 /// Starts an engine that answers each line, given without its end, and its body as `act` says: the bytes to send, and
 /// whether to close the connection after them.
@@ -15,22 +15,22 @@
 /// # Panics
 ///
 /// If no loopback port can be bound. A malformed `fetch` line panics in the connection's thread, which closes it.
-pub fn engine(
+pub fn start_engine(
     act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
-) -> (SocketAddr, Seen) {
+) -> (SocketAddr, RecordedLines) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener
         .local_addr()
         .expect("a bound listener has an address");
-    let seen = Seen::default();
-    answer_all(listener, seen.clone(), act);
-    (address, seen)
+    let recorded_lines = RecordedLines::default();
+    answer_all(listener, recorded_lines.clone(), act);
+    (address, recorded_lines)
 }
 
 /// Accepts connections in a thread and answers their lines. Returns the number of connections accepted so far.
 pub(super) fn answer_all(
     listener: TcpListener,
-    seen: Seen,
+    recorded_lines: RecordedLines,
     act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
 ) -> Arc<AtomicU32> {
     let act = Arc::new(act);
@@ -40,14 +40,18 @@
         for stream in listener.incoming().flatten() {
             accepted_count.fetch_add(1, Ordering::Relaxed);
             let act = Arc::clone(&act);
-            let seen = seen.clone();
-            thread::spawn(move || answer_connection(stream, &seen, act.as_ref()));
+            let recorded_lines = recorded_lines.clone();
+            thread::spawn(move || answer_connection(stream, &recorded_lines, act.as_ref()));
         }
     });
     accepted
 }
 
-fn answer_connection(stream: TcpStream, seen: &Seen, act: &impl Fn(&str, &str) -> (Vec<u8>, bool)) {
+fn answer_connection(
+    stream: TcpStream,
+    recorded_lines: &RecordedLines,
+    act: &impl Fn(&str, &str) -> (Vec<u8>, bool),
+) {
     let mut writer = stream.try_clone().expect("a socket can be duplicated");
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
@@ -57,7 +61,8 @@
             false => String::new(),
         };
         let line_text = line.trim_end();
-        seen.lock()
+        recorded_lines
+            .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(format!("{line_text}{body}"));
         let (answer, is_last) = act(line_text, &body);
@@ -91,7 +96,7 @@
 /// # Panics
 ///
 /// If the line has no second field.
-pub fn id(line: &str) -> &str {
+pub fn request_id(line: &str) -> &str {
     line.split(' ')
         .nth(1)
         .expect("the second field of a line is the id")
@@ -102,8 +107,8 @@
 /// # Panics
 ///
 /// If the line has no id.
-pub fn done(line: &str, rows: &str) -> Vec<u8> {
-    let id = id(line);
+pub fn done_reply(line: &str, rows: &str) -> Vec<u8> {
+    let id = request_id(line);
     let length = rows.len();
     format!("{id} DONE pages=1,cost=5,need=4 {length}\r\n{rows}\r\n").into_bytes()
 }
--- a/crates/test-cluster/src/stub/gateway.rs
+++ b/crates/test-cluster/src/stub/gateway.rs
@@ -1,6 +1,6 @@
 //! One process of the built gateway, its configuration and its addresses.
 
-use super::name_service::{name_service, NameServiceAnswer};
+use super::name_service::{start_name_service, NameServiceAnswer};
 use serde_json::{json, Value};
 use std::fs;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// The process.
     pub process: Child,
     /// The address at which clients connect.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The answer of the gateway's name service.
     pub name_answer: NameServiceAnswer,
     /// The directory of its configuration and its operator file.
@@ -52,10 +52,10 @@
     /// # Panics
     ///
     /// If the process can't be started.
-    pub fn again(&mut self) {
+    pub fn restart(&mut self) {
         self.process.kill().expect("the process can be killed");
         self.process.wait().expect("the process can be waited for");
-        self.process = serve(&self.dir);
+        self.process = spawn_gateway_process(&self.dir);
     }
 
     /// Writes the configuration with another address of the name service, and has the process reload it by SIGHUP.
@@ -63,7 +63,7 @@
     /// # Panics
     ///
     /// If the configuration isn't JSON, or can't be written.
-    pub fn moves(&self, config: &str, names: SocketAddr) {
+    pub fn reload_with_name_service(&self, config: &str, names: SocketAddr) {
         let mut config: Value = serde_json::from_str(config).expect("the configuration is JSON");
         config["names"] = json!(names.to_string());
         fs::write(self.dir.join(CONFIG_FILE), config.to_string())
@@ -89,7 +89,7 @@
 ///
 /// A free port of the system's choice would not do: another test may bind it between the choice and the gateway's
 /// start.
-pub fn own_address() -> SocketAddr {
+pub fn allocate_address() -> SocketAddr {
     static ALLOCATED: AtomicU32 = AtomicU32::new(0);
     let pid = std::process::id();
     let index = ALLOCATED.fetch_add(1, Ordering::Relaxed);
@@ -109,8 +109,8 @@
 /// # Panics
 ///
 /// If its files can't be written or its process can't be started.
-pub fn gateway(test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
-    gateway_among(2, test, engines)
+pub fn start_gateway(test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
+    start_gateway_in_fleet(2, test, engines)
 }
 
 /// Starts the same gateway in a fleet of that size.
@@ -118,11 +118,15 @@
 /// # Panics
 ///
 /// If its files can't be written or its process can't be started.
-pub fn gateway_among(gateways: u32, test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
+pub fn start_gateway_in_fleet(
+    gateways: u32,
+    test: &str,
+    engines: &[(&str, SocketAddr)],
+) -> Gateway {
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let classes = json!([class("lookup"), class("report")]);
-    let (config, name_answer) = config(gateways, classes, engines);
-    started(test, config, name_answer, None)
+    let (config, name_answer) = gateway_config(gateways, classes, engines);
+    start_gateway_with_config(test, config, name_answer, None)
 }
 
 /// The platform's configuration object, and the answer of a name service that is started for it.
@@ -130,12 +134,12 @@
 /// # Panics
 ///
 /// If `classes` is no array, or the name service can't be started.
-pub fn config(
+pub fn gateway_config(
     gateways: u32,
     classes: Value,
     engines: &[(&str, SocketAddr)],
 ) -> (Value, NameServiceAnswer) {
-    let (names, name_answer) = name_service();
+    let (names, name_answer) = start_name_service();
     let instances: Vec<Value> = engines
         .iter()
         .map(|(name, address)| instance(name, *address))
@@ -143,7 +147,7 @@
     let notice = json!({"rev": 1, "pool": {"reset": true, "instances": instances}});
     let config = json!({
         "name": "n0",
-        "listen": own_address().to_string(),
+        "listen": allocate_address().to_string(),
         "seed": SEED,
         "names": names.to_string(),
         "known": {"rev": 1, "notices": [notice]},
@@ -184,7 +188,7 @@
 /// # Panics
 ///
 /// If its files can't be written, the configuration has no listening address, or the process can't be started.
-pub fn started(
+pub fn start_gateway_with_config(
     test: &str,
     config: Value,
     name_answer: NameServiceAnswer,
@@ -194,7 +198,7 @@
     fs::create_dir_all(&dir).expect("the system's directory of temporary files is writable");
     fs::write(dir.join(CONFIG_FILE), config.to_string())
         .expect("the gateway's directory is writable");
-    let at = config["listen"]
+    let address = config["listen"]
         .as_str()
         .and_then(|address| address.parse().ok())
         .expect("the configuration has a listening address");
@@ -202,10 +206,10 @@
         fs::write(dir.join(OPERATOR_FILE), operator.to_string())
             .expect("the gateway's directory is writable");
     }
-    let process = serve(&dir);
+    let process = spawn_gateway_process(&dir);
     Gateway {
         process,
-        at,
+        address,
         name_answer,
         dir,
     }
@@ -216,7 +220,7 @@
 /// # Panics
 ///
 /// If the gateway isn't built.
-pub fn binary() -> PathBuf {
+pub fn gateway_binary() -> PathBuf {
     let own = std::env::current_exe().expect("the running program has a path");
     own.ancestors()
         .skip(1)
@@ -231,8 +235,8 @@
 /// # Panics
 ///
 /// If the process can't be started.
-pub fn serve(dir: &Path) -> Child {
-    let mut serve = Command::new(binary());
+pub fn spawn_gateway_process(dir: &Path) -> Child {
+    let mut serve = Command::new(gateway_binary());
     serve
         .arg("serve")
         .env("ROUTER_CONFIG", dir.join(CONFIG_FILE));
--- a/crates/test-cluster/src/stub/late_listener.rs
+++ b/crates/test-cluster/src/stub/late_listener.rs
@@ -1,7 +1,7 @@
 //! An engine's address where connections are established late, because the queue of the listening socket is full.
 
-use super::engine::{answer_all, Seen};
-use super::soon;
+use super::becomes_true;
+use super::engine::{answer_all, RecordedLines};
 use std::fs;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,41 +14,41 @@
 const OPEN_QUEUE_LENGTH: i32 = 128;
 
 /// A listening socket that establishes no further connection until it is opened.
-pub struct Gate {
+pub struct FullListener {
     listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-/// An engine behind a [`Gate`] that was opened.
-pub struct Opened {
+/// An engine behind a [`FullListener`] that was opened.
+pub struct OpenedListener {
     /// The lines received so far.
-    pub seen: Seen,
+    pub recorded_lines: RecordedLines,
     accepted: Arc<AtomicU32>,
     /// The connections that filled the queue. They count as accepted, too.
     fillers: Vec<TcpStream>,
 }
 
-impl Opened {
+impl OpenedListener {
     /// Waits until that many connections which were held back are established, by the system's retransmissions.
     ///
     /// # Panics
     ///
     /// If that takes more than five seconds.
-    pub fn until_up(&self, connections: usize) {
+    pub fn wait_for_established_connections(&self, connections: usize) {
         let expected = connections + self.fillers.len();
-        assert!(soon(
-            || self.accepted.load(Ordering::Relaxed) as usize >= expected
-        ));
+        assert!(becomes_true(|| self.accepted.load(Ordering::Relaxed)
+            as usize
+            >= expected));
     }
 }
 
-impl Gate {
+impl FullListener {
     /// Binds a socket and fills its queue.
     ///
     /// # Panics
     ///
     /// If no loopback port can be bound.
-    pub fn shut() -> (SocketAddr, Gate) {
+    pub fn bind() -> (SocketAddr, FullListener) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let address = listener
             .local_addr()
@@ -56,7 +56,7 @@
         rustix::net::listen(&listener, 0).expect("a listener's queue can be shortened");
         let connect = || TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT).ok();
         let fillers = std::iter::from_fn(connect).collect();
-        (address, Gate { listener, fillers })
+        (address, FullListener { listener, fillers })
     }
 
     /// Waits until that many connections to this socket are being attempted, by the system's table of sockets.
@@ -64,7 +64,7 @@
     /// # Panics
     ///
     /// If that takes more than five seconds.
-    pub fn until_kept_back(&self, connections: usize) {
+    pub fn wait_for_pending_connections(&self, connections: usize) {
         let address = self
             .listener
             .local_addr()
@@ -77,13 +77,13 @@
             sockets.matches(&row_part).count()
         };
         assert!(
-            soon(|| attempted() >= connections),
+            becomes_true(|| attempted() >= connections),
             "{} connections attempted",
             attempted()
         );
     }
 
-    /// Turns the socket into an engine's, as [`engine`](fn@super::engine).
+    /// Turns the socket into an engine's, as [`start_engine`](super::start_engine).
     ///
     /// # Panics
     ///
@@ -91,13 +91,13 @@
     pub fn open(
         self,
         act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
-    ) -> Opened {
+    ) -> OpenedListener {
         rustix::net::listen(&self.listener, OPEN_QUEUE_LENGTH)
             .expect("a listener's queue can be lengthened");
-        let seen = Seen::default();
-        let accepted = answer_all(self.listener, seen.clone(), act);
-        Opened {
-            seen,
+        let recorded_lines = RecordedLines::default();
+        let accepted = answer_all(self.listener, recorded_lines.clone(), act);
+        OpenedListener {
+            recorded_lines,
             accepted,
             fillers: self.fillers,
         }
--- a/crates/test-cluster/src/stub/name_service.rs
+++ b/crates/test-cluster/src/stub/name_service.rs
@@ -27,7 +27,7 @@
 const ENGINE_TEXT: &[u8] = b"\x06kind=m\x06cell=0\x09started=0";
 
 /// Appends a domain name in DNS form, uncompressed.
-pub fn names(message: &mut Vec<u8>, name: &str) {
+pub fn append_domain_name(message: &mut Vec<u8>, name: &str) {
     for label in name.split('.') {
         message.push(label.len() as u8);
         message.extend(label.as_bytes());
@@ -36,7 +36,7 @@
 }
 
 fn append_record(message: &mut Vec<u8>, name: &str, record_type: u16, data: &[u8]) {
-    names(message, name);
+    append_domain_name(message, name);
     message.extend(record_type.to_be_bytes());
     message.extend(CLASS_IN.to_be_bytes());
     // Time to live.
@@ -51,13 +51,13 @@
 /// # Panics
 ///
 /// If an address isn't IPv4.
-pub fn answer(serial: u32, engines: &[(&str, SocketAddr, u16)]) -> Vec<u8> {
+pub fn engine_list_answer(serial: u32, engines: &[(&str, SocketAddr, u16)]) -> Vec<u8> {
     let mut message = header(engines.len() as u16);
     for (name, address, state) in engines {
         let mut data = state.to_be_bytes().to_vec();
         data.extend(ENGINE_WEIGHT.to_be_bytes());
         data.extend(address.port().to_be_bytes());
-        names(&mut data, &host_name(name));
+        append_domain_name(&mut data, &host_name(name));
         append_record(&mut message, SERVICE_NAME, TYPE_SERVICE, &data);
     }
     append_record(
@@ -104,7 +104,7 @@
 /// # Panics
 ///
 /// If no loopback port can be bound.
-pub fn name_service() -> (SocketAddr, NameServiceAnswer) {
+pub fn start_name_service() -> (SocketAddr, NameServiceAnswer) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = socket.local_addr().expect("a bound socket has an address");
     let name_answer = NameServiceAnswer::default();
