--- a/crates/cells/src/assignment.rs
+++ b/crates/cells/src/assignment.rs
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// There is no such cell.
-    pub fn cell(&self, name: &str) -> Result<usize, AssignmentError> {
+    pub fn cell_index(&self, name: &str) -> Result<usize, AssignmentError> {
         let found = self.names.iter().position(|known| known == name);
         found.ok_or_else(|| AssignmentError::UnknownCell(name.to_owned()))
     }
@@ -111,7 +111,7 @@
     ) -> Result<Assignment, AssignmentError> {
         let mut next = self.next_revision();
         match cell {
-            Some(name) => drop(next.pinned_engines.insert(engine, self.cell(name)?)),
+            Some(name) => drop(next.pinned_engines.insert(engine, self.cell_index(name)?)),
             None => drop(next.pinned_engines.remove(&engine)),
         }
         Ok(next)
@@ -130,7 +130,9 @@
         match cells {
             Some([]) => return Err(AssignmentError::ShardSize(0)),
             Some(names) => {
-                let cells = names.iter().map(|name| self.cell(name).map(Cells::single));
+                let cells = names
+                    .iter()
+                    .map(|name| self.cell_index(name).map(Cells::single));
                 let cells = cells.collect::<Result<Cells, AssignmentError>>()?;
                 next.pinned_tenants.insert(tenant, cells);
             }
@@ -140,7 +142,7 @@
     }
 
     /// The cell of an engine.
-    pub fn engine(&self, id: u64) -> Cells {
+    pub fn engine_cells(&self, id: u64) -> Cells {
         match self.pinned_engines.get(&id) {
             Some(&cell) => Cells::single(cell),
             None => self.drawn(id).next().map(Cells::single).unwrap_or_default(),
@@ -148,7 +150,7 @@
     }
 
     /// The cells of a tenant.
-    pub fn tenant(&self, id: u64) -> Cells {
+    pub fn tenant_cells(&self, id: u64) -> Cells {
         match self.pinned_tenants.get(&id) {
             Some(&cells) => cells,
             None => self
--- a/crates/cells/src/directory.rs
+++ b/crates/cells/src/directory.rs
@@ -43,13 +43,13 @@
     }
 
     /// The cell of an engine.
-    pub fn engine(&self, id: u64) -> Cells {
-        self.assignment.engine(id)
+    pub fn engine_cells(&self, id: u64) -> Cells {
+        self.assignment.engine_cells(id)
     }
 
     /// The cells of a tenant.
-    pub fn tenant(&self, tenant: u64) -> Cells {
-        self.assignment.tenant(tenant)
+    pub fn tenant_cells(&self, tenant: u64) -> Cells {
+        self.assignment.tenant_cells(tenant)
     }
 
     /// The names of the cells, separated by spaces.
@@ -64,7 +64,7 @@
 
     /// Applies a change of the endpoint list. `ready` are the ids of the ready engines.
     pub fn update_endpoints(&mut self, ready: impl Iterator<Item = u64>) {
-        self.available.ready = ready.map(|id| self.assignment.engine(id)).collect();
+        self.available.ready = ready.map(|id| self.assignment.engine_cells(id)).collect();
         let cells_without_engine = self.available.all.difference(self.available.ready);
         if cells_without_engine.is_empty() {
             self.budgets.clear();
@@ -83,7 +83,7 @@
     ) {
         let mut tenants: BTreeMap<u64, TenantMigration> = BTreeMap::new();
         for (tenant, cells) in attempts {
-            let settled = || TenantMigration::settled(0, previous.tenant(tenant));
+            let settled = || TenantMigration::settled(0, previous.tenant_cells(tenant));
             let migration = tenants.entry(tenant).or_insert_with(settled);
             migration.on_event(now, NO_EXPIRY, MigrationEvent::AttemptStarted(cells));
         }
@@ -93,7 +93,7 @@
             let still_left = still_left
                 .map(TenantMigration::old_cells)
                 .unwrap_or_default();
-            let history = [still_left, previous.tenant(id), self.tenant(id)];
+            let history = [still_left, previous.tenant_cells(id), self.tenant_cells(id)];
             for (number, cells) in (1..).zip(history) {
                 if !cells.is_empty() {
                     let revision = MigrationEvent::Revision { number, cells };
@@ -125,7 +125,7 @@
 
     /// Places one request of the tenant.
     pub fn place(&mut self, now: Millis, tenant: u64) -> Placement {
-        let own = self.assignment.tenant(tenant);
+        let own = self.assignment.tenant_cells(tenant);
         if own.intersects(self.available.ready) {
             return Placement::Cells(own);
         }
--- a/crates/cells/tests/assignment.rs
+++ b/crates/cells/tests/assignment.rs
@@ -19,19 +19,19 @@
 fn change_of_one_engine_moves_no_other_and_gateways_that_lag_agree() {
     let assignment = equal_cells(8, 1);
     let everywhere: BTreeMap<u64, Cells> = (0..400)
-        .map(|engine| (engine, assignment.engine(engine)))
+        .map(|engine| (engine, assignment.engine_cells(engine)))
         .collect();
     // A gateway that knows only half of the engines, in another order, assigns each of them alike.
     let mut known = (0..400).rev().step_by(2);
-    assert!(known.all(|engine| assignment.engine(engine) == everywhere[&engine]));
+    assert!(known.all(|engine| assignment.engine_cells(engine) == everywhere[&engine]));
     // A further cell takes its share and moves nothing between the others: the optimum is a ninth.
     let with_ninth_cell = equal_cells(9, 1);
     let moved: Vec<u64> = (0..4000)
-        .filter(|&engine| assignment.engine(engine) != with_ninth_cell.engine(engine))
+        .filter(|&engine| assignment.engine_cells(engine) != with_ninth_cell.engine_cells(engine))
         .collect();
     assert!(moved
         .iter()
-        .all(|&engine| with_ninth_cell.engine(engine) == Cells::single(8)));
+        .all(|&engine| with_ninth_cell.engine_cells(engine) == Cells::single(8)));
     assert!(
         (350..=540).contains(&moved.len()),
         "{} of 4000, the optimum is 444",
@@ -44,19 +44,21 @@
     let cells = [cell("a", 1.0), cell("b", 3.0), cell("none", 0.0)];
     let assignment = Assignment::new(1, &cells, 1).unwrap();
     let engines_of_b = (0..8000)
-        .filter(|&engine| assignment.engine(engine) == Cells::single(1))
+        .filter(|&engine| assignment.engine_cells(engine) == Cells::single(1))
         .count();
     assert!(
         (5800..=6200).contains(&engines_of_b),
         "{engines_of_b} of 8000, 6000 wanted"
     );
-    assert!((0..8000).all(|engine| assignment.engine(engine) != Cells::single(2)));
+    assert!((0..8000).all(|engine| assignment.engine_cells(engine) != Cells::single(2)));
 }
 
 #[test]
 fn shuffle_sharding_lets_few_tenants_share_all_their_cells() {
     let assignment = equal_cells(16, 3);
-    let tenants: Vec<Cells> = (0..1000).map(|tenant| assignment.tenant(tenant)).collect();
+    let tenants: Vec<Cells> = (0..1000)
+        .map(|tenant| assignment.tenant_cells(tenant))
+        .collect();
     assert!(tenants.iter().all(|cells| cells.count() == 3));
     let pairs = (0..1000).flat_map(|first| (0..first).map(move |second| (first, second)));
     let (mut same, mut disjoint, mut total) = (0, 0, 0);
@@ -85,18 +87,24 @@
         .pin_engine(7, Some("c2"))
         .and_then(|pinned| pinned.pin_tenant(9, Some(&["c0", "c3"])))
         .unwrap();
-    assert_eq!((pinned.number, pinned.engine(7)), (3, Cells::single(2)));
-    assert_eq!(pinned.tenant(9), Cells::single(0).union(Cells::single(3)));
+    assert_eq!(
+        (pinned.number, pinned.engine_cells(7)),
+        (3, Cells::single(2))
+    );
+    assert_eq!(
+        pinned.tenant_cells(9),
+        Cells::single(0).union(Cells::single(3))
+    );
     let unpinned = pinned
         .pin_tenant(9, None)
         .and_then(|pinned| pinned.pin_engine(7, None))
         .unwrap();
     assert_eq!(
-        (unpinned.tenant(9), unpinned.engine(7)),
-        (first.tenant(9), first.engine(7))
+        (unpinned.tenant_cells(9), unpinned.engine_cells(7)),
+        (first.tenant_cells(9), first.engine_cells(7))
     );
     assert_eq!(
-        pinned.tenant(9).iter().collect::<Vec<_>>(),
+        pinned.tenant_cells(9).iter().collect::<Vec<_>>(),
         [0, 3],
         "the earlier revision is unchanged"
     );
--- a/crates/gateway/src/dispatcher/endpoints.rs
+++ b/crates/gateway/src/dispatcher/endpoints.rs
@@ -44,13 +44,13 @@
             return Some(0);
         };
         let request = self.executor.requests[index].as_ref()?;
-        Some(directory.tenant(request.tenant).0)
+        Some(directory.tenant_cells(request.tenant).0)
     }
 
     /// The cells of an engine, one bit each; 0 if no cells are configured.
     fn cells_of_engine(&self, id: u64) -> u64 {
         let directory = self.executor.cells.as_ref();
-        directory.map_or(0, |directory| directory.engine(id).0)
+        directory.map_or(0, |directory| directory.engine_cells(id).0)
     }
 
     fn close_missing_endpoints(&mut self, list: &BTreeMap<String, DiscoveredEndpoint>) {
--- a/crates/gateway/src/dispatcher/executor.rs
+++ b/crates/gateway/src/dispatcher/executor.rs
@@ -229,7 +229,7 @@
     fn cells_of_engine(&self, engine: usize) -> Cells {
         let directory = self.cells.as_ref();
         directory.map_or(Cells(0), |directory| {
-            directory.engine(self.engine_ids.id(engine))
+            directory.engine_cells(self.engine_ids.id(engine))
         })
     }
 }
--- a/crates/gateway/src/dispatcher/view.rs
+++ b/crates/gateway/src/dispatcher/view.rs
@@ -112,7 +112,7 @@
         let view = self.policy.engine_view(index)?;
         let id = executor.engine_ids.id(index);
         let cells = match &executor.cells {
-            Some(directory) => directory.names(directory.engine(id)).into(),
+            Some(directory) => directory.names(directory.engine_cells(id)).into(),
             None => "".into(),
         };
         Some(state::Engine {
--- a/crates/management/src/revisions.rs
+++ b/crates/management/src/revisions.rs
@@ -101,7 +101,7 @@
             .engines
             .iter()
             .filter(|(_, engine)| engine.view.state == EndpointState::Ready)
-            .map(|(_, engine)| directory.engine(engine.id))
+            .map(|(_, engine)| directory.engine_cells(engine.id))
             .collect::<Cells>();
         let running_cells = self.running().cells.as_ref();
         let is_pinned = |pin| running_cells.is_some_and(|cells| cells.tenant.contains(pin));
@@ -110,7 +110,7 @@
             .iter()
             .filter(|pin| !is_pinned(pin))
             .filter_map(|pin| {
-                let there = directory.tenant(fnv1a_64(pin.name.as_bytes()));
+                let there = directory.tenant_cells(fnv1a_64(pin.name.as_bytes()));
                 let reason = may_migrate(there, ready, Cells::default()).err()?;
                 let name = &pin.name;
                 Some(format!(
