--- a/crates/cells/src/assignment.rs
+++ b/crates/cells/src/assignment.rs
@@ -1,44 +1,46 @@
-//! The assignment of engines and tenants to cells. It is the same at every gateway that has the same revision, whatever
-//! endpoint list that gateway has.
+//! The assignment of engines and tenants to cells. It depends only on the revision and the ids, not on the endpoint
+//! list, so gateways with the same revision agree on it even while their endpoint lists differ.
 
 use crate::cells::{Cells, MAX_CELLS};
 use std::sync::Arc;
 
-/// Separates the draws of tenants from those of engines: a tenant and an engine may have the same id.
+/// Combined with tenant ids before hashing, so that a tenant and an engine with the same id are assigned independently.
 const TENANT_SALT: u64 = 0x7E4A_9C15_0000_0001;
 
 /// Why an assignment is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AssignmentError {
-    /// There is no cell.
-    #[error("there is no cell")]
+    /// No cell is configured.
+    #[error("no cell is configured, at least one is required")]
     NoCell,
-    /// There are more cells than [`MAX_CELLS`].
-    #[error("{0} cells are more than {MAX_CELLS}")]
+    /// More than [`MAX_CELLS`] cells are configured.
+    #[error("{0} cells are configured, at most {MAX_CELLS} are allowed")]
     TooManyCells(usize),
-    /// Two cells have that name.
-    #[error("cell {0} is there twice")]
+    /// Two cells have this name.
+    #[error("cell {0} is configured twice")]
     DuplicateName(String),
-    /// No cell has that name.
-    #[error("there is no cell {0}")]
+    /// No cell has this name.
+    #[error("cell {0} does not exist")]
     UnknownCell(String),
-    /// A tenant cannot have that many cells: at least one, and at most as many as there are.
-    #[error("a tenant can't have {0} cells")]
+    /// A tenant cannot have this number of cells: it needs at least one, and at most all that are configured.
+    #[error("a tenant cannot have {0} cells, expected 1 to the number of configured cells")]
     ShardSize(usize),
 }
 
-/// A cell as it is configured.
+/// A configured cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellWeight {
     /// The cell's name.
     pub name: String,
-    /// The cell's weight among all cells. A cell of weight zero is drawn for no engine or tenant, but may be pinned.
+    /// The cell's share of engines and tenants, relative to the other cells' weights. A cell of weight zero ranks
+    /// behind all others, so in practice it contains only what is pinned to it.
     pub weight: f64,
 }
 
 /// One revision of the assignment.
 ///
-/// Pins are persistent maps: a request keeps the revision under which it was accepted at the price of a pointer.
+/// Pins are persistent (structurally shared) maps, so a request can cheaply hold the revision under which it was
+/// accepted.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assignment {
     /// The revision's number.
@@ -53,11 +55,12 @@
 impl Assignment {
     /// An assignment without pins.
     ///
-    /// `shard_size` is the number of cells of a tenant that is not pinned: 1 means fixed cells, more is shuffle
-    /// sharding.
+    /// `shard_size` is the number of cells of a tenant that is not pinned: with 1 each tenant has a single cell, with
+    /// more the tenants are shuffle-sharded.
     ///
     /// # Errors
-    /// There is no cell, there are too many, two have the same name, or `shard_size` does not fit their number.
+    /// `cells` is empty or longer than [`MAX_CELLS`], two cells have the same name, or `shard_size` is zero or exceeds
+    /// the number of cells.
     pub fn new(
         number: u64,
         cells: &[CellWeight],
@@ -91,19 +94,19 @@
         &self.names
     }
 
-    /// The index of the cell of that name.
+    /// The index of the cell with this name.
     ///
     /// # Errors
-    /// There is no such cell.
+    /// No cell has this name.
     pub fn cell_index(&self, name: &str) -> Result<usize, AssignmentError> {
-        let found = self.names.iter().position(|known| known == name);
-        found.ok_or_else(|| AssignmentError::UnknownCell(name.to_owned()))
+        let index = self.names.iter().position(|known| known == name);
+        index.ok_or_else(|| AssignmentError::UnknownCell(name.to_owned()))
     }
 
-    /// The next revision, in which an engine is pinned to a cell, or drawn again if `cell` is `None`.
+    /// The next revision, in which an engine is pinned to a cell, or no longer pinned if `cell` is `None`.
     ///
     /// # Errors
-    /// There is no such cell.
+    /// No cell has this name.
     pub fn pin_engine(
         &self,
         engine: u64,
@@ -117,10 +120,10 @@
         Ok(next)
     }
 
-    /// The next revision, in which a tenant is pinned to cells, or drawn again if `cells` is `None`.
+    /// The next revision, in which a tenant is pinned to cells, or no longer pinned if `cells` is `None`.
     ///
     /// # Errors
-    /// There is no such cell, or no cell is named.
+    /// `cells` is an empty list, or one of the names belongs to no cell.
     pub fn pin_tenant(
         &self,
         tenant: u64,
@@ -141,20 +144,24 @@
         Ok(next)
     }
 
-    /// The cell of an engine.
+    /// The cell of an engine: the cell to which it is pinned, or else the first in its hash order.
     pub fn engine_cells(&self, id: u64) -> Cells {
         match self.pinned_engines.get(&id) {
             Some(&cell) => Cells::single(cell),
-            None => self.drawn(id).next().map(Cells::single).unwrap_or_default(),
+            None => self
+                .rendezvous_order(id)
+                .next()
+                .map(Cells::single)
+                .unwrap_or_default(),
         }
     }
 
-    /// The cells of a tenant.
+    /// The cells of a tenant: those to which it is pinned, or else the first `shard_size` in its hash order.
     pub fn tenant_cells(&self, id: u64) -> Cells {
         match self.pinned_tenants.get(&id) {
             Some(&cells) => cells,
             None => self
-                .drawn(id ^ TENANT_SALT)
+                .rendezvous_order(id ^ TENANT_SALT)
                 .take(self.shard_size)
                 .map(Cells::single)
                 .collect(),
@@ -168,36 +175,38 @@
         }
     }
 
-    /// Weighted rendezvous hashing: each cell draws a number for the id, and the cells are ordered by it. The draw of
-    /// one id depends on no other id, so that a change of the list moves as few engines as possible.
-    fn drawn(&self, id: u64) -> impl Iterator<Item = usize> {
-        let mut order: Vec<Draw> = (0..self.names.len())
-            .map(|cell| Draw {
+    /// All cells in the order of weighted rendezvous hashing: each cell gets a rank from a hash of the id and the
+    /// cell's index, and the lowest rank comes first. The order of one id does not depend on other ids, and an added
+    /// cell only attracts ids, so that a change moves as few engines as possible.
+    fn rendezvous_order(&self, id: u64) -> impl Iterator<Item = usize> {
+        let mut order: Vec<RankedCell> = (0..self.names.len())
+            .map(|cell| RankedCell {
                 cell,
                 rank: -uniform(mix(id, cell as u64)).ln()
                     / self.weights[cell].max(f64::MIN_POSITIVE),
             })
             .collect();
         order.sort_by(|left, right| left.rank.total_cmp(&right.rank));
-        order.into_iter().map(|draw| draw.cell)
+        order.into_iter().map(|ranked| ranked.cell)
     }
 }
 
-/// What one cell drew for an id; the lowest rank wins.
-struct Draw {
+/// A cell and its rank for one id; the lowest rank comes first.
+struct RankedCell {
     cell: usize,
     rank: f64,
 }
 
 fn duplicate_name(cells: &[CellWeight]) -> Option<&str> {
-    let is_known = |index: usize| {
+    let occurs_earlier = |index: usize| {
         let earlier = &cells[..index];
         earlier.iter().any(|cell| cell.name == cells[index].name)
     };
-    let duplicate = (0..cells.len()).find(|&index| is_known(index))?;
+    let duplicate = (0..cells.len()).find(|&index| occurs_earlier(index))?;
     Some(&cells[duplicate].name)
 }
 
+/// Negative, infinite and NaN weights count as zero.
 fn usable_weight(weight: f64) -> f64 {
     if weight.is_finite() {
         weight.max(0.0)
@@ -206,8 +215,8 @@
     }
 }
 
-/// Hashes two ids to 64 bits, alike at every gateway. The policy uses another function, so that the cell of an engine
-/// and the engine order of a table group are independent.
+/// Hashes an id and a cell's index to 64 bits; the result is the same at every gateway. The policy uses a different
+/// function, so that the cell of an engine and its position in a table group's engine order are independent.
 fn mix(id: u64, salt: u64) -> u64 {
     let mut hash = id ^ salt.rotate_left(32).wrapping_mul(0xFF51_AFD7_ED55_8CCD);
     for _ in 0..2 {
@@ -216,7 +225,7 @@
     hash ^ (hash >> 33)
 }
 
-/// A number from a hash, uniform in the open interval from 0 to 1.
+/// Maps a hash to a number that is uniform in the open interval from 0 to 1.
 fn uniform(hash: u64) -> f64 {
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
--- a/crates/cells/src/cell_health.rs
+++ b/crates/cells/src/cell_health.rs
@@ -1,8 +1,8 @@
-//! Which cells are degraded, by the outcomes of their engines.
+//! Detects degraded cells by comparing the failure rates of their engines.
 
 use crate::cells::Cells;
 
-/// The number of recent outcomes by which a cell is judged.
+/// The number of most recent outcomes of a cell that are considered.
 const OUTCOME_WINDOW: u32 = 64;
 
 /// A cell is degraded only if more than half of its recent outcomes are failures.
@@ -14,24 +14,24 @@
 /// The recent outcomes of one cell's engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CellOutcomes {
-    /// One bit for each outcome, the latest lowest; set for a failure.
-    failures: u64,
+    /// One bit for each outcome, set for a failure. The lowest bit is the latest outcome.
+    failure_bits: u64,
     count: u32,
 }
 
 impl CellOutcomes {
     /// Records an outcome.
     pub fn record(&mut self, succeeded: bool) {
-        self.failures = self.failures << 1 | u64::from(!succeeded);
+        self.failure_bits = self.failure_bits << 1 | u64::from(!succeeded);
         self.count = (self.count + 1).min(OUTCOME_WINDOW);
     }
 
     fn failure_count(&self) -> u32 {
-        self.failures.count_ones()
+        self.failure_bits.count_ones()
     }
 }
 
-/// The cells that are much worse than their peers.
+/// The cells whose failure rate is far above that of the other cells together.
 ///
 /// If all cells worsen together none is degraded: the cause is then not in one cell, and moving tenants would not help.
 pub fn degraded_cells(outcomes: &[CellOutcomes]) -> Cells {
--- a/crates/cells/src/cells.rs
+++ b/crates/cells/src/cells.rs
@@ -1,17 +1,17 @@
 //! A set of cells.
 
-/// A set is one 64-bit word.
+/// The maximum number of cells: [`Cells`] stores a set as the bits of one 64-bit word.
 pub const MAX_CELLS: usize = 64;
 
-/// A set of cells, one bit for each. On a request the empty set means any engine.
+/// A set of cells, with one bit for each. As the cells of a request, the empty set allows any engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Cells(
-    /// Bit `n` is set if cell `n` is in the set.
+    /// Bit `n` is set if the cell with index `n` is in the set.
     pub u64,
 );
 
 impl Cells {
-    /// The set that contains only the cell of that index.
+    /// The set that contains only the cell with this index.
     pub fn single(index: usize) -> Cells {
         Cells(1 << (index % MAX_CELLS))
     }
--- a/crates/cells/src/directory.rs
+++ b/crates/cells/src/directory.rs
@@ -8,26 +8,28 @@
 use ironstair::Millis;
 use std::collections::BTreeMap;
 
-/// The limit on overflow budgets, against tenants without number. When it is reached all budgets start again.
+/// The maximum number of overflow budgets. It bounds the memory that requests with ever new tenant names can occupy. At
+/// the limit all budgets are dropped and start from zero.
 const MAX_BUDGETS: usize = 4096;
 
-/// The directory's migrations end only with their last attempt: the policy ends every attempt at its deadline.
+/// The directory's migrations have no time limit: they end with their last attempt in the old cells, and the policy
+/// ends every attempt at its deadline.
 const NO_EXPIRY: Millis = Millis::INFINITY;
 
-/// Routes tenants to cells.
+/// Maps engines and tenants to cells, and places tenants' requests.
 #[derive(Clone, Debug)]
 pub struct CellDirectory {
     assignment: Assignment,
     no_capacity_policy: NoCapacityPolicy,
     available: CellAvailability,
-    /// Only tenants whose cells have no ready engine have a budget.
+    /// Overflow budgets by tenant, only for tenants whose cells have no ready engine.
     budgets: BTreeMap<u64, OverflowBudget>,
-    /// Tenants with attempts in their old cells.
+    /// Migrations by tenant, only for tenants with attempts in their old cells.
     migrations: BTreeMap<u64, TenantMigration>,
 }
 
 impl CellDirectory {
-    /// A directory before the first endpoint list.
+    /// A directory that has not received an endpoint list yet: no cell has a ready engine.
     pub fn new(assignment: Assignment, no_capacity_policy: NoCapacityPolicy) -> CellDirectory {
         let available = CellAvailability {
             ready: Cells::default(),
@@ -71,10 +73,11 @@
         }
     }
 
-    /// Continues the migrations of the directory that this one replaces, and starts those that follow from the change.
+    /// Takes over the migrations of `previous`, the directory that this one replaces, and starts a migration for each
+    /// tenant whose cells differ between the two.
     ///
-    /// `attempts` are the attempts in flight, each as its tenant and the cells of its engine when the attempt started.
-    /// A tenant without an attempt in its old cells does not migrate.
+    /// `attempts` are the attempts in flight, each with its tenant and the cells that its engine was in when the
+    /// attempt started. A tenant without an attempt in its old cells needs no migration.
     pub fn inherit_migrations(
         &mut self,
         now: Millis,
@@ -88,12 +91,17 @@
             migration.on_event(now, NO_EXPIRY, MigrationEvent::AttemptStarted(cells));
         }
         for (id, mut migration) in tenants {
-            // Cells that the previous directory was leaving are still left.
-            let still_left = previous.migrations.get(&id);
-            let still_left = still_left
+            // Replays the tenant's cells as revisions. Cells that the tenant was already leaving come first, so that
+            // they remain old cells.
+            let earlier_migration = previous.migrations.get(&id);
+            let already_leaving = earlier_migration
                 .map(TenantMigration::old_cells)
                 .unwrap_or_default();
-            let history = [still_left, previous.tenant_cells(id), self.tenant_cells(id)];
+            let history = [
+                already_leaving,
+                previous.tenant_cells(id),
+                self.tenant_cells(id),
+            ];
             for (number, cells) in (1..).zip(history) {
                 if !cells.is_empty() {
                     let revision = MigrationEvent::Revision { number, cells };
@@ -111,7 +119,8 @@
         self.migrations.len()
     }
 
-    /// Records that an attempt of the tenant in those cells ended. Returns whether that ended the tenant's migration.
+    /// Records the end of an attempt of the tenant at an engine in `cells`. Returns whether this ended the tenant's
+    /// migration.
     pub fn on_attempt_ended(&mut self, now: Millis, tenant: u64, cells: Cells) -> bool {
         let Some(migration) = self.migrations.get_mut(&tenant) else {
             return false;
@@ -123,7 +132,7 @@
         end.is_some()
     }
 
-    /// Places one request of the tenant.
+    /// Decides in which cells a request of the tenant may run, or rejects it.
     pub fn place(&mut self, now: Millis, tenant: u64) -> Placement {
         let own = self.assignment.tenant_cells(tenant);
         if own.intersects(self.available.ready) {
--- a/crates/cells/src/directory/tests.rs
+++ b/crates/cells/src/directory/tests.rs
@@ -14,7 +14,7 @@
     Assignment::new(1, &cells, 1).unwrap()
 }
 
-fn rejecting(assignment: &Assignment) -> CellDirectory {
+fn rejecting_directory(assignment: &Assignment) -> CellDirectory {
     let policy = NoCapacityPolicy::Reject { retry_after: 0.0 };
     CellDirectory::new(assignment.clone(), policy)
 }
@@ -28,9 +28,9 @@
     let third = second.pin_tenant(TENANT, Some(&["c"])).unwrap();
     let [cell_a, cell_b, cell_c] = [0, 1, 2].map(Cells::single);
 
-    let mut directory = rejecting(&second);
+    let mut directory = rejecting_directory(&second);
     let attempts = [(TENANT, cell_a), (TENANT, cell_a), (OTHER_TENANT, cell_c)];
-    directory.inherit_migrations(1.0, &rejecting(&first), attempts.into_iter());
+    directory.inherit_migrations(1.0, &rejecting_directory(&first), attempts.into_iter());
     assert_eq!(
         (
             directory.migration_count(),
@@ -39,9 +39,9 @@
         (1, false)
     );
 
-    // A second migration before the first has ended: attempts in either of the old cells delay its end, those in the
+    // A second migration starts before the first has ended. Attempts in either old cell delay its end, attempts in the
     // new cell do not.
-    let mut next = rejecting(&third);
+    let mut next = rejecting_directory(&third);
     let attempts = [(TENANT, cell_a), (TENANT, cell_b), (TENANT, cell_c)];
     next.inherit_migrations(3.0, &directory, attempts.into_iter());
     assert_eq!(
@@ -52,7 +52,10 @@
         (false, false)
     );
     assert!(next.on_attempt_ended(5.0, TENANT, cell_b) && next.migration_count() == 0);
-    assert!(!next.on_attempt_ended(6.0, TENANT, cell_b), "once");
+    assert!(
+        !next.on_attempt_ended(6.0, TENANT, cell_b),
+        "the end is reported only once"
+    );
 }
 
 #[test]
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,7 +1,9 @@
-//! Cells: which engines a tenant is confined to, how a tenant migrates under traffic, and what happens to its requests
-//! when its cells have no ready engine.
+//! Cells are disjoint groups of engines. A tenant's requests run only in the tenant's cells, so that a fault in one
+//! cell affects only its tenants. This crate assigns engines and tenants to cells, tracks tenants that migrate under
+//! traffic, detects degraded cells, and places requests whose cells have no ready engine.
 //!
-//! The package decides without input, output, clock or thread; see `docs/design/cells.md`.
+//! All decisions are pure functions of their inputs: the crate performs no I/O, reads no clock and starts no thread.
+//! See `docs/design/cells.md`.
 
 pub mod assignment;
 pub mod cell_health;
--- a/crates/cells/src/migration.rs
+++ b/crates/cells/src/migration.rs
@@ -1,4 +1,4 @@
-//! The migration of a tenant between cells, as one gateway sees it: where new attempts go, which attempts still run in
+//! The state of a tenant's migration between cells at one gateway: where new attempts go, which attempts still run in
 //! the old cells, and when the migration ends.
 
 use crate::cells::Cells;
@@ -10,7 +10,7 @@
 pub enum MigrationEnd {
     /// The last attempt in the old cells ended.
     Drained,
-    /// No attempt can still run in the old cells: the longest deadline and the key quarantine have passed.
+    /// The longest deadline and the key quarantine have passed, so no attempt can still run in the old cells.
     Expired,
 }
 
@@ -24,9 +24,9 @@
         /// The tenant's cells in that revision.
         cells: Cells,
     },
-    /// An attempt of the tenant started at an engine of that cell.
+    /// An attempt of the tenant started at an engine in this cell.
     AttemptStarted(Cells),
-    /// An attempt of the tenant at an engine of that cell ended.
+    /// An attempt of the tenant at an engine in this cell ended.
     AttemptEnded(Cells),
     /// Time has passed.
     Timer,
@@ -37,15 +37,15 @@
 pub struct TenantMigration {
     revision: u64,
     cells: Cells,
-    /// The cells that the tenant leaves, until no attempt runs there any more.
+    /// The cells that the tenant is leaving; empty when no attempt can run there any more.
     old_cells: Cells,
     started_at: Millis,
-    /// Attempts in flight, by the bits of their cell.
+    /// The number of attempts in flight by cell, with [`Cells`]' bits as the key.
     attempts: BTreeMap<u64, u32>,
 }
 
 impl TenantMigration {
-    /// A tenant that is in its cells and does not migrate.
+    /// The state of a tenant that is not migrating.
     pub fn settled(revision: u64, cells: Cells) -> TenantMigration {
         TenantMigration {
             revision,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The cells to which new attempts go.
+    /// The cells in which new attempts start.
     pub fn cells(&self) -> Cells {
         self.cells
     }
@@ -69,14 +69,14 @@
         !self.old_cells.is_empty()
     }
 
-    /// When [`MigrationEvent::Timer`] is due. `max_attempt_time` is the longest time for which an attempt from before
-    /// the migration can run.
+    /// When the caller should next send [`MigrationEvent::Timer`], if a migration is in progress. `max_attempt_time` is
+    /// the longest time for which an attempt that started before the migration can run.
     pub fn expires_at(&self, max_attempt_time: Millis) -> Option<Millis> {
         self.is_migrating()
             .then_some(self.started_at + max_attempt_time)
     }
 
-    /// Applies an event. Returns how the migration ended if the event ended it.
+    /// Applies an event. Returns how the migration ended, if the event ended it.
     pub fn on_event(
         &mut self,
         now: Millis,
@@ -93,12 +93,12 @@
     }
 
     fn on_revision(&mut self, now: Millis, number: u64, cells: Cells) {
-        // Revisions may arrive late, twice and out of order; an older one is obsolete.
+        // Revisions may arrive late, repeatedly and out of order. One that is not newer is obsolete.
         if number <= self.revision {
             return;
         }
         self.revision = number;
-        // Cells that an earlier migration was leaving are still left, unless the tenant returns to them.
+        // Old cells of a migration in progress remain old cells, unless the tenant returns to them.
         let old_cells = self.old_cells.union(self.cells).difference(cells);
         if cells != self.cells && !old_cells.is_empty() {
             self.started_at = now;
@@ -135,13 +135,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MigrationRefused {
     /// The request names no target cell.
-    #[error("a tenant needs a cell")]
+    #[error("no target cell is named, a tenant needs at least one")]
     NoTarget,
     /// No engine of the target cells is ready.
-    #[error("no engine there is ready")]
+    #[error("no engine of the target cells is ready")]
     NoReadyEngine,
     /// A target cell is degraded, or a release is paused in it.
-    #[error("a cell there is degraded, or a release is paused in it")]
+    #[error("a target cell is degraded, or a release is paused in it")]
     PausedTarget,
 }
 
@@ -149,7 +149,7 @@
 /// that are degraded or in which a release is paused.
 ///
 /// # Errors
-/// The reason why it may not.
+/// The reason why the migration is refused.
 pub fn may_migrate(target: Cells, ready: Cells, paused: Cells) -> Result<(), MigrationRefused> {
     if target.is_empty() {
         return Err(MigrationRefused::NoTarget);
--- a/crates/cells/src/overflow.rs
+++ b/crates/cells/src/overflow.rs
@@ -1,39 +1,40 @@
-//! What happens to a request whose tenant has no ready engine in its cells.
+//! Placement of requests whose tenant's cells have no ready engine: such a request is rejected or overflows to other
+//! cells.
 
 use crate::cells::Cells;
 use ironstair::Millis;
 
-/// The half-life of a tenant's counts: long against a burst, short against an outage.
+/// The half-life of a tenant's counts: long compared with a burst, short compared with an outage.
 const COUNT_HALF_LIFE: Millis = 10_000.0;
 
-/// The operator's choice for tenants whose cells have no ready engine.
+/// The configured treatment of requests whose tenant's cells have no ready engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NoCapacityPolicy {
-    /// Requests are rejected at once.
+    /// Requests are rejected immediately.
     Reject {
-        /// After how long clients should retry.
+        /// How long clients should wait before they retry.
         retry_after: Millis,
     },
-    /// A share of the tenant's requests goes to other cells; the rest is rejected.
+    /// A share of the tenant's requests is placed in other cells, the rest is rejected.
     Overflow {
-        /// That share, from 0 to 1.
+        /// The share of requests that may be placed in other cells, from 0 to 1.
         share: f64,
     },
 }
 
-/// Where a request goes.
+/// Where a request is placed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// To engines of these cells.
+    /// At engines of these cells.
     Cells(Cells),
-    /// Nowhere: it is rejected.
+    /// The request is rejected.
     Rejected {
-        /// After how long the client should retry; zero if there is no advice.
+        /// How long the client should wait before it retries; zero if no advice is given.
         retry_after: Millis,
     },
 }
 
-/// The cells that a placement depends on.
+/// The cells, and which of them are available for placement.
 #[derive(Clone, Copy, Debug)]
 pub struct CellAvailability {
     /// Cells with a ready engine.
@@ -42,7 +43,7 @@
     pub all: Cells,
 }
 
-/// Counts how many of a tenant's requests went to other cells; both counts decay.
+/// Limits the share of a tenant's requests that overflow to other cells. Both counts decay exponentially.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OverflowBudget {
     requests: f64,
@@ -51,7 +52,7 @@
 }
 
 impl OverflowBudget {
-    /// Places one request of the tenant whose cells are `own`.
+    /// Counts and places one request of the tenant whose cells are `own`. Without cells the tenant may use any engine.
     pub fn place(
         &mut self,
         now: Millis,
--- a/crates/cells/src/release.rs
+++ b/crates/cells/src/release.rs
@@ -1,4 +1,4 @@
-//! A release of engines that proceeds cell by cell.
+//! Supervises the rollout of an engine release, which proceeds cell by cell.
 
 use crate::cells::Cells;
 use ironstair::Millis;
@@ -8,21 +8,21 @@
 pub enum ReleaseWatch {
     /// No release is in progress.
     Idle,
-    /// Engines of one cell restart.
+    /// Engines of one cell have restarted, and the cell is being watched for degradation.
     Watching {
-        /// The cell.
+        /// The watched cell.
         cell: usize,
         /// When the first of its engines restarted.
         since: Millis,
     },
-    /// The release is faulty and must not proceed to another cell.
+    /// The watched cell degraded; the release must not proceed to another cell.
     Paused {
-        /// The cell in which it was found faulty.
+        /// The cell that degraded.
         cell: usize,
     },
 }
 
-/// A verdict for the operators.
+/// A result of the supervision, for the operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseVerdict {
     /// The release may proceed to the next cell.
@@ -30,20 +30,20 @@
         /// The cell that was watched.
         cell: usize,
     },
-    /// The release is faulty.
+    /// The watched cell degraded, so the release must stop.
     Pause {
-        /// The cell that was watched.
+        /// The cell that degraded.
         cell: usize,
     },
-    /// The release reached another cell before the first was found good.
+    /// An engine of another cell restarted before the watch of the first cell was over.
     TooEarly {
-        /// The cell that it reached.
+        /// The other cell.
         cell: usize,
     },
 }
 
 impl ReleaseWatch {
-    /// Records that an engine of the cell restarted.
+    /// Records that an engine of the cell restarted, which begins a watch if no release is in progress.
     pub fn on_engine_restarted(&mut self, now: Millis, cell: usize) -> Option<ReleaseVerdict> {
         match *self {
             ReleaseWatch::Idle => *self = ReleaseWatch::Watching { cell, since: now },
@@ -55,8 +55,8 @@
         None
     }
 
-    /// Judges the release after time has passed. `degraded` are the cells that are much worse than their peers,
-    /// `watch_time` is how long a cell is watched.
+    /// Decides whether the watch ends. `degraded` are the cells that
+    /// [`degraded_cells`](crate::cell_health::degraded_cells) reports, `watch_time` is how long a cell is watched.
     pub fn on_timer(
         &mut self,
         now: Millis,
@@ -77,12 +77,12 @@
         Some(ReleaseVerdict::Proceed { cell })
     }
 
-    /// Ends the release: an operator has looked at it.
+    /// Ends the watch or the pause. Called when an operator has examined the release.
     pub fn clear(&mut self) {
         *self = ReleaseWatch::Idle;
     }
 
-    /// The cell in which the release is paused.
+    /// The cell in which the release is paused, or the empty set.
     pub fn paused(&self) -> Cells {
         match self {
             ReleaseWatch::Paused { cell } => Cells::single(*cell),
--- a/crates/cells/tests/assignment.rs
+++ b/crates/cells/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignments: the same at every gateway, changed as little as possible, and even enough.
+//! Assignments: equal at every gateway, stable under changes, and balanced by weight.
 
 use ironstair_cells::{Assignment, AssignmentError, CellWeight, Cells, MAX_CELLS};
 use std::collections::BTreeMap;
@@ -16,15 +16,15 @@
 }
 
 #[test]
-fn change_of_one_engine_moves_no_other_and_gateways_that_lag_agree() {
+fn lagging_gateways_agree_and_an_added_cell_only_attracts_engines() {
     let assignment = equal_cells(8, 1);
-    let everywhere: BTreeMap<u64, Cells> = (0..400)
+    let expected: BTreeMap<u64, Cells> = (0..400)
         .map(|engine| (engine, assignment.engine_cells(engine)))
         .collect();
-    // A gateway that knows only half of the engines, in another order, assigns each of them alike.
+    // A gateway that knows only half of the engines, in another order, assigns each of them to the same cell.
     let mut known = (0..400).rev().step_by(2);
-    assert!(known.all(|engine| assignment.engine_cells(engine) == everywhere[&engine]));
-    // A further cell takes its share and moves nothing between the others: the optimum is a ninth.
+    assert!(known.all(|engine| assignment.engine_cells(engine) == expected[&engine]));
+    // A ninth cell attracts its share, ideally a ninth of the engines, and moves none between the other cells.
     let with_ninth_cell = equal_cells(9, 1);
     let moved: Vec<u64> = (0..4000)
         .filter(|&engine| assignment.engine_cells(engine) != with_ninth_cell.engine_cells(engine))
@@ -34,13 +34,13 @@
         .all(|&engine| with_ninth_cell.engine_cells(engine) == Cells::single(8)));
     assert!(
         (350..=540).contains(&moved.len()),
-        "{} of 4000, the optimum is 444",
+        "{} of 4000 engines moved, expected about 444",
         moved.len()
     );
 }
 
 #[test]
-fn cells_receive_engines_by_weight() {
+fn cells_receive_engines_in_proportion_to_their_weight() {
     let cells = [cell("a", 1.0), cell("b", 3.0), cell("none", 0.0)];
     let assignment = Assignment::new(1, &cells, 1).unwrap();
     let engines_of_b = (0..8000)
@@ -48,13 +48,13 @@
         .count();
     assert!(
         (5800..=6200).contains(&engines_of_b),
-        "{engines_of_b} of 8000, 6000 wanted"
+        "{engines_of_b} of 8000, expected about 6000"
     );
     assert!((0..8000).all(|engine| assignment.engine_cells(engine) != Cells::single(2)));
 }
 
 #[test]
-fn shuffle_sharding_lets_few_tenants_share_all_their_cells() {
+fn shuffle_sharding_gives_few_tenant_pairs_the_same_cells() {
     let assignment = equal_cells(16, 3);
     let tenants: Vec<Cells> = (0..1000)
         .map(|tenant| assignment.tenant_cells(tenant))
@@ -67,21 +67,22 @@
         same += u32::from(tenants[first] == tenants[second]);
         disjoint += u32::from(!tenants[first].intersects(tenants[second]));
     }
-    // 1 in 560 pairs shares all three cells, and 286 in 560 share none.
-    let same_against_expected = f64::from(same) * 560.0 / f64::from(total);
+    // There are 560 ways to choose 3 of 16 cells, 286 of which avoid the cells of a given tenant: 1 in 560 pairs shares
+    // all cells, and 286 in 560 pairs share none.
+    let same_ratio = f64::from(same) * 560.0 / f64::from(total);
     assert!(
-        (0.7..1.4).contains(&same_against_expected),
-        "{same} of {total}"
+        (0.7..1.4).contains(&same_ratio),
+        "{same} of {total} pairs share all cells"
     );
     let disjoint_share = f64::from(disjoint) / f64::from(total);
     assert!(
         (0.45..0.58).contains(&disjoint_share),
-        "{disjoint} of {total}"
+        "{disjoint} of {total} pairs share no cell"
     );
 }
 
 #[test]
-fn pins_hold_and_an_earlier_revision_is_unchanged() {
+fn pins_apply_and_leave_earlier_revisions_unchanged() {
     let first = equal_cells(4, 1);
     let pinned = first
         .pin_engine(7, Some("c2"))
--- a/crates/cells/tests/migration.rs
+++ b/crates/cells/tests/migration.rs
@@ -1,5 +1,5 @@
-//! Migrations, second migrations, returns, crashes, late and duplicate revisions, drains and gateways that lag, in every
-//! order (model checked).
+//! Tenant migrations. A model checker explores the orders of consecutive migrations, a return to the first cell,
+//! gateway crashes, late and duplicate revisions, drained cells, and gateways that lag behind.
 
 use ironstair_cells::migration::{may_migrate, MigrationEnd, MigrationEvent, TenantMigration};
 use ironstair_cells::Cells;
@@ -9,9 +9,9 @@
 const A: Cells = Cells(1);
 const B: Cells = Cells(2);
 const C: Cells = Cells(4);
-/// The tenant's cells in each revision that an operator makes: to B, on to C, and back to A.
+/// The tenant's cells in each revision: at first A, then B, C, and A again.
 const REVISIONS: [Cells; 4] = [A, B, C, A];
-/// No attempt from before a migration runs for longer than this many ticks.
+/// The longest time in ticks for which an attempt runs.
 const MAX_ATTEMPT_TICKS: u32 = 2;
 const MAX_TICKS: u32 = 5;
 const MAX_ATTEMPTS: u32 = 4;
@@ -43,14 +43,14 @@
 impl Eq for World {}
 
 impl Hash for World {
-    fn hash<H: Hasher>(&self, to: &mut H) {
-        format!("{self:?}").hash(to);
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        format!("{self:?}").hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    MakeRevision,
+    CreateRevision,
     /// Revisions reach a gateway in any order, and more than once.
     ReceiveRevision {
         gateway: usize,
@@ -63,7 +63,7 @@
         gateway: usize,
         attempt: usize,
     },
-    /// All attempts in a cell end.
+    /// All attempts in this cell end, at every gateway.
     Drain(Cells),
     Tick,
     Crash {
@@ -80,10 +80,10 @@
         let migration = &mut gateway.migration;
         let before = migration.old_cells().union(migration.cells());
         let end = migration.on_event(now, f64::from(MAX_ATTEMPT_TICKS), event);
-        let left = before.difference(migration.cells());
-        let runs_there = |attempt: &RunningAttempt| left.intersects(attempt.cells);
-        if end == Some(MigrationEnd::Drained) && gateway.attempts.iter().any(runs_there) {
-            self.violation = Some("drained while an attempt runs there");
+        let left_cells = before.difference(migration.cells());
+        let runs_in_left_cell = |attempt: &RunningAttempt| left_cells.intersects(attempt.cells);
+        if end == Some(MigrationEnd::Drained) && gateway.attempts.iter().any(runs_in_left_cell) {
+            self.violation = Some("migration ended as drained while an attempt ran in an old cell");
         }
     }
 
@@ -93,7 +93,7 @@
         let sender = &mut self.gateways[gateway];
         let cells = sender.migration.cells();
         if cells != REVISIONS[sender.known_revision] {
-            self.violation = Some("a new attempt outside the newest cells known");
+            self.violation = Some("attempt started outside the cells of the newest known revision");
         }
         sender.attempts.push(RunningAttempt { cells, started_at });
         self.apply(gateway, MigrationEvent::AttemptStarted(cells));
@@ -104,8 +104,8 @@
         self.apply(gateway, MigrationEvent::AttemptEnded(ended.cells));
     }
 
-    fn end_attempts(&mut self, gateway: usize, ends: impl Fn(&RunningAttempt) -> bool) {
-        while let Some(attempt) = self.gateways[gateway].attempts.iter().position(&ends) {
+    fn end_attempts_where(&mut self, gateway: usize, is_ending: impl Fn(&RunningAttempt) -> bool) {
+        while let Some(attempt) = self.gateways[gateway].attempts.iter().position(&is_ending) {
             self.end_attempt(gateway, attempt);
         }
     }
@@ -115,7 +115,7 @@
         let now = self.now;
         for gateway in 0..self.gateways.len() {
             // The policy ends each attempt at its deadline.
-            self.end_attempts(gateway, |attempt| {
+            self.end_attempts_where(gateway, |attempt| {
                 now - attempt.started_at >= MAX_ATTEMPT_TICKS
             });
             self.apply(gateway, MigrationEvent::Timer);
@@ -155,7 +155,7 @@
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.newest_revision + 1 < REVISIONS.len() {
-            steps.push(Step::MakeRevision);
+            steps.push(Step::CreateRevision);
         }
         for (gateway, state) in world.gateways.iter().enumerate() {
             let revisions = 1..=world.newest_revision;
@@ -184,7 +184,7 @@
     fn next_state(&self, previous: &World, step: Step) -> Option<World> {
         let mut world = previous.clone();
         match step {
-            Step::MakeRevision => world.newest_revision += 1,
+            Step::CreateRevision => world.newest_revision += 1,
             Step::ReceiveRevision { gateway, revision } => {
                 let known = &mut world.gateways[gateway].known_revision;
                 *known = (*known).max(revision);
@@ -198,7 +198,7 @@
             Step::EndAttempt { gateway, attempt } => world.end_attempt(gateway, attempt),
             Step::Drain(cell) => {
                 for gateway in 0..world.gateways.len() {
-                    world.end_attempts(gateway, |attempt| attempt.cells == cell);
+                    world.end_attempts_where(gateway, |attempt| attempt.cells == cell);
                 }
             }
             Step::Tick => world.tick(),
@@ -210,11 +210,11 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "new attempts go to the newest cells known, migrations end when no attempt runs",
+                "attempts start in the newest known cells, and none is left in drained cells",
                 |_, world: &World| world.violation.is_none(),
             ),
             Property::always(
-                "attempts run in the tenant's cells or in those it leaves",
+                "attempts run only in the tenant's current or old cells",
                 |_, world: &World| {
                     world
                         .gateways
@@ -223,7 +223,7 @@
                 },
             ),
             Property::always(
-                "a tenant that migrates has an attempt in its old cells",
+                "a migrating tenant has an attempt in its old cells",
                 |_, world: &World| {
                     let is_justified = |gateway: &Gateway| {
                         !gateway.migration.is_migrating() || gateway.runs_in_old_cells()
@@ -232,7 +232,7 @@
                 },
             ),
             Property::always(
-                "no migration lasts longer than an attempt can run",
+                "no migration lasts longer than the longest attempt",
                 |_, world: &World| {
                     let is_overdue = |gateway: &Gateway| {
                         let expires_at = gateway.migration.expires_at(f64::from(MAX_ATTEMPT_TICKS));
@@ -244,12 +244,13 @@
             Property::sometimes(
                 "a second migration starts during the first",
                 |_, world: &World| {
-                    let leaves_two = |gateway: &Gateway| gateway.migration.old_cells().count() == 2;
-                    world.gateways.iter().any(leaves_two)
+                    let has_two_old_cells =
+                        |gateway: &Gateway| gateway.migration.old_cells().count() == 2;
+                    world.gateways.iter().any(has_two_old_cells)
                 },
             ),
             Property::sometimes(
-                "gateways know different revisions while one migrates",
+                "gateways know different revisions while a migration is in progress",
                 |_, world: &World| {
                     world.gateways[0].known_revision != world.gateways[1].known_revision
                         && world
@@ -276,7 +277,7 @@
     }
 }
 
-/// The longest time for which an attempt runs in the tests without the model.
+/// The longest time for which an attempt runs, in the tests that do not use the model.
 const MAX_ATTEMPT_TIME: f64 = 9.0;
 
 fn revision(number: u64, cells: Cells) -> MigrationEvent {
@@ -294,13 +295,13 @@
     checked.assert_properties();
     assert!(
         checked.unique_state_count() > 50_000,
-        "{}",
+        "only {} states were explored",
         checked.unique_state_count()
     );
 }
 
 #[test]
-fn return_during_a_migration_leaves_only_the_cells_not_returned_to() {
+fn tenant_that_returns_during_a_migration_leaves_only_the_other_cells() {
     let mut tenant = TenantMigration::settled(0, A);
     let mut apply = |now: f64, event| {
         let end = tenant.on_event(now, MAX_ATTEMPT_TIME, event);
@@ -331,7 +332,7 @@
 }
 
 #[test]
-fn lost_outcome_does_not_delay_a_migration_forever() {
+fn migration_with_a_lost_outcome_expires() {
     let mut tenant = TenantMigration::settled(0, A);
     let mut apply = |now: f64, event| tenant.on_event(now, MAX_ATTEMPT_TIME, event);
     apply(0.0, MigrationEvent::AttemptStarted(A));
--- a/crates/gateway/src/operator_config/tests.rs
+++ b/crates/gateway/src/operator_config/tests.rs
@@ -131,7 +131,7 @@
 fn invalid_cells_section_is_rejected_with_the_field() {
     assert_rejected(
         r#"{"cells": {"names": {}}}"#,
-        "cells: /settings/cells/cell: there is no cell",
+        "cells: /settings/cells/cell: no cell is configured, at least one is required",
     );
     assert_rejected(
         r#"{"cells": {"names": {"a": -1}}}"#,
@@ -143,7 +143,7 @@
     );
     assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "engines": {"e1": "b"}}}"#,
-        "cells: /settings/cells/engine[name=e1]/cell: there is no cell b",
+        "cells: /settings/cells/engine[name=e1]/cell: cell b does not exist",
     );
     assert_rejected(
         r#"{"cells": {"names": {"a": 1}, "tenants": {"t": []}}}"#,
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -278,7 +278,7 @@
             .await
             .unwrap_err();
         assert!(
-            refusal.message().contains("there is no cell z"),
+            refusal.message().contains("cell z does not exist"),
             "{refusal:?}"
         );
         let weight_of_new_cell = "/settings/cells/cell[name=empty]/weight";
@@ -289,7 +289,9 @@
             .await
             .unwrap_err();
         assert!(
-            refusal.message().ends_with("no engine there is ready"),
+            refusal
+                .message()
+                .ends_with("no engine of the target cells is ready"),
             "{refusal:?}"
         );
     });
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -221,7 +221,10 @@
 /// Whether each reason of a refusal is about the running gateway: terms that are fixed in service, engines that are
 /// not ready. The YANG module cannot express these.
 fn is_about_the_running_gateway(refusal: &Status) -> bool {
-    let of_now = ["cannot change in service", "no engine there is ready"];
+    let of_now = [
+        "cannot change in service",
+        "no engine of the target cells is ready",
+    ];
     let mut reasons = refusal.message().split("; ");
     reasons.all(|reason| of_now.iter().any(|text| reason.contains(text)))
 }
