--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,19 +1,22 @@
-//! The clients: random requests of three classes, which are retried when they are rejected. All constants are assumed.
+//! The client model: random requests of three classes, which are retried when they are rejected or fail. All constants
+//! are assumptions.
 
-use crate::engine::{Query, COLD_FROM, CORES, OVERLOAD_FACTOR, OVERLOAD_WINDOW, WARM_AFTER};
+use crate::engine::{
+    Query, COLD_START_SPEED, CORES, OVERLOAD_FACTOR, OVERLOAD_WINDOW, WARM_UP_TIME,
+};
 use ironstair::random::{mix, Pcg};
 use ironstair::{ClassPolicy, Effect, MachineType, Millis, PolicyConfig, RetryBudget};
 
-/// A class: frequency, resources and value of its requests.
+/// The frequency, resources and value of the requests of one class.
 struct ClassProfile {
     /// Share of all requests.
     share: f64,
     threads: f64,
     /// Mean work in core milliseconds.
-    work: f64,
-    /// A request that is settled within this time has its value.
+    mean_work: f64,
+    /// A request's value counts as served only if it is settled within this time.
     objective: Millis,
-    /// After this time the client wants no answer.
+    /// The client stops waiting after this time.
     deadline: Millis,
     value: f64,
     effect: Effect,
@@ -23,7 +26,7 @@
     ClassProfile {
         share: 0.8,
         threads: 1.0,
-        work: 120.0,
+        mean_work: 120.0,
         objective: 600.0,
         deadline: 2500.0,
         value: 1.0,
@@ -32,7 +35,7 @@
     ClassProfile {
         share: 0.04,
         threads: 4.0,
-        work: 2400.0,
+        mean_work: 2400.0,
         objective: 5000.0,
         deadline: 12_000.0,
         value: 3.0,
@@ -41,7 +44,7 @@
     ClassProfile {
         share: 0.16,
         threads: 1.0,
-        work: 80.0,
+        mean_work: 80.0,
         objective: 600.0,
         deadline: 2500.0,
         value: 2.0,
@@ -49,18 +52,21 @@
     },
 ];
 
-/// The golden ratio's fraction. Its multiples modulo 1 are evenly spread, so classes come in turn by their shares.
+/// The fractional part of the golden ratio. Its multiples modulo 1 are evenly spread, so that in any interval each
+/// class occurs in proportion to its share.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
-/// Table groups that statements name.
+/// The number of table groups that requests use.
 const TABLE_GROUP_COUNT: f64 = 60.0;
-/// The longest time until a retry that gateways may advise.
+/// The longest wait before a retry that gateways may advise.
 pub const MAX_RETRY_AFTER: Millis = 2000.0;
-/// Time until a retry without advice.
+/// The shortest wait before a retry, and the wait of clients without advice.
 const MIN_RETRY_AFTER: Millis = 50.0;
-/// Tries of a client, the first included.
+/// How often a client sends a request, including the first time.
 const MAX_TRIES: u8 = 6;
-/// A request's work is uniform between these multiples of its class's.
+/// A request's work is uniformly distributed between this multiple of its class's mean and
+/// `MIN_WORK_FACTOR + WORK_FACTOR_RANGE`.
 const MIN_WORK_FACTOR: f64 = 0.4;
+/// See [`MIN_WORK_FACTOR`].
 const WORK_FACTOR_RANGE: f64 = 1.2;
 
 /// A request of a client.
@@ -79,23 +85,23 @@
     /// How often it has been sent to a gateway.
     pub tries: u8,
     ignores_advice: bool,
-    /// Whether it has its final answer, or won't be retried.
+    /// Whether it has its final answer, or will not be retried.
     pub is_finished: bool,
     /// How many engines have started to execute it.
     pub executions: u32,
 }
 
-/// A random number between 0 and 1, both excluded.
-fn random_share(random: &mut Pcg) -> f64 {
+/// A random number that is uniform in the open interval from 0 to 1.
+fn random_fraction(random: &mut Pcg) -> f64 {
     (random.draw() as f64 + 0.5) / 4294967296.0
 }
 
 /// A random index below `count`.
 pub fn random_index(random: &mut Pcg, count: usize) -> usize {
-    (random_share(random) * count as f64) as usize % count.max(1)
+    (random_fraction(random) * count as f64) as usize % count.max(1)
 }
 
-/// The configuration of each gateway's policy.
+/// The policy configuration of each gateway.
 pub fn policy_config(gateway_count: f64) -> PolicyConfig {
     let class_policy = |class: &ClassProfile| ClassPolicy {
         base_objective: class.objective,
@@ -116,8 +122,8 @@
         may_withdraw: true,
         max_retry_after: MAX_RETRY_AFTER,
         max_attempts: 6,
-        slow_start_from: COLD_FROM,
-        slow_start_duration: WARM_AFTER,
+        slow_start_from: COLD_START_SPEED,
+        slow_start_duration: WARM_UP_TIME,
         overload_factor: OVERLOAD_FACTOR,
         overload_window: OVERLOAD_WINDOW,
         retry_budget: Some(RetryBudget {
@@ -130,9 +136,9 @@
     }
 }
 
-/// All clients together.
+/// The clients and their requests.
 pub(crate) struct Clients {
-    /// All requests so far.
+    /// All requests so far, by index.
     pub(crate) requests: Vec<Request>,
     requests_per_ms: f64,
     /// Share of the requests whose client ignores advice and retries at once.
@@ -140,9 +146,12 @@
 }
 
 impl Clients {
-    /// Clients whose requests need `load` times the cores of so many engines.
+    /// Clients whose requests need `load` times the cores of `engine_count` engines.
     pub(crate) fn new(engine_count: u32, load: f64, ignore_advice_share: f64) -> Clients {
-        let mean_work: f64 = CLASSES.iter().map(|class| class.share * class.work).sum();
+        let mean_work: f64 = CLASSES
+            .iter()
+            .map(|class| class.share * class.mean_work)
+            .sum();
         Clients {
             requests: Vec::new(),
             requests_per_ms: load * engine_count as f64 * CORES / mean_work,
@@ -150,23 +159,23 @@
         }
     }
 
-    /// A random time until the next request. It varies little, so that a second's served value shows the service, not
-    /// how many requests were made in it.
+    /// The random time until the next request. It varies little, so that the value served in a second reflects the
+    /// service and not how many requests were made in that second.
     pub(crate) fn next_interval(&self, random: &mut Pcg) -> Millis {
-        (0.5 + random_share(random)) / self.requests_per_ms
+        (0.5 + random_fraction(random)) / self.requests_per_ms
     }
 
     /// Makes a random request, and returns its index.
     pub(crate) fn create_request(&mut self, random: &mut Pcg, now: Millis) -> usize {
         let index = self.requests.len();
         let class = class_of(index);
-        // The product of two shares: few table groups get most of the work.
-        let group = (TABLE_GROUP_COUNT * random_share(random) * random_share(random)) as u64;
-        let work_factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * random_share(random);
-        let ignores_advice = random_share(random) < self.ignore_advice_share;
+        // The product of two uniform numbers makes low indices frequent, so that few table groups get most of the work.
+        let group = (TABLE_GROUP_COUNT * random_fraction(random) * random_fraction(random)) as u64;
+        let work_factor = MIN_WORK_FACTOR + WORK_FACTOR_RANGE * random_fraction(random);
+        let ignores_advice = random_fraction(random) < self.ignore_advice_share;
         self.requests.push(Request {
             class,
-            work: CLASSES[class].work * work_factor,
+            work: CLASSES[class].mean_work * work_factor,
             table_group: mix(group + 1),
             created_at: now,
             deadline: now + CLASSES[class].deadline,
@@ -179,21 +188,21 @@
     }
 }
 
-/// The class of the request of that index.
+/// The class of the request with this index.
 fn class_of(index: usize) -> usize {
     let position = (index as f64 * GOLDEN_RATIO_FRACTION).fract();
     let mut class = 0;
-    let mut shares_up_to = CLASSES[0].share;
-    while position > shares_up_to && class + 1 < CLASSES.len() {
+    let mut cumulative_share = CLASSES[0].share;
+    while position > cumulative_share && class + 1 < CLASSES.len() {
         class += 1;
-        shares_up_to += CLASSES[class].share;
+        cumulative_share += CLASSES[class].share;
     }
     class
 }
 
 impl Request {
-    /// Whether it may be executed only once.
-    pub fn is_exactly_once(&self) -> bool {
+    /// Whether it is not idempotent, so that engines may execute it only once.
+    pub fn is_non_idempotent(&self) -> bool {
         CLASSES[self.class].effect == Effect::NonIdempotent
     }
 
@@ -211,12 +220,12 @@
         }
     }
 
-    /// Whether an answer at that time is within its objective.
+    /// Whether an answer at this time is within its objective.
     pub fn is_within_objective(&self, at: Millis) -> bool {
         at - self.created_at <= CLASSES[self.class].objective
     }
 
-    /// When its client retries after a rejection with that advice; `None` if it doesn't.
+    /// When its client retries after an answer that advises to wait for `retry_after`; `None` if the client gives up.
     pub fn retry_at(&self, now: Millis, retry_after: Millis) -> Option<Millis> {
         let delay = match self.ignores_advice {
             true => MIN_RETRY_AFTER,
--- a/crates/simulation/src/clock.rs
+++ b/crates/simulation/src/clock.rs
@@ -5,7 +5,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// An event and its time. Events of the same time happen in the order in which they were scheduled.
+/// An event and its time. Events with the same time occur in the order in which they were scheduled.
 struct ScheduledEvent {
     at: Millis,
     sequence_number: u64,
@@ -33,7 +33,7 @@
 
 impl Eq for ScheduledEvent {}
 
-/// The time of a run, from 0 to its end.
+/// The virtual time of a run, from 0 to its end, and the queue of scheduled events.
 pub(crate) struct Clock {
     now: Millis,
     end: Millis,
@@ -64,7 +64,7 @@
         }));
     }
 
-    /// Advances the time to the next event. None if no event is left before the end.
+    /// Advances the time to the next event and returns it; `None` if no event is left before the end.
     pub(crate) fn next_event(&mut self) -> Option<Event> {
         let Reverse(next) = self.queue.pop()?;
         if next.at > self.end {
--- a/crates/simulation/src/command.rs
+++ b/crates/simulation/src/command.rs
@@ -1,10 +1,10 @@
-//! The command line and its commands.
+//! The command line, and the implementation of its commands.
 
 mod runs;
 
 use clap::{Args, Parser, Subcommand};
 use ironstair_simulation::report::{compare, csv, write_chart, ChartError, Row, TABLE_HEAD};
-use ironstair_simulation::{Day, DayError, Figures};
+use ironstair_simulation::{RunMetrics, Scenario, ScenarioError};
 use runs::{run_seeds, RunError};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 #[derive(Parser)]
 #[command(
     name = "ironstair-simulate",
-    about = "Days of faults for hundreds of gateways, in virtual time"
+    about = "Simulates fault scenarios (\"days\") for hundreds of gateways in virtual time"
 )]
 pub(crate) struct CommandLine {
     #[command(subcommand)]
@@ -22,70 +22,76 @@
 
 #[derive(Args)]
 pub(crate) struct Seeds {
-    /// How many days, each from a seed of its own
+    /// Number of runs of each scenario, each with a seed of its own
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// The first seed
+    /// Seed of the first run; each further run uses the next number
     #[arg(long, default_value_t = 1)]
     first: u64,
-    /// Folder of each day's figures; a day whose figures are there already is not played again
+    /// Folder for the metrics of each run; runs whose metrics are already there are not repeated
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Plays a day, from each seed
+    /// Runs a scenario with each seed, and prints a summary
     Run {
+        /// File of the scenario
         day: PathBuf,
         #[command(flatten)]
         seeds: Seeds,
     },
-    /// Plays two days from the same seeds, and reports how much more the second keeps
+    /// Runs two scenarios with the same seeds, and prints how much more value the second one serves
     Compare {
+        /// File of the scenario to compare with
         #[arg(value_name = "A")]
         reference: PathBuf,
+        /// File of the scenario to assess
         #[arg(value_name = "B")]
         candidate: PathBuf,
         #[command(flatten)]
         seeds: Seeds,
     },
-    /// Plays a day with other values of one field
+    /// Runs a scenario once for each of several values of one field
     Sweep {
+        /// File of the scenario
         day: PathBuf,
-        /// A field of the day, as a JSON pointer: /load, /faults/0/what/kill_gateways/share
+        /// The field as a JSON pointer into the scenario, such as /load or /faults/0/what/kill_gateways/share
         #[arg(long)]
         field: String,
-        /// JSON values
+        /// Values of the field in JSON, separated by commas; a value that is not JSON is used as a string
         #[arg(long, value_delimiter = ',')]
         values: Vec<String>,
         #[command(flatten)]
         seeds: Seeds,
     },
-    /// Plays days, and writes report.md, seconds.csv and chart.svg
+    /// Runs scenarios, and writes report.md, seconds.csv and chart.svg
     Report {
+        /// Files of the scenarios
         days: Vec<PathBuf>,
+        /// Folder for the report's files
         #[arg(long, value_name = "FOLDER")]
         to: PathBuf,
         #[command(flatten)]
         seeds: Seeds,
     },
-    /// Prints the JSON Schema of a day
+    /// Prints the JSON Schema of the scenario file
     Schema,
 }
 
-/// Why a command ends with an error, in a sentence.
+/// Why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     #[error(transparent)]
-    Day(#[from] DayError),
-    #[error("{field}: a day has no such field")]
+    Scenario(#[from] ScenarioError),
+    #[error("{field}: the scenario has no field at this JSON pointer")]
     UnknownField { field: String },
     #[error(transparent)]
     Run(#[from] RunError),
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write {}: {source}", path.display())]
     Write {
         path: PathBuf,
         source: std::io::Error,
@@ -96,22 +102,22 @@
     Violations { seed: u64, violations: Vec<String> },
 }
 
-/// A scenario and its runs.
-struct PlayedDay {
-    day: Day,
-    runs: Vec<Figures>,
+/// A scenario and the metrics of its runs.
+struct ScenarioRuns {
+    scenario: Scenario,
+    runs: Vec<RunMetrics>,
 }
 
-impl PlayedDay {
-    fn play(day: Day, seeds: &Seeds) -> Result<PlayedDay, CommandError> {
-        let runs = run_seeds(&day, seeds)?;
-        Ok(PlayedDay { day, runs })
+impl ScenarioRuns {
+    fn run(scenario: Scenario, seeds: &Seeds) -> Result<ScenarioRuns, CommandError> {
+        let runs = run_seeds(&scenario, seeds)?;
+        Ok(ScenarioRuns { scenario, runs })
     }
 
     fn row(&self) -> Row<'_> {
         Row {
-            name: &self.day.name,
-            days: &self.runs,
+            name: &self.scenario.name,
+            runs: &self.runs,
         }
     }
 }
@@ -119,7 +125,7 @@
 pub(crate) fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Schema => {
-            println!("{}", Day::schema());
+            println!("{}", Scenario::schema());
             Ok(())
         }
         Command::Run { day, seeds } => run_day(&day, &seeds),
@@ -139,27 +145,27 @@
 }
 
 fn run_day(day: &Path, seeds: &Seeds) -> Result<(), CommandError> {
-    let played = [PlayedDay::play(Day::read(day)?, seeds)?];
-    print!("{}", table(&played));
-    check_violations(&played)
+    let results = [ScenarioRuns::run(Scenario::read(day)?, seeds)?];
+    print!("{}", table(&results));
+    check_violations(&results)
 }
 
 fn compare_days(reference: &Path, candidate: &Path, seeds: &Seeds) -> Result<(), CommandError> {
-    // Both files are checked before one is played.
-    let reference = Day::read(reference)?;
-    let candidate = Day::read(candidate)?;
-    let played = [
-        PlayedDay::play(reference, seeds)?,
-        PlayedDay::play(candidate, seeds)?,
+    // Both files are checked before the first run.
+    let reference = Scenario::read(reference)?;
+    let candidate = Scenario::read(candidate)?;
+    let results = [
+        ScenarioRuns::run(reference, seeds)?,
+        ScenarioRuns::run(candidate, seeds)?,
     ];
-    print!("{}", table(&played));
-    let [reference, candidate] = &played;
+    print!("{}", table(&results));
+    let [reference, candidate] = &results;
     let comparison = compare(&reference.runs, &candidate.runs);
     print!(
         "\n{} beside {}: {comparison}",
-        candidate.day.name, reference.day.name
+        candidate.scenario.name, reference.scenario.name
     );
-    check_violations(&played)
+    check_violations(&results)
 }
 
 fn sweep_field(
@@ -168,75 +174,77 @@
     values: &[String],
     seeds: &Seeds,
 ) -> Result<(), CommandError> {
-    let day = Day::read(day)?;
-    // All values are checked before one is played.
-    let days = values
+    let scenario = Scenario::read(day)?;
+    // All values are checked before the first run.
+    let scenarios = values
         .iter()
-        .map(|value| with_field(&day, field, value))
-        .collect::<Result<Vec<Day>, CommandError>>()?;
-    let played = play_all(days, seeds)?;
-    print!("{}", table(&played));
-    check_violations(&played)
+        .map(|value| with_field(&scenario, field, value))
+        .collect::<Result<Vec<Scenario>, CommandError>>()?;
+    let results = run_all(scenarios, seeds)?;
+    print!("{}", table(&results));
+    check_violations(&results)
 }
 
 fn write_report(days: &[PathBuf], folder: &Path, seeds: &Seeds) -> Result<(), CommandError> {
-    let days = days
+    let scenarios = days
         .iter()
-        .map(|day| Day::read(day))
-        .collect::<Result<Vec<Day>, DayError>>()?;
+        .map(|day| Scenario::read(day))
+        .collect::<Result<Vec<Scenario>, ScenarioError>>()?;
     std::fs::create_dir_all(folder).map_err(|source| CommandError::Write {
         path: folder.to_path_buf(),
         source,
     })?;
-    let played = play_all(days, seeds)?;
-    let table = table(&played);
+    let results = run_all(scenarios, seeds)?;
+    let table = table(&results);
     let report = format!("{table}\n![served](chart.svg)\n");
     write_file(&folder.join("report.md"), &report)?;
-    let seconds: String = played.iter().map(|played| csv(&played.runs)).collect();
+    let seconds: String = results.iter().map(|result| csv(&result.runs)).collect();
     write_file(&folder.join("seconds.csv"), &seconds)?;
-    write_chart(&folder.join("chart.svg"), &rows(&played))?;
+    write_chart(&folder.join("chart.svg"), &rows(&results))?;
     print!("{table}");
-    check_violations(&played)
+    check_violations(&results)
 }
 
-fn play_all(days: Vec<Day>, seeds: &Seeds) -> Result<Vec<PlayedDay>, CommandError> {
-    days.into_iter()
-        .map(|day| PlayedDay::play(day, seeds))
+fn run_all(scenarios: Vec<Scenario>, seeds: &Seeds) -> Result<Vec<ScenarioRuns>, CommandError> {
+    scenarios
+        .into_iter()
+        .map(|scenario| ScenarioRuns::run(scenario, seeds))
         .collect()
 }
 
-/// The day with another value of one field, given as a JSON pointer. A value that isn't JSON is taken as a string.
-fn with_field(day: &Day, field: &str, value: &str) -> Result<Day, CommandError> {
-    let mut json = serde_json::to_value(day)?;
-    let changed = json
+/// The scenario with another value of one field, which is given as a JSON pointer. A value that is not JSON is used as
+/// a string.
+fn with_field(scenario: &Scenario, field: &str, value: &str) -> Result<Scenario, CommandError> {
+    let mut json = serde_json::to_value(scenario)?;
+    let field_value = json
         .pointer_mut(field)
         .ok_or_else(|| CommandError::UnknownField {
             field: field.to_owned(),
         })?;
-    *changed = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_owned()));
+    *field_value = serde_json::from_str(value).unwrap_or_else(|_| Value::String(value.to_owned()));
     let text = serde_json::to_vec(&json)?;
-    let mut changed_day = Day::decode(&text)?;
-    changed_day.name = format!("{}, {field} {value}", day.name);
-    Ok(changed_day)
+    let mut changed_scenario = Scenario::decode(&text)?;
+    changed_scenario.name = format!("{}, {field} {value}", scenario.name);
+    Ok(changed_scenario)
 }
 
-fn rows(played: &[PlayedDay]) -> Vec<Row<'_>> {
-    played.iter().map(PlayedDay::row).collect()
+fn rows(results: &[ScenarioRuns]) -> Vec<Row<'_>> {
+    results.iter().map(ScenarioRuns::row).collect()
 }
 
-fn table(played: &[PlayedDay]) -> String {
-    let lines: String = rows(played).iter().map(Row::line).collect();
+fn table(results: &[ScenarioRuns]) -> String {
+    let lines: String = rows(results).iter().map(Row::line).collect();
     format!("{TABLE_HEAD}{lines}")
 }
 
-/// Fails by the first run with a violation.
-fn check_violations(played: &[PlayedDay]) -> Result<(), CommandError> {
-    let mut runs = played.iter().flat_map(|played| &played.runs);
-    match runs.find(|figures| figures.broken > 0) {
+/// Returns an error for the first run with a violation.
+fn check_violations(results: &[ScenarioRuns]) -> Result<(), CommandError> {
+    let mut runs = results.iter().flat_map(|result| &result.runs);
+    match runs.find(|metrics| metrics.violation_count > 0) {
         None => Ok(()),
-        Some(figures) => Err(CommandError::Violations {
-            seed: figures.seed,
-            violations: figures.breaches.clone(),
+        Some(metrics) => Err(CommandError::Violations {
+            seed: metrics.seed,
+            violations: metrics.violations.clone(),
         }),
     }
 }
--- a/crates/simulation/src/command/runs.rs
+++ b/crates/simulation/src/command/runs.rs
@@ -1,27 +1,28 @@
-//! The runs of a scenario from several seeds, on all cores.
+//! Runs a scenario with several seeds, in parallel on all cores.
 
 use super::Seeds;
-use ironstair_simulation::world::play;
-use ironstair_simulation::{Day, Figures};
+use ironstair_simulation::world::simulate;
+use ironstair_simulation::{RunMetrics, Scenario};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use thiserror::Error;
 
-/// Figures can't be written to the folder.
+/// The metrics of a run cannot be stored.
 #[derive(Debug, Error)]
 pub(crate) enum RunError {
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    #[error("{}: {source}", path.display())]
+    #[error("cannot write {}: {source}", path.display())]
     Write {
         path: PathBuf,
         source: std::io::Error,
     },
 }
 
-/// Runs a scenario from each seed, and reports the progress on standard error. Returns the figures in order of seeds.
-pub(super) fn run_seeds(day: &Day, seeds: &Seeds) -> Result<Vec<Figures>, RunError> {
+/// Runs a scenario with each seed, and reports the progress on standard error. Returns the metrics in the order of
+/// seeds.
+pub(super) fn run_seeds(scenario: &Scenario, seeds: &Seeds) -> Result<Vec<RunMetrics>, RunError> {
     if let Some(folder) = &seeds.out {
         std::fs::create_dir_all(folder).map_err(|source| RunError::Write {
             path: folder.clone(),
@@ -38,11 +39,11 @@
                 if seed >= seeds.first + seeds.seeds {
                     return;
                 }
-                let result = run_or_load(day, seed, seeds.out.as_deref());
+                let result = run_or_load(scenario, seed, seeds.out.as_deref());
                 let mut finished = finished.lock().unwrap_or_else(PoisonError::into_inner);
                 finished.push(result);
                 let count = finished.len();
-                eprintln!("{}: {count} of {} seeds", day.name, seeds.seeds);
+                eprintln!("{}: {count} of {} seeds", scenario.name, seeds.seeds);
             });
         }
     });
@@ -51,30 +52,34 @@
         .unwrap_or_else(PoisonError::into_inner);
     let mut runs = finished
         .into_iter()
-        .collect::<Result<Vec<Figures>, RunError>>()?;
-    runs.sort_by_key(|figures| figures.seed);
+        .collect::<Result<Vec<RunMetrics>, RunError>>()?;
+    runs.sort_by_key(|metrics| metrics.seed);
     Ok(runs)
 }
 
-/// The file of a run's figures. Its name has a checksum of the scenario, so that a changed scenario is played again.
-fn figures_file(folder: &Path, day: &Day, seed: u64) -> PathBuf {
-    let text = serde_json::to_vec(day).unwrap_or_default();
+/// The file of a run's metrics. Its name contains a checksum of the scenario, so that a changed scenario is run again.
+fn metrics_file(folder: &Path, scenario: &Scenario, seed: u64) -> PathBuf {
+    let text = serde_json::to_vec(scenario).unwrap_or_default();
     folder.join(format!("{:08x}-{seed}.json", crc32c::crc32c(&text)))
 }
 
-/// Loads a run's figures from the folder, or plays the run and writes them there.
-fn run_or_load(day: &Day, seed: u64, folder: Option<&Path>) -> Result<Figures, RunError> {
+/// Loads a run's metrics from the folder, or runs the scenario and stores the metrics there.
+fn run_or_load(
+    scenario: &Scenario,
+    seed: u64,
+    folder: Option<&Path>,
+) -> Result<RunMetrics, RunError> {
     let Some(folder) = folder else {
-        return Ok(play(day, seed));
+        return Ok(simulate(scenario, seed));
     };
-    let path = figures_file(folder, day, seed);
+    let path = metrics_file(folder, scenario, seed);
     let bytes = std::fs::read(&path).ok();
-    // A file that an interrupted run left incomplete is written again.
-    if let Some(figures) = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok()) {
-        return Ok(figures);
+    // A file that cannot be parsed was left incomplete by an interrupted program, and is written again.
+    if let Some(metrics) = bytes.and_then(|bytes| serde_json::from_slice(&bytes).ok()) {
+        return Ok(metrics);
     }
-    let figures = play(day, seed);
-    let text = serde_json::to_vec(&figures)?;
+    let metrics = simulate(scenario, seed);
+    let text = serde_json::to_vec(&metrics)?;
     std::fs::write(&path, text).map_err(|source| RunError::Write { path, source })?;
-    Ok(figures)
+    Ok(metrics)
 }
--- a/crates/simulation/src/command/tests.rs
+++ b/crates/simulation/src/command/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn first_seed_of_a_comparison_is_no_file() {
+fn first_seed_of_a_comparison_is_not_parsed_as_a_file() {
     let line = "ironstair-simulate compare a.json b.json --first 7";
     let parsed = CommandLine::parse_from(line.split(' '));
     let Command::Compare {
--- a/crates/simulation/src/day.rs
+++ b/crates/simulation/src/day.rs
@@ -1,22 +1,23 @@
-//! A scenario ("day") as JSON. It is checked completely before it is played.
+//! The scenario file (called a "day") in JSON. A scenario is checked completely before it is run.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Longest duration in seconds of a scenario, and of a fault.
+/// The longest duration of a scenario or a fault, in seconds.
 const MAX_SECONDS: f64 = 3600.0;
-/// Smallest number of gateways with a fleet: each of its voters is a gateway.
+/// The smallest number of gateways in a fleet, because each of its voters is a gateway.
 const MIN_FLEET_GATEWAYS: u32 = 3;
 
-/// A scenario.
+/// A fault scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Day {
-    /// Its name in tables and charts.
+#[schemars(rename = "Day")]
+pub struct Scenario {
+    /// Name of the scenario in tables and charts.
     pub name: String,
-    /// How long it lasts, in seconds of virtual time.
+    /// Duration of the scenario in seconds of virtual time.
     #[serde(default = "default_seconds")]
     #[schemars(range(min = 5, max = 3600))]
     pub seconds: u32,
@@ -29,108 +30,116 @@
     /// Requested work as a multiple of the capacity of all engines.
     #[schemars(range(min = 0.01, max = 3.0))]
     pub load: f64,
-    /// How much the gateways know of each other.
+    /// How the gateways coordinate.
     #[serde(default)]
-    pub fleet: Fleet,
-    /// How long a member's lease lasts, in milliseconds.
+    pub fleet: FleetMode,
+    /// Duration of a member's lease in milliseconds.
     #[serde(default = "default_lease_ms")]
     #[schemars(range(min = 1000, max = 60000))]
     pub lease_ms: u32,
-    /// Whether a restarted process proves that the previous process of its name has ended, as the built program does.
-    #[serde(default = "yes")]
-    pub proves_ends: bool,
-    /// Whether a member beyond the configured count waits for its share, as the built program does.
-    #[serde(default = "yes")]
-    pub shares_wait: bool,
-    /// Share of the clients that ignore advice and retry at once.
-    #[serde(default)]
+    /// Whether a restarted process proves that its predecessor has ended, as the gateway program does.
+    #[serde(rename = "proves_ends", default = "default_true")]
+    pub proves_process_end: bool,
+    /// Whether a member beyond the configured number of gateways waits for its share, as the gateway program does.
+    #[serde(rename = "shares_wait", default = "default_true")]
+    pub waits_for_share: bool,
+    /// Share of the requests whose client ignores the advised wait and retries almost immediately.
+    #[serde(rename = "ignore_advice", default)]
     #[schemars(range(min = 0.0, max = 1.0))]
-    pub ignore_advice: f64,
-    /// The faults.
+    pub ignore_advice_share: f64,
+    /// The faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// How much gateways know of each other.
+/// How gateways coordinate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Fleet {
-    /// Nothing: each uses its own configuration.
+#[schemars(rename = "Fleet")]
+pub enum FleetMode {
+    /// Not at all: each gateway uses its own configuration.
     #[default]
     None,
-    /// One policy and leases. Limits are shared among the configured number of gateways.
+    /// The fleet has one policy and leases. Limits are shared among the configured number of gateways.
     #[serde(rename = "told")]
     Fixed,
-    /// One policy and leases. Limits are shared among the members.
+    /// The fleet has one policy and leases. Limits are shared among its current members.
     Members,
 }
 
-/// A fault and its time.
+/// A fault and the time at which it occurs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it occurs, in seconds.
+    /// When the fault occurs, in seconds from the scenario's start.
     pub at_s: f64,
-    /// Its kind.
+    /// The kind of fault and its parameters.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// Kind of a fault.
+/// The kind of a fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Gateways' processes are killed at once.
+    /// The processes of several gateways are killed at the same time.
     KillGateways {
-        /// Share of the gateways.
+        /// Share of the gateways, drawn at random.
         share: f64,
-        /// Seconds until each restarts.
-        back_s: f64,
-        /// Whether voters among them are spared. Without a majority of the voters a fleet decides nothing.
+        /// Seconds until each gateway restarts.
+        #[serde(rename = "back_s")]
+        restart_after_s: f64,
+        /// Whether voters among the drawn gateways are spared. Without a majority of its voters a fleet has no leader.
         #[serde(default)]
         #[serde(rename = "but_keepers")]
         except_voters: bool,
     },
-    /// Gateways' processes are paused at once. Everything that reaches one meanwhile is handled when it resumes.
-    StopGateways {
-        /// Share of the gateways.
+    /// The processes of several gateways are paused at the same time. They handle everything when they resume.
+    #[serde(rename = "stop_gateways")]
+    PauseGateways {
+        /// Share of the gateways, drawn at random.
         share: f64,
-        /// Seconds of the pause.
-        for_s: f64,
+        /// Duration of the pause in seconds.
+        #[serde(rename = "for_s")]
+        duration_s: f64,
     },
-    /// Engines' processes are killed at once, and are cold when they restart.
+    /// The processes of several engines are killed at the same time. They are cold when they restart.
     KillEngines {
-        /// Share of the engines.
+        /// Share of the engines, drawn at random.
         share: f64,
-        /// Seconds until each restarts.
-        back_s: f64,
+        /// Seconds until each engine restarts.
+        #[serde(rename = "back_s")]
+        restart_after_s: f64,
     },
-    /// All voters' processes, which are the first three gateways, are killed at once.
+    /// The processes of all voters, which are the first three gateways, are killed at the same time.
     #[serde(rename = "kill_keepers")]
     KillVoters {
-        /// Seconds until each restarts.
-        back_s: f64,
+        /// Seconds until each voter restarts.
+        #[serde(rename = "back_s")]
+        restart_after_s: f64,
     },
-    /// The name service answers nothing.
-    NamesDown {
-        /// Seconds of the outage.
-        for_s: f64,
+    /// The name service is unavailable, so gateways discover no changes of the engines.
+    #[serde(rename = "names_down")]
+    NameServiceDown {
+        /// Duration of the outage in seconds.
+        #[serde(rename = "for_s")]
+        duration_s: f64,
     },
 }
 
-/// Why a scenario can't be played. Each error is one sentence with the field's path.
+/// Why a scenario cannot be run. Each message begins with the path of the field or file.
 #[derive(Debug, Error)]
-pub enum DayError {
+pub enum ScenarioError {
     /// A field is missing, unknown, or of the wrong type.
     #[error("{field}: {source}")]
     Field {
-        /// The field's path, or `the day` for the whole.
+        /// The field's path, or `scenario` for the whole.
         field: String,
         /// The parser's error.
         source: serde_json::Error,
     },
     /// Something follows the JSON value.
-    #[error(transparent)]
+    #[error("scenario: {0}")]
     TrailingCharacters(serde_json::Error),
     /// A number is outside its range.
     #[error("{field}: {value} is outside {min} to {max}")]
@@ -145,26 +154,26 @@
         max: f64,
     },
     /// A fleet has fewer gateways than voters.
-    #[error("fleet: it needs {MIN_FLEET_GATEWAYS} gateways, not {gateways}")]
+    #[error("fleet: requires at least {MIN_FLEET_GATEWAYS} gateways, found {gateways}")]
     TooFewGateways {
         /// The number of gateways.
         gateways: u32,
     },
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be read.
+    #[error("cannot read {}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file's scenario is wrong.
+    /// The scenario in the file is invalid.
     #[error("{}: {source}", path.display())]
     InFile {
         /// The file.
         path: PathBuf,
         /// The error in it.
-        source: Box<DayError>,
+        source: Box<ScenarioError>,
     },
 }
 
@@ -176,11 +185,11 @@
     3000
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-/// A number of a fault that has to be between 0 and a maximum.
+/// A number in a fault that must be between 0 and a maximum.
 struct BoundedField {
     name: &'static str,
     value: f64,
@@ -203,26 +212,37 @@
 impl FaultKind {
     fn bounded_fields(&self) -> Vec<BoundedField> {
         match *self {
-            FaultKind::KillGateways { share, back_s, .. }
-            | FaultKind::KillEngines { share, back_s } => vec![
+            FaultKind::KillGateways {
+                share,
+                restart_after_s,
+                ..
+            }
+            | FaultKind::KillEngines {
+                share,
+                restart_after_s,
+            } => vec![
                 BoundedField::share(share),
-                BoundedField::seconds("back_s", back_s),
+                BoundedField::seconds("back_s", restart_after_s),
             ],
-            FaultKind::StopGateways { share, for_s } => vec![
+            FaultKind::PauseGateways { share, duration_s } => vec![
                 BoundedField::share(share),
-                BoundedField::seconds("for_s", for_s),
+                BoundedField::seconds("for_s", duration_s),
             ],
-            FaultKind::KillVoters { back_s } => vec![BoundedField::seconds("back_s", back_s)],
-            FaultKind::NamesDown { for_s } => vec![BoundedField::seconds("for_s", for_s)],
+            FaultKind::KillVoters { restart_after_s } => {
+                vec![BoundedField::seconds("back_s", restart_after_s)]
+            }
+            FaultKind::NameServiceDown { duration_s } => {
+                vec![BoundedField::seconds("for_s", duration_s)]
+            }
         }
     }
 }
 
-fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), DayError> {
+fn check_range(field: &str, value: f64, min: f64, max: f64) -> Result<(), ScenarioError> {
     if value.is_finite() && (min..=max).contains(&value) {
         return Ok(());
     }
-    Err(DayError::OutOfRange {
+    Err(ScenarioError::OutOfRange {
         field: field.to_owned(),
         value,
         min,
@@ -230,51 +250,52 @@
     })
 }
 
-impl Day {
+impl Scenario {
     /// Parses and checks a scenario.
     ///
     /// # Errors
-    /// The first field that is wrong.
-    pub fn decode(json: &[u8]) -> Result<Day, DayError> {
+    /// The JSON is malformed, or a field is missing, unknown or invalid. The error names the first such field.
+    pub fn decode(json: &[u8]) -> Result<Scenario, ScenarioError> {
         let mut reader = serde_json::Deserializer::from_slice(json);
-        let day: Day = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
-            let field = match error.path().to_string().as_str() {
-                "." => "the day".to_owned(),
-                path => path.to_owned(),
-            };
-            let source = error.into_inner();
-            DayError::Field { field, source }
-        })?;
-        reader.end().map_err(DayError::TrailingCharacters)?;
-        day.check()?;
-        Ok(day)
+        let scenario: Scenario =
+            serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+                let field = match error.path().to_string().as_str() {
+                    "." => "scenario".to_owned(),
+                    path => path.to_owned(),
+                };
+                let source = error.into_inner();
+                ScenarioError::Field { field, source }
+            })?;
+        reader.end().map_err(ScenarioError::TrailingCharacters)?;
+        scenario.check()?;
+        Ok(scenario)
     }
 
     /// Reads, parses and checks a scenario's file.
     ///
     /// # Errors
-    /// The file can't be read, or the first field that is wrong.
-    pub fn read(path: &Path) -> Result<Day, DayError> {
-        let bytes = std::fs::read(path).map_err(|source| DayError::Read {
+    /// The file cannot be read, or its scenario is invalid.
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
+        let bytes = std::fs::read(path).map_err(|source| ScenarioError::Read {
             path: path.to_path_buf(),
             source,
         })?;
-        Day::decode(&bytes).map_err(|error| DayError::InFile {
+        Scenario::decode(&bytes).map_err(|error| ScenarioError::InFile {
             path: path.to_path_buf(),
             source: Box::new(error),
         })
     }
 
-    fn check(&self) -> Result<(), DayError> {
+    fn check(&self) -> Result<(), ScenarioError> {
         check_range("seconds", self.seconds as f64, 5.0, MAX_SECONDS)?;
         check_range("gateways", self.gateways as f64, 1.0, 1000.0)?;
         check_range("engines", self.engines as f64, 1.0, 200.0)?;
         check_range("load", self.load, 0.01, 3.0)?;
         check_range("lease_ms", self.lease_ms as f64, 1000.0, 60_000.0)?;
-        check_range("ignore_advice", self.ignore_advice, 0.0, 1.0)?;
-        if self.fleet != Fleet::None && self.gateways < MIN_FLEET_GATEWAYS {
+        check_range("ignore_advice", self.ignore_advice_share, 0.0, 1.0)?;
+        if self.fleet != FleetMode::None && self.gateways < MIN_FLEET_GATEWAYS {
             let gateways = self.gateways;
-            return Err(DayError::TooFewGateways { gateways });
+            return Err(ScenarioError::TooFewGateways { gateways });
         }
         for (index, fault) in self.faults.iter().enumerate() {
             let at_s_path = format!("faults[{index}].at_s");
@@ -287,8 +308,8 @@
         Ok(())
     }
 
-    /// The JSON Schema of a scenario.
+    /// The JSON Schema of the scenario file.
     pub fn schema() -> String {
-        serde_json::to_string_pretty(&schemars::schema_for!(Day)).unwrap_or_default()
+        serde_json::to_string_pretty(&schemars::schema_for!(Scenario)).unwrap_or_default()
     }
 }
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -1,42 +1,44 @@
-//! A model of an engine: cores that running queries share, sessions, table groups that are cached or not, a cold start
-//! and a crash under too much cold work. Its shape follows the design page and the settings; a constant that neither
-//! of them gives is marked as assumed.
+//! The engine model: cores that running queries share, a limited number of sessions, a cache of table groups, a slow
+//! start, and a crash when a cold engine receives too much work. The model follows the design page and the settings; a
+//! constant that neither of them specifies is marked as assumed.
 
 use crate::event::ProcessId;
 use ironstair::Millis;
 use std::collections::VecDeque;
 
-/// Cores of an engine.
+/// The number of cores of an engine.
 pub const CORES: f64 = 16.0;
-/// Queries that run at once at most: assumed.
+/// The maximum number of queries that run concurrently: assumed.
 const MAX_SESSIONS: usize = 64;
-/// Table groups that an engine caches: assumed.
+/// The number of table groups that an engine caches: assumed.
 const CACHED_TABLE_GROUPS: usize = 12;
-/// Factor of the work of a query whose table group isn't cached: assumed.
+/// Factor by which the work of a query increases if its table group is not cached: assumed.
 const UNCACHED_WORK_FACTOR: f64 = 1.5;
-/// Speed of a process that has just started, as a share of its full speed. Gateways are configured with it.
-pub const COLD_FROM: f64 = 0.3;
-/// Time from a process's start to its full speed. Gateways are configured with it.
-pub const WARM_AFTER: Millis = 15_000.0;
-/// A cold engine crashes by this multiple of the work that it can do in [`OVERLOAD_WINDOW`].
+/// Speed of a process that has just started, as a share of its full speed. Gateways are configured with the same value.
+pub const COLD_START_SPEED: f64 = 0.3;
+/// Time from a process's start to its full speed. Gateways are configured with the same value.
+pub const WARM_UP_TIME: Millis = 15_000.0;
+/// An engine below full speed crashes if it receives more than this multiple of the work that it can do in
+/// [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_FACTOR: f64 = 4.0;
-/// The window over which received work counts.
+/// The time window over which received work is summed.
 pub const OVERLOAD_WINDOW: Millis = 1000.0;
-/// Ticks of a warming engine over [`WARM_AFTER`], because the time of the next completion changes with its speed.
-const TICKS_WHILE_WARMING: f64 = 100.0;
-/// The next tick is at least this much later, so that the time advances in spite of rounding.
+/// The number of ticks of an engine during [`WARM_UP_TIME`]. They are needed because its speed, and with it the time of
+/// the next completion, changes continuously.
+const WARM_UP_TICKS: f64 = 100.0;
+/// The minimum delay of the next tick. Without it rounding could keep the virtual time from advancing.
 const MIN_TICK_DELAY: Millis = 0.001;
-/// A query with less work left, in core milliseconds, is completed; the rest is rounding.
+/// A query with at most this much work left, in core milliseconds, counts as completed: the rest is a rounding error.
 const COMPLETED_WORK: f64 = 1e-6;
 
 /// An attempt of a gateway's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The process that waits for it.
+    /// The gateway's process that waits for it.
     pub process: ProcessId,
     /// The slot of its request.
     pub slot: usize,
-    /// Which use of the slot.
+    /// Distinguishes the uses of the slot by successive requests.
     pub use_number: u64,
 }
 
@@ -64,33 +66,33 @@
     work: f64,
 }
 
-/// Whether an engine runs a query.
+/// The result of sending a query to an engine.
 pub enum Admission {
-    /// It runs.
+    /// The query runs.
     Running,
     /// All sessions are in use.
     QueueFull,
-    /// The engine received more work than it can bear while cold, and crashes with all its queries.
+    /// The engine received too much work before it was at full speed, and crashes with all its queries.
     Crash,
 }
 
-/// An engine.
+/// The state of an engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// Whether a process runs.
     pub is_up: bool,
-    /// When the process started; 0 for one that is at full speed from the beginning.
+    /// When the process started; 0 for a process that is at full speed from the beginning of the run.
     pub started_at: Millis,
     /// How often the engine has restarted.
     pub process: u32,
-    /// Number of the latest tick. Earlier ones are ignored.
+    /// Number of the latest scheduled tick; earlier ticks are ignored.
     pub latest_tick: u64,
     running: Vec<RunningQuery>,
-    /// Until when the running queries' work is accounted for.
+    /// The time up to which the work of the running queries is accounted for.
     advanced_to: Millis,
     recent_work: VecDeque<ReceivedWork>,
-    /// The cached table groups, the latest first.
-    cached: VecDeque<u64>,
+    /// The cached table groups, the most recently used first.
+    cached_table_groups: VecDeque<u64>,
 }
 
 impl Default for Engine {
@@ -103,26 +105,28 @@
             running: Vec::new(),
             advanced_to: 0.0,
             recent_work: VecDeque::new(),
-            cached: VecDeque::new(),
+            cached_table_groups: VecDeque::new(),
         }
     }
 }
 
 impl Engine {
-    /// The speed as a share of the full one.
-    fn warmth(&self, now: Millis) -> f64 {
+    /// The current speed as a share of the full speed.
+    fn speed_factor(&self, now: Millis) -> f64 {
         if self.started_at <= 0.0 {
             return 1.0;
         }
-        COLD_FROM + (1.0 - COLD_FROM) * ((now - self.started_at) / WARM_AFTER).clamp(0.0, 1.0)
+        COLD_START_SPEED
+            + (1.0 - COLD_START_SPEED) * ((now - self.started_at) / WARM_UP_TIME).clamp(0.0, 1.0)
     }
 
-    /// Work that one thread does in a millisecond.
+    /// The work that one thread does in a millisecond.
     fn work_per_thread(&self, now: Millis) -> f64 {
         let threads: f64 = self.running.iter().map(|query| query.threads).sum();
-        (CORES * self.warmth(now) / threads.max(1e-9)).min(1.0)
+        (CORES * self.speed_factor(now) / threads.max(1e-9)).min(1.0)
     }
 
+    /// Accounts for the work that was done until now.
     fn advance(&mut self, now: Millis) {
         let done_per_thread = self.work_per_thread(now) * (now - self.advanced_to);
         for query in &mut self.running {
@@ -131,7 +135,7 @@
         self.advanced_to = now;
     }
 
-    /// Removes the queries that are completed by now.
+    /// Removes and returns the queries that are completed by now.
     pub fn take_completed(&mut self, now: Millis) -> Vec<AttemptId> {
         self.advance(now);
         let is_completed = |query: &RunningQuery| query.work_left <= COMPLETED_WORK;
@@ -145,8 +149,8 @@
         completed
     }
 
-    /// When the next query is completed if nothing changes. While the engine warms up, a time before that at which the
-    /// completion has to be computed again. None for an idle engine at full speed.
+    /// The time of the next completion if nothing changes before. While the engine warms up, possibly an earlier time,
+    /// at which the completion has to be computed again. `None` for an idle engine at full speed.
     pub fn next_tick_at(&self, now: Millis) -> Option<Millis> {
         let work_per_thread = self.work_per_thread(now);
         let first_completion = self
@@ -154,8 +158,8 @@
             .iter()
             .map(|query| query.work_left / query.threads / work_per_thread)
             .fold(Millis::INFINITY, f64::min);
-        let delay = match self.warmth(now) < 1.0 {
-            true => first_completion.min(WARM_AFTER / TICKS_WHILE_WARMING),
+        let delay = match self.speed_factor(now) < 1.0 {
+            true => first_completion.min(WARM_UP_TIME / WARM_UP_TICKS),
             false => first_completion,
         };
         delay.is_finite().then_some(now + delay.max(MIN_TICK_DELAY))
@@ -167,12 +171,14 @@
         if self.running.len() >= MAX_SESSIONS {
             return Admission::QueueFull;
         }
-        let received_work = self.receive_work(now, query.work);
-        let warmth = self.warmth(now);
-        if warmth < 1.0 && received_work > OVERLOAD_FACTOR * warmth * CORES * OVERLOAD_WINDOW {
+        let received_work = self.record_received_work(now, query.work);
+        let speed_factor = self.speed_factor(now);
+        if speed_factor < 1.0
+            && received_work > OVERLOAD_FACTOR * speed_factor * CORES * OVERLOAD_WINDOW
+        {
             return Admission::Crash;
         }
-        let work_left = match self.cache(query.table_group) {
+        let work_left = match self.touch_cache(query.table_group) {
             true => query.work,
             false => query.work * UNCACHED_WORK_FACTOR,
         };
@@ -184,8 +190,8 @@
         Admission::Running
     }
 
-    /// Adds work to the window, and returns the work in it.
-    fn receive_work(&mut self, now: Millis, work: f64) -> f64 {
+    /// Records received work, and returns the sum of the work received within [`OVERLOAD_WINDOW`].
+    fn record_received_work(&mut self, now: Millis, work: f64) -> f64 {
         self.recent_work.push_back(ReceivedWork { at: now, work });
         while self
             .recent_work
@@ -197,16 +203,19 @@
         self.recent_work.iter().map(|received| received.work).sum()
     }
 
-    /// Moves a table group to the front of the cache. Whether it was cached before.
-    fn cache(&mut self, table_group: u64) -> bool {
-        let position = self.cached.iter().position(|cached| *cached == table_group);
-        position.and_then(|position| self.cached.remove(position));
-        self.cached.push_front(table_group);
-        self.cached.truncate(CACHED_TABLE_GROUPS);
+    /// Moves a table group to the front of the cache. Returns whether it was cached before.
+    fn touch_cache(&mut self, table_group: u64) -> bool {
+        let position = self
+            .cached_table_groups
+            .iter()
+            .position(|cached| *cached == table_group);
+        position.and_then(|position| self.cached_table_groups.remove(position));
+        self.cached_table_groups.push_front(table_group);
+        self.cached_table_groups.truncate(CACHED_TABLE_GROUPS);
         position.is_some()
     }
 
-    /// Stops a query. Whether it was running.
+    /// Stops a query. Returns whether it was running.
     pub fn withdraw(&mut self, now: Millis, attempt: AttemptId) -> bool {
         self.advance(now);
         let running_before = self.running.len();
@@ -218,11 +227,11 @@
     pub fn terminate(&mut self) -> Vec<AttemptId> {
         self.is_up = false;
         self.recent_work.clear();
-        self.cached.clear();
+        self.cached_table_groups.clear();
         self.running.drain(..).map(|query| query.attempt).collect()
     }
 
-    /// Starts another process, which is cold.
+    /// Starts a new process, which is cold.
     pub fn restart(&mut self, now: Millis) {
         self.is_up = true;
         self.started_at = now;
--- a/crates/simulation/src/engine/tests.rs
+++ b/crates/simulation/src/engine/tests.rs
@@ -1,5 +1,5 @@
 use super::{
-    Admission, AttemptId, Engine, Query, COLD_FROM, CORES, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
+    Admission, AttemptId, Engine, Query, COLD_START_SPEED, CORES, OVERLOAD_FACTOR, OVERLOAD_WINDOW,
 };
 use crate::event::ProcessId;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn queries_share_cores() {
+fn running_queries_share_the_cores() {
     let mut engine = Engine::default();
     for slot in 0..32 {
         assert!(matches!(
@@ -31,7 +31,8 @@
             Admission::Running
         ));
     }
-    // The first query found its table group uncached; 32 threads share 16 cores.
+    // 32 threads share 16 cores, so 100 core milliseconds take 200 ms. The first query takes longer, as its table group
+    // was not cached.
     assert_eq!(engine.next_tick_at(0.0), Some(200.0));
     assert_eq!(engine.take_completed(200.0).len(), 31);
 }
@@ -41,7 +42,7 @@
     let mut engine = Engine::default();
     engine.terminate();
     engine.restart(1000.0);
-    let bearable_work = OVERLOAD_FACTOR * COLD_FROM * CORES * OVERLOAD_WINDOW;
+    let bearable_work = OVERLOAD_FACTOR * COLD_START_SPEED * CORES * OVERLOAD_WINDOW;
     assert!(matches!(
         engine.admit(1000.0, attempt(0), query(bearable_work * 0.9)),
         Admission::Running
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -5,12 +5,12 @@
 use ironstair::Millis;
 use ironstair_coordination::{Heartbeat, HeartbeatResponse};
 
-/// One process of a gateway: a gateway that restarts gets another process.
+/// One process of a gateway. A gateway that restarts gets a new process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessId {
     /// The gateway's index.
     pub gateway: usize,
-    /// How often the gateway has restarted before.
+    /// How often the gateway had restarted before this process started.
     pub process: u32,
 }
 
@@ -38,7 +38,7 @@
     AttemptArrives {
         attempt: AttemptId,
         engine: usize,
-        /// The engine's process to which the gateway sent it.
+        /// The engine's process when the gateway sent the attempt.
         engine_process: u32,
     },
     WithdrawalArrives {
@@ -59,11 +59,11 @@
         process: ProcessId,
         timer: u64,
     },
-    /// A gateway discovers the engines' present state.
+    /// A gateway discovers the engines' current state.
     EndpointsDiscovered {
         process: ProcessId,
     },
-    /// The scenario's fault of that index.
+    /// The scenario's fault with this index.
     FaultOccurs {
         index: usize,
     },
@@ -91,7 +91,8 @@
 }
 
 impl Event {
-    /// The gateway whose process has to handle the event, if one has to. A paused process handles it when it resumes.
+    /// The gateway whose process handles the event, or `None` for an event of another model. A paused process handles
+    /// it when it resumes.
     pub(crate) fn handling_gateway(&self) -> Option<usize> {
         match self {
             Event::RequestArrives { gateway, .. } => Some(*gateway),
--- a/crates/simulation/src/figures.rs
+++ b/crates/simulation/src/figures.rs
@@ -1,75 +1,80 @@
-//! The results of a run, second by second, and the figures computed from them.
+//! The metrics of a run: what is recorded in each second, and the statistics computed from it.
 
 use ironstair::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Service is full when a second's served value is at least this share of the usual one.
+/// Service is full in a second whose served value is at least this share of the mean before the first fault.
 const FULL_SERVICE_SHARE: f64 = 0.95;
-/// Service has recovered when it is full for this many seconds in a row.
+/// Service has recovered when it is full for this many consecutive seconds.
 const FULL_SERVICE_SECONDS: usize = 5;
-/// Seconds at the beginning that don't count as usual: gateways know nothing of the engines yet.
+/// Seconds at the beginning that are left out of the mean before the first fault, because gateways have not yet learned
+/// anything about the engines.
 const WARM_UP_SECONDS: usize = 3;
-/// Violations of which the sentence is stored; further ones are counted.
+/// The maximum number of violations whose description is stored; further ones are only counted.
 const MAX_STORED_VIOLATIONS: usize = 8;
-/// Quantile of the normal distribution for a confidence of 95%.
+/// The quantile of the standard normal distribution for a two-sided confidence of 95%.
 const CONFIDENCE_95: f64 = 1.96;
 
-/// One second of a run.
+/// The metrics of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Second {
-    /// Value of the requests that were first made in it.
+pub struct SecondMetrics {
+    /// Value of the requests that clients created in this second.
     #[serde(rename = "asked")]
     pub requested: f64,
-    /// Value of the requests that were settled in it within their objective.
+    /// Value of the requests that were settled in this second and within their objective.
     pub served: f64,
-    /// Answers that gave a request up, with advice when to retry.
+    /// Answers that rejected a request, with advice when to retry.
     #[serde(rename = "turned_back")]
     pub rejected: u32,
     /// Answers that failed a request.
     #[serde(rename = "scrapped")]
     pub failed: u32,
-    /// Engines that crashed under too much work while cold.
-    pub fell: u32,
+    /// Engines that crashed because they received too much work while cold.
+    #[serde(rename = "fell")]
+    pub engine_crashes: u32,
     /// Attempts sent to engines.
     #[serde(rename = "forwards")]
     pub attempts: u32,
-    /// Heartbeats of members.
+    /// Heartbeats that members sent.
     #[serde(rename = "beats")]
     pub heartbeats: u32,
 }
 
-/// The results of a run.
+/// The metrics of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// The seed.
+pub struct RunMetrics {
+    /// The seed of the run.
     pub seed: u64,
-    /// Each second of virtual time.
-    pub seconds: Vec<Second>,
-    /// The first violations of promises and rules, a sentence each.
-    pub breaches: Vec<String>,
-    /// The number of violations.
-    pub broken: u32,
+    /// The metrics of each second of virtual time.
+    pub seconds: Vec<SecondMetrics>,
+    /// Descriptions of the first violations of guarantees and limits.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
+    /// The number of all violations.
+    #[serde(rename = "broken")]
+    pub violation_count: u32,
     /// When the first fault occurred, in seconds.
-    pub fault_s: Option<f64>,
-    /// Checksum over the settled requests in their order, by which two runs are compared.
+    #[serde(rename = "fault_s")]
+    pub first_fault_s: Option<f64>,
+    /// Checksum of the settled requests in their order. Two equal runs have the same checksum.
     pub digest: u32,
 }
 
-impl Figures {
-    /// The second that includes a time.
-    pub fn second_mut(&mut self, now: Millis) -> &mut Second {
+impl RunMetrics {
+    /// The metrics of the second that contains `now`.
+    pub fn second_mut(&mut self, now: Millis) -> &mut SecondMetrics {
         let index = (now / 1000.0).max(0.0) as usize;
         if self.seconds.len() <= index {
-            self.seconds.resize(index + 1, Second::default());
+            self.seconds.resize(index + 1, SecondMetrics::default());
         }
         &mut self.seconds[index]
     }
 
-    /// Counts a violation, and stores its sentence if it is among the first.
-    pub fn record_violation(&mut self, sentence: String) {
-        self.broken += 1;
-        if self.breaches.len() < MAX_STORED_VIOLATIONS {
-            self.breaches.push(sentence);
+    /// Counts a violation, and stores its description if it is among the first.
+    pub fn record_violation(&mut self, description: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_STORED_VIOLATIONS {
+            self.violations.push(description);
         }
     }
 
@@ -79,21 +84,24 @@
     }
 
     /// The served value as a share of the requested value.
-    pub fn kept(&self) -> f64 {
-        let sum = |value: fn(&Second) -> f64| self.seconds.iter().map(value).sum::<f64>();
+    pub fn served_share(&self) -> f64 {
+        let sum = |value: fn(&SecondMetrics) -> f64| self.seconds.iter().map(value).sum::<f64>();
         sum(|second| second.served) / sum(|second| second.requested).max(1e-9)
     }
 
-    /// The number of engines that crashed under too much work while cold.
-    pub fn fell(&self) -> u32 {
-        self.seconds.iter().map(|second| second.fell).sum()
+    /// The number of engine crashes in all seconds.
+    pub fn engine_crash_count(&self) -> u32 {
+        self.seconds
+            .iter()
+            .map(|second| second.engine_crashes)
+            .sum()
     }
 
-    /// Seconds from the first fault until five seconds in a row each served 95% of the mean before the fault. None
-    /// without a fault, or if that didn't happen within the run.
-    pub fn full_after(&self) -> Option<f64> {
-        let fault_s = self.fault_s?;
-        let fault_second = fault_s as usize;
+    /// Seconds from the first fault to the beginning of the first five consecutive seconds that each serve at least 95%
+    /// of the mean before the fault. `None` without a fault, or if the service does not recover within the run.
+    pub fn seconds_to_full_service(&self) -> Option<f64> {
+        let first_fault_s = self.first_fault_s?;
+        let fault_second = first_fault_s as usize;
         // The last second is not complete.
         let complete_seconds = self.seconds.len().saturating_sub(1);
         let before = self
@@ -101,19 +109,19 @@
             .get(fault_second.min(WARM_UP_SECONDS)..fault_second)
             .filter(|before| !before.is_empty())?;
         let served_before = before.iter().map(|second| second.served).sum::<f64>();
-        let usual = served_before / before.len() as f64;
+        let mean_before = served_before / before.len() as f64;
         let is_full_from = |start: usize| {
             self.seconds[start..start + FULL_SERVICE_SECONDS]
                 .iter()
-                .all(|second| second.served >= FULL_SERVICE_SHARE * usual)
+                .all(|second| second.served >= FULL_SERVICE_SHARE * mean_before)
         };
         let starts = fault_second..complete_seconds.saturating_sub(FULL_SERVICE_SECONDS - 1);
-        let found = starts.into_iter().find(|start| is_full_from(*start))?;
-        Some((found as f64 - fault_s).max(0.0))
+        let recovered_at = starts.into_iter().find(|start| is_full_from(*start))?;
+        Some((recovered_at as f64 - first_fault_s).max(0.0))
     }
 }
 
-/// A mean and its uncertainty.
+/// An estimated mean and its uncertainty.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The sample's mean.
@@ -123,21 +131,21 @@
 }
 
 impl Estimate {
-    /// The estimate of a sample's mean.
-    pub fn of(sample: &[f64]) -> Estimate {
+    /// Estimates the mean of the population from a sample.
+    pub fn from_sample(sample: &[f64]) -> Estimate {
         let count = sample.len().max(1) as f64;
         let mean = sample.iter().sum::<f64>() / count;
-        let squares = sample
+        let squared_deviations = sample
             .iter()
             .map(|value| (value - mean).powi(2))
             .sum::<f64>();
-        let variance = squares / (count - 1.0).max(1.0);
+        let variance = squared_deviations / (count - 1.0).max(1.0);
         let half_width = CONFIDENCE_95 * (variance / count).sqrt();
         Estimate { mean, half_width }
     }
 }
 
-/// A sample's quantile, by the nearest rank. NaN for an empty sample.
+/// The quantile of a sample by the nearest-rank method; NaN for an empty sample.
 pub fn quantile(sample: &[f64], quantile: f64) -> f64 {
     let mut sorted = sample.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/simulation/src/figures/tests.rs
+++ b/crates/simulation/src/figures/tests.rs
@@ -1,29 +1,29 @@
-use super::{Figures, Second};
+use super::{RunMetrics, SecondMetrics};
 
 #[test]
-fn full_service_is_five_seconds_at_the_usual_served_value() {
+fn service_has_recovered_after_five_seconds_at_the_served_value_before_the_fault() {
     let served = [
         0.0, 9.0, 9.0, 10.0, 10.0, 1.0, 10.0, 9.4, 9.6, 10.0, 9.5, 9.7, 10.0, 0.0,
     ];
     let seconds = served
         .iter()
-        .map(|served| Second {
+        .map(|served| SecondMetrics {
             served: *served,
-            ..Second::default()
+            ..SecondMetrics::default()
         })
         .collect();
-    let figures = Figures {
+    let metrics = RunMetrics {
         seconds,
-        fault_s: Some(5.0),
-        ..Figures::default()
+        first_fault_s: Some(5.0),
+        ..RunMetrics::default()
     };
-    assert_eq!(figures.full_after(), Some(3.0));
+    assert_eq!(metrics.seconds_to_full_service(), Some(3.0));
     assert_eq!(
-        Figures {
-            fault_s: None,
-            ..figures
+        RunMetrics {
+            first_fault_s: None,
+            ..metrics
         }
-        .full_after(),
+        .seconds_to_full_service(),
         None
     );
 }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,27 +1,27 @@
-//! The gateways as a fleet: the built leader and members, over a model of consensus. A leader exists while a majority
-//! of the voters runs, another is elected after an election's time, and a record is committed after a round.
-//! `crates/raft-replica` tests that the library behaves so.
+//! The fleet of gateways: the production leader and members on top of a model of consensus. In the model a leader
+//! exists while a majority of the voters runs, a lost leader is replaced after the time of an election, and a record is
+//! committed after one round. The tests of `crates/raft-replica` verify that the consensus library behaves like this.
 
 use ironstair::Millis;
 use ironstair_coordination::{Fleet, Heartbeat, HeartbeatResponse, Leader, Policy, Record};
 
-/// Gateways that are voters: those with the lowest indices.
+/// The number of voters, which are the gateways with the lowest indices.
 pub const VOTER_COUNT: usize = 3;
-/// Voters without which there is no leader.
+/// The number of running voters that a leader requires.
 const MAJORITY: usize = 2;
-/// An election: twelve of the library's ticks of 50 ms, and a round.
+/// Duration of an election: twelve of the consensus library's ticks of 50 ms, and one round.
 const ELECTION_TIME: Millis = 700.0;
-/// A record's commit: network delays in both directions, and disks.
+/// Time until a proposed record is committed: network delays in both directions, and disk writes.
 const COMMIT_TIME: Millis = 5.0;
 /// Interval of [`FleetLog::tick`].
 pub const TICK: Millis = 50.0;
 /// Number of the only cluster generation.
 const GENERATION: u64 = 1 << 48;
 
-/// A policy, as far as a fleet's decisions depend on it.
+/// The only part of a policy that the fleet's decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewayCount(
-    /// Gateways among which limits are shared.
+    /// The number of gateways among which limits are shared.
     pub f64,
 );
 
@@ -50,7 +50,7 @@
     fleet: Fleet<GatewayCount>,
     lease: Millis,
     leader: Option<ElectedLeader>,
-    /// When the voters began to elect a leader. `None` without a majority.
+    /// When the current or latest election began; `None` while no majority of the voters runs.
     electing_since: Option<Millis>,
     pending: Option<PendingRecord>,
 }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Elects a leader or loses it, and commits and proposes records. `running_voters` has true for each voter whose
+    /// Elects or drops the leader, and commits and proposes records. `running_voters` is true for each voter whose
     /// process runs.
     pub fn tick(&mut self, now: Millis, running_voters: [bool; VOTER_COUNT]) {
         self.update_leader(now, running_voters);
@@ -100,14 +100,14 @@
             .filter(|is_running| **is_running)
             .count();
         if running_count < MAJORITY {
-            return self.lose_leader(None);
+            return self.drop_leader(None);
         }
         let has_leader_stopped = self
             .leader
             .as_ref()
             .is_some_and(|elected| !running_voters[elected.voter]);
         if has_leader_stopped {
-            self.lose_leader(Some(now));
+            self.drop_leader(Some(now));
         }
         let electing_since = *self.electing_since.get_or_insert(now);
         if self.leader.is_none() && now >= electing_since + ELECTION_TIME {
@@ -119,14 +119,14 @@
         }
     }
 
-    /// A record that isn't committed yet is lost with the leader.
-    fn lose_leader(&mut self, electing_since: Option<Millis>) {
+    /// Drops the leader, and with it a record that is not committed yet.
+    fn drop_leader(&mut self, electing_since: Option<Millis>) {
         self.leader = None;
         self.pending = None;
         self.electing_since = electing_since;
     }
 
-    /// The leader's response to a member's heartbeat. None without a leader.
+    /// The leader's response to a member's heartbeat; `None` without a leader.
     pub fn heartbeat(
         &mut self,
         now: Millis,
--- a/crates/simulation/src/gateway.rs
+++ b/crates/simulation/src/gateway.rs
@@ -1,11 +1,11 @@
-//! One gateway: the built policy and fleet member, with the slots of its requests.
+//! A simulated gateway: the production policy and fleet member, with the slots of its requests.
 
 use crate::event::ProcessId;
 use ironstair::policy::Gateway;
 use ironstair::{Actions, Millis, PolicyConfig};
 use ironstair_coordination::{Member, Share};
 
-/// An action that the policy asked for, by the slot of its request.
+/// An action that the policy requested.
 #[derive(Debug)]
 pub(crate) enum PolicyAction {
     StartAttempt { slot: usize, engine: usize },
@@ -16,7 +16,7 @@
     Forget { slot: usize },
 }
 
-/// Collects the actions of one call of the policy, in their order.
+/// Records the actions of one call of the policy in order.
 #[derive(Default)]
 pub(crate) struct ActionRecorder {
     pub(crate) actions: Vec<PolicyAction>,
@@ -58,19 +58,19 @@
     }
 }
 
-/// A request's stay at a gateway.
+/// The use of a slot by a request at a gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct SlotUse {
     /// The request's index.
     pub(crate) request: usize,
-    /// Unique in the run.
+    /// Identifies the use of the slot, unique in the run.
     pub(crate) use_number: u64,
-    /// The engine of the attempt in flight.
+    /// The engine of the attempt in flight, if any.
     pub(crate) engine: Option<usize>,
     pub(crate) is_answered: bool,
 }
 
-/// The slots by which the policy knows its requests. Released ones are used again, the last released first.
+/// The slots that identify requests to the policy. Released slots are reused, the last released first.
 #[derive(Default)]
 pub(crate) struct Slots {
     slots: Vec<Option<SlotUse>>,
@@ -105,7 +105,7 @@
         self.slots.get_mut(slot).and_then(Option::as_mut)
     }
 
-    /// Requests that have no answer yet.
+    /// The slot uses whose requests have no answer yet.
     pub(crate) fn unanswered(&self) -> Vec<SlotUse> {
         self.slots
             .iter()
@@ -122,14 +122,14 @@
     pub(crate) paused_until: Millis,
     pub(crate) policy: Gateway,
     pub(crate) slots: Slots,
-    /// Number of the latest timer. Earlier ones are ignored.
+    /// Number of the latest timer; earlier timers are ignored when they fire.
     pub(crate) latest_timer: u64,
-    /// None without a fleet.
+    /// The fleet member; `None` if the scenario has no fleet.
     pub(crate) member: Option<Member>,
     pub(crate) policy_config: PolicyConfig,
-    /// The share of the fleet's limits that the policy uses.
+    /// The share of the fleet's limits that the policy uses, once the member has set one.
     pub(crate) share: Option<Share>,
-    /// Number of the latest heartbeat that was scheduled. Earlier ones are ignored.
+    /// Number of the latest scheduled heartbeat; earlier ones are ignored when they are due.
     pub(crate) latest_heartbeat: u64,
 }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Whether this process is still the gateway's.
+    /// Whether `process` is the gateway's current process and runs.
     pub(crate) fn is_running(&self, process: ProcessId) -> bool {
         self.is_up && self.process == process
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! Fault scenarios ("days") for hundreds of gateways in virtual time. Gateways decide by the same code as the built
-//! program: the policy, and the fleet's leader and members. Engines, name service, clients and the network are models
-//! after `docs/design`, with constants of their own. The same seed always gives the same figures.
+//! Simulates fault scenarios (called "days" in files and reports) for hundreds of gateways in virtual time. The
+//! gateways run the production code of the policy and of the fleet's leader and members. Engines, name service, clients
+//! and network are models that follow `docs/design`, with constants of their own. The same scenario and seed always
+//! give the same metrics.
 //!
-//! [`day`] is the scenario's file, [`world`] plays it, [`clients`], [`engine`] and [`fleet`] are the models,
-//! [`figures`] are the results, and [`report`] writes tables and charts of them.
+//! [`day`] defines the scenario file, [`world`] runs a scenario, [`clients`], [`engine`] and [`fleet`] are the models,
+//! [`figures`] holds the metrics of a run, and [`report`] writes tables and charts of them.
 
 pub mod clients;
 mod clock;
@@ -17,5 +18,5 @@
 pub mod report;
 pub mod world;
 
-pub use day::{Day, DayError};
-pub use figures::Figures;
+pub use day::{Scenario, ScenarioError};
+pub use figures::RunMetrics;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `ironstair-simulate`: plays fault scenarios in virtual time, compares them, and writes reports.
+//! `ironstair-simulate`: simulates fault scenarios in virtual time, compares them, and writes reports.
 
 mod command;
 
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -1,6 +1,6 @@
-//! Tables, lines for a spreadsheet, and charts of runs.
+//! Tables, CSV files and charts of runs.
 
-use crate::figures::{quantile, Estimate, Figures};
+use crate::figures::{quantile, Estimate, RunMetrics};
 use plotters::prelude::{
     ChartBuilder, Color, IntoDrawingArea, LineSeries, Palette, Palette99, PathElement, SVGBackend,
     WHITE,
@@ -12,101 +12,116 @@
 
 /// Width and height of a chart in pixels.
 const CHART_SIZE: (u32, u32) = (960, 420);
-/// Upper end of a chart's share axis. A second may serve more value than was requested in it.
+/// Upper end of a chart's share axis. It is above 1 because a second may serve more value than was requested in it.
 const MAX_CHART_SHARE: f64 = 1.3;
-/// Length in pixels of a line in a chart's legend.
+/// Length of a line in a chart's legend, in pixels.
 const LEGEND_LINE_LENGTH: i32 = 16;
 
 /// One row of a table: a scenario and its runs.
 pub struct Row<'a> {
     /// The scenario's name.
     pub name: &'a str,
-    /// Its runs, one a seed.
-    pub days: &'a [Figures],
+    /// Its runs, one for each seed.
+    pub runs: &'a [RunMetrics],
 }
 
-/// The first two lines of a table.
+/// The header of a table in Markdown.
 pub const TABLE_HEAD: &str = "| day | seeds | full service after, s, p50 / p95 | not back within the day | payoff kept, p50 / p5 | engines pushed over cold, most | broken promises |
 | --- | --- | --- | --- | --- | --- | --- |
 ";
 
 impl Row<'_> {
-    /// The row as a line of a table.
+    /// The row as a line of a table in Markdown.
     pub fn line(&self) -> String {
-        let full_after: Vec<f64> = self.days.iter().filter_map(Figures::full_after).collect();
+        let recovery_times: Vec<f64> = self
+            .runs
+            .iter()
+            .filter_map(RunMetrics::seconds_to_full_service)
+            .collect();
         let runs_with_fault = self
-            .days
+            .runs
             .iter()
-            .filter(|figures| figures.fault_s.is_some())
+            .filter(|metrics| metrics.first_fault_s.is_some())
             .count();
-        let kept: Vec<f64> = self.days.iter().map(Figures::kept).collect();
-        let max_fell = self.days.iter().map(Figures::fell).max().unwrap_or(0);
-        let violations: u32 = self.days.iter().map(|figures| figures.broken).sum();
-        let full_after_text = match full_after.is_empty() {
+        let served_shares: Vec<f64> = self.runs.iter().map(RunMetrics::served_share).collect();
+        let max_crashes = self
+            .runs
+            .iter()
+            .map(RunMetrics::engine_crash_count)
+            .max()
+            .unwrap_or(0);
+        let violations: u32 = self
+            .runs
+            .iter()
+            .map(|metrics| metrics.violation_count)
+            .sum();
+        let recovery_text = match recovery_times.is_empty() {
             true => "-".to_owned(),
             false => format!(
                 "{:.0} / {:.0}",
-                quantile(&full_after, 0.5),
-                quantile(&full_after, 0.95)
+                quantile(&recovery_times, 0.5),
+                quantile(&recovery_times, 0.95)
             ),
         };
         format!(
-            "| {} | {} | {full_after_text} | {} | {:.3} / {:.3} | {max_fell} | {violations} |\n",
+            "| {} | {} | {recovery_text} | {} | {:.3} / {:.3} | {max_crashes} | {violations} |\n",
             self.name,
-            self.days.len(),
-            runs_with_fault - full_after.len(),
-            quantile(&kept, 0.5),
-            quantile(&kept, 0.05),
+            self.runs.len(),
+            runs_with_fault - recovery_times.len(),
+            quantile(&served_shares, 0.5),
+            quantile(&served_shares, 0.05),
         )
     }
 }
 
-/// Compares two scenarios seed by seed, in a sentence: how much more value the second serves, and how much sooner its
-/// service is full.
-pub fn compare(first: &[Figures], second: &[Figures]) -> String {
+/// Compares the runs of two scenarios with the same seed, and describes in one sentence how much more value the second
+/// scenario serves and how much sooner its service recovers.
+pub fn compare(first: &[RunMetrics], second: &[RunMetrics]) -> String {
     let pairs = || {
-        first.iter().filter_map(|of_first| {
+        first.iter().filter_map(|first_run| {
             second
                 .iter()
-                .find(|of_second| of_second.seed == of_first.seed)
-                .map(|of_second| (of_first, of_second))
+                .find(|second_run| second_run.seed == first_run.seed)
+                .map(|second_run| (first_run, second_run))
         })
     };
-    let kept: Vec<f64> = pairs()
-        .map(|(of_first, of_second)| of_second.kept() - of_first.kept())
+    let more_served: Vec<f64> = pairs()
+        .map(|(first_run, second_run)| second_run.served_share() - first_run.served_share())
         .collect();
-    let sooner: Vec<f64> = pairs()
-        .filter_map(|(of_first, of_second)| Some(of_first.full_after()? - of_second.full_after()?))
+    let seconds_sooner: Vec<f64> = pairs()
+        .filter_map(|(first_run, second_run)| {
+            Some(first_run.seconds_to_full_service()? - second_run.seconds_to_full_service()?)
+        })
         .collect();
-    let more_kept = Estimate::of(&kept);
-    let seconds_sooner = Estimate::of(&sooner);
+    let served_estimate = Estimate::from_sample(&more_served);
+    let sooner_estimate = Estimate::from_sample(&seconds_sooner);
     format!(
         "payoff kept: {:+.4} +- {:.4} over {} pairs; full service sooner by {:+.1} +- {:.1} s over {} pairs that both came back\n",
-        more_kept.mean,
-        more_kept.half_width,
-        kept.len(),
-        seconds_sooner.mean,
-        seconds_sooner.half_width,
-        sooner.len()
+        served_estimate.mean,
+        served_estimate.half_width,
+        more_served.len(),
+        sooner_estimate.mean,
+        sooner_estimate.half_width,
+        seconds_sooner.len()
     )
 }
 
-/// A header, and a line for each second of each run, separated by commas.
-pub fn csv(days: &[Figures]) -> String {
+/// The runs as CSV: a header, and a line for each second of each run.
+pub fn csv(runs: &[RunMetrics]) -> String {
     let mut text =
         String::from("seed,second,asked,served,turned_back,scrapped,fell,forwards,beats\n");
-    for figures in days {
-        for (index, second) in figures.seconds.iter().enumerate() {
-            // A String takes everything.
+    for metrics in runs {
+        for (index, second) in metrics.seconds.iter().enumerate() {
+            // Writing to a String cannot fail.
             let _ = writeln!(
                 text,
                 "{},{index},{:.1},{:.1},{},{},{},{},{}",
-                figures.seed,
+                metrics.seed,
                 second.requested,
                 second.served,
                 second.rejected,
                 second.failed,
-                second.fell,
+                second.engine_crashes,
                 second.attempts,
                 second.heartbeats
             );
@@ -115,19 +130,19 @@
     text
 }
 
-/// A chart can't be drawn or written.
+/// A chart cannot be drawn or written.
 #[derive(Debug, Error)]
-#[error("{}: {source}", path.display())]
+#[error("cannot write the chart {}: {source}", path.display())]
 pub struct ChartError {
     path: PathBuf,
     source: Box<dyn Error>,
 }
 
-/// Writes a chart as SVG, with a line for each row: the median over its seeds of the served value as a share of the
-/// requested value, second by second.
+/// Writes an SVG chart with a line for each row. It shows, for each second, the median over the seeds of the served
+/// value as a share of the requested value.
 ///
 /// # Errors
-/// The file can't be written.
+/// The chart cannot be drawn or the file cannot be written.
 pub fn write_chart(path: &Path, rows: &[Row]) -> Result<(), ChartError> {
     draw_chart(path, rows).map_err(|source| ChartError {
         path: path.to_path_buf(),
@@ -135,12 +150,12 @@
     })
 }
 
-/// The median share of one second. None if no run lasted so long.
+/// The median over a row's runs of the share served in one second; `None` if no run lasted that long.
 fn median_share(row: &Row, second: usize) -> Option<f64> {
     let shares: Vec<f64> = row
-        .days
+        .runs
         .iter()
-        .filter_map(|figures| figures.seconds.get(second))
+        .filter_map(|metrics| metrics.seconds.get(second))
         .map(|second| second.served / second.requested.max(1e-9))
         .collect();
     (!shares.is_empty()).then(|| quantile(&shares, 0.5))
@@ -149,8 +164,8 @@
 fn draw_chart(path: &Path, rows: &[Row]) -> Result<(), Box<dyn Error>> {
     let second_count = rows
         .iter()
-        .flat_map(|row| row.days)
-        .map(|figures| figures.seconds.len())
+        .flat_map(|row| row.runs)
+        .map(|metrics| metrics.seconds.len())
         .max()
         .unwrap_or(1);
     let area = SVGBackend::new(path, CHART_SIZE).into_drawing_area();
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -1,5 +1,5 @@
-//! One run of a scenario: the state of all models, and the events that change it in the order of virtual time. The
-//! decisions are the policy's and the fleet's.
+//! One run of a scenario: the state of all models, and the event loop that changes it in virtual time. The models only
+//! carry out decisions; the policy and the fleet's leader and members make them.
 
 mod attempts;
 mod faults;
@@ -8,73 +8,78 @@
 
 use crate::clients::{policy_config, random_index, Clients};
 use crate::clock::Clock;
-use crate::day::{self, Day};
+use crate::day::{self, Scenario};
 use crate::engine::{AttemptId, Engine};
 use crate::event::{AttemptEnd, Event, ProcessId};
 use crate::fleet::FleetLog;
 use crate::gateway::{ActionRecorder, PolicyAction, SimulatedGateway};
 use crate::network::{Network, NETWORK_DELAY};
-use crate::Figures;
+use crate::RunMetrics;
 use ironstair::policy::Gateway;
 use ironstair::random::{mix, Pcg};
 use ironstair::{Endpoint, EndpointState, Millis};
 use ironstair_coordination::Member;
 
-/// Data centres over which the engines are spread.
+/// Zones over which the engines are spread.
 const ZONE_COUNT: u16 = 3;
-/// Bound in milliseconds of the random time until a started process sends its first heartbeat. Otherwise all processes
-/// of a run would send at the same times.
+/// Upper bound in milliseconds of the random delay of a started process's first heartbeat. Without it the processes
+/// that start together would always send their heartbeats at the same times.
 const MAX_FIRST_HEARTBEAT_DELAY: usize = 100;
 
 struct World {
-    day: Day,
+    scenario: Scenario,
     clock: Clock,
-    /// Every random number of a run comes from this one, in the order of events.
+    /// The source of all random numbers of a run. They are drawn in the order of events, which makes a run
+    /// reproducible.
     random: Pcg,
     clients: Clients,
     gateways: Vec<SimulatedGateway>,
     engines: Vec<Engine>,
     network: Network,
-    /// None without a fleet.
+    /// The fleet's log and leader; `None` if the scenario has no fleet.
     fleet_log: Option<FleetLog>,
-    /// Slot uses so far, at all gateways.
-    slot_uses: u64,
-    figures: Figures,
+    /// The number of slot uses so far, at all gateways.
+    slot_use_count: u64,
+    metrics: RunMetrics,
 }
 
-/// Plays a scenario.
-pub fn play(day: &Day, seed: u64) -> Figures {
-    let mut world = World::new(day.clone(), seed);
+/// Runs a scenario to its end. The same scenario and seed always give the same metrics.
+pub fn simulate(scenario: &Scenario, seed: u64) -> RunMetrics {
+    let mut world = World::new(scenario.clone(), seed);
     while let Some(event) = world.clock.next_event() {
         world.handle(event);
     }
-    world.figures
+    world.metrics
 }
 
 impl World {
-    fn new(day: Day, seed: u64) -> World {
-        let fleet_log = (day.fleet != day::Fleet::None)
-            .then(|| FleetLog::new(day.gateways as f64, day.lease_ms as f64));
-        let fault_s = day
+    fn new(scenario: Scenario, seed: u64) -> World {
+        let fleet_log = (scenario.fleet != day::FleetMode::None)
+            .then(|| FleetLog::new(scenario.gateways as f64, scenario.lease_ms as f64));
+        let first_fault_s = scenario
             .faults
             .iter()
             .map(|fault| fault.at_s)
             .min_by(f64::total_cmp);
         let mut world = World {
-            clock: Clock::new(day.seconds as f64 * 1000.0),
+            clock: Clock::new(scenario.seconds as f64 * 1000.0),
             random: Pcg(mix(seed)),
-            clients: Clients::new(day.engines, day.load, day.ignore_advice),
+            clients: Clients::new(
+                scenario.engines,
+                scenario.load,
+                scenario.ignore_advice_share,
+            ),
             gateways: Vec::new(),
-            engines: vec![Engine::default(); day.engines as usize],
+            engines: vec![Engine::default(); scenario.engines as usize],
             network: Network::default(),
             fleet_log,
-            slot_uses: 0,
-            figures: Figures {
+            slot_use_count: 0,
+            metrics: RunMetrics {
                 seed,
-                fault_s,
-                ..Figures::default()
+                first_fault_s,
+                ..RunMetrics::default()
             },
-            day,
+            scenario,
         };
         world.start_gateways();
         world.schedule_first_events();
@@ -82,13 +87,13 @@
     }
 
     fn start_gateways(&mut self) {
-        let gateway_count = self.day.gateways as usize;
+        let gateway_count = self.scenario.gateways as usize;
         for gateway in 0..gateway_count {
             let process = 0;
             let started = self.new_process(ProcessId { gateway, process });
             self.gateways.push(started);
         }
-        (0..gateway_count).for_each(|gateway| self.begin_service(gateway));
+        (0..gateway_count).for_each(|gateway| self.initialize_process(gateway));
     }
 
     fn schedule_first_events(&mut self) {
@@ -96,32 +101,32 @@
         if self.fleet_log.is_some() {
             self.clock.schedule_after(0.0, Event::FleetTick);
         }
-        for (index, fault) in self.day.faults.iter().enumerate() {
+        for (index, fault) in self.scenario.faults.iter().enumerate() {
             let event = Event::FaultOccurs { index };
             self.clock.schedule_after(fault.at_s * 1000.0, event);
         }
     }
 
-    /// A gateway's process with the configuration of the scenario's start.
+    /// A new process of a gateway, with the initial configuration.
     fn new_process(&self, process: ProcessId) -> SimulatedGateway {
         let gateway = process.gateway as u64;
         let restarts = process.process as u64;
-        let policy_seed = mix(self.figures.seed ^ mix(gateway + 1)) ^ restarts;
+        let policy_seed = mix(self.metrics.seed ^ mix(gateway + 1)) ^ restarts;
         let instance = mix((gateway << 32) | (restarts + 1)) | 1;
         let member = self.fleet_log.as_ref().map(|_| {
             let name = format!("g{gateway:04}");
-            let member = Member::new(&name, instance, false, self.day.lease_ms as f64);
-            match self.day.proves_ends {
+            let member = Member::new(&name, instance, false, self.scenario.lease_ms as f64);
+            match self.scenario.proves_process_end {
                 true => member.with_exclusive_resource(format!("place {gateway}")),
                 false => member,
             }
         });
-        let policy_config = policy_config(self.day.gateways as f64);
+        let policy_config = policy_config(self.scenario.gateways as f64);
         SimulatedGateway::new(process, policy_config, policy_seed, member)
     }
 
-    /// Gives a started process its endpoints, and schedules its first heartbeat.
-    fn begin_service(&mut self, gateway: usize) {
+    /// Gives a newly started process its endpoint list, and schedules its first heartbeat.
+    fn initialize_process(&mut self, gateway: usize) {
         let endpoints = self.endpoints();
         let is_in_fleet = self.fleet_log.is_some();
         self.call_policy(gateway, |policy, now, actions| {
@@ -139,7 +144,7 @@
         }
     }
 
-    /// The present state of all engines.
+    /// The endpoint list with the current state of all engines.
     fn endpoints(&self) -> Vec<Endpoint> {
         let endpoint = |(index, engine): (usize, &Engine)| Endpoint {
             engine: index,
@@ -155,7 +160,7 @@
         self.engines.iter().enumerate().map(endpoint).collect()
     }
 
-    /// Calls a gateway's policy, and carries out the actions that it asks for.
+    /// Calls a gateway's policy, and carries out the actions that it requests.
     fn call_policy(
         &mut self,
         gateway: usize,
@@ -180,11 +185,11 @@
             }
             PolicyAction::Fail { slot } => self.answer_unsettled(gateway, slot, None),
             PolicyAction::WakeAfter { delay } => {
-                let waking = &mut self.gateways[gateway];
-                waking.latest_timer += 1;
+                let gateway_state = &mut self.gateways[gateway];
+                gateway_state.latest_timer += 1;
                 let event = Event::TimerFires {
-                    process: waking.process,
-                    timer: waking.latest_timer,
+                    process: gateway_state.process,
+                    timer: gateway_state.latest_timer,
                 };
                 self.clock.schedule_after(delay, event);
             }
@@ -192,8 +197,8 @@
         }
     }
 
-    /// Handles an event, or postpones it if its gateway is paused: a paused process finds everything when it resumes,
-    /// in the order in which it came.
+    /// Handles an event, or postpones it while its gateway is paused. A paused process handles everything that reached
+    /// it when it resumes, in the order of arrival.
     fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         if let Some(gateway) = event.handling_gateway() {
@@ -221,7 +226,7 @@
             Event::GatewayRestarted { gateway } => self.restart_gateway(gateway),
             Event::EngineRestarted { engine } => {
                 self.engines[engine].restart(now);
-                self.announce_endpoints();
+                self.schedule_endpoint_discovery();
             }
             Event::FleetTick => self.tick_fleet(),
             Event::HeartbeatDue { process, heartbeat } => self.send_heartbeat(process, heartbeat),
@@ -258,8 +263,8 @@
         }
     }
 
-    /// The engines have changed: each gateway discovers it after a random delay.
-    fn announce_endpoints(&mut self) {
+    /// Called after a change of the engines: each gateway discovers it after a random delay.
+    fn schedule_endpoint_discovery(&mut self) {
         let now = self.clock.now();
         for gateway in 0..self.gateways.len() {
             let delay = self.network.discovery_delay(now, &mut self.random);
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Sends an attempt's end to its gateway.
+    /// Sends the result of an attempt from the engine to its gateway.
     fn send_attempt_end(&mut self, attempt: AttemptId, end: AttemptEnd) {
         self.clock
             .schedule_after(NETWORK_DELAY, Event::AttemptEnded { attempt, end });
--- a/crates/simulation/src/world/attempts.rs
+++ b/crates/simulation/src/world/attempts.rs
@@ -6,9 +6,9 @@
 use crate::network::NETWORK_DELAY;
 use ironstair::{Cost, Millis, Outcome};
 
-/// An answer this much after the request's deadline violates a promise.
+/// An answer that is later than the request's deadline by more than this is recorded as a violation.
 const DEADLINE_TOLERANCE: Millis = 20.0;
-/// Time until a crashed engine has another process.
+/// Time until a crashed engine restarts.
 const RESTART_AFTER_CRASH: Millis = 3000.0;
 
 impl World {
@@ -25,7 +25,7 @@
         };
         let engine_process = self.engines[engine].process;
         let now = self.clock.now();
-        self.figures.second_mut(now).attempts += 1;
+        self.metrics.second_mut(now).attempts += 1;
         let event = Event::AttemptArrives {
             attempt,
             engine,
@@ -61,24 +61,24 @@
         let slot_use = slots
             .get(attempt.slot)
             .filter(|slot_use| slot_use.use_number == attempt.use_number);
-        // The connection of a process that was replaced in the meantime is closed, and its attempts with it.
+        // If the gateway's process was replaced in the meantime, its connections are closed and its attempts are lost.
         let Some(request) = slot_use.map(|slot_use| slot_use.request) else {
             return;
         };
-        let receiving = &mut self.engines[engine];
-        if !receiving.is_up || receiving.process != engine_process {
+        let engine_state = &mut self.engines[engine];
+        if !engine_state.is_up || engine_state.process != engine_process {
             return self.send_attempt_end(attempt, AttemptEnd::ConnectionRefused);
         }
         let now = self.clock.now();
         let query = self.clients.requests[request].query();
-        match receiving.admit(now, attempt, query) {
+        match engine_state.admit(now, attempt, query) {
             Admission::Running => {
                 self.count_execution(request);
                 self.schedule_engine_tick(engine);
             }
             Admission::QueueFull => self.send_attempt_end(attempt, AttemptEnd::QueueFull),
             Admission::Crash => {
-                self.figures.second_mut(now).fell += 1;
+                self.metrics.second_mut(now).engine_crashes += 1;
                 self.send_attempt_end(attempt, AttemptEnd::ConnectionLost);
                 self.end_engine(engine, RESTART_AFTER_CRASH);
             }
@@ -86,11 +86,11 @@
     }
 
     fn count_execution(&mut self, request: usize) {
-        let executed = &mut self.clients.requests[request];
-        executed.executions += 1;
-        if executed.is_exactly_once() && executed.executions > 1 {
+        let request_state = &mut self.clients.requests[request];
+        request_state.executions += 1;
+        if request_state.is_non_idempotent() && request_state.executions > 1 {
             let violation = format!("submission {request}, which may run once, was out twice");
-            self.figures.record_violation(violation);
+            self.metrics.record_violation(violation);
         }
     }
 
@@ -113,13 +113,13 @@
         self.schedule_engine_tick(engine);
     }
 
-    /// Schedules an engine's next tick after a change of its queries, and makes those scheduled before ineffective.
+    /// Schedules an engine's next tick after a change of its queries. Ticks that were scheduled before become obsolete.
     fn schedule_engine_tick(&mut self, engine: usize) {
         let now = self.clock.now();
-        let changed = &mut self.engines[engine];
-        changed.latest_tick += 1;
-        let tick = changed.latest_tick;
-        if let Some(at) = changed.next_tick_at(now) {
+        let engine_state = &mut self.engines[engine];
+        engine_state.latest_tick += 1;
+        let tick = engine_state.latest_tick;
+        if let Some(at) = engine_state.next_tick_at(now) {
             self.clock
                 .schedule_after(at - now, Event::EngineTick { engine, tick });
         }
@@ -133,10 +133,10 @@
         self.engines[engine].latest_tick += 1;
         self.clock
             .schedule_after(restart_after, Event::EngineRestarted { engine });
-        self.announce_endpoints();
+        self.schedule_endpoint_discovery();
     }
 
-    /// A gateway learns how an attempt ended.
+    /// The result of an attempt reaches its gateway.
     pub(super) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) {
         if !self.is_running(attempt.process) {
             return;
@@ -175,19 +175,19 @@
 
     fn settle_request(&mut self, gateway: usize, request: usize) {
         let now = self.clock.now();
-        let settled = &mut self.clients.requests[request];
-        settled.is_finished = true;
-        if settled.is_within_objective(now) {
-            self.figures.second_mut(now).served += settled.value();
+        let request_state = &mut self.clients.requests[request];
+        request_state.is_finished = true;
+        if request_state.is_within_objective(now) {
+            self.metrics.second_mut(now).served += request_state.value();
         }
-        // A gateway that was paused answers when it resumes, as a real process does.
-        let was_paused = self.gateways[gateway].paused_until > settled.created_at;
-        if now > settled.deadline + DEADLINE_TOLERANCE && !was_paused {
-            let late = now - settled.deadline;
-            self.figures.record_violation(format!(
-                "submission {request} was answered {late:.0} ms after its hard limit"
+        // A gateway that was paused answers late, when it resumes, as a real process would. This is no violation.
+        let was_paused = self.gateways[gateway].paused_until > request_state.created_at;
+        if now > request_state.deadline + DEADLINE_TOLERANCE && !was_paused {
+            let lateness = now - request_state.deadline;
+            self.metrics.record_violation(format!(
+                "submission {request} was answered {lateness:.0} ms after its hard limit"
             ));
         }
-        self.figures.extend_digest(&(request as u64).to_le_bytes());
+        self.metrics.extend_digest(&(request as u64).to_le_bytes());
     }
 }
--- a/crates/simulation/src/world/membership.rs
+++ b/crates/simulation/src/world/membership.rs
@@ -9,12 +9,12 @@
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::{Heartbeat, HeartbeatResponse, Member, Share, Validation};
 
-/// How often in a lease a member that finds no leader searches again.
+/// How many times in the duration of a lease a member that finds no leader looks for one.
 const LEADER_POLLS_PER_LEASE: f64 = 10.0;
-/// From a heartbeat's arrival to its response's: the leader asks a majority of the voters and gets their answers, and
-/// the response travels.
+/// Time from a heartbeat's arrival at the leader to the response's arrival at the member: one round trip between the
+/// leader and a majority of the voters, and one delay for the response.
 const RESPONSE_DELAY: Millis = 3.0 * NETWORK_DELAY;
-/// Rounding error of a sum of shares.
+/// Tolerated rounding error of a sum of shares.
 const SHARE_TOLERANCE: f64 = 1e-6;
 
 impl World {
@@ -28,12 +28,12 @@
             fleet_log.tick(now, running_voters);
         }
         self.clock.schedule_after(TICK, Event::FleetTick);
-        if self.day.fleet == day::Fleet::Members {
+        if self.scenario.fleet == day::FleetMode::Members {
             self.check_shares();
         }
     }
 
-    /// The shares that are in use by members with a lease must not exceed the whole.
+    /// Records a violation if the shares that members with a lease use exceed the fleet's limits together.
     fn check_shares(&mut self) {
         let now = self.clock.now();
         let sum: f64 = self
@@ -45,7 +45,7 @@
             .map(|share| 1.0 / share.gateway_count)
             .sum();
         if sum > 1.0 + SHARE_TOLERANCE {
-            self.figures.record_violation(format!(
+            self.metrics.record_violation(format!(
                 "shares come to {sum:.3} of the whole at {now:.0} ms"
             ));
         }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Calls a gateway's member, carries out the actions that it asks for, and schedules its next heartbeat.
+    /// Calls a gateway's member, carries out the actions that it requests, and schedules its next heartbeat.
     fn call_member(&mut self, gateway: usize, input: Input<GatewayCount>) {
         let now = self.clock.now();
         let mut inputs = vec![input];
@@ -77,25 +77,26 @@
                 return;
             };
             for action in member.handle(now, input) {
-                inputs.extend(self.carry_out_for_member(gateway, action));
+                inputs.extend(self.carry_out_member_action(gateway, action));
             }
         }
         let member = self.gateways[gateway].member.as_ref();
         let Some(next_heartbeat_at) = member.map(Member::next_heartbeat_at) else {
             return;
         };
-        let calling = &mut self.gateways[gateway];
-        calling.latest_heartbeat += 1;
+        let gateway_state = &mut self.gateways[gateway];
+        gateway_state.latest_heartbeat += 1;
         let event = Event::HeartbeatDue {
-            process: calling.process,
-            heartbeat: calling.latest_heartbeat,
+            process: gateway_state.process,
+            heartbeat: gateway_state.latest_heartbeat,
         };
         let delay = (next_heartbeat_at - now).max(0.0);
         self.clock.schedule_after(delay, event);
     }
 
-    /// Returns the input by which the member learns the action's result, if it has one.
-    fn carry_out_for_member(
+    /// Carries out an action of a gateway's member. Returns the result as the member's next input, if the action has
+    /// one.
+    fn carry_out_member_action(
         &mut self,
         gateway: usize,
         action: Action<GatewayCount>,
@@ -103,7 +104,7 @@
         match action {
             Action::Heartbeat(heartbeat) => {
                 let now = self.clock.now();
-                self.figures.second_mut(now).heartbeats += 1;
+                self.metrics.second_mut(now).heartbeats += 1;
                 let event = Event::HeartbeatArrives {
                     process: self.gateways[gateway].process,
                     heartbeat: Box::new(heartbeat),
@@ -122,18 +123,20 @@
         }
     }
 
-    /// Gives a gateway's policy its lease, and its share if that has changed.
+    /// Passes the lease, and the share if it has changed, to a gateway's policy.
     fn set_lease(&mut self, gateway: usize, lease_until: Millis, share: Share) {
         let share = Share {
-            is_granted: share.is_granted || !self.day.shares_wait,
+            is_granted: share.is_granted || !self.scenario.waits_for_share,
             ..share
         };
-        let leased = &mut self.gateways[gateway];
-        let is_changed = self.day.fleet == day::Fleet::Members
-            && leased.share.is_none_or(|previous| share.differs(previous));
-        let policy_config = is_changed.then(|| share.apply_to(&leased.policy_config));
+        let gateway_state = &mut self.gateways[gateway];
+        let is_changed = self.scenario.fleet == day::FleetMode::Members
+            && gateway_state
+                .share
+                .is_none_or(|previous| share.differs(previous));
+        let policy_config = is_changed.then(|| share.apply_to(&gateway_state.policy_config));
         if is_changed {
-            leased.share = Some(share);
+            gateway_state.share = Some(share);
         }
         self.call_policy(gateway, |policy, now, actions| {
             if let Some(policy_config) = policy_config {
@@ -143,7 +146,8 @@
         });
     }
 
-    /// A heartbeat reaches the leader. Without a leader the member searches again, until a lease after it was sent.
+    /// A heartbeat reaches the leader. Without a leader the member looks for one again, until the duration of a lease
+    /// has passed since the heartbeat was sent.
     pub(super) fn receive_heartbeat(
         &mut self,
         process: ProcessId,
@@ -159,7 +163,7 @@
             let event = Event::HeartbeatAnswered { process, response };
             return self.clock.schedule_after(RESPONSE_DELAY, event);
         }
-        let lease = self.day.lease_ms as f64;
+        let lease = self.scenario.lease_ms as f64;
         if now < sent_at + lease {
             let event = Event::HeartbeatArrives {
                 process,
--- a/crates/simulation/src/world/requests.rs
+++ b/crates/simulation/src/world/requests.rs
@@ -7,9 +7,9 @@
 use crate::network::RECONNECT_DELAY;
 use ironstair::{Millis, Request as PolicyRequest};
 
-/// A client makes no try that has less time than this left.
+/// A client does not send a request with less time than this until its deadline.
 const MIN_TIME_REMAINING: Millis = 1.0;
-/// Draws of another gateway, after which a client stays with its own.
+/// How often a client draws a random gateway before it stays with its current one.
 const MAX_GATEWAY_DRAWS: usize = 8;
 
 impl World {
@@ -19,36 +19,36 @@
         self.clock.schedule_after(interval, Event::RequestCreated);
         let request = self.clients.create_request(&mut self.random, now);
         let value = self.clients.requests[request].value();
-        self.figures.second_mut(now).requested += value;
+        self.metrics.second_mut(now).requested += value;
         let gateway = random_index(&mut self.random, self.gateways.len());
         self.clock
             .schedule_after(0.0, Event::RequestArrives { request, gateway });
     }
 
-    /// A try of a request reaches a gateway. A client that finds the gateway's process ended connects to another.
+    /// A request reaches a gateway. If the gateway's process is down, the client connects to another gateway.
     pub(super) fn accept_request(&mut self, request: usize, gateway: usize) {
         let now = self.clock.now();
-        let arriving = &mut self.clients.requests[request];
-        if arriving.is_finished || arriving.deadline <= now + MIN_TIME_REMAINING {
+        let request_state = &mut self.clients.requests[request];
+        if request_state.is_finished || request_state.deadline <= now + MIN_TIME_REMAINING {
             return;
         }
         if !self.gateways[gateway].is_up {
             return self.reconnect(request, gateway);
         }
-        let is_retry = arriving.tries > 0;
-        arriving.tries += 1;
+        let is_retry = request_state.tries > 0;
+        request_state.tries += 1;
         let policy_request = PolicyRequest {
-            class: arriving.class,
-            time_remaining: arriving.deadline - now,
-            work: Some(arriving.work),
-            table_group: arriving.table_group,
+            class: request_state.class,
+            time_remaining: request_state.deadline - now,
+            work: Some(request_state.work),
+            table_group: request_state.table_group,
             is_retry,
             ..PolicyRequest::default()
         };
-        self.slot_uses += 1;
+        self.slot_use_count += 1;
         let slot = self.gateways[gateway].slots.occupy(SlotUse {
             request,
-            use_number: self.slot_uses,
+            use_number: self.slot_use_count,
             engine: None,
             is_answered: false,
         });
@@ -57,14 +57,15 @@
         });
     }
 
-    /// The client of a gateway whose process has ended tries another gateway.
+    /// The client of a gateway whose process has ended connects to another gateway.
     pub(super) fn reconnect(&mut self, request: usize, ended_gateway: usize) {
         let gateway = self.other_gateway(ended_gateway);
         self.clock
             .schedule_after(RECONNECT_DELAY, Event::RequestArrives { request, gateway });
     }
 
-    /// Answers a try that isn't settled: rejected with advice, or failed. The client may retry at another gateway.
+    /// Answers a request that was not executed successfully: it is rejected with advice if `retry_after` is given, and
+    /// otherwise failed. The client may retry it at another gateway.
     pub(super) fn answer_unsettled(
         &mut self,
         gateway: usize,
@@ -78,9 +79,9 @@
         let request = slot_use.request;
         if std::mem::replace(&mut slot_use.is_answered, true) {
             let violation = format!("two answers for submission {request} at {now:.0} ms");
-            return self.figures.record_violation(violation);
+            return self.metrics.record_violation(violation);
         }
-        let second = self.figures.second_mut(now);
+        let second = self.metrics.second_mut(now);
         match retry_after {
             Some(_) => second.rejected += 1,
             None => second.failed += 1,
@@ -95,18 +96,18 @@
         }
     }
 
-    /// When the client retries. A failed request may have been executed, so one that may be executed only once isn't
-    /// retried then.
+    /// When the client retries, if it does. A failed request may have been executed, so the client does not retry it if
+    /// it may be executed only once.
     fn retry_at(&self, request: usize, retry_after: Option<Millis>) -> Option<Millis> {
-        let answered = &self.clients.requests[request];
-        let may_retry = retry_after.is_some() || !answered.is_exactly_once();
-        if !may_retry || answered.is_finished {
+        let request_state = &self.clients.requests[request];
+        let may_retry = retry_after.is_some() || !request_state.is_non_idempotent();
+        if !may_retry || request_state.is_finished {
             return None;
         }
-        answered.retry_at(self.clock.now(), retry_after.unwrap_or(0.0))
+        request_state.retry_at(self.clock.now(), retry_after.unwrap_or(0.0))
     }
 
-    /// A random running gateway other than the given one, which is returned if some draws find none.
+    /// A random running gateway other than `gateway`, or `gateway` if [`MAX_GATEWAY_DRAWS`] draws find none.
     fn other_gateway(&mut self, gateway: usize) -> usize {
         let count = self.gateways.len();
         (0..MAX_GATEWAY_DRAWS)
--- a/crates/simulation/tests/days.rs
+++ b/crates/simulation/tests/days.rs
@@ -1,99 +1,114 @@
-//! Fault scenarios in virtual time: a seed always gives the same figures, no promise is broken, and an error in a
-//! scenario names its field.
+//! Fault scenarios in virtual time: runs are reproducible, faults violate no guarantee, and an error in a scenario
+//! names the field.
 
-use ironstair_simulation::world::play;
-use ironstair_simulation::{Day, Figures};
+use ironstair_simulation::world::simulate;
+use ironstair_simulation::{RunMetrics, Scenario};
 
-fn day(more: &str) -> Day {
+/// A small scenario with additional fields.
+fn scenario_with(fields: &str) -> Scenario {
     let text = format!(
-        r#"{{"name": "d", "seconds": 25, "gateways": 20, "engines": 6, "load": 0.5, {more}}}"#
+        r#"{{"name": "d", "seconds": 25, "gateways": 20, "engines": 6, "load": 0.5, {fields}}}"#
     );
-    Day::decode(text.as_bytes()).unwrap()
+    Scenario::decode(text.as_bytes()).unwrap()
 }
 
-fn assert_no_violation(figures: &Figures) {
+fn assert_no_violation_or_crash(metrics: &RunMetrics) {
     assert_eq!(
-        (figures.broken, figures.fell()),
+        (metrics.violation_count, metrics.engine_crash_count()),
         (0, 0),
         "seed {}: {:?}",
-        figures.seed,
-        figures.breaches
+        metrics.seed,
+        metrics.violations
     );
 }
 
 #[test]
-fn same_seed_gives_the_same_figures_and_another_seed_others() {
-    let d = day(
+fn same_seed_gives_the_same_metrics_and_another_seed_different_ones() {
+    let scenario = scenario_with(
         r#""fleet": "members", "faults": [{"at_s": 8, "what": {"kill_gateways": {"share": 0.7, "back_s": 1}}}]"#,
     );
-    let (one, again, other) = (play(&d, 3), play(&d, 3), play(&d, 4));
-    assert_eq!(one, again);
-    assert_ne!(one.digest, other.digest);
+    let (first_run, repeated_run, other_seed) = (
+        simulate(&scenario, 3),
+        simulate(&scenario, 3),
+        simulate(&scenario, 4),
+    );
+    assert_eq!(first_run, repeated_run);
+    assert_ne!(first_run.digest, other_seed.digest);
 }
 
 #[test]
-fn faults_break_no_promise_and_service_recovers() {
-    let kill = r#"{"at_s": 8, "what": {"kill_gateways": {"share": 0.7, "back_s": 1}}}"#;
-    let cold = r#"{"at_s": 8, "what": {"kill_engines": {"share": 0.34, "back_s": 1}}}"#;
-    let stop = r#"{"at_s": 8, "what": {"stop_gateways": {"share": 0.5, "for_s": 4}}}"#;
-    let voters = r#"{"at_s": 8, "what": {"kill_keepers": {"back_s": 5}}}"#;
-    let names = r#"{"at_s": 7, "what": {"names_down": {"for_s": 5}}}"#;
+fn faults_violate_no_guarantee_and_service_recovers() {
+    let kill_gateways = r#"{"at_s": 8, "what": {"kill_gateways": {"share": 0.7, "back_s": 1}}}"#;
+    let kill_engines = r#"{"at_s": 8, "what": {"kill_engines": {"share": 0.34, "back_s": 1}}}"#;
+    let pause_gateways = r#"{"at_s": 8, "what": {"stop_gateways": {"share": 0.5, "for_s": 4}}}"#;
+    let kill_voters = r#"{"at_s": 8, "what": {"kill_keepers": {"back_s": 5}}}"#;
+    let name_service_down = r#"{"at_s": 7, "what": {"names_down": {"for_s": 5}}}"#;
     for fleet in ["none", "told", "members"] {
-        for (faults, comes_back) in [
-            (kill.to_owned(), true),
-            (format!("{kill}, {cold}"), false),
-            (stop.to_owned(), true),
-            (format!("{voters}, {names}"), true),
+        for (faults, must_recover) in [
+            (kill_gateways.to_owned(), true),
+            (format!("{kill_gateways}, {kill_engines}"), false),
+            (pause_gateways.to_owned(), true),
+            (format!("{kill_voters}, {name_service_down}"), true),
         ] {
-            let d = day(&format!(
+            let scenario = scenario_with(&format!(
                 r#""fleet": "{fleet}", "ignore_advice": 0.33, "faults": [{faults}]"#
             ));
-            let figures = play(&d, 1);
-            assert_no_violation(&figures);
+            let metrics = simulate(&scenario, 1);
+            assert_no_violation_or_crash(&metrics);
             assert!(
-                !comes_back || figures.full_after().is_some(),
-                "{d:?}: {:?}",
-                figures.seconds
+                !must_recover || metrics.seconds_to_full_service().is_some(),
+                "{scenario:?}: {:?}",
+                metrics.seconds
             );
         }
     }
     // Without a fault nearly all value is served.
-    let quiet = play(&day(r#""faults": []"#), 1);
-    assert_no_violation(&quiet);
-    assert!(quiet.kept() > 0.9, "{}", quiet.kept());
+    let without_fault = simulate(&scenario_with(r#""faults": []"#), 1);
+    assert_no_violation_or_crash(&without_fault);
+    assert!(
+        without_fault.served_share() > 0.9,
+        "{}",
+        without_fault.served_share()
+    );
 }
 
 #[test]
-fn control_share_that_is_taken_without_waiting_exceeds_the_whole() {
-    let long = r#""faults": [{"at_s": 4, "what": {"kill_gateways": {"share": 0.7, "back_s": 15, "but_keepers": true}}}]"#;
-    for (waits, broken) in [(true, false), (false, true)] {
-        let figures = play(
-            &day(&format!(
-                r#""fleet": "members", "shares_wait": {waits}, {long}"#
+fn shares_exceed_the_limits_only_if_members_do_not_wait_for_them() {
+    // The control case disables the wait, which shows that the check finds the violation that the wait prevents.
+    let long_outage = r#""faults": [{"at_s": 4, "what": {"kill_gateways": {"share": 0.7, "back_s": 15, "but_keepers": true}}}]"#;
+    for (waits, is_violated) in [(true, false), (false, true)] {
+        let metrics = simulate(
+            &scenario_with(&format!(
+                r#""fleet": "members", "shares_wait": {waits}, {long_outage}"#
             )),
             1,
         );
-        assert_eq!(figures.broken > 0, broken, "{:?}", figures.breaches);
+        assert_eq!(
+            metrics.violation_count > 0,
+            is_violated,
+            "{:?}",
+            metrics.violations
+        );
         assert!(
-            !broken || figures.breaches[0].starts_with("shares come to"),
+            !is_violated || metrics.violations[0].starts_with("shares come to"),
             "{:?}",
-            figures.breaches
+            metrics.violations
         );
     }
 }
 
 #[test]
 fn error_in_a_scenario_names_its_field() {
-    for (text, why) in [
-        ("", "the day: EOF"),
-        (r#"{"name": "d"}"#, "the day: missing field `gateways`"),
+    for (text, expected) in [
+        ("", "scenario: EOF"),
+        (r#"{"name": "d"}"#, "scenario: missing field `gateways`"),
         (
             r#"{"name": "d", "gateways": 0, "engines": 1, "load": 1}"#,
             "gateways: 0 is outside 1 to 1000",
         ),
         (
             r#"{"name": "d", "gateways": 2, "engines": 1, "load": 1, "fleet": "told"}"#,
-            "fleet: it needs 3 gateways",
+            "fleet: requires at least 3 gateways",
         ),
         (
             r#"{"name": "d", "gateways": 2, "engines": 1, "load": 9}"#,
@@ -112,8 +127,8 @@
             "faults[0].at_s: 99 is outside 0 to 60",
         ),
     ] {
-        let reported = Day::decode(text.as_bytes()).unwrap_err().to_string();
-        assert!(reported.starts_with(why), "{text}: {reported}");
+        let message = Scenario::decode(text.as_bytes()).unwrap_err().to_string();
+        assert!(message.starts_with(expected), "{text}: {message}");
     }
-    assert!(Day::schema().contains("kill_gateways"));
+    assert!(Scenario::schema().contains("kill_gateways"));
 }
--- a/crates/simulation/tests/pinned_forms.rs
+++ b/crates/simulation/tests/pinned_forms.rs
@@ -1,51 +1,51 @@
-//! The JSON of a trial's day, with every kind of fault, and its schema without descriptions. The files under `pinned`
-//! were written by an earlier version of the program; days that are kept, here under `days` and elsewhere, have to be
-//! read with the same values and written without a difference.
+//! Compatibility of the scenario and metrics files. The files under `pinned` were written by an earlier version of the
+//! program. Stored scenarios, here under `days` and elsewhere, must still be read with the same values and written back
+//! unchanged, for every kind of fault, and the JSON Schema without descriptions must not change.
 
 use ironstair_pinned_forms::{json_text, schema_without_descriptions, PinnedForms};
-use ironstair_simulation::{Day, Figures};
+use ironstair_simulation::{RunMetrics, Scenario};
 use serde_json::Value;
 use std::path::Path;
 
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
-fn day(name: &str) -> Day {
-    Day::decode(FORMS.text(name).as_bytes()).unwrap_or_else(|e| panic!("{name}: {e}"))
+fn pinned_scenario(name: &str) -> Scenario {
+    Scenario::decode(FORMS.text(name).as_bytes()).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
 #[test]
-fn days_are_read_and_written_in_the_pinned_json() {
+fn scenarios_are_read_and_written_in_the_pinned_json() {
     for (read, written) in [
         ("day-full.json", "day-full.json"),
         ("day-told.json", "day-told.json"),
         ("day-least.json", "day-defaults.json"),
         ("day-defaults.json", "day-defaults.json"),
     ] {
-        FORMS.assert_same(written, &json_text(&day(read)));
+        FORMS.assert_same(written, &json_text(&pinned_scenario(read)));
     }
 }
 
 #[test]
-fn the_days_that_are_kept_are_read_with_the_pinned_values() {
+fn scenarios_in_the_days_folder_are_read_with_the_pinned_values() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("days");
-    let mut all: Vec<(String, Day)> = std::fs::read_dir(folder)
+    let mut scenarios: Vec<(String, Scenario)> = std::fs::read_dir(folder)
         .unwrap()
-        .map(|f| f.unwrap().path())
-        .map(|p| {
+        .map(|entry| entry.unwrap().path())
+        .map(|path| {
             (
-                p.file_name().unwrap().to_str().unwrap().to_owned(),
-                Day::read(&p).unwrap(),
+                path.file_name().unwrap().to_str().unwrap().to_owned(),
+                Scenario::read(&path).unwrap(),
             )
         })
         .collect();
-    all.sort_by(|a, b| a.0.cmp(&b.0));
-    FORMS.assert_same("days-kept.json", &json_text(&all));
+    scenarios.sort_by(|left, right| left.0.cmp(&right.0));
+    FORMS.assert_same("days-kept.json", &json_text(&scenarios));
 }
 
 #[test]
-fn a_day_that_is_wrong_is_refused_by_the_pinned_field() {
+fn invalid_scenarios_are_refused_with_the_pinned_field() {
     let full: Value = serde_json::from_str(&FORMS.text("day-full.json")).unwrap();
-    for (at, value, field) in [
+    for (pointer, value, expected) in [
         ("/seconds", 1.into(), "seconds: "),
         ("/gateways", 0.into(), "gateways: "),
         ("/engines", 0.into(), "engines: "),
@@ -70,18 +70,18 @@
             "faults[3].what.back_s: ",
         ),
     ] {
-        let mut spoilt = full.clone();
-        *spoilt.pointer_mut(at).unwrap() = value;
-        let why = Day::decode(spoilt.to_string().as_bytes())
+        let mut invalid = full.clone();
+        *invalid.pointer_mut(pointer).unwrap() = value;
+        let message = Scenario::decode(invalid.to_string().as_bytes())
             .unwrap_err()
             .to_string();
-        assert!(why.starts_with(field), "{at}: {why}");
+        assert!(message.starts_with(expected), "{pointer}: {message}");
     }
 }
 
 #[test]
-fn the_schema_without_descriptions_is_the_pinned_one() {
-    let schema: Value = serde_json::from_str(&Day::schema()).unwrap();
+fn schema_without_descriptions_is_the_pinned_one() {
+    let schema: Value = serde_json::from_str(&Scenario::schema()).unwrap();
     FORMS.assert_same(
         "schema.json",
         &json_text(&schema_without_descriptions(&schema)),
@@ -89,15 +89,19 @@
 }
 
 #[test]
-fn figures_are_read_and_written_in_the_pinned_json() {
-    let figures: Figures = serde_json::from_str(&FORMS.text("figures.json")).unwrap();
-    FORMS.assert_same("figures.json", &json_text(&figures));
+fn metrics_are_read_and_written_in_the_pinned_json() {
+    let metrics: RunMetrics = serde_json::from_str(&FORMS.text("figures.json")).unwrap();
+    FORMS.assert_same("figures.json", &json_text(&metrics));
     assert_eq!(
-        (figures.fell(), figures.broken, figures.fault_s),
+        (
+            metrics.engine_crash_count(),
+            metrics.violation_count,
+            metrics.first_fault_s
+        ),
         (3, 1, Some(1.5))
     );
     FORMS.assert_same(
         "figures.csv",
-        &ironstair_simulation::report::csv(&[figures]),
+        &ironstair_simulation::report::csv(&[metrics]),
     );
 }
