--- a/crates/cells/src/assignment.rs
+++ b/crates/cells/src/assignment.rs
@@ -176,8 +176,8 @@
     }
 
     /// All cells in the order of weighted rendezvous hashing: each cell gets a rank from a hash of the id and the
-    /// cell's index, and the lowest rank comes first. The order of one id does not depend on other ids, and an added
-    /// cell only attracts ids, so that a change moves as few engines as possible.
+    /// cell's index, and the lowest rank comes first. The order of one id does not depend on other ids, and a cell
+    /// appended to the list only attracts ids, so that a change moves as few engines as possible.
     fn rendezvous_order(&self, id: u64) -> impl Iterator<Item = usize> {
         let mut order: Vec<RankedCell> = (0..self.names.len())
             .map(|cell| RankedCell {
