--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -1,11 +1,13 @@
-//! A trace of decisions. Each scenario below plays some thousand events, drawn from a seed, through
-//! the policy. It folds every action of the policy (each call of `Actions`, in order, with the time
-//! and all arguments, floats by their bits) and, at regular intervals, the views of endpoints and
-//! classes into one hash, and compares that with the expected one. The trace guards refactorings:
-//! one action more, less, earlier, or different in the last bit of one argument changes the hash.
+//! A trace of decisions: guards against refactorings that alter a decision of the policy unnoticed.
 //!
-//! A change that is meant to alter decisions alters the hashes: the failing test prints the new
-//! ones. Such a change says so, and says why.
+//! Each scenario below passes several thousand events, drawn from a seed, to the policy. Every
+//! action (each call of `Actions`, in order, with its time and all arguments, floats by their bits)
+//! and, at regular intervals, the views of engines and classes are folded into one hash, which is
+//! compared with the expected one. One action more, less or earlier, or a difference in the last
+//! bit of one argument, changes the hash.
+//!
+//! A change that is meant to alter decisions changes the expected hashes; the failing test prints
+//! the new ones. The commit of such a change says so and gives the reason.
 //!
 //! The hashes hold for one platform: `powf`, `ln` and `exp` come from its mathematical library, and
 //! their last bits may differ on another. They were computed on x86-64 Linux with glibc. An
@@ -14,12 +16,12 @@
 //! no longer a constant has the same effect there.
 //!
 //! The host is a plain event loop: it sends requests, ends attempts after drawn times with drawn
-//! outcomes, and carries out the policy's actions. The policy's interface is used in
-//! `RecordedActions`, `Host::call`, `Host::views`, `Host::sanity` and the configurations alone.
-//! Nothing here depends on the order of a hash table.
+//! outcomes, and carries out the policy's actions. Only `RecordedActions`, `Host::call`,
+//! `Host::fold_views`, `Host::check_engine_ready`, the configurations and `boundaries::script` use
+//! the policy's interface. Nothing here depends on the order of a hash table.
 //!
 //! The scenarios in `boundaries` complete these: each brings one comparison of the policy to exact
-//! equality, which times drawn at random hardly ever do.
+//! equality, which randomly drawn times hardly ever do.
 
 use ironstair::policy::{ClassView, EngineView, Gateway};
 use ironstair::{
@@ -31,7 +33,8 @@
 #[path = "decision_trace/boundaries/mod.rs"]
 mod boundaries;
 
-/// Every action, every call and what shows that each rule fired: all have to occur in the sum of scenarios.
+/// Every action, call and outcome, and evidence that each rule was applied. All of them have to
+/// occur in the scenarios taken together.
 const MUST_OCCUR: [&str; 46] = [
     "action start_attempt",
     "action forget",
@@ -68,131 +71,132 @@
     "outcome TimedOut",
     "outcome Unsent",
     "outcome Withdrawn",
-    // Rules that cannot be distinguished by their action alone.
+    // Rules that cannot be told apart by their actions alone.
     "rule answer_at_the_deadline",
     "rule handle_overdue_attempts",
     "rule reject_without_lease",
     "rule shed_load",
-    "seen cold endpoint with its allowance used up",
+    "seen cold engine with its allowance used up",
     "seen further attempt",
-    "seen index used again",
+    "seen reused index",
     "seen request to a class out of service",
-    "seen recovery probe of an ejected endpoint",
+    "seen recovery probe of an ejected engine",
     "seen withdrawal at a progress report",
-    "seen withdrawal for a client that left",
+    "seen withdrawal for a client that cancelled",
 ];
 
 struct Scenario {
     name: &'static str,
     seed: u64,
-    policy: fn() -> PolicyConfig,
-    endpoint_models: usize,
+    config: fn() -> PolicyConfig,
+    engine_count: usize,
     /// Mean time between two requests, in ms.
-    gap: f64,
-    events: usize,
-    /// How many table groups and how many keys requests name.
-    tables: u64,
-    keys: u64,
-    /// The policy changes, holds for a time only, and the gateway announces its end.
-    changes: bool,
-    /// In an unoptimized build, and in an optimized one.
+    mean_arrival_interval: f64,
+    event_count: usize,
+    /// The number of table groups and keys among the requests.
+    table_group_count: u64,
+    key_count: u64,
+    /// The configuration changes and needs a lease, keys are quarantined, and the gateway shuts down.
+    has_config_changes: bool,
+    /// The hash in an unoptimized build, and in an optimized one.
     expected: [u64; 2],
 }
 
 const SCENARIOS: [Scenario; 6] = [
     Scenario {
-        name: "classes, keys, retry budget, cold and draining endpoints",
+        name: "classes of each effect, keys, retry budget, cold and draining engines",
         seed: 1,
-        policy: class_list,
-        endpoint_models: 8,
-        gap: 25.0,
-        events: 20000,
-        tables: 12,
-        keys: 6,
-        changes: false,
+        config: classes_of_each_effect,
+        engine_count: 8,
+        mean_arrival_interval: 25.0,
+        event_count: 20000,
+        table_group_count: 12,
+        key_count: 6,
+        has_config_changes: false,
         expected: [0xf406_0929_d125_fa1f, 0x0aa3_f02c_ed18_40a3],
     },
     Scenario {
-        name: "endpoints that line up, memory grants and priorities",
+        name: "engines that queue for memory, memory grants and priorities",
         seed: 2,
-        policy: grants,
-        endpoint_models: 6,
-        gap: 40.0,
-        events: 15000,
-        tables: 5,
-        keys: 0,
-        changes: false,
+        config: priorities_and_grants,
+        engine_count: 6,
+        mean_arrival_interval: 40.0,
+        event_count: 15000,
+        table_group_count: 5,
+        key_count: 0,
+        has_config_changes: false,
         expected: [0x457c_a51a_4577_6ac9, 0x7c0c_dbee_f92b_8490],
     },
     Scenario {
-        name: "endpoints that do not line up, nothing can be withdrawn",
+        name: "engines that do not queue for memory and allow no withdrawals",
         seed: 3,
-        policy: no_line,
-        endpoint_models: 5,
-        gap: 40.0,
-        events: 15000,
-        tables: 40,
-        keys: 3,
-        changes: false,
+        config: without_memory_queue,
+        engine_count: 5,
+        mean_arrival_interval: 40.0,
+        event_count: 15000,
+        table_group_count: 40,
+        key_count: 3,
+        has_config_changes: false,
         expected: [0xf468_16c6_36fa_9f7f, 0xadd8_01f2_8b1e_08cb],
     },
     Scenario {
         name: "hundreds of gateways that probe",
         seed: 4,
-        policy: crowd,
-        endpoint_models: 30,
-        gap: 150.0,
-        events: 15000,
-        tables: 400,
-        keys: 0,
-        changes: false,
+        config: hundreds_of_gateways,
+        engine_count: 30,
+        mean_arrival_interval: 150.0,
+        event_count: 15000,
+        table_group_count: 400,
+        key_count: 0,
+        has_config_changes: false,
         expected: [0x71e3_e8d7_a398_8d04, 0xd6ba_8212_cb68_4c05],
     },
     Scenario {
-        name: "policy changes, terms that end, announced ends",
+        name: "configuration changes, leases that end, announced shutdowns",
         seed: 5,
-        policy: class_list,
-        endpoint_models: 7,
-        gap: 30.0,
-        events: 20000,
-        tables: 20,
-        keys: 5,
-        changes: true,
+        config: classes_of_each_effect,
+        engine_count: 7,
+        mean_arrival_interval: 30.0,
+        event_count: 20000,
+        table_group_count: 20,
+        key_count: 5,
+        has_config_changes: true,
         expected: [0xca84_6ab7_c1ba_1808, 0x3e02_7990_0ee1_5a67],
     },
     Scenario {
-        name: "hundreds of gateways, policy changes",
+        name: "hundreds of gateways, configuration changes",
         seed: 6,
-        policy: crowd,
-        endpoint_models: 12,
-        gap: 120.0,
-        events: 12000,
-        tables: 300,
-        keys: 4,
-        changes: true,
+        config: hundreds_of_gateways,
+        engine_count: 12,
+        mean_arrival_interval: 120.0,
+        event_count: 12000,
+        table_group_count: 300,
+        key_count: 4,
+        has_config_changes: true,
         expected: [0x10ae_9e16_b5e0_4123, 0x10e5_761e_3609_4aab],
     },
 ];
 
-fn class_policy_of(value: f64, threads: f64, expected: f64, repeat: Effect) -> ClassPolicy {
-    let (expected_stretch, window) = (2.0, 1500.0);
+fn class_policy(value: f64, threads: f64, base_objective: f64, effect: Effect) -> ClassPolicy {
     ClassPolicy {
-        base_objective: expected,
-        objective_per_work: expected_stretch,
+        base_objective,
+        objective_per_work: 2.0,
         value,
         threads,
-        effect: repeat,
-        dedup_window: window,
+        effect,
+        dedup_window: 1500.0,
         ..Default::default()
     }
 }
 
-fn few(classes: Vec<ClassPolicy>) -> PolicyConfig {
-    let kinds = [(8.0, 8192.0), (16.0, 32768.0), (4.0, 4096.0)];
+/// Two gateways with three machine types, a retry budget and a subscription to discovery; the
+/// engines honor priorities, queue for memory and allow withdrawals.
+fn base_config(classes: Vec<ClassPolicy>) -> PolicyConfig {
+    let machine_types = [(8.0, 8192.0), (16.0, 32768.0), (4.0, 4096.0)];
     PolicyConfig {
         gateway_count: 2.0,
         classes,
-        machine_types: kinds
+        machine_types: machine_types
             .map(|(cores, memory_mb)| MachineType { cores, memory_mb })
             .to_vec(),
         max_memory_grant: 0.5,
@@ -218,226 +222,252 @@
     }
 }
 
-fn class_list() -> PolicyConfig {
-    let mut m = few(vec![
-        class_policy_of(1.0, 1.0, 400.0, Effect::Idempotent),
-        class_policy_of(6.0, 4.0, 3000.0, Effect::NonIdempotent),
-        class_policy_of(
+/// A class of each effect, with key order, zones and machine types.
+fn classes_of_each_effect() -> PolicyConfig {
+    let mut config = base_config(vec![
+        class_policy(1.0, 1.0, 400.0, Effect::Idempotent),
+        class_policy(6.0, 4.0, 3000.0, Effect::NonIdempotent),
+        class_policy(
             2.0,
             1.0,
             500.0,
             Effect::Deduplicated(DedupScope::AllEngines),
         ),
-        class_policy_of(2.0, 2.0, 500.0, Effect::Deduplicated(DedupScope::Zone)),
-        class_policy_of(
+        class_policy(2.0, 2.0, 500.0, Effect::Deduplicated(DedupScope::Zone)),
+        class_policy(
             3.0,
             1.0,
             600.0,
             Effect::Deduplicated(DedupScope::DedupDomain),
         ),
     ]);
-    (
-        m.classes[0].preserves_key_order,
-        m.classes[2].preserves_key_order,
-    ) = (true, true);
-    m.classes[1].zones = Some(vec![0]);
-    m.classes[3].machine_types = Some(vec![1, 2]);
-    m
+    config.classes[0].preserves_key_order = true;
+    config.classes[2].preserves_key_order = true;
+    config.classes[1].zones = Some(vec![0]);
+    config.classes[3].machine_types = Some(vec![1, 2]);
+    config
 }
 
-fn grants() -> PolicyConfig {
-    let mut m = few(vec![
-        class_policy_of(1.0, 1.0, 300.0, Effect::Idempotent),
-        class_policy_of(9.0, 4.0, 4000.0, Effect::Idempotent),
-        class_policy_of(4.0, 2.0, 1000.0, Effect::NonIdempotent),
+/// Engines that honor priorities and memory grants, and no retry budget.
+fn priorities_and_grants() -> PolicyConfig {
+    let mut config = base_config(vec![
+        class_policy(1.0, 1.0, 300.0, Effect::Idempotent),
+        class_policy(9.0, 4.0, 4000.0, Effect::Idempotent),
+        class_policy(4.0, 2.0, 1000.0, Effect::NonIdempotent),
     ]);
-    (m.gateway_count, m.honors_memory_grants, m.max_memory_grant) = (3.0, true, 0.25);
-    m.classes[2].pins_table_group = true;
-    m.retry_budget = None;
-    m
+    config.gateway_count = 3.0;
+    config.honors_memory_grants = true;
+    config.max_memory_grant = 0.25;
+    config.classes[2].pins_table_group = true;
+    config.retry_budget = None;
+    config
 }
 
-fn no_line() -> PolicyConfig {
-    let mut m = few(vec![
-        class_policy_of(1.0, 1.0, 300.0, Effect::Idempotent),
-        class_policy_of(5.0, 6.0, 3000.0, Effect::Deduplicated(DedupScope::Zone)),
-        class_policy_of(2.0, 2.0, 800.0, Effect::NonIdempotent),
+/// Engines that do not queue for memory, ignore priorities and allow no withdrawals; clients do not
+/// mark retries.
+fn without_memory_queue() -> PolicyConfig {
+    let mut config = base_config(vec![
+        class_policy(1.0, 1.0, 300.0, Effect::Idempotent),
+        class_policy(5.0, 6.0, 3000.0, Effect::Deduplicated(DedupScope::Zone)),
+        class_policy(2.0, 2.0, 800.0, Effect::NonIdempotent),
     ]);
-    (
-        m.gateway_count,
-        m.queues_when_memory_full,
-        m.retries_are_marked,
-        m.may_withdraw,
-        m.must_subscribe,
-    ) = (4.0, false, false, false, false);
-    (m.honors_priorities, m.honors_memory_grants, m.max_attempts) = (false, true, 3);
-    (m.classes[2].preserves_key_order, m.classes[2].machine_types) = (true, Some(vec![0, 1]));
-    m.report_fields = vec![LoadMetric::HeldQueries, LoadMetric::Other];
-    m
+    config.gateway_count = 4.0;
+    config.queues_when_memory_full = false;
+    config.retries_are_marked = false;
+    config.may_withdraw = false;
+    config.must_subscribe = false;
+    config.honors_priorities = false;
+    config.honors_memory_grants = true;
+    config.max_attempts = 3;
+    config.classes[2].preserves_key_order = true;
+    config.classes[2].machine_types = Some(vec![0, 1]);
+    config.report_fields = vec![LoadMetric::HeldQueries, LoadMetric::Other];
+    config
 }
 
-fn crowd() -> PolicyConfig {
-    let mut m = few(vec![
-        class_policy_of(1.0, 1.0, 400.0, Effect::Idempotent),
-        class_policy_of(
+/// Each of 300 gateways has a small share of the engines and may probe them.
+fn hundreds_of_gateways() -> PolicyConfig {
+    let mut config = base_config(vec![
+        class_policy(1.0, 1.0, 400.0, Effect::Idempotent),
+        class_policy(
             8.0,
             4.0,
             4000.0,
             Effect::Deduplicated(DedupScope::AllEngines),
         ),
-        class_policy_of(2.0, 2.0, 900.0, Effect::NonIdempotent),
+        class_policy(2.0, 2.0, 900.0, Effect::NonIdempotent),
     ]);
-    (m.gateway_count, m.may_probe, m.honors_memory_grants) = (300.0, true, true);
-    m.report_fields = vec![
+    config.gateway_count = 300.0;
+    config.may_probe = true;
+    config.honors_memory_grants = true;
+    config.report_fields = vec![
         LoadMetric::Utilization,
         LoadMetric::Other,
         LoadMetric::HeldQueries,
     ];
-    m.classes[0].preserves_key_order = true;
-    m
+    config.classes[0].preserves_key_order = true;
+    config
 }
 
-/// The policy after a change: a class out of service or back, other limits, a further class.
-fn changed(mut m: PolicyConfig, draw: &mut Draw) -> PolicyConfig {
-    let (n, crowd) = (m.classes.len(), m.gateway_count >= 100.0);
-    let b = draw.below(n as u64) as usize;
-    match draw.below(10) {
-        0 | 1 => m.classes[b].out_of_service = !m.classes[b].out_of_service,
-        2 => m.classes[b].dedup_window = draw.between(100.0, 4000.0),
+/// The configuration after a change: a class out of service or back, other limits, or a further
+/// class.
+fn changed_config(mut config: PolicyConfig, random: &mut Random) -> PolicyConfig {
+    let class_count = config.classes.len();
+    let has_many_gateways = config.gateway_count >= 100.0;
+    let class_index = random.below(class_count as u64) as usize;
+    let class = &mut config.classes[class_index];
+    match random.below(10) {
+        0 | 1 => class.out_of_service = !class.out_of_service,
+        2 => class.dedup_window = random.between(100.0, 4000.0),
         3 => {
-            m.classes[b].zones =
-                [None, Some(vec![0]), Some(vec![1])][draw.below(3) as usize].clone();
+            class.zones = [None, Some(vec![0]), Some(vec![1])][random.below(3) as usize].clone();
         }
         4 => {
-            m.classes[b].machine_types =
-                [None, Some(vec![0, 2]), Some(vec![1])][draw.below(3) as usize].clone();
+            class.machine_types =
+                [None, Some(vec![0, 2]), Some(vec![1])][random.below(3) as usize].clone();
         }
         5 => {
-            (m.classes[b].value, m.classes[b].objective_per_work) =
-                (draw.between(0.5, 9.0), draw.between(1.5, 4.0));
+            class.value = random.between(0.5, 9.0);
+            class.objective_per_work = random.between(1.5, 4.0);
         }
         6 => {
-            m.gateway_count = if crowd {
-                draw.between(200.0, 400.0)
+            config.gateway_count = if has_many_gateways {
+                random.between(200.0, 400.0)
             } else {
-                draw.between(1.0, 6.0)
+                random.between(1.0, 6.0)
             }
             .floor();
         }
         7 => {
-            (m.max_attempts, m.retry_budget) = (
-                1 + draw.below(5) as u8,
-                draw.chance(0.8).then(|| RetryBudget {
-                    min_retries: 2.0,
-                    retry_ratio: draw.between(0.0, 0.3),
-                    window: 1500.0,
-                }),
-            );
+            config.max_attempts = 1 + random.below(5) as u8;
+            config.retry_budget = random.chance(0.8).then(|| RetryBudget {
+                min_retries: 2.0,
+                retry_ratio: random.between(0.0, 0.3),
+                window: 1500.0,
+            });
+        }
+        8 if class_count < 8 => {
+            let further = class_policy(2.0, 1.0, 700.0, Effect::Idempotent);
+            config.classes.push(further);
+        }
+        8 => {
+            config.may_withdraw = random.chance(0.7);
+            config.queues_when_memory_full = random.chance(0.7);
         }
-        8 if n < 8 => m
-            .classes
-            .push(class_policy_of(2.0, 1.0, 700.0, Effect::Idempotent)),
-        8 => (m.may_withdraw, m.queues_when_memory_full) = (draw.chance(0.7), draw.chance(0.7)),
         _ => {
-            (m.slow_start_from, m.machine_types[0].cores) =
-                (draw.between(0.2, 0.8), draw.between(6.0, 12.0).floor());
+            config.slow_start_from = random.between(0.2, 0.8);
+            config.machine_types[0].cores = random.between(6.0, 12.0).floor();
         }
     }
-    // Most classes stay in service.
-    if m.classes.iter().filter(|t| t.out_of_service).count() * 2 > m.classes.len() {
-        m.classes.iter_mut().for_each(|t| t.out_of_service = false);
+    // At least half of the classes stay in service.
+    let out_of_service = config.classes.iter().filter(|class| class.out_of_service);
+    if out_of_service.count() * 2 > config.classes.len() {
+        for class in &mut config.classes {
+            class.out_of_service = false;
+        }
     }
-    m
+    config
 }
 
-/// Chance of the host's own (xorshift), so that a change of the crate's does not change the events.
-struct Draw(u64);
+/// The host's own random numbers (xorshift): a change to the generator of the crate leaves the
+/// events as they are.
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         self.0.wrapping_mul(0x2545_F491_4F6C_DD1D)
     }
-    fn below(&mut self, n: u64) -> u64 {
-        (self.next() >> 33) % n
+    /// A whole number less than the limit.
+    fn below(&mut self, limit: u64) -> u64 {
+        (self.next() >> 33) % limit
     }
-    /// Evenly in [0, 1).
+    /// Uniform in [0, 1).
     fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
     fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit()
     }
-    fn chance(&mut self, p: f64) -> bool {
-        self.unit() < p
+    fn chance(&mut self, probability: f64) -> bool {
+        self.unit() < probability
     }
 }
 
-/// FNV-1a over the bytes of what is folded in.
+/// FNV-1a over the bytes of all that is folded in.
 struct Hash(u64);
 
 impl Hash {
-    fn bytes(&mut self, bytes: &[u8]) {
-        bytes
-            .iter()
-            .for_each(|b| self.0 = (self.0 ^ *b as u64).wrapping_mul(0x0100_0000_01B3));
+    fn fold_bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ *byte as u64).wrapping_mul(0x0100_0000_01B3);
+        }
     }
-    fn all(&mut self, values: &[u64]) {
-        values.iter().for_each(|v| self.bytes(&v.to_le_bytes()));
+    fn fold_words(&mut self, words: &[u64]) {
+        for word in words {
+            self.fold_bytes(&word.to_le_bytes());
+        }
     }
-    fn float(&mut self, value: Option<f64>) {
-        self.all(&value.map_or([0, 0], |v| [1, v.to_bits()]));
+    fn fold_optional_float(&mut self, value: Option<f64>) {
+        self.fold_words(&value.map_or([0, 0], |float| [1, float.to_bits()]));
     }
 
     /// Folds in an action that the policy took at this time.
-    fn action(&mut self, now: f64, action: &Action) {
-        let h = self;
-        h.all(&[now.to_bits()]);
+    fn fold_action(&mut self, now: f64, action: &Action) {
+        self.fold_words(&[now.to_bits()]);
         match action {
-            Action::Attempt(r, e, by) => h.all(&[1, *r as u64, *e as u64, by.to_bits()]),
-            Action::Withdraw(r, nth) => h.all(&[2, *r as u64, *nth as u64]),
-            Action::ClassPolicy(r, priority, grant) => {
-                h.all(&[3, *r as u64, *priority as u64, grant.to_bits()]);
+            Action::Attempt(request, engine, start_before) => {
+                self.fold_words(&[1, *request as u64, *engine as u64, start_before.to_bits()])
+            }
+            Action::Withdraw(request, nth) => {
+                self.fold_words(&[2, *request as u64, *nth as u64]);
             }
-            Action::Reject(r, back) => h.all(&[4, *r as u64, back.to_bits()]),
-            Action::Fail(r) => h.all(&[5, *r as u64]),
-            Action::Subscribe => h.all(&[6]),
-            Action::Probe(e) => h.all(&[7, *e as u64]),
-            Action::Wake(after) => h.all(&[8, after.to_bits()]),
-            Action::Note(text) => {
-                // The numbers were pinned when the line had other words. With the words mapped back, they show that
-                // nothing else has changed in it.
+            Action::SetPriority(request, priority, grant_mb) => {
+                self.fold_words(&[3, *request as u64, *priority as u64, grant_mb.to_bits()])
+            }
+            Action::Reject(request, retry_after) => {
+                self.fold_words(&[4, *request as u64, retry_after.to_bits()]);
+            }
+            Action::Fail(request) => self.fold_words(&[5, *request as u64]),
+            Action::Subscribe => self.fold_words(&[6]),
+            Action::Probe(engine) => self.fold_words(&[7, *engine as u64]),
+            Action::WakeAfter(after) => self.fold_words(&[8, after.to_bits()]),
+            Action::Log(text) => {
+                // The expected hashes were computed when this log line read " set aside: ". Mapping
+                // the text back shows that nothing else in the line has changed.
                 assert!(!text.contains(" set aside: "), "{text}");
                 let text = text.replace(" ejected: ", " set aside: ");
-                h.all(&[9, text.len() as u64]);
-                h.bytes(text.as_bytes());
+                self.fold_words(&[9, text.len() as u64]);
+                self.fold_bytes(text.as_bytes());
             }
-            Action::Forget(r) => h.all(&[10, *r as u64]),
+            Action::Forget(request) => self.fold_words(&[10, *request as u64]),
         }
     }
 
-    /// Folds in the view of the endpoint with this index.
-    fn endpoint_view(&mut self, index: usize, view: &EngineView) {
-        self.all(&[
+    /// Folds in the view of the engine with this index.
+    fn fold_engine_view(&mut self, index: usize, view: &EngineView) {
+        self.fold_words(&[
             100,
             index as u64,
             view.state as u64,
             view.failures as u64,
             view.outcomes_seen as u64,
         ]);
-        self.all(&[view.cores, view.threads, view.slowdown, view.full_until].map(f64::to_bits));
-        self.float(view.last_report.map(|report| report.at));
-        self.float(view.last_report.map(|report| report.share));
-        self.float(view.next_probe_at);
-        self.float(view.slow_start_allowance);
+        self.fold_words(
+            &[view.cores, view.threads, view.slowdown, view.full_until].map(f64::to_bits),
+        );
+        self.fold_optional_float(view.last_report.map(|report| report.at));
+        self.fold_optional_float(view.last_report.map(|report| report.share));
+        self.fold_optional_float(view.next_probe_at);
+        self.fold_optional_float(view.slow_start_allowance);
     }
 
     /// Folds in the view of the class with this index.
-    fn class_view(&mut self, index: usize, view: &ClassView) {
-        self.all(&[101, index as u64, view.waiting as u64]);
-        self.all(
+    fn fold_class_view(&mut self, index: usize, view: &ClassView) {
+        self.fold_words(&[101, index as u64, view.waiting as u64]);
+        self.fold_words(
             &[
                 view.threads,
                 view.charged_work,
@@ -449,17 +479,18 @@
     }
 }
 
+/// An action of the policy, with the arguments in the order of [`Actions`].
 #[derive(Clone, Debug)]
 enum Action {
     Attempt(usize, usize, f64),
     Withdraw(usize, u8),
-    ClassPolicy(usize, u8, f64),
+    SetPriority(usize, u8, f64),
     Reject(usize, f64),
     Fail(usize),
     Subscribe,
     Probe(usize),
-    Wake(f64),
-    Note(String),
+    WakeAfter(f64),
+    Log(String),
     Forget(usize),
 }
 
@@ -467,15 +498,15 @@
 struct RecordedActions(Vec<Action>);
 
 impl Actions for RecordedActions {
-    fn start_attempt(&mut self, request: usize, endpoint_model: usize, by: f64) {
-        self.0.push(Action::Attempt(request, endpoint_model, by));
+    fn start_attempt(&mut self, request: usize, engine: usize, start_before: f64) {
+        self.0.push(Action::Attempt(request, engine, start_before));
     }
     fn withdraw_attempt(&mut self, request: usize, nth: u8) {
         self.0.push(Action::Withdraw(request, nth));
     }
     fn set_priority(&mut self, request: usize, priority: u8, grant_mb: f64) {
         self.0
-            .push(Action::ClassPolicy(request, priority, grant_mb));
+            .push(Action::SetPriority(request, priority, grant_mb));
     }
     fn reject(&mut self, request: usize, retry_after: f64) {
         self.0.push(Action::Reject(request, retry_after));
@@ -486,510 +517,562 @@
     fn subscribe(&mut self) {
         self.0.push(Action::Subscribe);
     }
-    fn probe(&mut self, endpoint_model: usize) {
-        self.0.push(Action::Probe(endpoint_model));
+    fn probe(&mut self, engine: usize) {
+        self.0.push(Action::Probe(engine));
     }
     fn wake_after(&mut self, after: f64) {
-        self.0.push(Action::Wake(after));
+        self.0.push(Action::WakeAfter(after));
     }
     fn log(&mut self, text: &str) {
-        self.0.push(Action::Note(text.into()));
+        self.0.push(Action::Log(text.into()));
     }
     fn forget(&mut self, request: usize) {
         self.0.push(Action::Forget(request));
     }
 }
 
-/// A call of the module.
+/// A call of the gateway. Requests and engines are identified by their indices.
 enum Call {
-    Endpoints(bool, Vec<Endpoint>),
+    /// Whether the endpoint list is complete, and the endpoints.
+    UpdateEndpoints(bool, Vec<Endpoint>),
     EndpointWatchLost,
-    Take(usize, Request),
-    Confine(usize, u64),
-    Outcome(usize, Outcome, bool),
+    Request(usize, Request),
+    RestrictToCells(usize, u64),
+    /// The request, how its attempt ended, and whether the client has its answer.
+    AttemptEnded(usize, Outcome, bool),
     Progress(usize, f64),
-    Report(usize, Vec<f64>),
-    Left(usize),
-    Closed(usize),
-    Ending(f64),
-    Lease(f64),
-    RestKeys(f64),
-    Amend(PolicyConfig),
-    Due,
+    LoadReport(usize, Vec<f64>),
+    Cancel(usize),
+    ClientClosed(usize),
+    BeginShutdown(f64),
+    RenewLease(f64),
+    QuarantineKeys(f64),
+    UpdateConfig(PolicyConfig),
+    Timer,
 }
 
-/// What the host does next; requests and attempts are named by their index and their serial number.
+/// An event that the host has scheduled. A request or an attempt is identified by the index and the
+/// serial number, because an index is reused.
 enum Event {
-    Arrive,
-    Again(Request),
-    End(usize, u64),
+    RequestArrives,
+    RetryArrives(Request),
+    AttemptEnds(usize, u64),
     Progress(usize, u64),
-    Wake,
-    Report(usize, bool),
-    AllEndpoints,
-    EndpointChanges,
+    Timer,
+    /// The engine, and whether the gateway requested the report.
+    LoadReport(usize, bool),
+    FullEndpointList,
+    EngineChanges,
     EndpointWatchLost,
-    Leave(usize, u64),
-    Close(usize, u64),
-    Confine(usize, u64),
-    PolicyChanges,
-    Lease,
-    RestKeys,
-    Ending,
+    ClientCancels(usize, u64),
+    ClientCloses(usize, u64),
+    CellsAreRestricted(usize, u64),
+    ConfigChanges,
+    LeaseIsRenewed,
+    KeysAreQuarantined,
+    ShutdownBegins,
 }
 
-struct Running {
+struct RunningAttempt {
     serial: u64,
-    endpoint_model: usize,
-    sent: f64,
-    ends: f64,
+    engine: usize,
+    sent_at: f64,
+    ends_at: f64,
     outcome: Outcome,
-    withdrawn: bool,
+    is_withdrawn: bool,
 }
 
 struct RequestModel {
     serial: u64,
-    of: Request,
-    limit: f64,
-    /// Has its answer, or its client has left.
-    over: bool,
+    request: Request,
+    deadline: f64,
+    /// The client has its answer, or has cancelled.
+    is_over: bool,
     attempts: u64,
-    running: Option<Running>,
+    running: Option<RunningAttempt>,
 }
 
-struct EndpointModel {
-    line: Endpoint,
-    slow: f64,
-    failing: f64,
-    busy: u64,
+struct EngineModel {
+    endpoint: Endpoint,
+    /// By how much attempts take longer than on a healthy engine.
+    slowdown: f64,
+    /// The probability that an attempt fails.
+    failure_rate: f64,
+    busy_threads: u64,
 }
 
 struct Host<'a> {
     scenario: &'a Scenario,
+    /// How often each call, action, outcome and rule has occurred.
     counts: &'a mut BTreeMap<String, u64>,
-    policy: PolicyConfig,
+    config: PolicyConfig,
     gateway: Gateway,
-    draw: Draw,
+    random: Random,
     hash: Hash,
     now: f64,
-    serial: u64,
+    last_serial: u64,
+    /// Events by the bits of their time, and by a serial number among those of the same time.
     queue: BTreeMap<(u64, u64), Event>,
     requests: Vec<Option<RequestModel>>,
-    free: Vec<usize>,
-    endpoint_models: Vec<EndpointModel>,
-    until: f64,
+    free_indices: Vec<usize>,
+    engines: Vec<EngineModel>,
+    lease_until: f64,
 }
 
 impl<'a> Host<'a> {
     fn new(scenario: &'a Scenario, counts: &'a mut BTreeMap<String, u64>) -> Self {
-        let policy = (scenario.policy)();
-        let endpoint_models = (0..scenario.endpoint_models).map(|i| {
-            let (zone, kind, marks) = (i as u16 % 2, i as u16 / 2 % 3, i as u16 / 2);
-            let (id, cells, state) = (1000 + 7 * i as u64, 1 << (i % 3), EndpointState::Ready);
-            let line = Endpoint {
-                engine: i,
-                id,
-                zone,
-                machine_type: kind,
-                dedup_domain: marks,
-                cells,
-                state,
+        let config = (scenario.config)();
+        let engines = (0..scenario.engine_count).map(|index| EngineModel {
+            endpoint: Endpoint {
+                engine: index,
+                id: 1000 + 7 * index as u64,
+                zone: index as u16 % 2,
+                machine_type: index as u16 / 2 % 3,
+                dedup_domain: index as u16 / 2,
+                cells: 1 << (index % 3),
+                state: EndpointState::Ready,
                 started_at: 0.0,
-            };
-            EndpointModel {
-                line,
-                slow: 1.0,
-                failing: 0.0,
-                busy: 0,
-            }
+            },
+            slowdown: 1.0,
+            failure_rate: 0.0,
+            busy_threads: 0,
         });
         Host {
-            gateway: Gateway::new(policy.clone(), scenario.seed),
-            endpoint_models: endpoint_models.collect(),
+            gateway: Gateway::new(config.clone(), scenario.seed),
+            engines: engines.collect(),
             scenario,
             counts,
-            policy,
-            draw: Draw(scenario.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
+            config,
+            random: Random(scenario.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15)),
             hash: Hash(0xCBF2_9CE4_8422_2325),
             now: 1000.0,
-            serial: 0,
+            last_serial: 0,
             queue: BTreeMap::new(),
             requests: vec![],
-            free: vec![],
-            until: f64::INFINITY,
+            free_indices: vec![],
+            lease_until: f64::INFINITY,
         }
     }
 
-    fn count(&mut self, what: &str) {
-        *self.counts.entry(what.into()).or_default() += 1;
+    fn count(&mut self, label: &str) {
+        *self.counts.entry(label.into()).or_default() += 1;
     }
 
-    fn serial(&mut self) -> u64 {
-        self.serial += 1;
-        self.serial
+    fn next_serial(&mut self) -> u64 {
+        self.last_serial += 1;
+        self.last_serial
     }
 
-    fn after(&mut self, time: f64, event: Event) {
-        let at = (self.now + time).to_bits();
-        let key = (at, self.serial());
+    fn schedule(&mut self, delay: f64, event: Event) {
+        let at = (self.now + delay).to_bits();
+        let key = (at, self.next_serial());
         self.queue.insert(key, event);
     }
 
+    /// Plays all events of the scenario, and returns the hash.
     fn play(mut self) -> u64 {
-        let lines = self.endpoint_models.iter().map(|e| e.line).collect();
-        self.call(Call::Endpoints(true, lines));
-        let scheduled = [
-            (0.0, Event::Arrive),
-            (300.0, Event::EndpointChanges),
+        let endpoints = self.engines.iter().map(|engine| engine.endpoint).collect();
+        self.call(Call::UpdateEndpoints(true, endpoints));
+        let first_events = [
+            (0.0, Event::RequestArrives),
+            (300.0, Event::EngineChanges),
             (5000.0, Event::EndpointWatchLost),
         ];
-        scheduled
-            .into_iter()
-            .for_each(|(time, event)| self.after(time, event));
-        if self.scenario.changes {
-            let further = [
-                (50.0, Event::Lease),
-                (900.0, Event::PolicyChanges),
-                (4000.0, Event::RestKeys),
-                (15_000.0, Event::Ending),
+        for (delay, event) in first_events {
+            self.schedule(delay, event);
+        }
+        if self.scenario.has_config_changes {
+            let further_events = [
+                (50.0, Event::LeaseIsRenewed),
+                (900.0, Event::ConfigChanges),
+                (4000.0, Event::KeysAreQuarantined),
+                (15_000.0, Event::ShutdownBegins),
             ];
-            further
-                .into_iter()
-                .for_each(|(time, event)| self.after(time, event));
+            for (delay, event) in further_events {
+                self.schedule(delay, event);
+            }
         }
-        for n in 0..self.scenario.events {
-            let (key, event) = self.queue.pop_first().expect("requests go on arriving");
+        for nth in 0..self.scenario.event_count {
+            let (key, event) = self.queue.pop_first().expect("requests keep arriving");
             self.now = f64::from_bits(key.0);
-            self.event(event);
-            if n % 50 == 0 {
-                self.views();
+            self.handle_event(event);
+            if nth % 50 == 0 {
+                self.fold_views();
             }
         }
-        self.views();
+        self.fold_views();
         self.hash.0
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each kind")]
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Arrive => {
-                let of = self.request();
-                self.arrive(of);
-                // Three seconds of eight bring three times as many.
+            Event::RequestArrives => {
+                let request = self.draw_request();
+                self.send_request(request);
+                // During 3 s of every 8 s, three times as many requests arrive.
                 let burst = if self.now % 8000.0 < 3000.0 { 3.0 } else { 1.0 };
-                let gap = 2.0 * self.scenario.gap / burst * self.draw.unit();
-                self.after(gap, Event::Arrive);
+                let interval =
+                    2.0 * self.scenario.mean_arrival_interval / burst * self.random.unit();
+                self.schedule(interval, Event::RequestArrives);
             }
-            Event::Again(of) => self.arrive(of),
-            Event::End(index, serial) => self.end(index, serial),
+            Event::RetryArrives(request) => self.send_request(request),
+            Event::AttemptEnds(index, serial) => self.end_attempt(index, serial),
             Event::Progress(index, serial) => {
-                let Some(r) = self.running(index, serial) else {
+                let Some(attempt) = self.running_attempt(index, serial) else {
                     return;
                 };
-                let share = (self.now - r.sent) / (r.ends - r.sent).max(1.0);
-                let share = if self.draw.chance(0.05) {
+                let duration = (attempt.ends_at - attempt.sent_at).max(1.0);
+                let share = (self.now - attempt.sent_at) / duration;
+                let share = if self.random.chance(0.05) {
                     f64::NAN
                 } else {
                     share
                 };
                 self.call(Call::Progress(index, share));
-                let next = self.draw.between(50.0, 400.0);
-                self.after(next, Event::Progress(index, serial));
+                let next = self.random.between(50.0, 400.0);
+                self.schedule(next, Event::Progress(index, serial));
             }
-            Event::Wake => self.call(Call::Due),
-            Event::Report(i, requested) => {
-                let (e, reports) = (&self.endpoint_models[i], &self.policy.report_fields);
-                let cores = self.policy.machine_types[e.line.machine_type as usize].cores;
-                let (share, held) = (e.busy as f64 / cores * e.slow, e.busy as f64);
-                let values = reports.iter().map(|what| match what {
-                    LoadMetric::Utilization => share.min(1.0),
-                    LoadMetric::HeldQueries => held,
+            Event::Timer => self.call(Call::Timer),
+            Event::LoadReport(index, is_requested) => {
+                let engine = &self.engines[index];
+                let machine_type = engine.endpoint.machine_type as usize;
+                let cores = self.config.machine_types[machine_type].cores;
+                let busy_threads = engine.busy_threads as f64;
+                let utilization = busy_threads / cores * engine.slowdown;
+                let report_fields = self.config.report_fields.iter();
+                let values = report_fields.map(|metric| match metric {
+                    LoadMetric::Utilization => utilization.min(1.0),
+                    LoadMetric::HeldQueries => busy_threads,
                     LoadMetric::Other => 17.0,
                 });
-                // Some answers are empty.
+                // Some reports are empty.
                 let values: Vec<f64> = values.collect();
-                let values = if self.draw.chance(0.08) {
+                let values = if self.random.chance(0.08) {
                     vec![]
                 } else {
                     values
                 };
-                self.call(Call::Report(i, values));
-                if !requested {
-                    let next = self.draw.between(100.0, 900.0);
-                    self.after(next, Event::Report(i, false));
+                self.call(Call::LoadReport(index, values));
+                if !is_requested {
+                    let next = self.random.between(100.0, 900.0);
+                    self.schedule(next, Event::LoadReport(index, false));
                 }
             }
-            Event::AllEndpoints => {
-                let lines = self.endpoint_models.iter().map(|e| e.line).collect();
-                self.call(Call::Endpoints(true, lines));
+            Event::FullEndpointList => {
+                let endpoints = self.engines.iter().map(|engine| engine.endpoint).collect();
+                self.call(Call::UpdateEndpoints(true, endpoints));
             }
-            Event::EndpointChanges => self.endpoint_changes(),
+            Event::EngineChanges => self.change_engine(),
             Event::EndpointWatchLost => {
                 self.call(Call::EndpointWatchLost);
-                let next = self.draw.between(3000.0, 9000.0);
-                self.after(next, Event::EndpointWatchLost);
+                let next = self.random.between(3000.0, 9000.0);
+                self.schedule(next, Event::EndpointWatchLost);
             }
-            Event::Leave(index, serial) if self.open(index, serial) => {
-                let request = self.requests[index].as_mut().expect("it is open");
-                request.over = true;
-                let runs = request.running.is_some();
-                if runs && self.policy.may_withdraw {
-                    self.count("seen withdrawal for a client that left");
+            Event::ClientCancels(index, serial) if self.is_open(index, serial) => {
+                let request = self.requests[index].as_mut().expect("the request is open");
+                request.is_over = true;
+                let is_running = request.running.is_some();
+                if is_running && self.config.may_withdraw {
+                    self.count("seen withdrawal for a client that cancelled");
                 }
-                self.call(Call::Left(index));
+                self.call(Call::Cancel(index));
             }
-            Event::Close(index, serial) if self.open(index, serial) => {
-                self.call(Call::Closed(index));
+            Event::ClientCloses(index, serial) if self.is_open(index, serial) => {
+                self.call(Call::ClientClosed(index));
             }
-            Event::Confine(index, serial) if self.open(index, serial) => {
-                let cells = self.draw.below(8);
-                self.call(Call::Confine(index, cells));
+            Event::CellsAreRestricted(index, serial) if self.is_open(index, serial) => {
+                let cells = self.random.below(8);
+                self.call(Call::RestrictToCells(index, cells));
             }
-            Event::Leave(..) | Event::Close(..) | Event::Confine(..) => {}
-            Event::PolicyChanges => {
-                let policy = changed(self.policy.clone(), &mut self.draw);
-                self.policy = policy.clone();
-                self.call(Call::Amend(policy));
-                let next = self.draw.between(200.0, 1500.0);
-                self.after(next, Event::PolicyChanges);
+            Event::ClientCancels(..) | Event::ClientCloses(..) | Event::CellsAreRestricted(..) => {}
+            Event::ConfigChanges => {
+                let config = changed_config(self.config.clone(), &mut self.random);
+                self.config = config.clone();
+                self.call(Call::UpdateConfig(config));
+                let next = self.random.between(200.0, 1500.0);
+                self.schedule(next, Event::ConfigChanges);
             }
-            Event::Lease => {
-                self.until = self.now + self.draw.between(900.0, 1500.0);
-                self.call(Call::Lease(self.until));
-                // Now and then it is renewed too late.
-                let next = if self.draw.chance(0.1) { 2500.0 } else { 500.0 };
-                self.after(next, Event::Lease);
+            Event::LeaseIsRenewed => {
+                self.lease_until = self.now + self.random.between(900.0, 1500.0);
+                self.call(Call::RenewLease(self.lease_until));
+                // One renewal in ten comes too late.
+                let next = if self.random.chance(0.1) {
+                    2500.0
+                } else {
+                    500.0
+                };
+                self.schedule(next, Event::LeaseIsRenewed);
             }
-            Event::RestKeys => {
-                let until = self.now + self.draw.between(50.0, 600.0);
-                self.call(Call::RestKeys(until));
-                let next = self.draw.between(3000.0, 6000.0);
-                self.after(next, Event::RestKeys);
+            Event::KeysAreQuarantined => {
+                let until = self.now + self.random.between(50.0, 600.0);
+                self.call(Call::QuarantineKeys(until));
+                let next = self.random.between(3000.0, 6000.0);
+                self.schedule(next, Event::KeysAreQuarantined);
             }
-            Event::Ending => {
-                let at = self.now + self.draw.between(100.0, 900.0);
-                let open = self.requests.iter_mut().flatten();
-                open.for_each(|r| r.limit = r.limit.min(at));
-                self.call(Call::Ending(at));
-                self.after(20_000.0, Event::Ending);
+            Event::ShutdownBegins => {
+                let shutdown_at = self.now + self.random.between(100.0, 900.0);
+                for request in self.requests.iter_mut().flatten() {
+                    request.deadline = request.deadline.min(shutdown_at);
+                }
+                self.call(Call::BeginShutdown(shutdown_at));
+                self.schedule(20_000.0, Event::ShutdownBegins);
             }
         }
     }
 
-    /// A request as a client would send it.
-    fn request(&mut self) -> Request {
-        let (s, d) = (self.scenario, &mut self.draw);
-        let narrow = d.chance(0.6);
-        let class = if narrow {
+    /// Draws a request as a client would send it.
+    fn draw_request(&mut self) -> Request {
+        let (scenario, random) = (self.scenario, &mut self.random);
+        let is_first_class = random.chance(0.6);
+        let class_index = if is_first_class {
             0
         } else {
-            d.below(self.policy.classes.len() as u64) as usize
+            random.below(self.config.classes.len() as u64) as usize
         };
-        let terms = &self.policy.classes[class];
-        let mut work = terms.base_objective * terms.threads / 4.0 * d.between(0.1, 1.6);
-        if d.chance(0.05) {
+        let class = &self.config.classes[class_index];
+        let mut work = class.base_objective * class.threads / 4.0 * random.between(0.1, 1.6);
+        if random.chance(0.05) {
             work *= 4.0;
         }
-        let time = terms.base_objective + terms.objective_per_work * work / terms.threads;
+        let objective = class.base_objective + class.objective_per_work * work / class.threads;
         Request {
-            class,
-            key: if s.keys > 0 { d.below(s.keys + 1) } else { 0 },
-            time_remaining: if d.chance(0.1) {
-                time * d.between(0.1, 1.0)
+            class: class_index,
+            key: if scenario.key_count > 0 {
+                random.below(scenario.key_count + 1)
+            } else {
+                0
+            },
+            time_remaining: if random.chance(0.1) {
+                objective * random.between(0.1, 1.0)
             } else {
-                time * d.between(1.2, 3.0)
+                objective * random.between(1.2, 3.0)
             },
-            work: d.chance(0.7).then(|| work * d.between(0.6, 1.6)),
-            memory_mb: if d.chance(0.2) {
+            work: random.chance(0.7).then(|| work * random.between(0.6, 1.6)),
+            memory_mb: if random.chance(0.2) {
                 0.0
             } else {
-                d.between(20.0, 4000.0)
+                random.between(20.0, 4000.0)
             },
-            table_group: d.below(s.tables).min(d.below(s.tables)),
-            cells: if d.chance(0.8) { 0 } else { d.below(8) },
-            is_retry: d.chance(0.1),
+            // The smaller of two draws: low table groups have more of the requests.
+            table_group: random
+                .below(scenario.table_group_count)
+                .min(random.below(scenario.table_group_count)),
+            cells: if random.chance(0.8) {
+                0
+            } else {
+                random.below(8)
+            },
+            is_retry: random.chance(0.1),
         }
     }
 
-    fn arrive(&mut self, of: Request) {
-        let serial = self.serial();
-        let index = self.free.pop().unwrap_or(self.requests.len());
+    fn send_request(&mut self, request: Request) {
+        let serial = self.next_serial();
+        let index = self.free_indices.pop().unwrap_or(self.requests.len());
         if index == self.requests.len() {
             self.requests.push(None);
         } else {
-            self.count("seen index used again");
+            self.count("seen reused index");
         }
-        if self.policy.classes[of.class].out_of_service {
+        if self.config.classes[request.class].out_of_service {
             self.count("seen request to a class out of service");
         }
-        let limit = self.now + of.time_remaining;
+        let deadline = self.now + request.time_remaining;
         self.requests[index] = Some(RequestModel {
             serial,
-            of,
-            limit,
-            over: false,
+            request,
+            deadline,
+            is_over: false,
             attempts: 0,
             running: None,
         });
-        for (chance, event) in [
-            (0.04, Event::Leave(index, serial)),
-            (0.03, Event::Close(index, serial)),
-            (0.03, Event::Confine(index, serial)),
+        for (probability, event) in [
+            (0.04, Event::ClientCancels(index, serial)),
+            (0.03, Event::ClientCloses(index, serial)),
+            (0.03, Event::CellsAreRestricted(index, serial)),
         ] {
-            if self.draw.chance(chance) {
-                let time = self.draw.between(0.0, of.time_remaining);
-                self.after(time, event);
+            if self.random.chance(probability) {
+                let delay = self.random.between(0.0, request.time_remaining);
+                self.schedule(delay, event);
             }
         }
-        self.call(Call::Take(index, of));
+        self.call(Call::Request(index, request));
     }
 
-    fn open(&self, index: usize, serial: u64) -> bool {
+    fn is_open(&self, index: usize, serial: u64) -> bool {
         self.requests[index]
             .as_ref()
-            .is_some_and(|r| r.serial == serial && !r.over)
+            .is_some_and(|request| request.serial == serial && !request.is_over)
     }
 
-    fn running(&self, index: usize, serial: u64) -> Option<&Running> {
+    /// The request's running attempt, if it still is the one with this serial number.
+    fn running_attempt(&self, index: usize, serial: u64) -> Option<&RunningAttempt> {
         self.requests[index]
             .as_ref()?
             .running
             .as_ref()
-            .filter(|r| r.serial == serial)
+            .filter(|attempt| attempt.serial == serial)
     }
 
-    fn end(&mut self, index: usize, serial: u64) {
-        if self.running(index, serial).is_none() {
+    fn end_attempt(&mut self, index: usize, serial: u64) {
+        if self.running_attempt(index, serial).is_none() {
             return;
         }
-        let request = self.requests[index].as_mut().expect("it runs");
-        let run = request.running.take().expect("it runs");
-        let threads = self.policy.classes[request.of.class].threads as u64;
-        self.endpoint_models[run.endpoint_model].busy = self.endpoint_models[run.endpoint_model]
-            .busy
-            .saturating_sub(threads);
-        let settled = matches!(run.outcome, Outcome::Completed(_));
-        // Some errors are final answers.
-        let last = settled || run.outcome == Outcome::EngineError && self.draw.chance(0.2);
-        let request = self.requests[index].as_mut().expect("it ran");
-        request.over |= last;
-        self.call(Call::Outcome(index, run.outcome, last));
+        let request = self.requests[index].as_mut().expect("an attempt runs");
+        let attempt = request.running.take().expect("an attempt runs");
+        let threads = self.config.classes[request.request.class].threads as u64;
+        let engine = &mut self.engines[attempt.engine];
+        engine.busy_threads = engine.busy_threads.saturating_sub(threads);
+        let is_completed = matches!(attempt.outcome, Outcome::Completed(_));
+        // Some engine errors are final answers.
+        let is_answered =
+            is_completed || attempt.outcome == Outcome::EngineError && self.random.chance(0.2);
+        let request = self.requests[index].as_mut().expect("an attempt ran");
+        request.is_over |= is_answered;
+        self.call(Call::AttemptEnded(index, attempt.outcome, is_answered));
     }
 
-    /// An endpoint becomes slow, fails, drains, goes, restarts, or another one takes its index.
-    fn endpoint_changes(&mut self) {
-        let next = self.draw.between(100.0, 900.0);
-        self.after(next, Event::EndpointChanges);
-        let off = self
-            .endpoint_models
+    /// An engine becomes slow, fails, drains, leaves the list, restarts, or another engine gets its
+    /// index. An engine that is not ready is more likely to return than another is to change.
+    fn change_engine(&mut self) {
+        let next = self.random.between(100.0, 900.0);
+        self.schedule(next, Event::EngineChanges);
+        let unavailable = self
+            .engines
             .iter()
-            .position(|e| e.line.state != EndpointState::Ready);
-        let any = self.draw.below(self.endpoint_models.len() as u64) as usize;
-        let back = off.filter(|_| self.draw.chance(0.6));
-        let i = back.unwrap_or(any);
-        let (kind, now, serial) = (self.draw.below(8), self.now, self.serial());
-        let e = &mut self.endpoint_models[i];
-        match kind {
-            _ if back.is_some() => {
-                let again = e.line.state == EndpointState::Draining && kind < 4;
-                e.line.state = EndpointState::Ready;
-                (e.slow, e.failing) = (1.0, 0.0);
-                e.line.started_at = if again { e.line.started_at } else { now };
+            .position(|engine| engine.endpoint.state != EndpointState::Ready);
+        let any = self.random.below(self.engines.len() as u64) as usize;
+        let returning = unavailable.filter(|_| self.random.chance(0.6));
+        let index = returning.unwrap_or(any);
+        let (change, now, serial) = (self.random.below(8), self.now, self.next_serial());
+        let engine = &mut self.engines[index];
+        match change {
+            _ if returning.is_some() => {
+                let is_same_process =
+                    engine.endpoint.state == EndpointState::Draining && change < 4;
+                engine.endpoint.state = EndpointState::Ready;
+                (engine.slowdown, engine.failure_rate) = (1.0, 0.0);
+                if !is_same_process {
+                    engine.endpoint.started_at = now;
+                }
+            }
+            0 | 1 => (engine.slowdown, engine.failure_rate) = (1.0, 0.0),
+            2 => engine.slowdown = self.random.between(2.0, 9.0),
+            3 => engine.failure_rate = self.random.between(0.5, 1.0),
+            4 => engine.endpoint.state = EndpointState::Draining,
+            5 => engine.endpoint.state = EndpointState::Gone,
+            6 => engine.endpoint.started_at = now,
+            _ => {
+                engine.endpoint.id = 100_000 + serial;
+                engine.endpoint.started_at = now;
             }
-            0 | 1 => (e.slow, e.failing) = (1.0, 0.0),
-            2 => e.slow = self.draw.between(2.0, 9.0),
-            3 => e.failing = self.draw.between(0.5, 1.0),
-            4 => e.line.state = EndpointState::Draining,
-            5 => e.line.state = EndpointState::Gone,
-            6 => e.line.started_at = now,
-            _ => (e.line.id, e.line.started_at) = (100_000 + serial, now),
         }
-        let (line, lost) = (e.line, kind >= 5);
-        if lost {
-            for index in 0..self.requests.len() {
-                let Some(r) = self.requests[index].as_mut() else {
+        let (endpoint, loses_connections) = (engine.endpoint, change >= 5);
+        if loses_connections {
+            for request_index in 0..self.requests.len() {
+                let Some(request) = self.requests[request_index].as_mut() else {
                     continue;
                 };
-                if let Some(run) = r.running.as_mut().filter(|run| run.endpoint_model == i) {
-                    (run.outcome, run.ends) = (Outcome::ConnectionLost, now + 1.0);
-                    let serial = run.serial;
-                    self.after(1.0, Event::End(index, serial));
+                let attempt = request.running.as_mut();
+                if let Some(attempt) = attempt.filter(|attempt| attempt.engine == index) {
+                    (attempt.outcome, attempt.ends_at) = (Outcome::ConnectionLost, now + 1.0);
+                    let serial = attempt.serial;
+                    self.schedule(1.0, Event::AttemptEnds(request_index, serial));
                 }
             }
         }
-        if self.draw.chance(0.9) {
-            self.call(Call::Endpoints(false, vec![line]));
+        if self.random.chance(0.9) {
+            self.call(Call::UpdateEndpoints(false, vec![endpoint]));
         } else {
-            self.event(Event::AllEndpoints);
+            self.handle_event(Event::FullEndpointList);
         }
     }
 
-    /// How an attempt will end, and after what time.
-    fn fate(&mut self, index: usize, endpoint_model: usize, by: f64) -> (f64, Outcome) {
-        let of = self.requests[index].as_ref().expect("it is attempted").of;
-        let (terms, d, e) = (
-            &self.policy.classes[of.class],
-            &mut self.draw,
-            &self.endpoint_models[endpoint_model],
+    /// Draws how long an attempt takes, and how it ends.
+    fn draw_attempt_end(
+        &mut self,
+        index: usize,
+        engine_index: usize,
+        start_before: f64,
+    ) -> (f64, Outcome) {
+        let request = self.requests[index]
+            .as_ref()
+            .expect("the request has an attempt")
+            .request;
+        let (class, random, engine) = (
+            &self.config.classes[request.class],
+            &mut self.random,
+            &self.engines[engine_index],
         );
-        let cores = self.policy.machine_types[e.line.machine_type as usize].cores;
-        if by < self.now || d.chance(0.02) {
-            return (d.between(0.5, 3.0), Outcome::Unsent);
+        let machine_type = engine.endpoint.machine_type as usize;
+        let cores = self.config.machine_types[machine_type].cores;
+        let threads_per_core = engine.busy_threads as f64 / cores;
+        if start_before < self.now || random.chance(0.02) {
+            return (random.between(0.5, 3.0), Outcome::Unsent);
         }
-        let full = d.chance(0.1 * (e.busy as f64 / cores - 1.0).clamp(0.0, 5.0));
-        if full {
-            return (d.between(0.5, 3.0), Outcome::Rejected);
+        let is_full = random.chance(0.1 * (threads_per_core - 1.0).clamp(0.0, 5.0));
+        if is_full {
+            return (random.between(0.5, 3.0), Outcome::Rejected);
         }
-        if d.chance(e.failing) || d.chance(0.04) {
-            return match d.below(6) {
-                0 => (d.between(1.0, 60.0), Outcome::EngineError),
-                1 => (d.between(1.0, 5.0), Outcome::Rejected),
-                2 => (d.between(300.0, 2000.0), Outcome::TimedOut),
-                3 => (d.between(1.0, 30.0), Outcome::ConnectFailed),
-                4 => (d.between(1.0, 300.0), Outcome::ConnectionLost),
-                _ => (d.between(1.0, 300.0), Outcome::ConnectionLostByPeerAttempt),
+        if random.chance(engine.failure_rate) || random.chance(0.04) {
+            return match random.below(6) {
+                0 => (random.between(1.0, 60.0), Outcome::EngineError),
+                1 => (random.between(1.0, 5.0), Outcome::Rejected),
+                2 => (random.between(300.0, 2000.0), Outcome::TimedOut),
+                3 => (random.between(1.0, 30.0), Outcome::ConnectFailed),
+                4 => (random.between(1.0, 300.0), Outcome::ConnectionLost),
+                _ => (
+                    random.between(1.0, 300.0),
+                    Outcome::ConnectionLostByPeerAttempt,
+                ),
             };
         }
-        // Answers that get lost.
-        if d.chance(0.02) {
+        // Some answers get lost.
+        if random.chance(0.02) {
             return (15_000.0, Outcome::ConnectionLostByPeerAttempt);
         }
-        let guess = of
+        let estimate = request
             .work
-            .unwrap_or(terms.base_objective * terms.threads / 4.0);
-        let work = guess * d.between(0.5, 2.0) * if d.chance(0.03) { 12.0 } else { 1.0 };
-        let wait = (e.busy as f64 / cores).max(1.0) * e.slow;
-        let memory_mb = of.memory_mb * d.between(0.5, 1.5);
-        let reported = d.chance(0.75).then_some(Cost { work, memory_mb });
-        (work / terms.threads * wait, Outcome::Completed(reported))
+            .unwrap_or(class.base_objective * class.threads / 4.0);
+        let work =
+            estimate * random.between(0.5, 2.0) * if random.chance(0.03) { 12.0 } else { 1.0 };
+        let slowdown = threads_per_core.max(1.0) * engine.slowdown;
+        let memory_mb = request.memory_mb * random.between(0.5, 1.5);
+        let reported = random.chance(0.75).then_some(Cost { work, memory_mb });
+        (
+            work / class.threads * slowdown,
+            Outcome::Completed(reported),
+        )
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each kind")]
-    /// Calls the module, and does what it asks for.
+    /// Calls the gateway, and carries out its actions.
     fn call(&mut self, call: Call) {
-        let (mut out, now, g) = (RecordedActions::default(), self.now, &mut self.gateway);
-        let progress = matches!(call, Call::Progress(..));
-        let mut outcome = None;
-        let name = match call {
-            Call::Endpoints(full, lines) => {
-                g.update_endpoints(now, full, &lines, &mut out);
-                ["call update_endpoints", "call update_endpoints, full"][full as usize]
+        let (mut actions, now) = (RecordedActions::default(), self.now);
+        let gateway = &mut self.gateway;
+        let is_progress = matches!(call, Call::Progress(..));
+        let mut outcome_label = None;
+        let call_label = match call {
+            Call::UpdateEndpoints(is_full, endpoints) => {
+                gateway.update_endpoints(now, is_full, &endpoints, &mut actions);
+                ["call update_endpoints", "call update_endpoints, full"][is_full as usize]
             }
             Call::EndpointWatchLost => {
-                g.endpoint_watch_lost(now, &mut out);
+                gateway.endpoint_watch_lost(now, &mut actions);
                 "call endpoint_watch_lost"
             }
-            Call::Take(index, of) => {
-                g.on_request(now, index, of, &mut out);
+            Call::Request(index, request) => {
+                gateway.on_request(now, index, request, &mut actions);
                 "call on_request"
             }
-            Call::Confine(index, cells) => {
-                g.restrict_to_cells(index, cells);
+            Call::RestrictToCells(index, cells) => {
+                gateway.restrict_to_cells(index, cells);
                 "call restrict_to_cells"
             }
-            Call::Outcome(index, what, last) => {
-                g.on_attempt_ended(now, index, what, last, &mut out);
-                outcome = Some(match what {
+            Call::AttemptEnded(index, outcome, is_answered) => {
+                gateway.on_attempt_ended(now, index, outcome, is_answered, &mut actions);
+                outcome_label = Some(match outcome {
                     Outcome::Completed(Some(_)) => "outcome Completed, cost reported",
                     Outcome::Completed(None) => "outcome Completed, cost unknown",
                     Outcome::EngineError => "outcome EngineError",
@@ -1004,215 +1087,236 @@
                 "call on_attempt_ended"
             }
             Call::Progress(index, share) => {
-                g.on_progress(now, index, share, &mut out);
+                gateway.on_progress(now, index, share, &mut actions);
                 "call on_progress"
             }
-            Call::Report(endpoint_model, values) => {
-                g.on_load_report(now, endpoint_model, &values, &mut out);
+            Call::LoadReport(engine, values) => {
+                gateway.on_load_report(now, engine, &values, &mut actions);
                 "call on_load_report"
             }
-            Call::Left(index) => {
-                g.on_cancel(now, index, &mut out);
+            Call::Cancel(index) => {
+                gateway.on_cancel(now, index, &mut actions);
                 "call on_cancel"
             }
-            Call::Closed(index) => {
-                g.on_client_closed(now, index, &mut out);
+            Call::ClientClosed(index) => {
+                gateway.on_client_closed(now, index, &mut actions);
                 "call on_client_closed"
             }
-            Call::Ending(at) => {
-                g.begin_shutdown(now, at, &mut out);
+            Call::BeginShutdown(at) => {
+                gateway.begin_shutdown(now, at, &mut actions);
                 "call begin_shutdown"
             }
-            Call::Lease(until) => {
-                g.renew_lease(now, until, &mut out);
+            Call::RenewLease(until) => {
+                gateway.renew_lease(now, until, &mut actions);
                 "call renew_lease"
             }
-            Call::RestKeys(until) => {
-                g.quarantine_keys(until);
+            Call::QuarantineKeys(until) => {
+                gateway.quarantine_keys(until);
                 "call quarantine_keys"
             }
-            Call::Amend(policy) => {
-                g.update_config(now, policy, &mut out);
+            Call::UpdateConfig(config) => {
+                gateway.update_config(now, config, &mut actions);
                 "call update_config"
             }
-            Call::Due => {
-                g.on_timer(now, &mut out);
+            Call::Timer => {
+                gateway.on_timer(now, &mut actions);
                 "call on_timer"
             }
         };
-        self.count(name);
-        outcome.into_iter().for_each(|what| self.count(what));
-        for action in out.0 {
-            self.hash.action(self.now, &action);
-            self.carry_out(action, progress);
+        self.count(call_label);
+        if let Some(label) = outcome_label {
+            self.count(label);
+        }
+        for action in actions.0 {
+            self.hash.fold_action(self.now, &action);
+            self.carry_out(action, is_progress);
         }
     }
 
     #[expect(clippy::too_many_lines, reason = "one arm for each kind")]
-    fn carry_out(&mut self, action: Action, progress: bool) {
+    fn carry_out(&mut self, action: Action, is_progress: bool) {
         match action {
-            Action::Attempt(index, endpoint_model, by) => {
+            Action::Attempt(index, engine, start_before) => {
                 self.count("action start_attempt");
-                self.sanity(endpoint_model);
-                let (time, outcome) = self.fate(index, endpoint_model, by);
-                let (serial, sent) = (self.serial(), self.now);
-                let r = self.requests[index].as_mut().expect("it was taken");
+                self.check_engine_ready(engine);
+                let (duration, outcome) = self.draw_attempt_end(index, engine, start_before);
+                let (serial, sent_at) = (self.next_serial(), self.now);
+                let request = self.requests[index].as_mut().expect("it was sent");
                 assert!(
-                    r.running.is_none() && !r.over,
+                    request.running.is_none() && !request.is_over,
                     "{}: request {index}",
                     self.scenario.name
                 );
-                r.attempts += 1;
-                let further = r.attempts > 1;
-                self.endpoint_models[endpoint_model].busy +=
-                    self.policy.classes[r.of.class].threads as u64;
-                let ends = sent + time;
-                r.running = Some(Running {
+                request.attempts += 1;
+                let is_further = request.attempts > 1;
+                self.engines[engine].busy_threads +=
+                    self.config.classes[request.request.class].threads as u64;
+                let ends_at = sent_at + duration;
+                request.running = Some(RunningAttempt {
                     serial,
-                    endpoint_model,
-                    sent,
-                    ends,
+                    engine,
+                    sent_at,
+                    ends_at,
                     outcome,
-                    withdrawn: false,
+                    is_withdrawn: false,
                 });
-                if further {
+                if is_further {
                     self.count("seen further attempt");
                 }
-                self.after(time, Event::End(index, serial));
-                if self.draw.chance(0.4) {
-                    let first = self.draw.between(20.0, 300.0);
-                    self.after(first, Event::Progress(index, serial));
+                self.schedule(duration, Event::AttemptEnds(index, serial));
+                if self.random.chance(0.4) {
+                    let first = self.random.between(20.0, 300.0);
+                    self.schedule(first, Event::Progress(index, serial));
                 }
             }
             Action::Withdraw(index, _) => {
                 self.count("action withdraw_attempt");
-                let r = self.requests[index].as_ref().expect("it was taken");
-                let (over, limit) = (r.over, r.limit);
-                if !over && progress {
+                let request = self.requests[index].as_ref().expect("it was sent");
+                let (is_over, deadline) = (request.is_over, request.deadline);
+                if !is_over && is_progress {
                     self.count("seen withdrawal at a progress report");
-                } else if !over && self.now < limit - 2.0 * self.policy.clock_resolution {
+                } else if !is_over && self.now < deadline - 2.0 * self.config.clock_resolution {
                     self.count("rule handle_overdue_attempts");
                 }
-                // Some end before they can be withdrawn.
-                let (time, sooner) = (self.draw.between(0.5, 20.0), self.draw.chance(0.9));
-                let (serial, now) = (self.serial(), self.now);
-                let run = self.requests[index]
+                // Some attempts end before they can be withdrawn.
+                let delay = self.random.between(0.5, 20.0);
+                let reaches_engine = self.random.chance(0.9);
+                let (serial, now) = (self.next_serial(), self.now);
+                let attempt = self.requests[index]
                     .as_mut()
-                    .and_then(|r| r.running.as_mut());
-                let run = run.expect("an attempt runs");
-                if sooner && !run.withdrawn && now + time < run.ends {
-                    (run.withdrawn, run.outcome, run.ends) = (true, Outcome::Withdrawn, now + time);
-                    run.serial = serial;
-                    self.after(time, Event::End(index, serial));
+                    .and_then(|request| request.running.as_mut())
+                    .expect("an attempt runs");
+                if reaches_engine && !attempt.is_withdrawn && now + delay < attempt.ends_at {
+                    attempt.is_withdrawn = true;
+                    attempt.outcome = Outcome::Withdrawn;
+                    attempt.ends_at = now + delay;
+                    attempt.serial = serial;
+                    self.schedule(delay, Event::AttemptEnds(index, serial));
                 }
             }
-            Action::ClassPolicy(..) => self.count("action set_priority"),
+            Action::SetPriority(..) => self.count("action set_priority"),
             Action::Reject(index, retry_after) => {
                 self.count("action reject");
-                let late = self.answered(index);
-                let mut of = self.requests[index].as_ref().expect("it was taken").of;
-                let most = self.policy.max_retry_after;
+                let is_late = self.record_answer(index);
+                let mut request = self.requests[index].as_ref().expect("it was sent").request;
+                let max_retry_after = self.config.max_retry_after;
                 match retry_after {
-                    _ if self.now >= self.until => {}
-                    0.0 => assert!(late, "{}: request {index}", self.scenario.name),
-                    _ if retry_after != most => {
-                        panic!("{}: advice of {retry_after} ms", self.scenario.name)
+                    _ if self.now >= self.lease_until => {}
+                    0.0 => assert!(is_late, "{}: request {index}", self.scenario.name),
+                    _ if retry_after != max_retry_after => {
+                        panic!(
+                            "{}: request {index} may be retried after {retry_after} ms, expected \
+                             {max_retry_after} ms",
+                            self.scenario.name
+                        )
                     }
-                    _ if self.policy.classes[of.class].out_of_service => {}
+                    _ if self.config.classes[request.class].out_of_service => {}
                     _ => self.count("rule shed_load"),
                 }
-                if retry_after > 0.0 && self.draw.chance(0.3) {
-                    (of.is_retry, of.time_remaining) = (true, of.time_remaining * 0.7);
-                    self.after(retry_after, Event::Again(of));
+                if retry_after > 0.0 && self.random.chance(0.3) {
+                    request.is_retry = true;
+                    request.time_remaining *= 0.7;
+                    self.schedule(retry_after, Event::RetryArrives(request));
                 }
             }
             Action::Fail(index) => {
                 self.count("action fail");
-                self.answered(index);
+                self.record_answer(index);
             }
             Action::Subscribe => {
                 self.count("action subscribe");
-                self.after(20.0, Event::AllEndpoints);
+                self.schedule(20.0, Event::FullEndpointList);
             }
-            Action::Probe(endpoint_model) => {
+            Action::Probe(engine) => {
                 self.count("action probe");
-                if self.draw.chance(0.9) {
-                    let time = self.draw.between(0.5, 40.0);
-                    self.after(time, Event::Report(endpoint_model, true));
+                if self.random.chance(0.9) {
+                    let delay = self.random.between(0.5, 40.0);
+                    self.schedule(delay, Event::LoadReport(engine, true));
                 }
             }
-            Action::Wake(after) => {
+            Action::WakeAfter(delay) => {
                 self.count("action wake_after");
-                self.after(after, Event::Wake);
+                self.schedule(delay, Event::Timer);
             }
-            Action::Note(_) => self.count("action log"),
+            Action::Log(_) => self.count("action log"),
             Action::Forget(index) => {
                 self.count("action forget");
-                let r = self.requests[index].take().expect("it was taken");
+                let request = self.requests[index].take().expect("it was sent");
                 assert!(
-                    r.over && r.running.is_none(),
+                    request.is_over && request.running.is_none(),
                     "{}: request {index}",
                     self.scenario.name
                 );
-                self.free.push(index);
+                self.free_indices.push(index);
             }
         }
     }
 
-    /// A request has its answer: whether at its limit.
-    fn answered(&mut self, index: usize) -> bool {
-        let r = self.requests[index].as_mut().expect("it was taken");
+    /// Records the request's final answer, and returns whether it came at the deadline.
+    fn record_answer(&mut self, index: usize) -> bool {
+        let request = self.requests[index].as_mut().expect("it was sent");
         assert!(
-            !r.over,
+            !request.is_over,
             "{}: request {index} has two answers",
             self.scenario.name
         );
-        r.over = true;
-        let late = self.now >= r.limit - 2.0 * self.policy.clock_resolution;
-        let rule = match late {
-            _ if self.now >= self.until => Some("rule reject_without_lease"),
+        request.is_over = true;
+        let is_late = self.now >= request.deadline - 2.0 * self.config.clock_resolution;
+        let rule = match is_late {
+            _ if self.now >= self.lease_until => Some("rule reject_without_lease"),
             true => Some("rule answer_at_the_deadline"),
             false => None,
         };
-        rule.into_iter().for_each(|rule| self.count(rule));
-        late
+        if let Some(rule) = rule {
+            self.count(rule);
+        }
+        is_late
     }
 
-    /// An attempt goes to an endpoint that is listed and ready; what it was for is counted.
-    fn sanity(&mut self, endpoint_model: usize) {
+    /// Asserts that an engine that gets an attempt is listed and ready, and counts recovery probes.
+    fn check_engine_ready(&mut self, engine: usize) {
         let view = self
             .gateway
-            .engine_view(endpoint_model)
-            .expect("it is listed");
+            .engine_view(engine)
+            .expect("the engine is listed");
         assert_eq!(
             view.state,
             EndpointState::Ready,
-            "{}: endpoint {endpoint_model}",
+            "{}: engine {engine}",
             self.scenario.name
         );
         if view.next_probe_at.is_some() {
-            self.count("seen recovery probe of an ejected endpoint");
+            self.count("seen recovery probe of an ejected engine");
         }
     }
 
-    fn views(&mut self) {
-        for i in 0..self.endpoint_models.len() {
-            let view = self.gateway.engine_view(i).expect("it is listed");
-            self.hash.endpoint_view(i, &view);
-            if view.slow_start_allowance.is_some_and(|left| left < 50.0) {
-                self.count("seen cold endpoint with its allowance used up");
+    fn fold_views(&mut self) {
+        for index in 0..self.engines.len() {
+            let view = self
+                .gateway
+                .engine_view(index)
+                .expect("the engine is listed");
+            self.hash.fold_engine_view(index, &view);
+            if view
+                .slow_start_allowance
+                .is_some_and(|allowance| allowance < 50.0)
+            {
+                self.count("seen cold engine with its allowance used up");
             }
         }
-        for b in 0..self.policy.classes.len() {
-            let view = self.gateway.class_view(b).expect("it is in the policy");
-            self.hash.class_view(b, &view);
+        for index in 0..self.config.classes.len() {
+            let view = self
+                .gateway
+                .class_view(index)
+                .expect("the class is configured");
+            self.hash.fold_class_view(index, &view);
         }
     }
 }
 
 #[test]
-fn decisions_are_the_expected_ones() {
-    let (mut counts, mut wrong) = (BTreeMap::new(), String::new());
+fn decisions_have_the_expected_hashes() {
+    let (mut counts, mut differences) = (BTreeMap::new(), String::new());
     for scenario in &SCENARIOS {
         let hash = Host::new(scenario, &mut counts).play();
         println!("{hash:#018x} {}", scenario.name);
@@ -1221,14 +1325,19 @@
             scenario.expected[!cfg!(debug_assertions) as usize],
         );
         if hash != expected {
-            wrong += &format!("\n{name}: {hash:#018x}, expected {expected:#018x}");
+            differences += &format!("\n{name}: {hash:#018x}, expected {expected:#018x}");
         }
     }
-    counts.iter().for_each(|(what, n)| println!("{n:7} {what}"));
+    for (label, count) in &counts {
+        println!("{count:7} {label}");
+    }
     let missing: Vec<_> = MUST_OCCUR
         .iter()
-        .filter(|what| !counts.contains_key(**what))
+        .filter(|label| !counts.contains_key(**label))
         .collect();
     assert!(missing.is_empty(), "never occurred: {missing:?}");
-    assert!(wrong.is_empty(), "other decisions:{wrong}");
+    assert!(
+        differences.is_empty(),
+        "hashes of scenarios whose decisions differ:{differences}"
+    );
 }
--- a/tests/decision_trace/boundaries/script.rs
+++ b/tests/decision_trace/boundaries/script.rs
@@ -175,14 +175,14 @@
                 .gateway
                 .engine_view(index)
                 .expect("the engine is listed");
-            self.hash.endpoint_view(index, &view);
+            self.hash.fold_engine_view(index, &view);
         }
         for index in 0..self.classes {
             let view = self
                 .gateway
                 .class_view(index)
                 .expect("the class is configured");
-            self.hash.class_view(index, &view);
+            self.hash.fold_class_view(index, &view);
         }
         self.hash.0
     }
@@ -191,7 +191,7 @@
     fn fold_actions(&mut self) -> &mut Self {
         let actions: Vec<Action> = std::mem::take(&mut self.actions.0);
         for action in &actions {
-            self.hash.action(self.now, action);
+            self.hash.fold_action(self.now, action);
         }
         self
     }
