--- a/tests/decision_trace/boundaries/engines.rs
+++ b/tests/decision_trace/boundaries/engines.rs
@@ -1,11 +1,11 @@
-//! Boundaries of what the policy makes of engines: outliers, lost answers, pressure, probes, slow
-//! start.
+//! Boundaries of how the policy judges engines: overdue attempts, ejection, full engines, probes,
+//! pressure and slow start.
 
 use super::script::{class, config, engine, request, Script};
 use super::Boundary;
 use ironstair::{ClassPolicy, Endpoint, EndpointState, LoadMetric, Outcome, PolicyConfig, Request};
 
-/// When the attempts that slow an engine down end, in ms.
+/// The time at which the attempts of [`slow_down`] end, in ms.
 const SLOWDOWN_AT: f64 = 2000.0;
 
 pub(super) const BOUNDARIES: [Boundary; 22] = [
@@ -35,7 +35,7 @@
         expected: [0x9912_14f3_aead_e769, 0x9912_14f3_aead_e769],
     },
     Boundary {
-        name: "an overtaken attempt of five times its usual time is not lost",
+        name: "the answer of an overtaken attempt is not lost after exactly five times its usual time",
         config: one_class,
         play: |script| {
             script
@@ -52,33 +52,33 @@
         config: one_class,
         play: |script| {
             script.at(1000.0).endpoints(&[engine(0), engine(1)]);
-            fail(script, 5);
+            fail_requests(script, 5);
         },
         expected: [0x18a5_0e0b_bd6d_6c15, 0x18a5_0e0b_bd6d_6c15],
     },
     Boundary {
-        name: "twice the failures of the other engines do not eject",
+        name: "an engine with exactly twice the failure rate of the other one is not ejected",
         config: one_class,
         play: fail_twice_as_often,
         expected: [0x1561_97c8_44e8_a353, 0x1561_97c8_44e8_a353],
     },
     Boundary {
-        name: "an ejected engine gets its recovery probe at its time",
+        name: "an ejected engine gets its recovery probe at the moment at which it is due",
         config: one_class,
         play: |script| {
             script.at(1000.0).endpoints(&[engine(0), engine(1)]);
-            fail(script, 5);
+            fail_requests(script, 5);
             script.at(1999.0).request(1, request(10.0));
             script.at(2000.0).request(2, request(10.0));
         },
         expected: [0xe474_c00c_e749_aa20, 0xe474_c00c_e749_aa20],
     },
     Boundary {
-        name: "an ejected engine recovers after three good probes",
+        name: "an ejected engine recovers after three successful probes",
         config: one_class,
         play: |script| {
             script.at(1000.0).endpoints(&[engine(0), engine(1)]);
-            fail(script, 5);
+            fail_requests(script, 5);
             for now in [2000.0, 3000.0, 4000.0, 5000.0] {
                 script.at(now).request(0, request(10.0));
                 script.at(now + 10.0).answer(0, Outcome::Completed(None));
@@ -87,7 +87,7 @@
         expected: [0xfc46_a65a_bb43_dfb3, 0xfc46_a65a_bb43_dfb3],
     },
     Boundary {
-        name: "an answer exactly at its objective is no failure",
+        name: "an answer exactly at its objective is not a failure",
         config: one_class,
         play: |script| {
             script
@@ -99,7 +99,7 @@
         expected: [0x1d68_6c58_8858_4d76, 0x1d68_6c58_8858_4d76],
     },
     Boundary {
-        name: "a late answer in two and a half times its usual time is a failure",
+        name: "a late answer after exactly two and a half times its usual time is a failure",
         config: one_class,
         play: |script| {
             script
@@ -127,13 +127,13 @@
                 .at(1000.0)
                 .endpoints(&[engine(0)])
                 .request(0, request(100.0));
-            script.endpoints(&[started_at(1000.0)]);
+            script.endpoints(&[engine_started_at(1000.0)]);
             script.at(1100.0).answer(0, Outcome::EngineError);
         },
         expected: [0xe4d8_9d87_9702_1c8d, 0xe4d8_9d87_9702_1c8d],
     },
     Boundary {
-        name: "a full engine rests to the end of its time",
+        name: "a full engine gets no attempt at the moment at which its backoff ends",
         config: one_class,
         play: |script| {
             script
@@ -146,49 +146,49 @@
         expected: [0x454b_5eb8_c4b2_7de3, 0x454b_5eb8_c4b2_7de3],
     },
     Boundary {
-        name: "a saved probe is used up to the last one",
-        config: wide_among_hundreds,
+        name: "the last probe token can be used",
+        config: hundreds_of_probing_gateways,
         play: |script| {
             let engines: Vec<Endpoint> = (0..12).map(engine).collect();
             script.at(1000.0).endpoints(&engines);
-            save_probes(script);
-            script.request(0, wide_request());
+            fill_probe_tokens(script);
+            script.request(0, heavy_request());
         },
         expected: [0xf02d_15df_201a_a01b, 0xf02d_15df_201a_a01b],
     },
     Boundary {
-        name: "a report has expired at the end of its validity",
-        config: wide_among_hundreds,
+        name: "a load report has expired at the end of its validity",
+        config: hundreds_of_probing_gateways,
         play: |script| {
             script.at(1000.0).endpoints(&[engine(0)]);
-            save_probes(script);
-            script.request(0, wide_request());
+            fill_probe_tokens(script);
+            script.request(0, heavy_request());
             script.at(1399.0).timer().at(1400.0).timer();
         },
         expected: [0xce58_9246_5650_cd97, 0xce58_9246_5650_cd97],
     },
     Boundary {
-        name: "a slowdown of exactly 1.2 is no pressure",
+        name: "an engine with a slowdown of exactly 1.2 is not under pressure",
         config: || unestimated_class(200.0),
         play: |script| {
             script.at(1000.0).endpoints(&[engine(0)]);
             slow_down(script, 50.0, [90.0, 90.0, 91.0]);
-            // A later try with too little time left: under pressure it would be rejected.
+            // A retry with too little time remaining: under pressure it would be rejected.
             script.request(
                 0,
                 Request {
                     time_remaining: 2720.0,
                     is_retry: true,
-                    ..unestimated()
+                    ..unestimated_request()
                 },
             );
         },
         expected: [0xb4ff_8139_8a4d_8275, 0xb4ff_8139_8a4d_8275],
     },
     Boundary {
-        name: "under pressure a request that just makes its objective is sent",
+        name: "under pressure a request that can just meet its objective is sent",
         config: || {
-            // Nothing is known of the second class's pace: its request takes 12 ms.
+            // The pace of the second class is unknown, so its request is expected to take 12 ms.
             let keyed = ClassPolicy {
                 base_objective: 48.0,
                 preserves_key_order: true,
@@ -212,7 +212,7 @@
                 Request {
                     class: 1,
                     key: 1,
-                    ..unestimated()
+                    ..unestimated_request()
                 },
             );
             slow_down(script, 10.0, [50.0, 50.0, 51.0]);
@@ -227,10 +227,10 @@
             script.at(1000.0).endpoints(&[engine(0)]);
             script.at(SLOWDOWN_AT - 52.0);
             for index in 100..120 {
-                script.request(index, unestimated());
+                script.request(index, unestimated_request());
             }
             slow_down(script, 10.0, [50.0, 50.0, 51.0]);
-            script.request(0, unestimated());
+            script.request(0, unestimated_request());
         },
         expected: [0x468b_7c1f_42d3_872e, 0x468b_7c1f_42d3_872e],
     },
@@ -244,7 +244,7 @@
         play: |script| {
             script.at(SLOWDOWN_AT - 52.0).endpoints(&[engine(0)]);
             for index in 100..108 {
-                script.request(index, unestimated());
+                script.request(index, unestimated_request());
             }
             let draining = Endpoint {
                 state: EndpointState::Draining,
@@ -252,21 +252,21 @@
             };
             script.endpoints(&[draining, engine(1)]);
             slow_down(script, 10.0, [50.0, 50.0, 51.0]);
-            script.request(0, unestimated());
+            script.request(0, unestimated_request());
         },
         expected: [0xf961_e61a_51a7_cdeb, 0xf961_e61a_51a7_cdeb],
     },
     Boundary {
-        name: "the work of two usual requests makes no best pace",
+        name: "a pace based on the work of exactly two typical requests does not become the best one",
         config: || unestimated_class(200.0),
         play: |script| {
             script
                 .at(SLOWDOWN_AT - 100.0)
                 .endpoints(&[engine(0)])
-                .request(0, unestimated());
+                .request(0, unestimated_request());
             script.at(SLOWDOWN_AT - 60.0);
             for index in 1..9 {
-                script.request(index, unestimated());
+                script.request(index, unestimated_request());
             }
             script.at(SLOWDOWN_AT);
             for index in (1..9).chain([0]) {
@@ -279,7 +279,7 @@
         name: "a cold engine takes exactly its allowance",
         config: one_class,
         play: |script| {
-            script.at(1000.0).endpoints(&[started_at(1000.0)]);
+            script.at(1000.0).endpoints(&[engine_started_at(1000.0)]);
             let allowance = script.slow_start_allowance(0);
             script.request(
                 0,
@@ -292,13 +292,13 @@
         expected: [0x3683_472b_7344_5875, 0x3683_472b_7344_5875],
     },
     Boundary {
-        name: "among hundreds a drawn request goes to a cold engine whose allowance is just used",
+        name: "among hundreds of gateways a cold engine with its allowance just used up gets a request by the draw",
         config: || PolicyConfig {
             gateway_count: 300.0,
             ..one_class()
         },
         play: |script| {
-            script.at(1000.0).endpoints(&[started_at(1000.0)]);
+            script.at(1000.0).endpoints(&[engine_started_at(1000.0)]);
             let allowance = script.slow_start_allowance(0);
             script.request(
                 0,
@@ -321,7 +321,7 @@
         name: "an engine is warm at the end of its slow start",
         config: one_class,
         play: |script| {
-            script.at(1000.0).endpoints(&[started_at(1000.0)]);
+            script.at(1000.0).endpoints(&[engine_started_at(1000.0)]);
             script.at(8999.0).request(
                 0,
                 Request {
@@ -334,21 +334,21 @@
         expected: [0x8304_2855_124a_9221, 0x8304_2855_124a_9221],
     },
     Boundary {
-        name: "work sent to a cold engine counts to the end of its window",
+        name: "work sent to a cold engine still counts at the end of its window",
         config: || config(vec![class(), class()]),
         play: |script| {
-            script.at(1000.0).endpoints(&[started_at(1000.0)]);
+            script.at(1000.0).endpoints(&[engine_started_at(1000.0)]);
             let allowance = script.slow_start_allowance(0);
-            let part = |class, share: f64| Request {
+            let share_of_allowance = |class, share: f64| Request {
                 class,
                 time_remaining: 60_000.0,
                 ..request(share * allowance)
             };
-            script.request(0, part(0, 0.5));
+            script.request(0, share_of_allowance(0, 0.5));
             script
                 .at(2000.0)
-                .request(1, part(1, 0.4))
-                .request(2, part(1, 0.4));
+                .request(1, share_of_allowance(1, 0.4))
+                .request(2, share_of_allowance(1, 0.4));
         },
         expected: [0x11d4_af7d_c1b5_4144, 0x11d4_af7d_c1b5_4144],
     },
@@ -358,8 +358,8 @@
     config(vec![class()])
 }
 
-/// One class whose requests carry no estimate: their work is taken as a quarter of this objective,
-/// a usual request's as the whole.
+/// One class whose requests carry no estimate: their work is assumed to fill a quarter of this
+/// objective, and the typical work of the class to fill all of it.
 fn unestimated_class(objective: f64) -> PolicyConfig {
     config(vec![ClassPolicy {
         base_objective: objective,
@@ -367,10 +367,10 @@
     }])
 }
 
-/// Engines are asked for reports before a request of class 1, which is wider than one gateway's
-/// share.
-fn wide_among_hundreds() -> PolicyConfig {
-    let wide = ClassPolicy {
+/// Hundreds of gateways that probe engines before a request of class 1, whose threads exceed one
+/// gateway's share.
+fn hundreds_of_probing_gateways() -> PolicyConfig {
+    let heavy = ClassPolicy {
         threads: 4.0,
         ..class()
     };
@@ -378,18 +378,18 @@
         gateway_count: 300.0,
         may_probe: true,
         report_fields: vec![LoadMetric::Utilization],
-        ..config(vec![class(), wide])
+        ..config(vec![class(), heavy])
     }
 }
 
-fn wide_request() -> Request {
+fn heavy_request() -> Request {
     Request {
         class: 1,
         ..request(400.0)
     }
 }
 
-fn unestimated() -> Request {
+fn unestimated_request() -> Request {
     Request {
         work: None,
         ..request(0.0)
@@ -397,31 +397,31 @@
 }
 
 /// Engine 0, whose process started at this time.
-fn started_at(since: f64) -> Endpoint {
+fn engine_started_at(started_at: f64) -> Endpoint {
     Endpoint {
-        started_at: since,
+        started_at,
         ..engine(0)
     }
 }
 
-/// As many probes as a gateway may save: fifteen requests are more than enough.
-fn save_probes(script: &mut Script) {
+/// Accumulates as many probe tokens as a gateway may have; fifteen requests are more than enough.
+fn fill_probe_tokens(script: &mut Script) {
     for _ in 0..15 {
         script.request(0, request(10.0)).answer(0, Outcome::Unsent);
     }
 }
 
-/// So many requests fail one after another, each on the engine that is first in their order.
-fn fail(script: &mut Script, times: usize) {
-    for _ in 0..times {
+/// This many requests fail one after another, each on the first engine in its order.
+fn fail_requests(script: &mut Script, count: usize) {
+    for _ in 0..count {
         script
             .request(0, request(10.0))
             .answer(0, Outcome::EngineError);
     }
 }
 
-/// One engine fails four times of eight, the other one five times of five. A long request keeps the
-/// other engine from being the one with the least load.
+/// One engine fails in four of eight attempts, the other one in five of five. A long request keeps
+/// the other engine from having the least load.
 fn fail_twice_as_often(script: &mut Script) {
     script
         .at(1000.0)
@@ -436,20 +436,20 @@
             .answer(0, Outcome::EngineError);
     }
     script.request(2, request(100.0));
-    fail(script, 5);
+    fail_requests(script, 5);
 }
 
-/// Twelve attempts of the same work end on one engine at [`SLOWDOWN_AT`], so that nothing decays
-/// between them: nine in as long as their work, then three in the given times.
-fn slow_down(script: &mut Script, work: f64, slow: [f64; 3]) {
-    for (index, elapsed) in slow.iter().enumerate().rev() {
+/// Twelve attempts of the same work end on one engine at [`SLOWDOWN_AT`], so that no statistic
+/// decays between them. Nine have taken as long as their work, then three the given times.
+fn slow_down(script: &mut Script, work: f64, slow_durations: [f64; 3]) {
+    for (index, elapsed) in slow_durations.iter().enumerate().rev() {
         script
             .at(SLOWDOWN_AT - elapsed)
-            .request(index, unestimated());
+            .request(index, unestimated_request());
     }
     script.at(SLOWDOWN_AT - work);
     for index in 3..12 {
-        script.request(index, unestimated());
+        script.request(index, unestimated_request());
     }
     script.at(SLOWDOWN_AT);
     for index in (3..12).chain(0..3) {
--- a/tests/decision_trace/boundaries/mod.rs
+++ b/tests/decision_trace/boundaries/mod.rs
@@ -9,11 +9,11 @@
 use ironstair::PolicyConfig;
 use script::Script;
 
-/// Each scenario runs with these seeds: a random draw then falls on either side at least once.
+/// Each scenario runs with each of these seeds, so that a random draw falls on either side at least once.
 const SEEDS: [u64; 4] = [1, 2, 3, 4];
 
 struct Boundary {
-    /// What is equal, and what the policy has to do then.
+    /// The equality, and what the policy has to do in that case.
     name: &'static str,
     config: fn() -> PolicyConfig,
     play: fn(&mut Script),
@@ -35,18 +35,21 @@
 }
 
 #[test]
-fn decisions_at_exact_boundaries_are_the_expected_ones() {
-    let mut wrong = String::new();
+fn decisions_at_exact_boundaries_have_the_expected_hashes() {
+    let mut differences = String::new();
     for boundary in requests::BOUNDARIES.iter().chain(&engines::BOUNDARIES) {
         let hash = boundary.hash();
         println!("{hash:#018x} {}", boundary.name);
         let expected = boundary.expected[usize::from(!cfg!(debug_assertions))];
         if hash != expected {
-            wrong += &format!(
+            differences += &format!(
                 "\n{}: {hash:#018x}, expected {expected:#018x}",
                 boundary.name
             );
         }
     }
-    assert!(wrong.is_empty(), "other decisions:{wrong}");
+    assert!(
+        differences.is_empty(),
+        "hashes of scenarios whose decisions differ:{differences}"
+    );
 }
--- a/tests/decision_trace/boundaries/requests.rs
+++ b/tests/decision_trace/boundaries/requests.rs
@@ -1,4 +1,4 @@
-//! Boundaries of what a request may do: arrival, order, deadlines, retries, the final answer.
+//! Boundaries in the processing of a request: arrival, order, deadlines, retries, the final answer.
 
 use super::script::{class, config, engine, request, Script};
 use super::Boundary;
@@ -6,7 +6,7 @@
 
 pub(super) const BOUNDARIES: [Boundary; 25] = [
     Boundary {
-        name: "subscribes at the time at which it is due",
+        name: "the gateway subscribes at the moment at which it is due",
         config: || PolicyConfig {
             must_subscribe: true,
             ..one_class()
@@ -17,7 +17,7 @@
         expected: [0xa659_be6e_805c_e481, 0xa659_be6e_805c_e481],
     },
     Boundary {
-        name: "rejects at the moment at which the lease ends",
+        name: "a queued request is rejected at the moment at which the lease ends",
         config: one_class,
         play: |script| {
             script.at(1000.0).lease(1500.0).request(0, request(100.0));
@@ -26,7 +26,7 @@
         expected: [0xddd7_10d3_3810_f8a2, 0xddd7_10d3_3810_f8a2],
     },
     Boundary {
-        name: "answers exactly two ticks before the deadline",
+        name: "a request is answered exactly two clock ticks before its deadline",
         config: one_class,
         play: |script| {
             script.at(1000.0).request(
@@ -41,7 +41,7 @@
         expected: [0x037b_74a8_12a5_c00e, 0x037b_74a8_12a5_c00e],
     },
     Boundary {
-        name: "a request that can just make its objective stays queued",
+        name: "a request that can just meet its objective stays queued",
         config: one_class,
         play: |script| {
             script.at(1000.0).request(0, request(100.0));
@@ -61,7 +61,7 @@
         expected: [0x1721_2af8_ebdd_0b9d, 0x1721_2af8_ebdd_0b9d],
     },
     Boundary {
-        name: "a request that can just make its objective goes before one with more work",
+        name: "a request that can just meet its objective goes before one with more work",
         config: one_class,
         play: |script| {
             script.at(1000.0).request(0, request(100.0));
@@ -71,7 +71,7 @@
         expected: [0x2690_a57c_b5a3_fad9, 0x2690_a57c_b5a3_fad9],
     },
     Boundary {
-        name: "of equal requests the one that arrived first goes first",
+        name: "of two equal requests the one that arrived first goes first",
         config: one_class,
         play: |script| {
             script
@@ -83,7 +83,7 @@
         expected: [0x3e49_d2a2_5123_5bfc, 0x3e49_d2a2_5123_5bfc],
     },
     Boundary {
-        name: "a class with half a thread in flight is not active",
+        name: "a class with exactly half a thread in flight is not active",
         config: || {
             config(vec![
                 ClassPolicy {
@@ -109,7 +109,7 @@
         expected: [0xa0c7_a58e_9eb3_06c2, 0xa0c7_a58e_9eb3_06c2],
     },
     Boundary {
-        name: "as much time remaining as usual lowers the usual time",
+        name: "a time remaining equal to the typical one lowers the typical one",
         config: one_class,
         play: |script| {
             script
@@ -129,7 +129,7 @@
         expected: [0x3622_397b_7ad6_f45b, 0x3622_397b_7ad6_f45b],
     },
     Boundary {
-        name: "time remaining equal to the objective is no sign of an earlier try",
+        name: "a time remaining equal to the objective does not indicate a retry",
         config: || PolicyConfig {
             retries_are_marked: false,
             ..one_class()
@@ -147,30 +147,30 @@
         expected: [0x74fd_a470_493c_7f1c, 0x74fd_a470_493c_7f1c],
     },
     Boundary {
-        name: "two hundred and fifty-six table groups are remembered",
+        name: "256 table groups are remembered",
         config: one_class,
         play: |script| {
             script
                 .at(1000.0)
                 .endpoints(&[engine(0), engine(1), engine(2), engine(3), engine(4)]);
-            // Group 0 has nearly all work, and therefore all engines as homes, until it is
-            // forgotten.
-            let by_group = |table_group, work| Request {
+            // Group 0 has nearly all work, and therefore all engines as home engines, until the
+            // table groups are cleared.
+            let request_for_group = |table_group, work| Request {
                 table_group,
                 ..request(work)
             };
-            send_and_answer(script, by_group(0, 100_000.0));
+            send_and_answer(script, request_for_group(0, 100_000.0));
             for table_group in 1..257 {
-                send_and_answer(script, by_group(table_group, 1.0));
+                send_and_answer(script, request_for_group(table_group, 1.0));
             }
             for index in 0..8 {
-                script.request(index, by_group(0, 100.0));
+                script.request(index, request_for_group(0, 100.0));
             }
         },
         expected: [0x4acb_cf1e_55a0_8c8c, 0x4acb_cf1e_55a0_8c8c],
     },
     Boundary {
-        name: "the quarantine of a key ends at its time",
+        name: "the quarantine of a key is over at its end",
         config: keyed_class,
         play: |script| {
             let keyed = Request {
@@ -187,7 +187,7 @@
         expected: [0xbae6_9c46_c225_b67d, 0xbae6_9c46_c225_b67d],
     },
     Boundary {
-        name: "the quarantine of all keys ends at its time",
+        name: "the quarantine of all keys is over at its end",
         config: keyed_class,
         play: |script| {
             script
@@ -206,7 +206,7 @@
         expected: [0x1607_524a_6155_a477, 0x1607_524a_6155_a477],
     },
     Boundary {
-        name: "a request has as many attempts as the settings allow",
+        name: "a request has exactly as many attempts as the settings allow",
         config: || PolicyConfig {
             max_attempts: 2,
             ..one_class()
@@ -263,7 +263,7 @@
         expected: [0xd2d2_48e6_03bb_d05f, 0xd2d2_48e6_03bb_d05f],
     },
     Boundary {
-        name: "a retry counts against the budget to the end of its span",
+        name: "a retry still counts against the budget at the end of its window",
         config: || retry_budget(1.0, 0.0),
         play: |script| {
             script
@@ -276,7 +276,7 @@
         expected: [0x8214_3203_eab6_967c, 0x8214_3203_eab6_967c],
     },
     Boundary {
-        name: "a request adds to the budget for less than its span",
+        name: "a request no longer adds to the budget at the end of its window",
         config: || retry_budget(0.0, 1.0),
         play: |script| {
             script
@@ -313,7 +313,7 @@
         expected: [0xf7ab_ba48_d4fe_c4d9, 0xf7ab_ba48_d4fe_c4d9],
     },
     Boundary {
-        name: "a client's share of progress never falls",
+        name: "progress below the last report counts as no progress",
         config: one_class,
         play: |script| {
             script
@@ -329,7 +329,7 @@
         expected: [0x6124_a227_ef86_fb34, 0x6124_a227_ef86_fb34],
     },
     Boundary {
-        name: "a projected time of five times the usual is no bad plan",
+        name: "a projected time of exactly five times the usual one does not indicate a bad plan",
         config: one_class,
         play: |script| {
             script
@@ -341,7 +341,7 @@
         expected: [0xcc49_ce3f_8216_2b6e, 0xcc49_ce3f_8216_2b6e],
     },
     Boundary {
-        name: "a weight of an eighth of the highest has the second priority",
+        name: "a class with exactly an eighth of the highest weight has the second priority",
         config: || {
             let classes = vec![
                 class(),
@@ -364,7 +364,7 @@
         expected: [0x22b9_04f6_6a26_1125, 0x22b9_04f6_6a26_1125],
     },
     Boundary {
-        name: "asks for the timer again when it fires on time",
+        name: "the timer is requested again when it fires on time",
         config: one_class,
         play: |script| {
             script.at(1000.0).request(0, request(100.0));
@@ -404,7 +404,7 @@
     }
 }
 
-/// A request that is answered at once, under an index that is then free again.
+/// Sends a request that is answered at once, so that index 0 is free again.
 fn send_and_answer(script: &mut Script, request: Request) {
     script.request(0, request).answer(0, Outcome::Unsent);
 }
--- a/tests/decision_trace/boundaries/script.rs
+++ b/tests/decision_trace/boundaries/script.rs
@@ -1,6 +1,5 @@
-//! Drives a gateway by hand, one event after another, and folds every action and the final views
-//! into a hash. The builders here hold the settings that most scenarios share; a scenario states
-//! only what differs.
+//! Passes scripted events to a gateway, and folds every action and the final views into a hash. The
+//! builders here hold the settings that most scenarios share; a scenario states only what differs.
 
 use crate::{Action, Hash, RecordedActions};
 use ironstair::policy::Gateway;
@@ -11,7 +10,7 @@
 /// Base latency objective of [`class`], in ms.
 const BASE_OBJECTIVE: f64 = 500.0;
 
-/// One idempotent class; its objective is 500 ms and twice the work per thread.
+/// An idempotent class; its objective is 500 ms plus twice the work per thread.
 pub(super) fn class() -> ClassPolicy {
     ClassPolicy {
         base_objective: BASE_OBJECTIVE,
@@ -24,7 +23,7 @@
     }
 }
 
-/// One gateway alone, whose engines have 8 cores and queue what exceeds their memory.
+/// A single gateway, whose engines have 8 cores and queue queries that exceed their memory.
 pub(super) fn config(classes: Vec<ClassPolicy>) -> PolicyConfig {
     PolicyConfig {
         gateway_count: 1.0,
@@ -49,7 +48,7 @@
     }
 }
 
-/// A ready engine that has been running for long.
+/// A ready engine that started long ago.
 pub(super) fn engine(index: usize) -> Endpoint {
     Endpoint {
         engine: index,
@@ -71,7 +70,7 @@
     }
 }
 
-/// A gateway, the present time and the trace so far.
+/// A gateway, the current time and the trace so far.
 pub(super) struct Script {
     gateway: Gateway,
     actions: RecordedActions,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// The events that follow happen at this time.
+    /// Sets the time of the events that follow.
     pub(super) fn at(&mut self, now: f64) -> &mut Self {
         self.now = now;
         self
@@ -141,13 +140,13 @@
         self.fold_actions()
     }
 
-    /// The settings hold until this time.
+    /// The lease on the settings is renewed until this time.
     pub(super) fn lease(&mut self, until: f64) -> &mut Self {
         self.gateway.renew_lease(self.now, until, &mut self.actions);
         self.fold_actions()
     }
 
-    /// No request with a key starts before this time.
+    /// No request with a key starts before this time (see [`Gateway::quarantine_keys`]).
     pub(super) fn quarantine_keys(&mut self, until: f64) -> &mut Self {
         self.gateway.quarantine_keys(until);
         self
@@ -159,7 +158,7 @@
         self.fold_actions()
     }
 
-    /// Work, in ms on a thread, that a cold engine may still receive.
+    /// The work, in ms on a thread, that a cold engine may still receive.
     pub(super) fn slow_start_allowance(&self, engine: usize) -> f64 {
         let view = self
             .gateway
@@ -187,7 +186,7 @@
         self.hash.0
     }
 
-    /// Actions are folded in the order in which the policy took them.
+    /// Folds the actions in the order in which the policy took them.
     fn fold_actions(&mut self) -> &mut Self {
         let actions: Vec<Action> = std::mem::take(&mut self.actions.0);
         for action in &actions {
