--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A policy configuration, endpoints and requests for tests of the policy, and a recorder of its actions. Each test
-//! binary compiles them and uses some of them.
+//! Fixtures for tests of the policy: configurations, endpoints, requests, and a recorder of the policy's actions. Every
+//! test binary compiles this module and uses only a part of it.
 #![allow(dead_code)]
 
 use ironstair::{
@@ -26,16 +26,16 @@
     Forget(usize),
     /// The latest time at which the attempt that follows may start.
     StartBefore(Millis),
-    /// An action without arguments that tests read, by its name.
+    /// An action whose arguments no test reads, by its name.
     Other(&'static str),
 }
 
-/// All actions of the policy, in their order.
+/// Records all actions of the policy, in order.
 #[derive(Default)]
 pub(crate) struct RecordedActions(pub Vec<Action>);
 
 impl RecordedActions {
-    /// Slot and engine of each attempt.
+    /// The slot and the engine of each attempt.
     pub(crate) fn attempts(&self) -> Vec<(usize, usize)> {
         let attempt = |action: &Action| match action {
             Action::Attempt(slot, engine) => Some((*slot, *engine)),
@@ -64,9 +64,11 @@
 }
 
 impl Actions for RecordedActions {
-    fn start_attempt(&mut self, request: usize, engine: usize, by: Millis) {
-        self.0
-            .extend([Action::StartBefore(by), Action::Attempt(request, engine)]);
+    fn start_attempt(&mut self, request: usize, engine: usize, start_before: Millis) {
+        self.0.extend([
+            Action::StartBefore(start_before),
+            Action::Attempt(request, engine),
+        ]);
     }
     record! {
         withdraw_attempt(_request: usize, _nth: u8) Action::Other("withdraw");
@@ -163,7 +165,7 @@
     }
 }
 
-/// A request of a class with this estimate of work in ms, and 3 s of time.
+/// A request of a class with this estimate of work in ms, and 3 s until its deadline.
 pub(crate) fn request_with(class: usize, work: Millis) -> Request {
     Request {
         class,
--- a/tests/mechanism/cells.rs
+++ b/tests/mechanism/cells.rs
@@ -1,7 +1,7 @@
 //! Requests that are restricted to cells.
 
 use crate::common::{endpoint_at, request_with, RecordedActions};
-use crate::support::{send, two_classes};
+use crate::support::{send_request, two_classes};
 use ironstair::policy::Gateway;
 use ironstair::{Endpoint, EndpointState, Millis, Outcome, PolicyConfig, Request};
 
@@ -9,18 +9,18 @@
 fn two_cells(config: PolicyConfig) -> Gateway {
     let mut gateway = Gateway::new(config, 1);
     let endpoints: Vec<Endpoint> = (0..2)
-        .map(|e| Endpoint {
-            cells: 1 << e,
-            ..endpoint_at(e)
+        .map(|engine| Endpoint {
+            cells: 1 << engine,
+            ..endpoint_at(engine)
         })
         .collect();
     gateway.update_endpoints(0.0, true, &endpoints, &mut RecordedActions::default());
     gateway
 }
 
-fn request_in_cell(nth: u64, work: Millis) -> Request {
+fn request_in_cell(cell: u64, work: Millis) -> Request {
     Request {
-        cells: 1 << nth,
+        cells: 1 << cell,
         ..request_with(0, work)
     }
 }
@@ -28,17 +28,30 @@
 /// Both cells answer quickly at first, then the first one answers slowly. Returns the time at the end.
 fn slow_down_first_cell(gateway: &mut Gateway) -> Millis {
     let (mut now, mut actions) = (1.0, RecordedActions::default());
-    for slow in [100.0, 100.0, 100.0, 450.0, 450.0, 450.0] {
-        for i in 0..16 {
-            gateway.on_request(now, i, request_in_cell(i as u64 / 8, 100.0), &mut actions);
+    for first_cell_duration in [100.0, 100.0, 100.0, 450.0, 450.0, 450.0] {
+        for slot in 0..16 {
+            let request = request_in_cell(slot as u64 / 8, 100.0);
+            gateway.on_request(now, slot, request, &mut actions);
         }
-        (8..16).for_each(|i| {
-            gateway.on_attempt_ended(now + 100.0, i, Outcome::Completed(None), true, &mut actions);
+        (8..16).for_each(|slot| {
+            gateway.on_attempt_ended(
+                now + 100.0,
+                slot,
+                Outcome::Completed(None),
+                true,
+                &mut actions,
+            );
         });
-        (0..8).for_each(|i| {
-            gateway.on_attempt_ended(now + slow, i, Outcome::Completed(None), true, &mut actions);
+        (0..8).for_each(|slot| {
+            gateway.on_attempt_ended(
+                now + first_cell_duration,
+                slot,
+                Outcome::Completed(None),
+                true,
+                &mut actions,
+            );
         });
-        now += slow + 1.0;
+        now += first_cell_duration + 1.0;
     }
     now
 }
@@ -46,23 +59,23 @@
 #[test]
 fn requests_run_on_engines_of_their_cells_only() {
     let mut gateway = two_cells(two_classes());
-    for nth in 0..2 {
+    for cell in 0..2 {
         let sent: Vec<_> = (0..6)
-            .flat_map(|i| {
-                send(
+            .flat_map(|nth| {
+                send_request(
                     &mut gateway,
                     1.0,
-                    8 * nth + i,
-                    request_in_cell(nth as u64, 10.0),
+                    8 * cell + nth,
+                    request_in_cell(cell as u64, 10.0),
                 )
             })
             .collect();
         assert!(
-            sent.len() == 6 && sent.iter().all(|s| s.1 == nth),
+            sent.len() == 6 && sent.iter().all(|attempt| attempt.1 == cell),
             "{sent:?}"
         );
     }
-    let nowhere = send(
+    let sent_to_unknown_cell = send_request(
         &mut gateway,
         1.0,
         40,
@@ -71,11 +84,11 @@
             ..request_with(0, 10.0)
         },
     );
-    assert!(nowhere.is_empty());
+    assert!(sent_to_unknown_cell.is_empty());
     assert_eq!(
-        send(&mut gateway, 1.0, 41, request_with(0, 10.0)).len(),
+        send_request(&mut gateway, 1.0, 41, request_with(0, 10.0)).len(),
         1,
-        "without cells anywhere"
+        "a request without cells runs on any engine"
     );
 }
 
@@ -83,37 +96,39 @@
 fn request_queued_for_its_cell_does_not_block_other_cells() {
     let mut gateway = two_cells(two_classes());
     let now = slow_down_first_cell(&mut gateway);
-    // The first cell is full under pressure; its smallest request is the class's first.
+    // The first cell is under pressure and full, and its queued requests, which have the least work, come first in the
+    // queue of the class.
     let sent: usize = (0..14)
-        .map(|i| send(&mut gateway, now, i, request_in_cell(0, 20.0)).len())
+        .map(|slot| send_request(&mut gateway, now, slot, request_in_cell(0, 20.0)).len())
         .sum();
-    assert!(sent < 14, "some wait");
+    assert!(sent < 14, "some requests are queued");
     assert_eq!(
-        send(&mut gateway, now, 20, request_in_cell(1, 100.0)),
+        send_request(&mut gateway, now, 20, request_in_cell(1, 100.0)),
         [(20, 1)]
     );
 }
 
 #[test]
-fn slow_cell_fills_only_its_own_queue_and_shortens_no_other_cells_waits() {
+fn slow_cell_fills_only_its_own_queue_and_causes_no_rejections_in_other_cells() {
     let mut config = two_classes();
     config.classes[0].objective_per_work = 0.5;
     let mut gateway = two_cells(config);
     let now = slow_down_first_cell(&mut gateway);
     let mut actions = RecordedActions::default();
-    (0..200).for_each(|i| gateway.on_request(now, i, request_in_cell(0, 100.0), &mut actions));
+    (0..200)
+        .for_each(|slot| gateway.on_request(now, slot, request_in_cell(0, 100.0), &mut actions));
     assert!(
         actions.rejections() > 50,
         "the queue of the first cell is full"
     );
     // The other cell's engine drains for a moment. A request that waits for it can still meet its objective, at the
     // pace of its own cell.
-    let away = Endpoint {
+    let draining = Endpoint {
         cells: 2,
         state: EndpointState::Draining,
         ..endpoint_at(1)
     };
-    gateway.update_endpoints(now, false, &[away], &mut RecordedActions::default());
+    gateway.update_endpoints(now, false, &[draining], &mut RecordedActions::default());
     let mut actions = RecordedActions::default();
     gateway.on_request(now, 200, request_in_cell(1, 900.0), &mut actions);
     assert_eq!((actions.rejections(), actions.attempts().len()), (0, 0));
@@ -122,7 +137,7 @@
         false,
         &[Endpoint {
             state: EndpointState::Ready,
-            ..away
+            ..draining
         }],
         &mut actions,
     );
@@ -133,13 +148,17 @@
 fn request_restricted_to_new_cells_runs_there_with_its_next_attempt() {
     let mut gateway = two_cells(two_classes());
     assert_eq!(
-        send(&mut gateway, 1.0, 0, request_in_cell(0, 10.0)),
+        send_request(&mut gateway, 1.0, 0, request_in_cell(0, 10.0)),
         [(0, 0)]
     );
     gateway.restrict_to_cells(0, 2);
     let mut actions = RecordedActions::default();
     gateway.on_timer(2.0, &mut actions);
-    assert_eq!(actions.attempts(), [], "what runs finishes where it is");
+    assert_eq!(
+        actions.attempts(),
+        [],
+        "the attempt in flight stays on its engine"
+    );
     gateway.on_attempt_ended(3.0, 0, Outcome::EngineError, false, &mut actions);
     assert_eq!(actions.attempts(), [(0, 1)]);
     gateway.restrict_to_cells(99, 1);
--- a/tests/mechanism/cold_engines.rs
+++ b/tests/mechanism/cold_engines.rs
@@ -1,13 +1,13 @@
-//! Rule 4: the share of an engine that has just started.
+//! Rule 4: how much work the gateways may send to an engine that has just started.
 
 use crate::common::{endpoint_at, request_with, RecordedActions};
-use crate::support::{send, two_classes};
+use crate::support::{send_request, two_classes};
 use ironstair::policy::Gateway;
 use ironstair::random::{mix, Pcg};
 use ironstair::{Endpoint, Millis, Outcome, PolicyConfig, Request};
 
-// Rule 4 with hundreds of gateways: each has a share of less than one request, some have ten times the traffic, nearly
-// all engines start at once, and no gateway knows of the others.
+// With hundreds of gateways, the share of each one is less than one request, and the sum of what they send may overload
+// an engine: no gateway knows of the others. Here some have ten times the traffic, and nearly all engines start at once.
 #[test]
 fn cold_engines_are_not_overloaded_by_hundreds_of_gateways() {
     let config = PolicyConfig {
@@ -19,28 +19,31 @@
     let mut fleet: Vec<Gateway> = (0..300)
         .map(|seed| Gateway::new(config.clone(), seed))
         .collect();
-    let since = |e| if e < 58 { 1000.0 } else { 0.0 };
+    let started_at = |engine| if engine < 58 { 1000.0 } else { 0.0 };
     let endpoints: Vec<Endpoint> = (0..60)
-        .map(|e| Endpoint {
-            started_at: since(e),
-            ..endpoint_at(e)
+        .map(|engine| Endpoint {
+            started_at: started_at(engine),
+            ..endpoint_at(engine)
         })
         .collect();
     let mut sent = vec![0.0; 60];
-    for (n, gateway) in fleet.iter_mut().enumerate() {
+    for (gateway_index, gateway) in fleet.iter_mut().enumerate() {
         gateway.update_endpoints(1000.0, true, &endpoints, &mut RecordedActions::default());
-        for i in 0..if n % 10 == 0 { 50 } else { 5 } {
+        for nth in 0..if gateway_index % 10 == 0 { 50 } else { 5 } {
             let request = Request {
-                table_group: (n + i) as u64 % 120,
+                table_group: (gateway_index + nth) as u64 % 120,
                 ..request_with(0, 100.0)
             };
-            send(gateway, 1000.0 + i as f64, i, request)
+            send_request(gateway, 1000.0 + nth as f64, nth, request)
                 .iter()
-                .for_each(|(_, e)| sent[*e] += 100.0);
+                .for_each(|(_, engine)| sent[*engine] += 100.0);
         }
     }
-    let most = sent[..58].iter().copied().fold(0.0, f64::max);
-    assert!(most < limit && most > 0.0, "{most} of {limit}");
+    let max_sent = sent[..58].iter().copied().fold(0.0, f64::max);
+    assert!(
+        max_sent < limit && max_sent > 0.0,
+        "{max_sent} ms of work sent to one engine, limit {limit} ms"
+    );
 }
 
 #[test]
@@ -57,14 +60,14 @@
         &mut RecordedActions::default(),
     );
     let sent: usize = (0..4)
-        .map(|i| send(&mut gateway, 1001.0, i, request_with(0, 100.0)).len())
+        .map(|slot| send_request(&mut gateway, 1001.0, slot, request_with(0, 100.0)).len())
         .sum();
-    let left = gateway
+    let allowance = gateway
         .engine_view(0)
         .unwrap()
         .slow_start_allowance
         .unwrap();
-    assert_eq!((sent, left > 1000.0), (4, true));
+    assert_eq!((sent, allowance > 1000.0), (4, true));
     config.gateway_count = 20.0;
     gateway.update_config(1002.0, config, &mut RecordedActions::default());
     assert_eq!(
@@ -72,7 +75,7 @@
         Some(0.0)
     );
     assert_eq!(
-        send(&mut gateway, 1003.0, 4, request_with(0, 100.0)).len(),
+        send_request(&mut gateway, 1003.0, 4, request_with(0, 100.0)).len(),
         0
     );
 }
@@ -83,7 +86,7 @@
 /// The work of each request, in ms.
 const WORK: Millis = 100.0;
 
-fn cold_every_second_engine() -> Vec<Endpoint> {
+fn endpoints_with_every_second_cold() -> Vec<Endpoint> {
     let cold = |engine| Endpoint {
         started_at: if engine % 2 == 0 { COLD_START } else { 0.0 },
         ..endpoint_at(engine)
@@ -91,35 +94,39 @@
     (0..ENGINES).map(cold).collect()
 }
 
-/// The times at which a gateway's requests arrive: a burst within the last tenth of the third second, or steady
-/// traffic over four seconds. Every tenth gateway has ten times the traffic of the others.
+/// The times at which a gateway's requests arrive: a burst in the last 100 ms of the third second after the start, or
+/// steady traffic over four seconds. Every tenth gateway has ten times the traffic of the others.
 fn arrival_times(
     random: &mut Pcg,
     gateways: u64,
     gateway_index: usize,
     steady: bool,
 ) -> Vec<Millis> {
-    let each = (if gateway_index.is_multiple_of(10) {
+    let requests = (if gateway_index.is_multiple_of(10) {
         40
     } else {
         4
     }) * 300
         / gateways as usize;
-    let each = if gateways < 10 { each / 3 } else { each };
-    let arrivals = each.max(2) * if steady { 4 } else { 1 };
+    let requests = if gateways < 10 {
+        requests / 3
+    } else {
+        requests
+    };
+    let arrivals = requests.max(2) * if steady { 4 } else { 1 };
     let mut times: Vec<Millis> = (0..arrivals)
         .map(|_| (random.draw() % 4096) as f64 / 4096.0)
-        .map(|part| match steady {
-            true => 1001.0 + 4000.0 * part,
-            false => 3900.0 + 100.0 * part,
+        .map(|fraction| match steady {
+            true => 1001.0 + 4000.0 * fraction,
+            false => 3900.0 + 100.0 * fraction,
         })
         .collect();
     times.sort_by(f64::total_cmp);
     times
 }
 
-/// Sends one request, and its further attempts: a quarter of the attempts fail at once. Adds the time to those of the
-/// engine of each attempt.
+/// Sends one request, and a further attempt for each one that fails; a quarter of the attempts fail at once. Adds the
+/// time of each attempt to those of its engine.
 fn send_with_retries(
     gateway: &mut Gateway,
     random: &mut Pcg,
@@ -131,7 +138,7 @@
         table_group: random.draw() % 60,
         ..request_with(0, WORK)
     };
-    let mut in_flight = send(gateway, now, slot, request);
+    let mut in_flight = send_request(gateway, now, slot, request);
     while let Some((slot, engine)) = in_flight.pop() {
         sent[engine].push(now);
         let fails = random.draw().is_multiple_of(4);
@@ -149,14 +156,14 @@
 /// Windows that end with an attempt on a cold engine.
 #[derive(Clone, Copy, Default)]
 struct WindowCounts {
-    all: usize,
-    /// Windows with more than N + 2 root N + 2 attempts, where N is the number that the configuration allows.
+    total: usize,
+    /// Windows with more than N + 2 sqrt(N) + 2 attempts, where N is the number that the configuration allows.
     over_bound: usize,
 }
 
 impl WindowCounts {
     fn add(&mut self, other: WindowCounts) {
-        self.all += other.all;
+        self.total += other.total;
         self.over_bound += other.over_bound;
     }
 }
@@ -164,20 +171,24 @@
 fn count_windows(config: &PolicyConfig, times: &[Millis]) -> WindowCounts {
     let mut counts = WindowCounts::default();
     for (nth, &end) in times.iter().enumerate() {
-        let warm = config.slow_start_from
+        let capacity_share = config.slow_start_from
             + (1.0 - config.slow_start_from)
                 * ((end - COLD_START) / config.slow_start_duration).clamp(0.0, 1.0);
-        let allowed = config.overload_factor * warm * 0.85 * 8.0 * config.overload_window / WORK;
+        let allowed =
+            config.overload_factor * capacity_share * 0.85 * 8.0 * config.overload_window / WORK;
         let window_start = end - config.overload_window;
-        let within = times[..=nth].iter().filter(|&&t| t > window_start).count() as f64;
-        counts.all += 1;
-        counts.over_bound += usize::from(within > allowed + 2.0 * allowed.sqrt() + 2.0);
+        let attempts = times[..=nth]
+            .iter()
+            .filter(|&&time| time > window_start)
+            .count() as f64;
+        counts.total += 1;
+        counts.over_bound += usize::from(attempts > allowed + 2.0 * allowed.sqrt() + 2.0);
     }
     counts
 }
 
-/// Attempts of all gateways together on each cold engine. No request arrives at first; then the traffic is far more
-/// than the fleet has engines for.
+/// Counts the windows over the attempts of all gateways together on each cold engine. The traffic is far more than the
+/// engines can serve, and a burst follows some time without requests.
 fn windows_over_bound(gateways: u64, seed: u64, steady: bool) -> WindowCounts {
     let config = PolicyConfig {
         gateway_count: gateways as f64,
@@ -186,7 +197,7 @@
     let mut sent: Vec<Vec<Millis>> = vec![Vec::new(); ENGINES];
     for index in 0..gateways {
         let mut gateway = Gateway::new(config.clone(), mix(seed * 1000 + index));
-        let endpoints = cold_every_second_engine();
+        let endpoints = endpoints_with_every_second_cold();
         gateway.update_endpoints(
             COLD_START,
             true,
@@ -209,18 +220,18 @@
 
 #[test]
 fn cold_engine_is_not_overloaded_by_any_count_of_gateways_or_traffic() {
-    // An earlier rule drew at random for each request, and let a burst through: docs/results/brink.md has its figures.
+    // A random draw for each request lets a burst through, as an earlier rule did: docs/results/brink.md has its figures.
     for gateways in [2, 20, 30, 300] {
         let mut counts = WindowCounts::default();
         for seed in 0..5 {
             counts.add(windows_over_bound(gateways, seed, false));
             counts.add(windows_over_bound(gateways, seed, true));
         }
-        let WindowCounts { all, over_bound } = counts;
-        println!("{gateways} gateways: {over_bound} of {all} windows over the bound");
+        let WindowCounts { total, over_bound } = counts;
+        println!("{gateways} gateways: {over_bound} of {total} windows over the bound");
         assert!(
-            all > 500 && over_bound * 1000 <= all,
-            "{gateways} gateways: {over_bound} of {all}"
+            total > 500 && over_bound * 1000 <= total,
+            "{gateways} gateways: {over_bound} of {total} windows over the bound"
         );
     }
 }
--- a/tests/mechanism/config_changes.rs
+++ b/tests/mechanism/config_changes.rs
@@ -1,12 +1,12 @@
-//! A changed configuration applies to requests that are open.
+//! Changes of the configuration apply to open requests.
 
 use crate::common::{class, policy_config, request_with, Action, RecordedActions};
-use crate::support::{put_under_pressure, send, start, two_classes};
+use crate::support::{put_under_pressure, send_request, start_gateway, two_classes};
 use ironstair::policy::Gateway;
 use ironstair::{DedupScope, Effect, Millis, Outcome, RetryBudget};
 
 #[test]
-fn tighter_limit_applies_at_once_and_a_looser_one_forgets_no_earlier_attempt() {
+fn tighter_retry_budget_applies_at_once_and_a_looser_one_still_counts_earlier_retries() {
     let mut config = two_classes();
     config.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
@@ -14,15 +14,15 @@
         window: 2000.0,
     });
     config.max_attempts = 9;
-    let mut gateway = start(config.clone(), 4);
+    let mut gateway = start_gateway(config.clone(), 4);
     let mut actions = RecordedActions::default();
-    let mut fails = |gateway: &mut Gateway, now: Millis| {
+    let mut fail_attempt = |gateway: &mut Gateway, now: Millis| {
         let before = actions.attempts().len();
         gateway.on_attempt_ended(now, 0, Outcome::EngineError, false, &mut actions);
         actions.attempts().len() - before
     };
-    send(&mut gateway, 1.0, 0, request_with(0, 100.0));
-    assert_eq!(fails(&mut gateway, 2.0), 1);
+    send_request(&mut gateway, 1.0, 0, request_with(0, 100.0));
+    assert_eq!(fail_attempt(&mut gateway, 2.0), 1);
     config.retry_budget = Some(RetryBudget {
         min_retries: 1.0,
         retry_ratio: 0.0,
@@ -30,9 +30,9 @@
     });
     gateway.update_config(3.0, config.clone(), &mut RecordedActions::default());
     assert_eq!(
-        fails(&mut gateway, 4.0),
+        fail_attempt(&mut gateway, 4.0),
         0,
-        "the window allows one further attempt, and had it"
+        "the budget allows one retry within the window, and it is used"
     );
     config.retry_budget = Some(RetryBudget {
         min_retries: 2.0,
@@ -44,7 +44,7 @@
     assert_eq!(
         actions.attempts().len(),
         1,
-        "of two further attempts the first still counts"
+        "of the two allowed retries the first one still counts"
     );
     gateway.on_attempt_ended(6.0, 0, Outcome::EngineError, false, &mut actions);
     assert_eq!(actions.attempts().len(), 1);
@@ -53,10 +53,10 @@
 #[test]
 fn class_out_of_service_rejects_new_requests_and_keeps_its_queued_ones() {
     let mut config = two_classes();
-    let mut gateway = start(config.clone(), 1);
+    let mut gateway = start_gateway(config.clone(), 1);
     let now = put_under_pressure(&mut gateway, 0..8);
     let sent: usize = (0..12)
-        .map(|i| send(&mut gateway, now, i, request_with(0, 100.0)).len())
+        .map(|slot| send_request(&mut gateway, now, slot, request_with(0, 100.0)).len())
         .sum();
     assert_eq!(sent, 10, "two are queued");
     config.classes[0].out_of_service = true;
@@ -84,19 +84,25 @@
 
 #[test]
 fn deduplication_window_is_the_shorter_of_old_and_new() {
-    for (then, now, again) in [(1000.0, 1000.0, 1), (1000.0, 100.0, 0), (100.0, 1000.0, 0)] {
+    for (old_window, new_window, retries) in
+        [(1000.0, 1000.0, 1), (1000.0, 100.0, 0), (100.0, 1000.0, 0)]
+    {
         let mut config = policy_config(vec![class(
             1.0,
             1.0,
             Effect::Deduplicated(DedupScope::AllEngines),
         )]);
-        config.classes[0].dedup_window = then;
-        let mut gateway = start(config.clone(), 2);
-        send(&mut gateway, 1.0, 0, request_with(0, 100.0));
-        config.classes[0].dedup_window = now;
+        config.classes[0].dedup_window = old_window;
+        let mut gateway = start_gateway(config.clone(), 2);
+        send_request(&mut gateway, 1.0, 0, request_with(0, 100.0));
+        config.classes[0].dedup_window = new_window;
         let mut actions = RecordedActions::default();
         gateway.update_config(2.0, config, &mut actions);
         gateway.on_attempt_ended(500.0, 0, Outcome::EngineError, false, &mut actions);
-        assert_eq!(actions.attempts().len(), again, "{then} {now}");
+        assert_eq!(
+            actions.attempts().len(),
+            retries,
+            "window changed from {old_window} ms to {new_window} ms"
+        );
     }
 }
--- a/tests/mechanism/load_reports.rs
+++ b/tests/mechanism/load_reports.rs
@@ -1,14 +1,16 @@
-//! Engines' load reports, and the costs in their answers.
+//! The load reports of engines, and the costs in their answers.
 
 use crate::common::{request_with, Action, RecordedActions};
-use crate::support::{complete_requests, patient_request, send, start, two_classes};
+use crate::support::{
+    complete_requests, patient_request, send_request, start_gateway, two_classes,
+};
 use ironstair::policy::Gateway;
 use ironstair::{Cost, LoadMetric, Millis, Outcome, PolicyConfig, Request};
 
 #[test]
-fn wide_queries_probe_engines_first_where_own_traffic_says_too_little() {
+fn heavy_requests_wait_for_a_probe_where_own_traffic_shows_too_little() {
     let reports = vec![LoadMetric::Utilization, LoadMetric::HeldQueries];
-    let mut gateway = start(
+    let mut gateway = start_gateway(
         PolicyConfig {
             gateway_count: 300.0,
             may_probe: true,
@@ -17,37 +19,44 @@
         },
         4,
     );
-    (0..4).for_each(|i| drop(send(&mut gateway, 1.0, i, request_with(0, 100.0))));
+    (0..4).for_each(|slot| {
+        drop(send_request(
+            &mut gateway,
+            1.0,
+            slot,
+            request_with(0, 100.0),
+        ))
+    });
     let mut actions = RecordedActions::default();
     gateway.on_request(2.0, 9, patient_request(1, 4000.0), &mut actions);
-    let requested = |s: &RecordedActions| {
-        s.0.iter().find_map(|a| {
-            if let Action::Probe(e) = a {
-                Some(*e)
+    let first_probe = |actions: &RecordedActions| {
+        actions.0.iter().find_map(|action| {
+            if let Action::Probe(engine) = action {
+                Some(*engine)
             } else {
                 None
             }
         })
     };
-    let first = requested(&actions).expect("an engine is probed");
+    let probed = first_probe(&actions).expect("an engine is probed");
     assert_eq!(
         actions.attempts(),
         [],
         "no attempt before an engine reports capacity"
     );
     let mut actions = RecordedActions::default();
-    gateway.on_load_report(3.0, first, &[0.4, 24.0], &mut actions);
+    gateway.on_load_report(3.0, probed, &[0.4, 24.0], &mut actions);
     assert_eq!(
         actions.attempts(),
         [],
-        "idle cores, but three held queries for each: they queue for memory"
+        "cores are idle, but three queries are held for each: they queue for memory"
     );
-    gateway.on_load_report(4.0, first, &[0.4, 2.0], &mut actions);
-    assert_eq!(actions.attempts(), [(9, first)]);
+    gateway.on_load_report(4.0, probed, &[0.4, 2.0], &mut actions);
+    assert_eq!(actions.attempts(), [(9, probed)]);
 }
 
 /// The memory granted to a request with this estimate, in MB. The request is never sent.
-fn grant(gateway: &mut Gateway, now: Millis, memory_mb: f64) -> f64 {
+fn granted_memory(gateway: &mut Gateway, now: Millis, memory_mb: f64) -> f64 {
     let request = Request {
         memory_mb,
         ..request_with(0, 100.0)
@@ -64,8 +73,9 @@
 
 #[test]
 fn estimates_of_work_and_memory_are_corrected_by_the_costs_in_answers() {
-    // Estimates that are too low for a class make its queries spill; those too high for large ones starve others.
-    let mut gateway = start(
+    // Memory estimates that are too low make the queries of a class spill; estimates that are too high for large queries
+    // starve others.
+    let mut gateway = start_gateway(
         PolicyConfig {
             honors_memory_grants: true,
             queues_when_memory_full: true,
@@ -74,32 +84,32 @@
         2,
     );
     assert_eq!(
-        grant(&mut gateway, 0.5, 100.0),
+        granted_memory(&mut gateway, 0.5, 100.0),
         100.0,
         "the estimate itself while nothing is known"
     );
     // The usual need is 200 MB; an estimate four times as large means a need twice as large.
-    let scale = |i: usize| 4f64.powi(i as i32 % 3 - 1);
-    let request = |i| Request {
-        memory_mb: 100.0 * scale(i),
-        ..request_with(0, 100.0 * scale(i))
+    let scale = |nth: usize| 4f64.powi(nth as i32 % 3 - 1);
+    let request = |nth| Request {
+        memory_mb: 100.0 * scale(nth),
+        ..request_with(0, 100.0 * scale(nth))
     };
-    let cost = |i| Cost {
-        work: 300.0 * scale(i).sqrt(),
-        memory_mb: 200.0 * scale(i).sqrt(),
+    let cost = |nth| Cost {
+        work: 300.0 * scale(nth).sqrt(),
+        memory_mb: 200.0 * scale(nth).sqrt(),
     };
     let now = complete_requests(&mut gateway, 300, request, cost);
-    for (estimate, want) in [(25.0, 100.0), (100.0, 200.0), (400.0, 400.0)] {
-        let granted = grant(&mut gateway, now, estimate);
+    for (estimate, needed) in [(25.0, 100.0), (100.0, 200.0), (400.0, 400.0)] {
+        let granted = granted_memory(&mut gateway, now, estimate);
         assert!(
-            (granted / want - 1.0).abs() < 0.1,
-            "{granted} for {estimate}, {want} needed"
+            (granted / needed - 1.0).abs() < 0.1,
+            "{granted} MB granted for an estimate of {estimate} MB, {needed} MB needed"
         );
     }
-    let usual = gateway.class_view(0).unwrap().typical_work;
-    assert!((300.0..500.0).contains(&usual), "{usual}");
-    // Answers without a valid figure of memory change nothing.
-    let before = grant(&mut gateway, now, 100.0);
+    let typical_work = gateway.class_view(0).unwrap().typical_work;
+    assert!((300.0..500.0).contains(&typical_work), "{typical_work}");
+    // Answers without a valid memory figure change nothing.
+    let before = granted_memory(&mut gateway, now, 100.0);
     for memory_mb in [0.0, -4.0, f64::NAN] {
         let mut actions = RecordedActions::default();
         gateway.on_request(now, 0, request_with(0, 100.0), &mut actions);
@@ -114,21 +124,21 @@
             &mut actions,
         );
     }
-    assert!((grant(&mut gateway, now, 100.0) / before - 1.0).abs() < 0.01);
+    assert!((granted_memory(&mut gateway, now, 100.0) / before - 1.0).abs() < 0.01);
 }
 
 #[test]
-fn load_report_outlasts_the_silence_of_its_engine_and_fades() {
-    // An overloaded engine answers seldom: if its last report were forgotten, all requests would go there at once.
+fn load_report_counts_while_its_engine_is_silent_and_decays() {
+    // An overloaded engine reports rarely: if its last report were forgotten, all requests would go there at once.
     let reports = vec![LoadMetric::Other, LoadMetric::HeldQueries];
-    let mut gateway = start(
+    let mut gateway = start_gateway(
         PolicyConfig {
             report_fields: reports,
             ..two_classes()
         },
         2,
     );
-    let home = send(&mut gateway, 1.0, 0, request_with(0, 100.0))[0].1;
+    let home = send_request(&mut gateway, 1.0, 0, request_with(0, 100.0))[0].1;
     gateway.on_attempt_ended(
         10.0,
         0,
@@ -139,8 +149,8 @@
     gateway.on_load_report(10.0, home, &[0.0, 100.0], &mut RecordedActions::default());
     gateway.on_load_report(10.0, home, &[f64::NAN], &mut RecordedActions::default());
     gateway.on_load_report(10.0, home, &[], &mut RecordedActions::default());
-    let at = |gateway: &mut Gateway, now| {
-        let sent = send(gateway, now, 0, request_with(0, 100.0))[0].1;
+    let complete_one = |gateway: &mut Gateway, now| {
+        let engine = send_request(gateway, now, 0, request_with(0, 100.0))[0].1;
         gateway.on_attempt_ended(
             now + 1.0,
             0,
@@ -148,11 +158,11 @@
             true,
             &mut RecordedActions::default(),
         );
-        sent
+        engine
     };
     assert!(
-        (1..4).all(|i| at(&mut gateway, 1000.0 * i as Millis) != home),
-        "it reported five threads a core"
+        (1..4).all(|second| complete_one(&mut gateway, 1000.0 * second as Millis) != home),
+        "its report shows five times the threads that its cores serve"
     );
     gateway.on_load_report(
         4000.0,
@@ -160,5 +170,9 @@
         &[0.0, 100.0],
         &mut RecordedActions::default(),
     );
-    assert_eq!(at(&mut gateway, 14_000.0), home, "the report has faded");
+    assert_eq!(
+        complete_one(&mut gateway, 14_000.0),
+        home,
+        "the report has decayed"
+    );
 }
--- a/tests/mechanism/main.rs
+++ b/tests/mechanism/main.rs
@@ -1,4 +1,4 @@
-//! The mechanisms of the policy, each alone: events go in by hand, and the actions are asserted.
+//! Tests of single mechanisms of the policy: each passes events to a gateway and asserts its actions.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/mechanism/support.rs
+++ b/tests/mechanism/support.rs
@@ -1,15 +1,16 @@
-//! A policy with ready engines, and traffic that brings it into a known state.
+//! A gateway with ready engines, and traffic that brings it into a known state.
 
 use crate::common::{class, endpoint_at, policy_config, request_with, RecordedActions};
 use ironstair::policy::Gateway;
 use ironstair::{Cost, Effect, Millis, Outcome, PolicyConfig, Request};
 
-pub(crate) fn start(config: PolicyConfig, engines: usize) -> Gateway {
+/// A gateway with this number of ready engines.
+pub(crate) fn start_gateway(config: PolicyConfig, engine_count: usize) -> Gateway {
     let mut gateway = Gateway::new(config, 1);
     gateway.update_endpoints(
         0.0,
         true,
-        &(0..engines).map(endpoint_at).collect::<Vec<_>>(),
+        &(0..engine_count).map(endpoint_at).collect::<Vec<_>>(),
         &mut RecordedActions::default(),
     );
     gateway
@@ -22,24 +23,25 @@
     ])
 }
 
-/// Completes the requests in these slots quickly at first, then slowly, so that the engines are under pressure. Returns
-/// the time at the end.
+/// Completes requests in these slots quickly at first, then slowly, so that the engines are under pressure. Returns the
+/// time at the end.
 pub(crate) fn put_under_pressure(gateway: &mut Gateway, slots: std::ops::Range<usize>) -> Millis {
     let (mut now, mut actions) = (1.0, RecordedActions::default());
-    for took in [100.0, 100.0, 100.0, 400.0, 400.0] {
+    for duration in [100.0, 100.0, 100.0, 400.0, 400.0] {
         slots
             .clone()
-            .for_each(|i| gateway.on_request(now, i, request_with(0, 100.0), &mut actions));
-        now += took;
-        slots.clone().for_each(|i| {
-            gateway.on_attempt_ended(now, i, Outcome::Completed(None), true, &mut actions);
+            .for_each(|slot| gateway.on_request(now, slot, request_with(0, 100.0), &mut actions));
+        now += duration;
+        slots.clone().for_each(|slot| {
+            gateway.on_attempt_ended(now, slot, Outcome::Completed(None), true, &mut actions);
         });
         now += 1.0;
     }
     now
 }
 
-pub(crate) fn send(
+/// Passes one request to the gateway, and returns the slot and the engine of each attempt that starts.
+pub(crate) fn send_request(
     gateway: &mut Gateway,
     now: Millis,
     slot: usize,
@@ -50,21 +52,22 @@
     actions.attempts()
 }
 
-/// Completes `n` requests one after the other, so that pace, work and memory are known. Returns the time at the end.
+/// Completes this many requests one after the other, so that pace, work and memory are known. Returns the time at the
+/// end.
 pub(crate) fn complete_requests(
     gateway: &mut Gateway,
-    n: usize,
+    count: usize,
     request: impl Fn(usize) -> Request,
     cost: impl Fn(usize) -> Cost,
 ) -> Millis {
     let (mut now, mut actions) = (1.0, RecordedActions::default());
-    for i in 0..n {
-        gateway.on_request(now, 0, request(i), &mut actions);
+    for nth in 0..count {
+        gateway.on_request(now, 0, request(nth), &mut actions);
         now += 60.0;
         gateway.on_attempt_ended(
             now,
             0,
-            Outcome::Completed(Some(cost(i))),
+            Outcome::Completed(Some(cost(nth))),
             true,
             &mut actions,
         );
@@ -72,7 +75,7 @@
     now
 }
 
-/// A request with 20 s of time.
+/// A request with 20 s until its deadline.
 pub(crate) fn patient_request(class: usize, work: Millis) -> Request {
     Request {
         time_remaining: 20_000.0,
