--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -90,13 +90,14 @@
     seed: u64,
     config: fn() -> PolicyConfig,
     engine_count: usize,
-    /// Mean time between two requests, in ms.
+    /// Mean time between two requests outside of bursts, in ms.
     mean_arrival_interval: f64,
     event_count: usize,
-    /// The number of table groups and keys among the requests.
     table_group_count: u64,
+    /// The number of keys; 0 if requests have none.
     key_count: u64,
-    /// The configuration changes and needs a lease, keys are quarantined, and the gateway shuts down.
+    /// The configuration changes and needs a lease, keys are quarantined, and the gateway announces
+    /// shutdowns.
     has_config_changes: bool,
     /// The hash in an unoptimized build, and in an optimized one.
     expected: [u64; 2],
@@ -854,7 +855,7 @@
             } else {
                 random.between(20.0, 4000.0)
             },
-            // The smaller of two draws: low table groups have more of the requests.
+            // The smaller of two draws, so that low table groups have more of the requests.
             table_group: random
                 .below(scenario.table_group_count)
                 .min(random.below(scenario.table_group_count)),
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,4 +1,4 @@
-//! The pages name files and functions of this repository: each that they name is there.
+//! Checks that every file and function of this repository that the pages name exists.
 
 use std::path::{Path, PathBuf};
 
@@ -22,11 +22,11 @@
     "docs/operate/recovery.md",
     "docs/ROADMAP.md",
 ];
-/// What a path that is checked begins with.
+/// The beginnings of the paths that are checked.
 const ROOTS: [&str; 8] = [
     "crates/", "src/", "docs/", "tests/", "deploy/", "yang/", "journal/", ".ci/",
 ];
-/// Fewer paths than this mean that the pages are not read as they should be.
+/// If fewer paths than this are found, the pages are not parsed correctly.
 const LEAST_PATHS: usize = 60;
 
 fn root() -> PathBuf {
@@ -37,7 +37,7 @@
     std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// What a page names between backticks that is a path, with the function behind `::`, where there is one.
+/// The paths that a page names in backticks, each with the function after `::`, if there is one.
 fn named_paths(page: &str) -> Vec<(String, Option<String>)> {
     let quoted = page.split('`').skip(1).step_by(2);
     let paths = quoted
@@ -49,7 +49,7 @@
     parts.collect()
 }
 
-/// Whether a file declares what is named: `function`, or `Type::function`.
+/// Whether the source declares the name, which is `function` or `Type::function`.
 fn declares(source: &str, name: &str) -> bool {
     let last = name.rsplit("::").next().unwrap_or(name);
     ["fn ", "struct ", "enum ", "trait ", "const ", "type "]
--- a/tests/rules/event_player.rs
+++ b/tests/rules/event_player.rs
@@ -1,17 +1,17 @@
-//! Plays events on the policy and the referee side by side.
+//! Passes the same events to the policy and the referee, and every action of the policy to the referee.
 
 use crate::common::{class, endpoint_at, request_with, Action, RecordedActions};
 use crate::referee::Referee;
-use crate::violation::{Checked, Violation};
+use crate::violation::{CheckResult, Violation};
 use ironstair::policy::Gateway;
 use ironstair::{
     Cost, Effect, Endpoint, EndpointState, Millis, Outcome, PolicyConfig, Request, RetryBudget,
 };
 
 const ENGINES: usize = 6;
-/// The time for which the gateway stands still, in ms.
-const STALL: Millis = 1500.0;
-/// The pause between two timers, in ms.
+/// The time for which a stalled gateway makes no progress, in ms.
+const STALL_DURATION: Millis = 1500.0;
+/// The interval of the timer, in ms.
 const TIMER_INTERVAL: Millis = 10.0;
 
 const OUTCOMES: [Outcome; 8] = [
@@ -28,10 +28,10 @@
     Outcome::Unsent,
 ];
 
-/// A generated event: its kind, and two numbers that its parameters are taken from.
+/// A generated event: its kind, and two numbers from which its parameters are derived.
 pub(crate) type GeneratedEvent = (u8, u8, u8);
 
-/// A pause with as many timers as an event may bring.
+/// The longest pause that one event causes, with 63 calls of the timer.
 const LONG_PAUSE: GeneratedEvent = (7, 63, 0);
 
 pub(crate) struct EventPlayer {
@@ -57,36 +57,36 @@
         let endpoints: Vec<Endpoint> = (0..ENGINES).map(endpoint_at).collect();
         player
             .update_endpoints(&endpoints)
-            .expect("a list of engines starts nothing");
+            .expect("an endpoint list without requests breaks no rule");
         player
     }
 
-    pub(crate) fn play(&mut self, (kind, a, b): GeneratedEvent) -> Checked {
+    pub(crate) fn play(&mut self, (kind, first, second): GeneratedEvent) -> CheckResult {
         match kind % 11 {
-            0..=2 => self.request(a, b),
-            3..=5 if !self.in_flight.is_empty() => self.end_attempt(a, b),
-            6 if b >= 224 => self.restart_all_engines_but_one(),
-            6 => self.change_engine(a, b),
-            7 if b >= 192 => self.stall(),
-            8 => self.change_config(a, b),
-            9 if !self.in_flight.is_empty() => self.report_progress(a, b),
-            10 => self.report_load(a, b),
-            _ => self.pause(a),
+            0..=2 => self.request(first, second),
+            3..=5 if !self.in_flight.is_empty() => self.end_attempt(first, second),
+            6 if second >= 224 => self.restart_all_engines_but_one(),
+            6 => self.change_engine(first, second),
+            7 if second >= 192 => self.stall(),
+            8 => self.change_config(first, second),
+            9 if !self.in_flight.is_empty() => self.report_progress(first, second),
+            10 => self.report_load(first, second),
+            _ => self.pause(first),
         }
     }
 
-    /// Lets time pass until every request has to be answered.
-    pub(crate) fn finish(&mut self) -> Checked {
+    /// Lets time pass until every request must have an answer, and checks that it has.
+    pub(crate) fn finish(&mut self) -> CheckResult {
         for _ in 0..7 {
             self.play(LONG_PAUSE)?;
         }
-        match self.referee.unanswered() {
+        match self.referee.unanswered_count() {
             0 => Ok(()),
             requests => Err(Violation::Unanswered { requests }),
         }
     }
 
-    fn check(&mut self, actions: RecordedActions) -> Checked {
+    fn check(&mut self, actions: RecordedActions) -> CheckResult {
         for action in &actions.0 {
             self.referee.check_action(self.now, action)?;
             match action {
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    fn update_endpoints(&mut self, endpoints: &[Endpoint]) -> Checked {
+    fn update_endpoints(&mut self, endpoints: &[Endpoint]) -> CheckResult {
         let mut actions = RecordedActions::default();
         self.referee.on_endpoints(self.now, endpoints);
         self.gateway
@@ -106,17 +106,17 @@
         self.check(actions)
     }
 
-    fn request(&mut self, a: u8, b: u8) -> Checked {
+    fn request(&mut self, first: u8, second: u8) -> CheckResult {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.next_slot += 1;
             self.next_slot - 1
         });
-        let class = a as usize % self.referee.config.classes.len();
+        let class = first as usize % self.referee.config.classes.len();
         let request = Request {
-            key: u64::from(b % 4),
-            time_remaining: 400.0 + 10.0 * f64::from(b),
-            cells: [0, 0, 1, 2, 5][b as usize % 5],
-            table_group: u64::from(b / 8),
+            key: u64::from(second % 4),
+            time_remaining: 400.0 + 10.0 * f64::from(second),
+            cells: [0, 0, 1, 2, 5][second as usize % 5],
+            table_group: u64::from(second / 8),
             ..request_with(class, 100.0)
         };
         let mut actions = RecordedActions::default();
@@ -126,9 +126,9 @@
         self.check(actions)
     }
 
-    fn end_attempt(&mut self, a: u8, b: u8) -> Checked {
-        let slot = self.in_flight.remove(a as usize % self.in_flight.len());
-        let outcome = OUTCOMES[b as usize % OUTCOMES.len()];
+    fn end_attempt(&mut self, first: u8, second: u8) -> CheckResult {
+        let slot = self.in_flight.remove(first as usize % self.in_flight.len());
+        let outcome = OUTCOMES[second as usize % OUTCOMES.len()];
         let is_answered = self.referee.on_attempt_ended(self.now, slot, outcome);
         let mut actions = RecordedActions::default();
         self.gateway
@@ -136,7 +136,7 @@
         self.check(actions)
     }
 
-    fn restart_all_engines_but_one(&mut self) -> Checked {
+    fn restart_all_engines_but_one(&mut self) -> CheckResult {
         let restarted = |engine| Endpoint {
             started_at: self.now,
             ..endpoint_at(engine)
@@ -145,55 +145,56 @@
         self.update_endpoints(&endpoints)
     }
 
-    fn change_engine(&mut self, a: u8, b: u8) -> Checked {
+    fn change_engine(&mut self, first: u8, second: u8) -> CheckResult {
         let states = [
             EndpointState::Ready,
             EndpointState::Draining,
             EndpointState::Gone,
         ];
         let endpoint = Endpoint {
-            state: states[b as usize % 3],
-            started_at: if b >= 128 { self.now } else { 0.0 },
-            ..endpoint_at(a as usize % ENGINES)
+            state: states[second as usize % 3],
+            started_at: if second >= 128 { self.now } else { 0.0 },
+            ..endpoint_at(first as usize % ENGINES)
         };
         self.update_endpoints(&[endpoint])
     }
 
-    /// The gateway stands still; requests that end meanwhile are answered late, but once.
-    fn stall(&mut self) -> Checked {
-        self.now += STALL;
+    /// The gateway makes no progress for a while. Requests whose deadline passes meanwhile are answered late, but only
+    /// once: their deadlines are extended.
+    fn stall(&mut self) -> CheckResult {
+        self.now += STALL_DURATION;
         let requests = self.referee.requests.iter_mut();
         requests
-            .filter(|r| !r.is_answered())
-            .for_each(|r| r.extend(STALL));
+            .filter(|record| !record.is_answered())
+            .for_each(|record| record.extend_deadline(STALL_DURATION));
         let mut actions = RecordedActions::default();
         self.gateway.on_timer(self.now, &mut actions);
         self.check(actions)
     }
 
-    /// Progress of an attempt, also none at all, or a share that is no number.
-    fn report_progress(&mut self, a: u8, b: u8) -> Checked {
-        let share = [0.0, 0.02, f64::from(b) / 255.0, f64::NAN][a as usize % 4];
-        let slot = self.in_flight[a as usize % self.in_flight.len()];
+    /// Reports the progress of an attempt: none, little, any share, or NaN.
+    fn report_progress(&mut self, first: u8, second: u8) -> CheckResult {
+        let share = [0.0, 0.02, f64::from(second) / 255.0, f64::NAN][first as usize % 4];
+        let slot = self.in_flight[first as usize % self.in_flight.len()];
         let mut actions = RecordedActions::default();
         self.gateway
             .on_progress(self.now, slot, share, &mut actions);
         self.check(actions)
     }
 
-    /// A load report with up to three values, of which two are invalid.
-    fn report_load(&mut self, a: u8, b: u8) -> Checked {
-        let values = [f64::from(b) / 8.0, f64::NAN, -1.0];
-        let values = &values[..b as usize % 4];
+    /// Reports up to three load values, of which two are invalid.
+    fn report_load(&mut self, first: u8, second: u8) -> CheckResult {
+        let values = [f64::from(second) / 8.0, f64::NAN, -1.0];
+        let values = &values[..second as usize % 4];
         let mut actions = RecordedActions::default();
         self.gateway
-            .on_load_report(self.now, a as usize % ENGINES, values, &mut actions);
+            .on_load_report(self.now, first as usize % ENGINES, values, &mut actions);
         self.check(actions)
     }
 
-    /// The host calls the timer at every interval, however long the pause.
-    fn pause(&mut self, a: u8) -> Checked {
-        for _ in 0..a % 64 {
+    /// Calls the timer at every interval during a pause.
+    fn pause(&mut self, first: u8) -> CheckResult {
+        for _ in 0..first % 64 {
             self.now += TIMER_INTERVAL;
             let mut actions = RecordedActions::default();
             self.gateway.on_timer(self.now, &mut actions);
@@ -202,8 +203,8 @@
         Ok(())
     }
 
-    fn change_config(&mut self, a: u8, b: u8) -> Checked {
-        let config = changed_config(&self.referee.config, a, b);
+    fn change_config(&mut self, first: u8, second: u8) -> CheckResult {
+        let config = changed_config(&self.referee.config, first, second);
         let mut actions = RecordedActions::default();
         self.referee.config = config.clone();
         self.gateway.update_config(self.now, config, &mut actions);
@@ -211,49 +212,50 @@
     }
 }
 
-/// Tighter or looser limits, a class out of service and back, or a further class.
-fn changed_config(config: &PolicyConfig, a: u8, b: u8) -> PolicyConfig {
+/// The configuration after a change: tighter or looser limits, a class out of service or back, or a further class.
+fn changed_config(config: &PolicyConfig, first: u8, second: u8) -> PolicyConfig {
     let mut config = config.clone();
     let classes = config.classes.len();
-    let changed = &mut config.classes[a as usize % classes];
-    match b % 8 {
+    let changed = &mut config.classes[first as usize % classes];
+    match second % 8 {
         0 => changed.out_of_service = !changed.out_of_service,
-        1 => changed.dedup_window = [100.0, 1000.0, 5000.0][a as usize % 3],
-        2 => changed.zones = [None, Some(vec![0]), Some(vec![1])][a as usize % 3].clone(),
+        1 => changed.dedup_window = [100.0, 1000.0, 5000.0][first as usize % 3],
+        2 => changed.zones = [None, Some(vec![0]), Some(vec![1])][first as usize % 3].clone(),
         3 => {
             let choices = [None, Some(vec![0]), Some(vec![1])];
-            changed.machine_types = choices[a as usize / 8 % 3].clone();
+            changed.machine_types = choices[first as usize / 8 % 3].clone();
         }
         4 => {
-            changed.value = 1.0 + f64::from(a);
-            changed.base_objective = 100.0 + 10.0 * f64::from(a);
+            changed.value = 1.0 + f64::from(first);
+            changed.base_objective = 100.0 + 10.0 * f64::from(first);
         }
         5 => {
-            config.max_attempts = 1 + a % 5;
-            config.gateway_count = changed_gateway_count(config.gateway_count, a);
+            config.max_attempts = 1 + first % 5;
+            config.gateway_count = changed_gateway_count(config.gateway_count, first);
         }
         6 => {
             config.retry_budget = config.retry_budget.map(|budget| RetryBudget {
-                min_retries: f64::from(a % 4),
-                retry_ratio: 0.05 * f64::from(a % 3),
+                min_retries: f64::from(first % 4),
+                retry_ratio: 0.05 * f64::from(first % 3),
                 ..budget
             });
         }
         _ if classes < 8 => {
-            let further = class(1.0 + f64::from(a), 1.0, Effect::NonIdempotent);
+            let further = class(1.0 + f64::from(first), 1.0, Effect::NonIdempotent);
             config.classes.push(further);
         }
-        _ => config.slow_start_from = 0.3 + f64::from(a % 7) / 10.0,
+        _ => config.slow_start_from = 0.3 + f64::from(first % 7) / 10.0,
     }
     config
 }
 
-/// Hundreds of gateways remain hundreds: the referee adds up cold shares of few gateways only, and knows no ramp.
-fn changed_gateway_count(gateway_count: f64, a: u8) -> f64 {
+/// Few gateways stay few, and hundreds stay hundreds: the referee checks the slow-start share only of few gateways, and
+/// without the warm-up.
+fn changed_gateway_count(gateway_count: f64, first: u8) -> f64 {
     let others = if gateway_count < 100.0 {
-        f64::from(a % 2)
+        f64::from(first % 2)
     } else {
-        199.0 + f64::from(a)
+        199.0 + f64::from(first)
     };
     1.0 + others
 }
--- a/tests/rules/generated_events.rs
+++ b/tests/rules/generated_events.rs
@@ -1,16 +1,17 @@
-//! The policy against the referee on generated events.
+//! Checks the policy with the referee on generated events.
 
 use crate::common::mixed_policy_config;
 use crate::event_player::{EventPlayer, GeneratedEvent};
 use ironstair::{LoadMetric, PolicyConfig};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// Four deployments by two bits: few gateways or hundreds; and engines that allow withdrawals and queue for memory, or
-/// do neither, beside a non-idempotent class in key order on one machine type, which holds its tables.
-fn deployment(kind: u8) -> PolicyConfig {
+/// One of four deployments, selected by two bits. The first bit selects few gateways or hundreds. The second one selects
+/// engines that allow withdrawals and queue for memory, or engines that do neither; then clients do not mark retries,
+/// and the non-idempotent class keeps key order, pins its table groups and is restricted to one machine type.
+fn deployment(bits: u8) -> PolicyConfig {
     let mut config = mixed_policy_config();
-    config.gateway_count = if kind & 1 == 0 { 2.0 } else { 300.0 };
-    if kind & 2 != 0 {
+    config.gateway_count = if bits & 1 == 0 { 2.0 } else { 300.0 };
+    if bits & 2 != 0 {
         config.may_withdraw = false;
         config.queues_when_memory_full = false;
         config.retries_are_marked = false;
@@ -26,8 +27,8 @@
     config
 }
 
-fn keeps_the_rules(events: Vec<GeneratedEvent>, kind: u8) -> TestResult {
-    let mut player = EventPlayer::new(deployment(kind));
+fn keeps_the_rules(events: Vec<GeneratedEvent>, deployment_bits: u8) -> TestResult {
+    let mut player = EventPlayer::new(deployment(deployment_bits));
     let checked = events
         .into_iter()
         .try_for_each(|event| player.play(event))
@@ -40,7 +41,10 @@
 
 #[test]
 fn policy_keeps_the_rules_on_generated_events() {
-    let gen = Gen::from_size_and_seed(400, 11);
+    let generator = Gen::from_size_and_seed(400, 11);
     let check = keeps_the_rules as fn(Vec<GeneratedEvent>, u8) -> TestResult;
-    QuickCheck::new().rng(gen).tests(200).quickcheck(check);
+    QuickCheck::new()
+        .rng(generator)
+        .tests(200)
+        .quickcheck(check);
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! The policy against a referee, a slow and plain model of the seven rules, on generated events; and the referee
-//! against scripts that break each rule.
+//! Checks that the policy keeps the seven rules. Generated events are passed to the policy and to a referee, a slow and
+//! simple model of the rules, which checks every action. Scripts that break each rule check the referee itself.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/rules/referee.rs
+++ b/tests/rules/referee.rs
@@ -1,16 +1,16 @@
-//! The referee: a slow and plain model of the seven rules. It sees the events that the policy sees and every action
-//! of the policy, keeps all of them, and searches all of them for each action.
+//! The referee: a slow and simple model of the seven rules. It receives the events that the policy receives and every
+//! action of the policy, keeps all of them, and searches all of them for each action.
 
 use crate::common::Action;
-use crate::violation::{forbid, Checked, Violation};
+use crate::violation::{forbid, CheckResult, Violation};
 use ironstair::{
     ClassPolicy, DedupScope, Effect, Endpoint, EndpointState, Millis, Outcome, PolicyConfig,
     Request, RetryBudget,
 };
 use std::collections::BTreeMap;
 
-/// From this number of gateways on, the share of a cold engine is less than one request. The referee, which sees one
-/// gateway, cannot add the shares up; a test of the mechanism does.
+/// From this number of gateways on, the share of one gateway in a cold engine is less than one request. The referee sees
+/// only one gateway and cannot add the shares up; the tests in `mechanism/cold_engines.rs` do.
 const MANY_GATEWAYS: f64 = 100.0;
 
 /// The end of an attempt.
@@ -28,8 +28,8 @@
 
 impl AttemptRecord {
     fn may_have_run(&self) -> bool {
-        let never = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Unsent];
-        self.end.is_none_or(|end| !never.contains(&end.outcome))
+        let never_ran = [Outcome::Rejected, Outcome::ConnectFailed, Outcome::Unsent];
+        self.end.is_none_or(|end| !never_ran.contains(&end.outcome))
     }
 
     /// Whether the attempt may still run on its engine: in flight, or ended without an answer less than the
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request with the terms under which it was accepted.
+/// A request, with the settings that applied when it was accepted.
 pub(crate) struct RequestRecord {
     class_policy: ClassPolicy,
     max_attempts: u8,
@@ -62,8 +62,8 @@
         self.is_answered
     }
 
-    /// Gives the client more time.
-    pub(crate) fn extend(&mut self, time: Millis) {
+    /// Moves the deadline this much later.
+    pub(crate) fn extend_deadline(&mut self, time: Millis) {
         self.request.time_remaining += time;
     }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// All that the policy was given and did.
+/// All events that the policy received, and all actions that it took.
 #[derive(Default)]
 pub(crate) struct Referee {
     pub config: PolicyConfig,
@@ -120,7 +120,7 @@
         });
     }
 
-    /// Returns whether the request is answered by this outcome, or was before.
+    /// Returns whether this outcome answers the request, or it was answered before.
     pub(crate) fn on_attempt_ended(&mut self, now: Millis, slot: usize, outcome: Outcome) -> bool {
         let record = &mut self.requests[self.index_by_slot[&slot]];
         record.attempts.last_mut().unwrap().end = Some(AttemptEnd { at: now, outcome });
@@ -129,7 +129,7 @@
     }
 
     /// Checks an action against the rules, and records it if it breaks none.
-    pub(crate) fn check_action(&mut self, now: Millis, action: &Action) -> Checked {
+    pub(crate) fn check_action(&mut self, now: Millis, action: &Action) -> CheckResult {
         match action {
             Action::Attempt(slot, engine) => {
                 self.check_attempt(now, self.index_by_slot[slot], *engine)
@@ -137,12 +137,12 @@
             Action::Reject(slot, _) => {
                 self.check_answer(now, *slot)?;
                 self.check_rejection(*slot)?;
-                self.answer(*slot);
+                self.mark_answered(*slot);
                 Ok(())
             }
             Action::Fail(slot) => {
                 self.check_answer(now, *slot)?;
-                self.answer(*slot);
+                self.mark_answered(*slot);
                 Ok(())
             }
             Action::Other("withdraw") => {
@@ -153,28 +153,32 @@
         }
     }
 
-    /// The requests that nobody has answered.
-    pub(crate) fn unanswered(&self) -> usize {
-        self.requests.iter().filter(|r| !r.is_answered).count()
+    /// The number of requests without an answer.
+    pub(crate) fn unanswered_count(&self) -> usize {
+        self.requests
+            .iter()
+            .filter(|record| !record.is_answered)
+            .count()
     }
 
     fn record(&self, slot: usize) -> &RequestRecord {
         &self.requests[self.index_by_slot[&slot]]
     }
 
-    fn answer(&mut self, slot: usize) {
+    fn mark_answered(&mut self, slot: usize) {
         self.requests[self.index_by_slot[&slot]].is_answered = true;
     }
 
-    /// Rule 1: one final answer, within the hard limit.
-    fn check_answer(&self, now: Millis, slot: usize) -> Checked {
+    /// Rule 1: one final answer, by the deadline.
+    fn check_answer(&self, now: Millis, slot: usize) -> CheckResult {
         let record = self.record(slot);
         forbid(record.is_answered, Violation::TwoAnswers)?;
         forbid(now > record.deadline(), Violation::LateAnswer)
     }
 
-    /// Rule 2: a rejection invites the client to send the request again.
-    fn check_rejection(&self, slot: usize) -> Checked {
+    /// Rule 2: a rejection asks the client to send the request again, so a request that may have run is rejected only if
+    /// it may run twice.
+    fn check_rejection(&self, slot: usize) -> CheckResult {
         let record = self.record(slot);
         let may_run_twice = [
             Effect::Idempotent,
@@ -187,22 +191,22 @@
         )
     }
 
-    fn check_attempt(&mut self, now: Millis, index: usize, engine: usize) -> Checked {
+    fn check_attempt(&mut self, now: Millis, index: usize, engine: usize) -> CheckResult {
         let record = &self.requests[index];
         let endpoint = self.endpoints[&engine];
         forbid(
             record.class_policy.out_of_service,
             Violation::ClassOutOfService,
         )?;
-        self.check_place(record, &endpoint)?;
-        self.check_count(record)?;
+        self.check_placement(record, &endpoint)?;
+        self.check_attempt_limit(record)?;
         forbid(
             record.is_answered || now > record.deadline(),
             Violation::AttemptAfterEnd,
         )?;
         self.check_repetition(now, record, &endpoint)?;
         self.check_readiness(now, engine)?;
-        self.check_cold_share(now, record, &endpoint)?;
+        self.check_slow_start_share(now, record, &endpoint)?;
         self.check_key_order(now, index)?;
         self.check_retry_budget(now, record)?;
         self.requests[index].attempts.push(AttemptRecord {
@@ -213,26 +217,28 @@
         Ok(())
     }
 
-    /// Rule 6, by the present terms and those under which the request was accepted.
-    fn check_place(&self, record: &RequestRecord, endpoint: &Endpoint) -> Checked {
+    /// Rule 6: the cells, zones and machine types, by the current settings and by those that applied when the request
+    /// was accepted.
+    fn check_placement(&self, record: &RequestRecord, endpoint: &Endpoint) -> CheckResult {
         let cells = record.request.cells;
         forbid(
             cells != 0 && cells & endpoint.cells == 0,
             Violation::OutsideCells,
         )?;
-        let present = &self.config.classes[record.request.class];
-        for class in [present, &record.class_policy] {
+        let current = &self.config.classes[record.request.class];
+        for class in [current, &record.class_policy] {
             let zones = class.zones.as_ref();
             let machine_types = class.machine_types.as_ref();
-            let is_in_place = zones.is_none_or(|z| z.contains(&endpoint.zone))
-                && machine_types.is_none_or(|m| m.contains(&endpoint.machine_type));
-            forbid(!is_in_place, Violation::OutsideZonesOrMachineTypes)?;
+            let is_allowed = zones.is_none_or(|allowed| allowed.contains(&endpoint.zone))
+                && machine_types.is_none_or(|allowed| allowed.contains(&endpoint.machine_type));
+            forbid(!is_allowed, Violation::OutsideZonesOrMachineTypes)?;
         }
         Ok(())
     }
 
-    /// Rule 7: the smaller of the present limit and that of the request's acceptance.
-    fn check_count(&self, record: &RequestRecord) -> Checked {
+    /// Rule 7: the number of attempts, limited by the smaller of the current setting and the one that applied when the
+    /// request was accepted.
+    fn check_attempt_limit(&self, record: &RequestRecord) -> CheckResult {
         let max_attempts = record.max_attempts.min(self.config.max_attempts);
         forbid(
             record.attempts.len() >= usize::from(max_attempts),
@@ -246,16 +252,20 @@
         now: Millis,
         record: &RequestRecord,
         endpoint: &Endpoint,
-    ) -> Checked {
-        let in_flight = record.attempts.iter().any(|a| a.end.is_none());
+    ) -> CheckResult {
+        let in_flight = record.attempts.iter().any(|attempt| attempt.end.is_none());
         forbid(in_flight, Violation::TwoAttemptsInFlight)?;
-        let present = &self.config.classes[record.request.class];
-        let window = present.dedup_window.min(record.class_policy.dedup_window);
-        for earlier in record.attempts.iter().filter(|a| a.may_have_run()) {
+        let current = &self.config.classes[record.request.class];
+        let window = current.dedup_window.min(record.class_policy.dedup_window);
+        for earlier in record
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.may_have_run())
+        {
             let other = self.endpoints[&earlier.engine];
-            let is_in_scope = match present.effect {
+            let is_in_scope = match current.effect {
                 Effect::Idempotent => continue,
-                Effect::NonIdempotent => return Err(Violation::NonIdempotentAgain),
+                Effect::NonIdempotent => return Err(Violation::NonIdempotentRepeated),
                 Effect::Deduplicated(DedupScope::AllEngines) => true,
                 Effect::Deduplicated(DedupScope::Zone) => other.zone == endpoint.zone,
                 Effect::Deduplicated(DedupScope::DedupDomain) => {
@@ -270,19 +280,22 @@
         Ok(())
     }
 
-    /// Rule 3: an engine that drains or is gone gets no attempt after that moment.
-    fn check_readiness(&self, now: Millis, engine: usize) -> Checked {
+    /// Rule 3: an engine that drains or has left the list gets no attempt after that moment.
+    fn check_readiness(&self, now: Millis, engine: usize) -> CheckResult {
         let since = self.unavailable_since.get(&engine);
-        forbid(since.is_some_and(|t| now > *t), Violation::EngineNotReady)
+        forbid(
+            since.is_some_and(|since| now > *since),
+            Violation::EngineNotReady,
+        )
     }
 
     /// Rule 4: the work that this gateway may send to an engine that has just started.
-    fn check_cold_share(
+    fn check_slow_start_share(
         &self,
         now: Millis,
         record: &RequestRecord,
         endpoint: &Endpoint,
-    ) -> Checked {
+    ) -> CheckResult {
         let config = &self.config;
         let is_cold =
             endpoint.started_at > 0.0 && now < endpoint.started_at + config.slow_start_duration;
@@ -293,31 +306,37 @@
         let attempts = self
             .requests
             .iter()
-            .flat_map(|r| r.attempts.iter().map(move |a| (r, a)));
-        let recent =
-            attempts.filter(|(_, a)| a.engine == endpoint.engine && a.started_at >= window_start);
-        let sent = recent.map(|(r, _)| r.work()).sum::<f64>() + record.work();
+            .flat_map(|record| record.attempts.iter().map(move |attempt| (record, attempt)));
+        let recent = attempts.filter(|(_, attempt)| {
+            attempt.engine == endpoint.engine && attempt.started_at >= window_start
+        });
+        let sent = recent.map(|(record, _)| record.work()).sum::<f64>() + record.work();
         let cores = config.machine_types[endpoint.machine_type as usize].cores;
-        let all = config.overload_factor * config.slow_start_from * cores * config.overload_window;
-        forbid(sent > all / config.gateway_count, Violation::OverColdShare)
+        let allowed =
+            config.overload_factor * config.slow_start_from * cores * config.overload_window;
+        forbid(
+            sent > allowed / config.gateway_count,
+            Violation::OverSlowStartShare,
+        )
     }
 
     /// Rule 5: a request waits for all earlier ones of its key.
-    fn check_key_order(&self, now: Millis, index: usize) -> Checked {
+    fn check_key_order(&self, now: Millis, index: usize) -> CheckResult {
         let record = &self.requests[index];
         let preserves_order =
-            |r: &RequestRecord| self.config.classes[r.request.class].preserves_key_order;
+            |record: &RequestRecord| self.config.classes[record.request.class].preserves_key_order;
         if !preserves_order(record) || record.request.key == 0 {
             return Ok(());
         }
-        let has_same_key =
-            |r: &&RequestRecord| preserves_order(r) && r.request.key == record.request.key;
+        let has_same_key = |other: &&RequestRecord| {
+            preserves_order(other) && other.request.key == record.request.key
+        };
         for earlier in self.requests[..index].iter().filter(has_same_key) {
             let quarantine = self.config.key_quarantine;
             let may_still_run = earlier
                 .attempts
                 .iter()
-                .any(|a| a.may_still_run(now, quarantine));
+                .any(|attempt| attempt.may_still_run(now, quarantine));
             forbid(
                 !earlier.is_answered || may_still_run,
                 Violation::OutOfKeyOrder,
@@ -326,25 +345,32 @@
         Ok(())
     }
 
-    /// Rule 7: further attempts within the window of the retry budget.
-    fn check_retry_budget(&self, now: Millis, record: &RequestRecord) -> Checked {
+    /// Rule 7: the number of further attempts within the window of the retry budget.
+    fn check_retry_budget(&self, now: Millis, record: &RequestRecord) -> CheckResult {
         match self.config.retry_budget {
-            Some(budget) if !record.attempts.is_empty() => {
-                forbid(self.exceeds(budget, now), Violation::OverRetryBudget)
-            }
+            Some(budget) if !record.attempts.is_empty() => forbid(
+                self.exceeds_retry_budget(budget, now),
+                Violation::OverRetryBudget,
+            ),
             _ => Ok(()),
         }
     }
 
-    fn exceeds(&self, budget: RetryBudget, now: Millis) -> bool {
+    fn exceeds_retry_budget(&self, budget: RetryBudget, now: Millis) -> bool {
         let window_start = now - budget.window;
-        let is_counted = |a: &&AttemptRecord| {
-            a.end.is_none_or(|end| end.outcome != Outcome::Unsent) && a.started_at >= window_start
+        let is_counted = |attempt: &&AttemptRecord| {
+            attempt.end.is_none_or(|end| end.outcome != Outcome::Unsent)
+                && attempt.started_at >= window_start
         };
-        let further = self.requests.iter().flat_map(|r| r.attempts.iter().skip(1));
+        let further = self
+            .requests
+            .iter()
+            .flat_map(|record| record.attempts.iter().skip(1));
         let further = further.filter(is_counted).count();
         let accepted = self.requests.iter();
-        let accepted = accepted.filter(|r| r.accepted_at > window_start).count();
+        let accepted = accepted
+            .filter(|record| record.accepted_at > window_start)
+            .count();
         further as f64 + 1.0 > budget.min_retries + budget.retry_ratio * accepted as f64
     }
 }
--- a/tests/rules/referee_controls.rs
+++ b/tests/rules/referee_controls.rs
@@ -1,5 +1,5 @@
-//! The referee reports each rule that a script of actions breaks: a referee that accepts everything would make the
-//! comparison with the policy pass.
+//! Checks that the referee reports each rule that a script of actions breaks. A referee that accepts everything would
+//! let every policy pass.
 
 use crate::common::{endpoint_at, mixed_policy_config, request_with, Action};
 use crate::referee::Referee;
@@ -18,7 +18,7 @@
 }
 
 impl Event {
-    fn play(self, referee: &mut Referee, now: f64, slot: usize) {
+    fn apply(self, referee: &mut Referee, now: f64, slot: usize) {
         match self {
             Event::Nothing => {}
             Event::RequestOfClass(class) => {
@@ -109,7 +109,7 @@
         let mut checked = Ok(());
         for (step, (event, action)) in script.iter().enumerate() {
             let now = 1.0 + step as f64;
-            event.play(&mut referee, now, step);
+            event.apply(&mut referee, now, step);
             checked = checked.and(referee.check_action(now, action));
         }
         let violation = checked.expect_err("the script breaks a rule");
--- a/tests/rules/violation.rs
+++ b/tests/rules/violation.rs
@@ -1,4 +1,4 @@
-//! The ways to break a rule, and the result of a check.
+//! The ways in which an action may break a rule, and the result of a check.
 
 /// How an action breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,10 +9,10 @@
     Unanswered { requests: usize },
     RejectedThoughItMayHaveRun,
     TwoAttemptsInFlight,
-    NonIdempotentAgain,
+    NonIdempotentRepeated,
     OutsideDedupScopeOrWindow,
     EngineNotReady,
-    OverColdShare,
+    OverSlowStartShare,
     OutOfKeyOrder,
     OutsideCells,
     OutsideZonesOrMachineTypes,
@@ -23,7 +23,7 @@
 }
 
 impl Violation {
-    /// The number of the rule, where it is one of the seven.
+    /// The number of the broken rule, if it is one of the seven.
     pub(crate) fn rule(self) -> Option<u8> {
         match self {
             Violation::TwoAnswers
@@ -32,10 +32,10 @@
             | Violation::Unanswered { .. } => Some(1),
             Violation::RejectedThoughItMayHaveRun
             | Violation::TwoAttemptsInFlight
-            | Violation::NonIdempotentAgain
+            | Violation::NonIdempotentRepeated
             | Violation::OutsideDedupScopeOrWindow => Some(2),
             Violation::EngineNotReady => Some(3),
-            Violation::OverColdShare => Some(4),
+            Violation::OverSlowStartShare => Some(4),
             Violation::OutOfKeyOrder => Some(5),
             Violation::OutsideCells | Violation::OutsideZonesOrMachineTypes => Some(6),
             Violation::TooManyAttempts | Violation::OverRetryBudget => Some(7),
@@ -44,12 +44,12 @@
     }
 }
 
-/// The outcome of a check.
-pub(crate) type Checked = Result<(), Violation>;
+/// The result of a check.
+pub(crate) type CheckResult = Result<(), Violation>;
 
-/// An error if the rule is broken.
-pub(crate) fn forbid(broken: bool, violation: Violation) -> Checked {
-    if broken {
+/// Returns the violation as an error if the rule is broken.
+pub(crate) fn forbid(is_broken: bool, violation: Violation) -> CheckResult {
+    if is_broken {
         return Err(violation);
     }
     Ok(())
