--- a/tests/decision_trace.rs
+++ b/tests/decision_trace.rs
@@ -420,13 +420,13 @@
         self.fold_words(&[now.to_bits()]);
         match action {
             Action::Attempt(request, engine, start_before) => {
-                self.fold_words(&[1, *request as u64, *engine as u64, start_before.to_bits()])
+                self.fold_words(&[1, *request as u64, *engine as u64, start_before.to_bits()]);
             }
             Action::Withdraw(request, nth) => {
                 self.fold_words(&[2, *request as u64, *nth as u64]);
             }
             Action::SetPriority(request, priority, grant_mb) => {
-                self.fold_words(&[3, *request as u64, *priority as u64, grant_mb.to_bits()])
+                self.fold_words(&[3, *request as u64, *priority as u64, grant_mb.to_bits()]);
             }
             Action::Reject(request, retry_after) => {
                 self.fold_words(&[4, *request as u64, retry_after.to_bits()]);
--- a/tests/mechanism/load_reports.rs
+++ b/tests/mechanism/load_reports.rs
@@ -19,14 +19,9 @@
         },
         4,
     );
-    (0..4).for_each(|slot| {
-        drop(send_request(
-            &mut gateway,
-            1.0,
-            slot,
-            request_with(0, 100.0),
-        ))
-    });
+    for slot in 0..4 {
+        send_request(&mut gateway, 1.0, slot, request_with(0, 100.0));
+    }
     let mut actions = RecordedActions::default();
     gateway.on_request(2.0, 9, patient_request(1, 4000.0), &mut actions);
     let first_probe = |actions: &RecordedActions| {
--- a/tests/mechanism/pressure.rs
+++ b/tests/mechanism/pressure.rs
@@ -87,14 +87,9 @@
         actions.contains(&Action::Reject(9, 0.0)),
         "rejected at once"
     );
-    (10..20).for_each(|slot| {
-        drop(send_request(
-            &mut gateway,
-            now,
-            slot,
-            request_with(0, 100.0),
-        ))
-    });
+    for slot in 10..20 {
+        send_request(&mut gateway, now, slot, request_with(0, 100.0));
+    }
     let short = Request {
         time_remaining: 1000.0,
         ..request_with(0, 100.0)
@@ -184,14 +179,9 @@
         1,
     );
     let now = put_under_pressure(&mut gateway, 0..8);
-    (10..20).for_each(|slot| {
-        drop(send_request(
-            &mut gateway,
-            now,
-            slot,
-            request_with(0, 100.0),
-        ))
-    });
+    for slot in 10..20 {
+        send_request(&mut gateway, now, slot, request_with(0, 100.0));
+    }
     let mut actions = RecordedActions::default();
     gateway.on_request(
         now,
--- a/tests/mechanism/rejection.rs
+++ b/tests/mechanism/rejection.rs
@@ -152,14 +152,9 @@
         );
         if !is_in_flight {
             // All engines are full: the request is queued.
-            (10..18).for_each(|slot| {
-                drop(send_request(
-                    &mut gateway,
-                    1.0,
-                    slot,
-                    request_with(0, 100.0),
-                ))
-            });
+            for slot in 10..18 {
+                send_request(&mut gateway, 1.0, slot, request_with(0, 100.0));
+            }
             (10..18).for_each(|slot| {
                 gateway.on_attempt_ended(
                     2.0,
