--- a/crates/gateway/tests/pinned_forms/checked_files.rs
+++ b/crates/gateway/tests/pinned_forms/checked_files.rs
@@ -173,7 +173,7 @@
         replaced(
             "/settings/classes/1/semantics",
             json!("x"),
-            "settings: classes[1]: semantics x",
+            "settings: classes[1]: semantics: unknown value x, expected one of pure, token, side_effect",
         ),
         missing(
             "/settings/guarantees/cold_from",
