--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -35,7 +35,8 @@
     /// Engines of the same zone.
     Zone,
     /// Engines of the same deduplication domain.
-    MarkGroup,
+    #[serde(rename = "mark-group")]
+    DedupDomain,
 }
 
 /// The least severe level that is logged.
@@ -72,10 +73,11 @@
     /// The name, unique among the classes.
     pub name: String,
     /// The latency objective in ms.
-    pub expected: u32,
+    #[serde(rename = "expected")]
+    pub base_objective: u32,
     /// How far the latency objective may stretch under load.
-    #[serde(default)]
-    pub expected_stretch: Decimal<3>,
+    #[serde(default, rename = "expected-stretch")]
+    pub objective_per_work: Decimal<3>,
     /// The deadline of a request, in ms after its arrival.
     pub hard_limit: u32,
     /// The priority weight: the value of a request that meets its objective.
@@ -85,22 +87,23 @@
     #[serde(default = "one")]
     pub threads: u16,
     /// Whether it may run more than once.
-    pub repeat: RepeatSafety,
+    #[serde(rename = "repeat")]
+    pub repeat_safety: RepeatSafety,
     /// The engines among which a repetition is recognized.
-    #[serde(default)]
-    pub within: DeduplicationScope,
+    #[serde(default, rename = "within")]
+    pub dedup_scope: DeduplicationScope,
     /// The time in ms for which a repetition is recognized; only for classes whose requests have a token.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub window: Option<u32>,
+    #[serde(default, rename = "window", skip_serializing_if = "Option::is_none")]
+    pub dedup_window: Option<u32>,
     /// Whether requests of the same key run in the order of their arrival.
-    #[serde(default)]
-    pub in_order: bool,
+    #[serde(default, rename = "in-order")]
+    pub preserves_key_order: bool,
     /// The zones whose engines may run it; any zone if empty.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub zone: Vec<String>,
+    #[serde(default, rename = "zone", skip_serializing_if = "Vec::is_empty")]
+    pub zones: Vec<String>,
     /// The machine types that may run it; any if empty.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub kind: Vec<String>,
+    #[serde(default, rename = "kind", skip_serializing_if = "Vec::is_empty")]
+    pub machine_types: Vec<String>,
 }
 
 fn one() -> u16 {
@@ -112,11 +115,14 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RetryBudget {
     /// Retries that do not depend on the number of requests.
-    pub spare: u32,
+    #[serde(rename = "spare")]
+    pub min_retries: u32,
     /// Retries per request.
-    pub share: Decimal<4>,
+    #[serde(rename = "share")]
+    pub retry_ratio: Decimal<4>,
     /// The length of the window in ms.
-    pub span: u32,
+    #[serde(rename = "span")]
+    pub window: u32,
 }
 
 /// The slow start of engines, and the overload of an engine.
@@ -124,14 +130,17 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SlowStart {
     /// The share of its capacity that an engine has at its start.
-    pub from: Decimal<4>,
+    #[serde(rename = "from")]
+    pub initial_share: Decimal<4>,
     /// The time in ms until it has its whole capacity.
     #[serde(rename = "warm-after")]
     pub slow_start_duration: u32,
     /// The multiple of its capacity at which an engine counts as overloaded, over all gateways together.
-    pub multiple: Decimal<3>,
+    #[serde(rename = "multiple")]
+    pub overload_factor: Decimal<3>,
     /// The window in ms over which overload is counted.
-    pub span: u32,
+    #[serde(rename = "span")]
+    pub overload_window: u32,
 }
 
 /// The settings of the log.
@@ -149,7 +158,7 @@
 pub struct Document {
     /// The classes of requests in service.
     #[serde(rename = "band")]
-    pub class: Vec<Class>,
+    pub classes: Vec<Class>,
     /// The number of gateways that share the engines.
     pub gateways: u32,
     /// The limit of attempts per request.
@@ -178,7 +187,7 @@
     /// Zones by index.
     pub zones: Vec<String>,
     /// Machine types by index.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
 }
 
 impl NameIndex {
@@ -188,8 +197,8 @@
     }
 
     /// The index of a machine type; `u16::MAX`, which no rule allows, if it is not configured.
-    pub fn kind(&self, name: &str) -> u16 {
-        Self::index(&self.kinds, name).unwrap_or(u16::MAX)
+    pub fn machine_type(&self, name: &str) -> u16 {
+        Self::index(&self.machine_types, name).unwrap_or(u16::MAX)
     }
 
     pub(crate) fn index(names: &[String], name: &str) -> Option<u16> {
--- a/crates/config-change/src/document/cells.rs
+++ b/crates/config-change/src/document/cells.rs
@@ -14,25 +14,26 @@
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Cells {
     /// The number of cells of a tenant.
-    #[serde(default = "single")]
-    pub shard: u8,
+    #[serde(default = "default_shard_size", rename = "shard")]
+    pub shard_size: u8,
     /// The cells.
-    pub cell: Vec<Cell>,
+    #[serde(rename = "cell")]
+    pub cells: Vec<Cell>,
     /// Engines that are pinned to a cell.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub engine: Vec<EnginePin>,
+    #[serde(default, rename = "engine", skip_serializing_if = "Vec::is_empty")]
+    pub engine_pins: Vec<EnginePin>,
     /// Tenants that are pinned to cells.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub tenant: Vec<TenantPin>,
+    #[serde(default, rename = "tenant", skip_serializing_if = "Vec::is_empty")]
+    pub tenant_pins: Vec<TenantPin>,
     /// If set, requests of a tenant whose cells have no ready engine are rejected with this retry-after in ms.
     #[serde(default, rename = "turn-back", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u32>,
     /// If set, such a tenant may use this share of other cells.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lend: Option<Decimal<4>>,
+    #[serde(default, rename = "lend", skip_serializing_if = "Option::is_none")]
+    pub overflow_share: Option<Decimal<4>>,
 }
 
-fn single() -> u8 {
+fn default_shard_size() -> u8 {
     1
 }
 
@@ -43,11 +44,11 @@
     /// The name, unique among the cells.
     pub name: String,
     /// Its weight in the distribution of engines and tenants, relative to the other cells.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub weight: Decimal<3>,
 }
 
-fn whole() -> Decimal<3> {
+fn default_weight() -> Decimal<3> {
     Decimal(1.0)
 }
 
@@ -68,8 +69,8 @@
     /// The name of the tenant.
     pub name: String,
     /// The names of the cells.
-    #[serde(default)]
-    pub cell: Vec<String>,
+    #[serde(default, rename = "cell")]
+    pub cells: Vec<String>,
 }
 
 impl Cells {
@@ -86,7 +87,7 @@
 
     fn assignment(&self) -> Result<Assignment, Violation> {
         let mut cells: Vec<CellWeight> = self
-            .cell
+            .cells
             .iter()
             .map(|cell| CellWeight {
                 name: cell.name.clone(),
@@ -95,7 +96,7 @@
             .collect();
         // The order in which the cells are configured must not matter.
         cells.sort_by(|left, right| left.name.cmp(&right.name));
-        Assignment::new(ASSIGNMENT_NUMBER, &cells, self.shard as usize).map_err(|error| {
+        Assignment::new(ASSIGNMENT_NUMBER, &cells, self.shard_size as usize).map_err(|error| {
             let field = match error {
                 AssignmentError::ShardSize(_) => "shard",
                 _ => "cell",
@@ -109,7 +110,7 @@
         mut assignment: Assignment,
         hash: fn(&[u8]) -> u64,
     ) -> Result<Assignment, Violation> {
-        for pin in &self.engine {
+        for pin in &self.engine_pins {
             // Service discovery returns names in lower case.
             let id = hash(pin.name.to_ascii_lowercase().as_bytes());
             assignment = assignment
@@ -124,8 +125,8 @@
         mut assignment: Assignment,
         hash: fn(&[u8]) -> u64,
     ) -> Result<Assignment, Violation> {
-        for pin in &self.tenant {
-            let names: Vec<&str> = pin.cell.iter().map(String::as_str).collect();
+        for pin in &self.tenant_pins {
+            let names: Vec<&str> = pin.cells.iter().map(String::as_str).collect();
             assignment = assignment
                 .pin_tenant(hash(pin.name.as_bytes()), Some(&names))
                 .map_err(|error| at(&format!("tenant[name={}]/cell", pin.name), &error))?;
@@ -134,7 +135,7 @@
     }
 
     fn no_capacity_policy(&self) -> Result<NoCapacityPolicy, Violation> {
-        match (self.retry_after, self.lend) {
+        match (self.retry_after, self.overflow_share) {
             (Some(_), Some(_)) => Err(at("lend", &"either turn-back or lend")),
             (_, Some(share)) => Ok(NoCapacityPolicy::Overflow { share: share.get() }),
             (ms, None) => Ok(NoCapacityPolicy::Reject {
--- a/crates/config-change/src/document/convert.rs
+++ b/crates/config-change/src/document/convert.rs
@@ -15,7 +15,7 @@
         limits: &[Millis],
         name_index: &NameIndex,
     ) -> Document {
-        let class = config
+        let classes = config
             .classes
             .iter()
             .zip(names)
@@ -23,20 +23,20 @@
             .map(|((policy, name), &limit)| Class::configured(policy, name, limit, name_index))
             .collect();
         Document {
-            class,
+            classes,
             gateways: config.gateway_count as u32,
             max_attempts: config.max_attempts,
             max_retry_after: whole(config.max_retry_after),
             retry_budget: config.retry_budget.map(|budget| RetryBudget {
-                spare: budget.min_retries.round() as u32,
-                share: Decimal::of(budget.retry_ratio),
-                span: whole(budget.window),
+                min_retries: budget.min_retries.round() as u32,
+                retry_ratio: Decimal::of(budget.retry_ratio),
+                window: whole(budget.window),
             }),
             slow_start: SlowStart {
-                from: Decimal::of(config.slow_start_from),
+                initial_share: Decimal::of(config.slow_start_from),
                 slow_start_duration: whole(config.slow_start_duration),
-                multiple: Decimal::of(config.overload_factor),
-                span: whole(config.overload_window),
+                overload_factor: Decimal::of(config.overload_factor),
+                overload_window: whole(config.overload_window),
             },
             cells: None,
             log: Log::default(),
@@ -54,25 +54,25 @@
         let is_tagged = matches!(policy.effect, Effect::Deduplicated(_));
         Class {
             name: name.to_owned(),
-            expected: whole(policy.base_objective),
-            expected_stretch: Decimal::of(policy.objective_per_work),
+            base_objective: whole(policy.base_objective),
+            objective_per_work: Decimal::of(policy.objective_per_work),
             hard_limit: whole(limit),
             value: Decimal::of(policy.value),
             threads: policy.threads as u16,
-            repeat: match policy.effect {
+            repeat_safety: match policy.effect {
                 Effect::Idempotent => RepeatSafety::Repeatable,
                 Effect::Deduplicated(_) => RepeatSafety::Tagged,
                 Effect::NonIdempotent => RepeatSafety::OnceOnly,
             },
-            within: match policy.effect {
+            dedup_scope: match policy.effect {
                 Effect::Deduplicated(DedupScope::Zone) => DeduplicationScope::Zone,
-                Effect::Deduplicated(DedupScope::DedupDomain) => DeduplicationScope::MarkGroup,
+                Effect::Deduplicated(DedupScope::DedupDomain) => DeduplicationScope::DedupDomain,
                 _ => DeduplicationScope::All,
             },
-            window: is_tagged.then(|| whole(policy.dedup_window)),
-            in_order: policy.preserves_key_order,
-            zone: named(&policy.zones, &name_index.zones),
-            kind: named(&policy.machine_types, &name_index.kinds),
+            dedup_window: is_tagged.then(|| whole(policy.dedup_window)),
+            preserves_key_order: policy.preserves_key_order,
+            zones: named(&policy.zones, &name_index.zones),
+            machine_types: named(&policy.machine_types, &name_index.machine_types),
         }
     }
 }
--- a/crates/config-change/src/document/validate.rs
+++ b/crates/config-change/src/document/validate.rs
@@ -26,11 +26,11 @@
     /// All violations of the `must` statements of the YANG module, and all names that are not configured.
     pub fn violations(&self, name_index: &NameIndex) -> Vec<Violation> {
         let mut found = Vec::new();
-        if self.class.is_empty() {
+        if self.classes.is_empty() {
             found.push(violation("/settings/band", "there must be a band"));
         }
         let mut names = BTreeSet::new();
-        for class in &self.class {
+        for class in &self.classes {
             if !names.insert(&class.name) {
                 let path = class_path(&class.name, "name");
                 found.push(violation(path, "the name is there twice"));
@@ -50,25 +50,25 @@
 
 impl Class {
     fn violations(&self) -> Vec<Violation> {
-        let tagged = self.repeat == RepeatSafety::Tagged;
+        let tagged = self.repeat_safety == RepeatSafety::Tagged;
         let rules = [
             (
-                self.hard_limit < self.expected,
+                self.hard_limit < self.base_objective,
                 "hard-limit",
                 "the hard limit is shorter than the expected time",
             ),
             (
-                !tagged && self.within != DeduplicationScope::All,
+                !tagged && self.dedup_scope != DeduplicationScope::All,
                 "within",
                 "within is for tagged bands",
             ),
             (
-                !tagged && self.window.is_some(),
+                !tagged && self.dedup_window.is_some(),
                 "window",
                 "window is for tagged bands",
             ),
             (
-                tagged && self.window.is_none(),
+                tagged && self.dedup_window.is_none(),
                 "window",
                 "a tagged band needs its window",
             ),
@@ -81,8 +81,9 @@
     }
 
     fn unknown_names(&self, name_index: &NameIndex) -> Vec<Violation> {
-        let zones = unknown(&self.zone, &name_index.zones).map(|name| ("zone", name));
-        let kinds = unknown(&self.kind, &name_index.kinds).map(|name| ("kind", name));
+        let zones = unknown(&self.zones, &name_index.zones).map(|name| ("zone", name));
+        let kinds =
+            unknown(&self.machine_types, &name_index.machine_types).map(|name| ("kind", name));
         zones
             .chain(kinds)
             .map(|(field, name)| {
--- a/crates/config-change/src/intersection.rs
+++ b/crates/config-change/src/intersection.rs
@@ -8,19 +8,19 @@
     /// The stricter value of each field that limits the sum over all gateways; other fields are those of `self`. `None`
     /// if the two have no class in common.
     pub fn intersection(&self, other: &Document) -> Option<Document> {
-        let class: Vec<Class> = self
-            .class
+        let classes: Vec<Class> = self
+            .classes
             .iter()
             .filter_map(|left| {
-                let right = other.class.iter().find(|right| right.name == left.name)?;
+                let right = other.classes.iter().find(|right| right.name == left.name)?;
                 class_intersection(left, right)
             })
             .collect();
-        if class.is_empty() {
+        if classes.is_empty() {
             return None;
         }
         Some(Document {
-            class,
+            classes,
             gateways: self.gateways.max(other.gateways),
             max_attempts: self.max_attempts.min(other.max_attempts),
             retry_budget: retry_budget_intersection(self.retry_budget, other.retry_budget),
@@ -34,15 +34,15 @@
     if ClassSlot::of(left) != ClassSlot::of(right) {
         return None;
     }
-    let window = left
-        .window
-        .zip(right.window)
+    let dedup_window = left
+        .dedup_window
+        .zip(right.dedup_window)
         .map(|(left, right)| left.min(right))
-        .or(left.window);
+        .or(left.dedup_window);
     Some(Class {
-        zone: name_intersection(&left.zone, &right.zone)?,
-        kind: name_intersection(&left.kind, &right.kind)?,
-        window,
+        zones: name_intersection(&left.zones, &right.zones)?,
+        machine_types: name_intersection(&left.machine_types, &right.machine_types)?,
+        dedup_window,
         ..left.clone()
     })
 }
@@ -72,25 +72,25 @@
     let (Some(left), Some(right)) = (left, right) else {
         return left.or(right);
     };
-    if left.span != right.span {
+    if left.window != right.window {
         return Some(RetryBudget {
-            spare: 0,
-            share: Default::default(),
-            span: left.span.max(right.span),
+            min_retries: 0,
+            retry_ratio: Default::default(),
+            window: left.window.max(right.window),
         });
     }
     Some(RetryBudget {
-        spare: left.spare.min(right.spare),
-        share: left.share.min(right.share),
-        span: left.span,
+        min_retries: left.min_retries.min(right.min_retries),
+        retry_ratio: left.retry_ratio.min(right.retry_ratio),
+        window: left.window,
     })
 }
 
 fn slow_start_intersection(left: &SlowStart, right: &SlowStart) -> SlowStart {
     SlowStart {
-        from: left.from.min(right.from),
+        initial_share: left.initial_share.min(right.initial_share),
         slow_start_duration: left.slow_start_duration.max(right.slow_start_duration),
-        multiple: left.multiple.min(right.multiple),
-        span: left.span.min(right.span),
+        overload_factor: left.overload_factor.min(right.overload_factor),
+        overload_window: left.overload_window.min(right.overload_window),
     }
 }
--- a/crates/config-change/src/origin.rs
+++ b/crates/config-change/src/origin.rs
@@ -37,10 +37,10 @@
                 to.max_retry_after as f64
             },
             max_attempts: to.max_attempts,
-            slow_start_from: if slow_start.from == slow_start_before.from {
+            slow_start_from: if slow_start.initial_share == slow_start_before.initial_share {
                 configured.slow_start_from
             } else {
-                slow_start.from.get()
+                slow_start.initial_share.get()
             },
             slow_start_duration: if slow_start.slow_start_duration
                 == slow_start_before.slow_start_duration
@@ -49,15 +49,15 @@
             } else {
                 slow_start.slow_start_duration as f64
             },
-            overload_factor: if slow_start.multiple == slow_start_before.multiple {
+            overload_factor: if slow_start.overload_factor == slow_start_before.overload_factor {
                 configured.overload_factor
             } else {
-                slow_start.multiple.get()
+                slow_start.overload_factor.get()
             },
-            overload_window: if slow_start.span == slow_start_before.span {
+            overload_window: if slow_start.overload_window == slow_start_before.overload_window {
                 configured.overload_window
             } else {
-                slow_start.span as f64
+                slow_start.overload_window as f64
             },
             retry_budget: self.retry_budget(to),
             ..configured.clone()
@@ -69,9 +69,9 @@
             return self.policy_config.retry_budget;
         }
         to.retry_budget.map(|budget| RetryBudget {
-            min_retries: budget.spare as f64,
-            retry_ratio: budget.share.get(),
-            window: budget.span as f64,
+            min_retries: budget.min_retries as f64,
+            retry_ratio: budget.retry_ratio.get(),
+            window: budget.window as f64,
         })
     }
 
@@ -79,11 +79,11 @@
         let is_slot = |class: &&Class| ClassSlot::of(class) == *slot;
         let configured = self
             .document
-            .class
+            .classes
             .iter()
             .zip(&self.policy_config.classes)
             .find(|(class, _)| is_slot(class));
-        let Some(class) = to.class.iter().find(is_slot) else {
+        let Some(class) = to.classes.iter().find(is_slot) else {
             return closed(slot, configured.map(|(_, policy)| policy));
         };
         let mut policy = self.policy_of(class);
@@ -95,15 +95,15 @@
 
     fn policy_of(&self, class: &Class) -> ClassPolicy {
         ClassPolicy {
-            base_objective: class.expected as f64,
-            objective_per_work: class.expected_stretch.get(),
+            base_objective: class.base_objective as f64,
+            objective_per_work: class.objective_per_work.get(),
             value: class.value.get(),
             threads: class.threads as f64,
-            effect: effect(class.repeat, class.within),
-            dedup_window: class.window.unwrap_or(0) as f64,
-            preserves_key_order: class.in_order,
-            zones: indices(&class.zone, &self.name_index.zones),
-            machine_types: indices(&class.kind, &self.name_index.kinds),
+            effect: effect(class.repeat_safety, class.dedup_scope),
+            dedup_window: class.dedup_window.unwrap_or(0) as f64,
+            preserves_key_order: class.preserves_key_order,
+            zones: indices(&class.zones, &self.name_index.zones),
+            machine_types: indices(&class.machine_types, &self.name_index.machine_types),
             pins_table_group: false,
             out_of_service: false,
         }
@@ -117,7 +117,7 @@
     ClassPolicy {
         out_of_service: true,
         threads: slot.threads as f64,
-        effect: effect(slot.repeat, slot.within),
+        effect: effect(slot.repeat_safety, slot.dedup_scope),
         dedup_window: Millis::INFINITY,
         zones: None,
         machine_types: None,
@@ -127,7 +127,7 @@
         } else {
             1.0
         },
-        preserves_key_order: slot.in_order,
+        preserves_key_order: slot.preserves_key_order,
         ..before
     }
 }
@@ -140,22 +140,22 @@
     configured: &ClassPolicy,
 ) {
     policy.pins_table_group = configured.pins_table_group;
-    if class.expected == before.expected {
+    if class.base_objective == before.base_objective {
         policy.base_objective = configured.base_objective;
     }
-    if class.expected_stretch == before.expected_stretch {
+    if class.objective_per_work == before.objective_per_work {
         policy.objective_per_work = configured.objective_per_work;
     }
     if class.value == before.value {
         policy.value = configured.value;
     }
-    if class.window == before.window {
+    if class.dedup_window == before.dedup_window {
         policy.dedup_window = configured.dedup_window;
     }
-    if class.zone == before.zone {
+    if class.zones == before.zones {
         policy.zones = configured.zones.clone();
     }
-    if class.kind == before.kind {
+    if class.machine_types == before.machine_types {
         policy.machine_types = configured.machine_types.clone();
     }
 }
@@ -175,7 +175,7 @@
         RepeatSafety::Tagged => Effect::Deduplicated(match within {
             DeduplicationScope::All => DedupScope::AllEngines,
             DeduplicationScope::Zone => DedupScope::Zone,
-            DeduplicationScope::MarkGroup => DedupScope::DedupDomain,
+            DeduplicationScope::DedupDomain => DedupScope::DedupDomain,
         }),
     }
 }
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -56,7 +56,7 @@
 ) -> Result<Plan, Vec<Violation>> {
     let mut violations = to.violations(name_index);
     let mut registry = registry.clone();
-    for class in &to.class {
+    for class in &to.classes {
         violations.extend(register(class, &mut registry));
     }
     if !violations.is_empty() {
@@ -91,12 +91,12 @@
 
 fn class_changes(from: &Document, to: &Document) -> Vec<FieldChange> {
     let before: BTreeMap<&str, &Class> = from
-        .class
+        .classes
         .iter()
         .map(|class| (class.name.as_str(), class))
         .collect();
     let mut changes = Vec::new();
-    for class in &to.class {
+    for class in &to.classes {
         let Some(old) = before.get(class.name.as_str()) else {
             changes.push(FieldChange {
                 path: class_node(&class.name),
@@ -115,7 +115,7 @@
             ));
         }
     }
-    let is_removed = |name: &&&str| !to.class.iter().any(|class| class.name == **name);
+    let is_removed = |name: &&&str| !to.classes.iter().any(|class| class.name == **name);
     changes.extend(before.keys().filter(is_removed).map(|name| FieldChange {
         path: class_node(name),
         from: Some(IN_SERVICE.into()),
--- a/crates/config-change/src/plan/fields.rs
+++ b/crates/config-change/src/plan/fields.rs
@@ -11,10 +11,10 @@
 /// holds each request to the intersection of the settings under which it was accepted and the new ones.
 pub(super) const CLASS_FIELDS: [(&str, TakesEffect, ClassText); 7] = [
     ("expected", ForNewRequests, |class| {
-        class.expected.to_string()
+        class.base_objective.to_string()
     }),
     ("expected-stretch", ForNewRequests, |class| {
-        class.expected_stretch.to_string()
+        class.objective_per_work.to_string()
     }),
     ("hard-limit", ForNewRequests, |class| {
         class.hard_limit.to_string()
@@ -22,20 +22,26 @@
     ("payoff", Immediately, |class| class.value.to_string()),
     ("window", Immediately, |class| {
         class
-            .window
+            .dedup_window
             .map_or(String::new(), |window| window.to_string())
     }),
-    ("zone", Immediately, |class| class.zone.join(" ")),
-    ("kind", Immediately, |class| class.kind.join(" ")),
+    ("zone", Immediately, |class| class.zones.join(" ")),
+    ("kind", Immediately, |class| class.machine_types.join(" ")),
 ];
 
 type IsSame = fn(&ClassSlot, &ClassSlot) -> bool;
 
 /// The fields that must not change: the guarantees given to a request about repetition, order and size rely on them.
 pub(super) const FIXED_FIELDS: [(&str, IsSame); 4] = [
-    ("repeat", |left, right| left.repeat == right.repeat),
-    ("within", |left, right| left.within == right.within),
-    ("in-order", |left, right| left.in_order == right.in_order),
+    ("repeat", |left, right| {
+        left.repeat_safety == right.repeat_safety
+    }),
+    ("within", |left, right| {
+        left.dedup_scope == right.dedup_scope
+    }),
+    ("in-order", |left, right| {
+        left.preserves_key_order == right.preserves_key_order
+    }),
     ("threads", |left, right| left.threads == right.threads),
 ];
 
@@ -51,25 +57,31 @@
         Some(document.max_retry_after.to_string())
     }),
     ("ration/spare", |document| {
-        document.retry_budget.map(|budget| budget.spare.to_string())
+        document
+            .retry_budget
+            .map(|budget| budget.min_retries.to_string())
     }),
     ("ration/share", |document| {
-        document.retry_budget.map(|budget| budget.share.to_string())
+        document
+            .retry_budget
+            .map(|budget| budget.retry_ratio.to_string())
     }),
     ("ration/span", |document| {
-        document.retry_budget.map(|budget| budget.span.to_string())
+        document
+            .retry_budget
+            .map(|budget| budget.window.to_string())
     }),
     ("cold/from", |document| {
-        Some(document.slow_start.from.to_string())
+        Some(document.slow_start.initial_share.to_string())
     }),
     ("cold/warm-after", |document| {
         Some(document.slow_start.slow_start_duration.to_string())
     }),
     ("cold/multiple", |document| {
-        Some(document.slow_start.multiple.to_string())
+        Some(document.slow_start.overload_factor.to_string())
     }),
     ("cold/span", |document| {
-        Some(document.slow_start.span.to_string())
+        Some(document.slow_start.overload_window.to_string())
     }),
 ];
 
@@ -81,16 +93,20 @@
     };
     let engine =
         |pin: &EnginePin| format!("EnginePin {{ name: {:?}, cell: {:?} }}", pin.name, pin.cell);
-    let tenant =
-        |pin: &TenantPin| format!("TenantPin {{ name: {:?}, cell: {:?} }}", pin.name, pin.cell);
+    let tenant = |pin: &TenantPin| {
+        format!(
+            "TenantPin {{ name: {:?}, cell: {:?} }}",
+            pin.name, pin.cells
+        )
+    };
     let retry_after = option_text(cells.retry_after, |ms| ms.to_string());
-    let lend = option_text(cells.lend, decimal_text);
+    let lend = option_text(cells.overflow_share, decimal_text);
     format!(
         "Cells {{ shard: {}, cell: {}, engine: {}, tenant: {}, turn_back: {retry_after}, lend: {lend} }}",
-        cells.shard,
-        list_text(&cells.cell, cell),
-        list_text(&cells.engine, engine),
-        list_text(&cells.tenant, tenant),
+        cells.shard_size,
+        list_text(&cells.cells, cell),
+        list_text(&cells.engine_pins, engine),
+        list_text(&cells.tenant_pins, tenant),
     )
 }
 
--- a/crates/config-change/src/registry.rs
+++ b/crates/config-change/src/registry.rs
@@ -11,11 +11,11 @@
     /// The name of the class.
     pub name: String,
     /// Whether its requests may run more than once.
-    pub repeat: RepeatSafety,
+    pub repeat_safety: RepeatSafety,
     /// The engines among which a repetition is recognized.
-    pub within: DeduplicationScope,
+    pub dedup_scope: DeduplicationScope,
     /// Whether requests of the same key run in the order of their arrival.
-    pub in_order: bool,
+    pub preserves_key_order: bool,
     /// The threads that a request uses at its engine.
     pub threads: u16,
 }
@@ -24,9 +24,9 @@
     pub(crate) fn of(class: &Class) -> ClassSlot {
         ClassSlot {
             name: class.name.clone(),
-            repeat: class.repeat,
-            within: class.within,
-            in_order: class.in_order,
+            repeat_safety: class.repeat_safety,
+            dedup_scope: class.dedup_scope,
+            preserves_key_order: class.preserves_key_order,
             threads: class.threads,
         }
     }
@@ -39,7 +39,7 @@
 impl ClassRegistry {
     /// The classes of a document, in its order.
     pub fn of(document: &Document) -> ClassRegistry {
-        ClassRegistry(document.class.iter().map(ClassSlot::of).collect())
+        ClassRegistry(document.classes.iter().map(ClassSlot::of).collect())
     }
 
     /// The index of the first class of that name.
--- a/crates/config-change/src/running_config.rs
+++ b/crates/config-change/src/running_config.rs
@@ -15,9 +15,9 @@
     /// The policy config, by the file's own indices.
     pub policy_config: PolicyConfig,
     /// The names of the classes, in their order.
-    pub names: Vec<String>,
+    pub class_names: Vec<String>,
     /// The hard limits of the classes in ms, in their order.
-    pub limits: Vec<Millis>,
+    pub hard_limits: Vec<Millis>,
     /// The names of zones and machine types in the file.
     pub name_index: NameIndex,
 }
@@ -62,8 +62,8 @@
     pub fn new(file: ConfigFile) -> RunningConfig {
         let document = Document::configured(
             &file.policy_config,
-            &file.names,
-            &file.limits,
+            &file.class_names,
+            &file.hard_limits,
             &file.name_index,
         );
         RunningConfig {
@@ -84,10 +84,18 @@
         let before = &self.origin;
         let name_index = NameIndex {
             zones: union(&before.name_index.zones, &file.name_index.zones),
-            kinds: union(&before.name_index.kinds, &file.name_index.kinds),
+            machine_types: union(
+                &before.name_index.machine_types,
+                &file.name_index.machine_types,
+            ),
         };
         let policy_config = self.translate(&file, &name_index)?;
-        let document = Document::configured(&policy_config, &file.names, &file.limits, &name_index);
+        let document = Document::configured(
+            &policy_config,
+            &file.class_names,
+            &file.hard_limits,
+            &name_index,
+        );
         // This precedes the checks: a file that changes only the endpoint list must not fail by a rule that the start
         // does not check.
         if policy_config == before.policy_config && document == before.document {
@@ -113,7 +121,7 @@
         name_index: &NameIndex,
     ) -> Result<PolicyConfig, ReloadError> {
         let mut config = file.policy_config.clone();
-        for (policy, class) in config.classes.iter_mut().zip(&file.names) {
+        for (policy, class) in config.classes.iter_mut().zip(&file.class_names) {
             let unknown_index = |field: &'static str, count: usize| {
                 move |index: u16| ReloadError::UnknownIndex {
                     class: class.clone(),
@@ -125,8 +133,8 @@
             let zones = &file.name_index.zones;
             translate_indices(&mut policy.zones, &name_index.zones, zones)
                 .map_err(unknown_index("dcs_allowed", zones.len()))?;
-            let kinds = &file.name_index.kinds;
-            translate_indices(&mut policy.machine_types, &name_index.kinds, kinds)
+            let kinds = &file.name_index.machine_types;
+            translate_indices(&mut policy.machine_types, &name_index.machine_types, kinds)
                 .map_err(unknown_index("machine_types_allowed", kinds.len()))?;
         }
         config.machine_types = self.kinds(file, name_index);
@@ -144,7 +152,7 @@
             memory_mb: 0.0,
         };
         let kind = |(index, name): (usize, &String)| match NameIndex::index(
-            &file.name_index.kinds,
+            &file.name_index.machine_types,
             name,
         ) {
             Some(own) => file.policy_config.machine_types[own as usize],
@@ -153,12 +161,17 @@
                 before.copied().unwrap_or(unknown)
             }
         };
-        name_index.kinds.iter().enumerate().map(kind).collect()
+        name_index
+            .machine_types
+            .iter()
+            .enumerate()
+            .map(kind)
+            .collect()
     }
 
     fn registry_with(&self, document: &Document) -> Result<ClassRegistry, ReloadError> {
         let mut registry = self.registry.clone();
-        for slot in document.class.iter().map(ClassSlot::of) {
+        for slot in document.classes.iter().map(ClassSlot::of) {
             if !registry.0.contains(&slot) {
                 registry.0.push(slot);
             }
--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -19,7 +19,7 @@
 fn name_index() -> NameIndex {
     NameIndex {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["std".into(), "big".into()],
+        machine_types: vec!["std".into(), "big".into()],
     }
 }
 
@@ -186,10 +186,10 @@
     FORMS.assert_same("plan-forth.txt", &shown(&full, &least));
     FORMS.assert_same("plan-back.txt", &shown(&least, &full));
     let mut other = full.clone();
-    for b in &mut other.class {
+    for b in &mut other.classes {
         b.threads += 1;
-        b.in_order = !b.in_order;
-        b.zone = vec!["elsewhere".into()];
+        b.preserves_key_order = !b.preserves_key_order;
+        b.zones = vec!["elsewhere".into()];
     }
     FORMS.assert_same("plan-refused.txt", &shown(&full, &other));
 }
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -38,7 +38,7 @@
     };
     let name_index = NameIndex {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["std".into()],
+        machine_types: vec!["std".into()],
     };
     let names = ["lookup".to_owned(), "post".to_owned()];
     let document = Document::configured(&policy_config, &names, &[5e3, 20e3], &name_index);
@@ -81,7 +81,7 @@
         (changes.len(), format!("{same:?}")),
         (0, format!("{configured:?}"))
     );
-    let (changes, new) = tried(|d| d.class[0].value = Decimal::of(2.0)).unwrap();
+    let (changes, new) = tried(|d| d.classes[0].value = Decimal::of(2.0)).unwrap();
     assert_eq!(
         changes,
         [(
@@ -103,9 +103,9 @@
 #[test]
 fn each_field_says_when_it_takes_effect() {
     let (changes, new) = tried(|d| {
-        d.class[0].expected = 700;
-        d.class[0].zone = vec!["b".into()];
-        d.class.remove(1);
+        d.classes[0].base_objective = 700;
+        d.classes[0].zones = vec!["b".into()];
+        d.classes.remove(1);
         d.retry_budget = None;
         d.gateways = 4;
     })
@@ -144,34 +144,37 @@
 fn what_cannot_change_in_service_is_refused_by_its_path() {
     let cases: [(Change, &str); 8] = [
         (
-            &|d| d.class[0].threads = 3,
+            &|d| d.classes[0].threads = 3,
             "/settings/band[name=lookup]/threads: cannot change in service",
         ),
         (
-            &|d| d.class[0].in_order = true,
+            &|d| d.classes[0].preserves_key_order = true,
             "/settings/band[name=lookup]/in-order: cannot",
         ),
         (
-            &|d| d.class[0].hard_limit = 10,
+            &|d| d.classes[0].hard_limit = 10,
             "/settings/band[name=lookup]/hard-limit: the hard limit is shorter",
         ),
         (
-            &|d| d.class[1].window = None,
+            &|d| d.classes[1].dedup_window = None,
             "/settings/band[name=post]/window: a tagged band needs",
         ),
         (
-            &|d| d.class[0].window = Some(1),
+            &|d| d.classes[0].dedup_window = Some(1),
             "/settings/band[name=lookup]/window: window is for tagged",
         ),
         (
-            &|d| d.class[0].zone = vec!["c".into()],
+            &|d| d.classes[0].zones = vec!["c".into()],
             "/settings/band[name=lookup]/zone: c is not among",
         ),
         (
-            &|d| d.class[1].name = "lookup".into(),
+            &|d| d.classes[1].name = "lookup".into(),
             "/settings/band[name=lookup]/name: the name is there twice",
         ),
-        (&|d| d.class.clear(), "/settings/band: there must be a band"),
+        (
+            &|d| d.classes.clear(),
+            "/settings/band: there must be a band",
+        ),
     ];
     for (change, reason) in cases {
         let violations = tried(change).unwrap_err();
@@ -186,7 +189,7 @@
 fn a_class_comes_back_to_its_place_only_as_it_was_and_new_ones_get_new_places() {
     let o = origin();
     let (mut out, mut back) = (o.document.clone(), o.document.clone());
-    let post = out.class.remove(1);
+    let post = out.classes.remove(1);
     let registry = plan(
         &o.document,
         &out,
@@ -196,7 +199,7 @@
     .unwrap()
     .registry;
     assert_eq!(registry.find("post"), Some(1));
-    back.class.insert(
+    back.classes.insert(
         0,
         ironstair_config_change::Class {
             name: "audit".into(),
@@ -217,7 +220,7 @@
         ),
         (3, 900.4, 900.0)
     );
-    back.class[2].threads = 9;
+    back.classes[2].threads = 9;
     assert!(plan(&out, &back, &p.registry, &o.name_index).is_err());
 }
 
@@ -227,7 +230,7 @@
     let (mut from, mut registry) = (o.document.clone(), ClassRegistry::of(&o.document));
     for nth in 2..=MAX_CLASSES {
         let mut to = o.document.clone();
-        to.class[1].name = format!("b{nth}");
+        to.classes[1].name = format!("b{nth}");
         match plan(&from, &to, &registry, &o.name_index) {
             Ok(p) => (from, registry) = (to, p.registry),
             Err(violations) => {
@@ -276,9 +279,9 @@
             "3",
         ),
         (
-            &|d| d.slow_start.from = Decimal::of(0.1),
+            &|d| d.slow_start.initial_share = Decimal::of(0.1),
             &|_| {},
-            |d| d.slow_start.from.to_string(),
+            |d| d.slow_start.initial_share.to_string(),
             "0.1",
         ),
         (
@@ -288,9 +291,9 @@
             "15000",
         ),
         (
-            &|d| d.class[1].window = Some(7),
+            &|d| d.classes[1].dedup_window = Some(7),
             &|_| {},
-            |d| format!("{:?}", d.class[1].window),
+            |d| format!("{:?}", d.classes[1].dedup_window),
             "Some(7)",
         ),
     ]);
@@ -300,40 +303,49 @@
 fn the_intersection_has_only_the_zones_and_retries_of_both() {
     let zones = |zones: &'static [&'static str]| {
         move |d: &mut Document| {
-            d.class[0].zone = zones.iter().map(|z| z.to_string()).collect();
+            d.classes[0].zones = zones.iter().map(|z| z.to_string()).collect();
         }
     };
-    let retry_budget = |spare: u32, span: u32| {
+    let retry_budget = |min_retries: u32, window: u32| {
         move |d: &mut Document| {
             d.retry_budget = d
                 .retry_budget
-                .map(|r| ironstair_config_change::RetryBudget { spare, span, ..r });
+                .map(|r| ironstair_config_change::RetryBudget {
+                    min_retries,
+                    window,
+                    ..r
+                });
         }
     };
     assert_intersections(&[
         (
             &zones(&["a", "b"]),
             &zones(&["B"]),
-            |d| d.class[0].zone.join(" ").to_lowercase(),
+            |d| d.classes[0].zones.join(" ").to_lowercase(),
             "b",
         ),
         (
             &zones(&["a"]),
             &zones(&["b"]),
-            |d| d.class[0].name.clone(),
+            |d| d.classes[0].name.clone(),
             "post",
         ),
         (
             &retry_budget(3, 10_000),
             &retry_budget(5, 10_000),
-            |d| d.retry_budget.unwrap().spare.to_string(),
+            |d| d.retry_budget.unwrap().min_retries.to_string(),
             "3",
         ),
         // Counts over windows of different lengths do not limit each other.
         (
             &retry_budget(3, 100),
             &retry_budget(5, 10_000),
-            |d| format!("{:?}", d.retry_budget.map(|r| (r.spare, r.share.get()))),
+            |d| {
+                format!(
+                    "{:?}",
+                    d.retry_budget.map(|r| (r.min_retries, r.retry_ratio.get()))
+                )
+            },
             "Some((0, 0.0))",
         ),
     ]);
@@ -341,8 +353,8 @@
 
 #[test]
 fn documents_without_a_class_in_both_have_no_intersection() {
-    let a = changed(&|d| drop(d.class.pop()));
-    let b = changed(&|d| drop(d.class.remove(0)));
+    let a = changed(&|d| drop(d.classes.pop()));
+    let b = changed(&|d| drop(d.classes.remove(0)));
     assert!(
         a.intersection(&b).is_none() && b.intersection(&a).is_none(),
         "no band in both"
--- a/crates/config-change/tests/running_config.rs
+++ b/crates/config-change/tests/running_config.rs
@@ -32,12 +32,12 @@
     };
     let name_index = NameIndex {
         zones: vec![],
-        kinds: kinds.iter().map(|k| k.0.to_owned()).collect(),
+        machine_types: kinds.iter().map(|k| k.0.to_owned()).collect(),
     };
     ConfigFile {
         policy_config,
-        names,
-        limits,
+        class_names: names,
+        hard_limits: limits,
         name_index,
     }
 }
@@ -95,7 +95,7 @@
         "the report of four threads is closed, one of two is open"
     );
     assert_eq!((m.classes[1].threads, m.classes[3].threads), (4.0, 2.0));
-    assert_eq!(there.name_index().kinds, ["s", "l", "new"]);
+    assert_eq!(there.name_index().machine_types, ["s", "l", "new"]);
     assert_eq!(
         m.machine_types.iter().map(|k| k.cores).collect::<Vec<_>>(),
         [8.0, 12.0, 4.0]
@@ -137,7 +137,7 @@
         "{reason}"
     );
     let mut bad = second();
-    bad.limits[0] = 100.0;
+    bad.hard_limits[0] = 100.0;
     let reason = start.reload(bad).err().unwrap().to_string();
     assert!(reason.contains("hard-limit"), "{reason}");
 }
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -56,7 +56,7 @@
     let (schema, leaves) = start();
     let document = schema.document(&leaves).unwrap();
     assert_eq!(
-        (document.class[1].value.get(), document.class[0].threads),
+        (document.classes[1].value.get(), document.classes[0].threads),
         (6.25, 1)
     );
     let again = schema.settings(&document).unwrap();
@@ -198,17 +198,21 @@
         Edit::Delete(pattern("/settings/band")),
     ]);
     assert_eq!(
-        (d.class.len(), d.class[0].expected, d.class[0].hard_limit),
+        (
+            d.classes.len(),
+            d.classes[0].base_objective,
+            d.classes[0].hard_limit
+        ),
         (1, 900, 4000)
     );
     let d = changed(&[
         Edit::Delete(pattern("/settings/ration")),
         Edit::Delete(pattern("/settings/.../zone")),
     ]);
-    assert!(d.retry_budget.is_none() && d.class.iter().all(|b| b.zone.is_empty()));
+    assert!(d.retry_budget.is_none() && d.classes.iter().all(|b| b.zones.is_empty()));
     let d = changed(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
     assert_eq!(
-        d.class[1].threads, 1,
+        d.classes[1].threads, 1,
         "what is taken out goes back to its default"
     );
 }
@@ -271,7 +275,7 @@
         match schema.document(&new) {
             Ok(d) => {
                 prop_assert!(whole);
-                let got: Vec<_> = d.class.iter().map(|b| (b.name.as_str(), Some(b.expected))).collect();
+                let got: Vec<_> = d.classes.iter().map(|b| (b.name.as_str(), Some(b.base_objective))).collect();
                 let want: Vec<_> = model.iter().map(|(n, b)| (*n, b.0)).collect();
                 prop_assert_eq!(got, want);
             }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -57,8 +57,8 @@
     pub(crate) fn reloadable(&self) -> ConfigFile {
         ConfigFile {
             policy_config: self.policy_config.clone(),
-            names: self.class_names.clone(),
-            limits: self.hard_limits.clone(),
+            class_names: self.class_names.clone(),
+            hard_limits: self.hard_limits.clone(),
             name_index: self.name_index.clone(),
         }
     }
@@ -70,8 +70,8 @@
             |names: &[String], nth: u16| names.get(nth as usize).cloned().unwrap_or_default();
         for endpoint in self.endpoints.values_mut() {
             endpoint.zone = index.zone(&name_of(&self.name_index.zones, endpoint.zone));
-            let machine_type = name_of(&self.name_index.kinds, endpoint.machine_type);
-            endpoint.machine_type = index.kind(&machine_type);
+            let machine_type = name_of(&self.name_index.machine_types, endpoint.machine_type);
+            endpoint.machine_type = index.machine_type(&machine_type);
         }
         self.name_index = index.clone();
     }
@@ -102,7 +102,7 @@
     let seed = text(&file, "seed")?;
     let name_index = NameIndex {
         zones: zones(settings)?,
-        kinds: kinds(settings)?,
+        machine_types: kinds(settings)?,
     };
     let endpoints = endpoint_list(&file["known"], &name_index)?;
     let limits_of_process = &file["limits"];
@@ -181,7 +181,7 @@
     Ok(DiscoveredEndpoint {
         address: address(instance, "hostPort")?,
         zone: index.zone(name_of("zone")),
-        machine_type: index.kind(name_of("machineType")),
+        machine_type: index.machine_type(name_of("machineType")),
         dedup_domain: instance["cell"].as_u64().unwrap_or(0) as u16,
         state,
         started_at: instance["startedAtMs"].as_f64().unwrap_or(0.0),
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -9,7 +9,7 @@
     };
     let index = NameIndex {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["std".into()],
+        machine_types: vec!["std".into()],
     };
     let mut endpoints = BTreeMap::from([(
         "left-over".to_owned(),
--- a/crates/gateway/src/config_pinned_tests.rs
+++ b/crates/gateway/src/config_pinned_tests.rs
@@ -20,7 +20,7 @@
     );
     assert_eq!(config.hard_limits, [5000.0, 9000.0, 8.0, 2.0, 8.0]);
     assert_eq!(config.name_index.zones, ["a", "b"]);
-    assert_eq!(config.name_index.kinds, ["std", "big"]);
+    assert_eq!(config.name_index.machine_types, ["std", "big"]);
     let first = DiscoveredEndpoint {
         address: address("10.1.0.1:9001"),
         zone: 0,
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -251,7 +251,7 @@
     DiscoveredEndpoint {
         address: (host.address, host.port).into(),
         zone: index.zone(host.zone),
-        machine_type: index.kind(host.attribute("kind").unwrap_or_default()),
+        machine_type: index.machine_type(host.attribute("kind").unwrap_or_default()),
         dedup_domain: number("cell") as u16,
         state,
         started_at: number("started"),
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -166,7 +166,7 @@
 
 /// Converts the section `cells` to the settings that management serves.
 pub(crate) fn cell_settings(section: &Cells) -> ironstair_config_change::Cells {
-    let (retry_after, lend) = match section.no_ready_engine {
+    let (retry_after, overflow_share) = match section.no_ready_engine {
         NoReadyEngine::Reject(ms) => (Some(ms), None),
         NoReadyEngine::Lend(share) => (None, Some(Decimal::of(share))),
     };
@@ -180,15 +180,15 @@
     });
     let tenants = section.tenants.iter().map(|(name, cells)| TenantPin {
         name: name.clone(),
-        cell: cells.clone(),
+        cells: cells.clone(),
     });
     ironstair_config_change::Cells {
-        shard: section.shard,
-        cell: cells.collect(),
-        engine: engines.collect(),
-        tenant: tenants.collect(),
+        shard_size: section.shard,
+        cells: cells.collect(),
+        engine_pins: engines.collect(),
+        tenant_pins: tenants.collect(),
         retry_after,
-        lend,
+        overflow_share,
     }
 }
 
--- a/crates/gateway/src/server/actors.rs
+++ b/crates/gateway/src/server/actors.rs
@@ -47,7 +47,7 @@
     management.map(|management| StatePublisher {
         watch: management.state_watch.clone(),
         zones: shared_names(&config.name_index.zones),
-        machine_types: shared_names(&config.name_index.kinds),
+        machine_types: shared_names(&config.name_index.machine_types),
     })
 }
 
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -101,7 +101,7 @@
         let endpoint = DiscoveredEndpoint {
             address: engine.address,
             zone: index.zone(&engine.zone),
-            machine_type: index.kind(&engine.kind),
+            machine_type: index.machine_type(&engine.kind),
             dedup_domain: engine.marks,
             state: EndpointState::Ready,
             started_at: engine.since,
@@ -168,7 +168,7 @@
         name: name.to_owned(),
         address: endpoint.address,
         zone: name_of(&index.zones, endpoint.zone),
-        kind: name_of(&index.kinds, endpoint.machine_type),
+        kind: name_of(&index.machine_types, endpoint.machine_type),
         marks: endpoint.dedup_domain,
         draining: endpoint.state != EndpointState::Ready,
         since: endpoint.started_at,
--- a/crates/management/src/classes.rs
+++ b/crates/management/src/classes.rs
@@ -31,7 +31,7 @@
             in_service: !policy.out_of_service,
         });
     let longest = document
-        .class
+        .classes
         .iter()
         .map(|class| class.hard_limit as Millis)
         .fold(MIN_LONGEST_HARD_LIMIT, Millis::max);
--- a/crates/management/src/revisions.rs
+++ b/crates/management/src/revisions.rs
@@ -104,9 +104,9 @@
             .map(|(_, engine)| directory.engine(engine.id))
             .collect::<Cells>();
         let running_cells = self.running().cells.as_ref();
-        let is_pinned = |pin| running_cells.is_some_and(|cells| cells.tenant.contains(pin));
+        let is_pinned = |pin| running_cells.is_some_and(|cells| cells.tenant_pins.contains(pin));
         let refused: Vec<String> = cells
-            .tenant
+            .tenant_pins
             .iter()
             .filter(|pin| !is_pinned(pin))
             .filter_map(|pin| {
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -74,8 +74,8 @@
 fn origin(file: ConfigFile, cells: Option<Cells>) -> Origin {
     let document = Document::configured(
         &file.policy_config,
-        &file.names,
-        &file.limits,
+        &file.class_names,
+        &file.hard_limits,
         &file.name_index,
     );
     Origin {
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -31,12 +31,12 @@
     };
     let name_index = NameIndex {
         zones: vec!["a".into()],
-        kinds: vec!["m".into()],
+        machine_types: vec!["m".into()],
     };
     ConfigFile {
         policy_config,
-        names: vec!["lookup".into()],
-        limits: vec![5e3],
+        class_names: vec!["lookup".into()],
+        hard_limits: vec![5e3],
         name_index,
     }
 }
@@ -45,8 +45,8 @@
     let file = configured();
     Document::configured(
         &file.policy_config,
-        &file.names,
-        &file.limits,
+        &file.class_names,
+        &file.hard_limits,
         &file.name_index,
     )
 }
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -66,7 +66,7 @@
     assert_eq!(running, want);
     let name_index = NameIndex {
         zones: vec!["a".into(), "b".into()],
-        kinds: vec!["std".into()],
+        machine_types: vec!["std".into()],
     };
     assert_eq!(persisted.running.violations(&name_index), Vec::new());
 }
