--- a/crates/config-change/src/command.rs
+++ b/crates/config-change/src/command.rs
@@ -47,7 +47,7 @@
         /// The settings.
         document: D,
         /// How the change must be confirmed; `None` for a permanent change.
-        commit: Option<Confirmation>,
+        confirmation: Option<Confirmation>,
     },
     /// Makes the unconfirmed change permanent.
     Confirm {
@@ -63,8 +63,8 @@
     Extend {
         /// The id of the change.
         id: String,
-        /// The time from now on, in ms.
-        span: Millis,
+        /// The new time to confirm, in ms from now on.
+        within: Millis,
     },
 }
 
@@ -118,8 +118,8 @@
 pub enum Action<D> {
     /// Append the record to the journal and sync it, then report [`Input::Written`].
     Write(Record<D>),
-    /// Append the record to the journal, without a report: nothing depends on it.
-    Note(Record<D>),
+    /// Append the record to the journal; the tracker expects no report, since nothing depends on it.
+    WriteUnacknowledged(Record<D>),
     /// Apply these settings.
     Apply {
         /// The number of the revision.
--- a/crates/config-change/src/decimal.rs
+++ b/crates/config-change/src/decimal.rs
@@ -10,9 +10,9 @@
 
 impl<const DIGITS: u32> Decimal<DIGITS> {
     /// The nearest number with at most that many fraction digits.
-    pub fn of(x: f64) -> Self {
+    pub fn rounded(number: f64) -> Self {
         let scale = 10f64.powi(DIGITS as i32);
-        Decimal((x * scale).round() / scale)
+        Decimal((number * scale).round() / scale)
     }
 
     /// The number.
@@ -51,7 +51,7 @@
         let text = String::deserialize(from)?;
         let number = text.parse::<f64>().ok().filter(|x| x.is_finite());
         number
-            .map(Self::of)
+            .map(Self::rounded)
             .ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
     }
 }
--- a/crates/config-change/src/document/convert.rs
+++ b/crates/config-change/src/document/convert.rs
@@ -29,13 +29,13 @@
             max_retry_after: whole(config.max_retry_after),
             retry_budget: config.retry_budget.map(|budget| RetryBudget {
                 min_retries: budget.min_retries.round() as u32,
-                retry_ratio: Decimal::of(budget.retry_ratio),
+                retry_ratio: Decimal::rounded(budget.retry_ratio),
                 window: whole(budget.window),
             }),
             slow_start: SlowStart {
-                initial_share: Decimal::of(config.slow_start_from),
+                initial_share: Decimal::rounded(config.slow_start_from),
                 slow_start_duration: whole(config.slow_start_duration),
-                overload_factor: Decimal::of(config.overload_factor),
+                overload_factor: Decimal::rounded(config.overload_factor),
                 overload_window: whole(config.overload_window),
             },
             cells: None,
@@ -55,9 +55,9 @@
         Class {
             name: name.to_owned(),
             base_objective: whole(policy.base_objective),
-            objective_per_work: Decimal::of(policy.objective_per_work),
+            objective_per_work: Decimal::rounded(policy.objective_per_work),
             hard_limit: whole(limit),
-            value: Decimal::of(policy.value),
+            value: Decimal::rounded(policy.value),
             threads: policy.threads as u16,
             repeat_safety: match policy.effect {
                 Effect::Idempotent => RepeatSafety::Repeatable,
--- a/crates/config-change/src/intersection.rs
+++ b/crates/config-change/src/intersection.rs
@@ -31,7 +31,7 @@
 }
 
 fn class_intersection(left: &Class, right: &Class) -> Option<Class> {
-    if ClassSlot::of(left) != ClassSlot::of(right) {
+    if ClassSlot::from_class(left) != ClassSlot::from_class(right) {
         return None;
     }
     let dedup_window = left
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -1,7 +1,7 @@
 //! The encoding of the revision journal. The caller owns the file.
 //!
 //! A record consists of its length (4 bytes, little endian), the CRC-32C of these 4 bytes and the body, and the body as
-//! JSON. A journal begins with a [`Record::Whole`].
+//! JSON. A journal begins with a [`Record::Snapshot`].
 
 use crate::record::Record;
 use serde::de::DeserializeOwned;
@@ -49,7 +49,7 @@
     /// The complete records at the start.
     pub records: Vec<Record<D>>,
     /// The length of these records in bytes.
-    pub whole_bytes: usize,
+    pub valid_bytes: usize,
     /// Why the bytes after them are not a record; `None` if no bytes follow.
     pub error: Option<DecodeError>,
 }
@@ -73,14 +73,14 @@
 pub fn decode<D: DeserializeOwned>(bytes: &[u8]) -> Decoded<D> {
     let mut decoded = Decoded {
         records: Vec::new(),
-        whole_bytes: 0,
+        valid_bytes: 0,
         error: None,
     };
-    while decoded.whole_bytes < bytes.len() {
-        match decode_first(&bytes[decoded.whole_bytes..]) {
+    while decoded.valid_bytes < bytes.len() {
+        match decode_first(&bytes[decoded.valid_bytes..]) {
             Ok((record, length)) => {
                 decoded.records.push(record);
-                decoded.whole_bytes += length;
+                decoded.valid_bytes += length;
             }
             Err(error) => {
                 decoded.error = Some(error);
--- a/crates/config-change/src/origin.rs
+++ b/crates/config-change/src/origin.rs
@@ -76,7 +76,7 @@
     }
 
     fn class_policy(&self, slot: &ClassSlot, to: &Document) -> ClassPolicy {
-        let is_slot = |class: &&Class| ClassSlot::of(class) == *slot;
+        let is_slot = |class: &&Class| ClassSlot::from_class(class) == *slot;
         let configured = self
             .document
             .classes
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -69,7 +69,7 @@
 
 /// Finds the class in the registry or adds it. Returns a violation for each fixed field that differs.
 fn register(class: &Class, registry: &mut ClassRegistry) -> Vec<Violation> {
-    let slot = ClassSlot::of(class);
+    let slot = ClassSlot::from_class(class);
     if let Some(index) = registry.find(&class.name) {
         let before = &registry.0[index];
         return FIXED_FIELDS
--- a/crates/config-change/src/record.rs
+++ b/crates/config-change/src/record.rs
@@ -9,7 +9,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
     /// The whole state: the settings of the configuration file, the running ones, and the revisions.
-    Whole(PersistedState<D>),
+    #[serde(rename = "whole")]
+    Snapshot(PersistedState<D>),
     /// A new revision is running.
     Set {
         /// The revision.
@@ -40,9 +41,11 @@
     /// The running settings.
     pub running: D,
     /// The number of the running revision, 0 for the configuration file.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub running_number: u64,
     /// The number of the next revision.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_number: u64,
     /// The latest revisions, oldest first.
     #[serde(rename = "lines")]
     pub revisions: VecDeque<RevisionSummary>,
@@ -54,8 +57,8 @@
         PersistedState {
             running: configured.clone(),
             configured,
-            number: 0,
-            next: 1,
+            running_number: 0,
+            next_number: 1,
             revisions: VecDeque::new(),
         }
     }
--- a/crates/config-change/src/registry.rs
+++ b/crates/config-change/src/registry.rs
@@ -21,7 +21,7 @@
 }
 
 impl ClassSlot {
-    pub(crate) fn of(class: &Class) -> ClassSlot {
+    pub(crate) fn from_class(class: &Class) -> ClassSlot {
         ClassSlot {
             name: class.name.clone(),
             repeat_safety: class.repeat_safety,
@@ -38,8 +38,8 @@
 
 impl ClassRegistry {
     /// The classes of a document, in its order.
-    pub fn of(document: &Document) -> ClassRegistry {
-        ClassRegistry(document.classes.iter().map(ClassSlot::of).collect())
+    pub fn from_document(document: &Document) -> ClassRegistry {
+        ClassRegistry(document.classes.iter().map(ClassSlot::from_class).collect())
     }
 
     /// The index of the first class of that name.
--- a/crates/config-change/src/replay.rs
+++ b/crates/config-change/src/replay.rs
@@ -1,13 +1,13 @@
 //! The state that results from the records of a journal.
 
 use crate::record::{PersistedState, Record};
-use crate::revision::{find_mut, remember, Numbered, RevisionState, RevisionSummary};
+use crate::revision::{find_mut, push_bounded, Numbered, RevisionState, RevisionSummary};
 
 /// The result of reading the journal at a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartOutcome {
     /// The journal is empty: the configuration file runs.
-    Nothing,
+    EmptyJournal,
     /// The configuration file has not changed: the last confirmed revision runs.
     Revision(u64),
     /// The configuration file has changed: it runs, and the revisions are kept as history.
@@ -18,11 +18,11 @@
 
 impl<D: Clone + PartialEq> PersistedState<D> {
     /// Replays the records of a journal. `configured` are the current settings of the configuration file.
-    pub fn open(records: Vec<Record<D>>, configured: D) -> (PersistedState<D>, StartOutcome) {
+    pub fn replay(records: Vec<Record<D>>, configured: D) -> (PersistedState<D>, StartOutcome) {
         let mut replay: Option<Replay<D>> = None;
         for record in records {
             match (record, &mut replay) {
-                (Record::Whole(state), _) => {
+                (Record::Snapshot(state), _) => {
                     let unconfirmed = None;
                     replay = Some(Replay { state, unconfirmed });
                 }
@@ -38,21 +38,21 @@
         match replay {
             None => (
                 PersistedState::configured(configured),
-                StartOutcome::Nothing,
+                StartOutcome::EmptyJournal,
             ),
             Some(replay) => replay.finish(configured),
         }
     }
 
     fn set_state(&mut self, state: RevisionState) {
-        if let Some(revision) = find_mut(&mut self.revisions, self.number) {
+        if let Some(revision) = find_mut(&mut self.revisions, self.running_number) {
             revision.state = state;
         }
     }
 
     fn roll_back(&mut self, before: Numbered<D>) {
         self.set_state(RevisionState::RolledBack);
-        self.number = before.number;
+        self.running_number = before.number;
         self.running = before.document;
         self.set_state(RevisionState::Running);
     }
@@ -98,18 +98,18 @@
         let number = revision.number;
         let is_unconfirmed = revision.state == RevisionState::Unconfirmed;
         self.state.set_state(RevisionState::Replaced);
-        remember(&mut self.state.revisions, revision);
+        push_bounded(&mut self.state.revisions, revision);
         let before = Numbered {
-            number: std::mem::replace(&mut self.state.number, number),
+            number: std::mem::replace(&mut self.state.running_number, number),
             document: std::mem::replace(&mut self.state.running, document),
         };
-        self.state.next = number + 1;
+        self.state.next_number = number + 1;
         self.unconfirmed = is_unconfirmed.then_some(Unconfirmed { number, before });
     }
 
     fn finish(self, configured: D) -> (PersistedState<D>, StartOutcome) {
         let mut state = self.state;
-        let mut outcome = StartOutcome::Revision(state.number);
+        let mut outcome = StartOutcome::Revision(state.running_number);
         if let Some(unconfirmed) = self.unconfirmed {
             state.roll_back(unconfirmed.before);
             outcome = StartOutcome::RolledBack(unconfirmed.number);
@@ -118,7 +118,7 @@
             state.set_state(RevisionState::Replaced);
             state.configured = configured.clone();
             state.running = configured;
-            state.number = 0;
+            state.running_number = 0;
             outcome = StartOutcome::Reconfigured;
         }
         (state, outcome)
--- a/crates/config-change/src/revision.rs
+++ b/crates/config-change/src/revision.rs
@@ -40,9 +40,11 @@
     #[serde(rename = "standing")]
     pub state: RevisionState,
     /// The id by which it was, or must be, confirmed.
-    pub commit: Option<String>,
+    #[serde(rename = "commit")]
+    pub commit_id: Option<String>,
     /// The deadline of the confirmation; Unix time in ms.
-    pub until: Option<Millis>,
+    #[serde(rename = "until")]
+    pub confirm_by: Option<Millis>,
 }
 
 /// A document with the number of its revision.
@@ -53,7 +55,7 @@
 }
 
 /// Appends a revision, and removes the oldest one if there are too many.
-pub(crate) fn remember(revisions: &mut VecDeque<RevisionSummary>, revision: RevisionSummary) {
+pub(crate) fn push_bounded(revisions: &mut VecDeque<RevisionSummary>, revision: RevisionSummary) {
     revisions.push_back(revision);
     if revisions.len() > MAX_REVISIONS {
         revisions.pop_front();
--- a/crates/config-change/src/running_config.rs
+++ b/crates/config-change/src/running_config.rs
@@ -67,7 +67,7 @@
             &file.name_index,
         );
         RunningConfig {
-            registry: ClassRegistry::of(&document),
+            registry: ClassRegistry::from_document(&document),
             origin: Origin {
                 policy_config: file.policy_config,
                 document,
@@ -171,7 +171,7 @@
 
     fn registry_with(&self, document: &Document) -> Result<ClassRegistry, ReloadError> {
         let mut registry = self.registry.clone();
-        for slot in document.classes.iter().map(ClassSlot::of) {
+        for slot in document.classes.iter().map(ClassSlot::from_class) {
             if !registry.0.contains(&slot) {
                 registry.0.push(slot);
             }
--- a/crates/config-change/src/tracker.rs
+++ b/crates/config-change/src/tracker.rs
@@ -1,20 +1,20 @@
 //! The revisions of one gateway as a state machine: which settings are running, which must be confirmed, and which
 //! survive a restart.
 //!
-//! [`RevisionTracker::on`] handles one input at a time: it applies the rules in `RULES` in order until none applies.
+//! [`RevisionTracker::handle`] handles one input at a time: it applies the rules in `RULES` in order until none applies.
 //! The caller carries out its actions in order. A record is on the disk before its revision is applied and its caller
 //! answered. A rollback is the exception: it does not wait for the disk.
 
 use crate::command::{Action, Command, Confirmation, Input, Refusal, WriteError};
 use crate::record::{PersistedState, Record};
-use crate::revision::{find_mut, remember, Numbered, RevisionState, RevisionSummary};
+use crate::revision::{find_mut, push_bounded, Numbered, RevisionState, RevisionSummary};
 use ironstair::Millis;
 use std::collections::VecDeque;
 
 #[derive(Clone, Debug, PartialEq)]
 struct PendingConfirmation<D> {
     id: String,
-    until: Millis,
+    deadline: Millis,
     /// The revision before it.
     before: Numbered<D>,
 }
@@ -25,7 +25,7 @@
     Set {
         revision: RevisionSummary,
         document: D,
-        commit: Option<Confirmation>,
+        confirmation: Option<Confirmation>,
     },
     Confirm,
 }
@@ -34,8 +34,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RevisionTracker<D> {
     running: D,
-    number: u64,
-    next: u64,
+    running_number: u64,
+    next_number: u64,
     revisions: VecDeque<RevisionSummary>,
     pending_confirmation: Option<PendingConfirmation<D>>,
     is_durable: bool,
@@ -50,23 +50,23 @@
 impl<D: Clone + PartialEq> RevisionTracker<D> {
     /// The rules in the order of their precedence: a completed write, an expired time, then the command.
     const RULES: [Rule<D>; 8] = [
-        Self::answer_failed_write,
-        Self::run_what_was_written,
-        Self::roll_back_the_overdue,
-        Self::refuse_a_second,
-        Self::refuse_an_unknown_commit,
+        Self::reject_failed_write,
+        Self::complete_write,
+        Self::roll_back_if_overdue,
+        Self::refuse_second_change,
+        Self::refuse_unknown_commit,
         Self::set,
         Self::confirm,
         Self::cancel_or_extend,
     ];
 
     /// Creates the tracker. `is_durable` states whether there is a disk to write to. `persisted` is the state from the
-    /// journal, see [`PersistedState::open`].
+    /// journal, see [`PersistedState::replay`].
     pub fn new(persisted: PersistedState<D>, is_durable: bool) -> Self {
         RevisionTracker {
             running: persisted.running,
-            number: persisted.number,
-            next: persisted.next,
+            running_number: persisted.running_number,
+            next_number: persisted.next_number,
             revisions: persisted.revisions,
             pending_confirmation: None,
             is_durable,
@@ -88,8 +88,8 @@
     }
 
     /// The number of the running revision, 0 for the configuration file.
-    pub fn number(&self) -> u64 {
-        self.number
+    pub fn running_number(&self) -> u64 {
+        self.running_number
     }
 
     /// The state after a restart now: an unconfirmed revision would be rolled back. `configured` are the settings of
@@ -102,8 +102,8 @@
         PersistedState {
             configured,
             running: after.running,
-            number: after.number,
-            next: after.next,
+            running_number: after.running_number,
+            next_number: after.next_number,
             revisions: after.revisions,
         }
     }
@@ -111,7 +111,7 @@
     /// The id of the unconfirmed revision and the deadline of its confirmation (Unix time in ms).
     pub fn pending_confirmation(&self) -> Option<(&str, Millis)> {
         let pending = self.pending_confirmation.as_ref()?;
-        Some((&pending.id, pending.until))
+        Some((&pending.id, pending.deadline))
     }
 
     /// The time at which the caller has to pass [`Input::Due`]; Unix time in ms.
@@ -121,11 +121,11 @@
         }
         self.pending_confirmation
             .as_ref()
-            .map(|pending| pending.until)
+            .map(|pending| pending.deadline)
     }
 
     /// Handles one input at `now` (Unix time in ms). Returns the actions to carry out, in order.
-    pub fn on(&mut self, now: Millis, input: Input<D>) -> Vec<Action<D>> {
+    pub fn handle(&mut self, now: Millis, input: Input<D>) -> Vec<Action<D>> {
         let mut actions = Vec::new();
         self.now = now;
         match input {
@@ -144,15 +144,15 @@
 
     /// Sets the state of the running revision.
     fn set_state(&mut self, state: RevisionState) {
-        if let Some(revision) = find_mut(&mut self.revisions, self.number) {
+        if let Some(revision) = find_mut(&mut self.revisions, self.running_number) {
             revision.state = state;
-            revision.until = None;
+            revision.confirm_by = None;
         }
     }
 
     fn return_to(&mut self, before: Numbered<D>) {
         self.set_state(RevisionState::RolledBack);
-        self.number = before.number;
+        self.running_number = before.number;
         self.running = before.document;
         self.set_state(RevisionState::Running);
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    fn answer_failed_write(&mut self, actions: &mut Vec<Action<D>>) -> bool {
+    fn reject_failed_write(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let failed = self.write_result.take_if(|result| result.is_err());
         let Some(Err(reason)) = failed else {
             return false;
@@ -176,7 +176,7 @@
         true
     }
 
-    fn run_what_was_written(&mut self, actions: &mut Vec<Action<D>>) -> bool {
+    fn complete_write(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let Some(Ok(())) = self.write_result.take() else {
             return false;
         };
@@ -184,38 +184,40 @@
             Some(PendingWrite::Set {
                 revision,
                 document,
-                commit,
-            }) => self.run(revision, document, commit, actions),
+                confirmation,
+            }) => self.start_revision(revision, document, confirmation, actions),
             Some(PendingWrite::Confirm) => {
                 self.pending_confirmation = None;
                 self.set_state(RevisionState::Running);
-                actions.push(Action::Answer(Ok(self.number)));
+                actions.push(Action::Answer(Ok(self.running_number)));
             }
             None => {}
         }
         true
     }
 
-    fn run(
+    fn start_revision(
         &mut self,
         mut revision: RevisionSummary,
         document: D,
-        commit: Option<Confirmation>,
+        confirmation: Option<Confirmation>,
         actions: &mut Vec<Action<D>>,
     ) {
         self.set_state(RevisionState::Replaced);
         let number = revision.number;
         // The time to confirm starts when the settings take effect, so that a slow disk does not shorten it.
-        revision.until = commit.as_ref().map(|commit| self.now + commit.within);
-        remember(&mut self.revisions, revision);
+        revision.confirm_by = confirmation
+            .as_ref()
+            .map(|confirmation| self.now + confirmation.within);
+        push_bounded(&mut self.revisions, revision);
         let before = Numbered {
-            number: std::mem::replace(&mut self.number, number),
+            number: std::mem::replace(&mut self.running_number, number),
             document: std::mem::replace(&mut self.running, document.clone()),
         };
-        self.next = number + 1;
-        self.pending_confirmation = commit.map(|commit| PendingConfirmation {
-            id: commit.id,
-            until: self.now + commit.within,
+        self.next_number = number + 1;
+        self.pending_confirmation = confirmation.map(|confirmation| PendingConfirmation {
+            id: confirmation.id,
+            deadline: self.now + confirmation.within,
             before,
         });
         actions.push(Action::Apply { number, document });
@@ -223,8 +225,8 @@
     }
 
     // A confirmation that arrived in time prevents the rollback while it is being written.
-    fn roll_back_the_overdue(&mut self, actions: &mut Vec<Action<D>>) -> bool {
-        let is_overdue = self.due().is_some_and(|until| until <= self.now);
+    fn roll_back_if_overdue(&mut self, actions: &mut Vec<Action<D>>) -> bool {
+        let is_overdue = self.due().is_some_and(|deadline| deadline <= self.now);
         is_overdue && self.roll_back(actions)
     }
 
@@ -232,19 +234,19 @@
         let Some(pending) = self.pending_confirmation.take() else {
             return false;
         };
-        let number = self.number;
+        let number = self.running_number;
         self.return_to(pending.before);
         actions.push(Action::Apply {
-            number: self.number,
+            number: self.running_number,
             document: self.running.clone(),
         });
         if self.is_durable {
-            actions.push(Action::Note(Record::RolledBack { number }));
+            actions.push(Action::WriteUnacknowledged(Record::RolledBack { number }));
         }
         true
     }
 
-    fn refuse_a_second(&mut self, actions: &mut Vec<Action<D>>) -> bool {
+    fn refuse_second_change(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let Some(pending) = &self.pending_confirmation else {
             return false;
         };
@@ -255,14 +257,14 @@
             return false;
         }
         let refusal = Refusal::Unconfirmed {
-            number: self.number,
+            number: self.running_number,
             id: pending.id.clone(),
         };
         actions.push(Action::Answer(Err(refusal)));
         true
     }
 
-    fn refuse_an_unknown_commit(&mut self, actions: &mut Vec<Action<D>>) -> bool {
+    fn refuse_unknown_commit(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let Some(Command::Confirm { id } | Command::Cancel { id } | Command::Extend { id, .. }) =
             &self.command
         else {
@@ -283,7 +285,7 @@
             author,
             summary,
             document,
-            commit,
+            confirmation,
         }) = self
             .command
             .take_if(|command| matches!(command, Command::Set { .. }))
@@ -291,17 +293,19 @@
             return false;
         };
         let revision = RevisionSummary {
-            number: self.next,
+            number: self.next_number,
             author,
             created_at: self.now,
             summary,
-            state: if commit.is_some() {
+            state: if confirmation.is_some() {
                 RevisionState::Unconfirmed
             } else {
                 RevisionState::Running
             },
-            commit: commit.as_ref().map(|commit| commit.id.clone()),
-            until: None,
+            commit_id: confirmation
+                .as_ref()
+                .map(|confirmation| confirmation.id.clone()),
+            confirm_by: None,
         };
         let record = Record::Set {
             revision: revision.clone(),
@@ -310,7 +314,7 @@
         let write = PendingWrite::Set {
             revision,
             document,
-            commit,
+            confirmation,
         };
         self.write(write, record, actions);
         true
@@ -321,26 +325,26 @@
         if self.command.take_if(confirm).is_none() {
             return false;
         }
-        let number = self.number;
+        let number = self.running_number;
         self.write(PendingWrite::Confirm, Record::Confirmed { number }, actions);
         true
     }
 
     fn cancel_or_extend(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         match self.command.take() {
-            Some(Command::Extend { span, .. }) => {
-                let until = self.now + span;
+            Some(Command::Extend { within, .. }) => {
+                let deadline = self.now + within;
                 if let Some(pending) = &mut self.pending_confirmation {
-                    pending.until = until;
+                    pending.deadline = deadline;
                 }
-                if let Some(revision) = find_mut(&mut self.revisions, self.number) {
-                    revision.until = Some(until);
+                if let Some(revision) = find_mut(&mut self.revisions, self.running_number) {
+                    revision.confirm_by = Some(deadline);
                 }
-                actions.push(Action::Answer(Ok(self.number)));
+                actions.push(Action::Answer(Ok(self.running_number)));
             }
             Some(Command::Cancel { .. }) => {
                 self.roll_back(actions);
-                actions.push(Action::Answer(Ok(self.number)));
+                actions.push(Action::Answer(Ok(self.running_number)));
             }
             _ => return false,
         }
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -14,8 +14,8 @@
         created_at: 1e12,
         summary,
         state,
-        commit: None,
-        until: None,
+        commit_id: None,
+        confirm_by: None,
     }
 }
 
@@ -25,7 +25,7 @@
         document: n as u8,
     };
     vec![
-        Record::Whole(PersistedState::configured(0)),
+        Record::Snapshot(PersistedState::configured(0)),
         set(1, RevisionState::Running),
         set(2, RevisionState::Unconfirmed),
         Record::Confirmed { number: 2 },
@@ -54,15 +54,15 @@
         let whole = ends.clone().filter(|&e| e <= cut).count();
         let Decoded {
             records,
-            whole_bytes,
+            valid_bytes,
             error,
         } = decode::<u8>(&all[..cut]);
         assert_eq!(
             (records.len(), error.is_none()),
-            (whole, whole_bytes == cut),
+            (whole, valid_bytes == cut),
             "{cut}"
         );
-        let (persisted, found) = PersistedState::open(records, 0);
+        let (persisted, found) = PersistedState::replay(records, 0);
         assert_eq!(persisted.running, RUNS[whole], "{cut}");
         let pending_confirmation = [3, 5].contains(&whole);
         assert_eq!(
@@ -82,7 +82,7 @@
         let mut spoilt = all.clone();
         spoilt[at] ^= 0x20;
         let decoded = decode::<u8>(&spoilt);
-        assert!(decoded.error.is_some() && decoded.whole_bytes <= at, "{at}");
+        assert!(decoded.error.is_some() && decoded.valid_bytes <= at, "{at}");
         assert_eq!(decoded.records, day()[..decoded.records.len()]);
     }
 }
@@ -91,7 +91,7 @@
 fn zeros_and_long_lengths_are_no_records() {
     let none = |error| Decoded {
         records: Vec::new(),
-        whole_bytes: 0,
+        valid_bytes: 0,
         error: Some(error),
     };
     assert_eq!(decode::<u8>(&[0; 64]), none(DecodeError::Checksum));
@@ -106,18 +106,23 @@
 
 #[test]
 fn what_the_config_file_says_anew_comes_before_the_revisions() {
-    let (persisted, found) = PersistedState::open(day(), 0);
+    let (persisted, found) = PersistedState::replay(day(), 0);
     assert_eq!(
-        (persisted.running, persisted.number, persisted.next, found),
+        (
+            persisted.running,
+            persisted.running_number,
+            persisted.next_number,
+            found
+        ),
         (4, 4, 5, StartOutcome::Revision(4))
     );
-    let (persisted, found) = PersistedState::open(day(), 9);
+    let (persisted, found) = PersistedState::replay(day(), 9);
     assert_eq!(
         (
             persisted.running,
             persisted.configured,
-            persisted.number,
-            persisted.next
+            persisted.running_number,
+            persisted.next_number
         ),
         (9, 9, 0, 5)
     );
@@ -128,7 +133,7 @@
         .all(|l| l.state != RevisionState::Running));
     // The rewritten state gives the same result.
     assert_eq!(
-        PersistedState::open(vec![Record::Whole(persisted)], 9).1,
+        PersistedState::replay(vec![Record::Snapshot(persisted)], 9).1,
         StartOutcome::Revision(0)
     );
 }
@@ -139,11 +144,15 @@
         revision: revision(n, RevisionState::Unconfirmed),
         document: n as u8,
     };
-    let (persisted, _) = PersistedState::open(
-        vec![Record::Whole(PersistedState::configured(0)), set(1), set(2)],
+    let (persisted, _) = PersistedState::replay(
+        vec![
+            Record::Snapshot(PersistedState::configured(0)),
+            set(1),
+            set(2),
+        ],
         0,
     );
-    assert_eq!((persisted.running, persisted.number), (0, 0));
+    assert_eq!((persisted.running, persisted.running_number), (0, 0));
 }
 
 proptest! {
@@ -152,6 +161,6 @@
     fn any_bytes_behind_a_journal_do_it_no_harm(tail in proptest::collection::vec(any::<u8>(), 0..64)) {
         let all = bytes(&day()).concat();
         let decoded = decode::<u8>(&[all.clone(), tail].concat());
-        prop_assert_eq!((decoded.records, decoded.whole_bytes), (day(), all.len()));
+        prop_assert_eq!((decoded.records, decoded.valid_bytes), (day(), all.len()));
     }
 }
--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -137,12 +137,12 @@
         decode::<Document>(&bytes),
         Decoded {
             records: read.clone(),
-            whole_bytes: bytes.len(),
+            valid_bytes: bytes.len(),
             error: None
         }
     );
 
-    let (persisted, _) = PersistedState::open(read, document("document-least.json"));
+    let (persisted, _) = PersistedState::replay(read, document("document-least.json"));
     FORMS.assert_same("journal-opened.json", &json_text(&persisted));
 }
 
@@ -174,7 +174,7 @@
     let shown = |from: &Document, to: &Document| match plan(
         from,
         to,
-        &ClassRegistry::of(from),
+        &ClassRegistry::from_document(from),
         &name_index(),
     ) {
         Ok(plan) => plan.changes.iter().map(step).collect(),
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -59,7 +59,7 @@
     match plan(
         &o.document,
         &to,
-        &ClassRegistry::of(&o.document),
+        &ClassRegistry::from_document(&o.document),
         &o.name_index,
     ) {
         Ok(p) => Ok((
@@ -81,7 +81,7 @@
         (changes.len(), format!("{same:?}")),
         (0, format!("{configured:?}"))
     );
-    let (changes, new) = tried(|d| d.classes[0].value = Decimal::of(2.0)).unwrap();
+    let (changes, new) = tried(|d| d.classes[0].value = Decimal::rounded(2.0)).unwrap();
     assert_eq!(
         changes,
         [(
@@ -193,7 +193,7 @@
     let registry = plan(
         &o.document,
         &out,
-        &ClassRegistry::of(&o.document),
+        &ClassRegistry::from_document(&o.document),
         &o.name_index,
     )
     .unwrap()
@@ -227,7 +227,10 @@
 #[test]
 fn classes_that_come_and_go_by_other_names_are_bounded() {
     let o = origin();
-    let (mut from, mut registry) = (o.document.clone(), ClassRegistry::of(&o.document));
+    let (mut from, mut registry) = (
+        o.document.clone(),
+        ClassRegistry::from_document(&o.document),
+    );
     for nth in 2..=MAX_CLASSES {
         let mut to = o.document.clone();
         to.classes[1].name = format!("b{nth}");
@@ -279,7 +282,7 @@
             "3",
         ),
         (
-            &|d| d.slow_start.initial_share = Decimal::of(0.1),
+            &|d| d.slow_start.initial_share = Decimal::rounded(0.1),
             &|_| {},
             |d| d.slow_start.initial_share.to_string(),
             "0.1",
@@ -380,7 +383,7 @@
         cells: Some(lend),
         ..origin.document.clone()
     };
-    let registry = ClassRegistry::of(&from);
+    let registry = ClassRegistry::from_document(&from);
     let changes = plan(&from, &to, &registry, &origin.name_index)
         .unwrap()
         .changes;
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -53,11 +53,11 @@
 
 fn command(summary: &str, document: u8) -> Command<u8> {
     let id = || "c".to_owned();
-    let set = |commit| Command::Set {
+    let set = |confirmation| Command::Set {
         author: "op".into(),
         summary: summary.into(),
         document,
-        commit,
+        confirmation,
     };
     match summary {
         "set" => set(None),
@@ -69,7 +69,7 @@
         "cancel" => Command::Cancel { id: id() },
         _ => Command::Extend {
             id: id(),
-            span: 2.0,
+            within: 2.0,
         },
     }
 }
@@ -87,10 +87,10 @@
         if let Input::Command(command) = &input {
             self.command = Some(command.clone());
         }
-        for action in tracker.on(now, input) {
+        for action in tracker.handle(now, input) {
             match action {
                 Action::Write(record) => self.writing = Some(record),
-                Action::Note(record) => self.notes.push(record),
+                Action::WriteUnacknowledged(record) => self.notes.push(record),
                 Action::Apply { document, .. } => self.applied = document,
                 Action::Answer(how) => {
                     let tried = tracker.pending_confirmation().is_some();
@@ -121,7 +121,7 @@
     fn init_states(&self) -> Vec<World> {
         vec![World {
             tracker: Some(RevisionTracker::new(PersistedState::configured(0), true)),
-            disk: vec![Record::Whole(PersistedState::configured(0))],
+            disk: vec![Record::Snapshot(PersistedState::configured(0))],
             writing: None,
             notes: Vec::new(),
             command: None,
@@ -197,7 +197,7 @@
                 (w.notes, w.command) = (Vec::new(), None);
             }
             Step::Start => {
-                let (persisted, _) = PersistedState::open(w.disk.clone(), 0);
+                let (persisted, _) = PersistedState::replay(w.disk.clone(), 0);
                 let tracker = RevisionTracker::new(persisted, true);
                 w.applied = *tracker.running();
                 if w.applied != w.after_restart && w.maybe != Some(w.applied) {
@@ -273,39 +273,42 @@
 
 #[test]
 fn an_unconfirmed_change_is_rolled_back_at_its_time_and_a_second_one_meanwhile_is_refused() {
-    let mut l = RevisionTracker::new(PersistedState::configured(0), false);
+    let mut tracker = RevisionTracker::new(PersistedState::configured(0), false);
     assert_eq!(
-        answers(l.on(10.0, Input::Command(command("try", 7)))),
+        answers(tracker.handle(10.0, Input::Command(command("try", 7)))),
         [Ok(1)]
     );
-    assert_eq!((l.due(), *l.running()), (Some(11.0), 7));
+    assert_eq!((tracker.due(), *tracker.running()), (Some(11.0), 7));
     let refused = Refusal::Unconfirmed {
         number: 1,
         id: "c".into(),
     };
     assert_eq!(
-        answers(l.on(10.1, Input::Command(command("set", 8)))),
+        answers(tracker.handle(10.1, Input::Command(command("set", 8)))),
         [Err(refused)]
     );
     assert_eq!(
-        answers(l.on(10.2, Input::Command(command("extend", 0)))),
+        answers(tracker.handle(10.2, Input::Command(command("extend", 0)))),
         [Ok(1)]
     );
-    assert_eq!((l.on(11.0, Input::Due), l.due()), (vec![], Some(12.2)));
     assert_eq!(
-        l.on(12.2, Input::Due),
+        (tracker.handle(11.0, Input::Due), tracker.due()),
+        (vec![], Some(12.2))
+    );
+    assert_eq!(
+        tracker.handle(12.2, Input::Due),
         [Action::Apply {
             number: 0,
             document: 0
         }]
     );
     assert_eq!(
-        (l.number(), l.revisions()[0].state),
+        (tracker.running_number(), tracker.revisions()[0].state),
         (0, RevisionState::RolledBack)
     );
     let none = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
-        answers(l.on(12.3, Input::Command(command("confirm", 0)))),
+        answers(tracker.handle(12.3, Input::Command(command("confirm", 0)))),
         [Err(none)],
         "too late"
     );
@@ -314,22 +317,25 @@
 #[test]
 fn a_confirmation_that_is_being_written_at_its_time_counts_and_a_lost_one_does_not() {
     for persisted in [true, false] {
-        let mut l = RevisionTracker::new(PersistedState::configured(0), true);
-        l.on(0.0, Input::Command(command("try", 7)));
-        l.on(0.5, Input::Written(Ok(())));
+        let mut tracker = RevisionTracker::new(PersistedState::configured(0), true);
+        tracker.handle(0.0, Input::Command(command("try", 7)));
+        tracker.handle(0.5, Input::Written(Ok(())));
         assert_eq!(
-            answers(l.on(1.4, Input::Command(command("confirm", 0)))),
+            answers(tracker.handle(1.4, Input::Command(command("confirm", 0)))),
             []
         );
-        assert_eq!((l.on(1.6, Input::Due), l.due()), (vec![], None));
+        assert_eq!(
+            (tracker.handle(1.6, Input::Due), tracker.due()),
+            (vec![], None)
+        );
         let how = if persisted {
             Ok(())
         } else {
             Err(WriteError("full".to_owned()))
         };
-        let then = l.on(1.7, Input::Written(how));
+        let then = tracker.handle(1.7, Input::Written(how));
         assert_eq!(
-            (*l.running(), l.pending_confirmation()),
+            (*tracker.running(), tracker.pending_confirmation()),
             (if persisted { 7 } else { 0 }, None),
             "{then:?}"
         );
--- a/crates/data-tree/src/state/tree.rs
+++ b/crates/data-tree/src/state/tree.rs
@@ -323,10 +323,10 @@
         RevisionState::RolledBack => "taken-back",
     };
     node.text("outcome", outcome);
-    if let Some(until) = revision.until {
+    if let Some(until) = revision.confirm_by {
         node.moment("until", until);
     }
-    if let Some(commit) = &revision.commit {
+    if let Some(commit) = &revision.commit_id {
         node.text("commit", commit);
     }
 }
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -245,8 +245,8 @@
         created_at: 1.8e12 + number as f64,
         summary: "/settings/advice".into(),
         state,
-        commit: (state == Unconfirmed).then(|| "c1".into()),
-        until: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
+        commit_id: (state == Unconfirmed).then(|| "c1".into()),
+        confirm_by: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
     };
     all.map(line).to_vec()
 }
--- a/crates/gateway/src/management.rs
+++ b/crates/gateway/src/management.rs
@@ -15,7 +15,7 @@
 use ironstair_gnmi::tls_files::{TlsFileError, TlsFiles};
 use ironstair_gnmi::{Service, TlsKeys};
 use ironstair_management::fleet_channel::FleetChannel;
-use ironstair_management::{Manager, ManagerContext, OpenError, Started};
+use ironstair_management::{InitialState, Manager, ManagerContext, OpenError};
 use ironstair_runtime::clock::Clock;
 use ironstair_runtime::state_watch::{ClassSummary, ManagementCommand, StateWatch};
 use ironstair_runtime::DispatcherMessage;
@@ -72,7 +72,7 @@
 
 /// Management with its files read and its listeners bound, but its thread not yet started.
 pub(crate) struct PreparedManagement {
-    started: Started,
+    started: InitialState,
     listener: TcpListener,
     streams: usize,
     keys: Option<Arc<TlsKeys>>,
@@ -247,7 +247,7 @@
         let context = ManagerContext {
             clock: self.clock,
             state_watch: self.opened.state_watch,
-            requests: self.commands.clone(),
+            commands: self.commands.clone(),
             log: self.log.clone(),
             level: self.level,
             fleet: in_fleet.then_some(FleetChannel { requests, status }),
--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -168,11 +168,11 @@
 pub(crate) fn cell_settings(section: &Cells) -> ironstair_config_change::Cells {
     let (retry_after, overflow_share) = match section.no_ready_engine {
         NoReadyEngine::Reject(ms) => (Some(ms), None),
-        NoReadyEngine::Lend(share) => (None, Some(Decimal::of(share))),
+        NoReadyEngine::Lend(share) => (None, Some(Decimal::rounded(share))),
     };
     let cells = section.names.iter().map(|(name, share)| Cell {
         name: name.clone(),
-        weight: Decimal::of(*share),
+        weight: Decimal::rounded(*share),
     });
     let engines = section.engines.iter().map(|(name, cell)| EnginePin {
         name: name.clone(),
--- a/crates/gnmi/src/context.rs
+++ b/crates/gnmi/src/context.rs
@@ -70,11 +70,11 @@
 pub(crate) fn refused(reason: &Refused) -> Status {
     let text = reason.to_string();
     match reason {
-        Refused::Wrong(_) => Status::invalid_argument(text),
-        Refused::Not(Refusal::Unconfirmed { .. } | Refusal::NoSuchCommit { .. })
+        Refused::Invalid(_) => Status::invalid_argument(text),
+        Refused::Tracker(Refusal::Unconfirmed { .. } | Refusal::NoSuchCommit { .. })
         | Refused::Fleet(_) => Status::failed_precondition(text),
-        Refused::Not(Refusal::NotPersisted { .. }) => Status::resource_exhausted(text),
-        Refused::Not(Refusal::Busy) => Status::aborted(text),
-        Refused::Ending => Status::unavailable(text),
+        Refused::Tracker(Refusal::NotPersisted { .. }) => Status::resource_exhausted(text),
+        Refused::Tracker(Refusal::Busy) => Status::aborted(text),
+        Refused::ShuttingDown => Status::unavailable(text),
     }
 }
--- a/crates/gnmi/src/set.rs
+++ b/crates/gnmi/src/set.rs
@@ -241,7 +241,7 @@
             Some(Action::Cancel(_)) => Command::Cancel { id },
             Some(Action::SetRollbackDuration(request)) => Command::Extend {
                 id,
-                span: rollback_duration(request.rollback_duration.as_ref())?,
+                within: rollback_duration(request.rollback_duration.as_ref())?,
             },
             None => {
                 return Err(Status::invalid_argument(
@@ -262,13 +262,13 @@
     async fn apply(
         self,
         context: &ServiceContext,
-        commit: Option<Confirmation>,
+        confirmation: Option<Confirmation>,
     ) -> Result<(), Status> {
         let change = Change {
             summary: summary(&self.edits),
             edits: self.edits,
             author: self.author,
-            commit,
+            confirmation,
             scope: self.scope,
         };
         let changed = context.management.set(change).await;
--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -5,7 +5,7 @@
 use crate::handle::ManagementHandle;
 use crate::journal::Journal;
 use crate::request::{Request, Scope};
-use crate::start::Started;
+use crate::start::InitialState;
 use crate::tree::Tree;
 use async_channel::Sender;
 use ironstair::Millis;
@@ -68,7 +68,7 @@
     /// The snapshots that the dispatcher publishes.
     pub state_watch: Arc<StateWatch>,
     /// To the gateway's thread.
-    pub requests: Sender<ManagementCommand>,
+    pub commands: Sender<ManagementCommand>,
     /// The log.
     pub log: Logger,
     /// The level of the log as slog's number; the manager sets it when the settings change it.
@@ -79,31 +79,35 @@
 
 impl Manager {
     /// Creates the manager of the gateway of that name, and a handle to it. The caller has to run the manager.
-    pub fn new(from: Started, name: &str, context: ManagerContext) -> (Manager, ManagementHandle) {
-        for note in &from.notes {
-            info!(context.log, "{}", note);
+    pub fn new(
+        initial: InitialState,
+        name: &str,
+        context: ManagerContext,
+    ) -> (Manager, ManagementHandle) {
+        for message in &initial.messages {
+            info!(context.log, "{}", message);
         }
         let process = state::process_leaves(name, env!("CARGO_PKG_VERSION"));
-        let leaves = from.leaves.union(process);
-        let leaves = state::with_revisions(&leaves, from.tracker.revisions().iter());
+        let leaves = initial.leaves.union(process);
+        let leaves = state::with_revisions(&leaves, initial.tracker.revisions().iter());
         let (requests_in, requests) = mpsc::channel(CHANNEL_CAPACITY);
         let (trees, trees_out) = watch::channel(Arc::new(Tree {
             at: context.clock.now(),
             leaves: leaves.clone(),
         }));
         let manager = Manager {
-            schema: Arc::new(from.schema),
-            origin: from.origin,
-            tracker: from.tracker,
-            configured: from.configured,
-            registry: from.registry,
-            journal: from.journal,
+            schema: Arc::new(initial.schema),
+            origin: initial.origin,
+            tracker: initial.tracker,
+            configured: initial.configured,
+            registry: initial.registry,
+            journal: initial.journal,
             leaves,
             view: Arc::default(),
             viewed_at: 0.0,
             clock: context.clock,
             state_watch: context.state_watch,
-            commands: context.requests,
+            commands: context.commands,
             log: context.log,
             level: context.level,
             requests,
--- a/crates/management/src/error.rs
+++ b/crates/management/src/error.rs
@@ -11,16 +11,16 @@
 pub enum Refused {
     /// Paths or values are invalid: one sentence for each, which names the path.
     #[error("{}", .0.join("; "))]
-    Wrong(Vec<String>),
+    Invalid(Vec<String>),
     /// The change does not fit the current state of the revisions.
     #[error(transparent)]
-    Not(Refusal),
+    Tracker(Refusal),
     /// The fleet rejected the change, or the scope of the change does not fit this gateway.
     #[error("{0}")]
     Fleet(String),
     /// The gateway is about to end.
     #[error("the gateway is about to end")]
-    Ending,
+    ShuttingDown,
 }
 
 /// Why this gateway can't apply a policy of the fleet.
@@ -40,7 +40,7 @@
     NotAppliedYet,
     /// The gateway is about to end.
     #[error("the gateway is shutting down")]
-    Ending,
+    ShuttingDown,
 }
 
 /// Why management can't start.
--- a/crates/management/src/handle.rs
+++ b/crates/management/src/handle.rs
@@ -61,7 +61,7 @@
     pub async fn set(&self, change: Change) -> Result<u64, Refused> {
         self.request(|answer| Request::Change(Box::new(change), answer))
             .await
-            .unwrap_or(Err(Refused::Ending))
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Confirms, cancels or extends the unconfirmed change. Returns the number of the revision that is running
@@ -81,7 +81,9 @@
             scope,
             answer,
         };
-        self.request(request).await.unwrap_or(Err(Refused::Ending))
+        self.request(request)
+            .await
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Bootstraps the fleet with the configured settings of this gateway. A disaster recovery uses the fleet's settings
@@ -100,7 +102,9 @@
             author,
             answer,
         };
-        self.request(request).await.unwrap_or(Err(Refused::Ending))
+        self.request(request)
+            .await
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// The leader's view of the fleet, as JSON.
@@ -110,7 +114,7 @@
     pub async fn fleet_state(&self) -> Result<Json, Refused> {
         self.request(Request::FleetState)
             .await
-            .unwrap_or(Err(Refused::Ending))
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Checks that this gateway could apply the policy.
@@ -120,7 +124,7 @@
     pub async fn validate(&self, document: Json) -> Result<(), PolicyError> {
         self.request(|answer| Request::Validate(document, answer))
             .await
-            .unwrap_or(Err(PolicyError::Ending))
+            .unwrap_or(Err(PolicyError::ShuttingDown))
     }
 
     /// Applies a policy of the fleet. It is in force when this returns.
@@ -140,7 +144,7 @@
         };
         self.request(|answer| Request::Apply(policy, answer))
             .await
-            .unwrap_or(Err(PolicyError::Ending))
+            .unwrap_or(Err(PolicyError::ShuttingDown))
     }
 
     /// Sends a request and waits for its answer; `None` if the manager has ended.
--- a/crates/management/src/journal.rs
+++ b/crates/management/src/journal.rs
@@ -21,7 +21,7 @@
     /// The open file; `None` until the next rewrite.
     file: Option<File>,
     /// The length of the complete records in bytes.
-    whole_bytes: u64,
+    valid_bytes: u64,
     /// The number of records after the first.
     records: usize,
 }
@@ -36,7 +36,7 @@
         let path = folder.join(FILE);
         let bytes = read_file(&path)?;
         let decoded = decode(&bytes);
-        let whole = decoded.whole_bytes;
+        let whole = decoded.valid_bytes;
         let lost = bytes.len() - whole;
         let note = decoded.error.map(|error| {
             format!(
@@ -65,7 +65,7 @@
         Journal {
             folder: folder.to_path_buf(),
             file: None,
-            whole_bytes: 0,
+            valid_bytes: 0,
             records: 0,
         }
     }
@@ -80,11 +80,11 @@
     /// # Errors
     /// Fails if the disk can't be written; the old file remains then.
     pub fn rewrite(&mut self, state: &PersistedState<Document>) -> Result<(), JournalError> {
-        let bytes = encode(&Record::Whole(state.clone()))?;
+        let bytes = encode(&Record::Snapshot(state.clone()))?;
         let file = ironstair_atomic_file::replace(&self.folder, FILE, TEMPORARY_FILE, &bytes)
             .map_err(|source| io_error(&self.folder.join(FILE), source))?;
         self.file = Some(file);
-        self.whole_bytes = bytes.len() as u64;
+        self.valid_bytes = bytes.len() as u64;
         self.records = 0;
         Ok(())
     }
@@ -99,7 +99,7 @@
         let file = self.file.as_mut().ok_or(JournalError::NotOpen)?;
         if let Err(source) = file.write_all(&bytes).and_then(|()| file.sync_data()) {
             let is_cut_off = file
-                .set_len(self.whole_bytes)
+                .set_len(self.valid_bytes)
                 .and_then(|()| file.sync_data())
                 .is_ok();
             if !is_cut_off {
@@ -107,7 +107,7 @@
             }
             return Err(io_error(&self.folder.join(FILE), source));
         }
-        self.whole_bytes += bytes.len() as u64;
+        self.valid_bytes += bytes.len() as u64;
         self.records += 1;
         Ok(())
     }
--- a/crates/management/src/lib.rs
+++ b/crates/management/src/lib.rs
@@ -20,5 +20,5 @@
 pub use handle::{ManagementHandle, Watch};
 pub use journal::Journal;
 pub use request::{Change, Scope};
-pub use start::{open, Started};
+pub use start::{open, InitialState};
 pub use tree::Tree;
--- a/crates/management/src/request.rs
+++ b/crates/management/src/request.rs
@@ -28,7 +28,7 @@
     /// A summary of the change for operators.
     pub summary: String,
     /// How the change must be confirmed; `None` for a permanent change.
-    pub commit: Option<Confirmation>,
+    pub confirmation: Option<Confirmation>,
     /// Whose settings are meant.
     pub scope: Scope,
 }
--- a/crates/management/src/revisions.rs
+++ b/crates/management/src/revisions.rs
@@ -37,7 +37,7 @@
             return drop(answer.send(Err(refused)));
         }
         let document = match self.checked_candidate(&change.edits).await {
-            Err(wrong) => return drop(answer.send(Err(Refused::Wrong(wrong)))),
+            Err(violations) => return drop(answer.send(Err(Refused::Invalid(violations)))),
             Ok(document) => document,
         };
         if self.fleet.is_some() {
@@ -47,7 +47,7 @@
             author: change.author,
             summary: change.summary,
             document,
-            commit: change.commit,
+            confirmation: change.confirmation,
         };
         let _ = answer.send(self.advance(Input::Command(command)).await);
     }
@@ -64,7 +64,9 @@
             summary: change.summary,
             document,
             base_revision: applied.applied_index,
-            commit: change.commit.map(|commit| (commit.id, commit.within)),
+            commit: change
+                .confirmation
+                .map(|confirmation| (confirmation.id, confirmation.within)),
             answer,
         });
     }
@@ -128,18 +130,18 @@
     /// Passes an input to the tracker and carries out its actions, until it answers.
     pub(crate) async fn advance(&mut self, input: Input<Document>) -> Result<u64, Refused> {
         let mut inputs = vec![input];
-        let mut answer = Ok(self.tracker.number());
+        let mut answer = Ok(self.tracker.running_number());
         while let Some(input) = inputs.pop() {
-            for action in self.tracker.on(self.clock.now(), input) {
+            for action in self.tracker.handle(self.clock.now(), input) {
                 match action {
                     Action::Write(record) => inputs.push(Input::Written(self.write(record).await)),
-                    Action::Note(record) => {
+                    Action::WriteUnacknowledged(record) => {
                         if let Err(error) = self.write(record).await {
                             warn!(self.log, "rollback not recorded in the revision journal"; "error" => %error);
                         }
                     }
                     Action::Apply { number, document } => drop(self.apply(number, document).await),
-                    Action::Answer(outcome) => answer = outcome.map_err(Refused::Not),
+                    Action::Answer(outcome) => answer = outcome.map_err(Refused::Tracker),
                 }
             }
         }
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -14,7 +14,7 @@
 use std::path::Path;
 
 /// The initial state of the manager.
-pub struct Started {
+pub struct InitialState {
     /// The schema of the tree.
     pub schema: Schema,
     /// The contents of the configuration file that documents refer to.
@@ -29,8 +29,8 @@
     pub leaves: LeafMap,
     /// The journal of revisions; `None` if they are not persisted.
     pub journal: Option<Journal>,
-    /// Lines for the log.
-    pub notes: Vec<String>,
+    /// Messages about the start, for the log.
+    pub messages: Vec<String>,
 }
 
 /// The running settings with everything derived from them.
@@ -49,17 +49,17 @@
     file: ConfigFile,
     cells: Option<Cells>,
     folder: Option<&Path>,
-) -> Result<Started, OpenError> {
+) -> Result<InitialState, OpenError> {
     let schema = Schema::shipped()?;
     let origin = origin(file, cells);
     let mut running = configured(&schema, &origin)?;
-    let mut notes = Vec::new();
+    let mut messages = Vec::new();
     let mut journal = None;
     if let Some(folder) = folder {
-        running = recover(folder, &schema, &origin, running, &mut notes)?;
-        journal = Some(create_journal(folder, &running.state, &mut notes));
+        running = recover(folder, &schema, &origin, running, &mut messages)?;
+        journal = Some(create_journal(folder, &running.state, &mut messages));
     }
-    Ok(Started {
+    Ok(InitialState {
         schema,
         tracker: RevisionTracker::new(running.state, journal.is_some()),
         configured: origin.document.clone(),
@@ -67,7 +67,7 @@
         registry: running.registry,
         leaves: running.leaves,
         journal,
-        notes,
+        messages,
     })
 }
 
@@ -90,7 +90,7 @@
     let document = &origin.document;
     // A client must be able to read the running settings and send them back: they have to fit the tree.
     let leaves = schema.settings(document).map_err(OpenError::Tree)?;
-    let registry = ClassRegistry::of(document);
+    let registry = ClassRegistry::from_document(document);
     plan(document, document, &registry, &origin.name_index).map_err(OpenError::Violations)?;
     Ok(Running {
         state: PersistedState::configured(document.clone()),
@@ -105,12 +105,12 @@
     schema: &Schema,
     origin: &Origin,
     configured: Running,
-    notes: &mut Vec<String>,
+    messages: &mut Vec<String>,
 ) -> Result<Running, OpenError> {
     let (records, left_out) = Journal::read(folder)?;
-    notes.extend(left_out.map(|text| format!("revision journal recovered: {text}")));
+    messages.extend(left_out.map(|text| format!("revision journal recovered: {text}")));
     let document = &origin.document;
-    let (state, outcome) = PersistedState::open(records, document.clone());
+    let (state, outcome) = PersistedState::replay(records, document.clone());
     let plan = plan(
         document,
         &state.running,
@@ -118,19 +118,19 @@
         &origin.name_index,
     );
     let (Ok(plan), Ok(leaves)) = (plan, schema.settings(&state.running)) else {
-        notes.push(format!(
+        messages.push(format!(
             "revision {} does not fit the configured settings any more: those run",
-            state.number
+            state.running_number
         ));
         return Ok(Running {
             state: PersistedState {
-                next: state.next,
+                next_number: state.next_number,
                 ..configured.state
             },
             ..configured
         });
     };
-    notes.extend(note(&outcome, state.number));
+    messages.extend(start_message(&outcome, state.running_number));
     Ok(Running {
         state,
         registry: plan.registry,
@@ -139,9 +139,9 @@
 }
 
 /// The line that the log shows about the start, if any.
-fn note(outcome: &StartOutcome, running: u64) -> Option<String> {
+fn start_message(outcome: &StartOutcome, running: u64) -> Option<String> {
     match outcome {
-        StartOutcome::Nothing | StartOutcome::Revision(0) => None,
+        StartOutcome::EmptyJournal | StartOutcome::Revision(0) => None,
         StartOutcome::Revision(number) => Some(format!("revision {number} runs")),
         StartOutcome::RolledBack(number) => Some(format!(
             "revision {number} was not confirmed and is rolled back; {running} runs"
@@ -155,17 +155,17 @@
 fn create_journal(
     folder: &Path,
     state: &PersistedState<Document>,
-    notes: &mut Vec<String>,
+    messages: &mut Vec<String>,
 ) -> Journal {
     Journal::create(folder, state).unwrap_or_else(|error| {
-        notes.push(format!(
+        messages.push(format!(
             "revisions can't be persisted, changes are refused: {error}"
         ));
         Journal::closed(folder)
     })
 }
 
-impl Started {
+impl InitialState {
     /// The policy config of the running settings.
     pub fn policy_config(&self) -> PolicyConfig {
         self.origin
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -58,7 +58,7 @@
         started.policy_config().max_retry_after,
         started.tracker.running().max_retry_after as f64
     );
-    (started.tracker.running().max_retry_after, started.notes)
+    (started.tracker.running().max_retry_after, started.messages)
 }
 
 fn set(
@@ -74,8 +74,8 @@
         created_at: 1e12,
         summary,
         state,
-        commit: None,
-        until: None,
+        commit_id: None,
+        confirm_by: None,
     };
     Record::Set {
         revision,
@@ -90,7 +90,7 @@
 fn cut_at_every_byte_of_its_last_records_a_start_runs_the_last_whole_revision() {
     let base = base();
     let records = [
-        Record::Whole(PersistedState::configured(base.clone())),
+        Record::Snapshot(PersistedState::configured(base.clone())),
         set(1, 10, RevisionState::Running, &base),
         set(2, 20, RevisionState::Unconfirmed, &base),
         Record::Confirmed { number: 2 },
--- a/crates/management/tests/pinned_forms.rs
+++ b/crates/management/tests/pinned_forms.rs
@@ -24,7 +24,7 @@
     let kinds: Vec<&str> = records
         .iter()
         .map(|r| match r {
-            Record::Whole(_) => "whole",
+            Record::Snapshot(_) => "whole",
             Record::Set { .. } => "set",
             Record::Confirmed { .. } => "confirmed",
             Record::RolledBack { .. } => "taken back",
@@ -36,7 +36,7 @@
     );
 
     let other = tempfile::tempdir().unwrap();
-    let Record::Whole(first) = &records[0] else {
+    let Record::Snapshot(first) = &records[0] else {
         panic!("{:?}", records[0])
     };
     let mut journal = Journal::create(other.path(), first).unwrap();
@@ -56,11 +56,11 @@
 fn a_start_with_the_pinned_journal_file_runs_the_pinned_revision() {
     let folder = tempfile::tempdir().unwrap();
     let records = read(folder.path());
-    let Record::Whole(first) = &records[0] else {
+    let Record::Snapshot(first) = &records[0] else {
         panic!("{:?}", records[0])
     };
-    let (persisted, _) = PersistedState::open(records.clone(), first.configured.clone());
-    assert_eq!((persisted.number, persisted.next), (5, 7));
+    let (persisted, _) = PersistedState::replay(records.clone(), first.configured.clone());
+    assert_eq!((persisted.running_number, persisted.next_number), (5, 7));
     let running = serde_json::to_value(&persisted.running).unwrap();
     let want: serde_json::Value = serde_json::from_str(&FORMS.text("running.json")).unwrap();
     assert_eq!(running, want);
