--- a/crates/config-change/src/command.rs
+++ b/crates/config-change/src/command.rs
@@ -3,48 +3,54 @@
 use crate::record::Record;
 use ironstair::Millis;
 
-/// The time in ms within which a change must be confirmed if its client does not state one, and the bounds of the time
-/// that a client may state. A shorter time ends before a person has looked at the effect; a longer one is forgotten.
+/// The time in ms within which a change must be confirmed if its client does not state one.
 const CONFIRM_WITHIN_DEFAULT: Millis = 600_000.0;
+/// The shortest time that a client may state. A person could not check the effect of a change in less.
 const CONFIRM_WITHIN_MIN: Millis = 1000.0;
+/// The longest time that a client may state: one day. An operator would forget a change that stays unconfirmed longer.
 const CONFIRM_WITHIN_MAX: Millis = 86_400_000.0;
 
-/// The time to confirm a change is out of bounds.
+/// The requested time to confirm a change, in ms, is out of bounds.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-#[error("is outside {} s to {} s", CONFIRM_WITHIN_MIN / 1000.0, CONFIRM_WITHIN_MAX / 1000.0)]
-pub struct ConfirmWithinError;
+#[error(
+    "of {} ms is outside {} s to {} s",
+    .0,
+    CONFIRM_WITHIN_MIN / 1000.0,
+    CONFIRM_WITHIN_MAX / 1000.0
+)]
+pub struct ConfirmWithinError(pub Millis);
 
 /// The time in ms within which a change must be confirmed, from the time that its client requests.
 ///
 /// # Errors
-/// Fails if the time is out of bounds. The error is the end of a sentence that begins with the field's name.
+/// Fails if the time is out of bounds. The error completes a sentence that begins with the name of the field.
 pub fn confirm_within(requested: Option<Millis>) -> Result<Millis, ConfirmWithinError> {
     let within = requested.unwrap_or(CONFIRM_WITHIN_DEFAULT);
     if (CONFIRM_WITHIN_MIN..=CONFIRM_WITHIN_MAX).contains(&within) {
         return Ok(within);
     }
-    Err(ConfirmWithinError)
+    Err(ConfirmWithinError(within))
 }
 
 /// How a change must be confirmed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirmation {
-    /// The id to confirm it by.
+    /// The id by which the change is confirmed.
     pub id: String,
-    /// The time within which, in ms.
+    /// The time within which it must be confirmed, in ms.
     pub within: Millis,
 }
 
-/// A command of a client.
+/// A command that a client sends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<D> {
-    /// Sets other settings.
+    /// Replaces the settings.
     Set {
         /// The author of the change.
         author: String,
         /// A summary of the change.
         summary: String,
-        /// The settings.
+        /// The new settings.
         document: D,
         /// How the change must be confirmed; `None` for a permanent change.
         confirmation: Option<Confirmation>,
@@ -78,17 +84,17 @@
 pub enum Input<D> {
     /// A command. The next one must wait until this one is answered.
     Command(Command<D>),
-    /// The result of the requested write.
+    /// The result of the write requested by [`Action::Write`].
     Written(Result<(), WriteError>),
-    /// The time of [`crate::RevisionTracker::due`] has come.
+    /// The time that [`crate::RevisionTracker::due`] returned has been reached.
     Due,
 }
 
 /// Why a command was refused.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// A revision is unconfirmed: only a confirmation, a cancellation or another time is accepted.
-    #[error("revision {number} waits to be confirmed under {id:?}: confirm or cancel it first")]
+    /// A revision is unconfirmed: only its confirmation, its cancellation or an extension of its time is accepted.
+    #[error("revision {number} is unconfirmed: confirm or cancel it by its id {id:?} first")]
     Unconfirmed {
         /// The number of the revision.
         number: u64,
@@ -96,20 +102,20 @@
         id: String,
     },
     /// No unconfirmed revision has that id.
-    #[error("nothing waits to be confirmed under {id:?}: it was confirmed or rolled back already")]
+    #[error("no unconfirmed change has the id {id:?}; it may have been confirmed or rolled back already")]
     NoSuchCommit {
         /// The id in the command.
         id: String,
     },
     /// The change could not be persisted; nothing has changed.
-    #[error("the change can't be persisted, and was not made: {reason}")]
+    #[error("the change was not made: it can't be persisted: {reason}")]
     NotPersisted {
         /// The error of the write.
         #[source]
         reason: WriteError,
     },
     /// An earlier command is not answered yet.
-    #[error("another change is being made")]
+    #[error("another change is in progress")]
     Busy,
 }
 
@@ -127,6 +133,6 @@
         /// The settings.
         document: D,
     },
-    /// Answer the command with the number of the revision that is running then, or the refusal.
+    /// Answer the command with the number of the revision that is running now, or with the refusal.
     Answer(Result<u64, Refusal>),
 }
--- a/crates/config-change/src/decimal.rs
+++ b/crates/config-change/src/decimal.rs
@@ -4,18 +4,18 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// A decimal64 with that many fraction digits; text in JSON.
+/// A decimal64 with `DIGITS` fraction digits. In JSON it is a string (RFC 7951).
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Decimal<const DIGITS: u32>(pub(crate) f64);
 
 impl<const DIGITS: u32> Decimal<DIGITS> {
-    /// The nearest number with at most that many fraction digits.
+    /// Rounds to the nearest number with at most `DIGITS` fraction digits.
     pub fn rounded(number: f64) -> Self {
         let scale = 10f64.powi(DIGITS as i32);
         Decimal((number * scale).round() / scale)
     }
 
-    /// The number.
+    /// The value as a floating-point number.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -49,9 +49,9 @@
 impl<'de, const DIGITS: u32> Deserialize<'de> for Decimal<DIGITS> {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        let number = text.parse::<f64>().ok().filter(|x| x.is_finite());
+        let number = text.parse::<f64>().ok().filter(|number| number.is_finite());
         number
             .map(Self::rounded)
-            .ok_or_else(|| D::Error::custom(format!("{text} is no decimal")))
+            .ok_or_else(|| D::Error::custom(format!("{text:?} is not a finite decimal number")))
     }
 }
--- a/crates/config-change/src/document.rs
+++ b/crates/config-change/src/document.rs
@@ -39,18 +39,18 @@
     DedupDomain,
 }
 
-/// The least severe level that is logged.
+/// A level of the log. More severe levels come first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
-    /// Something has ended by a failure.
+    /// An operation has failed.
     Error,
     /// An operator may have to act.
     Warning,
     /// Changes of state.
     #[default]
     Info,
-    /// All events.
+    /// Details for debugging.
     Debug,
 }
 
@@ -84,9 +84,9 @@
     #[serde(rename = "payoff")]
     pub value: Decimal<6>,
     /// The threads that a request uses at its engine.
-    #[serde(default = "one")]
+    #[serde(default = "default_threads")]
     pub threads: u16,
-    /// Whether it may run more than once.
+    /// Whether a request of the class may run more than once.
     #[serde(rename = "repeat")]
     pub repeat_safety: RepeatSafety,
     /// The engines among which a repetition is recognized.
@@ -106,18 +106,19 @@
     pub machine_types: Vec<String>,
 }
 
-fn one() -> u16 {
+fn default_threads() -> u16 {
     1
 }
 
-/// The retries that a gateway may make within any time window: `spare`, and `share` of the requests accepted.
+/// The retries that a gateway may make within any time window: `min_retries`, plus `retry_ratio` for each accepted
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RetryBudget {
-    /// Retries that do not depend on the number of requests.
+    /// The retries allowed regardless of the number of requests.
     #[serde(rename = "spare")]
     pub min_retries: u32,
-    /// Retries per request.
+    /// The retries allowed in addition per accepted request.
     #[serde(rename = "share")]
     pub retry_ratio: Decimal<4>,
     /// The length of the window in ms.
@@ -125,17 +126,17 @@
     pub window: u32,
 }
 
-/// The slow start of engines, and the overload of an engine.
+/// The slow start of engines, and when an engine counts as overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SlowStart {
-    /// The share of its capacity that an engine has at its start.
+    /// The share of its capacity that an engine is given when it starts.
     #[serde(rename = "from")]
     pub initial_share: Decimal<4>,
-    /// The time in ms until it has its whole capacity.
+    /// The time in ms until it is given its full capacity.
     #[serde(rename = "warm-after")]
     pub slow_start_duration: u32,
-    /// The multiple of its capacity at which an engine counts as overloaded, over all gateways together.
+    /// The multiple of its capacity at which an engine counts as overloaded, by the load of all gateways together.
     #[serde(rename = "multiple")]
     pub overload_factor: Decimal<3>,
     /// The window in ms over which overload is counted.
@@ -204,8 +205,8 @@
     pub(crate) fn index(names: &[String], name: &str) -> Option<u16> {
         names
             .iter()
-            .position(|n| n.eq_ignore_ascii_case(name))
-            .and_then(|i| u16::try_from(i).ok())
+            .position(|known| known.eq_ignore_ascii_case(name))
+            .and_then(|index| u16::try_from(index).ok())
     }
 }
 
--- a/crates/config-change/src/document/cells.rs
+++ b/crates/config-change/src/document/cells.rs
@@ -1,4 +1,4 @@
-//! Tenants confined to a part of the engines.
+//! The cells of a document: groups of engines to which tenants are confined.
 
 use super::validate::{violation, Violation};
 use crate::decimal::Decimal;
@@ -6,10 +6,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 
-/// The number of every assignment. A new one is made for each document, and no two are compared.
+/// The number given to each assignment. It may be constant: every document gets a new assignment, and assignments are
+/// never compared.
 const ASSIGNMENT_NUMBER: u64 = 1;
 
-/// Tenants confined to a part of the engines.
+/// Groups of engines, and the tenants confined to them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Cells {
@@ -28,7 +29,7 @@
     /// If set, requests of a tenant whose cells have no ready engine are rejected with this retry-after in ms.
     #[serde(default, rename = "turn-back", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u32>,
-    /// If set, such a tenant may use this share of other cells.
+    /// If set, requests of such a tenant may use this share of the other cells instead.
     #[serde(default, rename = "lend", skip_serializing_if = "Option::is_none")]
     pub overflow_share: Option<Decimal<4>>,
 }
@@ -74,10 +75,12 @@
 }
 
 impl Cells {
-    /// The directory by which a gateway routes. `hash` maps a name to an id and must be the same at every gateway.
+    /// The directory by which a gateway finds the cells of engines and tenants. `hash` maps a name to an id and must be
+    /// the same at every gateway.
     ///
     /// # Errors
-    /// Fails with the path if a cell does not exist, there are too many cells, or the shard size is impossible.
+    /// Fails if a cell does not exist, there are too many cells, or the shard size does not fit their number. The
+    /// violation names the path.
     pub fn cell_directory(&self, hash: fn(&[u8]) -> u64) -> Result<CellDirectory, Violation> {
         let assignment = self.assignment()?;
         let assignment = self.pin_engines(assignment, hash)?;
@@ -94,14 +97,14 @@
                 weight: cell.weight.get(),
             })
             .collect();
-        // The order in which the cells are configured must not matter.
+        // The assignment must not depend on the order in which the cells are configured.
         cells.sort_by(|left, right| left.name.cmp(&right.name));
         Assignment::new(ASSIGNMENT_NUMBER, &cells, self.shard_size as usize).map_err(|error| {
             let field = match error {
                 AssignmentError::ShardSize(_) => "shard",
                 _ => "cell",
             };
-            at(field, &error)
+            cells_violation(field, &error)
         })
     }
 
@@ -115,7 +118,9 @@
             let id = hash(pin.name.to_ascii_lowercase().as_bytes());
             assignment = assignment
                 .pin_engine(id, Some(&pin.cell))
-                .map_err(|error| at(&format!("engine[name={}]/cell", pin.name), &error))?;
+                .map_err(|error| {
+                    cells_violation(&format!("engine[name={}]/cell", pin.name), &error)
+                })?;
         }
         Ok(assignment)
     }
@@ -129,22 +134,24 @@
             let names: Vec<&str> = pin.cells.iter().map(String::as_str).collect();
             assignment = assignment
                 .pin_tenant(hash(pin.name.as_bytes()), Some(&names))
-                .map_err(|error| at(&format!("tenant[name={}]/cell", pin.name), &error))?;
+                .map_err(|error| {
+                    cells_violation(&format!("tenant[name={}]/cell", pin.name), &error)
+                })?;
         }
         Ok(assignment)
     }
 
     fn no_capacity_policy(&self) -> Result<NoCapacityPolicy, Violation> {
         match (self.retry_after, self.overflow_share) {
-            (Some(_), Some(_)) => Err(at("lend", &"either turn-back or lend")),
+            (Some(_), Some(_)) => Err(cells_violation("lend", &"either turn-back or lend")),
             (_, Some(share)) => Ok(NoCapacityPolicy::Overflow { share: share.get() }),
-            (ms, None) => Ok(NoCapacityPolicy::Reject {
-                retry_after: ms.unwrap_or(0) as f64,
+            (retry_after, None) => Ok(NoCapacityPolicy::Reject {
+                retry_after: retry_after.unwrap_or(0) as f64,
             }),
         }
     }
 }
 
-fn at(field: &str, reason: &dyn Display) -> Violation {
+fn cells_violation(field: &str, reason: &dyn Display) -> Violation {
     violation(format!("/settings/cells/{field}"), reason.to_string())
 }
--- a/crates/config-change/src/document/validate.rs
+++ b/crates/config-change/src/document/validate.rs
@@ -1,4 +1,5 @@
-//! The rules for a document that the types and ranges of the tree do not express.
+//! The rules for a document that the types and ranges of the settings tree cannot express. A reason that corresponds to
+//! a `must` statement repeats its `error-message` in the YANG module.
 
 use super::{class_path, Class, DeduplicationScope, Document, NameIndex, RepeatSafety};
 use serde::{Deserialize, Serialize};
@@ -10,7 +11,7 @@
 pub struct Violation {
     /// The node in the settings tree.
     pub path: String,
-    /// A sentence that says why.
+    /// A clause that states the reason.
     #[serde(rename = "why")]
     pub reason: String,
 }
@@ -23,34 +24,36 @@
 }
 
 impl Document {
-    /// All violations of the `must` statements of the YANG module, and all names that are not configured.
+    /// All violations of the `must` statements of the YANG module, and all names of zones and machine types that are
+    /// not configured.
     pub fn violations(&self, name_index: &NameIndex) -> Vec<Violation> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         if self.classes.is_empty() {
-            found.push(violation("/settings/band", "there must be a band"));
+            violations.push(violation("/settings/band", "at least one band is required"));
         }
         let mut names = BTreeSet::new();
         for class in &self.classes {
             if !names.insert(&class.name) {
                 let path = class_path(&class.name, "name");
-                found.push(violation(path, "the name is there twice"));
+                let reason = format!("another band has the name {:?}", class.name);
+                violations.push(violation(path, reason));
             }
-            found.extend(class.violations());
-            found.extend(class.unknown_names(name_index));
+            violations.extend(class.violations());
+            violations.extend(class.unknown_names(name_index));
         }
-        // Only the names are checked here; any hash will do.
-        found.extend(
+        // This only checks names and counts, so any hash function will do.
+        violations.extend(
             self.cells
                 .iter()
                 .filter_map(|cells| cells.cell_directory(|name| name.len() as u64).err()),
         );
-        found
+        violations
     }
 }
 
 impl Class {
     fn violations(&self) -> Vec<Violation> {
-        let tagged = self.repeat_safety == RepeatSafety::Tagged;
+        let is_tagged = self.repeat_safety == RepeatSafety::Tagged;
         let rules = [
             (
                 self.hard_limit < self.base_objective,
@@ -58,17 +61,17 @@
                 "the hard limit is shorter than the expected time",
             ),
             (
-                !tagged && self.dedup_scope != DeduplicationScope::All,
+                !is_tagged && self.dedup_scope != DeduplicationScope::All,
                 "within",
                 "within is for tagged bands",
             ),
             (
-                !tagged && self.dedup_window.is_some(),
+                !is_tagged && self.dedup_window.is_some(),
                 "window",
                 "window is for tagged bands",
             ),
             (
-                tagged && self.dedup_window.is_none(),
+                is_tagged && self.dedup_window.is_none(),
                 "window",
                 "a tagged band needs its window",
             ),
@@ -81,9 +84,9 @@
     }
 
     fn unknown_names(&self, name_index: &NameIndex) -> Vec<Violation> {
-        let zones = unknown(&self.zones, &name_index.zones).map(|name| ("zone", name));
+        let zones = unknown_of(&self.zones, &name_index.zones).map(|name| ("zone", name));
         let kinds =
-            unknown(&self.machine_types, &name_index.machine_types).map(|name| ("kind", name));
+            unknown_of(&self.machine_types, &name_index.machine_types).map(|name| ("kind", name));
         zones
             .chain(kinds)
             .map(|(field, name)| {
@@ -94,7 +97,7 @@
     }
 }
 
-fn unknown<'a>(names: &'a [String], known: &'a [String]) -> impl Iterator<Item = &'a String> {
+fn unknown_of<'a>(names: &'a [String], known: &'a [String]) -> impl Iterator<Item = &'a String> {
     names
         .iter()
         .filter(|name| NameIndex::index(known, name).is_none())
--- a/crates/config-change/src/intersection.rs
+++ b/crates/config-change/src/intersection.rs
@@ -1,12 +1,12 @@
-//! The intersection of two policies. While a change is in progress in a fleet, some gateways apply the old policy and
-//! some the new one. Together they must not violate either.
+//! The intersection of two documents. While a change is in progress in a fleet, some gateways apply the old settings
+//! and some the new ones; together they must not violate either.
 
 use crate::document::{Class, Document, RetryBudget, SlowStart};
 use crate::registry::ClassSlot;
 
 impl Document {
-    /// The stricter value of each field that limits the sum over all gateways; other fields are those of `self`. `None`
-    /// if the two have no class in common.
+    /// A document with the stricter value of each field that limits what all gateways do together; other fields are
+    /// those of `self`. `None` if the two have no class in common.
     pub fn intersection(&self, other: &Document) -> Option<Document> {
         let classes: Vec<Class> = self
             .classes
@@ -63,8 +63,8 @@
     (!in_both.is_empty()).then_some(in_both)
 }
 
-/// `None` means that retries are not limited. Counts over windows of different lengths do not limit each other, so that
-/// no retry is allowed then.
+/// `None` means that retries are not limited. Budgets over windows of different lengths cannot be compared, so no retry
+/// is allowed then.
 fn retry_budget_intersection(
     left: Option<RetryBudget>,
     right: Option<RetryBudget>,
--- a/crates/config-change/src/journal.rs
+++ b/crates/config-change/src/journal.rs
@@ -7,9 +7,10 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// The longest body of a record in bytes; a greater length is treated as damage.
+/// The longest body of a record in bytes. A greater length in a journal is treated as damage, so that a damaged length
+/// is not followed.
 pub const MAX_RECORD_BYTES: usize = 4 << 20;
-/// The bytes of length and checksum.
+/// The size of a record's header: length and checksum, 4 bytes each.
 const HEADER_BYTES: usize = 8;
 
 /// Why a record can't be written.
@@ -19,9 +20,9 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The record is longer than [`MAX_RECORD_BYTES`].
-    #[error("a record of {bytes} bytes is too long")]
+    #[error("a record of {bytes} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")]
     TooLong {
-        /// Its length.
+        /// The length of its body.
         bytes: usize,
     },
 }
@@ -30,17 +31,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The bytes end before the record does.
-    #[error("torn")]
-    Torn,
+    #[error("the record is incomplete")]
+    Incomplete,
     /// The length exceeds [`MAX_RECORD_BYTES`].
-    #[error("no length")]
-    Length,
-    /// The checksum differs.
-    #[error("checksum differs")]
+    #[error("the record's length of {bytes} bytes exceeds the limit of {MAX_RECORD_BYTES} bytes")]
+    TooLong {
+        /// The length according to the header.
+        bytes: usize,
+    },
+    /// The checksum does not match the record.
+    #[error("the record's checksum does not match")]
     Checksum,
-    /// The checksum is right, and the JSON is not a known record.
-    #[error("no record")]
-    Json,
+    /// The checksum matches, but the body is not a record that this version supports.
+    #[error("this version does not support the record")]
+    Unsupported,
 }
 
 /// The content of a journal.
@@ -48,7 +52,7 @@
 pub struct Decoded<D> {
     /// The complete records at the start.
     pub records: Vec<Record<D>>,
-    /// The length of these records in bytes.
+    /// The length of these records in bytes: the offset of the first byte that is not part of a complete record.
     pub valid_bytes: usize,
     /// Why the bytes after them are not a record; `None` if no bytes follow.
     pub error: Option<DecodeError>,
@@ -93,22 +97,26 @@
 
 /// Decodes the first record; returns it with its length in bytes.
 fn decode_first<D: DeserializeOwned>(bytes: &[u8]) -> Result<(Record<D>, usize), DecodeError> {
-    let number = |at: usize| {
+    let read_u32 = |offset: usize| {
         bytes
-            .get(at..at + 4)
+            .get(offset..offset + 4)
             .and_then(|bytes| bytes.try_into().ok())
             .map(u32::from_le_bytes)
     };
-    let (length, checksum) = number(0).zip(number(4)).ok_or(DecodeError::Torn)?;
+    let (length, checksum) = read_u32(0)
+        .zip(read_u32(4))
+        .ok_or(DecodeError::Incomplete)?;
     let length = length as usize;
     if length > MAX_RECORD_BYTES {
-        return Err(DecodeError::Length);
+        return Err(DecodeError::TooLong { bytes: length });
     }
     let end = HEADER_BYTES + length;
-    let body = bytes.get(HEADER_BYTES..end).ok_or(DecodeError::Torn)?;
+    let body = bytes
+        .get(HEADER_BYTES..end)
+        .ok_or(DecodeError::Incomplete)?;
     if crc32c::crc32c_append(crc32c::crc32c(&bytes[..4]), body) != checksum {
         return Err(DecodeError::Checksum);
     }
-    let record = serde_json::from_slice(body).map_err(|_| DecodeError::Json)?;
+    let record = serde_json::from_slice(body).map_err(|_| DecodeError::Unsupported)?;
     Ok((record, end))
 }
--- a/crates/config-change/src/origin.rs
+++ b/crates/config-change/src/origin.rs
@@ -1,18 +1,18 @@
-//! Conversion of a settings document to the policy config.
+//! Conversion of a settings document to the policy config, relative to the configured one.
 
 use crate::document::{Class, DeduplicationScope, Document, NameIndex, RepeatSafety};
 use crate::registry::{ClassRegistry, ClassSlot};
 use ironstair::{ClassPolicy, DedupScope, Effect, Millis, PolicyConfig, RetryBudget};
 
 /// The configured policy config and the document made from it. Every policy config is derived from both: a setting that
-/// was not changed keeps its configured number exactly, although the document holds a rounded one.
+/// the running document does not change keeps the exact number of the configuration, which is rounded in the document.
 #[derive(Clone)]
 pub struct Origin {
     /// The configured policy config.
     pub policy_config: PolicyConfig,
     /// The document made from it.
     pub document: Document,
-    /// The names of zones and kinds by index.
+    /// The names of zones and machine types by index.
     pub name_index: NameIndex,
 }
 
@@ -84,16 +84,16 @@
             .zip(&self.policy_config.classes)
             .find(|(class, _)| is_slot(class));
         let Some(class) = to.classes.iter().find(is_slot) else {
-            return closed(slot, configured.map(|(_, policy)| policy));
+            return out_of_service_policy(slot, configured.map(|(_, policy)| policy));
         };
-        let mut policy = self.policy_of(class);
+        let mut policy = self.converted_policy(class);
         if let Some((before, configured)) = configured {
-            keep_unchanged(&mut policy, class, before, configured);
+            keep_configured_values(&mut policy, class, before, configured);
         }
         policy
     }
 
-    fn policy_of(&self, class: &Class) -> ClassPolicy {
+    fn converted_policy(&self, class: &Class) -> ClassPolicy {
         ClassPolicy {
             base_objective: class.base_objective as f64,
             objective_per_work: class.objective_per_work.get(),
@@ -110,9 +110,9 @@
     }
 }
 
-/// The policy of a class that is out of service. No new request can have it; open requests keep the policy under which
-/// they were accepted.
-fn closed(slot: &ClassSlot, configured: Option<&ClassPolicy>) -> ClassPolicy {
+/// The policy of a class that is out of service. It applies to no new request; open requests keep the policy under
+/// which they were accepted.
+fn out_of_service_policy(slot: &ClassSlot, configured: Option<&ClassPolicy>) -> ClassPolicy {
     let before = configured.cloned().unwrap_or_default();
     ClassPolicy {
         out_of_service: true,
@@ -133,7 +133,7 @@
 }
 
 /// Keeps the configured values of settings for which the document has no field, and of those that it does not change.
-fn keep_unchanged(
+fn keep_configured_values(
     policy: &mut ClassPolicy,
     class: &Class,
     before: &Class,
@@ -161,11 +161,11 @@
 }
 
 fn indices(names: &[String], known: &[String]) -> Option<Vec<u16>> {
-    let found = names
+    let indices = names
         .iter()
         .filter_map(|name| NameIndex::index(known, name))
         .collect();
-    (!names.is_empty()).then_some(found)
+    (!names.is_empty()).then_some(indices)
 }
 
 fn effect(repeat: RepeatSafety, within: DeduplicationScope) -> Effect {
--- a/crates/config-change/src/plan.rs
+++ b/crates/config-change/src/plan.rs
@@ -1,5 +1,5 @@
-//! The effects of a change of the settings. The change is checked completely; then the dispatcher applies the whole new
-//! policy config between two events, or nothing of it.
+//! The effects of a change of the settings. The change is checked as a whole, so that the dispatcher can apply the new
+//! policy config completely, between two events, or not at all.
 
 mod fields;
 
@@ -8,7 +8,7 @@
 use fields::{cells_text, CLASS_FIELDS, DOCUMENT_FIELDS, FIXED_FIELDS};
 use std::collections::BTreeMap;
 
-/// The text for a class that is added or removed.
+/// The value of a class in the list of changes when it is added or removed.
 const IN_SERVICE: &str = "in service";
 
 /// When a changed field takes effect.
@@ -25,7 +25,7 @@
 /// One field that changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldChange {
-    /// The node in the settings tree.
+    /// The path of the node in the settings tree.
     pub path: String,
     /// The old value; `None` if there was none.
     pub from: Option<String>,
@@ -47,7 +47,7 @@
 /// Plans the change from the running document to the proposed one.
 ///
 /// # Errors
-/// Fails with all violations.
+/// Fails with all violations of the proposed document, and with all changes that are not possible in service.
 pub fn plan(
     from: &Document,
     to: &Document,
@@ -76,13 +76,16 @@
             .iter()
             .filter(|(_, is_same)| !is_same(before, &slot))
             .map(|(field, _)| {
-                let reason = "cannot change in service: take the band out and use another name";
+                let reason =
+                    "cannot change in service: remove the band and add it under another name";
                 violation(class_path(&class.name, field), reason)
             })
             .collect();
     }
     if registry.0.len() >= MAX_CLASSES {
-        let reason = format!("more than {MAX_CLASSES} bands since the start: it takes a restart");
+        let reason = format!(
+            "the gateway has had {MAX_CLASSES} bands since its start, the limit: restart it to add more"
+        );
         return vec![violation(class_path(&class.name, "name"), reason)];
     }
     registry.0.push(slot);
@@ -97,7 +100,7 @@
         .collect();
     let mut changes = Vec::new();
     for class in &to.classes {
-        let Some(old) = before.get(class.name.as_str()) else {
+        let Some(old_class) = before.get(class.name.as_str()) else {
             changes.push(FieldChange {
                 path: class_node(&class.name),
                 from: None,
@@ -107,9 +110,9 @@
             continue;
         };
         for (field, takes_effect, text) in CLASS_FIELDS {
-            changes.extend(change(
+            changes.extend(field_change(
                 class_path(&class.name, field),
-                Some(text(old)),
+                Some(text(old_class)),
                 Some(text(class)),
                 takes_effect,
             ));
@@ -128,21 +131,21 @@
 fn document_changes(from: &Document, to: &Document) -> Vec<FieldChange> {
     let mut changes = Vec::new();
     for (field, text) in DOCUMENT_FIELDS {
-        changes.extend(change(
+        changes.extend(field_change(
             format!("/settings/{field}"),
             text(from),
             text(to),
             TakesEffect::Immediately,
         ));
     }
-    // The cells are compared as a whole: the cells of a tenant depend on all of them.
-    changes.extend(change(
+    // The cells are compared as a whole, since the assignment of a tenant depends on all of them.
+    changes.extend(field_change(
         "/settings/cells".into(),
         from.cells.as_ref().map(cells_text),
         to.cells.as_ref().map(cells_text),
         TakesEffect::Immediately,
     ));
-    changes.extend(change(
+    changes.extend(field_change(
         "/settings/log/level".into(),
         Some(from.log.level.as_str().into()),
         Some(to.log.level.as_str().into()),
@@ -151,7 +154,7 @@
     changes
 }
 
-fn change(
+fn field_change(
     path: String,
     from: Option<String>,
     to: Option<String>,
--- a/crates/config-change/src/plan/fields.rs
+++ b/crates/config-change/src/plan/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of the document with their text for operators and the time at which a change of each takes effect.
+//! The fields of the document: how operators see their values, and when a change of each takes effect.
 
 use super::TakesEffect::{self, ForNewRequests, Immediately};
 use crate::decimal::Decimal;
@@ -31,7 +31,8 @@
 
 type IsSame = fn(&ClassSlot, &ClassSlot) -> bool;
 
-/// The fields that must not change: the guarantees given to a request about repetition, order and size rely on them.
+/// The fields of a class that must not change: what requests were promised about repetition and order, and the threads
+/// they were accounted with, depends on them.
 pub(super) const FIXED_FIELDS: [(&str, IsSame); 4] = [
     ("repeat", |left, right| {
         left.repeat_safety == right.repeat_safety
@@ -85,7 +86,7 @@
     }),
 ];
 
-/// The cells as one text. Its form is fixed, and does not depend on the names in the code.
+/// The cells as one string. Its form is written out here, so that it does not change with the names in the code.
 pub(super) fn cells_text(cells: &Cells) -> String {
     let cell = |cell: &Cell| {
         let weight = decimal_text(cell.weight);
--- a/crates/config-change/src/record.rs
+++ b/crates/config-change/src/record.rs
@@ -1,4 +1,4 @@
-//! The persisted form of the revisions.
+//! The records of the revision journal.
 
 use crate::revision::RevisionSummary;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
     /// The whole state: the settings of the configuration file, the running ones, and the revisions.
     #[serde(rename = "whole")]
     Snapshot(PersistedState<D>),
-    /// A new revision is running.
+    /// A new revision is running, permanently or until it is confirmed.
     Set {
         /// The revision.
         #[serde(rename = "line")]
@@ -32,10 +32,10 @@
     },
 }
 
-/// The state that a start needs.
+/// The state of the revisions as a start restores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState<D> {
-    /// The settings of the configuration file at the time of writing.
+    /// The settings of the configuration file when this state was written.
     #[serde(rename = "told")]
     pub configured: D,
     /// The running settings.
--- a/crates/config-change/src/registry.rs
+++ b/crates/config-change/src/registry.rs
@@ -2,10 +2,11 @@
 
 use crate::document::{Class, DeduplicationScope, Document, RepeatSafety};
 
-/// Limit of the classes since the start. An index is never used again, since requests, charges and pacing refer to it.
+/// The limit of classes since the start. It bounds the memory: indices are never reused, since requests, charges and
+/// pacing refer to them.
 pub const MAX_CLASSES: usize = 256;
 
-/// The fields of a class that never change. Its position in the registry is the index of the class.
+/// The fields of a class that never change. The position of the slot in the registry is the index of the class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSlot {
     /// The name of the class.
--- a/crates/config-change/src/replay.rs
+++ b/crates/config-change/src/replay.rs
@@ -1,4 +1,4 @@
-//! The state that results from the records of a journal.
+//! Determines the state at a start from the records of a journal.
 
 use crate::record::{PersistedState, Record};
 use crate::revision::{find_mut, push_bounded, Numbered, RevisionState, RevisionSummary};
@@ -8,16 +8,17 @@
 pub enum StartOutcome {
     /// The journal is empty: the configuration file runs.
     EmptyJournal,
-    /// The configuration file has not changed: the last confirmed revision runs.
+    /// The configuration file has not changed: the revision of this number, the last permanent one, runs.
     Revision(u64),
     /// The configuration file has changed: it runs, and the revisions are kept as history.
     Reconfigured,
-    /// A revision was unconfirmed and is rolled back.
+    /// The revision of this number was unconfirmed and is rolled back.
     RolledBack(u64),
 }
 
 impl<D: Clone + PartialEq> PersistedState<D> {
-    /// Replays the records of a journal. `configured` are the current settings of the configuration file.
+    /// Replays the records of a journal and rolls an unconfirmed revision back. `configured` are the current settings
+    /// of the configuration file.
     pub fn replay(records: Vec<Record<D>>, configured: D) -> (PersistedState<D>, StartOutcome) {
         let mut replay: Option<Replay<D>> = None;
         for record in records {
@@ -31,7 +32,7 @@
                 }
                 (Record::Confirmed { number }, Some(replay)) => replay.confirm(number),
                 (Record::RolledBack { number }, Some(replay)) => replay.roll_back(number),
-                // Records before the first whole state can't be applied.
+                // Without a snapshot before them, records can't be applied.
                 (_, None) => {}
             }
         }
@@ -90,8 +91,8 @@
     }
 
     fn set(&mut self, revision: RevisionSummary, document: D) {
-        // The tracker accepts no change while a revision is unconfirmed. That revision must have been rolled back, and
-        // the record of the rollback was lost.
+        // The tracker accepts no change while a revision is unconfirmed, so that revision has been rolled back and the
+        // record of the rollback was lost.
         if let Some(unconfirmed) = self.unconfirmed.take() {
             self.state.roll_back(unconfirmed.before);
         }
--- a/crates/config-change/src/revision.rs
+++ b/crates/config-change/src/revision.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Limit of the revisions that are kept; the oldest is removed first.
+/// The number of revisions that are kept; the oldest is removed first.
 pub const MAX_REVISIONS: usize = 32;
 
 /// The state of a revision.
@@ -25,7 +25,7 @@
 /// A revision without its document, as it is persisted and shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RevisionSummary {
-    /// The number, from 1; 0 means the configuration file.
+    /// The number, from 1 on; 0 stands for the configuration file.
     pub number: u64,
     /// The author of the change.
     #[serde(rename = "who")]
@@ -39,7 +39,7 @@
     /// Its state.
     #[serde(rename = "standing")]
     pub state: RevisionState,
-    /// The id by which it was, or must be, confirmed.
+    /// The id by which the revision was, or must be, confirmed; `None` if it was permanent from the start.
     #[serde(rename = "commit")]
     pub commit_id: Option<String>,
     /// The deadline of the confirmation; Unix time in ms.
--- a/crates/config-change/src/running_config.rs
+++ b/crates/config-change/src/running_config.rs
@@ -2,7 +2,8 @@
 //!
 //! Requests, charges and pacing refer to the index of their class, and engines to those of their zone and machine type.
 //! An index is therefore never reused: a class that the new file does not contain, or contains with other threads,
-//! order or repetition, is closed and keeps its index. A later file that contains it as it was opens it again.
+//! order or repetition, is taken out of service and keeps its index. A later file that contains it unchanged
+//! puts it back into service.
 
 use crate::document::{Document, NameIndex, Violation};
 use crate::origin::Origin;
@@ -12,25 +13,27 @@
 /// The content of one configuration file.
 #[derive(Clone, Debug)]
 pub struct ConfigFile {
-    /// The policy config, by the file's own indices.
+    /// The policy config. Its indices refer to the names in this file.
     pub policy_config: PolicyConfig,
-    /// The names of the classes, in their order.
+    /// The names of the classes, in the order of the policy config.
     pub class_names: Vec<String>,
-    /// The hard limits of the classes in ms, in their order.
+    /// The hard limits of the classes in ms, in the order of the policy config.
     pub hard_limits: Vec<Millis>,
     /// The names of zones and machine types in the file.
     pub name_index: NameIndex,
 }
 
-/// Why a new file is rejected; nothing has changed then.
+/// Why a new file is rejected. The running config is unchanged then.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReloadError {
-    /// A class allows a zone or machine type that the file does not list.
-    #[error("settings: class {class}: {field}: index {index} is past the {count} configured")]
+    /// A class refers to a zone or machine type by an index that the file does not have.
+    #[error(
+        "settings: class {class}: {field}: index {index} is out of range, the file lists {count}"
+    )]
     UnknownIndex {
         /// The name of the class.
         class: String,
-        /// The field of the file.
+        /// The field of the class.
         field: &'static str,
         /// The index.
         index: u16,
@@ -41,7 +44,7 @@
     #[error("{}", join(.0))]
     Violations(Vec<Violation>),
     /// The process has had too many classes since its start.
-    #[error("settings: classes: more than {MAX_CLASSES} since the start: it takes a restart")]
+    #[error("settings: classes: more than {MAX_CLASSES} different ones since the start: restart the gateway")]
     TooManyClasses,
 }
 
@@ -96,8 +99,8 @@
             &file.hard_limits,
             &name_index,
         );
-        // This precedes the checks: a file that changes only the endpoint list must not fail by a rule that the start
-        // does not check.
+        // This comes before the checks: a file that changes only the endpoint list must not be rejected by a rule that
+        // is not checked at the start.
         if policy_config == before.policy_config && document == before.document {
             return Ok(None);
         }
@@ -105,7 +108,7 @@
         if !violations.is_empty() {
             return Err(ReloadError::Violations(violations));
         }
-        let registry = self.registry_with(&document)?;
+        let registry = self.extended_registry(&document)?;
         let origin = Origin {
             policy_config,
             document,
@@ -114,7 +117,7 @@
         Ok(Some(RunningConfig { origin, registry }))
     }
 
-    /// The policy config of the file, with the assigned indices.
+    /// The policy config of the file, with its own indices replaced by the assigned ones.
     fn translate(
         &self,
         file: &ConfigFile,
@@ -133,29 +136,33 @@
             let zones = &file.name_index.zones;
             translate_indices(&mut policy.zones, &name_index.zones, zones)
                 .map_err(unknown_index("dcs_allowed", zones.len()))?;
-            let kinds = &file.name_index.machine_types;
-            translate_indices(&mut policy.machine_types, &name_index.machine_types, kinds)
-                .map_err(unknown_index("machine_types_allowed", kinds.len()))?;
+            let machine_types = &file.name_index.machine_types;
+            translate_indices(
+                &mut policy.machine_types,
+                &name_index.machine_types,
+                machine_types,
+            )
+            .map_err(unknown_index("machine_types_allowed", machine_types.len()))?;
         }
-        config.machine_types = self.kinds(file, name_index);
+        config.machine_types = self.machine_types(file, name_index);
         if !config.classes.iter().any(|class| class.preserves_key_order) {
-            // Open requests of a closed class keep their order, and with it the quarantine of their keys.
+            // Open requests of a class out of service keep their order, which needs the quarantine of their keys.
             config.key_quarantine = self.origin.policy_config.key_quarantine;
         }
         Ok(config)
     }
 
-    /// The machine types by their assigned indices. One that the file does not list keeps its values.
-    fn kinds(&self, file: &ConfigFile, name_index: &NameIndex) -> Vec<MachineType> {
+    /// The machine types by their assigned indices. One that the file does not list keeps its earlier values.
+    fn machine_types(&self, file: &ConfigFile, name_index: &NameIndex) -> Vec<MachineType> {
         let unknown = MachineType {
             cores: 1.0,
             memory_mb: 0.0,
         };
-        let kind = |(index, name): (usize, &String)| match NameIndex::index(
+        let machine_type = |(index, name): (usize, &String)| match NameIndex::index(
             &file.name_index.machine_types,
             name,
         ) {
-            Some(own) => file.policy_config.machine_types[own as usize],
+            Some(file_index) => file.policy_config.machine_types[file_index as usize],
             None => {
                 let before = self.origin.policy_config.machine_types.get(index);
                 before.copied().unwrap_or(unknown)
@@ -165,11 +172,11 @@
             .machine_types
             .iter()
             .enumerate()
-            .map(kind)
+            .map(machine_type)
             .collect()
     }
 
-    fn registry_with(&self, document: &Document) -> Result<ClassRegistry, ReloadError> {
+    fn extended_registry(&self, document: &Document) -> Result<ClassRegistry, ReloadError> {
         let mut registry = self.registry.clone();
         for slot in document.classes.iter().map(ClassSlot::from_class) {
             if !registry.0.contains(&slot) {
@@ -188,7 +195,7 @@
             .policy_config(&self.origin.document, &self.registry)
     }
 
-    /// All classes by index; the policy config states which are in service.
+    /// All classes by index, including those out of service; the policy config states which these are.
     pub fn registry(&self) -> &ClassRegistry {
         &self.registry
     }
--- a/crates/config-change/src/tracker.rs
+++ b/crates/config-change/src/tracker.rs
@@ -1,9 +1,9 @@
 //! The revisions of one gateway as a state machine: which settings are running, which must be confirmed, and which
 //! survive a restart.
 //!
-//! [`RevisionTracker::handle`] handles one input at a time: it applies the rules in `RULES` in order until none applies.
-//! The caller carries out its actions in order. A record is on the disk before its revision is applied and its caller
-//! answered. A rollback is the exception: it does not wait for the disk.
+//! [`RevisionTracker::handle`] takes one input at a time: it applies the rules in `RULES` in order until none applies.
+//! The caller carries out the returned actions in order. A record is on the disk before its revision is applied and the
+//! command is answered. A rollback is the exception: it does not wait for the disk.
 
 use crate::command::{Action, Command, Confirmation, Input, Refusal, WriteError};
 use crate::record::{PersistedState, Record};
@@ -11,11 +11,12 @@
 use ironstair::Millis;
 use std::collections::VecDeque;
 
+/// The confirmation that the running revision needs.
 #[derive(Clone, Debug, PartialEq)]
 struct PendingConfirmation<D> {
     id: String,
     deadline: Millis,
-    /// The revision before it.
+    /// The revision to return to if it is not confirmed.
     before: Numbered<D>,
 }
 
@@ -48,7 +49,7 @@
 type Rule<D> = fn(&mut RevisionTracker<D>, &mut Vec<Action<D>>) -> bool;
 
 impl<D: Clone + PartialEq> RevisionTracker<D> {
-    /// The rules in the order of their precedence: a completed write, an expired time, then the command.
+    /// The rules in the order of their precedence: the result of a write, then an expired deadline, then the command.
     const RULES: [Rule<D>; 8] = [
         Self::reject_failed_write,
         Self::complete_write,
@@ -92,8 +93,8 @@
         self.running_number
     }
 
-    /// The state after a restart now: an unconfirmed revision would be rolled back. `configured` are the settings of
-    /// the configuration file.
+    /// The state that a restart now would result in: an unconfirmed revision is rolled back. `configured` are the
+    /// settings of the configuration file.
     pub fn after_restart(&self, configured: D) -> PersistedState<D> {
         let mut after = self.clone();
         if let Some(pending) = after.pending_confirmation.take() {
@@ -114,7 +115,7 @@
         Some((&pending.id, pending.deadline))
     }
 
-    /// The time at which the caller has to pass [`Input::Due`]; Unix time in ms.
+    /// The time at which the caller has to pass [`Input::Due`], if any; Unix time in ms.
     pub fn due(&self) -> Option<Millis> {
         if self.pending_write.is_some() {
             return None;
@@ -224,7 +225,8 @@
         actions.push(Action::Answer(Ok(number)));
     }
 
-    // A confirmation that arrived in time prevents the rollback while it is being written.
+    // While a record is being written, `due` returns no time: a confirmation that arrived before the deadline counts
+    // even if its record is on the disk only after it.
     fn roll_back_if_overdue(&mut self, actions: &mut Vec<Action<D>>) -> bool {
         let is_overdue = self.due().is_some_and(|deadline| deadline <= self.now);
         is_overdue && self.roll_back(actions)
--- a/crates/config-change/tests/journal.rs
+++ b/crates/config-change/tests/journal.rs
@@ -95,13 +95,18 @@
         error: Some(error),
     };
     assert_eq!(decode::<u8>(&[0; 64]), none(DecodeError::Checksum));
-    assert_eq!(DecodeError::Checksum.to_string(), "checksum differs");
+    assert_eq!(
+        DecodeError::Checksum.to_string(),
+        "the record's checksum does not match"
+    );
     let long = (MAX_RECORD_BYTES as u32 + 1).to_le_bytes();
+    let bytes = MAX_RECORD_BYTES + 1;
+    let too_long = DecodeError::TooLong { bytes };
+    assert_eq!(decode::<u8>(&[long, long].concat()), none(too_long));
     assert_eq!(
-        decode::<u8>(&[long, long].concat()),
-        none(DecodeError::Length)
+        too_long.to_string(),
+        "the record's length of 4194305 bytes exceeds the limit of 4194304 bytes"
     );
-    assert_eq!(DecodeError::Length.to_string(), "no length");
 }
 
 #[test]
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -169,11 +169,11 @@
         ),
         (
             &|d| d.classes[1].name = "lookup".into(),
-            "/settings/band[name=lookup]/name: the name is there twice",
+            "/settings/band[name=lookup]/name: another band has the name \"lookup\"",
         ),
         (
             &|d| d.classes.clear(),
-            "/settings/band: there must be a band",
+            "/settings/band: at least one band is required",
         ),
     ];
     for (change, reason) in cases {
--- a/crates/gateway/tests/manage/refused_calls.rs
+++ b/crates/gateway/tests/manage/refused_calls.rs
@@ -141,7 +141,7 @@
         ),
         (
             set_request(advice(), commit("a", rollback_after(0, 5))),
-            "rollback_duration is outside 1 s to 86400 s",
+            "rollback_duration of 0.000005 ms is outside 1 s to 86400 s",
         ),
         (
             set_request(advice(), commit("", rollback_after(5, 0))),
