--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -190,7 +190,7 @@
         scope: Scope,
         answer: Responder,
     ) {
-        let fleet = match self.fleet_of(scope) {
+        let fleet = match self.fleet_channel_for(scope) {
             Err(refused) => return drop(answer.send(Err(refused))),
             Ok(None) => {
                 let outcome = self.advance(Input::Command(command)).await;
@@ -206,7 +206,7 @@
                 fleet.request(answer, |answer| FleetRequest::Cancel { id, author, answer });
             }
             Command::Set { .. } | Command::Extend { .. } => {
-                let reason = "in a fleet a change keeps the time it was given".into();
+                let reason = "the time to confirm a change cannot be extended in a fleet".into();
                 let _ = answer.send(Err(Refused::Fleet(reason)));
             }
         }
--- a/crates/management/src/error.rs
+++ b/crates/management/src/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the manager.
 
+use crate::journal::MAX_FILE_BYTES;
 use ironstair_config_change::journal::EncodeError;
 use ironstair_config_change::{Refusal, Violation};
 use ironstair_data_tree::schema::{SchemaError, ValidationError};
@@ -9,36 +10,36 @@
 /// Why a change was rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refused {
-    /// Paths or values are invalid: one sentence for each, which names the path.
+    /// Paths or values are invalid. Each sentence names a path and the reason.
     #[error("{}", .0.join("; "))]
     Invalid(Vec<String>),
-    /// The change does not fit the current state of the revisions.
+    /// The revision tracker refused the change, since it does not fit the state of the revisions or can't be persisted.
     #[error(transparent)]
     Tracker(Refusal),
     /// The fleet rejected the change, or the scope of the change does not fit this gateway.
     #[error("{0}")]
     Fleet(String),
-    /// The gateway is about to end.
-    #[error("the gateway is about to end")]
+    /// The gateway is shutting down.
+    #[error("the gateway is shutting down")]
     ShuttingDown,
 }
 
 /// Why this gateway can't apply a policy of the fleet.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyError {
-    /// The policy was written by another version.
-    #[error("this version can't read it: {0}")]
+    /// The policy has a form that this version does not support.
+    #[error("this version can't read the policy: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The policy does not fit the tree.
+    /// The policy does not fit the settings tree.
     #[error("{0}")]
     Tree(ValidationError),
-    /// The policy must not follow the running settings.
+    /// The policy violates rules, or the running settings can't be changed to it.
     #[error("{}", join(.0))]
     Violations(Vec<Violation>),
     /// The dispatcher did not apply the settings in time.
-    #[error("the gateway has not applied the previous settings yet")]
+    #[error("the gateway did not apply the policy in time")]
     NotAppliedYet,
-    /// The gateway is about to end.
+    /// The gateway is shutting down.
     #[error("the gateway is shutting down")]
     ShuttingDown,
 }
@@ -46,16 +47,16 @@
 /// Why management can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The YANG module can't be read.
+    /// The built-in YANG module can't be read.
     #[error("{0}")]
     Schema(#[from] SchemaError),
-    /// The configured settings do not fit the tree.
-    #[error("the settings do not fit the tree: {0}")]
+    /// The configured settings do not fit the settings tree.
+    #[error("the configured settings do not fit the settings tree: {0}")]
     Tree(ValidationError),
     /// The configured settings violate rules.
-    #[error("the settings do not fit the tree: {}", join(.0))]
+    #[error("the configured settings are invalid: {}", join(.0))]
     Violations(Vec<Violation>),
-    /// The state folder can't be used.
+    /// The state folder or the journal in it can't be used.
     #[error(transparent)]
     Journal(#[from] JournalError),
 }
@@ -63,7 +64,7 @@
 /// Why the journal can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The system reports an error.
+    /// An operation on a file or folder failed.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or folder.
@@ -72,7 +73,10 @@
         source: io::Error,
     },
     /// The file is larger than a journal can be.
-    #[error("{}: {bytes} bytes are no journal", path.display())]
+    #[error(
+        "{}: the file of {bytes} bytes exceeds the limit of {MAX_FILE_BYTES} bytes for a revision journal",
+        path.display()
+    )]
     TooLong {
         /// The file.
         path: PathBuf,
@@ -80,11 +84,14 @@
         bytes: u64,
     },
     /// A record can't be encoded.
-    #[error(transparent)]
+    #[error("a record of the revision journal can't be encoded: {0}")]
     Encode(#[from] EncodeError),
-    /// The journal needs a rewrite first.
-    #[error("the journal is not open")]
-    NotOpen,
+    /// The journal must be rewritten first.
+    #[error("{}: the revision journal is not open", path.display())]
+    NotOpen {
+        /// The file.
+        path: PathBuf,
+    },
 }
 
 fn join(violations: &[Violation]) -> String {
--- a/crates/management/src/fleet.rs
+++ b/crates/management/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Requests of the manager to the fleet, and the fleet's policies that it applies.
+//! The manager of a gateway in a fleet: it forwards changes to the fleet and applies the fleet's policies.
 
 use crate::actor::{AppliedPolicy, Manager};
 use crate::error::{PolicyError, Refused};
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 
 impl FleetChannel {
-    /// Sends a request to the fleet's actor, which answers it. Rejects the request if the queue is full.
+    /// Sends a request to the fleet's actor, which answers it. If the queue is full, the request is refused at once.
     pub(crate) fn request<T>(
         &self,
         answer: oneshot::Sender<Result<T, Refused>>,
@@ -18,7 +18,7 @@
         match self.requests.try_reserve() {
             Ok(permit) => permit.send(request(answer)),
             Err(_) => {
-                let reason = "too much waits for the fleet".into();
+                let reason = "the queue of requests to the fleet is full".into();
                 let _ = answer.send(Err(Refused::Fleet(reason)));
             }
         }
@@ -26,22 +26,22 @@
 }
 
 impl Manager {
-    /// The fleet's channel if a request of this scope goes to the fleet, `None` if it concerns this gateway alone.
-    /// Fails if the scope does not fit: a gateway in a fleet must not change its settings alone.
-    pub(crate) fn fleet_of(&self, scope: Scope) -> Result<Option<&FleetChannel>, Refused> {
+    /// The channel to the fleet if a request of this scope goes to the fleet, `None` if it concerns this gateway alone.
+    /// Fails if the scope does not fit this gateway: a gateway in a fleet must not change its settings alone.
+    pub(crate) fn fleet_channel_for(&self, scope: Scope) -> Result<Option<&FleetChannel>, Refused> {
         let refused = |reason: &str| Err(Refused::Fleet(reason.into()));
         match (&self.fleet, scope) {
             (None, Scope::Gateway) => Ok(None),
             (Some(fleet), Scope::Fleet) => Ok(Some(fleet)),
-            (None, Scope::Fleet) => refused("this gateway is in no fleet"),
-            (Some(_), Scope::Gateway) => {
-                refused("this gateway's settings are its fleet's: ironstair set --fleet")
-            }
+            (None, Scope::Fleet) => refused("this gateway is not in a fleet"),
+            (Some(_), Scope::Gateway) => refused(
+                "this gateway's settings are changed in its fleet: use ironstair set --fleet",
+            ),
         }
     }
 
     pub(crate) fn bootstrap(&self, is_disaster_recovery: bool, author: String, answer: Responder) {
-        let fleet = match self.fleet_of(Scope::Fleet) {
+        let fleet = match self.fleet_channel_for(Scope::Fleet) {
             Ok(Some(fleet)) => fleet,
             other => return drop(answer.send(other.map(|_| 0))),
         };
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn fleet_state(&self, answer: oneshot::Sender<Result<Json, Refused>>) {
-        match self.fleet_of(Scope::Fleet) {
+        match self.fleet_channel_for(Scope::Fleet) {
             Ok(Some(fleet)) => fleet.request(answer, FleetRequest::Show),
             other => drop(answer.send(other.map(|_| Json::Null))),
         }
--- a/crates/management/src/journal.rs
+++ b/crates/management/src/journal.rs
@@ -1,4 +1,4 @@
-//! The file of the revision journal. Each record is synced to the disk before anything relies on it.
+//! The file of the revision journal. Each record is synced to the disk before the manager relies on it.
 
 use crate::error::JournalError;
 use ironstair_config_change::journal::{decode, encode};
@@ -7,50 +7,51 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-const FILE: &str = "revisions.journal";
-const TEMPORARY_FILE: &str = "revisions.new";
-/// The file is rewritten once it has this many records after the first, which holds the whole state: it bounds the size
-/// of the file and the time of a start.
+const FILE_NAME: &str = "revisions.journal";
+const TEMPORARY_FILE_NAME: &str = "revisions.new";
+/// The file is rewritten once it has more than this many records after the first, which holds the whole state. This
+/// bounds the size of the file and the time that a start needs to read it.
 const MAX_RECORDS: usize = 256;
-/// A larger file was not written by a gateway, and is not read into memory.
-const MAX_FILE_BYTES: u64 = 256 << 20;
+/// The largest file that is read into memory. A larger one was not written by a gateway.
+pub(crate) const MAX_FILE_BYTES: u64 = 256 << 20;
 
 /// The journal of a gateway's revisions.
 pub struct Journal {
     folder: PathBuf,
-    /// The open file; `None` until the next rewrite.
+    /// The open file. `None` if the journal must be rewritten before a record can be appended.
     file: Option<File>,
     /// The length of the complete records in bytes.
     valid_bytes: u64,
     /// The number of records after the first.
-    records: usize,
+    appended_records: usize,
 }
 
 impl Journal {
-    /// Reads the records of the folder's journal. A damaged end is left out; the second value is a sentence about it.
+    /// Reads the records of the journal in the folder, which is created if it does not exist. Bytes from the first
+    /// damaged record on are ignored; the second value is a sentence about them.
     ///
     /// # Errors
     /// Fails if the folder or the file can't be used.
     pub fn read(folder: &Path) -> Result<(Vec<Record<Document>>, Option<String>), JournalError> {
         std::fs::create_dir_all(folder).map_err(|source| io_error(folder, source))?;
-        let path = folder.join(FILE);
+        let path = folder.join(FILE_NAME);
         let bytes = read_file(&path)?;
         let decoded = decode(&bytes);
-        let whole = decoded.valid_bytes;
-        let lost = bytes.len() - whole;
+        let valid = decoded.valid_bytes;
+        let ignored = bytes.len() - valid;
         let note = decoded.error.map(|error| {
             format!(
-                "{}: {lost} bytes from {whole} on are left out ({error})",
+                "{}: ignored {ignored} bytes from offset {valid} on: {error}",
                 path.display()
             )
         });
         Ok((decoded.records, note))
     }
 
-    /// Creates a journal that begins with the state, in place of the folder's old one.
+    /// Creates a journal that begins with the state. It replaces an existing journal in the folder.
     ///
     /// # Errors
-    /// The disk does not take it.
+    /// Fails if the record of the state can't be encoded or the disk can't be written.
     pub fn create(
         folder: &Path,
         state: &PersistedState<Document>,
@@ -66,49 +67,52 @@
             folder: folder.to_path_buf(),
             file: None,
             valid_bytes: 0,
-            records: 0,
+            appended_records: 0,
         }
     }
 
     /// Whether [`Journal::rewrite`] should be called before the next record.
     pub fn needs_rewrite(&self) -> bool {
-        self.file.is_none() || self.records > MAX_RECORDS
+        self.file.is_none() || self.appended_records > MAX_RECORDS
     }
 
-    /// Atomically replaces the file by one that begins with the state.
+    /// Atomically replaces the file by one that contains only the state.
     ///
     /// # Errors
     /// Fails if the disk can't be written; the old file remains then.
     pub fn rewrite(&mut self, state: &PersistedState<Document>) -> Result<(), JournalError> {
         let bytes = encode(&Record::Snapshot(state.clone()))?;
-        let file = ironstair_atomic_file::replace(&self.folder, FILE, TEMPORARY_FILE, &bytes)
-            .map_err(|source| io_error(&self.folder.join(FILE), source))?;
+        let file =
+            ironstair_atomic_file::replace(&self.folder, FILE_NAME, TEMPORARY_FILE_NAME, &bytes)
+                .map_err(|source| io_error(&self.folder.join(FILE_NAME), source))?;
         self.file = Some(file);
         self.valid_bytes = bytes.len() as u64;
-        self.records = 0;
+        self.appended_records = 0;
         Ok(())
     }
 
-    /// Appends a record and syncs it to the disk. A record that could not be written completely is cut off again. If
-    /// that fails as well, the journal needs a rewrite before the next record.
+    /// Appends a record and syncs it to the disk. If that fails, the file is truncated to its length before. If that
+    /// fails as well, the journal needs a rewrite before the next record.
     ///
     /// # Errors
     /// Fails if the disk can't be written, or the journal needs a rewrite.
     pub fn append(&mut self, record: &Record<Document>) -> Result<(), JournalError> {
         let bytes = encode(record)?;
-        let file = self.file.as_mut().ok_or(JournalError::NotOpen)?;
+        let file = self.file.as_mut().ok_or_else(|| JournalError::NotOpen {
+            path: self.folder.join(FILE_NAME),
+        })?;
         if let Err(source) = file.write_all(&bytes).and_then(|()| file.sync_data()) {
-            let is_cut_off = file
+            let is_truncated = file
                 .set_len(self.valid_bytes)
                 .and_then(|()| file.sync_data())
                 .is_ok();
-            if !is_cut_off {
+            if !is_truncated {
                 self.file = None;
             }
-            return Err(io_error(&self.folder.join(FILE), source));
+            return Err(io_error(&self.folder.join(FILE_NAME), source));
         }
         self.valid_bytes += bytes.len() as u64;
-        self.records += 1;
+        self.appended_records += 1;
         Ok(())
     }
 }
--- a/crates/management/src/revisions.rs
+++ b/crates/management/src/revisions.rs
@@ -33,7 +33,7 @@
     }
 
     pub(crate) async fn change(&mut self, change: Change, answer: Responder) {
-        if let Err(refused) = self.fleet_of(change.scope) {
+        if let Err(refused) = self.fleet_channel_for(change.scope) {
             return drop(answer.send(Err(refused)));
         }
         let document = match self.checked_candidate(&change.edits).await {
@@ -55,7 +55,7 @@
     /// Proposes the change to the fleet.
     fn propose(&self, change: Change, document: Document, answer: Responder) {
         let (Some(fleet), Some(applied)) = (&self.fleet, &self.applied) else {
-            let reason = "what the fleet applies is not known here yet".into();
+            let reason = "this gateway has not applied a policy of its fleet yet".into();
             return drop(answer.send(Err(Refused::Fleet(reason))));
         };
         let document = serde_json::to_value(&document).unwrap_or_default();
@@ -153,7 +153,7 @@
     /// Writes a record in a blocking task, so that a slow disk does not block readers of the tree.
     async fn write(&mut self, record: Record<Document>) -> Result<(), WriteError> {
         let Some(mut journal) = self.journal.take() else {
-            return Err(WriteError("no journal".into()));
+            return Err(WriteError("the revision journal is not open".into()));
         };
         let state = self.state_to_rewrite(&journal);
         let work = tokio::task::spawn_blocking(move || {
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -17,7 +17,7 @@
 pub struct InitialState {
     /// The schema of the tree.
     pub schema: Schema,
-    /// The contents of the configuration file that documents refer to.
+    /// The configured policy config and document, from which the policy config of every document is derived.
     pub origin: Origin,
     /// The revisions, and which of them is running.
     pub tracker: RevisionTracker<Document>,
@@ -34,17 +34,17 @@
 }
 
 /// The running settings with everything derived from them.
-struct Running {
+struct RunningState {
     state: PersistedState<Document>,
     registry: ClassRegistry,
     leaves: LeafMap,
 }
 
-/// Opens management with the revisions that are persisted in the folder. Without a folder, revisions are lost when the
-/// process ends.
+/// Determines the initial state from the configuration file and the revisions that are persisted in the folder, and
+/// rewrites the journal there. Without a folder, revisions are lost when the process ends.
 ///
 /// # Errors
-/// Fails if the configured settings do not fit the tree, or the folder can't be read.
+/// Fails if the configured settings are invalid, or the journal can't be read.
 pub fn open(
     file: ConfigFile,
     cells: Option<Cells>,
@@ -52,7 +52,7 @@
 ) -> Result<InitialState, OpenError> {
     let schema = Schema::shipped()?;
     let origin = origin(file, cells);
-    let mut running = configured(&schema, &origin)?;
+    let mut running = configured_state(&schema, &origin)?;
     let mut messages = Vec::new();
     let mut journal = None;
     if let Some(folder) = folder {
@@ -85,30 +85,31 @@
     }
 }
 
-/// Starts from the configured settings.
-fn configured(schema: &Schema, origin: &Origin) -> Result<Running, OpenError> {
+/// The state if the configured settings are in force.
+fn configured_state(schema: &Schema, origin: &Origin) -> Result<RunningState, OpenError> {
     let document = &origin.document;
     // A client must be able to read the running settings and send them back: they have to fit the tree.
     let leaves = schema.settings(document).map_err(OpenError::Tree)?;
     let registry = ClassRegistry::from_document(document);
     plan(document, document, &registry, &origin.name_index).map_err(OpenError::Violations)?;
-    Ok(Running {
+    Ok(RunningState {
         state: PersistedState::configured(document.clone()),
         registry,
         leaves,
     })
 }
 
-/// Starts from the revision that the journal holds as running, if it fits the configuration file.
+/// The state that results from the journal. If its running revision does not fit the configuration file, the configured
+/// settings are in force.
 fn recover(
     folder: &Path,
     schema: &Schema,
     origin: &Origin,
-    configured: Running,
+    configured: RunningState,
     messages: &mut Vec<String>,
-) -> Result<Running, OpenError> {
-    let (records, left_out) = Journal::read(folder)?;
-    messages.extend(left_out.map(|text| format!("revision journal recovered: {text}")));
+) -> Result<RunningState, OpenError> {
+    let (records, ignored) = Journal::read(folder)?;
+    messages.extend(ignored.map(|text| format!("revision journal is damaged: {text}")));
     let document = &origin.document;
     let (state, outcome) = PersistedState::replay(records, document.clone());
     let plan = plan(
@@ -119,10 +120,10 @@
     );
     let (Ok(plan), Ok(leaves)) = (plan, schema.settings(&state.running)) else {
         messages.push(format!(
-            "revision {} does not fit the configured settings any more: those run",
+            "revision {} does not fit the configuration file any more: the configured settings are in force",
             state.running_number
         ));
-        return Ok(Running {
+        return Ok(RunningState {
             state: PersistedState {
                 next_number: state.next_number,
                 ..configured.state
@@ -131,24 +132,25 @@
         });
     };
     messages.extend(start_message(&outcome, state.running_number));
-    Ok(Running {
+    Ok(RunningState {
         state,
         registry: plan.registry,
         leaves,
     })
 }
 
-/// The line that the log shows about the start, if any.
+/// The message for the log about the outcome of the start, if it needs one.
 fn start_message(outcome: &StartOutcome, running: u64) -> Option<String> {
     match outcome {
         StartOutcome::EmptyJournal | StartOutcome::Revision(0) => None,
-        StartOutcome::Revision(number) => Some(format!("revision {number} runs")),
+        StartOutcome::Revision(number) => Some(format!("revision {number} is in force")),
         StartOutcome::RolledBack(number) => Some(format!(
-            "revision {number} was not confirmed and is rolled back; {running} runs"
+            "revision {number} was not confirmed and is rolled back; revision {running} is in force"
         )),
-        StartOutcome::Reconfigured => {
-            Some("the configured settings have changed: they run, earlier revisions do not".into())
-        }
+        StartOutcome::Reconfigured => Some(
+            "the configuration file has changed: its settings replace those of earlier revisions"
+                .into(),
+        ),
     }
 }
 
@@ -159,7 +161,7 @@
 ) -> Journal {
     Journal::create(folder, state).unwrap_or_else(|error| {
         messages.push(format!(
-            "revisions can't be persisted, changes are refused: {error}"
+            "the revision journal can't be written, changes are refused until it can: {error}"
         ));
         Journal::closed(folder)
     })
--- a/crates/management/src/tree_view.rs
+++ b/crates/management/src/tree_view.rs
@@ -25,7 +25,7 @@
             .await
             .is_ok();
         if !is_sent || timeout(duration(VIEW_TIMEOUT), view_changed).await.is_err() {
-            warn!(self.log, "gateway thread did not show its state in time");
+            warn!(self.log, "gateway thread did not publish its state in time");
         }
         let view = self.state_watch.current();
         self.leaves = state::with_changes(&self.leaves, &self.view, &view);
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -112,12 +112,12 @@
         let (max_retry_after, notes) = advice_after(folder.path());
         assert_eq!(max_retry_after, runs[whole], "{cut}");
         let torn = parts[..whole].concat().len() < cut;
-        let revisions = notes.iter().filter(|n| n.contains("left out")).count();
+        let revisions = notes.iter().filter(|n| n.contains("ignored")).count();
         assert_eq!(revisions, torn as usize, "one line, at {cut}: {notes:?}");
         // The start rewrote the file, so that the next one finds no damage and the same settings.
         let (again, notes) = advice_after(folder.path());
         assert_eq!(
-            (again, notes.iter().any(|n| n.contains("left out"))),
+            (again, notes.iter().any(|n| n.contains("ignored"))),
             (max_retry_after, false),
             "{cut}"
         );
--- a/crates/test-cluster/src/cluster/commands.rs
+++ b/crates/test-cluster/src/cluster/commands.rs
@@ -11,7 +11,7 @@
 /// Exit code of a command whose request the gateway or the fleet refused.
 const REFUSED_EXIT_CODE: i32 = 3;
 /// Error texts of a change that was based on a policy which is no longer current.
-const STALE_BASE_ERRORS: [&str; 2] = ["is running by now", "is not known here yet"];
+const STALE_BASE_ERRORS: [&str; 2] = ["is running by now", "has not applied a policy of its fleet yet"];
 /// Pause before a command with a stale base is repeated.
 const STALE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Index of the engine in zone b.
