--- a/crates/management/src/actor.rs
+++ b/crates/management/src/actor.rs
@@ -1,4 +1,4 @@
-//! The manager's actor: its state, its main loop and the dispatch of requests.
+//! The manager: its state, its main loop and the dispatch of requests.
 
 use crate::error::Refused;
 use crate::fleet_channel::{FleetChannel, FleetRequest, Responder};
@@ -22,19 +22,19 @@
 
 /// Capacity of the request queue; senders wait when it is full.
 const CHANNEL_CAPACITY: usize = 64;
-/// While readers follow the tree, the gateway's state is requested at this interval, in ms.
-const VIEW_INTERVAL: Millis = 100.0;
-/// A read within this many ms after the last request of the gateway's state uses that state, so that reads in quick
+/// The interval in ms at which the gateway's state is requested while readers follow the tree.
+const REFRESH_INTERVAL: Millis = 100.0;
+/// A read within this many ms after the last request for the gateway's state uses that state, so that reads in quick
 /// succession cause one request.
-const MIN_VIEW_AGE: Millis = 20.0;
+const MIN_REFRESH_AGE: Millis = 20.0;
 
-/// The fleet's policy that this gateway has applied.
+/// The policy of the fleet that this gateway has applied.
 pub(crate) struct AppliedPolicy {
     pub applied_index: u64,
     pub document: Document,
 }
 
-/// The actor. It ends once every handle is gone.
+/// The actor that owns the revisions, their journal and the tree. It ends once every handle is dropped.
 pub struct Manager {
     pub(crate) schema: Arc<Schema>,
     pub(crate) origin: Origin,
@@ -42,15 +42,16 @@
     /// The settings of the configuration file.
     pub(crate) configured: Document,
     pub(crate) registry: ClassRegistry,
-    /// The journal. `None` while a record is being written, and if revisions are not persisted.
+    /// The journal. `None` while a record is being written, or if revisions are not persisted.
     pub(crate) journal: Option<Journal>,
     pub(crate) leaves: LeafMap,
-    /// The latest snapshot of the gateway's state, and when it was requested; Unix time in ms.
-    pub(crate) view: Arc<Snapshot>,
-    pub(crate) viewed_at: Millis,
+    /// The latest snapshot of the gateway's state.
+    pub(crate) snapshot: Arc<Snapshot>,
+    /// When the gateway's state was last requested; Unix time in ms. 0 forces a request at the next read.
+    pub(crate) refreshed_at: Millis,
     pub(crate) clock: Clock,
     pub(crate) state_watch: Arc<StateWatch>,
-    /// To the gateway's thread.
+    /// The commands to the gateway's thread.
     pub(crate) commands: Sender<ManagementCommand>,
     pub(crate) log: Logger,
     pub(crate) level: Arc<AtomicUsize>,
@@ -65,9 +66,9 @@
 pub struct ManagerContext {
     /// The clock of the gateway.
     pub clock: Clock,
-    /// The snapshots that the dispatcher publishes.
+    /// The snapshots of the gateway's state that the dispatcher publishes.
     pub state_watch: Arc<StateWatch>,
-    /// To the gateway's thread.
+    /// The commands to the gateway's thread.
     pub commands: Sender<ManagementCommand>,
     /// The log.
     pub log: Logger,
@@ -103,8 +104,8 @@
             registry: initial.registry,
             journal: initial.journal,
             leaves,
-            view: Arc::default(),
-            viewed_at: 0.0,
+            snapshot: Arc::default(),
+            refreshed_at: 0.0,
             clock: context.clock,
             state_watch: context.state_watch,
             commands: context.commands,
@@ -116,7 +117,7 @@
             fleet: context.fleet,
             applied: None,
         };
-        manager.set_level();
+        manager.set_log_level();
         let handle = ManagementHandle {
             schema: manager.schema.clone(),
             requests: requests_in,
@@ -130,20 +131,20 @@
     pub async fn run(mut self) {
         loop {
             let now = self.clock.now();
-            let due = self.tracker.due().map_or(Millis::INFINITY, |due| due - now);
-            let view = match self.watchers.load(Ordering::Relaxed) {
+            let until_due = self.tracker.due().map_or(Millis::INFINITY, |due| due - now);
+            let until_refresh = match self.watchers.load(Ordering::Relaxed) {
                 0 => Millis::INFINITY,
-                _ => (self.viewed_at + VIEW_INTERVAL - now).max(0.0),
+                _ => (self.refreshed_at + REFRESH_INTERVAL - now).max(0.0),
             };
-            // A new reader reads the tree before it follows it. That request ends this wait, so that the larger number
-            // of watchers takes effect.
+            // A new reader requests the tree before it follows it. That request ends this wait, so that the refresh
+            // interval starts to apply.
             tokio::select! {
                 request = self.requests.recv() => match request {
                     Some(request) => self.serve(request).await,
                     None => return,
                 },
-                () = sleep(duration(due.min(view))) => {
-                    if due <= view {
+                () = sleep(duration(until_due.min(until_refresh))) => {
+                    if until_due <= until_refresh {
                         let _ = self.advance(Input::Due).await;
                     } else {
                         self.refresh().await;
@@ -156,7 +157,7 @@
     async fn serve(&mut self, request: Request) {
         match request {
             Request::ReadTree(answer) => {
-                if self.clock.now() - self.viewed_at >= MIN_VIEW_AGE {
+                if self.clock.now() - self.refreshed_at >= MIN_REFRESH_AGE {
                     self.refresh().await;
                 }
                 let _ = answer.send(self.trees.borrow().clone());
--- a/crates/management/src/classes.rs
+++ b/crates/management/src/classes.rs
@@ -1,4 +1,4 @@
-//! The parts of a settings document that the dispatcher needs in addition to the policy config.
+//! What the dispatcher needs of a settings document in addition to the policy config.
 
 use ironstair::{Millis, PolicyConfig};
 use ironstair_cells::CellDirectory;
@@ -6,16 +6,16 @@
 use ironstair_runtime::fnv1a_64;
 use ironstair_runtime::state_watch::ClassSummary;
 
-/// Lower bound of the longest hard limit, in ms.
-const MIN_LONGEST_HARD_LIMIT: Millis = 1.0;
+/// The longest deadline if no class has a longer hard limit, in ms.
+const MIN_MAX_DEADLINE: Millis = 1.0;
 
-/// The directory of a document's cells. `None` without cells; the cells of an accepted document are always valid.
+/// The directory of a document's cells, `None` if it has none. The cells of an accepted document are always valid.
 pub(crate) fn cell_directory(document: &Document) -> Option<CellDirectory> {
     let cells = document.cells.as_ref()?;
     cells.cell_directory(fnv1a_64).ok()
 }
 
-/// The classes by index, and the longest hard limit in ms.
+/// The classes by index, and the longest hard limit of the classes in service, in ms.
 pub fn classes(
     registry: &ClassRegistry,
     document: &Document,
@@ -30,10 +30,10 @@
             base_objective: policy.base_objective,
             in_service: !policy.out_of_service,
         });
-    let longest = document
+    let max_deadline = document
         .classes
         .iter()
         .map(|class| class.hard_limit as Millis)
-        .fold(MIN_LONGEST_HARD_LIMIT, Millis::max);
-    (classes.collect(), longest)
+        .fold(MIN_MAX_DEADLINE, Millis::max);
+    (classes.collect(), max_deadline)
 }
--- a/crates/management/src/fleet_channel.rs
+++ b/crates/management/src/fleet_channel.rs
@@ -11,7 +11,7 @@
 
 /// A request of the manager to the fleet's actor.
 pub enum FleetRequest {
-    /// A change proposal.
+    /// Proposes a change.
     Change {
         /// The author.
         author: String,
@@ -19,34 +19,35 @@
         summary: String,
         /// The settings document after the change.
         document: Json,
-        /// The applied index of the gateway when it made the document.
+        /// The applied index of the policy that the change is based on.
         base_revision: u64,
-        /// The id under which the change must be confirmed, and the time in ms within which.
+        /// The id by which the change must be confirmed, and the time in ms within which; `None` for a permanent
+        /// change.
         commit: Option<(String, Millis)>,
         /// Receives the outcome.
         answer: Responder,
     },
     /// Makes the unconfirmed change permanent.
     Confirm {
-        /// Its id.
+        /// The id of the change.
         id: String,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         answer: Responder,
     },
     /// Rolls the unconfirmed change back.
     Cancel {
-        /// Its id.
+        /// The id of the change.
         id: String,
         /// The author of the command.
         author: String,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         answer: Responder,
     },
     /// Bootstraps the fleet with the configured settings of this gateway.
     Bootstrap {
         /// The configured settings document.
         document: Json,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         answer: Responder,
     },
     /// Starts a new cluster generation after the disks of most voters were lost. It begins with the state that this
@@ -56,7 +57,7 @@
         document: Json,
         /// The author of the command.
         author: String,
-        /// Where the outcome goes.
+        /// Receives the outcome.
         answer: Responder,
     },
     /// Reads the leader's view of the fleet.
--- a/crates/management/src/handle.rs
+++ b/crates/management/src/handle.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Reads and changes the tree. Clones use the same manager; it ends when the last is dropped.
+/// Reads and changes the tree. Clones use the same manager, which ends when the last one is dropped.
 #[derive(Clone)]
 pub struct ManagementHandle {
     pub(crate) schema: Arc<Schema>,
@@ -120,17 +120,17 @@
     /// Checks that this gateway could apply the policy.
     ///
     /// # Errors
-    /// Why not.
+    /// Fails with the reason why this gateway can't apply it.
     pub async fn validate(&self, document: Json) -> Result<(), PolicyError> {
         self.request(|answer| Request::Validate(document, answer))
             .await
             .unwrap_or(Err(PolicyError::ShuttingDown))
     }
 
-    /// Applies a policy of the fleet. It is in force when this returns.
+    /// Applies a policy of the fleet. The policy is in force when this returns without an error.
     ///
     /// # Errors
-    /// Fails if the gateway can't apply the policy, or did not in time.
+    /// Fails if the gateway can't apply the policy, or does not apply it in time.
     pub async fn apply(
         &self,
         applied_index: u64,
--- a/crates/management/src/request.rs
+++ b/crates/management/src/request.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// Whose settings are meant.
+/// The gateways that a request concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// The settings of this gateway, which is in no fleet.
@@ -29,7 +29,7 @@
     pub summary: String,
     /// How the change must be confirmed; `None` for a permanent change.
     pub confirmation: Option<Confirmation>,
-    /// Whose settings are meant.
+    /// The gateways whose settings change.
     pub scope: Scope,
 }
 
@@ -43,6 +43,7 @@
     pub document: Json,
 }
 
+/// A request of a handle, with the channel for its answer.
 pub(crate) enum Request {
     ReadTree(oneshot::Sender<Arc<Tree>>),
     Change(Box<Change>, Responder),
--- a/crates/management/src/revisions.rs
+++ b/crates/management/src/revisions.rs
@@ -1,4 +1,4 @@
-//! Changes of the settings: their check, their record in the journal, and their application by the dispatcher.
+//! Changes of the settings: validates them, records them in the journal and has the dispatcher apply them.
 
 use crate::actor::Manager;
 use crate::classes::{cell_directory, classes};
@@ -20,11 +20,11 @@
 use std::sync::atomic::Ordering;
 use tokio::time::timeout;
 
-/// The time in ms within which the dispatcher should apply settings; a longer time is logged.
+/// The time in ms to wait for the dispatcher to apply settings; a warning is logged when it has passed.
 const APPLY_TIMEOUT: Millis = 5000.0;
 
 impl Manager {
-    /// The settings in force.
+    /// The settings in force: in a fleet those of the applied policy, otherwise those of the running revision.
     pub(crate) fn running(&self) -> &Document {
         match &self.applied {
             Some(policy) => &policy.document,
@@ -36,7 +36,7 @@
         if let Err(refused) = self.fleet_channel_for(change.scope) {
             return drop(answer.send(Err(refused)));
         }
-        let document = match self.checked_candidate(&change.edits).await {
+        let document = match self.validated_candidate(&change.edits).await {
             Err(violations) => return drop(answer.send(Err(Refused::Invalid(violations)))),
             Ok(document) => document,
         };
@@ -71,13 +71,13 @@
         });
     }
 
-    /// The settings document after the change. Fails with a sentence for each rule that it breaks.
-    async fn checked_candidate(&mut self, edits: &[Edit]) -> Result<Document, Vec<String>> {
+    /// The settings document that would result from the edits. Fails with a sentence for each violation.
+    async fn validated_candidate(&mut self, edits: &[Edit]) -> Result<Document, Vec<String>> {
         let document = self.candidate(edits)?;
         if document.cells != self.running().cells {
-            // The check of a migration needs the engines that are ready now.
+            // Whether a tenant may migrate depends on the engines that are ready now.
             self.refresh().await;
-            self.check_moves(&document)?;
+            self.check_migrations(&document)?;
         }
         Ok(document)
     }
@@ -86,20 +86,20 @@
         let leaves = self
             .schema
             .edit(&self.leaves, edits)
-            .map_err(|misfit| vec![misfit.to_string()])?;
-        let document = self.schema.document(&leaves).map_err(sentences)?;
+            .map_err(|error| vec![error.to_string()])?;
+        let document = self.schema.document(&leaves).map_err(to_strings)?;
         let running = self.running();
-        plan(running, &document, &self.registry, &self.origin.name_index).map_err(sentences)?;
+        plan(running, &document, &self.registry, &self.origin.name_index).map_err(to_strings)?;
         Ok(document)
     }
 
-    /// Checks that every tenant whose pin changes may migrate to its new cell.
-    fn check_moves(&self, to: &Document) -> Result<(), Vec<String>> {
+    /// Checks that every tenant whose pin is new or has changed may migrate to its new cells.
+    fn check_migrations(&self, to: &Document) -> Result<(), Vec<String>> {
         let (Some(cells), Some(directory)) = (&to.cells, cell_directory(to)) else {
             return Ok(());
         };
         let ready = self
-            .view
+            .snapshot
             .engines
             .iter()
             .filter(|(_, engine)| engine.view.state == EndpointState::Ready)
@@ -107,27 +107,27 @@
             .collect::<Cells>();
         let running_cells = self.running().cells.as_ref();
         let is_pinned = |pin| running_cells.is_some_and(|cells| cells.tenant_pins.contains(pin));
-        let refused: Vec<String> = cells
+        let violations: Vec<String> = cells
             .tenant_pins
             .iter()
             .filter(|pin| !is_pinned(pin))
             .filter_map(|pin| {
-                let there = directory.tenant(fnv1a_64(pin.name.as_bytes()));
-                let reason = may_migrate(there, ready, Cells::default()).err()?;
+                let new_cells = directory.tenant(fnv1a_64(pin.name.as_bytes()));
+                let reason = may_migrate(new_cells, ready, Cells::default()).err()?;
                 let name = &pin.name;
                 Some(format!(
                     "/settings/cells/tenant[name={name}]/cell: {reason}"
                 ))
             })
             .collect();
-        if refused.is_empty() {
+        if violations.is_empty() {
             Ok(())
         } else {
-            Err(refused)
+            Err(violations)
         }
     }
 
-    /// Passes an input to the tracker and carries out its actions, until it answers.
+    /// Passes an input to the tracker, carries out the resulting actions and returns the answer to the command.
     pub(crate) async fn advance(&mut self, input: Input<Document>) -> Result<u64, Refused> {
         let mut inputs = vec![input];
         let mut answer = Ok(self.tracker.running_number());
@@ -156,7 +156,7 @@
             return Err(WriteError("the revision journal is not open".into()));
         };
         let state = self.state_to_rewrite(&journal);
-        let work = tokio::task::spawn_blocking(move || {
+        let task = tokio::task::spawn_blocking(move || {
             let result = match state {
                 Some(state) => journal
                     .rewrite(&state)
@@ -165,7 +165,7 @@
             };
             (journal, result)
         });
-        let (journal, result) = work.await.map_err(|error| WriteError(error.to_string()))?;
+        let (journal, result) = task.await.map_err(|error| WriteError(error.to_string()))?;
         self.journal = Some(journal);
         result.map_err(|error| WriteError(error.to_string()))
     }
@@ -178,13 +178,14 @@
         needs_rewrite.then(|| self.tracker.after_restart(self.configured.clone()))
     }
 
-    /// Applies the settings. Returns whether the dispatcher has applied them in time.
+    /// Applies the settings: in the dispatcher, the tree and the log. Returns whether the dispatcher applied them in
+    /// time.
     pub(crate) async fn apply(&mut self, number: u64, document: Document) -> bool {
         let settings = match self.schema.settings(&document) {
             Ok(settings) => settings,
-            // The document was checked before, so this does not happen.
-            Err(misfit) => {
-                warn!(self.log, "settings do not fit the tree, not applied"; "error" => %misfit);
+            // Not expected, since the document was validated before.
+            Err(error) => {
+                warn!(self.log, "settings do not fit the tree, not applied"; "error" => %error);
                 return false;
             }
         };
@@ -192,34 +193,34 @@
         if let Ok(plan) = plan(&document, &document, &self.registry, name_index) {
             self.registry = plan.registry;
         }
-        let is_applied = self.amend(number, &document).await;
+        let is_applied = self.send_config_update(number, &document).await;
         self.replace_settings(settings);
-        // The next read must request the state again: the last snapshot precedes the change.
-        self.viewed_at = 0.0;
-        self.set_level();
+        // The last snapshot precedes the change, so the next read must request the state again.
+        self.refreshed_at = 0.0;
+        self.set_log_level();
         info!(self.log, "settings changed"; "revision" => number);
         is_applied
     }
 
-    /// Sends the settings to the dispatcher, and waits until it has applied them or the time is over.
-    async fn amend(&self, number: u64, document: &Document) -> bool {
+    /// Sends the settings to the dispatcher and waits until it has applied them, at most [`APPLY_TIMEOUT`].
+    async fn send_config_update(&self, number: u64, document: &Document) -> bool {
         let policy_config = self.origin.policy_config(document, &self.registry);
-        let (classes, longest) = classes(&self.registry, document, &policy_config);
-        let (done, is_done) = async_channel::bounded(1);
-        let amendment = ConfigUpdate {
+        let (classes, max_deadline) = classes(&self.registry, document, &policy_config);
+        let (done, applied) = async_channel::bounded(1);
+        let update = ConfigUpdate {
             policy_config,
             classes,
-            max_deadline: longest,
+            max_deadline,
             cells: Some(cell_directory(document)),
             transport_config: None,
             done,
         };
-        let command = ManagementCommand::UpdateConfig(Box::new(amendment));
+        let command = ManagementCommand::UpdateConfig(Box::new(update));
         if self.commands.send(command).await.is_err() {
             return false;
         }
         let is_applied = matches!(
-            timeout(duration(APPLY_TIMEOUT), is_done.recv()).await,
+            timeout(duration(APPLY_TIMEOUT), applied.recv()).await,
             Ok(Ok(()))
         );
         if !is_applied {
@@ -228,7 +229,7 @@
         is_applied
     }
 
-    pub(crate) fn set_level(&self) {
+    pub(crate) fn set_log_level(&self) {
         let level = match self.running().log.level {
             Level::Error => slog::Level::Error,
             Level::Warning => slog::Level::Warning,
@@ -239,6 +240,6 @@
     }
 }
 
-fn sentences<T: ToString>(errors: Vec<T>) -> Vec<String> {
+fn to_strings<T: ToString>(errors: Vec<T>) -> Vec<String> {
     errors.iter().map(T::to_string).collect()
 }
