--- a/crates/config-change/tests/pinned_forms.rs
+++ b/crates/config-change/tests/pinned_forms.rs
@@ -1,7 +1,7 @@
 //! The serialized forms of this package: the settings document as JSON, the records of the revision journal as JSON
-//! and as bytes, and the paths, moments and refusals of a planned change. The files under `pinned` were written by an
-//! earlier version of the program; journals on disk and clients hold the same forms, so they have to be read and
-//! written without a difference.
+//! and as bytes, and the paths, times of effect and violations of a planned change. The files under `pinned` were
+//! written by an earlier version. Journals on disk and clients hold the same forms, so they must be read and written
+//! unchanged.
 
 use ironstair_config_change::journal::{decode, encode, Decoded};
 use ironstair_config_change::{
@@ -13,7 +13,7 @@
 const FORMS: PinnedForms = PinnedForms::of_package(env!("CARGO_MANIFEST_DIR"));
 
 fn document(name: &str) -> Document {
-    serde_json::from_str(&FORMS.text(name)).unwrap_or_else(|e| panic!("{name}: {e}"))
+    serde_json::from_str(&FORMS.text(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
 fn name_index() -> NameIndex {
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn a_document_with_an_unknown_field_is_refused_by_its_name() {
+fn document_with_an_unknown_field_is_refused_with_its_name() {
     let full: Value = FORMS.json("document-full.json");
-    let mut seen = 0;
-    for at in [
+    let mut count = 0;
+    for pointer in [
         "",
         "/band/0",
         "/ration",
@@ -51,25 +51,25 @@
         "/cells/tenant/0",
         "/log",
     ] {
-        let mut spoilt = full.clone();
-        spoilt.pointer_mut(at).unwrap()["unknown-field"] = 1.into();
-        let reason = serde_json::from_value::<Document>(spoilt)
+        let mut invalid = full.clone();
+        invalid.pointer_mut(pointer).unwrap()["unknown-field"] = 1.into();
+        let reason = serde_json::from_value::<Document>(invalid)
             .unwrap_err()
             .to_string();
         assert!(
             reason.contains("unknown field `unknown-field`"),
-            "{at}: {reason}"
+            "{pointer}: {reason}"
         );
-        seen += 1;
+        count += 1;
     }
-    assert_eq!(seen, 9);
+    assert_eq!(count, 9);
 }
 
 #[test]
-fn a_document_with_a_missing_field_is_refused_by_its_name() {
+fn document_with_a_missing_field_is_refused_with_its_name() {
     let full: Value = FORMS.json("document-full.json");
-    let mut seen = 0;
-    for (at, field) in [
+    let mut count = 0;
+    for (pointer, field) in [
         ("", "band"),
         ("", "gateways"),
         ("", "forwards-most"),
@@ -92,24 +92,24 @@
         ("/cells/engine/0", "cell"),
         ("/cells/tenant/0", "name"),
     ] {
-        let mut spoilt = full.clone();
-        spoilt
-            .pointer_mut(at)
+        let mut invalid = full.clone();
+        invalid
+            .pointer_mut(pointer)
             .unwrap()
             .as_object_mut()
             .unwrap()
             .remove(field)
             .unwrap();
-        let reason = serde_json::from_value::<Document>(spoilt)
+        let reason = serde_json::from_value::<Document>(invalid)
             .unwrap_err()
             .to_string();
         assert!(
             reason.contains(&format!("missing field `{field}`")),
-            "{at}/{field}: {reason}"
+            "{pointer}/{field}: {reason}"
         );
-        seen += 1;
+        count += 1;
     }
-    assert_eq!(seen, 21);
+    assert_eq!(count, 21);
 }
 
 #[test]
@@ -117,12 +117,12 @@
     let json: Vec<Value> = serde_json::from_str(&FORMS.text("journal.json")).unwrap();
     let read: Vec<Record<Document>> = json
         .iter()
-        .map(|r| serde_json::from_value(r.clone()).unwrap())
+        .map(|record| serde_json::from_value(record.clone()).unwrap())
         .collect();
     FORMS.assert_same("journal.json", &json_text(&read));
     let kinds: Vec<&str> = json
         .iter()
-        .flat_map(|r| r.as_object().unwrap().keys())
+        .flat_map(|record| record.as_object().unwrap().keys())
         .map(String::as_str)
         .collect();
     assert_eq!(
@@ -130,7 +130,10 @@
         ["whole", "set", "set", "confirmed", "set", "taken-back"]
     );
 
-    let written: Vec<u8> = read.iter().flat_map(|r| encode(r).unwrap()).collect();
+    let written: Vec<u8> = read
+        .iter()
+        .flat_map(|record| encode(record).unwrap())
+        .collect();
     FORMS.assert_same("journal.hex", &format!("{}\n", hex(&written)));
     let bytes = FORMS.bytes("journal.hex");
     assert_eq!(
@@ -147,49 +150,49 @@
 }
 
 #[test]
-fn a_planned_change_has_the_pinned_paths_moments_and_refusals() {
-    let (full, least) = (
+fn planned_change_has_the_pinned_paths_times_of_effect_and_violations() {
+    let (full, lend) = (
         document("document-full.json"),
         document("document-lend.json"),
     );
-    let step = |s: &FieldChange| {
-        let value = |v: &Option<String>| match v {
+    let change_text = |change: &FieldChange| {
+        let value = |value: &Option<String>| match value {
             None => "none".to_owned(),
-            // Its text has a test of its own, in `plan.rs`.
-            Some(_) if s.path == "/settings/cells" => "some".to_owned(),
+            // A test in `plan.rs` covers this text.
+            Some(_) if change.path == "/settings/cells" => "some".to_owned(),
             Some(text) => format!("{text:?}"),
         };
-        let takes_effect = match s.takes_effect {
+        let takes_effect = match change.takes_effect {
             TakesEffect::Immediately => "at once",
             TakesEffect::ForNewRequests => "for new ones only",
             TakesEffect::AfterOpenRequests => "when those open are over",
         };
         format!(
             "{}: {} -> {}, {takes_effect}\n",
-            s.path,
-            value(&s.from),
-            value(&s.to)
+            change.path,
+            value(&change.from),
+            value(&change.to)
         )
     };
-    let shown = |from: &Document, to: &Document| match plan(
+    let plan_text = |from: &Document, to: &Document| match plan(
         from,
         to,
         &ClassRegistry::from_document(from),
         &name_index(),
     ) {
-        Ok(plan) => plan.changes.iter().map(step).collect(),
+        Ok(plan) => plan.changes.iter().map(change_text).collect(),
         Err(violations) => violations
             .iter()
-            .map(|f| format!("refused {}\n", f.path))
+            .map(|violation| format!("refused {}\n", violation.path))
             .collect::<String>(),
     };
-    FORMS.assert_same("plan-forth.txt", &shown(&full, &least));
-    FORMS.assert_same("plan-back.txt", &shown(&least, &full));
+    FORMS.assert_same("plan-forth.txt", &plan_text(&full, &lend));
+    FORMS.assert_same("plan-back.txt", &plan_text(&lend, &full));
     let mut other = full.clone();
-    for b in &mut other.classes {
-        b.threads += 1;
-        b.preserves_key_order = !b.preserves_key_order;
-        b.zones = vec!["elsewhere".into()];
+    for class in &mut other.classes {
+        class.threads += 1;
+        class.preserves_key_order = !class.preserves_key_order;
+        class.zones = vec!["elsewhere".into()];
     }
-    FORMS.assert_same("plan-refused.txt", &shown(&full, &other));
+    FORMS.assert_same("plan-refused.txt", &plan_text(&full, &other));
 }
--- a/crates/config-change/tests/plan.rs
+++ b/crates/config-change/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a change, and the violations that prevent one.
+//! The plan of a change, the violations that prevent one, and the intersection of two documents.
 
 use ironstair::{ClassPolicy, DedupScope, Effect, MachineType, PolicyConfig, RetryBudget};
 use ironstair_config_change::{
@@ -6,19 +6,19 @@
 };
 
 fn origin() -> Origin {
-    let terms = |expected: f64, repeat| ClassPolicy {
-        base_objective: expected,
+    let class = |base_objective: f64, effect| ClassPolicy {
+        base_objective,
         value: 1.0 / 3.0,
         threads: 2.0,
-        effect: repeat,
+        effect,
         dedup_window: 900.4,
         ..ClassPolicy::default()
     };
     let policy_config = PolicyConfig {
         gateway_count: 3.0,
         classes: vec![
-            terms(1000.25, Effect::Idempotent),
-            terms(5000.0, Effect::Deduplicated(DedupScope::DedupDomain)),
+            class(1000.25, Effect::Idempotent),
+            class(5000.0, Effect::Deduplicated(DedupScope::DedupDomain)),
         ],
         machine_types: vec![MachineType {
             cores: 16.0,
@@ -49,39 +49,45 @@
     }
 }
 
-type Tried = Result<(Vec<(String, TakesEffect)>, PolicyConfig), Vec<String>>;
+/// The changes and the new policy config, or the violations.
+type PlanResult = Result<(Vec<(String, TakesEffect)>, PolicyConfig), Vec<String>>;
 type Change<'a> = &'a dyn Fn(&mut Document);
 
-fn tried(change: impl Fn(&mut Document)) -> Tried {
-    let o = origin();
-    let mut to = o.document.clone();
+/// Plans a change of the configured document.
+fn plan_change(change: impl Fn(&mut Document)) -> PlanResult {
+    let origin = origin();
+    let mut to = origin.document.clone();
     change(&mut to);
     match plan(
-        &o.document,
+        &origin.document,
         &to,
-        &ClassRegistry::from_document(&o.document),
-        &o.name_index,
+        &ClassRegistry::from_document(&origin.document),
+        &origin.name_index,
     ) {
-        Ok(p) => Ok((
-            p.changes
+        Ok(plan) => Ok((
+            plan.changes
                 .into_iter()
-                .map(|s| (s.path, s.takes_effect))
+                .map(|change| (change.path, change.takes_effect))
                 .collect(),
-            o.policy_config(&to, &p.registry),
+            origin.policy_config(&to, &plan.registry),
         )),
-        Err(violations) => Err(violations.iter().map(|f| f.to_string()).collect()),
+        Err(violations) => Err(violations
+            .iter()
+            .map(|violation| violation.to_string())
+            .collect()),
     }
 }
 
 #[test]
-fn what_is_not_changed_keeps_its_figure_to_the_last_digit() {
+fn unchanged_settings_keep_their_exact_configured_numbers() {
     let configured = origin().policy_config;
-    let (changes, same) = tried(|_| {}).unwrap();
+    let (changes, same) = plan_change(|_| {}).unwrap();
     assert_eq!(
         (changes.len(), format!("{same:?}")),
         (0, format!("{configured:?}"))
     );
-    let (changes, new) = tried(|d| d.classes[0].value = Decimal::rounded(2.0)).unwrap();
+    let (changes, new) =
+        plan_change(|document| document.classes[0].value = Decimal::rounded(2.0)).unwrap();
     assert_eq!(
         changes,
         [(
@@ -101,24 +107,33 @@
 }
 
 #[test]
-fn each_field_says_when_it_takes_effect() {
-    let (changes, new) = tried(|d| {
-        d.classes[0].base_objective = 700;
-        d.classes[0].zones = vec!["b".into()];
-        d.classes.remove(1);
-        d.retry_budget = None;
-        d.gateways = 4;
+fn each_changed_field_states_when_it_takes_effect() {
+    let (changes, new) = plan_change(|document| {
+        document.classes[0].base_objective = 700;
+        document.classes[0].zones = vec!["b".into()];
+        document.classes.remove(1);
+        document.retry_budget = None;
+        document.gateways = 4;
     })
     .unwrap();
-    let at = |path: &str| changes.iter().find(|s| s.0.ends_with(path)).map(|s| s.1);
+    let takes_effect = |path: &str| {
+        let change = changes.iter().find(|change| change.0.ends_with(path));
+        change.map(|change| change.1)
+    };
     assert_eq!(
-        at("band[name=lookup]/expected"),
+        takes_effect("band[name=lookup]/expected"),
         Some(TakesEffect::ForNewRequests)
     );
-    assert_eq!(at("band[name=lookup]/zone"), Some(TakesEffect::Immediately));
-    assert_eq!(at("band[name=post]"), Some(TakesEffect::AfterOpenRequests));
     assert_eq!(
-        (at("gateways"), at("ration/share")),
+        takes_effect("band[name=lookup]/zone"),
+        Some(TakesEffect::Immediately)
+    );
+    assert_eq!(
+        takes_effect("band[name=post]"),
+        Some(TakesEffect::AfterOpenRequests)
+    );
+    assert_eq!(
+        (takes_effect("gateways"), takes_effect("ration/share")),
         (
             Some(TakesEffect::Immediately),
             Some(TakesEffect::Immediately)
@@ -141,212 +156,227 @@
 }
 
 #[test]
-fn what_cannot_change_in_service_is_refused_by_its_path() {
+fn invalid_changes_are_refused_with_the_path_of_the_field() {
     let cases: [(Change, &str); 8] = [
         (
-            &|d| d.classes[0].threads = 3,
+            &|document| document.classes[0].threads = 3,
             "/settings/band[name=lookup]/threads: cannot change in service",
         ),
         (
-            &|d| d.classes[0].preserves_key_order = true,
+            &|document| document.classes[0].preserves_key_order = true,
             "/settings/band[name=lookup]/in-order: cannot",
         ),
         (
-            &|d| d.classes[0].hard_limit = 10,
+            &|document| document.classes[0].hard_limit = 10,
             "/settings/band[name=lookup]/hard-limit: the hard limit is shorter",
         ),
         (
-            &|d| d.classes[1].dedup_window = None,
+            &|document| document.classes[1].dedup_window = None,
             "/settings/band[name=post]/window: a tagged band needs",
         ),
         (
-            &|d| d.classes[0].dedup_window = Some(1),
+            &|document| document.classes[0].dedup_window = Some(1),
             "/settings/band[name=lookup]/window: window is for tagged",
         ),
         (
-            &|d| d.classes[0].zones = vec!["c".into()],
+            &|document| document.classes[0].zones = vec!["c".into()],
             "/settings/band[name=lookup]/zone: c is not among",
         ),
         (
-            &|d| d.classes[1].name = "lookup".into(),
+            &|document| document.classes[1].name = "lookup".into(),
             "/settings/band[name=lookup]/name: another band has the name \"lookup\"",
         ),
         (
-            &|d| d.classes.clear(),
+            &|document| document.classes.clear(),
             "/settings/band: at least one band is required",
         ),
     ];
     for (change, reason) in cases {
-        let violations = tried(change).unwrap_err();
+        let violations = plan_change(change).unwrap_err();
         assert!(
-            violations.iter().any(|f| f.starts_with(reason)),
+            violations
+                .iter()
+                .any(|violation| violation.starts_with(reason)),
             "{reason}: {violations:?}"
         );
     }
 }
 
 #[test]
-fn a_class_comes_back_to_its_place_only_as_it_was_and_new_ones_get_new_places() {
-    let o = origin();
-    let (mut out, mut back) = (o.document.clone(), o.document.clone());
-    let post = out.classes.remove(1);
+fn class_regains_its_index_only_if_unchanged_and_new_classes_get_new_indices() {
+    let origin = origin();
+    let (mut without_post, mut with_post) = (origin.document.clone(), origin.document.clone());
+    let post = without_post.classes.remove(1);
     let registry = plan(
-        &o.document,
-        &out,
-        &ClassRegistry::from_document(&o.document),
-        &o.name_index,
+        &origin.document,
+        &without_post,
+        &ClassRegistry::from_document(&origin.document),
+        &origin.name_index,
     )
     .unwrap()
     .registry;
     assert_eq!(registry.find("post"), Some(1));
-    back.classes.insert(
+    with_post.classes.insert(
         0,
         ironstair_config_change::Class {
             name: "audit".into(),
             ..post.clone()
         },
     );
-    let p = plan(&out, &back, &registry, &o.name_index).unwrap();
+    let new_plan = plan(&without_post, &with_post, &registry, &origin.name_index).unwrap();
     assert_eq!(
-        (p.registry.find("post"), p.registry.find("audit")),
+        (
+            new_plan.registry.find("post"),
+            new_plan.registry.find("audit")
+        ),
         (Some(1), Some(2))
     );
-    let m = o.policy_config(&back, &p.registry);
+    let policy_config = origin.policy_config(&with_post, &new_plan.registry);
     assert_eq!(
         (
-            m.classes.len(),
-            m.classes[1].dedup_window,
-            m.classes[2].dedup_window
+            policy_config.classes.len(),
+            policy_config.classes[1].dedup_window,
+            policy_config.classes[2].dedup_window
         ),
         (3, 900.4, 900.0)
     );
-    back.classes[2].threads = 9;
-    assert!(plan(&out, &back, &p.registry, &o.name_index).is_err());
+    with_post.classes[2].threads = 9;
+    assert!(plan(
+        &without_post,
+        &with_post,
+        &new_plan.registry,
+        &origin.name_index
+    )
+    .is_err());
 }
 
 #[test]
-fn classes_that_come_and_go_by_other_names_are_bounded() {
-    let o = origin();
+fn classes_added_and_removed_under_new_names_are_limited() {
+    let origin = origin();
     let (mut from, mut registry) = (
-        o.document.clone(),
-        ClassRegistry::from_document(&o.document),
+        origin.document.clone(),
+        ClassRegistry::from_document(&origin.document),
     );
     for nth in 2..=MAX_CLASSES {
-        let mut to = o.document.clone();
+        let mut to = origin.document.clone();
         to.classes[1].name = format!("b{nth}");
-        match plan(&from, &to, &registry, &o.name_index) {
-            Ok(p) => (from, registry) = (to, p.registry),
+        match plan(&from, &to, &registry, &origin.name_index) {
+            Ok(plan) => (from, registry) = (to, plan.registry),
             Err(violations) => {
                 assert_eq!((nth, violations.len()), (MAX_CLASSES, 1));
                 return;
             }
         }
     }
-    panic!("no bound");
+    panic!("no limit");
 }
 
-type Seen = fn(&Document) -> String;
+type View = fn(&Document) -> String;
 
-fn changed(change: Change) -> Document {
+fn changed_document(change: Change) -> Document {
     let mut document = origin().document;
     change(&mut document);
     document
 }
 
-fn assert_intersections(cases: &[(Change, Change, Seen, &str)]) {
-    for (one, other, seen, want) in cases {
-        let a = changed(*one);
-        let b = changed(*other);
-        assert_eq!(seen(&a.intersection(&b).unwrap()), *want);
+/// Asserts the intersection of each two changed documents, in both orders.
+fn assert_intersections(cases: &[(Change, Change, View, &str)]) {
+    for (left, right, view, expected) in cases {
+        let left = changed_document(*left);
+        let right = changed_document(*right);
+        assert_eq!(view(&left.intersection(&right).unwrap()), *expected);
         assert_eq!(
-            seen(&b.intersection(&a).unwrap()),
-            *want,
-            "the other way round"
+            view(&right.intersection(&left).unwrap()),
+            *expected,
+            "in the other order"
         );
     }
 }
 
 #[test]
-fn the_intersection_of_two_is_bound_by_both_whichever_came_first() {
+fn intersection_has_the_stricter_limit_of_both_in_either_order() {
     assert_intersections(&[
         (
-            &|d| d.gateways = 5,
-            &|d| d.gateways = 4,
-            |d| d.gateways.to_string(),
+            &|document| document.gateways = 5,
+            &|document| document.gateways = 4,
+            |document| document.gateways.to_string(),
             "5",
         ),
         (
-            &|d| d.max_attempts = 3,
+            &|document| document.max_attempts = 3,
             &|_| {},
-            |d| d.max_attempts.to_string(),
+            |document| document.max_attempts.to_string(),
             "3",
         ),
         (
-            &|d| d.slow_start.initial_share = Decimal::rounded(0.1),
+            &|document| document.slow_start.initial_share = Decimal::rounded(0.1),
             &|_| {},
-            |d| d.slow_start.initial_share.to_string(),
+            |document| document.slow_start.initial_share.to_string(),
             "0.1",
         ),
         (
-            &|d| d.slow_start.slow_start_duration = 9,
+            &|document| document.slow_start.slow_start_duration = 9,
             &|_| {},
-            |d| d.slow_start.slow_start_duration.to_string(),
+            |document| document.slow_start.slow_start_duration.to_string(),
             "15000",
         ),
         (
-            &|d| d.classes[1].dedup_window = Some(7),
+            &|document| document.classes[1].dedup_window = Some(7),
             &|_| {},
-            |d| format!("{:?}", d.classes[1].dedup_window),
+            |document| format!("{:?}", document.classes[1].dedup_window),
             "Some(7)",
         ),
     ]);
 }
 
 #[test]
-fn the_intersection_has_only_the_zones_and_retries_of_both() {
+fn intersection_has_only_the_zones_and_retries_that_both_allow() {
     let zones = |zones: &'static [&'static str]| {
-        move |d: &mut Document| {
-            d.classes[0].zones = zones.iter().map(|z| z.to_string()).collect();
+        move |document: &mut Document| {
+            document.classes[0].zones = zones.iter().map(|zone| zone.to_string()).collect();
         }
     };
     let retry_budget = |min_retries: u32, window: u32| {
-        move |d: &mut Document| {
-            d.retry_budget = d
-                .retry_budget
-                .map(|r| ironstair_config_change::RetryBudget {
-                    min_retries,
-                    window,
-                    ..r
-                });
+        move |document: &mut Document| {
+            document.retry_budget =
+                document
+                    .retry_budget
+                    .map(|budget| ironstair_config_change::RetryBudget {
+                        min_retries,
+                        window,
+                        ..budget
+                    });
         }
     };
     assert_intersections(&[
         (
             &zones(&["a", "b"]),
             &zones(&["B"]),
-            |d| d.classes[0].zones.join(" ").to_lowercase(),
+            |document| document.classes[0].zones.join(" ").to_lowercase(),
             "b",
         ),
         (
             &zones(&["a"]),
             &zones(&["b"]),
-            |d| d.classes[0].name.clone(),
+            |document| document.classes[0].name.clone(),
             "post",
         ),
         (
             &retry_budget(3, 10_000),
             &retry_budget(5, 10_000),
-            |d| d.retry_budget.unwrap().min_retries.to_string(),
+            |document| document.retry_budget.unwrap().min_retries.to_string(),
             "3",
         ),
-        // Counts over windows of different lengths do not limit each other.
+        // Budgets over windows of different lengths cannot be compared.
         (
             &retry_budget(3, 100),
             &retry_budget(5, 10_000),
-            |d| {
+            |document| {
                 format!(
                     "{:?}",
-                    d.retry_budget.map(|r| (r.min_retries, r.retry_ratio.get()))
+                    document
+                        .retry_budget
+                        .map(|budget| (budget.min_retries, budget.retry_ratio.get()))
                 )
             },
             "Some((0, 0.0))",
@@ -356,17 +386,17 @@
 
 #[test]
 fn documents_without_a_class_in_both_have_no_intersection() {
-    let a = changed(&|d| drop(d.classes.pop()));
-    let b = changed(&|d| drop(d.classes.remove(0)));
+    let left = changed_document(&|document| drop(document.classes.pop()));
+    let right = changed_document(&|document| drop(document.classes.remove(0)));
     assert!(
-        a.intersection(&b).is_none() && b.intersection(&a).is_none(),
-        "no band in both"
+        left.intersection(&right).is_none() && right.intersection(&left).is_none(),
+        "no class in both"
     );
 }
 
 #[test]
-fn a_change_of_the_cells_is_shown_in_the_text_it_always_had() {
-    // The text dates from when it followed the names in the code; readers of a plan depend on it.
+fn change_of_the_cells_is_shown_in_a_fixed_form() {
+    // Readers of a plan depend on this form, which once followed the names in the code.
     let cells = |json: &str| serde_json::from_str::<Cells>(json).unwrap();
     let full = cells(
         r#"{"shard": 2, "cell": [{"name": "n", "weight": "1.5"}, {"name": "s"}],
--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -1,5 +1,5 @@
-//! Model checking of revisions under every order of changes, confirmations, timeouts, failed writes, crashes and
-//! restarts, and the plain cases by hand.
+//! Checks the revision tracker: a model checker explores every order of changes, confirmations, timeouts, failed
+//! writes, crashes and restarts within bounds, and single tests cover typical sequences.
 
 use ironstair_config_change::{
     Action, Command, Confirmation, Input, PersistedState, Record, Refusal, RevisionState,
@@ -8,31 +8,38 @@
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
-/// Limits of the model, large enough for an unconfirmed change, a second change and a restart between any two of them.
-const ASKS: usize = 4;
+/// Bounds of the model: the numbers of commands, crashes and time steps. They allow for an unconfirmed change, a second
+/// change, and a restart between any two events.
+const COMMANDS: usize = 4;
 const CRASHES: usize = 2;
-const TICKS: usize = 3;
+const TIME_STEPS: usize = 3;
 
 #[derive(Clone, Debug, PartialEq)]
-struct World {
+struct State {
     tracker: Option<RevisionTracker<u8>>,
     disk: Vec<Record<u8>>,
-    /// Records that are not on the disk yet: the one that the tracker waits for, and the notes.
-    writing: Option<Record<u8>>,
-    notes: Vec<Record<u8>>,
+    /// The record that is being written and whose result the tracker waits for.
+    pending_write: Option<Record<u8>>,
+    /// Records that are not on the disk yet, whose results the tracker does not wait for.
+    unacknowledged: Vec<Record<u8>>,
+    /// The command that is not answered yet.
     command: Option<Command<u8>>,
     /// The settings that the dispatcher has applied.
     applied: u8,
-    /// The settings that a caller knows to be permanent, and those that may be, since a crash interrupted their write.
-    after_restart: u8,
-    maybe: Option<u8>,
-    left: (usize, usize, usize),
-    broken: Option<&'static str>,
+    /// The settings that a caller knows to be permanent.
+    permanent: u8,
+    /// Settings that may be permanent: a crash interrupted the answer after their record was written.
+    maybe_permanent: Option<u8>,
+    commands_left: usize,
+    crashes_left: usize,
+    time_steps_left: usize,
+    /// A violation that was found.
+    violation: Option<&'static str>,
 }
 
-impl Eq for World {}
+impl Eq for State {}
 
-impl Hash for World {
+impl Hash for State {
     fn hash<H: Hasher>(&self, to: &mut H) {
         format!("{self:?}").hash(to);
     }
@@ -41,15 +48,17 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Command(&'static str),
-    Tick,
-    Wrote(bool),
-    Noted(bool),
+    AdvanceTime,
+    /// The pending write ends; the flag states whether it succeeded.
+    FinishWrite(bool),
+    /// An unacknowledged write ends; the flag states whether it succeeded.
+    FinishUnacknowledged(bool),
     /// A crash; the flag states whether the write in progress reached the disk.
     Crash(bool),
     Start,
 }
 
-struct Days;
+struct RevisionModel;
 
 fn command(summary: &str, document: u8) -> Command<u8> {
     let id = || "c".to_owned();
@@ -61,7 +70,7 @@
     };
     match summary {
         "set" => set(None),
-        "try" => set(Some(Confirmation {
+        "set-unconfirmed" => set(Some(Confirmation {
             id: id(),
             within: 1.0,
         })),
@@ -74,12 +83,12 @@
     }
 }
 
-impl World {
+impl State {
     fn now(&self) -> f64 {
-        (TICKS - self.left.2) as f64
+        (TIME_STEPS - self.time_steps_left) as f64
     }
 
-    fn hand(&mut self, input: Input<u8>) {
+    fn handle(&mut self, input: Input<u8>) {
         let now = self.now();
         let Some(tracker) = self.tracker.as_mut() else {
             return;
@@ -89,158 +98,197 @@
         }
         for action in tracker.handle(now, input) {
             match action {
-                Action::Write(record) => self.writing = Some(record),
-                Action::WriteUnacknowledged(record) => self.notes.push(record),
+                Action::Write(record) => self.pending_write = Some(record),
+                Action::WriteUnacknowledged(record) => self.unacknowledged.push(record),
                 Action::Apply { document, .. } => self.applied = document,
-                Action::Answer(how) => {
-                    let tried = tracker.pending_confirmation().is_some();
-                    match (self.command.take(), how) {
-                        (Some(Command::Set { .. }), Ok(_)) if tried => {}
+                Action::Answer(answer) => {
+                    let is_unconfirmed = tracker.pending_confirmation().is_some();
+                    match (self.command.take(), answer) {
+                        (Some(Command::Set { .. }), Ok(_)) if is_unconfirmed => {}
                         (Some(Command::Set { document, .. }), Ok(_)) => {
-                            self.after_restart = document;
+                            self.permanent = document;
                         }
                         (Some(Command::Confirm { .. }), Ok(_)) => {
-                            self.after_restart = *tracker.running();
+                            self.permanent = *tracker.running();
                         }
-                        (None, _) => self.broken = Some("an answer to nobody"),
+                        (None, _) => self.violation = Some("an answer without a command"),
                         _ => {}
                     }
                 }
             }
         }
-        if tracker.pending_confirmation().is_none() && *tracker.running() != self.after_restart {
-            self.broken = Some("what runs was never confirmed");
+        if tracker.pending_confirmation().is_none() && *tracker.running() != self.permanent {
+            self.violation = Some("the running settings were never confirmed");
         }
     }
 }
 
-impl Model for Days {
-    type State = World;
+impl Model for RevisionModel {
+    type State = State;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
+    fn init_states(&self) -> Vec<State> {
+        vec![State {
             tracker: Some(RevisionTracker::new(PersistedState::configured(0), true)),
             disk: vec![Record::Snapshot(PersistedState::configured(0))],
-            writing: None,
-            notes: Vec::new(),
+            pending_write: None,
+            unacknowledged: Vec::new(),
             command: None,
             applied: 0,
-            after_restart: 0,
-            maybe: None,
-            left: (ASKS, CRASHES, TICKS),
-            broken: None,
+            permanent: 0,
+            maybe_permanent: None,
+            commands_left: COMMANDS,
+            crashes_left: CRASHES,
+            time_steps_left: TIME_STEPS,
+            violation: None,
         }]
     }
 
-    fn actions(&self, w: &World, steps: &mut Vec<Step>) {
-        if w.tracker.is_none() {
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.tracker.is_none() {
             return steps.push(Step::Start);
         }
-        if w.left.0 > 0 && w.writing.is_none() {
-            steps.extend(["set", "try", "confirm", "cancel", "extend"].map(Step::Command));
+        if state.commands_left > 0 && state.pending_write.is_none() {
+            steps.extend(
+                ["set", "set-unconfirmed", "confirm", "cancel", "extend"].map(Step::Command),
+            );
         }
-        if w.left.2 > 0 {
-            steps.push(Step::Tick);
+        if state.time_steps_left > 0 {
+            steps.push(Step::AdvanceTime);
         }
         // The disk completes writes one after the other.
-        if !w.notes.is_empty() {
-            steps.extend([true, false].map(Step::Noted));
-        } else if w.writing.is_some() {
-            steps.extend([true, false].map(Step::Wrote));
+        if !state.unacknowledged.is_empty() {
+            steps.extend([true, false].map(Step::FinishUnacknowledged));
+        } else if state.pending_write.is_some() {
+            steps.extend([true, false].map(Step::FinishWrite));
         }
-        if w.left.1 > 0 {
+        if state.crashes_left > 0 {
             steps.extend([true, false].map(Step::Crash));
         }
     }
 
-    fn next_state(&self, was: &World, step: Step) -> Option<World> {
-        let mut w = was.clone();
+    fn next_state(&self, before: &State, step: Step) -> Option<State> {
+        let mut state = before.clone();
         match step {
             Step::Command(summary) => {
-                w.left.0 -= 1;
-                let document = (ASKS - w.left.0) as u8;
-                w.hand(Input::Command(command(summary, document)));
+                state.commands_left -= 1;
+                let document = (COMMANDS - state.commands_left) as u8;
+                state.handle(Input::Command(command(summary, document)));
             }
-            Step::Tick => {
-                w.left.2 -= 1;
-                w.hand(Input::Due);
+            Step::AdvanceTime => {
+                state.time_steps_left -= 1;
+                state.handle(Input::Due);
             }
-            Step::Noted(persisted) => {
-                let note = w.notes.remove(0);
-                w.disk.extend(persisted.then_some(note));
+            Step::FinishUnacknowledged(persisted) => {
+                let record = state.unacknowledged.remove(0);
+                state.disk.extend(persisted.then_some(record));
             }
-            Step::Wrote(persisted) => {
-                let record = w.writing.take()?;
-                w.disk.extend(persisted.then_some(record));
-                w.hand(Input::Written(if persisted {
+            Step::FinishWrite(persisted) => {
+                let record = state.pending_write.take()?;
+                state.disk.extend(persisted.then_some(record));
+                state.handle(Input::Written(if persisted {
                     Ok(())
                 } else {
                     Err(WriteError("full".into()))
                 }));
             }
             Step::Crash(persisted) => {
-                w.left.1 -= 1;
-                let tried = w.tracker.take()?.pending_confirmation().is_some();
-                if let Some(record) = w.writing.take().filter(|_| persisted && w.notes.is_empty()) {
-                    w.maybe = match &record {
+                state.crashes_left -= 1;
+                let was_unconfirmed = state.tracker.take()?.pending_confirmation().is_some();
+                if let Some(record) = state
+                    .pending_write
+                    .take()
+                    .filter(|_| persisted && state.unacknowledged.is_empty())
+                {
+                    state.maybe_permanent = match &record {
                         Record::Set { revision, document }
                             if revision.state == RevisionState::Running =>
                         {
                             Some(*document)
                         }
-                        Record::Confirmed { .. } if tried => Some(was.applied),
+                        Record::Confirmed { .. } if was_unconfirmed => Some(before.applied),
                         _ => None,
                     };
-                    w.disk.push(record);
+                    state.disk.push(record);
                 }
-                (w.notes, w.command) = (Vec::new(), None);
+                (state.unacknowledged, state.command) = (Vec::new(), None);
             }
             Step::Start => {
-                let (persisted, _) = PersistedState::replay(w.disk.clone(), 0);
+                let (persisted, _) = PersistedState::replay(state.disk.clone(), 0);
                 let tracker = RevisionTracker::new(persisted, true);
-                w.applied = *tracker.running();
-                if w.applied != w.after_restart && w.maybe != Some(w.applied) {
-                    w.broken = Some("a start runs what was never for good");
+                state.applied = *tracker.running();
+                if state.applied != state.permanent && state.maybe_permanent != Some(state.applied)
+                {
+                    state.violation = Some("a start restores settings that were never permanent");
                 }
-                (w.after_restart, w.maybe) = (w.applied, None);
-                w.tracker = Some(tracker);
+                (state.permanent, state.maybe_permanent) = (state.applied, None);
+                state.tracker = Some(tracker);
             }
         }
-        Some(w)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "one revision runs, and it is the tracker's",
-                |_, w: &World| w.tracker.as_ref().is_none_or(|l| *l.running() == w.applied),
+                "the dispatcher runs the settings that the tracker states",
+                |_, state: &State| {
+                    state
+                        .tracker
+                        .as_ref()
+                        .is_none_or(|tracker| *tracker.running() == state.applied)
+                },
+            ),
+            Property::always(
+                "at most one revision is running or unconfirmed",
+                |_, state: &State| {
+                    let is_current = |revision_state: &RevisionState| {
+                        matches!(
+                            revision_state,
+                            RevisionState::Running | RevisionState::Unconfirmed
+                        )
+                    };
+                    let current_count = |tracker: &RevisionTracker<u8>| {
+                        tracker
+                            .revisions()
+                            .iter()
+                            .filter(|revision| is_current(&revision.state))
+                            .count()
+                    };
+                    state
+                        .tracker
+                        .as_ref()
+                        .is_none_or(|tracker| current_count(tracker) <= 1)
+                },
+            ),
+            Property::always(
+                "no unconfirmed revision survives a restart, and no confirmed one is lost",
+                |_, state: &State| state.violation.is_none(),
             ),
-            Property::always("at most one line runs or waits", |_, w: &World| {
-                let open = |s: &RevisionState| {
-                    matches!(s, RevisionState::Running | RevisionState::Unconfirmed)
-                };
-                let revisions = |l: &RevisionTracker<u8>| {
-                    l.revisions().iter().filter(|l| open(&l.state)).count()
-                };
-                w.tracker.as_ref().is_none_or(|l| revisions(l) <= 1)
-            }),
             Property::always(
-                "unconfirmed ones never survive, confirmed ones are never lost",
-                |_, w: &World| w.broken.is_none(),
+                "no unconfirmed change is running after its deadline",
+                |_, state: &State| {
+                    let is_overdue = |tracker: &RevisionTracker<u8>| {
+                        tracker
+                            .pending_confirmation()
+                            .is_some_and(|(_, deadline)| deadline <= state.now())
+                    };
+                    state.pending_write.is_some()
+                        || state
+                            .tracker
+                            .as_ref()
+                            .is_none_or(|tracker| !is_overdue(tracker))
+                },
             ),
-            Property::always("no unconfirmed change outlives its time", |_, w: &World| {
-                let late = |l: &RevisionTracker<u8>| {
-                    l.pending_confirmation().is_some_and(|t| t.1 <= w.now())
-                };
-                w.writing.is_some() || w.tracker.as_ref().is_none_or(|l| !late(l))
-            }),
             Property::sometimes(
                 "an unconfirmed change is confirmed after a restart",
-                |_, w: &World| {
-                    w.left.1 < CRASHES
-                        && w.after_restart > 0
-                        && w.disk.iter().any(|r| matches!(r, Record::Confirmed { .. }))
+                |_, state: &State| {
+                    state.crashes_left < CRASHES
+                        && state.permanent > 0
+                        && state
+                            .disk
+                            .iter()
+                            .any(|record| matches!(record, Record::Confirmed { .. }))
                 },
             ),
         ]
@@ -248,22 +296,22 @@
 }
 
 #[test]
-fn in_every_order_of_commits_crashes_and_lost_writes_only_what_is_for_good_outlives_the_process() {
-    let checked = Days.checker().threads(4).spawn_bfs().join();
-    checked.assert_properties();
+fn only_permanent_settings_survive_in_every_order_of_commits_crashes_and_failed_writes() {
+    let checker = RevisionModel.checker().threads(4).spawn_bfs().join();
+    checker.assert_properties();
     assert!(
-        checked.unique_state_count() > 10_000,
+        checker.unique_state_count() > 10_000,
         "{}",
-        checked.unique_state_count()
+        checker.unique_state_count()
     );
 }
 
 fn answers(actions: Vec<Action<u8>>) -> Vec<Result<u64, Refusal>> {
     actions
         .into_iter()
-        .filter_map(|a| {
-            if let Action::Answer(how) = a {
-                Some(how)
+        .filter_map(|action| {
+            if let Action::Answer(answer) = action {
+                Some(answer)
             } else {
                 None
             }
@@ -272,20 +320,20 @@
 }
 
 #[test]
-fn an_unconfirmed_change_is_rolled_back_at_its_time_and_a_second_one_meanwhile_is_refused() {
+fn unconfirmed_change_is_rolled_back_at_its_deadline_and_a_second_change_before_that_is_refused() {
     let mut tracker = RevisionTracker::new(PersistedState::configured(0), false);
     assert_eq!(
-        answers(tracker.handle(10.0, Input::Command(command("try", 7)))),
+        answers(tracker.handle(10.0, Input::Command(command("set-unconfirmed", 7)))),
         [Ok(1)]
     );
     assert_eq!((tracker.due(), *tracker.running()), (Some(11.0), 7));
-    let refused = Refusal::Unconfirmed {
+    let refusal = Refusal::Unconfirmed {
         number: 1,
         id: "c".into(),
     };
     assert_eq!(
         answers(tracker.handle(10.1, Input::Command(command("set", 8)))),
-        [Err(refused)]
+        [Err(refusal)]
     );
     assert_eq!(
         answers(tracker.handle(10.2, Input::Command(command("extend", 0)))),
@@ -306,19 +354,19 @@
         (tracker.running_number(), tracker.revisions()[0].state),
         (0, RevisionState::RolledBack)
     );
-    let none = Refusal::NoSuchCommit { id: "c".into() };
+    let no_such_commit = Refusal::NoSuchCommit { id: "c".into() };
     assert_eq!(
         answers(tracker.handle(12.3, Input::Command(command("confirm", 0)))),
-        [Err(none)],
+        [Err(no_such_commit)],
         "too late"
     );
 }
 
 #[test]
-fn a_confirmation_that_is_being_written_at_its_time_counts_and_a_lost_one_does_not() {
+fn confirmation_that_is_being_written_at_the_deadline_counts_unless_its_write_fails() {
     for persisted in [true, false] {
         let mut tracker = RevisionTracker::new(PersistedState::configured(0), true);
-        tracker.handle(0.0, Input::Command(command("try", 7)));
+        tracker.handle(0.0, Input::Command(command("set-unconfirmed", 7)));
         tracker.handle(0.5, Input::Written(Ok(())));
         assert_eq!(
             answers(tracker.handle(1.4, Input::Command(command("confirm", 0)))),
@@ -328,16 +376,16 @@
             (tracker.handle(1.6, Input::Due), tracker.due()),
             (vec![], None)
         );
-        let how = if persisted {
+        let result = if persisted {
             Ok(())
         } else {
             Err(WriteError("full".to_owned()))
         };
-        let then = tracker.handle(1.7, Input::Written(how));
+        let actions = tracker.handle(1.7, Input::Written(result));
         assert_eq!(
             (*tracker.running(), tracker.pending_confirmation()),
             (if persisted { 7 } else { 0 }, None),
-            "{then:?}"
+            "{actions:?}"
         );
     }
 }
--- a/crates/config-change/tests/running_config.rs
+++ b/crates/config-change/tests/running_config.rs
@@ -1,164 +1,202 @@
-//! The replacement of a configuration file by another one and back, without a gateway.
+//! The replacement of a configuration file by another one and back.
 
 use ironstair::{ClassPolicy, Effect, MachineType, PolicyConfig};
 use ironstair_config_change::{ConfigFile, NameIndex, RunningConfig};
 
-fn class(threads: f64, repeat: Effect, kinds: Option<Vec<u16>>) -> ClassPolicy {
-    let (expected, value) = (500.0, 1.0);
+fn class(threads: f64, effect: Effect, machine_types: Option<Vec<u16>>) -> ClassPolicy {
     ClassPolicy {
-        base_objective: expected,
-        value,
+        base_objective: 500.0,
+        value: 1.0,
         threads,
-        effect: repeat,
-        machine_types: kinds,
+        effect,
+        machine_types,
         ..Default::default()
     }
 }
 
-fn file(classes: Vec<(&str, ClassPolicy)>, kinds: &[(&str, f64)]) -> ConfigFile {
-    let (names, classes): (Vec<_>, Vec<_>) =
-        classes.into_iter().map(|(n, t)| (n.to_owned(), t)).unzip();
-    let limits = vec![2000.0; classes.len()];
-    let cores = kinds.iter().map(|k| MachineType {
-        cores: k.1,
+fn file(classes: Vec<(&str, ClassPolicy)>, machine_types: &[(&str, f64)]) -> ConfigFile {
+    let (class_names, classes): (Vec<_>, Vec<_>) = classes
+        .into_iter()
+        .map(|(name, class)| (name.to_owned(), class))
+        .unzip();
+    let hard_limits = vec![2000.0; classes.len()];
+    let configured_types = machine_types.iter().map(|(_, cores)| MachineType {
+        cores: *cores,
         memory_mb: 1024.0,
     });
     let policy_config = PolicyConfig {
         gateway_count: 2.0,
         classes,
-        machine_types: cores.collect(),
+        machine_types: configured_types.collect(),
         max_attempts: 3,
         ..Default::default()
     };
     let name_index = NameIndex {
         zones: vec![],
-        machine_types: kinds.iter().map(|k| k.0.to_owned()).collect(),
+        machine_types: machine_types
+            .iter()
+            .map(|(name, _)| (*name).to_owned())
+            .collect(),
     };
     ConfigFile {
         policy_config,
-        class_names: names,
-        hard_limits: limits,
+        class_names,
+        hard_limits,
         name_index,
     }
 }
 
-fn first() -> ConfigFile {
-    let safe = Effect::Idempotent;
+fn first_file() -> ConfigFile {
+    let idempotent = Effect::Idempotent;
     file(
         vec![
-            ("lookup", class(1.0, safe, None)),
-            ("report", class(4.0, safe, Some(vec![1]))),
+            ("lookup", class(1.0, idempotent, None)),
+            ("report", class(4.0, idempotent, Some(vec![1]))),
         ],
         &[("s", 8.0), ("l", 16.0)],
     )
 }
 
-fn second() -> ConfigFile {
+fn second_file() -> ConfigFile {
     let load = ClassPolicy {
         preserves_key_order: true,
         ..class(2.0, Effect::NonIdempotent, None)
     };
     let report = class(2.0, Effect::Idempotent, Some(vec![0]));
     let lookup = class(1.0, Effect::Idempotent, None);
-    let mut f = file(
+    let mut config_file = file(
         vec![("load", load), ("report", report), ("lookup", lookup)],
         &[("l", 12.0), ("new", 4.0)],
     );
-    f.policy_config.key_quarantine = 300.0;
-    f
+    config_file.policy_config.key_quarantine = 300.0;
+    config_file
 }
 
 #[test]
-fn what_had_an_index_keeps_it_and_the_way_back_ends_where_it_began() {
-    // Charges, order and slots of open requests must not move to another class with a reused index.
-    let start = RunningConfig::new(first());
+fn classes_and_machine_types_keep_their_indices_when_a_file_is_replaced_and_restored() {
+    // Charges, order and slots of open requests refer to an index; a reused one would assign them to another class.
+    let start = RunningConfig::new(first_file());
     assert_eq!(
         start.policy_config(),
-        first().policy_config,
-        "to the last digit"
+        first_file().policy_config,
+        "the exact configured numbers"
     );
-    let there = start.reload(second()).unwrap().expect("other settings");
+    let replaced = start
+        .reload(second_file())
+        .unwrap()
+        .expect("other settings");
     assert_eq!(
-        there
+        replaced
             .registry()
             .0
             .iter()
-            .map(|s| &*s.name)
+            .map(|slot| &*slot.name)
             .collect::<Vec<_>>(),
         ["lookup", "report", "load", "report"]
     );
-    let m = there.policy_config();
-    let closed: Vec<bool> = m.classes.iter().map(|b| b.out_of_service).collect();
+    let policy_config = replaced.policy_config();
+    let closed: Vec<bool> = policy_config
+        .classes
+        .iter()
+        .map(|class| class.out_of_service)
+        .collect();
     assert_eq!(
         closed,
         [false, true, false, false],
-        "the report of four threads is closed, one of two is open"
+        "report with four threads is out of service, report with two is in service"
+    );
+    assert_eq!(
+        (
+            policy_config.classes[1].threads,
+            policy_config.classes[3].threads
+        ),
+        (4.0, 2.0)
     );
-    assert_eq!((m.classes[1].threads, m.classes[3].threads), (4.0, 2.0));
-    assert_eq!(there.name_index().machine_types, ["s", "l", "new"]);
+    assert_eq!(replaced.name_index().machine_types, ["s", "l", "new"]);
     assert_eq!(
-        m.machine_types.iter().map(|k| k.cores).collect::<Vec<_>>(),
+        policy_config
+            .machine_types
+            .iter()
+            .map(|machine_type| machine_type.cores)
+            .collect::<Vec<_>>(),
         [8.0, 12.0, 4.0]
     );
     assert_eq!(
-        m.classes[3].machine_types,
+        policy_config.classes[3].machine_types,
         Some(vec![1]),
-        "kind l under its old index"
+        "machine type l keeps its index"
     );
-    let back = there.reload(first()).unwrap().expect("other settings");
-    let (m, was) = (back.policy_config(), start.policy_config());
-    assert_eq!(m.classes[..2], was.classes[..]);
+    let restored = replaced
+        .reload(first_file())
+        .unwrap()
+        .expect("other settings");
+    let (policy_config, original) = (restored.policy_config(), start.policy_config());
+    assert_eq!(policy_config.classes[..2], original.classes[..]);
     assert!(
-        m.classes[2].out_of_service
-            && m.classes[3].out_of_service
-            && m.classes[2].preserves_key_order
+        policy_config.classes[2].out_of_service
+            && policy_config.classes[3].out_of_service
+            && policy_config.classes[2].preserves_key_order
     );
     assert_eq!(
-        m.key_quarantine, 300.0,
-        "what is open in order still rests after doubt"
+        policy_config.key_quarantine, 300.0,
+        "open requests in key order still need the quarantine"
     );
     assert_eq!(
-        (m.machine_types[0], m.machine_types[1]),
-        (was.machine_types[0], was.machine_types[1])
+        (
+            policy_config.machine_types[0],
+            policy_config.machine_types[1]
+        ),
+        (original.machine_types[0], original.machine_types[1])
+    );
+    let replaced_again = restored
+        .reload(second_file())
+        .unwrap()
+        .unwrap()
+        .policy_config();
+    assert_eq!(
+        replaced_again,
+        replaced.policy_config(),
+        "the same replacement again"
     );
-    let again = back.reload(second()).unwrap().unwrap().policy_config();
-    assert_eq!(again, there.policy_config(), "the same step once more");
 }
 
 #[test]
-fn the_same_file_again_changes_nothing_and_a_bad_one_is_refused_whole() {
-    let start = RunningConfig::new(first());
-    assert!(start.reload(first()).unwrap().is_none());
-    let mut bad = second();
-    bad.policy_config.classes[1].machine_types = Some(vec![7]);
-    let reason = start.reload(bad).err().unwrap().to_string();
+fn unchanged_file_changes_nothing_and_an_invalid_one_is_refused() {
+    let start = RunningConfig::new(first_file());
+    assert!(start.reload(first_file()).unwrap().is_none());
+    let mut invalid = second_file();
+    invalid.policy_config.classes[1].machine_types = Some(vec![7]);
+    let reason = start.reload(invalid).err().unwrap().to_string();
     assert!(
         reason.contains("report: machine_types_allowed: index 7"),
         "{reason}"
     );
-    let mut bad = second();
-    bad.hard_limits[0] = 100.0;
-    let reason = start.reload(bad).err().unwrap().to_string();
+    let mut invalid = second_file();
+    invalid.hard_limits[0] = 100.0;
+    let reason = start.reload(invalid).err().unwrap().to_string();
     assert!(reason.contains("hard-limit"), "{reason}");
 }
 
 #[test]
-fn classes_that_come_and_go_for_ever_are_refused_in_the_end() {
-    // The memory must not grow with every file.
-    let mut now = RunningConfig::new(first());
-    let many = |n: usize| {
+fn files_with_ever_new_classes_are_refused_at_the_limit() {
+    // Otherwise the memory would grow with every file, since indices are never reused.
+    let mut running = RunningConfig::new(first_file());
+    let file_with_class = |number: usize| {
         file(
-            vec![(&*format!("b{n}"), class(1.0, Effect::Idempotent, None))],
+            vec![(&*format!("b{number}"), class(1.0, Effect::Idempotent, None))],
             &[("s", 8.0)],
         )
     };
-    let end = (0..400).find_map(|n| match now.reload(many(n)) {
+    let refusal = (0..400).find_map(|number| match running.reload(file_with_class(number)) {
         Ok(next) => {
-            now = next.unwrap();
+            running = next.unwrap();
             None
         }
-        Err(reason) => Some((n, reason.to_string())),
+        Err(error) => Some((number, error.to_string())),
     });
-    let (n, reason) = end.expect("a bound");
-    assert!(n < 256 && reason.contains("restart"), "{n} {reason}");
+    let (number, reason) = refusal.expect("a limit");
+    assert!(
+        number < 256 && reason.contains("restart"),
+        "{number} {reason}"
+    );
 }
--- a/crates/management/tests/journal.rs
+++ b/crates/management/tests/journal.rs
@@ -1,4 +1,5 @@
-//! Starts with a journal that a kill during a write has cut off, at every byte of its last records.
+//! Starts with a journal whose last record is incomplete, since the process was killed while it wrote. The file is
+//! truncated at every byte of its last records.
 
 use ironstair::{ClassPolicy, MachineType, PolicyConfig};
 use ironstair_config_change::journal::encode;
@@ -8,8 +9,8 @@
 use ironstair_management::{open, Journal};
 use std::path::Path;
 
-fn configured() -> ConfigFile {
-    let terms = ClassPolicy {
+fn config_file() -> ConfigFile {
+    let class = ClassPolicy {
         base_objective: 1000.0,
         value: 1.0,
         threads: 1.0,
@@ -17,7 +18,7 @@
     };
     let policy_config = PolicyConfig {
         gateway_count: 2.0,
-        classes: vec![terms],
+        classes: vec![class],
         machine_types: vec![MachineType {
             cores: 8.0,
             memory_mb: 1.0,
@@ -41,8 +42,8 @@
     }
 }
 
-fn base() -> Document {
-    let file = configured();
+fn configured_document() -> Document {
+    let file = config_file();
     Document::configured(
         &file.policy_config,
         &file.class_names,
@@ -51,9 +52,10 @@
     )
 }
 
-fn advice_after(folder: &Path) -> (u32, Vec<String>) {
-    let started = open(configured(), None, Some(folder)).unwrap();
-    // The dispatcher must begin with the settings that the journal names as running.
+/// Starts with the folder. Returns the running retry-after and the messages of the start.
+fn start_with(folder: &Path) -> (u32, Vec<String>) {
+    let started = open(config_file(), None, Some(folder)).unwrap();
+    // The dispatcher must start with the settings that are running according to the journal.
     assert_eq!(
         started.policy_config().max_retry_after,
         started.tracker.running().max_retry_after as f64
@@ -61,7 +63,7 @@
     (started.tracker.running().max_retry_after, started.messages)
 }
 
-fn set(
+fn set_record(
     number: u64,
     max_retry_after: u32,
     state: RevisionState,
@@ -87,37 +89,49 @@
 }
 
 #[test]
-fn cut_at_every_byte_of_its_last_records_a_start_runs_the_last_whole_revision() {
-    let base = base();
+fn journal_truncated_at_any_byte_of_its_last_records_restores_the_last_complete_revision() {
+    let base = configured_document();
     let records = [
         Record::Snapshot(PersistedState::configured(base.clone())),
-        set(1, 10, RevisionState::Running, &base),
-        set(2, 20, RevisionState::Unconfirmed, &base),
+        set_record(1, 10, RevisionState::Running, &base),
+        set_record(2, 20, RevisionState::Unconfirmed, &base),
         Record::Confirmed { number: 2 },
-        set(3, 30, RevisionState::Unconfirmed, &base),
+        set_record(3, 30, RevisionState::Unconfirmed, &base),
     ];
     // The running settings after each number of complete records; an unconfirmed revision is never running after a
     // start.
-    let runs = [0, 0, 10, 10, 20, 20];
-    let parts: Vec<Vec<u8>> = records.iter().map(|r| encode(r).unwrap()).collect();
+    let running_after = [0, 0, 10, 10, 20, 20];
+    let parts: Vec<Vec<u8>> = records
+        .iter()
+        .map(|record| encode(record).unwrap())
+        .collect();
     let all = parts.concat();
     let from = parts[0].len() + parts[1].len() - 3;
     let folder = tempfile::tempdir().unwrap();
     for cut in (0..40).chain(from..=all.len()) {
         std::fs::write(folder.path().join("revisions.journal"), &all[..cut]).unwrap();
-        let whole = (0..=5)
+        let complete = (0..=5)
             .rev()
-            .find(|&n| parts[..n].concat().len() <= cut)
+            .find(|&count| parts[..count].concat().len() <= cut)
             .unwrap();
-        let (max_retry_after, notes) = advice_after(folder.path());
-        assert_eq!(max_retry_after, runs[whole], "{cut}");
-        let torn = parts[..whole].concat().len() < cut;
-        let revisions = notes.iter().filter(|n| n.contains("ignored")).count();
-        assert_eq!(revisions, torn as usize, "one line, at {cut}: {notes:?}");
+        let (max_retry_after, messages) = start_with(folder.path());
+        assert_eq!(max_retry_after, running_after[complete], "{cut}");
+        let is_incomplete = parts[..complete].concat().len() < cut;
+        let warnings = messages
+            .iter()
+            .filter(|message| message.contains("ignored"))
+            .count();
+        assert_eq!(
+            warnings, is_incomplete as usize,
+            "one message, at {cut}: {messages:?}"
+        );
         // The start rewrote the file, so that the next one finds no damage and the same settings.
-        let (again, notes) = advice_after(folder.path());
+        let (max_retry_after_restart, messages) = start_with(folder.path());
         assert_eq!(
-            (again, notes.iter().any(|n| n.contains("ignored"))),
+            (
+                max_retry_after_restart,
+                messages.iter().any(|message| message.contains("ignored"))
+            ),
             (max_retry_after, false),
             "{cut}"
         );
@@ -125,8 +139,8 @@
 }
 
 #[test]
-fn a_journal_goes_on_after_a_start_and_is_rewritten_when_it_grows() {
-    let base = base();
+fn journal_restores_its_last_revision_and_is_rewritten_by_a_start_when_it_has_grown() {
+    let base = configured_document();
     let folder = tempfile::tempdir().unwrap();
     let mut journal =
         Journal::create(folder.path(), &PersistedState::configured(base.clone())).unwrap();
@@ -134,22 +148,31 @@
     while !journal.needs_rewrite() {
         number += 1;
         journal
-            .append(&set(number, number as u32, RevisionState::Running, &base))
+            .append(&set_record(
+                number,
+                number as u32,
+                RevisionState::Running,
+                &base,
+            ))
             .unwrap();
-        assert!(number < 1000, "no bound");
+        assert!(number < 1000, "the journal is never rewritten");
     }
-    assert_eq!(advice_after(folder.path()).0, number as u32);
-    let (records, torn) = Journal::read(folder.path()).unwrap();
-    assert_eq!((records.len(), torn), (1, None), "whole again");
+    assert_eq!(start_with(folder.path()).0, number as u32);
+    let (records, ignored) = Journal::read(folder.path()).unwrap();
+    assert_eq!(
+        (records.len(), ignored),
+        (1, None),
+        "rewritten as one snapshot"
+    );
 }
 
 #[test]
-fn what_is_given_and_does_not_fit_the_tree_is_refused_by_its_field() {
-    let mut file = configured();
+fn configured_settings_that_do_not_fit_the_tree_are_refused_with_the_path_of_the_field() {
+    let mut file = config_file();
     file.policy_config.classes[0].value = 0.0;
-    let why = open(file, None, None).err().unwrap().to_string();
+    let reason = open(file, None, None).err().unwrap().to_string();
     assert!(
-        why.contains("/settings/band[name=lookup]/payoff: 0.0 is outside"),
-        "{why}"
+        reason.contains("/settings/band[name=lookup]/payoff: 0.0 is outside"),
+        "{reason}"
     );
 }
