--- a/crates/config-change/tests/revisions.rs
+++ b/crates/config-change/tests/revisions.rs
@@ -88,6 +88,11 @@
         (TIME_STEPS - self.time_steps_left) as f64
     }
 
+    /// Whether the condition holds, which it does while no process is running.
+    fn tracker_satisfies(&self, condition: impl Fn(&RevisionTracker<u8>) -> bool) -> bool {
+        self.tracker.as_ref().is_none_or(condition)
+    }
+
     fn handle(&mut self, input: Input<u8>) {
         let now = self.now();
         let Some(tracker) = self.tracker.as_mut() else {
@@ -233,10 +238,7 @@
             Property::always(
                 "the dispatcher runs the settings that the tracker states",
                 |_, state: &State| {
-                    state
-                        .tracker
-                        .as_ref()
-                        .is_none_or(|tracker| *tracker.running() == state.applied)
+                    state.tracker_satisfies(|tracker| *tracker.running() == state.applied)
                 },
             ),
             Property::always(
@@ -255,10 +257,7 @@
                             .filter(|revision| is_current(&revision.state))
                             .count()
                     };
-                    state
-                        .tracker
-                        .as_ref()
-                        .is_none_or(|tracker| current_count(tracker) <= 1)
+                    state.tracker_satisfies(|tracker| current_count(tracker) <= 1)
                 },
             ),
             Property::always(
@@ -274,10 +273,7 @@
                             .is_some_and(|(_, deadline)| deadline <= state.now())
                     };
                     state.pending_write.is_some()
-                        || state
-                            .tracker
-                            .as_ref()
-                            .is_none_or(|tracker| !is_overdue(tracker))
+                        || state.tracker_satisfies(|tracker| !is_overdue(tracker))
                 },
             ),
             Property::sometimes(
--- a/crates/config-change/tests/running_config.rs
+++ b/crates/config-change/tests/running_config.rs
@@ -72,89 +72,56 @@
     config_file
 }
 
+/// The running config after a replacement by a file with other settings.
+fn reload(running: &RunningConfig, file: ConfigFile) -> RunningConfig {
+    running.reload(file).unwrap().expect("other settings")
+}
+
 #[test]
 fn classes_and_machine_types_keep_their_indices_when_a_file_is_replaced_and_restored() {
     // Charges, order and slots of open requests refer to an index; a reused one would assign them to another class.
     let start = RunningConfig::new(first_file());
+    let original = start.policy_config();
+    let first_config = first_file().policy_config;
+    assert_eq!(original, first_config, "the exact configured numbers");
+    let replaced = reload(&start, second_file());
+    let slots = replaced.registry().0.iter();
     assert_eq!(
-        start.policy_config(),
-        first_file().policy_config,
-        "the exact configured numbers"
-    );
-    let replaced = start
-        .reload(second_file())
-        .unwrap()
-        .expect("other settings");
-    assert_eq!(
-        replaced
-            .registry()
-            .0
-            .iter()
-            .map(|slot| &*slot.name)
-            .collect::<Vec<_>>(),
+        slots.map(|slot| &*slot.name).collect::<Vec<_>>(),
         ["lookup", "report", "load", "report"]
     );
-    let policy_config = replaced.policy_config();
-    let closed: Vec<bool> = policy_config
-        .classes
-        .iter()
-        .map(|class| class.out_of_service)
-        .collect();
+    let config = replaced.policy_config();
+    let classes = &config.classes;
+    let closed: Vec<bool> = classes.iter().map(|class| class.out_of_service).collect();
     assert_eq!(
         closed,
         [false, true, false, false],
         "report with four threads is out of service, report with two is in service"
     );
-    assert_eq!(
-        (
-            policy_config.classes[1].threads,
-            policy_config.classes[3].threads
-        ),
-        (4.0, 2.0)
-    );
+    assert_eq!((classes[1].threads, classes[3].threads), (4.0, 2.0));
     assert_eq!(replaced.name_index().machine_types, ["s", "l", "new"]);
+    let cores = config.machine_types.iter().map(|kind| kind.cores);
+    assert_eq!(cores.collect::<Vec<_>>(), [8.0, 12.0, 4.0]);
     assert_eq!(
-        policy_config
-            .machine_types
-            .iter()
-            .map(|machine_type| machine_type.cores)
-            .collect::<Vec<_>>(),
-        [8.0, 12.0, 4.0]
-    );
-    assert_eq!(
-        policy_config.classes[3].machine_types,
+        classes[3].machine_types,
         Some(vec![1]),
         "machine type l keeps its index"
     );
-    let restored = replaced
-        .reload(first_file())
-        .unwrap()
-        .expect("other settings");
-    let (policy_config, original) = (restored.policy_config(), start.policy_config());
-    assert_eq!(policy_config.classes[..2], original.classes[..]);
+    let restored = reload(&replaced, first_file());
+    let config = restored.policy_config();
+    let classes = &config.classes;
+    assert_eq!(classes[..2], original.classes[..]);
     assert!(
-        policy_config.classes[2].out_of_service
-            && policy_config.classes[3].out_of_service
-            && policy_config.classes[2].preserves_key_order
+        classes[2].out_of_service && classes[3].out_of_service && classes[2].preserves_key_order
     );
     assert_eq!(
-        policy_config.key_quarantine, 300.0,
+        config.key_quarantine, 300.0,
         "open requests in key order still need the quarantine"
     );
+    assert_eq!(config.machine_types[..2], original.machine_types[..2]);
+    let replaced_again = reload(&restored, second_file());
     assert_eq!(
-        (
-            policy_config.machine_types[0],
-            policy_config.machine_types[1]
-        ),
-        (original.machine_types[0], original.machine_types[1])
-    );
-    let replaced_again = restored
-        .reload(second_file())
-        .unwrap()
-        .unwrap()
-        .policy_config();
-    assert_eq!(
-        replaced_again,
+        replaced_again.policy_config(),
         replaced.policy_config(),
         "the same replacement again"
     );
