--- a/crates/config-change/src/document/cells.rs
+++ b/crates/config-change/src/document/cells.rs
@@ -1,4 +1,4 @@
-//! Tenants confined to a part of the engines.
+//! The cells of a document: groups of engines to which tenants are confined.
 
 use super::validate::{violation, Violation};
 use crate::decimal::Decimal;
@@ -6,33 +6,35 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Display;
 
-/// The number of every assignment. A new one is made for each document, and no two are compared.
+/// The number given to each assignment. It may be constant: every document gets a new assignment, and assignments are
+/// never compared.
 const ASSIGNMENT_NUMBER: u64 = 1;
 
-/// Tenants confined to a part of the engines.
+/// Groups of engines, and the tenants confined to them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct Cells {
     /// The number of cells of a tenant.
-    #[serde(default = "single")]
-    pub shard: u8,
+    #[serde(default = "default_shard_size", rename = "shard")]
+    pub shard_size: u8,
     /// The cells.
-    pub cell: Vec<Cell>,
+    #[serde(rename = "cell")]
+    pub cells: Vec<Cell>,
     /// Engines that are pinned to a cell.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub engine: Vec<EnginePin>,
+    #[serde(default, rename = "engine", skip_serializing_if = "Vec::is_empty")]
+    pub engine_pins: Vec<EnginePin>,
     /// Tenants that are pinned to cells.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub tenant: Vec<TenantPin>,
+    #[serde(default, rename = "tenant", skip_serializing_if = "Vec::is_empty")]
+    pub tenant_pins: Vec<TenantPin>,
     /// If set, requests of a tenant whose cells have no ready engine are rejected with this retry-after in ms.
     #[serde(default, rename = "turn-back", skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u32>,
-    /// If set, such a tenant may use this share of other cells.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lend: Option<Decimal<4>>,
+    /// If set, requests of such a tenant may use this share of the other cells instead.
+    #[serde(default, rename = "lend", skip_serializing_if = "Option::is_none")]
+    pub overflow_share: Option<Decimal<4>>,
 }
 
-fn single() -> u8 {
+fn default_shard_size() -> u8 {
     1
 }
 
@@ -43,11 +45,11 @@
     /// The name, unique among the cells.
     pub name: String,
     /// Its weight in the distribution of engines and tenants, relative to the other cells.
-    #[serde(default = "whole")]
+    #[serde(default = "default_weight")]
     pub weight: Decimal<3>,
 }
 
-fn whole() -> Decimal<3> {
+fn default_weight() -> Decimal<3> {
     Decimal(1.0)
 }
 
@@ -68,15 +70,17 @@
     /// The name of the tenant.
     pub name: String,
     /// The names of the cells.
-    #[serde(default)]
-    pub cell: Vec<String>,
+    #[serde(default, rename = "cell")]
+    pub cells: Vec<String>,
 }
 
 impl Cells {
-    /// The directory by which a gateway routes. `hash` maps a name to an id and must be the same at every gateway.
+    /// The directory by which a gateway finds the cells of engines and tenants. `hash` maps a name to an id and must be
+    /// the same at every gateway.
     ///
     /// # Errors
-    /// Fails with the path if a cell does not exist, there are too many cells, or the shard size is impossible.
+    /// Fails if a cell does not exist, there are too many cells, or the shard size does not fit their number. The
+    /// violation names the path.
     pub fn cell_directory(&self, hash: fn(&[u8]) -> u64) -> Result<CellDirectory, Violation> {
         let assignment = self.assignment()?;
         let assignment = self.pin_engines(assignment, hash)?;
@@ -86,21 +90,21 @@
 
     fn assignment(&self) -> Result<Assignment, Violation> {
         let mut cells: Vec<CellWeight> = self
-            .cell
+            .cells
             .iter()
             .map(|cell| CellWeight {
                 name: cell.name.clone(),
                 weight: cell.weight.get(),
             })
             .collect();
-        // The order in which the cells are configured must not matter.
+        // The assignment must not depend on the order in which the cells are configured.
         cells.sort_by(|left, right| left.name.cmp(&right.name));
-        Assignment::new(ASSIGNMENT_NUMBER, &cells, self.shard as usize).map_err(|error| {
+        Assignment::new(ASSIGNMENT_NUMBER, &cells, self.shard_size as usize).map_err(|error| {
             let field = match error {
                 AssignmentError::ShardSize(_) => "shard",
                 _ => "cell",
             };
-            at(field, &error)
+            cells_violation(field, &error)
         })
     }
 
@@ -109,12 +113,14 @@
         mut assignment: Assignment,
         hash: fn(&[u8]) -> u64,
     ) -> Result<Assignment, Violation> {
-        for pin in &self.engine {
+        for pin in &self.engine_pins {
             // Service discovery returns names in lower case.
             let id = hash(pin.name.to_ascii_lowercase().as_bytes());
             assignment = assignment
                 .pin_engine(id, Some(&pin.cell))
-                .map_err(|error| at(&format!("engine[name={}]/cell", pin.name), &error))?;
+                .map_err(|error| {
+                    cells_violation(&format!("engine[name={}]/cell", pin.name), &error)
+                })?;
         }
         Ok(assignment)
     }
@@ -124,26 +130,28 @@
         mut assignment: Assignment,
         hash: fn(&[u8]) -> u64,
     ) -> Result<Assignment, Violation> {
-        for pin in &self.tenant {
-            let names: Vec<&str> = pin.cell.iter().map(String::as_str).collect();
+        for pin in &self.tenant_pins {
+            let names: Vec<&str> = pin.cells.iter().map(String::as_str).collect();
             assignment = assignment
                 .pin_tenant(hash(pin.name.as_bytes()), Some(&names))
-                .map_err(|error| at(&format!("tenant[name={}]/cell", pin.name), &error))?;
+                .map_err(|error| {
+                    cells_violation(&format!("tenant[name={}]/cell", pin.name), &error)
+                })?;
         }
         Ok(assignment)
     }
 
     fn no_capacity_policy(&self) -> Result<NoCapacityPolicy, Violation> {
-        match (self.retry_after, self.lend) {
-            (Some(_), Some(_)) => Err(at("lend", &"either turn-back or lend")),
+        match (self.retry_after, self.overflow_share) {
+            (Some(_), Some(_)) => Err(cells_violation("lend", &"either turn-back or lend")),
             (_, Some(share)) => Ok(NoCapacityPolicy::Overflow { share: share.get() }),
-            (ms, None) => Ok(NoCapacityPolicy::Reject {
-                retry_after: ms.unwrap_or(0) as f64,
+            (retry_after, None) => Ok(NoCapacityPolicy::Reject {
+                retry_after: retry_after.unwrap_or(0) as f64,
             }),
         }
     }
 }
 
-fn at(field: &str, reason: &dyn Display) -> Violation {
+fn cells_violation(field: &str, reason: &dyn Display) -> Violation {
     violation(format!("/settings/cells/{field}"), reason.to_string())
 }
--- a/crates/config-change/src/record.rs
+++ b/crates/config-change/src/record.rs
@@ -1,4 +1,4 @@
-//! The persisted form of the revisions.
+//! The records of the revision journal.
 
 use crate::revision::RevisionSummary;
 use serde::{Deserialize, Serialize};
@@ -9,8 +9,9 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Record<D> {
     /// The whole state: the settings of the configuration file, the running ones, and the revisions.
-    Whole(PersistedState<D>),
-    /// A new revision is running.
+    #[serde(rename = "whole")]
+    Snapshot(PersistedState<D>),
+    /// A new revision is running, permanently or until it is confirmed.
     Set {
         /// The revision.
         #[serde(rename = "line")]
@@ -31,18 +32,20 @@
     },
 }
 
-/// The state that a start needs.
+/// The state of the revisions as a start restores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PersistedState<D> {
-    /// The settings of the configuration file at the time of writing.
+    /// The settings of the configuration file when this state was written.
     #[serde(rename = "told")]
     pub configured: D,
     /// The running settings.
     pub running: D,
     /// The number of the running revision, 0 for the configuration file.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub running_number: u64,
     /// The number of the next revision.
-    pub next: u64,
+    #[serde(rename = "next")]
+    pub next_number: u64,
     /// The latest revisions, oldest first.
     #[serde(rename = "lines")]
     pub revisions: VecDeque<RevisionSummary>,
@@ -54,8 +57,8 @@
         PersistedState {
             running: configured.clone(),
             configured,
-            number: 0,
-            next: 1,
+            running_number: 0,
+            next_number: 1,
             revisions: VecDeque::new(),
         }
     }
--- a/crates/config-change/src/registry.rs
+++ b/crates/config-change/src/registry.rs
@@ -2,31 +2,32 @@
 
 use crate::document::{Class, DeduplicationScope, Document, RepeatSafety};
 
-/// Limit of the classes since the start. An index is never used again, since requests, charges and pacing refer to it.
+/// The limit of classes since the start. It bounds the memory: indices are never reused, since requests, charges and
+/// pacing refer to them.
 pub const MAX_CLASSES: usize = 256;
 
-/// The fields of a class that never change. Its position in the registry is the index of the class.
+/// The fields of a class that never change. The position of the slot in the registry is the index of the class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSlot {
     /// The name of the class.
     pub name: String,
     /// Whether its requests may run more than once.
-    pub repeat: RepeatSafety,
+    pub repeat_safety: RepeatSafety,
     /// The engines among which a repetition is recognized.
-    pub within: DeduplicationScope,
+    pub dedup_scope: DeduplicationScope,
     /// Whether requests of the same key run in the order of their arrival.
-    pub in_order: bool,
+    pub preserves_key_order: bool,
     /// The threads that a request uses at its engine.
     pub threads: u16,
 }
 
 impl ClassSlot {
-    pub(crate) fn of(class: &Class) -> ClassSlot {
+    pub(crate) fn from_class(class: &Class) -> ClassSlot {
         ClassSlot {
             name: class.name.clone(),
-            repeat: class.repeat,
-            within: class.within,
-            in_order: class.in_order,
+            repeat_safety: class.repeat_safety,
+            dedup_scope: class.dedup_scope,
+            preserves_key_order: class.preserves_key_order,
             threads: class.threads,
         }
     }
@@ -38,8 +39,8 @@
 
 impl ClassRegistry {
     /// The classes of a document, in its order.
-    pub fn of(document: &Document) -> ClassRegistry {
-        ClassRegistry(document.class.iter().map(ClassSlot::of).collect())
+    pub fn from_document(document: &Document) -> ClassRegistry {
+        ClassRegistry(document.classes.iter().map(ClassSlot::from_class).collect())
     }
 
     /// The index of the first class of that name.
--- a/crates/data-tree/tests/pinned_forms.rs
+++ b/crates/data-tree/tests/pinned_forms.rs
@@ -253,8 +253,8 @@
         created_at: 1.8e12 + number as f64,
         summary: "/settings/advice".into(),
         state,
-        commit: (state == Unconfirmed).then(|| "c1".into()),
-        until: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
+        commit_id: (state == Unconfirmed).then(|| "c1".into()),
+        confirm_by: (state == Unconfirmed).then_some(1.8e12 + 60_000.0),
     };
     states.map(revision).to_vec()
 }
--- a/crates/data-tree/tests/tree.rs
+++ b/crates/data-tree/tests/tree.rs
@@ -62,7 +62,7 @@
     let (schema, leaves) = initial_tree();
     let document = schema.document(&leaves).unwrap();
     assert_eq!(
-        (document.class[1].value.get(), document.class[0].threads),
+        (document.classes[1].value.get(), document.classes[0].threads),
         (6.25, 1)
     );
     let converted = schema.settings(&document).unwrap();
@@ -212,9 +212,9 @@
     ]);
     assert_eq!(
         (
-            document.class.len(),
-            document.class[0].expected,
-            document.class[0].hard_limit
+            document.classes.len(),
+            document.classes[0].base_objective,
+            document.classes[0].hard_limit
         ),
         (1, 900, 4000)
     );
@@ -223,11 +223,12 @@
         Edit::Delete(pattern("/settings/.../zone")),
     ]);
     assert!(
-        document.retry_budget.is_none() && document.class.iter().all(|class| class.zone.is_empty())
+        document.retry_budget.is_none()
+            && document.classes.iter().all(|class| class.zones.is_empty())
     );
     let document = edited_document(&[Edit::Delete(pattern("/settings/band[name=post]/threads"))]);
     assert_eq!(
-        document.class[1].threads, 1,
+        document.classes[1].threads, 1,
         "a deleted setting returns to its default"
     );
 }
@@ -295,7 +296,7 @@
             Ok(document) => {
                 prop_assert!(is_complete);
                 let actual: Vec<_> =
-                    document.class.iter().map(|class| (class.name.as_str(), Some(class.expected))).collect();
+                    document.classes.iter().map(|class| (class.name.as_str(), Some(class.base_objective))).collect();
                 let modelled: Vec<_> = model.iter().map(|(name, class)| (*name, class.0)).collect();
                 prop_assert_eq!(actual, modelled);
             }
--- a/crates/gateway/src/snapshot_store.rs
+++ b/crates/gateway/src/snapshot_store.rs
@@ -101,7 +101,7 @@
         let endpoint = DiscoveredEndpoint {
             address: engine.address,
             zone: index.zone(&engine.zone),
-            machine_type: index.kind(&engine.machine_type),
+            machine_type: index.machine_type(&engine.machine_type),
             dedup_domain: engine.dedup_domain,
             state: EndpointState::Ready,
             started_at: engine.started_at,
@@ -168,7 +168,7 @@
         name: name.to_owned(),
         address: endpoint.address,
         zone: name_of(&index.zones, endpoint.zone),
-        machine_type: name_of(&index.kinds, endpoint.machine_type),
+        machine_type: name_of(&index.machine_types, endpoint.machine_type),
         dedup_domain: endpoint.dedup_domain,
         draining: endpoint.state != EndpointState::Ready,
         started_at: endpoint.started_at,
--- a/crates/management/src/handle.rs
+++ b/crates/management/src/handle.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Reads and changes the tree. Clones use the same manager; it ends when the last is dropped.
+/// Reads and changes the tree. Clones use the same manager, which ends when the last one is dropped.
 #[derive(Clone)]
 pub struct ManagementHandle {
     pub(crate) schema: Arc<Schema>,
@@ -61,7 +61,7 @@
     pub async fn set(&self, change: Change) -> Result<u64, Refused> {
         self.request(|answer| Request::Change(Box::new(change), answer))
             .await
-            .unwrap_or(Err(Refused::Ending))
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Confirms, cancels or extends the unconfirmed change. Returns the number of the revision that is running
@@ -81,7 +81,9 @@
             scope,
             answer,
         };
-        self.request(request).await.unwrap_or(Err(Refused::Ending))
+        self.request(request)
+            .await
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Bootstraps the fleet with the configured settings of this gateway. A disaster recovery uses the fleet's settings
@@ -100,7 +102,9 @@
             author,
             answer,
         };
-        self.request(request).await.unwrap_or(Err(Refused::Ending))
+        self.request(request)
+            .await
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// The leader's view of the fleet, as JSON.
@@ -110,23 +114,23 @@
     pub async fn fleet_state(&self) -> Result<Json, Refused> {
         self.request(Request::FleetState)
             .await
-            .unwrap_or(Err(Refused::Ending))
+            .unwrap_or(Err(Refused::ShuttingDown))
     }
 
     /// Checks that this gateway could apply the policy.
     ///
     /// # Errors
-    /// Why not.
+    /// Fails with the reason why this gateway can't apply it.
     pub async fn validate(&self, document: Json) -> Result<(), PolicyError> {
         self.request(|answer| Request::Validate(document, answer))
             .await
-            .unwrap_or(Err(PolicyError::Ending))
+            .unwrap_or(Err(PolicyError::ShuttingDown))
     }
 
-    /// Applies a policy of the fleet. It is in force when this returns.
+    /// Applies a policy of the fleet. The policy is in force when this returns without an error.
     ///
     /// # Errors
-    /// Fails if the gateway can't apply the policy, or did not in time.
+    /// Fails if the gateway can't apply the policy, or does not apply it in time.
     pub async fn apply(
         &self,
         applied_index: u64,
@@ -140,7 +144,7 @@
         };
         self.request(|answer| Request::Apply(policy, answer))
             .await
-            .unwrap_or(Err(PolicyError::Ending))
+            .unwrap_or(Err(PolicyError::ShuttingDown))
     }
 
     /// Sends a request and waits for its answer; `None` if the manager has ended.
--- a/crates/management/src/start.rs
+++ b/crates/management/src/start.rs
@@ -14,10 +14,10 @@
 use std::path::Path;
 
 /// The initial state of the manager.
-pub struct Started {
+pub struct InitialState {
     /// The schema of the tree.
     pub schema: Schema,
-    /// The contents of the configuration file that documents refer to.
+    /// The configured policy config and document, from which the policy config of every document is derived.
     pub origin: Origin,
     /// The revisions, and which of them is running.
     pub tracker: RevisionTracker<Document>,
@@ -29,37 +29,37 @@
     pub leaves: LeafMap,
     /// The journal of revisions; `None` if they are not persisted.
     pub journal: Option<Journal>,
-    /// Lines for the log.
-    pub notes: Vec<String>,
+    /// Messages about the start, for the log.
+    pub messages: Vec<String>,
 }
 
 /// The running settings with everything derived from them.
-struct Running {
+struct RunningState {
     state: PersistedState<Document>,
     registry: ClassRegistry,
     leaves: LeafMap,
 }
 
-/// Opens management with the revisions that are persisted in the folder. Without a folder, revisions are lost when the
-/// process ends.
+/// Determines the initial state from the configuration file and the revisions that are persisted in the folder, and
+/// rewrites the journal there. Without a folder, revisions are lost when the process ends.
 ///
 /// # Errors
-/// Fails if the configured settings do not fit the tree, or the folder can't be read.
+/// Fails if the configured settings are invalid, or the journal can't be read.
 pub fn open(
     file: ConfigFile,
     cells: Option<Cells>,
     folder: Option<&Path>,
-) -> Result<Started, OpenError> {
+) -> Result<InitialState, OpenError> {
     let schema = Schema::shipped()?;
     let origin = origin(file, cells);
-    let mut running = configured(&schema, &origin)?;
-    let mut notes = Vec::new();
+    let mut running = configured_state(&schema, &origin)?;
+    let mut messages = Vec::new();
     let mut journal = None;
     if let Some(folder) = folder {
-        running = recover(folder, &schema, &origin, running, &mut notes)?;
-        journal = Some(create_journal(folder, &running.state, &mut notes));
+        running = recover(folder, &schema, &origin, running, &mut messages)?;
+        journal = Some(create_journal(folder, &running.state, &mut messages));
     }
-    Ok(Started {
+    Ok(InitialState {
         schema,
         tracker: RevisionTracker::new(running.state, journal.is_some()),
         configured: origin.document.clone(),
@@ -67,15 +67,15 @@
         registry: running.registry,
         leaves: running.leaves,
         journal,
-        notes,
+        messages,
     })
 }
 
 fn origin(file: ConfigFile, cells: Option<Cells>) -> Origin {
     let document = Document::configured(
         &file.policy_config,
-        &file.names,
-        &file.limits,
+        &file.class_names,
+        &file.hard_limits,
         &file.name_index,
     );
     Origin {
@@ -85,32 +85,33 @@
     }
 }
 
-/// Starts from the configured settings.
-fn configured(schema: &Schema, origin: &Origin) -> Result<Running, OpenError> {
+/// The state if the configured settings are in force.
+fn configured_state(schema: &Schema, origin: &Origin) -> Result<RunningState, OpenError> {
     let document = &origin.document;
     // A client must be able to read the running settings and send them back: they have to fit the tree.
     let leaves = schema.settings(document).map_err(OpenError::Tree)?;
-    let registry = ClassRegistry::of(document);
+    let registry = ClassRegistry::from_document(document);
     plan(document, document, &registry, &origin.name_index).map_err(OpenError::Violations)?;
-    Ok(Running {
+    Ok(RunningState {
         state: PersistedState::configured(document.clone()),
         registry,
         leaves,
     })
 }
 
-/// Starts from the revision that the journal holds as running, if it fits the configuration file.
+/// The state that results from the journal. If its running revision does not fit the configuration file, the configured
+/// settings are in force.
 fn recover(
     folder: &Path,
     schema: &Schema,
     origin: &Origin,
-    configured: Running,
-    notes: &mut Vec<String>,
-) -> Result<Running, OpenError> {
-    let (records, left_out) = Journal::read(folder)?;
-    notes.extend(left_out.map(|text| format!("revision journal recovered: {text}")));
+    configured: RunningState,
+    messages: &mut Vec<String>,
+) -> Result<RunningState, OpenError> {
+    let (records, ignored) = Journal::read(folder)?;
+    messages.extend(ignored.map(|text| format!("revision journal is damaged: {text}")));
     let document = &origin.document;
-    let (state, outcome) = PersistedState::open(records, document.clone());
+    let (state, outcome) = PersistedState::replay(records, document.clone());
     let plan = plan(
         document,
         &state.running,
@@ -118,54 +119,55 @@
         &origin.name_index,
     );
     let (Ok(plan), Ok(leaves)) = (plan, schema.settings(&state.running)) else {
-        notes.push(format!(
-            "revision {} does not fit the configured settings any more: those run",
-            state.number
+        messages.push(format!(
+            "revision {} does not fit the configuration file any more: the configured settings are in force",
+            state.running_number
         ));
-        return Ok(Running {
+        return Ok(RunningState {
             state: PersistedState {
-                next: state.next,
+                next_number: state.next_number,
                 ..configured.state
             },
             ..configured
         });
     };
-    notes.extend(note(&outcome, state.number));
-    Ok(Running {
+    messages.extend(start_message(&outcome, state.running_number));
+    Ok(RunningState {
         state,
         registry: plan.registry,
         leaves,
     })
 }
 
-/// The line that the log shows about the start, if any.
-fn note(outcome: &StartOutcome, running: u64) -> Option<String> {
+/// The message for the log about the outcome of the start, if it needs one.
+fn start_message(outcome: &StartOutcome, running: u64) -> Option<String> {
     match outcome {
-        StartOutcome::Nothing | StartOutcome::Revision(0) => None,
-        StartOutcome::Revision(number) => Some(format!("revision {number} runs")),
+        StartOutcome::EmptyJournal | StartOutcome::Revision(0) => None,
+        StartOutcome::Revision(number) => Some(format!("revision {number} is in force")),
         StartOutcome::RolledBack(number) => Some(format!(
-            "revision {number} was not confirmed and is rolled back; {running} runs"
+            "revision {number} was not confirmed and is rolled back; revision {running} is in force"
         )),
-        StartOutcome::Reconfigured => {
-            Some("the configured settings have changed: they run, earlier revisions do not".into())
-        }
+        StartOutcome::Reconfigured => Some(
+            "the configuration file has changed: its settings replace those of earlier revisions"
+                .into(),
+        ),
     }
 }
 
 fn create_journal(
     folder: &Path,
     state: &PersistedState<Document>,
-    notes: &mut Vec<String>,
+    messages: &mut Vec<String>,
 ) -> Journal {
     Journal::create(folder, state).unwrap_or_else(|error| {
-        notes.push(format!(
-            "revisions can't be persisted, changes are refused: {error}"
+        messages.push(format!(
+            "the revision journal can't be written, changes are refused until it can: {error}"
         ));
         Journal::closed(folder)
     })
 }
 
-impl Started {
+impl InitialState {
     /// The policy config of the running settings.
     pub fn policy_config(&self) -> PolicyConfig {
         self.origin
--- a/crates/test-cluster/src/cluster/commands.rs
+++ b/crates/test-cluster/src/cluster/commands.rs
@@ -13,7 +13,7 @@
 /// Error texts of a change that was based on a policy which is no longer current.
 const STALE_BASE_ERRORS: [&str; 2] = [
     "is not based on the running revision",
-    "is not known here yet",
+    "has not applied a policy of its fleet yet",
 ];
 /// Pause before a command with a stale base is repeated.
 const STALE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
