--- a/crates/test-cluster/src/cluster/commands.rs
+++ b/crates/test-cluster/src/cluster/commands.rs
@@ -160,10 +160,10 @@
         .arg(management.to_string())
         .output()
         .expect("the built program can be executed");
-    let text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
+    let to_text = |bytes: Vec<u8>| String::from_utf8_lossy(&bytes).into_owned();
     CommandOutput {
         exit_code: output.status.code().unwrap_or(-1),
-        stdout: text(output.stdout),
-        stderr: text(output.stderr),
+        stdout: to_text(output.stdout),
+        stderr: to_text(output.stderr),
     }
 }
--- a/crates/test-cluster/src/cluster/load.rs
+++ b/crates/test-cluster/src/cluster/load.rs
@@ -56,7 +56,7 @@
                 };
                 // A paused gateway answers nothing, and owes its answers when it resumes.
                 let _ = stream.set_read_timeout(Some(CONDITION_TIMEOUT));
-                let mut loaded = LoadConnection {
+                let mut load_connection = LoadConnection {
                     stream: Client(BufReader::new(stream)),
                     client,
                     connection,
@@ -64,7 +64,7 @@
                     control: &shared,
                     request_log: &request_log,
                 };
-                loaded.run();
+                load_connection.run();
                 shared.open_calls.store(0, Relaxed);
                 request_log.record(Observation::ConnectionClosed { client, connection });
             }
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -169,7 +169,7 @@
 }
 
 /// The calls that are still owed an answer at the end of the log.
-fn unanswered(entries: &[LogEntry]) -> BTreeSet<CallId> {
+fn unanswered_calls(entries: &[LogEntry]) -> BTreeSet<CallId> {
     let mut open = BTreeSet::new();
     let mut first_call_at_ms: BTreeMap<ConnectionId, f64> = BTreeMap::new();
     let mut killed_at_ms: BTreeMap<usize, f64> = BTreeMap::new();
@@ -215,17 +215,17 @@
         awaiting_answer: BTreeSet::new(),
         attempts: BTreeMap::new(),
         forbidden_since_ms: BTreeMap::new(),
-        found: Vec::new(),
+        violations: Vec::new(),
     };
-    entries.iter().for_each(|entry| checker.observe(entry));
-    let missing = unanswered(entries)
+    entries.iter().for_each(|entry| checker.check_entry(entry));
+    let missing = unanswered_calls(entries)
         .into_iter()
         .map(|id| Violation::MissingAnswer {
             client: id.client,
             call: id.call,
         });
-    checker.found.extend(missing);
-    checker.found
+    checker.violations.extend(missing);
+    checker.violations
 }
 
 /// State of the check while it reads a log in order.
@@ -236,16 +236,16 @@
     attempts: BTreeMap<&'a str, u32>,
     /// Since when a class may not be sent to an engine, by engine and class.
     forbidden_since_ms: BTreeMap<(usize, &'a str), f64>,
-    found: Vec<Violation>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
-    fn observe(&mut self, entry: &'a LogEntry) {
+    fn check_entry(&mut self, entry: &'a LogEntry) {
         match &entry.observation {
             Observation::Requested { id, .. } => {
                 self.awaiting_answer.insert(*id);
             }
-            Observation::Answered { id, .. } => self.on_answer(*id),
+            Observation::Answered { id, .. } => self.check_answer(*id),
             Observation::ConnectionClosed { .. } | Observation::GatewayKilled { .. } => {}
             Observation::AttemptReceived {
                 gateway,
@@ -267,9 +267,9 @@
         }
     }
 
-    fn on_answer(&mut self, id: CallId) {
+    fn check_answer(&mut self, id: CallId) {
         if !self.awaiting_answer.remove(&id) {
-            self.found.push(Violation::DuplicateAnswer {
+            self.violations.push(Violation::DuplicateAnswer {
                 client: id.client,
                 call: id.call,
             });
@@ -278,7 +278,7 @@
 
     fn check_policy(&mut self, gateway: usize, engine: usize, class: &'a str, at_ms: f64) {
         if let Some(replaced_at_ms) = self.forbidden_since_ms.get(&(engine, class)) {
-            self.found.push(Violation::StalePolicy {
+            self.violations.push(Violation::StalePolicy {
                 gateway,
                 at_ms,
                 replaced_at_ms: *replaced_at_ms,
@@ -294,7 +294,7 @@
         *attempts += 1;
         // Reported once, however many attempts follow.
         if *attempts == 2 {
-            self.found.push(Violation::DuplicateExecution {
+            self.violations.push(Violation::DuplicateExecution {
                 request_id: request_id.to_owned(),
             });
         }
--- a/crates/test-cluster/src/invariants/request_log.rs
+++ b/crates/test-cluster/src/invariants/request_log.rs
@@ -1,6 +1,6 @@
 //! The log of a run's observations, written by the threads of clients, engines and the test.
 
-use super::{unanswered, AnswerKind, Observation};
+use super::{unanswered_calls, AnswerKind, Observation};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
@@ -77,6 +77,6 @@
 
     /// The number of calls that are still owed an answer.
     pub fn open_calls(&self) -> usize {
-        unanswered(&self.entries()).len()
+        unanswered_calls(&self.entries()).len()
     }
 }
--- a/crates/test-cluster/src/link.rs
+++ b/crates/test-cluster/src/link.rs
@@ -14,7 +14,7 @@
 
 /// One direction of a link.
 #[derive(Default)]
-struct Lane {
+struct DirectionState {
     /// Bytes are held back until the link heals. TCP would retransmit them through a real network.
     is_cut: AtomicBool,
     delay_ms: AtomicU64,
@@ -25,8 +25,8 @@
 
 #[derive(Default)]
 struct LinkState {
-    to_target: Lane,
-    from_target: Lane,
+    to_target: DirectionState,
+    from_target: DirectionState,
     /// New connections are closed at once.
     is_refusing: AtomicBool,
     is_dropped: AtomicBool,
@@ -77,7 +77,7 @@
         Link { address, state }
     }
 
-    fn lanes(&self, direction: Direction) -> impl Iterator<Item = &Lane> {
+    fn direction_states(&self, direction: Direction) -> impl Iterator<Item = &DirectionState> {
         let to_target = (direction != Direction::FromTarget).then_some(&self.state.to_target);
         let from_target = (direction != Direction::ToTarget).then_some(&self.state.from_target);
         to_target.into_iter().chain(from_target)
@@ -86,20 +86,24 @@
     /// Holds back all bytes of a direction until the link heals. While the direction to the target is cut, new
     /// connections wait.
     pub fn cut(&self, direction: Direction) {
-        self.lanes(direction)
-            .for_each(|lane| lane.is_cut.store(true, Relaxed));
+        self.direction_states(direction)
+            .for_each(|direction_state| direction_state.is_cut.store(true, Relaxed));
     }
 
     /// Delays the bytes of a direction by `delay_ms` milliseconds until the link heals.
     pub fn delay(&self, direction: Direction, delay_ms: u64) {
-        self.lanes(direction)
-            .for_each(|lane| lane.delay_ms.store(delay_ms, Relaxed));
+        self.direction_states(direction)
+            .for_each(|direction_state| direction_state.delay_ms.store(delay_ms, Relaxed));
     }
 
     /// Limits the rate of a direction until the link heals. 0 is no limit.
     pub fn limit_rate(&self, direction: Direction, bytes_per_second: u64) {
-        self.lanes(direction)
-            .for_each(|lane| lane.bytes_per_second.store(bytes_per_second, Relaxed));
+        self.direction_states(direction)
+            .for_each(|direction_state| {
+                direction_state
+                    .bytes_per_second
+                    .store(bytes_per_second, Relaxed)
+            });
     }
 
     /// Closes all open connections, and each new one until the link heals.
@@ -124,10 +128,10 @@
     /// Ends all faults of the link. Bytes that were held back are delivered.
     pub fn heal(&self) {
         self.state.is_refusing.store(false, Relaxed);
-        for lane in self.lanes(Direction::Both) {
-            lane.is_cut.store(false, Relaxed);
-            lane.delay_ms.store(0, Relaxed);
-            lane.bytes_per_second.store(0, Relaxed);
+        for direction_state in self.direction_states(Direction::Both) {
+            direction_state.is_cut.store(false, Relaxed);
+            direction_state.delay_ms.store(0, Relaxed);
+            direction_state.bytes_per_second.store(0, Relaxed);
         }
     }
 
@@ -190,21 +194,26 @@
     }
     let shared = Arc::clone(&state);
     thread::spawn(move || {
-        relay_lane(target_reader, opener_writer, &shared.from_target, &shared);
+        relay_direction(target_reader, opener_writer, &shared.from_target, &shared);
     });
-    relay_lane(opener, target, &state.to_target, &state);
+    relay_direction(opener, target, &state.to_target, &state);
 }
 
 /// Passes bytes on in one direction until either side closes, then closes both.
-fn relay_lane(mut source: TcpStream, mut sink: TcpStream, lane: &Lane, state: &LinkState) {
+fn relay_direction(
+    mut source: TcpStream,
+    mut sink: TcpStream,
+    direction_state: &DirectionState,
+    state: &LinkState,
+) {
     let mut buffer = vec![0; CHUNK_SIZE];
     loop {
         let count = match source.read(&mut buffer) {
             Ok(0) | Err(_) => break,
             Ok(count) => count,
         };
-        wait_for_delivery(lane, state);
-        let bytes_per_second = lane.bytes_per_second.load(Relaxed);
+        wait_for_delivery(direction_state, state);
+        let bytes_per_second = direction_state.bytes_per_second.load(Relaxed);
         if bytes_per_second != 0 {
             let seconds = count as f64 / bytes_per_second as f64;
             thread::sleep(Duration::from_secs_f64(seconds));
@@ -213,29 +222,31 @@
         if written.is_err_and(|error| error.kind() != ErrorKind::Interrupted) {
             break;
         }
-        lane.delivered_bytes.fetch_add(count as u64, Relaxed);
+        direction_state
+            .delivered_bytes
+            .fetch_add(count as u64, Relaxed);
     }
     // A network in which the direction is cut doesn't deliver the connection's end either.
-    wait_while_cut(lane, state);
+    wait_while_cut(direction_state, state);
     let _ = sink.shutdown(Shutdown::Both);
     let _ = source.shutdown(Shutdown::Both);
 }
 
-/// Waits until a chunk that was read now may be delivered: its delay has passed and the lane isn't cut.
-fn wait_for_delivery(lane: &Lane, state: &LinkState) {
+/// Waits until a chunk that was read now may be delivered: its delay has passed and the direction isn't cut.
+fn wait_for_delivery(direction_state: &DirectionState, state: &LinkState) {
     let read_at = Instant::now();
     while !state.is_dropped.load(Relaxed) {
-        let delay = Duration::from_millis(lane.delay_ms.load(Relaxed));
+        let delay = Duration::from_millis(direction_state.delay_ms.load(Relaxed));
         let is_due = read_at.elapsed() >= delay;
-        if is_due && !lane.is_cut.load(Relaxed) {
+        if is_due && !direction_state.is_cut.load(Relaxed) {
             return;
         }
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn wait_while_cut(lane: &Lane, state: &LinkState) {
-    while lane.is_cut.load(Relaxed) && !state.is_dropped.load(Relaxed) {
+fn wait_while_cut(direction_state: &DirectionState, state: &LinkState) {
+    while direction_state.is_cut.load(Relaxed) && !state.is_dropped.load(Relaxed) {
         thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -83,19 +83,19 @@
 }
 
 /// A random number below a bound. Its tiny bias doesn't matter here.
-fn below(random: &mut Pcg64Mcg, bound: u64) -> u64 {
+fn random_below(random: &mut Pcg64Mcg, bound: u64) -> u64 {
     random.next_u64() % bound
 }
 
 /// Draws in a fixed order, which failure reports of earlier seeds rely on.
 fn random_step(random: &mut Pcg64Mcg) -> Step {
-    let gateway = below(random, GATEWAY_COUNT as u64) as usize;
-    let voter = below(random, VOTER_COUNT as u64) as usize;
+    let gateway = random_below(random, GATEWAY_COUNT as u64) as usize;
+    let voter = random_below(random, VOTER_COUNT as u64) as usize;
     let fault = random_fault(random, gateway, voter);
     let duration_range = FAULT_DURATION_MS.end - FAULT_DURATION_MS.start;
-    let duration_ms = FAULT_DURATION_MS.start + below(random, duration_range);
+    let duration_ms = FAULT_DURATION_MS.start + random_below(random, duration_range);
     let change = random_change(random);
-    let request_gateway = below(random, GATEWAY_COUNT as u64) as usize;
+    let request_gateway = random_below(random, GATEWAY_COUNT as u64) as usize;
     Step {
         fault,
         duration_ms,
@@ -105,7 +105,7 @@
 }
 
 fn random_fault(random: &mut Pcg64Mcg, gateway: usize, voter: usize) -> Fault {
-    match below(random, 9) {
+    match random_below(random, 9) {
         0 | 1 => Fault::Kill(gateway),
         2 | 3 => Fault::Pause(gateway),
         4 => Fault::Isolate {
@@ -114,14 +114,14 @@
         },
         5 => Fault::Isolate {
             gateway,
-            isolation: match below(random, 2) {
+            isolation: match random_below(random, 2) {
                 0 => Isolation::Outbound,
                 _ => Isolation::Inbound,
             },
         },
         6 => Fault::Delay {
             gateway,
-            delay_ms: 50 + below(random, 400),
+            delay_ms: 50 + random_below(random, 400),
         },
         7 => Fault::WipeDisk(voter),
         _ => Fault::KillVoters,
@@ -129,10 +129,10 @@
 }
 
 fn random_change(random: &mut Pcg64Mcg) -> Change {
-    let class = CLASSES[below(random, 2) as usize];
+    let class = CLASSES[random_below(random, 2) as usize];
     // Drawn in any case, so that later draws don't depend on the kind of change.
-    let max_attempts = 2 + below(random, 5);
-    match below(random, 5) {
+    let max_attempts = 2 + random_below(random, 5);
+    match random_below(random, 5) {
         0 | 1 => Change::ForbidZoneB(class),
         2 => Change::AllowZoneB(class),
         3 => Change::MaxAttempts(max_attempts),
@@ -146,14 +146,14 @@
 ///
 /// If the cluster doesn't recover from a fault in time, or the gateways' settings differ at the end.
 pub fn run(cluster: &mut Cluster, steps: &[Step]) -> usize {
-    let mut player = Player {
+    let mut runner = ScheduleRunner {
         cluster,
         last_wipe: None,
     };
     let mut changes_made = 0;
     for step in steps {
-        let command = player.play_step(step);
-        player.cluster.heal_links();
+        let command = runner.run_step(step);
+        runner.cluster.heal_links();
         let is_made = command.is_some_and(|command| {
             let output = command.join();
             output.is_ok_and(|output| output.is_success())
@@ -171,15 +171,15 @@
     votes_before: usize,
 }
 
-struct Player<'a> {
+struct ScheduleRunner<'a> {
     cluster: &'a mut Cluster,
     last_wipe: Option<Wipe>,
 }
 
-impl Player<'_> {
-    fn play_step(&mut self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
+impl ScheduleRunner<'_> {
+    fn run_step(&mut self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
         match step.fault {
-            Fault::Kill(gateway) => self.restart_around(&[gateway], step),
+            Fault::Kill(gateway) => self.change_while_killed(&[gateway], step),
             Fault::Pause(gateway) => {
                 // A write that the pause interrupts completes after it, which no promise covers: the client's calls
                 // are answered first.
@@ -200,7 +200,7 @@
             }
             Fault::WipeDisk(voter) => {
                 self.wait_until_wipe_is_tolerable(voter);
-                let votes_before = self.votes(voter);
+                let votes_before = self.vote_count(voter);
                 self.last_wipe = Some(Wipe {
                     voter,
                     votes_before,
@@ -213,13 +213,13 @@
             }
             Fault::KillVoters => {
                 let voters: Vec<usize> = (0..VOTER_COUNT).collect();
-                self.restart_around(&voters, step)
+                self.change_while_killed(&voters, step)
             }
         }
     }
 
     /// Requests the step's change while the processes are killed.
-    fn restart_around(
+    fn change_while_killed(
         &mut self,
         gateways: &[usize],
         step: &Step,
@@ -257,7 +257,7 @@
         }
     }
 
-    fn votes(&self, voter: usize) -> usize {
+    fn vote_count(&self, voter: usize) -> usize {
         self.cluster
             .log(voter)
             .matches("this voter has a vote")
@@ -270,7 +270,7 @@
         wait_until("the voter wiped before has a vote", || {
             self.last_wipe
                 .as_ref()
-                .is_none_or(|wipe| self.votes(wipe.voter) > wipe.votes_before)
+                .is_none_or(|wipe| self.vote_count(wipe.voter) > wipe.votes_before)
         });
         let other_voter = usize::from(voter == 0);
         wait_until("no voter is being replaced", || {
--- a/crates/test-cluster/src/stub/engine.rs
+++ b/crates/test-cluster/src/stub/engine.rs
@@ -9,48 +9,48 @@
 /// The lines that an engine received so far, each with its body.
 pub type RecordedLines = Arc<Mutex<Vec<String>>>;
 
-/// Starts an engine that answers each line, given without its end, and its body as `act` says: the bytes to send, and
+/// Starts an engine that answers each line, given without its end, and its body as `respond` says: the bytes to send, and
 /// whether to close the connection after them.
 ///
 /// # Panics
 ///
 /// If no loopback port can be bound. A malformed `fetch` line panics in the connection's thread, which closes it.
 pub fn start_engine(
-    act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
+    respond: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
 ) -> (SocketAddr, RecordedLines) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener
         .local_addr()
         .expect("a bound listener has an address");
     let recorded_lines = RecordedLines::default();
-    answer_all(listener, recorded_lines.clone(), act);
+    serve_connections(listener, recorded_lines.clone(), respond);
     (address, recorded_lines)
 }
 
 /// Accepts connections in a thread and answers their lines. Returns the number of connections accepted so far.
-pub(super) fn answer_all(
+pub(super) fn serve_connections(
     listener: TcpListener,
     recorded_lines: RecordedLines,
-    act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
+    respond: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
 ) -> Arc<AtomicU32> {
-    let act = Arc::new(act);
+    let respond = Arc::new(respond);
     let accepted = Arc::new(AtomicU32::new(0));
     let accepted_count = Arc::clone(&accepted);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             accepted_count.fetch_add(1, Ordering::Relaxed);
-            let act = Arc::clone(&act);
+            let respond = Arc::clone(&respond);
             let recorded_lines = recorded_lines.clone();
-            thread::spawn(move || answer_connection(stream, &recorded_lines, act.as_ref()));
+            thread::spawn(move || serve_connection(stream, &recorded_lines, respond.as_ref()));
         }
     });
     accepted
 }
 
-fn answer_connection(
+fn serve_connection(
     stream: TcpStream,
     recorded_lines: &RecordedLines,
-    act: &impl Fn(&str, &str) -> (Vec<u8>, bool),
+    respond: &impl Fn(&str, &str) -> (Vec<u8>, bool),
 ) {
     let mut writer = stream.try_clone().expect("a socket can be duplicated");
     let mut reader = BufReader::new(stream);
@@ -65,7 +65,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .push(format!("{line_text}{body}"));
-        let (answer, is_last) = act(line_text, &body);
+        let (answer, is_last) = respond(line_text, &body);
         // The gateway may have closed the connection in the meantime.
         if writer.write_all(&answer).is_err() {
             return;
--- a/crates/test-cluster/src/stub/late_listener.rs
+++ b/crates/test-cluster/src/stub/late_listener.rs
@@ -1,7 +1,7 @@
 //! An engine's address where connections are established late, because the queue of the listening socket is full.
 
 use super::becomes_true;
-use super::engine::{answer_all, RecordedLines};
+use super::engine::{serve_connections, RecordedLines};
 use std::fs;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -16,7 +16,7 @@
 /// A listening socket that establishes no further connection until it is opened.
 pub struct FullListener {
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    filler_connections: Vec<TcpStream>,
 }
 
 /// An engine behind a [`FullListener`] that was opened.
@@ -25,7 +25,7 @@
     pub recorded_lines: RecordedLines,
     accepted: Arc<AtomicU32>,
     /// The connections that filled the queue. They count as accepted, too.
-    fillers: Vec<TcpStream>,
+    filler_connections: Vec<TcpStream>,
 }
 
 impl OpenedListener {
@@ -35,7 +35,7 @@
     ///
     /// If that takes more than five seconds.
     pub fn wait_for_established_connections(&self, connections: usize) {
-        let expected = connections + self.fillers.len();
+        let expected = connections + self.filler_connections.len();
         assert!(becomes_true(|| self.accepted.load(Ordering::Relaxed)
             as usize
             >= expected));
@@ -55,8 +55,14 @@
             .expect("a bound listener has an address");
         rustix::net::listen(&listener, 0).expect("a listener's queue can be shortened");
         let connect = || TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT).ok();
-        let fillers = std::iter::from_fn(connect).collect();
-        (address, FullListener { listener, fillers })
+        let filler_connections = std::iter::from_fn(connect).collect();
+        (
+            address,
+            FullListener {
+                listener,
+                filler_connections,
+            },
+        )
     }
 
     /// Waits until that many connections to this socket are being attempted, by the system's table of sockets.
@@ -70,11 +76,11 @@
             .local_addr()
             .expect("a bound listener has an address");
         // The remote port of a socket in state SYN_SENT.
-        let row_part = format!(":{:04X} 02 ", address.port());
+        let syn_sent_pattern = format!(":{:04X} 02 ", address.port());
         let attempted = || {
             let sockets = fs::read_to_string("/proc/net/tcp")
                 .expect("the system's table of sockets is readable");
-            sockets.matches(&row_part).count()
+            sockets.matches(&syn_sent_pattern).count()
         };
         assert!(
             becomes_true(|| attempted() >= connections),
@@ -90,16 +96,16 @@
     /// If the socket's queue can't be lengthened.
     pub fn open(
         self,
-        act: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
+        respond: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
     ) -> OpenedListener {
         rustix::net::listen(&self.listener, OPEN_QUEUE_LENGTH)
             .expect("a listener's queue can be lengthened");
         let recorded_lines = RecordedLines::default();
-        let accepted = answer_all(self.listener, recorded_lines.clone(), act);
+        let accepted = serve_connections(self.listener, recorded_lines.clone(), respond);
         OpenedListener {
             recorded_lines,
             accepted,
-            fillers: self.fillers,
+            filler_connections: self.filler_connections,
         }
     }
 }
