--- a/crates/test-cluster/src/cluster.rs
+++ b/crates/test-cluster/src/cluster.rs
@@ -1,5 +1,5 @@
-//! A fleet of gateway processes. Each gateway has a directory, links to the voters, and addresses of the stub engines
-//! that no other gateway uses, so that an engine knows which gateway sent an attempt.
+//! A fleet of gateway processes. Each gateway has its own directory, its own links to the voters and its own stub
+//! engines, so the address at which an attempt arrives identifies the gateway that sent it.
 
 mod commands;
 mod config_files;
@@ -25,33 +25,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time limit of a condition. Changes take well below a second; a busy machine may need many times that.
+/// Time limit of [`wait_until`], of the retries of a change and of a client's wait for an answer. Changes take well
+/// below a second, but can take many times longer on a busy machine.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
-/// Pause between two checks of a condition.
+/// Interval at which [`wait_until`] checks its condition.
 const CONDITION_INTERVAL: Duration = Duration::from_millis(10);
-/// Gateways with a replica of the fleet's log: those with the lowest indices.
+/// Number of voters, the gateways with a replica of the fleet's log. They have the lowest indices.
 const VOTER_COUNT: usize = 3;
-/// Log lines of each gateway that a failed test prints.
+/// Number of log lines printed for each gateway when a test fails.
 const PRINTED_LOG_LINES: usize = 25;
 
-/// The request classes of the load: an idempotent one, and one whose requests have an effect.
+/// The request classes of the load: an idempotent one, and one whose requests have side effects.
 pub const CLASSES: [&str; 2] = ["lookup", "post"];
 /// The classes whose requests may reach an engine only once.
 pub const EXACTLY_ONCE_CLASSES: [&str; 1] = ["post"];
 
-/// A fleet of gateway processes under test. Dropping it kills them and deletes their directories; if the test has
-/// panicked, the last lines of each gateway's log are printed.
+/// A fleet of gateway processes under test. Dropping it kills the processes and deletes their directories. If the test
+/// has panicked, the last lines of each gateway's log are printed.
 pub struct Cluster {
     /// The calls, answers and attempts recorded so far.
     pub request_log: RequestLog,
     dir: PathBuf,
     gateways: Vec<GatewayProcess>,
     loads: Vec<ClientLoad>,
-    /// Loads started so far.
+    /// Number of loads started so far.
     load_count: usize,
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Panics
 ///
@@ -62,23 +63,23 @@
     while !condition() {
         assert!(
             Instant::now() < deadline,
-            "not within {CONDITION_TIMEOUT:?}: {condition_name}"
+            "condition not met within {CONDITION_TIMEOUT:?}: {condition_name}"
         );
         thread::sleep(CONDITION_INTERVAL);
     }
 }
 
-/// The name in the fleet of the gateway with that index: `g1` for index 0.
+/// The fleet's name for the gateway with this index: `g1` for index 0.
 pub fn gateway_name(gateway: usize) -> String {
     format!("g{}", gateway + 1)
 }
 
 impl Cluster {
-    /// Prepares a fleet, starts and bootstraps it, and waits until every gateway serves.
+    /// Prepares, starts and bootstraps a fleet, and waits until every gateway is fit.
     ///
     /// # Panics
     ///
-    /// If a file can't be written, a process can't be started, or the fleet doesn't serve in time.
+    /// If a file can't be written, a process can't be started, or a gateway isn't fit within 40 seconds.
     pub fn started(test: &str, plan: &Plan) -> Cluster {
         let mut cluster = Cluster::prepare(test, plan);
         (0..plan.gateway_count).for_each(|gateway| cluster.start(gateway));
@@ -86,7 +87,7 @@
         cluster
     }
 
-    /// Writes the files and starts the links and engines of a fleet, without any process.
+    /// Writes a fleet's startup files and starts its links and stub engines, but no gateway process.
     ///
     /// # Panics
     ///
@@ -94,7 +95,7 @@
     pub fn prepare(test: &str, plan: &Plan) -> Cluster {
         let pid = std::process::id();
         let dir = std::env::temp_dir().join(format!("ironstair-test-cluster-{test}-{pid}"));
-        // Left over only if an earlier process of the same id was killed.
+        // The directory exists only if a killed process with the same id left it behind.
         let _ = fs::remove_dir_all(&dir);
         let request_log = RequestLog::default();
         let addresses: Vec<GatewayAddresses> = (0..plan.gateway_count)
@@ -116,11 +117,11 @@
         }
     }
 
-    /// Bootstraps the fleet, and waits until every gateway serves.
+    /// Bootstraps the fleet, and waits until every gateway is fit.
     ///
     /// # Panics
     ///
-    /// If that takes more than 40 seconds at one of them.
+    /// If bootstrapping takes more than 40 seconds, or a gateway isn't fit within 40 seconds.
     pub fn bootstrap(&self) {
         self.bootstrap_voters();
         self.wait_until_all_fit();
@@ -142,7 +143,7 @@
 
     fn print_log(&self, gateway: usize) {
         let log = self.log(gateway);
-        // The stub name service gives no list, which each gateway logs again and again.
+        // The stub name service has no list of engines, and each gateway logs that repeatedly.
         let lines: Vec<&str> = log
             .lines()
             .rev()
@@ -161,7 +162,7 @@
         if thread::panicking() {
             (0..self.size()).for_each(|gateway| self.print_log(gateway));
         }
-        // What remains lies in the system's directory of temporary files.
+        // If the deletion fails, the remaining files are in the system's temporary directory.
         let _ = fs::remove_dir_all(&self.dir);
     }
 }
@@ -175,7 +176,7 @@
     cluster_dir: &Path,
 ) -> GatewayProcess {
     let dir = cluster_dir.join(gateway_name(gateway));
-    fs::create_dir_all(&dir).expect("the system's directory of temporary files is writable");
+    fs::create_dir_all(&dir).expect("the system's temporary directory is writable");
     let links = links_to_voters(gateway, addresses);
     let spec = GatewaySpec {
         fleet_name,
@@ -197,7 +198,7 @@
     }
 }
 
-/// Starts a stub engine for one gateway, which records each attempt in the request log and answers it.
+/// Starts a stub engine for one gateway. It records each attempt in the request log and answers it.
 fn start_recording_engine(
     request_log: &RequestLog,
     gateway: usize,
@@ -221,7 +222,7 @@
     address
 }
 
-/// The class in the options of an engine's `fetch` line; empty where there is none.
+/// The class named in the options of an engine's `fetch` line, or an empty string if there is none.
 fn class_of_attempt(line: &str) -> &str {
     line.split("c=")
         .nth(1)
--- a/crates/test-cluster/src/cluster/commands.rs
+++ b/crates/test-cluster/src/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! The command line's own client, run against a gateway of the cluster.
+//! Runs the gateway program's client commands against a gateway of the cluster.
 
 use super::{Cluster, CONDITION_TIMEOUT};
 use crate::invariants::Observation;
@@ -8,40 +8,43 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Exit code of a command whose request the gateway or the fleet refused.
+/// Exit code of a command that the gateway or the fleet refused.
 const REFUSED_EXIT_CODE: i32 = 3;
-/// Error texts of a change that was based on a policy which is no longer current.
+/// Errors for a change whose base is stale: it was prepared from a revision that is no longer the running one, or the
+/// gateway had not learned the running revision yet.
 const STALE_BASE_ERRORS: [&str; 2] = [
     "is not based on the running revision",
     "is not known here yet",
 ];
-/// Pause before a command with a stale base is repeated.
+/// Delay before a change with a stale base is retried.
 const STALE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Index of the engine in zone b.
+/// Index of each gateway's engine in zone b.
 const ENGINE_OF_ZONE_B: usize = 1;
 
-/// A command that has ended.
+/// Exit code and output of a finished command.
 #[derive(Debug)]
 pub struct CommandOutput {
     /// The exit code, or -1 if a signal ended the command.
     pub exit_code: i32,
-    /// Everything written to the standard output.
+    /// Standard output.
     pub stdout: String,
-    /// Everything written to the standard error.
+    /// Standard error.
     pub stderr: String,
 }
 
 impl CommandOutput {
-    /// Whether the command succeeded.
+    /// Whether the command exited with code 0.
     pub fn is_success(&self) -> bool {
         self.exit_code == 0
     }
 
-    /// Whether the command was refused, with that text on the standard error.
+    /// Whether the command was refused with an error that contains `text`.
     pub fn is_refused_with(&self, text: &str) -> bool {
         self.exit_code == REFUSED_EXIT_CODE && self.stderr.contains(text)
     }
 
+    /// Asserts that the command succeeded.
+    ///
     /// # Panics
     ///
     /// If the command failed.
@@ -50,23 +53,28 @@
         assert!(self.is_success(), "{self:?}");
     }
 
+    /// Asserts that the command was refused with an error that contains `text`.
+    ///
     /// # Panics
     ///
-    /// If the command wasn't refused with that text.
+    /// If the command wasn't refused with an error that contains `text`.
     #[track_caller]
     pub fn assert_refused_with(&self, text: &str) {
-        assert!(self.is_refused_with(text), "expected {text:?}: {self:?}");
+        assert!(
+            self.is_refused_with(text),
+            "expected a refusal with {text:?}, got {self:?}"
+        );
     }
 }
 
 impl Cluster {
-    /// Runs a command of the command line at a gateway, to its end.
+    /// Runs a client command against a gateway and waits until it exits.
     pub fn cli(&self, gateway: usize, args: &[&str]) -> CommandOutput {
         run_command(self.management(gateway), args)
     }
 
-    /// Starts the same in a thread. A change whose base is stale, because the gateway asked had not caught up yet, is
-    /// repeated, as its operator would do.
+    /// Runs a client command against a gateway in a new thread. A change that is refused because its base is stale (the
+    /// gateway had not caught up yet) is retried for up to 40 seconds, as an operator would do.
     pub fn spawn_cli(&self, gateway: usize, args: &[&str]) -> JoinHandle<CommandOutput> {
         let management = self.management(gateway);
         let args: Vec<String> = args.iter().map(ToString::to_string).collect();
@@ -86,8 +94,8 @@
         })
     }
 
-    /// Changes a setting of the whole fleet, asked at a gateway, and waits for the end of the change. A change whose
-    /// base is stale is repeated.
+    /// Changes a setting of the whole fleet through a gateway and waits until the command exits. A change whose base is
+    /// stale is retried.
     ///
     /// # Panics
     ///
@@ -99,8 +107,8 @@
             .expect("the built program can be executed")
     }
 
-    /// Starts a change, asked at a gateway, after which no gateway may send the class to the engine of zone b. The
-    /// request log holds the prohibition from the command's success on.
+    /// Starts a change through a gateway that excludes zone b from the zones of a class. Once the command has
+    /// succeeded, no gateway may send requests of the class to its engine in zone b, and the request log records that.
     ///
     /// # Panics
     ///
@@ -123,7 +131,7 @@
         })
     }
 
-    /// Forbids zone b to the class, and waits for the end of the change.
+    /// Excludes zone b from the zones of a class, and waits until the command exits.
     ///
     /// # Panics
     ///
@@ -134,13 +142,13 @@
             .expect("the built program can be executed")
     }
 
-    /// Starts a change, asked at a gateway, that allows zone b to the class again.
+    /// Starts a change through a gateway that allows a class in zone b again.
     pub fn spawn_allow_zone_b(
         &self,
         gateway: usize,
         class: &'static str,
     ) -> JoinHandle<CommandOutput> {
-        // Recorded before the change is requested: any gateway may apply it before the last one has answered.
+        // Recorded before the change is requested, because gateways may apply it before the command exits.
         let engine = ENGINE_OF_ZONE_B;
         self.request_log
             .record(Observation::EngineAllowed { engine, class });
--- a/crates/test-cluster/src/cluster/config_files.rs
+++ b/crates/test-cluster/src/cluster/config_files.rs
@@ -1,4 +1,4 @@
-//! The startup files of the fleet's gateways.
+//! Writes the startup files of the fleet's gateways.
 
 use super::plan::{Plan, StartupFiles};
 use super::{gateway_name, CLASSES, VOTER_COUNT};
@@ -10,11 +10,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// File name of the platform's configuration object in a gateway's directory.
+/// File name of the platform's configuration in a gateway's directory.
 pub(super) const CONFIG_FILE: &str = "told.json";
 /// File name of the operator's file in a gateway's directory.
 pub(super) const OPERATOR_FILE: &str = "operator.json";
-/// Spreads the gateways' random seeds over 64 bits (the golden ratio's fraction, as in SplitMix64).
+/// Difference between the random seeds of two gateways: 2^64 divided by the golden ratio, as in SplitMix64, which
+/// spreads the seeds over 64 bits.
 const SEED_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The addresses on which one gateway listens.
@@ -26,7 +27,7 @@
 }
 
 impl GatewayAddresses {
-    /// Three ports of an address that no other test uses.
+    /// Allocates three ports on an address that no other test uses.
     pub(super) fn allocate() -> GatewayAddresses {
         let clients = stub::allocate_address();
         let port_after = |offset| SocketAddr::new(clients.ip(), clients.port() + offset);
@@ -38,7 +39,7 @@
     }
 }
 
-/// A link to each voter but the gateway itself, by the voter's index.
+/// Starts a link from the gateway to each other voter. The map's key is the voter's index.
 pub(super) fn links_to_voters(
     gateway: usize,
     addresses: &[GatewayAddresses],
@@ -49,7 +50,7 @@
         .collect()
 }
 
-/// Everything that the startup files of one gateway depend on.
+/// The inputs of one gateway's startup files.
 pub(super) struct GatewaySpec<'a> {
     pub(super) fleet_name: &'a str,
     pub(super) plan: &'a Plan,
@@ -61,7 +62,7 @@
 }
 
 impl GatewaySpec<'_> {
-    /// Writes both files to the gateway's directory, after the plan's edit.
+    /// Applies the plan's edit to both files and writes them to the gateway's directory.
     pub(super) fn write_files(&self) {
         let mut files = StartupFiles {
             config: self.config(),
@@ -83,7 +84,8 @@
         config["name"] = json!(gateway_name(self.gateway));
         config["listen"] = json!(self.addresses[self.gateway].clients.to_string());
         config["seed"] = json!(format!("{seed:016x}"));
-        // Two zones: a change that excludes zone b shows by the attempts at its engine which policy a gateway uses.
+        // There are two zones so that a change can exclude zone b. Attempts at its engine then show which policy a
+        // gateway uses.
         config["settings"]["dcs"] = json!(["a", "b"]);
         config["known"]["notices"][0]["pool"]["instances"][1]["zone"] = json!("b");
         config
@@ -109,7 +111,7 @@
         json!({"management": {"listen": own.management.to_string()}, "fleet": fleet})
     }
 
-    /// The address at which this gateway reaches a voter: the link to it, or its own for itself.
+    /// The address at which this gateway reaches a voter: that of the link, or its own address if it is the voter.
     fn voter_address(&self, voter: usize) -> SocketAddr {
         self.links
             .get(&voter)
@@ -123,7 +125,7 @@
 
 /// Reads a JSON file, changes it and writes it back.
 pub(super) fn edit_json(path: &Path, edit: impl FnOnce(&mut Value)) {
-    let bytes = fs::read(path).expect("a startup file exists since the cluster was prepared");
+    let bytes = fs::read(path).expect("the startup file was written when the cluster was prepared");
     let mut content = serde_json::from_slice(&bytes).expect("startup files are JSON");
     edit(&mut content);
     write_json(path, &content);
--- a/crates/test-cluster/src/cluster/faults.rs
+++ b/crates/test-cluster/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a gateway's process, its disk and its links, and changes of its startup files.
+//! Injects faults into a gateway's process, disk and links, and edits its startup files.
 
 use super::config_files::{edit_json, CONFIG_FILE, OPERATOR_FILE};
 use super::process::copy_files;
@@ -9,18 +9,18 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Which traffic of a gateway that is cut off from the others is held back.
+/// Which traffic of an isolated gateway is held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
-    /// Everything that the gateway sends.
+    /// Traffic from the gateway to the others.
     Outbound,
-    /// Everything that the others send to the gateway.
+    /// Traffic from the others to the gateway.
     Inbound,
     /// Both directions.
     Full,
 }
 
-/// A link between two gateways, seen from the first of them.
+/// A link between two gateways, as seen from the first one.
 pub struct LinkBetween<'a> {
     /// Whether the first gateway opens the link's connections.
     pub is_opened_by_first: bool,
@@ -53,20 +53,20 @@
         self.gateways[gateway].start();
     }
 
-    /// Ends a gateway's process by SIGKILL.
+    /// Kills a gateway's process with SIGKILL.
     pub fn kill(&mut self, gateway: usize) {
         let process = &mut self.gateways[gateway];
         if let Some(mut child) = process.child.take() {
             self.request_log
                 .record(Observation::GatewayKilled { gateway });
-            // Both fail only for a process that has ended by itself.
+            // Both fail only if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
         process.is_paused = false;
     }
 
-    /// Suspends a gateway's process by SIGSTOP.
+    /// Suspends a gateway's process with SIGSTOP.
     ///
     /// # Panics
     ///
@@ -76,7 +76,7 @@
         self.gateways[gateway].is_paused = true;
     }
 
-    /// Resumes a suspended gateway's process by SIGCONT.
+    /// Resumes a suspended gateway's process with SIGCONT.
     ///
     /// # Panics
     ///
@@ -86,7 +86,7 @@
         self.gateways[gateway].is_paused = false;
     }
 
-    /// Ends a gateway's process by SIGTERM, and waits for its end.
+    /// Terminates a gateway's process with SIGTERM and waits until it exits.
     ///
     /// # Panics
     ///
@@ -94,7 +94,7 @@
     pub fn terminate(&mut self, gateway: usize) {
         self.gateways[gateway].signal("-TERM");
         if let Some(mut child) = self.gateways[gateway].child.take() {
-            // Fails only if the process has been waited for.
+            // Fails only if the process has already been waited for.
             let _ = child.wait();
         }
     }
@@ -104,13 +104,13 @@
         self.gateways[gateway].state_dir()
     }
 
-    /// Deletes a voter's replica. Its process must not be running.
+    /// Deletes a voter's replica. The voter's process must not be running.
     pub fn wipe_disk(&self, gateway: usize) {
-        // Fails if there is no replica, and then nothing has to be deleted.
+        // Fails if there is no replica, in which case there is nothing to delete.
         let _ = fs::remove_dir_all(self.state_dir(gateway));
     }
 
-    /// Copies a voter's replica, and returns the copy's directory.
+    /// Copies a voter's replica and returns the directory of the copy.
     ///
     /// # Panics
     ///
@@ -121,7 +121,7 @@
         copy
     }
 
-    /// Replaces a voter's replica by a copy. Its process must not be running.
+    /// Replaces a voter's replica with a copy. The voter's process must not be running.
     ///
     /// # Panics
     ///
@@ -131,7 +131,7 @@
         copy_files(copy, &self.state_dir(gateway));
     }
 
-    /// The links between two gateways: each voter is the target of one.
+    /// The links between two gateways. There is one towards each of the two that is a voter.
     pub fn links_between(
         &self,
         first: usize,
@@ -156,7 +156,7 @@
             .flat_map(move |other| self.links_between(gateway, other))
     }
 
-    /// Holds back the traffic between a gateway and all others until [`Cluster::heal_links`].
+    /// Holds back traffic between a gateway and all others until [`Cluster::heal_links`].
     pub fn isolate(&self, gateway: usize, isolation: Isolation) {
         self.links_of(gateway)
             .for_each(|between| between.cut(isolation));
@@ -168,7 +168,7 @@
             .for_each(|between| between.link.delay(Direction::Both, delay_ms));
     }
 
-    /// Ends the faults of all links. Traffic that was held back is delivered.
+    /// Clears the faults of all links. Traffic that was held back is delivered.
     pub fn heal_links(&self) {
         self.gateways
             .iter()
@@ -176,7 +176,7 @@
             .for_each(Link::heal);
     }
 
-    /// Changes a gateway's operator file. A running process doesn't read it again.
+    /// Edits a gateway's operator file, which takes effect at the next start of the process.
     ///
     /// # Panics
     ///
@@ -185,7 +185,7 @@
         edit_json(&self.gateways[gateway].dir.join(OPERATOR_FILE), edit);
     }
 
-    /// Changes a gateway's configuration file and has its process reload it by SIGHUP.
+    /// Edits a gateway's configuration file and makes its process reload it with SIGHUP.
     ///
     /// # Panics
     ///
--- a/crates/test-cluster/src/cluster/load.rs
+++ b/crates/test-cluster/src/cluster/load.rs
@@ -1,4 +1,4 @@
-//! The load on a fleet: one client a gateway, which records each call and each answer in the request log.
+//! The load on a fleet: one client per gateway, which records each of its calls and answers in the request log.
 
 use super::{CLASSES, CONDITION_TIMEOUT};
 use crate::invariants::{AnswerKind, CallId, Observation, RequestLog};
@@ -11,16 +11,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Calls that one client keeps open.
+/// Number of calls that one client keeps open.
 pub(super) const MAX_OPEN_CALLS: usize = 4;
-/// Table groups that the statements name. With as many, each engine is the preferred one of some.
+/// Number of table groups in the statements, enough for each engine to be preferred by some of them.
 const TABLE_GROUP_COUNT: u64 = 16;
-/// Upper bound of the connections that one client opens in one load; the next load's numbers start above.
+/// Upper bound of the connections that one client opens in one load. The numbers of the next load start there.
 pub(super) const MAX_CONNECTIONS: usize = 10_000;
-/// Pause between two calls of a client: a steady load far below a gateway's capacity.
+/// Delay between two calls of a client, which keeps the load far below a gateway's capacity.
 const CALL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// State that the test and a client's thread share.
+/// State shared by the test and a client's thread.
 #[derive(Default)]
 struct LoadControl {
     is_stopping: AtomicBool,
@@ -28,15 +28,15 @@
     open_calls: AtomicUsize,
 }
 
-/// A client's thread, which connects to one gateway again and again until it is stopped.
+/// A client's thread, which reconnects to one gateway until it is stopped.
 pub(super) struct ClientLoad {
     control: Arc<LoadControl>,
     thread: JoinHandle<()>,
 }
 
 impl ClientLoad {
-    /// Starts a client. The numbers of its connections count from `first_connection`, so that calls of an earlier load
-    /// don't share an id with this one's.
+    /// Starts a client. Its connections are numbered from `first_connection` so that its calls don't reuse ids of an
+    /// earlier load.
     pub(super) fn start(
         gateway: SocketAddr,
         client: usize,
@@ -54,7 +54,7 @@
                     thread::sleep(CALL_INTERVAL);
                     continue;
                 };
-                // A paused gateway answers nothing, and owes its answers when it resumes.
+                // Long enough for the answers that a paused gateway sends only after it resumes.
                 let _ = stream.set_read_timeout(Some(CONDITION_TIMEOUT));
                 let mut load_connection = LoadConnection {
                     stream: Client(BufReader::new(stream)),
@@ -72,7 +72,7 @@
         ClientLoad { control, thread }
     }
 
-    /// Stops new calls; answers are still read.
+    /// Stops sending new calls. Answers are still read.
     pub(super) fn pause(&self) {
         self.control.is_paused.store(true, Relaxed);
     }
@@ -81,7 +81,7 @@
         self.control.is_paused.store(false, Relaxed);
     }
 
-    /// Asks the thread to end once all its calls are answered.
+    /// Tells the thread to exit once all of its calls are answered.
     pub(super) fn request_stop(&self) {
         self.control.is_stopping.store(true, Relaxed);
     }
@@ -91,7 +91,7 @@
     }
 
     pub(super) fn join(self) {
-        // A client's panic shows as missing answers.
+        // If a client panicked, the checker reports missing answers.
         let _ = self.thread.join();
     }
 }
@@ -107,7 +107,7 @@
 }
 
 impl LoadConnection<'_> {
-    /// Calls and reads answers until the connection ends, or the load stops and every call is answered.
+    /// Sends calls and reads answers until the connection ends, or the load stops and every call is answered.
     fn run(&mut self) {
         loop {
             let is_stopping = self.control.is_stopping.load(Relaxed);
@@ -146,11 +146,11 @@
         }
     }
 
-    /// Records and sends the next call. False if the connection has ended.
+    /// Records and sends the next call. Returns false if the connection has ended.
     fn send_call(&mut self) -> bool {
         self.calls_sent += 1;
         let class = CLASSES[self.calls_sent as usize % 2];
-        // Unique among all clients and connections.
+        // Unique across all clients and connections.
         let call =
             (self.client as u64 + 1) << 48 | (self.connection as u64) << 32 | self.calls_sent;
         self.control.open_calls.fetch_add(1, Relaxed);
@@ -162,7 +162,7 @@
         self.stream.try_send_statement(class, call, &statement)
     }
 
-    /// Waits for an answer and records it. False if the connection has ended.
+    /// Waits for an answer and records it. Returns false if the connection has ended.
     fn receive_answer(&mut self) -> bool {
         let Some(answer) = self.stream.try_receive() else {
             return false;
--- a/crates/test-cluster/src/cluster/load_control.rs
+++ b/crates/test-cluster/src/cluster/load_control.rs
@@ -1,19 +1,19 @@
-//! Start, pause and end of the load on a cluster, and the check of its invariants.
+//! Starts, pauses and stops the load on a cluster, and checks its invariants.
 
 use super::load::{ClientLoad, MAX_CONNECTIONS, MAX_OPEN_CALLS};
 use super::{gateway_name, wait_until, Cluster, Plan, EXACTLY_ONCE_CLASSES};
 use crate::invariants::{violations, AnswerKind, Violation};
 use std::collections::BTreeMap;
 
-/// Violations that a failed check names; a broken guard can cause thousands.
+/// Number of violations listed when a check fails. A broken guard can cause thousands.
 const MAX_NAMED_VIOLATIONS: usize = 8;
 
 impl Cluster {
-    /// Starts a fleet and its load, and waits for the first hundred calls to be settled.
+    /// Starts a fleet and its load, and waits until the first hundred calls have been answered with rows.
     ///
     /// # Panics
     ///
-    /// As [`Cluster::started`], or if the calls aren't settled within 40 seconds.
+    /// As [`Cluster::started`], or if the calls aren't answered with rows within 40 seconds.
     pub fn started_under_load(test: &str, plan: &Plan) -> Cluster {
         let mut cluster = Cluster::started(test, plan);
         cluster.start_load();
@@ -21,7 +21,7 @@
         cluster
     }
 
-    /// Starts a client of each gateway. Each calls all the time, until [`Cluster::stop_load`].
+    /// Starts a client for each gateway. The clients send calls continuously until [`Cluster::stop_load`].
     pub fn start_load(&mut self) {
         let first_connection = MAX_CONNECTIONS * self.load_count;
         self.load_count += 1;
@@ -33,11 +33,11 @@
         }
     }
 
-    /// Stops new calls of one gateway's client, and waits until its calls are answered.
+    /// Pauses the client of one gateway, and waits until all of its open calls are answered.
     ///
     /// # Panics
     ///
-    /// If that takes more than 40 seconds, or there is no load.
+    /// If that takes more than 40 seconds, or no load is running.
     pub fn pause_load(&mut self, gateway: usize) {
         wait_until("the gateway listens", || self.is_listening(gateway));
         let load = &self.loads[gateway];
@@ -45,29 +45,29 @@
         wait_until("the client's calls are answered", || load.open_calls() == 0);
     }
 
-    /// Lets one gateway's client call again.
+    /// Lets the client of one gateway send calls again.
     ///
     /// # Panics
     ///
-    /// If there is no load.
+    /// If no load is running.
     pub fn resume_load(&mut self, gateway: usize) {
         self.loads[gateway].resume();
     }
 
-    /// Lets the client of a paused gateway call again, and waits until it has as many open calls as it may.
+    /// Lets the client of a paused gateway send calls again, and waits until it has reached its limit of open calls.
     ///
     /// # Panics
     ///
-    /// If that takes more than 40 seconds, or there is no load.
+    /// If that takes more than 40 seconds, or no load is running.
     pub fn fill_queue(&mut self, gateway: usize) {
         self.resume_load(gateway);
         let load = &self.loads[gateway];
-        wait_until("the client has as many open calls as it may", || {
+        wait_until("the client has reached its limit of open calls", || {
             load.open_calls() == MAX_OPEN_CALLS
         });
     }
 
-    /// Waits for that many further answers of a kind, over all clients.
+    /// Waits for `count` further answers of a kind, over all clients.
     ///
     /// # Panics
     ///
@@ -78,11 +78,11 @@
             answers.get(&kind).copied().unwrap_or(0)
         };
         let before = answers();
-        let condition_name = format!("{count} further answers {kind:?}");
+        let condition_name = format!("{count} further answers of kind {kind:?}");
         wait_until(&condition_name, || answers() >= before + count);
     }
 
-    /// Waits for that many further answers of a kind at one gateway's client.
+    /// Waits for `count` further answers of a kind to the client of one gateway.
     ///
     /// # Panics
     ///
@@ -91,18 +91,18 @@
         let answers = || self.request_log.answer_count_of_client(gateway, kind);
         let before = answers();
         let name = gateway_name(gateway);
-        let condition_name = format!("{count} further answers {kind:?} of {name}");
+        let condition_name = format!("{count} further answers of kind {kind:?} from {name}");
         wait_until(&condition_name, || answers() >= before + count);
     }
 
-    /// Ends the load once all calls are answered, and returns the violations of the whole run.
+    /// Stops the load once all calls are answered, and returns the violations of the whole run.
     pub fn stop_load(&mut self) -> Vec<Violation> {
         self.loads.iter().for_each(ClientLoad::request_stop);
         self.loads.drain(..).for_each(ClientLoad::join);
         violations(&self.request_log.entries(), &EXACTLY_ONCE_CLASSES)
     }
 
-    /// Ends the load, and returns how many answers of each kind there were.
+    /// Stops the load, asserts that the run has no violations, and returns the number of answers of each kind.
     ///
     /// # Panics
     ///
@@ -116,7 +116,7 @@
             .collect();
         assert!(
             violations.is_empty(),
-            "{} violations: {}",
+            "{} invariant violations: {}",
             violations.len(),
             named.join("; ")
         );
--- a/crates/test-cluster/src/cluster/plan.rs
+++ b/crates/test-cluster/src/cluster/plan.rs
@@ -1,28 +1,28 @@
-//! How a test's fleet is configured.
+//! Configuration of a test's fleet.
 
 use serde_json::Value;
 
-/// The files that a gateway process reads at its start, before they are written to its directory.
+/// Contents of the files that a gateway process reads at startup.
 pub struct StartupFiles {
-    /// The platform's configuration object.
+    /// The platform's configuration.
     pub config: Value,
-    /// The operator's file: management, fleet, recovery, cells.
+    /// The operator's file, with the sections management, fleet, recovery and cells.
     pub operator: Value,
 }
 
-/// Changes the startup files of the gateway with that index.
+/// Edits the startup files of the gateway with the given index.
 pub type ConfigEdit = fn(usize, &mut StartupFiles);
 
-/// A guard of the gateway's code that a control test disables, to show that the test notices its absence.
+/// A safety check in the gateway that a control test disables, to show that the actual test detects its absence.
 #[derive(Clone, Copy, Debug)]
 pub struct DisabledGuard {
-    /// The gateway concerned, or all gateways if `None`.
+    /// The gateway that disables it, or `None` for all gateways.
     pub gateway: Option<usize>,
     /// A value of the environment variable `IRONSTAIR_DISABLED_GUARDS`.
     pub name: &'static str,
 }
 
-/// Size, timing and deviations of a test's fleet. The default is five gateways with leases of one second.
+/// Size, timing and special settings of a test's fleet. The default is five gateways with leases of one second.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub(super) gateway_count: usize,
@@ -47,14 +47,14 @@
 }
 
 impl Plan {
-    /// Sets how many gateways there are. The first three are voters.
+    /// Sets the number of gateways. The first three are voters.
     #[must_use]
     pub fn gateway_count(mut self, gateway_count: usize) -> Plan {
         self.gateway_count = gateway_count;
         self
     }
 
-    /// Sets how long a member's lease lasts, in milliseconds.
+    /// Sets the duration of a member's lease in milliseconds.
     #[must_use]
     pub fn lease_ms(mut self, lease_ms: u32) -> Plan {
         self.lease_ms = lease_ms;
@@ -68,7 +68,7 @@
         self
     }
 
-    /// Sets how long a stub engine takes to answer an attempt, in milliseconds.
+    /// Sets the time that a stub engine takes to answer an attempt, in milliseconds.
     #[must_use]
     pub fn service_time_ms(mut self, service_time_ms: u64) -> Plan {
         self.service_time_ms = service_time_ms;
@@ -91,14 +91,14 @@
         self
     }
 
-    /// Changes each gateway's startup files before they are written.
+    /// Sets a function that edits each gateway's startup files before they are written.
     #[must_use]
     pub fn edit_config(mut self, config_edit: ConfigEdit) -> Plan {
         self.config_edit = Some(config_edit);
         self
     }
 
-    /// The guards that are disabled at one gateway.
+    /// Names of the guards that are disabled at one gateway.
     pub(super) fn disabled_guards_of(&self, gateway: usize) -> Vec<&'static str> {
         self.disabled_guards
             .iter()
--- a/crates/test-cluster/src/cluster/process.rs
+++ b/crates/test-cluster/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! One gateway's process with its directory and its links.
+//! One gateway's process, directory and links.
 
 use super::config_files::{GatewayAddresses, CONFIG_FILE, OPERATOR_FILE};
 use crate::link::Link;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Variable by which debug builds disable guards, separated by commas.
+/// Environment variable with the comma-separated names of the guards that a debug build disables.
 const DISABLED_GUARDS_VARIABLE: &str = "IRONSTAIR_DISABLED_GUARDS";
 
 pub(super) struct GatewayProcess {
@@ -18,7 +18,7 @@
     pub(super) dir: PathBuf,
     pub(super) addresses: GatewayAddresses,
     pub(super) disabled_guards: Vec<&'static str>,
-    /// The links that this gateway opens, by the index of the voter at the other end.
+    /// Links on which this gateway opens the connections, by the index of the voter at the other end.
     pub(super) links: BTreeMap<usize, Link>,
 }
 
@@ -49,7 +49,7 @@
         self.child.is_some() && !self.is_paused
     }
 
-    /// Sends a signal by its `kill` option, such as `-TERM`; does nothing without a process.
+    /// Sends a signal to the process, given as an option of `kill` such as `-TERM`. Does nothing without a process.
     ///
     /// # Panics
     ///
@@ -60,10 +60,14 @@
             .args([signal, &child.id().to_string()])
             .status();
         let is_sent = status.is_ok_and(|status| status.success());
-        assert!(is_sent, "{signal} to {}", self.dir.display());
+        assert!(
+            is_sent,
+            "cannot send {signal} to the gateway in {}",
+            self.dir.display()
+        );
     }
 
-    /// The directory of a voter's replica.
+    /// The directory of the voter's replica.
     pub(super) fn state_dir(&self) -> PathBuf {
         self.dir.join("state")
     }
@@ -77,9 +81,9 @@
     }
 }
 
-/// Copies the files of a directory without subdirectories; a missing source directory counts as empty.
+/// Copies the files of a directory that has no subdirectories. A missing source directory counts as empty.
 pub(super) fn copy_files(from: &Path, to: &Path) {
-    // It may exist already; if it can't be created, the first copy fails.
+    // The directory may exist already. If it can't be created, the first copy fails.
     let _ = fs::create_dir_all(to);
     for entry in fs::read_dir(from).into_iter().flatten().flatten() {
         fs::copy(entry.path(), to.join(entry.file_name())).expect("a replica's file can be copied");
--- a/crates/test-cluster/src/cluster/state.rs
+++ b/crates/test-cluster/src/cluster/state.rs
@@ -1,4 +1,4 @@
-//! State of the fleet and its gateways, as a client, an operator or the system sees it.
+//! State of the fleet and its gateways as clients, operators and the operating system see it.
 
 use super::{gateway_name, wait_until, Cluster, VOTER_COUNT};
 use crate::stub::Client;
@@ -8,11 +8,11 @@
 use std::process::Child;
 use std::time::Duration;
 
-/// How long a gateway may take to answer `check`. A paused one accepts the connection and never answers.
+/// Time limit of an answer to `check`. The kernel accepts connections to a paused gateway, which never answers.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Cluster {
-    /// How many gateways there are, running or not.
+    /// Number of gateways, running or not.
     pub fn size(&self) -> usize {
         self.gateways.len()
     }
@@ -30,7 +30,7 @@
         self.connect(gateway).is_some()
     }
 
-    /// Whether a gateway answers `check` with "fit".
+    /// Whether a gateway answers `check` with `"fit": true`.
     pub fn is_fit(&self, gateway: usize) -> bool {
         let Some(stream) = self.connect(gateway) else {
             return false;
@@ -48,6 +48,8 @@
             .is_some_and(|answer| answer["result"]["fit"] == json!(true))
     }
 
+    /// Waits until a gateway is fit.
+    ///
     /// # Panics
     ///
     /// If the gateway isn't fit within 40 seconds.
@@ -56,6 +58,8 @@
         wait_until(&condition_name, || self.is_fit(gateway));
     }
 
+    /// Waits until every gateway is fit.
+    ///
     /// # Panics
     ///
     /// If a gateway isn't fit within 40 seconds.
@@ -63,13 +67,13 @@
         (0..self.size()).for_each(|gateway| self.wait_until_fit(gateway));
     }
 
-    /// The leader's state as JSON, asked at a gateway; null where no leader answers.
+    /// The leader's view of the fleet as JSON, requested through a gateway. Null if no leader answers.
     pub fn fleet_status(&self, gateway: usize) -> Value {
         let output = self.cli(gateway, &["fleet", "--json"]);
         serde_json::from_str(&output.stdout).unwrap_or_default()
     }
 
-    /// Waits until the leader, asked at a gateway, knows that every voter has a vote.
+    /// Waits until the leader, queried through a gateway, reports that every voter has a vote.
     ///
     /// # Panics
     ///
@@ -82,7 +86,7 @@
         });
     }
 
-    /// The index of the leader, once there is one.
+    /// Waits until there is a leader, and returns its index.
     ///
     /// # Panics
     ///
@@ -100,20 +104,20 @@
         leader.expect("the condition holds only once the leader is known")
     }
 
-    /// The number of the fleet's revision that a gateway applies, or `None` where the gateway doesn't say.
+    /// The fleet revision that a gateway applies, or `None` if the gateway doesn't report one.
     pub fn revision(&self, gateway: usize) -> Option<u64> {
         let revision = self.setting(gateway, "/state/fleet/revision");
         revision.as_str()?.parse().ok()
     }
 
-    /// A leaf of a gateway's tree as JSON; null where it has no value.
+    /// A leaf of a gateway's configuration and state tree as JSON. Null if it has no value.
     pub fn setting(&self, gateway: usize, path: &str) -> Value {
         let output = self.cli(gateway, &["get", path, "--json"]);
         let leaves: Value = serde_json::from_str(&output.stdout).unwrap_or_default();
         leaves[0]["value"].clone()
     }
 
-    /// Waits until every gateway has applied a revision, and is fit.
+    /// Waits until every gateway has applied a revision and is fit.
     ///
     /// # Panics
     ///
@@ -126,25 +130,26 @@
         }
     }
 
-    /// Waits until a leaf has that value at every gateway.
+    /// Waits until a leaf has the given value at every gateway.
     ///
     /// # Panics
     ///
     /// If that takes more than 40 seconds at one of them.
     pub fn wait_for_setting_everywhere(&self, path: &str, value: &Value) {
-        // A gateway on a busy machine may be without its lease for a moment, and then shows no value of the fleet's.
+        // On a busy machine, a gateway may lose its lease briefly. Until it has the lease again, it reports no fleet
+        // settings.
         for gateway in 0..self.size() {
             let condition_name = format!("{} has {path} {value}", gateway_name(gateway));
             wait_until(&condition_name, || self.setting(gateway, path) == *value);
         }
     }
 
-    /// The process id of a gateway, or 0 where it has no process.
+    /// A gateway's process id, or 0 if it has no process.
     pub fn pid(&self, gateway: usize) -> u32 {
         self.gateways[gateway].child.as_ref().map_or(0, Child::id)
     }
 
-    /// Bytes delivered so far, in both directions, over the links that a gateway opens.
+    /// Bytes delivered so far, in both directions, over the links on which a gateway opens the connections.
     pub fn link_bytes(&self, gateway: usize) -> u64 {
         self.gateways[gateway]
             .links
@@ -154,7 +159,7 @@
             .sum()
     }
 
-    /// Everything that a gateway's processes wrote to their log; empty before the first start.
+    /// The log of all processes that a gateway has had. Empty before the first start.
     pub fn log(&self, gateway: usize) -> String {
         self.gateways[gateway].log()
     }
--- a/crates/test-cluster/src/invariants.rs
+++ b/crates/test-cluster/src/invariants.rs
@@ -1,5 +1,6 @@
-//! The request log of a run, and the checker of the promises that a run must keep. The checker knows nothing of how
-//! gateways decide: it reads which calls clients made, which answers they got, which attempts reached engines, and when.
+//! The request log of a run, and the checker of the invariants that a run must satisfy. The checker is independent of
+//! the gateway's decision logic: it only reads which calls clients sent, which answers they received, which attempts
+//! reached engines, and when.
 
 mod request_log;
 
@@ -8,13 +9,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A connection opened this shortly after a kill, in milliseconds, may still have been accepted by the killed process.
+/// A connection whose first call was sent up to this many milliseconds after a kill may have been accepted by the
+/// killed process, so its calls need no answer.
 const KILL_TOLERANCE_MS: f64 = 500.0;
 
-/// Identity of a call in a run.
+/// Identifies a call within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId {
-    /// The client, which is also the index of its gateway.
+    /// The client's index, which is also the index of its gateway.
     pub client: usize,
     /// The number of the client's connection.
     pub connection: usize,
@@ -37,7 +39,7 @@
     connection: usize,
 }
 
-/// One event that a client, an engine or the test itself observed.
+/// An event observed by a client, an engine or the test itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A client sent a call.
@@ -49,9 +51,9 @@
     },
     /// A client received an answer.
     Answered {
-        /// The call by the answer's id.
+        /// The call, identified by the id in the answer.
         id: CallId,
-        /// Kind of the answer.
+        /// The kind of the answer.
         kind: AnswerKind,
     },
     /// A client's connection ended.
@@ -61,30 +63,31 @@
         /// The number of its connection.
         connection: usize,
     },
-    /// A gateway's process was killed. It owes its client, which has the same index, no answer to open calls.
+    /// A gateway's process was killed. Open calls of its client, which has the same index, need no answer.
     GatewayKilled {
         /// The gateway.
         gateway: usize,
     },
     /// An engine received an attempt.
     AttemptReceived {
-        /// The gateway that sent it.
+        /// The index of the gateway that sent it.
         gateway: usize,
         /// The engine's index.
         engine: usize,
-        /// The request's id on the engines' wire, which all its attempts share.
+        /// The request's id in the engine protocol, which all of its attempts share.
         request_id: String,
         /// The request's class.
         class: String,
     },
-    /// From now on, no policy in force lets a gateway send the class to the engine.
+    /// From now on, no gateway may send requests of the class to the engine, because the fleet has replaced every
+    /// policy that allowed it.
     EngineForbidden {
         /// The engine's index.
         engine: usize,
         /// The class.
         class: &'static str,
     },
-    /// The prohibition ends.
+    /// Gateways may send requests of the class to the engine again.
     EngineAllowed {
         /// The engine's index.
         engine: usize,
@@ -93,12 +96,12 @@
     },
 }
 
-/// Kind of an answer to a call.
+/// The kind of an answer to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerKind {
-    /// Rows.
+    /// The answer contains rows.
     Rows,
-    /// The gateway gave the request up, or didn't accept it.
+    /// The gateway didn't accept the request, or gave it up.
     Rejected,
     /// The engine reported an error.
     Failed,
@@ -106,35 +109,35 @@
     OtherError,
 }
 
-/// A broken promise.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// Rule 1: a second answer, or an answer to no call.
+    /// Rule 1: a call received a second answer, or an answer matches no call.
     DuplicateAnswer {
         /// The client.
         client: usize,
         /// The answer's id.
         call: u64,
     },
-    /// Rule 1: no answer, although the connection's gateway wasn't killed.
+    /// Rule 1: a call received no answer although its gateway wasn't killed.
     MissingAnswer {
         /// The client.
         client: usize,
         /// The call's id.
         call: u64,
     },
-    /// Rule 2: a request that may be executed once reached engines twice.
+    /// Rule 2: a request of an exactly-once class reached engines more than once.
     DuplicateExecution {
-        /// The request's id on the engines' wire.
+        /// The request's id in the engine protocol.
         request_id: String,
     },
-    /// A gateway decided by a policy that the fleet had replaced.
+    /// A gateway applied a policy that the fleet had replaced.
     StalePolicy {
         /// The gateway.
         gateway: usize,
-        /// When the engine received the attempt, in milliseconds of the run.
+        /// When the engine received the attempt, in milliseconds since the run began.
         at_ms: f64,
-        /// When the policy was replaced, in milliseconds of the run.
+        /// When the policy was replaced, in milliseconds since the run began.
         replaced_at_ms: f64,
     },
 }
@@ -145,7 +148,7 @@
             Violation::DuplicateAnswer { client, call } => {
                 write!(
                     formatter,
-                    "client {client}: a further answer to call {call}"
+                    "client {client}: duplicate or unexpected answer to call {call}"
                 )
             }
             Violation::MissingAnswer { client, call } => {
@@ -153,7 +156,7 @@
             }
             Violation::DuplicateExecution { request_id } => write!(
                 formatter,
-                "request {request_id}, which may be executed once, reached engines twice"
+                "request {request_id} of an exactly-once class reached engines more than once"
             ),
             Violation::StalePolicy {
                 gateway,
@@ -161,14 +164,14 @@
                 replaced_at_ms,
             } => write!(
                 formatter,
-                "gateway {gateway} decided by a policy replaced {:.0} ms before (at {at_ms:.0} ms)",
+                "gateway {gateway} applied a policy at {at_ms:.0} ms that had been replaced {:.0} ms before",
                 at_ms - replaced_at_ms
             ),
         }
     }
 }
 
-/// The calls that are still owed an answer at the end of the log.
+/// Calls without an answer at the end of the log, except those whose gateway was killed.
 fn unanswered_calls(entries: &[LogEntry]) -> BTreeSet<CallId> {
     let mut open = BTreeSet::new();
     let mut first_call_at_ms: BTreeMap<ConnectionId, f64> = BTreeMap::new();
@@ -208,7 +211,7 @@
     open
 }
 
-/// All violations of a run. Requests of `exactly_once_classes` may reach an engine only once.
+/// Returns all violations of a run. Requests of `exactly_once_classes` may reach engines only once.
 pub fn violations(entries: &[LogEntry], exactly_once_classes: &[&str]) -> Vec<Violation> {
     let mut checker = Checker {
         exactly_once_classes,
@@ -228,13 +231,13 @@
     checker.violations
 }
 
-/// State of the check while it reads a log in order.
+/// Checks the entries of a log in order.
 struct Checker<'a> {
     exactly_once_classes: &'a [&'a str],
     awaiting_answer: BTreeSet<CallId>,
-    /// Attempts by request id, of the classes that may be executed once.
+    /// Number of attempts by request id, for exactly-once classes.
     attempts: BTreeMap<&'a str, u32>,
-    /// Since when a class may not be sent to an engine, by engine and class.
+    /// When sending a class to an engine became forbidden, by engine and class.
     forbidden_since_ms: BTreeMap<(usize, &'a str), f64>,
     violations: Vec<Violation>,
 }
@@ -292,7 +295,7 @@
         }
         let attempts = self.attempts.entry(request_id).or_default();
         *attempts += 1;
-        // Reported once, however many attempts follow.
+        // Reported once, even if further attempts follow.
         if *attempts == 2 {
             self.violations.push(Violation::DuplicateExecution {
                 request_id: request_id.to_owned(),
--- a/crates/test-cluster/src/invariants/request_log.rs
+++ b/crates/test-cluster/src/invariants/request_log.rs
@@ -1,4 +1,4 @@
-//! The log of a run's observations, written by the threads of clients, engines and the test.
+//! The log of a run's observations, written by the client, engine and test threads.
 
 use super::{unanswered_calls, AnswerKind, Observation};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     pub observation: Observation,
 }
 
-/// The observations of a run, in order of time. Clones share the log.
+/// The observations of a run in chronological order. Clones share the log.
 #[derive(Clone)]
 pub struct RequestLog {
     started_at: Instant,
@@ -38,13 +38,13 @@
 
     /// Appends an observation with the current time.
     pub fn record(&self, observation: Observation) {
-        // The clock is read under the lock. Otherwise two threads could append in the opposite order of their times.
+        // The clock is read under the lock so that entries are appended in the order of their times.
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let at_ms = self.now_ms();
         entries.push(LogEntry { at_ms, observation });
     }
 
-    /// A copy of all entries so far.
+    /// Returns a copy of all entries so far.
     pub fn entries(&self) -> Vec<LogEntry> {
         self.entries
             .lock()
@@ -75,7 +75,7 @@
             .count()
     }
 
-    /// The number of calls that are still owed an answer.
+    /// The number of calls that still need an answer.
     pub fn open_calls(&self) -> usize {
         unanswered_calls(&self.entries()).len()
     }
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,6 +1,6 @@
-//! A test cluster: processes of the built gateway on loopback, between stub engines, a stub name service and clients.
-//! Links between gateways can be cut, delayed and reset. A checker compares every request and attempt of a run with
-//! the promises of the design. For tests and tools; the gateway itself uses nothing of it.
+//! Test cluster: real gateway processes on loopback with stub engines, a stub name service and stub clients. Links
+//! between gateways can be cut, delayed and reset. An invariant checker verifies every request and attempt of a run
+//! against the guarantees of the design. Only tests and benchmarks use this crate, never the gateway itself.
 
 pub mod cluster;
 pub mod invariants;
--- a/crates/test-cluster/src/link.rs
+++ b/crates/test-cluster/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two processes: a relay on loopback that passes bytes on, and injects a network's faults into them.
+//! A link between two processes: a relay on loopback that forwards bytes and injects network faults.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,18 +7,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often bytes that are held back check whether they may be delivered.
+/// Interval at which a held-back chunk checks whether it may be delivered.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Bytes read at once. The rate limit and the delay apply to one such chunk.
+/// Maximum size of one read in bytes. Rate limit and delay apply to each chunk that is read.
 const CHUNK_SIZE: usize = 16 << 10;
 
-/// One direction of a link.
+/// Faults and statistics of one direction of a link.
 #[derive(Default)]
 struct DirectionState {
-    /// Bytes are held back until the link heals. TCP would retransmit them through a real network.
+    /// Bytes are held back, not dropped, until the link heals: on a real network, TCP would retransmit them.
     is_cut: AtomicBool,
     delay_ms: AtomicU64,
-    /// Bytes a second; 0 is no limit.
+    /// Bytes per second. 0 means no limit.
     bytes_per_second: AtomicU64,
     delivered_bytes: AtomicU64,
 }
@@ -27,31 +27,31 @@
 struct LinkState {
     to_target: DirectionState,
     from_target: DirectionState,
-    /// New connections are closed at once.
+    /// New connections are closed immediately.
     is_refusing: AtomicBool,
     is_dropped: AtomicBool,
     open_streams: Mutex<Vec<TcpStream>>,
 }
 
-/// A relay to one address. Dropping it closes its connections.
+/// A relay to one target address. Dropping it closes its connections and stops its listener.
 pub struct Link {
     /// The address at which the relay accepts connections.
     pub address: SocketAddr,
     state: Arc<LinkState>,
 }
 
-/// A direction of a link, seen from the side that opens connections.
+/// A direction of a link, as seen from the side that opens connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// Towards the link's target.
+    /// Towards the target.
     ToTarget,
-    /// From the link's target.
+    /// From the target.
     FromTarget,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// Bytes that a link has delivered since it was created.
+/// Number of bytes that a link has delivered since it was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeliveredBytes {
     /// Towards the target.
@@ -61,7 +61,7 @@
 }
 
 impl Link {
-    /// Starts a relay to an address.
+    /// Starts a relay to a target address.
     ///
     /// # Panics
     ///
@@ -84,7 +84,7 @@
     }
 
     /// Holds back all bytes of a direction until the link heals. While the direction to the target is cut, new
-    /// connections wait.
+    /// connections are accepted but not relayed.
     pub fn cut(&self, direction: Direction) {
         self.direction_states(direction)
             .for_each(|direction_state| direction_state.is_cut.store(true, Relaxed));
@@ -96,7 +96,7 @@
             .for_each(|direction_state| direction_state.delay_ms.store(delay_ms, Relaxed));
     }
 
-    /// Limits the rate of a direction until the link heals. 0 is no limit.
+    /// Limits the rate of a direction in bytes per second until the link heals. 0 means no limit.
     pub fn limit_rate(&self, direction: Direction, bytes_per_second: u64) {
         self.direction_states(direction)
             .for_each(|direction_state| {
@@ -106,7 +106,7 @@
             });
     }
 
-    /// Closes all open connections, and each new one until the link heals.
+    /// Closes all open connections, and every new connection until the link heals.
     pub fn refuse(&self) {
         self.state.is_refusing.store(true, Relaxed);
         self.reset();
@@ -120,12 +120,12 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         for stream in open_streams.drain(..) {
-            // Fails only if the connection has ended already.
+            // Fails only if the connection is already closed.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Ends all faults of the link. Bytes that were held back are delivered.
+    /// Clears all faults of the link. Bytes that were held back are delivered.
     pub fn heal(&self) {
         self.state.is_refusing.store(false, Relaxed);
         for direction_state in self.direction_states(Direction::Both) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// How many bytes the link has delivered in each direction.
+    /// Number of bytes that the link has delivered in each direction.
     pub fn delivered_bytes(&self) -> DeliveredBytes {
         DeliveredBytes {
             to_target: self.state.to_target.delivered_bytes.load(Relaxed),
@@ -148,7 +148,7 @@
     fn drop(&mut self) {
         self.state.is_dropped.store(true, Relaxed);
         self.reset();
-        // Wakes the listener's thread, which then ends.
+        // Wakes the listener's thread, which then exits.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -169,13 +169,13 @@
 }
 
 fn relay_connection(opener: TcpStream, target: SocketAddr, state: Arc<LinkState>) {
-    // A connection attempt needs the direction to the target: its opener waits while that is cut.
+    // The connection to the target is opened only when the direction to the target isn't cut, as on a real network.
     wait_while_cut(&state.to_target, &state);
     let Ok(target) = TcpStream::connect(target) else {
         let _ = opener.shutdown(Shutdown::Both);
         return;
     };
-    // Without it messages are delayed, not lost.
+    // If this fails, messages are only delayed.
     let _ = opener.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let (Ok(opener_writer), Ok(target_reader)) = (opener.try_clone(), target.try_clone()) else {
@@ -199,7 +199,7 @@
     relay_direction(opener, target, &state.to_target, &state);
 }
 
-/// Passes bytes on in one direction until either side closes, then closes both.
+/// Forwards bytes in one direction until either side closes, then closes both.
 fn relay_direction(
     mut source: TcpStream,
     mut sink: TcpStream,
@@ -226,13 +226,13 @@
             .delivered_bytes
             .fetch_add(count as u64, Relaxed);
     }
-    // A network in which the direction is cut doesn't deliver the connection's end either.
+    // While the direction is cut, the end of the connection isn't delivered either.
     wait_while_cut(direction_state, state);
     let _ = sink.shutdown(Shutdown::Both);
     let _ = source.shutdown(Shutdown::Both);
 }
 
-/// Waits until a chunk that was read now may be delivered: its delay has passed and the direction isn't cut.
+/// Waits until a chunk that has just been read may be delivered: its delay has passed and the direction isn't cut.
 fn wait_for_delivery(direction_state: &DirectionState, state: &LinkState) {
     let read_at = Instant::now();
     while !state.is_dropped.load(Relaxed) {
--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults and changes for a cluster under load. A seed always gives the same schedule.
+//! Random schedules of faults and changes for a cluster under load. The same seed always gives the same schedule.
 
 use crate::cluster::{gateway_name, wait_until, Cluster, CommandOutput, Isolation, CLASSES};
 use rand_core::{RngCore, SeedableRng};
@@ -11,26 +11,26 @@
 const GATEWAY_COUNT: usize = 5;
 const VOTER_COUNT: usize = 3;
 const STEP_COUNT: usize = 6;
-/// How long a fault lasts, in milliseconds: with leases of a second, from well below one to beyond two.
+/// Duration of a fault in milliseconds: with leases of one second, from well below one lease to more than two.
 const FAULT_DURATION_MS: Range<u64> = 200..2600;
-/// The gateway that is asked for the fleet's state when the schedule has ended. It has no replica that could be wiped.
+/// The gateway through which the fleet's state is read at the end. It isn't a voter, so it has no replica to wipe.
 const STATUS_GATEWAY: usize = 3;
 const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
-/// The settings that schedules change, which must be the same everywhere at the end.
+/// The settings that schedules change. At the end, all gateways must have the same values.
 const CHANGED_SETTINGS: [&str; 3] = [
     MAX_ATTEMPTS_PATH,
     "/settings/band[name=lookup]/zone",
     "/settings/band[name=post]/zone",
 ];
 
-/// A fault of the cluster.
+/// A fault injected into the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The gateway's process is killed, and started when the fault ends.
+    /// The gateway's process is killed, and restarted when the fault ends.
     Kill(usize),
-    /// The gateway's process is suspended, while its client fills its queue.
+    /// The gateway's process is suspended while its client fills the gateway's queue.
     Pause(usize),
-    /// A gateway is cut off from all others.
+    /// The links between a gateway and all others are cut.
     Isolate {
         /// The gateway.
         gateway: usize,
@@ -41,29 +41,29 @@
     Delay {
         /// The gateway.
         gateway: usize,
-        /// Milliseconds in each direction.
+        /// The delay in each direction, in milliseconds.
         delay_ms: u64,
     },
-    /// The voter's process is killed, and started without its replica.
+    /// The voter's process is killed, and restarted without its replica.
     WipeDisk(usize),
-    /// All voters' processes are killed at once.
+    /// The processes of all voters are killed, and restarted when the fault ends.
     KillVoters,
 }
 
 /// A change of the fleet's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Forbids the engine of zone b to the class.
+    /// Excludes zone b from the zones of the class.
     ForbidZoneB(&'static str),
-    /// Allows it again.
+    /// Allows zone b for the class again.
     AllowZoneB(&'static str),
-    /// Sets how often a request is attempted at most.
+    /// Sets the maximum number of attempts per request.
     MaxAttempts(u64),
     /// No change.
     None,
 }
 
-/// A fault, and a change that is requested halfway through it.
+/// A fault, and a change that is requested halfway through its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// The fault.
@@ -72,22 +72,22 @@
     pub duration_ms: u64,
     /// The change.
     pub change: Change,
-    /// The gateway that is asked for the change.
+    /// The gateway through which the change is requested.
     pub request_gateway: usize,
 }
 
-/// The schedule of a seed.
+/// Generates the schedule of a seed.
 pub fn generate_steps(seed: u64) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     (0..STEP_COUNT).map(|_| random_step(&mut random)).collect()
 }
 
-/// A random number below a bound. Its tiny bias doesn't matter here.
+/// Draws a random number below a bound. The modulo bias is negligible for these bounds.
 fn random_below(random: &mut Pcg64Mcg, bound: u64) -> u64 {
     random.next_u64() % bound
 }
 
-/// Draws in a fixed order, which failure reports of earlier seeds rely on.
+/// Draws in a fixed order: failures are reported by seed, so a seed must keep giving the same schedule.
 fn random_step(random: &mut Pcg64Mcg) -> Step {
     let gateway = random_below(random, GATEWAY_COUNT as u64) as usize;
     let voter = random_below(random, VOTER_COUNT as u64) as usize;
@@ -130,7 +130,7 @@
 
 fn random_change(random: &mut Pcg64Mcg) -> Change {
     let class = CLASSES[random_below(random, 2) as usize];
-    // Drawn in any case, so that later draws don't depend on the kind of change.
+    // Always drawn, so that the number of draws doesn't depend on the kind of change.
     let max_attempts = 2 + random_below(random, 5);
     match random_below(random, 5) {
         0 | 1 => Change::ForbidZoneB(class),
@@ -140,7 +140,7 @@
     }
 }
 
-/// Plays a schedule on a cluster under load, and returns how many of the requested changes were made.
+/// Runs a schedule on a cluster under load, and returns how many of the requested changes succeeded.
 ///
 /// # Panics
 ///
@@ -167,7 +167,7 @@
 /// A voter whose disk was wiped.
 struct Wipe {
     voter: usize,
-    /// How often the voter had received a vote before.
+    /// How many times the voter's log had reported a vote before the wipe.
     votes_before: usize,
 }
 
@@ -181,8 +181,8 @@
         match step.fault {
             Fault::Kill(gateway) => self.change_while_killed(&[gateway], step),
             Fault::Pause(gateway) => {
-                // A write that the pause interrupts completes after it, which no promise covers: the client's calls
-                // are answered first.
+                // The client's calls are answered before the pause. Otherwise the pause could interrupt a write that
+                // completes afterwards, which no invariant covers.
                 self.cluster.pause_load(gateway);
                 self.cluster.pause(gateway);
                 self.cluster.fill_queue(gateway);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Requests the step's change while the processes are killed.
+    /// Kills the gateways' processes, requests the step's change, and restarts the processes.
     fn change_while_killed(
         &mut self,
         gateways: &[usize],
@@ -234,7 +234,7 @@
         command
     }
 
-    /// Lets the fault last, and starts the step's change halfway.
+    /// Waits for the duration of the fault, and starts the step's change halfway through.
     fn request_change(&self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
         let half = Duration::from_millis(step.duration_ms) / 2;
         thread::sleep(half);
@@ -264,10 +264,10 @@
             .count()
     }
 
-    /// Waits until the fleet can lose another disk. A second loss before the first voter has its vote again is one
-    /// more than the fleet promises to survive.
+    /// Waits until the fleet can lose another disk. It isn't guaranteed to survive a second loss before the first voter
+    /// has its vote again.
     fn wait_until_wipe_is_tolerable(&self, voter: usize) {
-        wait_until("the voter wiped before has a vote", || {
+        wait_until("the previously wiped voter has a vote again", || {
             self.last_wipe
                 .as_ref()
                 .is_none_or(|wipe| self.vote_count(wipe.voter) > wipe.votes_before)
@@ -280,7 +280,7 @@
     }
 }
 
-/// Waits until every gateway serves by the same revision, and compares their settings.
+/// Waits until every gateway is fit and has applied the same revision, and compares their settings.
 fn assert_converged(cluster: &Cluster) {
     wait_until("no change is in progress", || {
         let status = cluster.fleet_status(STATUS_GATEWAY);
--- a/crates/test-cluster/src/schedule/tests.rs
+++ b/crates/test-cluster/src/schedule/tests.rs
@@ -13,7 +13,7 @@
     Fault::Isolate { gateway, isolation }
 }
 
-/// Failures are reported by seed, so a seed must play the same schedule in later versions.
+/// Failures are reported by seed, so a seed must give the same schedule in later versions.
 #[test]
 fn seed_7_gives_its_pinned_schedule() {
     let gateway = 1;
--- a/crates/test-cluster/src/stub.rs
+++ b/crates/test-cluster/src/stub.rs
@@ -1,5 +1,5 @@
-//! One built gateway on loopback between stubs: engines, a name service and clients. A failure of the test's own
-//! sockets, files or processes panics in the thread that notices it.
+//! A single gateway process on loopback with stub engines, a stub name service and stub clients. If one of the test's
+//! own sockets, files or processes fails, the thread that notices it panics.
 
 mod client;
 mod engine;
@@ -23,10 +23,10 @@
 
 /// Time limit of [`becomes_true`].
 const BECOMES_TRUE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two checks of a condition, or two attempts to connect.
+/// Interval between checks of a condition, and between attempts to connect.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Whether a condition holds within five seconds.
+/// Polls a condition, and returns whether it became true within five seconds.
 pub fn becomes_true(mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + BECOMES_TRUE_TIMEOUT;
     while Instant::now() < deadline {
--- a/crates/test-cluster/src/stub/client.rs
+++ b/crates/test-cluster/src/stub/client.rs
@@ -1,4 +1,4 @@
-//! A stub client: framed JSON-RPC over one connection.
+//! A stub client that sends framed JSON-RPC over one connection.
 
 use super::gateway::Gateway;
 use super::POLL_INTERVAL;
@@ -10,27 +10,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Error code of a request that the gateway gave up.
+/// Error code of a request that the gateway didn't accept, or gave up.
 pub const REJECTED: i64 = -32014;
-/// Error code of a request that an engine failed.
+/// Error code of a request that an engine answered with an error.
 pub const FAILED: i64 = -32002;
 
-/// Time limit of connecting and of waiting for one answer.
+/// Time limit for connecting and for receiving an answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A message with its frame header.
+/// Prepends the frame header to a message.
 pub fn framed(message: &str) -> String {
     format!("Content-Length: {}\r\n\r\n{message}", message.len())
 }
 
 /// A client's connection.
 pub struct Client(
-    /// The socket; messages are written to it directly.
+    /// The buffered socket. Messages are written to the socket directly.
     pub BufReader<TcpStream>,
 );
 
 impl Client {
-    /// Connects to a gateway, once it listens.
+    /// Connects to a gateway, retrying until it listens.
     ///
     /// # Panics
     ///
@@ -42,10 +42,14 @@
                 Ok(stream) => {
                     stream
                         .set_read_timeout(Some(CLIENT_TIMEOUT))
-                        .expect("a socket takes a read timeout");
+                        .expect("a read timeout can be set on a socket");
                     return Client(BufReader::new(stream));
                 }
-                Err(error) => assert!(Instant::now() < deadline, "{error}"),
+                Err(error) => assert!(
+                    Instant::now() < deadline,
+                    "cannot connect to the gateway at {}: {error}",
+                    gateway.address
+                ),
             }
             thread::sleep(POLL_INTERVAL);
         }
@@ -57,16 +61,19 @@
     ///
     /// If the connection has ended.
     pub fn send(&mut self, message: &str) {
-        assert!(self.try_send(message), "the connection has ended");
+        assert!(
+            self.try_send(message),
+            "the connection to the gateway has ended"
+        );
     }
 
-    /// Sends a message. False if the connection has ended.
+    /// Sends a message. Returns false if the connection has ended.
     pub fn try_send(&mut self, message: &str) -> bool {
         let frame = framed(message);
         self.0.get_mut().write_all(frame.as_bytes()).is_ok()
     }
 
-    /// Calls class `lookup` with the statement `select 1`.
+    /// Sends a call of class `lookup` with the statement `select 1`.
     ///
     /// # Panics
     ///
@@ -75,7 +82,7 @@
         self.send_call_of_class("lookup", call);
     }
 
-    /// Calls a class with the statement `select 1`.
+    /// Sends a call of a class with the statement `select 1`.
     ///
     /// # Panics
     ///
@@ -83,16 +90,17 @@
     pub fn send_call_of_class(&mut self, class: &str, call: u64) {
         assert!(
             self.try_send_call_of_class(class, call),
-            "the connection has ended"
+            "the connection to the gateway has ended"
         );
     }
 
-    /// Calls a class with the statement `select 1`. False if the connection has ended.
+    /// Sends a call of a class with the statement `select 1`. Returns false if the connection has ended.
     pub fn try_send_call_of_class(&mut self, class: &str, call: u64) -> bool {
         self.try_send_statement(class, call, "select 1")
     }
 
-    /// Calls a class with a statement, and a wait of four seconds. False if the connection has ended.
+    /// Sends a call of a class with a statement and a `wait` of four seconds. Returns false if the connection has
+    /// ended.
     pub fn try_send_statement(&mut self, class: &str, call: u64, statement: &str) -> bool {
         let bytes = STANDARD.encode(statement);
         self.try_send(&format!(
@@ -104,12 +112,13 @@
     ///
     /// # Panics
     ///
-    /// If the connection has ended, or no answer came in time.
+    /// If the connection has ended, or no answer arrives in time.
     pub fn receive(&mut self) -> Value {
-        self.try_receive().expect("an answer")
+        self.try_receive()
+            .expect("no answer: the connection has ended, or the time limit has passed")
     }
 
-    /// Waits for the next answer. None if the connection has ended, or no answer came in time.
+    /// Waits for the next answer. Returns `None` if the connection has ended, or no answer arrives in time.
     pub fn try_receive(&mut self) -> Option<Value> {
         let mut header = String::new();
         let count = self.0.read_line(&mut header).ok()?;
@@ -124,16 +133,16 @@
         serde_json::from_slice(&message).ok()
     }
 
-    /// Waits for an answer with rows, and returns its call and the rows.
+    /// Waits for the next answer, and returns its call id and rows.
     ///
     /// # Panics
     ///
-    /// If the next answer is another, or none comes.
+    /// If the next answer has no rows, or none arrives.
     pub fn receive_rows(&mut self) -> (u64, Vec<u8>) {
         let answer = self.receive();
         let text = answer["result"]["bytes"]
             .as_str()
-            .unwrap_or_else(|| panic!("{answer}"));
+            .unwrap_or_else(|| panic!("expected an answer with rows, got {answer}"));
         let rows = STANDARD.decode(text).expect("rows are base64");
         let call = answer["id"].as_u64().expect("an answer's id is a number");
         (call, rows)
--- a/crates/test-cluster/src/stub/engine.rs
+++ b/crates/test-cluster/src/stub/engine.rs
@@ -1,4 +1,4 @@
-//! A stub engine: it records each line that it receives, and answers as its test wants.
+//! A stub engine that records each line it receives and answers as the test specifies.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,11 +6,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// The lines that an engine received so far, each with its body.
+/// The lines that an engine has received so far, each followed by its body.
 pub type RecordedLines = Arc<Mutex<Vec<String>>>;
 
-/// Starts an engine that answers each line, given without its end, and its body as `respond` says: the bytes to send, and
-/// whether to close the connection after them.
+/// Starts an engine, and returns its address and the lines it receives. `respond` is called with each line, without its
+/// line ending, and the line's body. It returns the bytes to send and whether to close the connection afterwards.
 ///
 /// # Panics
 ///
@@ -27,7 +27,7 @@
     (address, recorded_lines)
 }
 
-/// Accepts connections in a thread and answers their lines. Returns the number of connections accepted so far.
+/// Accepts connections in a new thread and answers their lines. Returns a counter of accepted connections.
 pub(super) fn serve_connections(
     listener: TcpListener,
     recorded_lines: RecordedLines,
@@ -66,7 +66,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .push(format!("{line_text}{body}"));
         let (answer, is_last) = respond(line_text, &body);
-        // The gateway may have closed the connection in the meantime.
+        // Fails if the gateway has closed the connection in the meantime.
         if writer.write_all(&answer).is_err() {
             return;
         }
@@ -77,13 +77,13 @@
     }
 }
 
-/// Reads the body that a `fetch` line announces by its last field, with the line end after it.
+/// Reads the body of a `fetch` line and the line ending after it. The line's last field is the body's length.
 fn read_body(reader: &mut impl Read, line: &str) -> String {
     let length: usize = line
         .split_whitespace()
         .last()
         .and_then(|field| field.parse().ok())
-        .expect("a fetch line ends with its body's length");
+        .expect("the last field of a fetch line is the length of its body");
     let mut body = vec![0; length + 2];
     reader
         .read_exact(&mut body)
@@ -91,7 +91,7 @@
     String::from_utf8(body).expect("a statement is text")
 }
 
-/// The request's id in an engine's line.
+/// The request id in a line of the engine protocol.
 ///
 /// # Panics
 ///
@@ -99,10 +99,10 @@
 pub fn request_id(line: &str) -> &str {
     line.split(' ')
         .nth(1)
-        .expect("the second field of a line is the id")
+        .expect("the second field of an engine line is the request id")
 }
 
-/// The complete answer to a line: one page with those rows.
+/// A complete answer to a line: a single page with the given rows.
 ///
 /// # Panics
 ///
--- a/crates/test-cluster/src/stub/gateway.rs
+++ b/crates/test-cluster/src/stub/gateway.rs
@@ -1,4 +1,4 @@
-//! One process of the built gateway, its configuration and its addresses.
+//! A single gateway process with its configuration and its addresses.
 
 use super::name_service::{start_name_service, NameServiceAnswer};
 use serde_json::{json, Value};
@@ -8,38 +8,40 @@
 use std::process::{Child, Command};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// File name of the platform's configuration object in a gateway's directory.
+/// File name of the platform's configuration in a gateway's directory.
 const CONFIG_FILE: &str = "told.json";
 /// File name of the operator's file in a gateway's directory.
 const OPERATOR_FILE: &str = "operator.json";
-/// The random seed of every gateway that sets none itself.
+/// The random seed in the configuration of every gateway, unless the test replaces it.
 const SEED: &str = "8c1f30d27a5be964";
 
-/// First port of a gateway on its own address.
+/// The first port of the first block of ports on an address.
 const FIRST_PORT: u16 = 8080;
-/// Ports that one gateway may use: clients, management, fleet.
+/// Number of ports of one gateway: for clients, management and the fleet.
 const PORTS_PER_GATEWAY: u16 = 3;
-/// Addresses of one process before ports are counted up: the last byte's values but 0 and the highest.
+/// Number of addresses that a process uses before it moves to the next block of ports. The last byte of an address is
+/// never 0 or one of the highest values.
 const ADDRESSES_PER_PROCESS: u32 = 250;
-/// Second byte of the first address, and how many values it takes by the process id.
+/// Smallest second byte of an address.
 const FIRST_ADDRESS_BYTE: u8 = 64;
+/// The bits of the process id that are added to it.
 const ADDRESS_BYTE_MASK: u32 = 63;
 
 /// A running gateway. Dropping it kills the process and deletes its directory.
 pub struct Gateway {
-    /// The process.
+    /// The gateway's process.
     pub process: Child,
     /// The address at which clients connect.
     pub address: SocketAddr,
-    /// The answer of the gateway's name service.
+    /// The answer of the gateway's stub name service.
     pub name_answer: NameServiceAnswer,
-    /// The directory of its configuration and its operator file.
+    /// The directory with its configuration and its operator file.
     pub dir: PathBuf,
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // All three fail only where a test has ended the process or deleted the directory itself.
+        // These fail only if the test itself has ended the process or deleted the directory.
         let _ = self.process.kill();
         let _ = self.process.wait();
         let _ = fs::remove_dir_all(&self.dir);
@@ -47,7 +49,7 @@
 }
 
 impl Gateway {
-    /// Kills the process and starts another with the same files.
+    /// Kills the process and starts a new one with the same files.
     ///
     /// # Panics
     ///
@@ -58,7 +60,8 @@
         self.process = spawn_gateway_process(&self.dir);
     }
 
-    /// Writes the configuration with another address of the name service, and has the process reload it by SIGHUP.
+    /// Writes the configuration with a different address of the name service, and makes the process reload it with
+    /// SIGHUP.
     ///
     /// # Panics
     ///
@@ -71,7 +74,7 @@
         self.signal("-HUP");
     }
 
-    /// Sends the process a signal by its `kill` option, such as `-TERM`.
+    /// Sends a signal to the process, given as an option of `kill` such as `-TERM`.
     ///
     /// # Panics
     ///
@@ -84,11 +87,10 @@
     }
 }
 
-/// Allocates an address that no other test uses, neither in this process nor in another. Its port and the two ports
-/// after it belong to it.
+/// Allocates a loopback address that no other test uses, in this process or another one, with its port and the next two
+/// ports.
 ///
-/// A free port of the system's choice would not do: another test may bind it between the choice and the gateway's
-/// start.
+/// A free port chosen by the operating system isn't sufficient: another test may bind it before the gateway starts.
 pub fn allocate_address() -> SocketAddr {
     static ALLOCATED: AtomicU32 = AtomicU32::new(0);
     let pid = std::process::id();
@@ -104,7 +106,7 @@
     SocketAddr::from((address, port))
 }
 
-/// Starts a gateway of a fleet of two, with two idempotent classes, `lookup` and `report`.
+/// Starts a gateway with a fleet size of two and the idempotent classes `lookup` and `report`.
 ///
 /// # Panics
 ///
@@ -113,7 +115,7 @@
     start_gateway_in_fleet(2, test, engines)
 }
 
-/// Starts the same gateway in a fleet of that size.
+/// As [`start_gateway`], with the given fleet size.
 ///
 /// # Panics
 ///
@@ -129,11 +131,11 @@
     start_gateway_with_config(test, config, name_answer, None)
 }
 
-/// The platform's configuration object, and the answer of a name service that is started for it.
+/// Starts a name service, and returns a gateway configuration that uses it and its answer, which the test may set.
 ///
 /// # Panics
 ///
-/// If `classes` is no array, or the name service can't be started.
+/// If `classes` isn't an array, or the name service can't be started.
 pub fn gateway_config(
     gateways: u32,
     classes: Value,
@@ -163,7 +165,7 @@
 
 fn settings(gateways: u32, classes: Value) -> Value {
     let class_count = classes.as_array().expect("classes are an array").len();
-    // Classes of one thread and of four by turns.
+    // Classes alternate between one thread and four.
     let threads: Vec<u32> = (0..class_count)
         .map(|class| 1 + 3 * (class % 2) as u32)
         .collect();
@@ -183,7 +185,7 @@
     })
 }
 
-/// Starts a gateway with that configuration, and an operator file where one is given.
+/// Starts a gateway with the given configuration and, if given, the operator file.
 ///
 /// # Panics
 ///
@@ -195,7 +197,7 @@
     operator: Option<Value>,
 ) -> Gateway {
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
-    fs::create_dir_all(&dir).expect("the system's directory of temporary files is writable");
+    fs::create_dir_all(&dir).expect("the system's temporary directory is writable");
     fs::write(dir.join(CONFIG_FILE), config.to_string())
         .expect("the gateway's directory is writable");
     let address = config["listen"]
@@ -215,7 +217,7 @@
     }
 }
 
-/// The path of the built gateway, beside the running test or one directory above.
+/// The path of the built gateway, in the directory of the running program or its parent.
 ///
 /// # Panics
 ///
@@ -227,7 +229,7 @@
         .take(2)
         .map(|dir| dir.join("ironstair"))
         .find(|path| path.is_file())
-        .expect("the gateway is built beside the running program")
+        .expect("the gateway `ironstair` is built in the directory of the running program or its parent")
 }
 
 /// Starts a gateway's process with the files in a directory.
--- a/crates/test-cluster/src/stub/late_listener.rs
+++ b/crates/test-cluster/src/stub/late_listener.rs
@@ -1,4 +1,4 @@
-//! An engine's address where connections are established late, because the queue of the listening socket is full.
+//! An engine address at which connections are established late, because the accept queue of its socket is full.
 
 use super::becomes_true;
 use super::engine::{serve_connections, RecordedLines};
@@ -8,28 +8,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a connection may take before the socket's queue counts as full.
+/// If a connection isn't established within this time, the socket's accept queue is full.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(100);
-/// Length of the socket's queue once it is open, above any test's connections.
+/// Length of the accept queue after the socket is opened, larger than the number of connections of any test.
 const OPEN_QUEUE_LENGTH: i32 = 128;
 
-/// A listening socket that establishes no further connection until it is opened.
+/// A listening socket whose accept queue is full, so that no further connection is established until it is opened.
 pub struct FullListener {
     listener: TcpListener,
     filler_connections: Vec<TcpStream>,
 }
 
-/// An engine behind a [`FullListener`] that was opened.
+/// An engine at the address of a [`FullListener`] that has been opened.
 pub struct OpenedListener {
     /// The lines received so far.
     pub recorded_lines: RecordedLines,
     accepted: Arc<AtomicU32>,
-    /// The connections that filled the queue. They count as accepted, too.
+    /// The connections that filled the queue. They are included in `accepted`.
     filler_connections: Vec<TcpStream>,
 }
 
 impl OpenedListener {
-    /// Waits until that many connections which were held back are established, by the system's retransmissions.
+    /// Waits until `connections` pending connections are established. The operating system establishes them when it
+    /// retransmits their SYN packets.
     ///
     /// # Panics
     ///
@@ -43,7 +44,7 @@
 }
 
 impl FullListener {
-    /// Binds a socket and fills its queue.
+    /// Binds a socket and fills its accept queue.
     ///
     /// # Panics
     ///
@@ -53,7 +54,7 @@
         let address = listener
             .local_addr()
             .expect("a bound listener has an address");
-        rustix::net::listen(&listener, 0).expect("a listener's queue can be shortened");
+        rustix::net::listen(&listener, 0).expect("a listener's accept queue can be shortened");
         let connect = || TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT).ok();
         let filler_connections = std::iter::from_fn(connect).collect();
         (
@@ -65,7 +66,7 @@
         )
     }
 
-    /// Waits until that many connections to this socket are being attempted, by the system's table of sockets.
+    /// Waits until the operating system's socket table lists `connections` pending connections to this socket.
     ///
     /// # Panics
     ///
@@ -75,7 +76,7 @@
             .listener
             .local_addr()
             .expect("a bound listener has an address");
-        // The remote port of a socket in state SYN_SENT.
+        // Matches the remote port and the state SYN_SENT (02) in a row of the table.
         let syn_sent_pattern = format!(":{:04X} 02 ", address.port());
         let attempted = || {
             let sockets = fs::read_to_string("/proc/net/tcp")
@@ -84,22 +85,22 @@
         };
         assert!(
             becomes_true(|| attempted() >= connections),
-            "{} connections attempted",
+            "{} pending connections, expected {connections}",
             attempted()
         );
     }
 
-    /// Turns the socket into an engine's, as [`start_engine`](super::start_engine).
+    /// Opens the socket and serves it as an engine, as [`start_engine`](super::start_engine) does.
     ///
     /// # Panics
     ///
-    /// If the socket's queue can't be lengthened.
+    /// If the socket's accept queue can't be lengthened.
     pub fn open(
         self,
         respond: impl Fn(&str, &str) -> (Vec<u8>, bool) + Send + Sync + 'static,
     ) -> OpenedListener {
         rustix::net::listen(&self.listener, OPEN_QUEUE_LENGTH)
-            .expect("a listener's queue can be lengthened");
+            .expect("a listener's accept queue can be lengthened");
         let recorded_lines = RecordedLines::default();
         let accepted = serve_connections(self.listener, recorded_lines.clone(), respond);
         OpenedListener {
--- a/crates/test-cluster/src/stub/name_service.rs
+++ b/crates/test-cluster/src/stub/name_service.rs
@@ -1,32 +1,32 @@
-//! A stub name service: it answers each query with the list of engines that the test sets.
+//! A stub name service that answers each query with the list of engines that the test sets.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// The answer to every query, without its two bytes of query id; empty for a service that gives no list.
+/// The answer to every query, without the two bytes of the query id. Empty for a service without a list.
 pub type NameServiceAnswer = Arc<Mutex<Vec<u8>>>;
 
-/// DNS record types, and the class IN.
+// DNS record types and class (RFC 1035, RFC 2782).
 const TYPE_ADDRESS: u16 = 1;
 const TYPE_START_OF_AUTHORITY: u16 = 6;
 const TYPE_TEXT: u16 = 16;
 const TYPE_SERVICE: u16 = 33;
 const CLASS_IN: u16 = 1;
-/// Flags of an authoritative answer without error.
+/// Flags of an authoritative answer without an error.
 const ANSWER_FLAGS: [u8; 2] = [0x84, 0];
-/// Longest query in bytes (RFC 1035, 2.3.4).
+/// Maximum length of a query in bytes (RFC 1035, section 2.3.4).
 const MAX_QUERY_LENGTH: usize = 512;
-/// The farm's zone, which the start-of-authority record names.
+/// The DNS zone in the start-of-authority record.
 const ZONE_NAME: &str = "farm.lan";
-/// The name whose service records list the engines.
+/// The name of the service records that list the engines.
 const SERVICE_NAME: &str = "_data._tcp.farm.lan";
 /// Weight of each engine in its service record.
 const ENGINE_WEIGHT: u16 = 40;
 /// Machine type, cell and start time of each engine, as DNS character strings.
 const ENGINE_TEXT: &[u8] = b"\x06kind=m\x06cell=0\x09started=0";
 
-/// Appends a domain name in DNS form, uncompressed.
+/// Appends a domain name in DNS wire format without compression.
 pub fn append_domain_name(message: &mut Vec<u8>, name: &str) {
     for label in name.split('.') {
         message.push(label.len() as u8);
@@ -45,12 +45,12 @@
     message.extend(data);
 }
 
-/// The whole list as an answer without its query id: engines by name, address and state (the priority of their service
-/// record; 0 is ready), under a serial number.
+/// Encodes a complete list with a serial number as an answer without its query id. Each engine has a name, an address
+/// and a state, which is the priority of its service record (0 is ready).
 ///
 /// # Panics
 ///
-/// If an address isn't IPv4.
+/// If an engine's address isn't IPv4.
 pub fn engine_list_answer(serial: u32, engines: &[(&str, SocketAddr, u16)]) -> Vec<u8> {
     let mut message = header(engines.len() as u16);
     for (name, address, state) in engines {
@@ -68,7 +68,7 @@
     );
     for (name, address, _) in engines {
         let SocketAddr::V4(address) = address else {
-            panic!("stub engines have IPv4 addresses: {address}")
+            panic!("stub engine {name} has address {address}, expected an IPv4 address")
         };
         let host = host_name(name);
         append_record(&mut message, &host, TYPE_ADDRESS, &address.ip().octets());
@@ -77,8 +77,8 @@
     message
 }
 
-/// Flags and section counts: no question, a service record for each engine, the zone's authority, and an address and a
-/// text for each engine.
+/// Flags and section counts: no question, one service record per engine, one start-of-authority record, and one address
+/// and one text record per engine.
 fn header(engine_count: u16) -> Vec<u8> {
     let mut header = ANSWER_FLAGS.to_vec();
     for count in [0, engine_count, 1, 2 * engine_count] {
@@ -99,7 +99,7 @@
     format!("{engine}.a.hosts")
 }
 
-/// Starts a name service, and returns its address and its answer, which a test may set at any time.
+/// Starts a name service, and returns its address and its answer, which the test may set at any time.
 ///
 /// # Panics
 ///
@@ -117,7 +117,7 @@
                 .unwrap_or_else(PoisonError::into_inner)
                 .clone();
             let message = [&query[..2], &answer].concat();
-            // A lost answer is asked for again.
+            // The gateway repeats a query whose answer is lost.
             let _ = socket.send_to(&message, client);
         }
     });
