--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -1,34 +1,38 @@
-//! What a call costs a gateway as the list of engines grows: its processor for each call between stand-ins on
-//! loopback, and the module's part alone. `cargo bench -p ironstair-gateway --bench calls`
-
-use ironstair_test_cluster::stub as common;
+//! CPU time per call as the list of engines grows: of a gateway process with stub clients and engines on loopback, and
+//! of the policy alone. `cargo bench -p ironstair-gateway --bench calls`
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
-use common::{done_reply, gateway_config, start_engine, start_gateway_with_config, Client};
-use ironstair::policy::Gateway as Module;
+use ironstair::policy::Gateway as Policy;
 use ironstair::{Actions, Cost, Endpoint, EndpointState, Millis, Outcome, Request};
+use ironstair_test_cluster::stub::{
+    done_reply, gateway_config, start_engine, start_gateway_with_config, Client,
+};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::Instant;
 
+/// Number of measurements of each figure.
 const ROUNDS: usize = 5;
-const SIZES: [usize; 3] = [10, 100, 1000];
+/// Sizes of the list of engines.
+const ENGINE_COUNTS: [usize; 3] = [10, 100, 1000];
 
-fn spread(mut all: Vec<f64>) -> String {
-    all.sort_by(f64::total_cmp);
+/// Formats the median, the minimum and the maximum.
+fn median_and_range(mut values: Vec<f64>) -> String {
+    values.sort_by(f64::total_cmp);
     format!(
         "{:.1} ({:.1} to {:.1})",
-        all[all.len() / 2],
-        all[0],
-        all[all.len() - 1]
+        values[values.len() / 2],
+        values[0],
+        values[values.len() - 1]
     )
 }
 
-fn processor_us(pid: u32) -> f64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = text
+/// CPU time that a process has used, in microseconds. The kernel counts it in ticks of 10 ms.
+fn cpu_time_us(pid: u32) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
+    let fields: Vec<&str> = stat
         .rsplit_once(')')
         .unwrap()
         .1
@@ -37,13 +41,15 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) * 1e4
 }
 
-/// Takes what the module asks for, and remembers the attempt.
+/// Remembers the request of the last attempt that the policy started, and ignores all other actions.
 #[derive(Default)]
-struct ActionExecutor(Option<usize>);
+struct ActionExecutor {
+    started_request: Option<usize>,
+}
 
 impl Actions for ActionExecutor {
     fn start_attempt(&mut self, request: usize, _engine: usize, _by: Millis) {
-        self.0 = Some(request);
+        self.started_request = Some(request);
     }
     fn withdraw_attempt(&mut self, _: usize, _: u8) {}
     fn set_priority(&mut self, _: usize, _: u8, _: f64) {}
@@ -56,13 +62,13 @@
     fn forget(&mut self, _: usize) {}
 }
 
-fn module() {
-    println!("\n| engines | the module for each call, us | with cells, 8 |");
+fn measure_policy() {
+    println!("\n| engines | policy CPU time per call, us | with 8 cells |");
     println!("| --- | --- | --- |");
-    for n in SIZES {
-        let mut sides = [Vec::new(), Vec::new()];
+    for engine_count in ENGINE_COUNTS {
+        let mut costs_by_cells = [Vec::new(), Vec::new()];
         for round in 0..2 * ROUNDS {
-            let cells = round % 2 == 1;
+            let has_cells = round % 2 == 1;
             let policy_config = ironstair_settings::read_policy_config(
                 json!({"classes": [{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}],
                     "fleet_size": 4, "machine_types": ["m"], "dcs": ["a"], "registry_mode": "automatic", "resolution_ns": 1e6,
@@ -72,9 +78,9 @@
                 .to_string()
                 .as_bytes(),
             );
-            let mut module = Module::new(policy_config.unwrap(), 7);
+            let mut policy = Policy::new(policy_config.unwrap(), 7);
             let mut executor = ActionExecutor::default();
-            let lines: Vec<Endpoint> = (0..n)
+            let endpoints: Vec<Endpoint> = (0..engine_count)
                 .map(|engine| Endpoint {
                     engine,
                     id: 0x9E37_79B9_7F4A_7C15u64.wrapping_mul(engine as u64 + 1),
@@ -83,23 +89,23 @@
                     ..Endpoint::default()
                 })
                 .collect();
-            module.update_endpoints(1.0, true, &lines, &mut executor);
+            policy.update_endpoints(1.0, true, &endpoints, &mut executor);
             let calls = 20_000;
-            let since = Instant::now();
+            let started_at = Instant::now();
             for call in 0..calls {
                 let now = 2.0 + call as f64 / 10.0;
-                let cells = if cells { 1 << (call % 8) } else { 0 };
-                let of = Request {
+                let cells = if has_cells { 1 << (call % 8) } else { 0 };
+                let request = Request {
                     time_remaining: 5000.0,
                     table_group: call % 40,
                     cells,
                     ..Request::default()
                 };
-                module.on_request(now, call as usize % 64, of, &mut executor);
-                if let Some(s) = executor.0.take() {
-                    module.on_attempt_ended(
+                policy.on_request(now, call as usize % 64, request, &mut executor);
+                if let Some(started_request) = executor.started_request.take() {
+                    policy.on_attempt_ended(
                         now + 0.05,
-                        s,
+                        started_request,
                         Outcome::Completed(Some(Cost {
                             work: 1.0,
                             memory_mb: 0.0,
@@ -109,86 +115,102 @@
                     );
                 }
             }
-            sides[cells as usize].push(since.elapsed().as_secs_f64() * 1e6 / calls as f64);
+            costs_by_cells[has_cells as usize]
+                .push(started_at.elapsed().as_secs_f64() * 1e6 / calls as f64);
         }
-        let [off, on] = sides;
-        println!("| {n} | {} | {} |", spread(off), spread(on));
+        let [without_cells, with_cells] = costs_by_cells;
+        println!(
+            "| {engine_count} | {} | {} |",
+            median_and_range(without_cells),
+            median_and_range(with_cells)
+        );
     }
 }
 
-/// A call on one of so many table groups: each has its engines.
-fn ask(c: &mut Client, call: u64, groups: u64) {
-    let bytes = STANDARD.encode(format!("select x from sales_{}.orders", call % groups));
-    c.send(&format!(
+/// Sends a call whose statement names one of `group_count` table groups. Each group prefers its own engines.
+fn send_call(client: &mut Client, call: u64, group_count: u64) {
+    let bytes = STANDARD.encode(format!("select x from sales_{}.orders", call % group_count));
+    client.send(&format!(
         r#"{{"jsonrpc":"2.0","id":{call},"method":"lookup","params":{{"id":"{call:016x}","wait":4000,"bytes":"{bytes}"}}}}"#
     ));
 }
 
-fn gateway_alone(groups: u64) {
-    println!("\nTable groups: {groups}\n\n| engines | processor for each call, us | calls a second | resident, KiB |");
+fn measure_gateway(group_count: u64) {
+    println!("\nTable groups: {group_count}\n\n| engines | CPU time per call, us | calls per second | resident memory, KiB |");
     println!("| --- | --- | --- | --- |");
-    for n in SIZES {
-        // Eight that answer at once stand behind all names.
-        let real: Vec<SocketAddr> = (0..8)
+    for engine_count in ENGINE_COUNTS {
+        // The list names all engines, but their addresses are those of eight stub engines that answer immediately.
+        let addresses: Vec<SocketAddr> = (0..8)
             .map(|_| start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false)).0)
             .collect();
-        let names: Vec<String> = (0..n).map(|i| format!("engine-{i}")).collect();
-        let listed: Vec<(&str, SocketAddr)> = names
+        let names: Vec<String> = (0..engine_count)
+            .map(|index| format!("engine-{index}"))
+            .collect();
+        let named_engines: Vec<(&str, SocketAddr)> = names
             .iter()
             .enumerate()
-            .map(|(i, n)| (n.as_str(), real[i % 8]))
+            .map(|(index, name)| (name.as_str(), addresses[index % 8]))
             .collect();
         let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
-        let (mut config, endpoints) = gateway_config(1, json!([class]), &listed);
+        let (mut config, name_answer) = gateway_config(1, json!([class]), &named_engines);
         config["limits"] = json!({"memory_mb": 512, "sockets": 8192});
         let gateway = start_gateway_with_config(
-            &format!("bench-calls-{groups}-{n}"),
+            &format!("bench-calls-{group_count}-{engine_count}"),
             config,
-            endpoints,
+            name_answer,
             None,
         );
-        let (mut costs, mut rates) = (Vec::new(), Vec::new());
+        let (mut costs_us, mut rates) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS as u64 {
-            let (before, since) = (processor_us(gateway.process.id()), Instant::now());
+            let (cpu_before_us, started_at) = (cpu_time_us(gateway.process.id()), Instant::now());
             let clients: Vec<_> = (0..32u64)
-                .map(|who| {
-                    let mut c = Client::connect(&gateway);
+                .map(|client_index| {
+                    let mut client = Client::connect(&gateway);
                     thread::spawn(move || {
-                        let base = (round * 32 + who) * 1_000_000 + 1;
-                        let most = 400;
-                        (0..16).for_each(|k| ask(&mut c, base + k, groups));
-                        for k in 0..most {
-                            c.receive();
-                            if k + 16 < most {
-                                ask(&mut c, base + k + 16, groups);
+                        let first_call = (round * 32 + client_index) * 1_000_000 + 1;
+                        let call_count = 400;
+                        (0..16).for_each(|index| {
+                            send_call(&mut client, first_call + index, group_count)
+                        });
+                        for index in 0..call_count {
+                            client.receive();
+                            if index + 16 < call_count {
+                                send_call(&mut client, first_call + index + 16, group_count);
                             }
                         }
                     })
                 })
                 .collect();
-            clients.into_iter().for_each(|c| c.join().unwrap());
+            clients
+                .into_iter()
+                .for_each(|client| client.join().unwrap());
             let calls = 32.0 * 400.0;
-            costs.push((processor_us(gateway.process.id()) - before) / calls);
-            rates.push(calls / since.elapsed().as_secs_f64());
+            costs_us.push((cpu_time_us(gateway.process.id()) - cpu_before_us) / calls);
+            rates.push(calls / started_at.elapsed().as_secs_f64());
         }
-        let text =
+        let status =
             std::fs::read_to_string(format!("/proc/{}/status", gateway.process.id())).unwrap();
-        let rss = text
+        let resident_kib = status
             .lines()
-            .find(|l| l.starts_with("VmRSS"))
+            .find(|line| line.starts_with("VmRSS"))
             .unwrap()
             .split_whitespace()
             .nth(1)
             .unwrap()
             .to_owned();
-        println!("| {n} | {} | {} | {rss} |", spread(costs), spread(rates));
+        println!(
+            "| {engine_count} | {} | {} | {resident_kib} |",
+            median_and_range(costs_us),
+            median_and_range(rates)
+        );
     }
 }
 
 fn main() {
-    if !std::env::args().any(|a| a == "--bench") {
+    // `cargo test` runs benchmarks without `--bench`, and then nothing is measured.
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
-    module();
-    [1, 40, 1000].into_iter().for_each(gateway_alone);
+    measure_policy();
+    [1, 40, 1000].into_iter().for_each(measure_gateway);
 }
