--- a/crates/gateway/benches/fleet.rs
+++ b/crates/gateway/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! What a fleet costs and how long its changes take, with processes of the built gateway on loopback between
-//! stand-ins: `cargo bench -p ironstair-gateway --bench fleet`. Its voters' part alone at 100 and 300 members, too.
+//! CPU time, traffic and duration of changes in a fleet of gateway processes on loopback with stub clients and engines,
+//! and the cost of a single voter with up to 300 members: `cargo bench -p ironstair-gateway --bench fleet`
 
 use ironstair_coordination::member::{Action, Input};
 use ironstair_coordination::Member;
@@ -10,66 +10,86 @@
 use slog::{o, Discard, Logger};
 use std::time::{Duration, Instant};
 
-const ATTEMPTS: &str = "/settings/forwards-most";
-const CHANGES: usize = 12;
-const LEASE: u32 = 3000;
+/// The setting that the benchmark changes: the maximum number of attempts per request.
+const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
+const CHANGE_COUNT: usize = 12;
+const LEASE_MS: u32 = 3000;
 
-fn quantile(all: &mut [f64], q: f64) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all[((all.len() - 1) as f64 * q).round() as usize]
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[((values.len() - 1) as f64 * fraction).round() as usize]
 }
 
-fn timed(cluster: &Cluster, at: usize, changes: usize) -> Vec<f64> {
-    let one = |nth: usize| {
-        let value = (2 + nth % 5).to_string();
-        let since = Instant::now();
-        cluster.set(at, &[ATTEMPTS, &value]).assert_success();
-        since.elapsed().as_secs_f64() * 1000.0
+/// Makes changes through a gateway, and returns the duration of each in milliseconds.
+fn change_durations_ms(cluster: &Cluster, gateway: usize, change_count: usize) -> Vec<f64> {
+    let duration_ms = |index: usize| {
+        let value = (2 + index % 5).to_string();
+        let started_at = Instant::now();
+        cluster
+            .set(gateway, &[MAX_ATTEMPTS_PATH, &value])
+            .assert_success();
+        started_at.elapsed().as_secs_f64() * 1000.0
     };
-    (0..changes).map(one).collect()
+    (0..change_count).map(duration_ms).collect()
 }
 
-/// When a gateway took over settings, in ms of the day, by its log.
-fn taken_over(log: &str) -> Vec<f64> {
-    let lines = log.lines().filter(|l| l.contains("settings changed"));
-    let at = lines.filter_map(|l| {
-        let clock: Vec<f64> = l
+/// When a gateway applied settings, in milliseconds of the day, read from its log.
+fn application_times_ms(log: &str) -> Vec<f64> {
+    let lines = log.lines().filter(|line| line.contains("settings changed"));
+    let times = lines.filter_map(|line| {
+        let clock: Vec<f64> = line
             .split(' ')
             .nth(2)?
             .split(':')
-            .filter_map(|p| p.parse().ok())
+            .filter_map(|part| part.parse().ok())
             .collect();
         Some(clock[0] * 3.6e6 + clock[1] * 6e4 + clock[2] * 1e3)
     });
-    at.collect()
+    times.collect()
 }
 
-/// Of the last changes: the longest between the first and the last that took a step over, and the least time by
-/// which the last that took over the stricter of both was before the first that took over the new.
-fn side_by_side(cluster: &Cluster, gateways: usize, changes: usize) -> (f64, f64) {
-    let all: Vec<Vec<f64>> = (0..gateways).map(|g| taken_over(&cluster.log(g))).collect();
-    let step = |back: usize| -> (f64, f64) {
-        let at = all.iter().map(|t| t[t.len() - back]);
-        at.fold((f64::INFINITY, 0.0), |a, t| (a.0.min(t), a.1.max(t)))
+/// Each change has two steps: first every gateway applies the stricter of the old and the new settings, then the new
+/// ones. Of the last changes, returns the longest time between the first and the last gateway that applied a step,
+/// and the shortest time from the last gateway that applied the first step to the first that applied the second.
+fn step_spread_and_gap_ms(
+    cluster: &Cluster,
+    gateway_count: usize,
+    change_count: usize,
+) -> (f64, f64) {
+    let times_by_gateway: Vec<Vec<f64>> = (0..gateway_count)
+        .map(|gateway| application_times_ms(&cluster.log(gateway)))
+        .collect();
+    let step_times = |steps_back: usize| -> (f64, f64) {
+        let times = times_by_gateway
+            .iter()
+            .map(|times| times[times.len() - steps_back]);
+        times.fold((f64::INFINITY, 0.0), |(first, last), time| {
+            (first.min(time), last.max(time))
+        })
     };
-    let steps: Vec<((f64, f64), (f64, f64))> = (1..=changes)
-        .map(|c| (step(2 * c), step(2 * c - 1)))
+    let changes: Vec<((f64, f64), (f64, f64))> = (1..=change_count)
+        .map(|changes_back| {
+            (
+                step_times(2 * changes_back),
+                step_times(2 * changes_back - 1),
+            )
+        })
         .collect();
-    let widest = steps
+    let max_spread = changes
         .iter()
-        .flat_map(|s| [s.0 .1 - s.0 .0, s.1 .1 - s.1 .0])
+        .flat_map(|(strict, new)| [strict.1 - strict.0, new.1 - new.0])
         .fold(0.0, f64::max);
     (
-        widest,
-        steps
+        max_spread,
+        changes
             .iter()
-            .map(|s| s.1 .0 - s.0 .1)
+            .map(|(strict, new)| new.0 - strict.1)
             .fold(f64::INFINITY, f64::min),
     )
 }
 
-/// Seconds of processor that a process has used.
-fn processor(pid: u32) -> f64 {
+/// CPU time that a process has used, in seconds. The kernel counts it in ticks of 10 ms.
+fn cpu_time_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -80,129 +100,151 @@
     (fields[11].parse::<f64>().unwrap() + fields[12].parse::<f64>().unwrap()) / 100.0
 }
 
-fn changes_and_idle() {
-    println!("| processes | set to held everywhere, p50 / p99, ms | one cut off: the first, the middle of three more, ms | a step's first to last, ms | last old to first new, ms |");
-    let mut idle = Vec::new();
-    for gateways in [3, 10, 30] {
-        let plan = Plan::default().gateway_count(gateways).lease_ms(LEASE);
-        let cluster = Cluster::started(&format!("bench-{gateways}"), &plan);
-        let mut took = timed(&cluster, gateways - 1, CHANGES);
-        let (widest, between) = side_by_side(&cluster, gateways, CHANGES);
+fn measure_changes_and_idle_fleets() {
+    println!("| gateways | duration of a change, p50 / p99, ms | with one gateway isolated: first change, median of three more, ms | longest time from first to last gateway in a step, ms | shortest time between steps, ms |");
+    let mut idle_rows = Vec::new();
+    for gateway_count in [3, 10, 30] {
+        let plan = Plan::default()
+            .gateway_count(gateway_count)
+            .lease_ms(LEASE_MS);
+        let cluster = Cluster::started(&format!("bench-{gateway_count}"), &plan);
+        let mut durations_ms = change_durations_ms(&cluster, gateway_count - 1, CHANGE_COUNT);
+        let (max_spread_ms, min_gap_ms) =
+            step_spread_and_gap_ms(&cluster, gateway_count, CHANGE_COUNT);
         let leader = cluster.leader();
-        let replica = (0..3).find(|k| *k != leader).unwrap();
-        let member = gateways - 1;
-        let of = |g: usize| (processor(cluster.pid(g)), cluster.link_bytes(g));
-        let (before, span) = (
-            [of(leader), of(replica), of(member)],
+        let voter = (0..3).find(|voter| *voter != leader).unwrap();
+        let member = gateway_count - 1;
+        let usage = |gateway: usize| {
+            (
+                cpu_time_seconds(cluster.pid(gateway)),
+                cluster.link_bytes(gateway),
+            )
+        };
+        let (before, duration) = (
+            [usage(leader), usage(voter), usage(member)],
             Duration::from_secs(10),
         );
-        std::thread::sleep(span);
-        let after = [of(leader), of(replica), of(member)];
-        for (who, (a, b)) in ["chair", "keeper", "member"]
+        std::thread::sleep(duration);
+        let after = [usage(leader), usage(voter), usage(member)];
+        for (role, (before, after)) in ["leader", "voter", "member"]
             .iter()
             .zip(before.iter().zip(&after))
         {
-            let s = span.as_secs_f64();
-            idle.push(format!(
-                "| {gateways} | {who} | {:.2} | {:.0} |",
-                (b.0 - a.0) / s * 100.0,
-                (b.1 - a.1) as f64 / s
+            let seconds = duration.as_secs_f64();
+            idle_rows.push(format!(
+                "| {gateway_count} | {role} | {:.2} | {:.0} |",
+                (after.0 - before.0) / seconds * 100.0,
+                (after.1 - before.1) as f64 / seconds
             ));
         }
-        let isolated = if leader == member { replica } else { member };
+        let isolated = if leader == member { voter } else { member };
         cluster.isolate(isolated, Isolation::Full);
-        let first = timed(&cluster, leader, 1)[0];
-        let mut cut = timed(&cluster, leader, 3);
+        let first_ms = change_durations_ms(&cluster, leader, 1)[0];
+        let mut further_ms = change_durations_ms(&cluster, leader, 3);
         cluster.heal_links();
         println!(
-            "| {gateways} | {:.0} / {:.0} | {:.0}, {:.0} | {widest:.0} | {between:.0} |",
-            quantile(&mut took, 0.5),
-            quantile(&mut took, 0.99),
-            first,
-            quantile(&mut cut, 0.5),
+            "| {gateway_count} | {:.0} / {:.0} | {:.0}, {:.0} | {max_spread_ms:.0} | {min_gap_ms:.0} |",
+            quantile(&mut durations_ms, 0.5),
+            quantile(&mut durations_ms, 0.99),
+            first_ms,
+            quantile(&mut further_ms, 0.5),
         );
     }
     println!(
-        "\n| processes | idle | processor, % of a core | bytes a second over the links it opened |"
+        "\n| gateways | idle | CPU, % of a core | bytes per second over the links it opened |"
     );
-    idle.iter().for_each(|l| println!("{l}"));
+    idle_rows.iter().for_each(|row| println!("{row}"));
 }
 
-/// No operator's section at all.
-fn without_operator_file(_: usize, files: &mut StartupFiles) {
+/// Empties the operator file, so that the gateway has neither management nor a fleet.
+fn clear_operator_file(_: usize, files: &mut StartupFiles) {
     files.operator = json!({});
 }
 
-fn without_fleet(test: &str) -> Cluster {
+/// Starts three gateways that are configured by files alone.
+fn start_without_fleet(test: &str) -> Cluster {
     let plan = Plan::default()
         .gateway_count(3)
-        .edit_config(without_operator_file);
+        .edit_config(clear_operator_file);
     let mut cluster = Cluster::prepare(test, &plan);
-    (0..3).for_each(|g| cluster.start(g));
+    (0..3).for_each(|gateway| cluster.start(gateway));
     cluster.wait_until_all_fit();
     cluster
 }
 
-fn with_fleet(test: &str) -> Cluster {
-    let plan = Plan::default().gateway_count(3).lease_ms(LEASE);
+/// Starts a fleet of three gateways.
+fn start_with_fleet(test: &str) -> Cluster {
+    let plan = Plan::default().gateway_count(3).lease_ms(LEASE_MS);
     Cluster::started(test, &plan)
 }
 
-fn shares() {
-    let share = |cluster: &mut Cluster| {
+fn measure_answers_without_rows() {
+    let count_without_rows = |cluster: &mut Cluster| {
         cluster.wait_for_answers(AnswerKind::Rows, 100);
         let answers = cluster.stop_load_and_check();
-        let all: usize = answers.values().sum();
+        let total: usize = answers.values().sum();
         (
-            all - answers.get(&AnswerKind::Rows).copied().unwrap_or(0),
-            all,
+            total - answers.get(&AnswerKind::Rows).copied().unwrap_or(0),
+            total,
         )
     };
-    let mut fleet = with_fleet("bench-lost");
+    let mut fleet = start_with_fleet("bench-lost");
     fleet.start_load();
-    timed(&fleet, 1, 5);
-    let (back, all) = share(&mut fleet);
-    println!("\nNot settled of all while five changes were made: a fleet {back} of {all}");
-    let mut alone = without_fleet("bench-sighup");
-    alone.start_load();
+    change_durations_ms(&fleet, 1, 5);
+    let (without_rows, total) = count_without_rows(&mut fleet);
+    println!("\nAnswers without rows during five changes of a fleet: {without_rows} of {total}");
+    let mut standalone = start_without_fleet("bench-sighup");
+    standalone.start_load();
     for value in 2..7 {
-        for g in 0..3 {
-            alone.edit_config_and_reload(g, |config| {
+        for gateway in 0..3 {
+            standalone.edit_config_and_reload(gateway, |config| {
                 config["settings"]["policy_limits"]["max_attempts"] = json!(value);
             });
-            let seen = value as usize - 1;
-            wait_until("it holds", || {
-                alone.log(g).matches("configuration reloaded").count() >= seen
+            let expected_reloads = value as usize - 1;
+            wait_until("the gateway has reloaded its configuration", || {
+                standalone
+                    .log(gateway)
+                    .matches("configuration reloaded")
+                    .count()
+                    >= expected_reloads
             });
         }
     }
-    let (back, all) = share(&mut alone);
-    println!("SIGHUP, one gateway after the other: {back} of {all}");
+    let (without_rows, total) = count_without_rows(&mut standalone);
+    println!("With SIGHUP, one gateway after the other: {without_rows} of {total}");
 }
 
-fn cost_of_a_call() {
-    let (mut on, mut off) = (with_fleet("bench-on"), without_fleet("bench-off"));
+fn measure_cpu_time_per_call() {
+    let (mut in_fleet, mut standalone) = (
+        start_with_fleet("bench-on"),
+        start_without_fleet("bench-off"),
+    );
     let mut ratios = Vec::new();
     for _ in 0..5 {
-        let cost = |cluster: &mut Cluster| {
+        let cpu_time_per_call_us = |cluster: &mut Cluster| {
             cluster.start_load();
             cluster.wait_for_answers(AnswerKind::Rows, 50);
-            let (had, used) = (
+            let (answers_before, cpu_before) = (
                 cluster.request_log.answer_counts()[&AnswerKind::Rows],
-                processor(cluster.pid(1)),
+                cpu_time_seconds(cluster.pid(1)),
             );
             cluster.wait_for_answers(AnswerKind::Rows, 1200);
-            let (has, uses) = (
+            let (answers_after, cpu_after) = (
                 cluster.request_log.answer_counts()[&AnswerKind::Rows],
-                processor(cluster.pid(1)),
+                cpu_time_seconds(cluster.pid(1)),
             );
             cluster.stop_load_and_check();
-            // Three gateways serve alike.
-            (uses - used) / (has - had) as f64 * 3.0 * 1e6
+            // The answers are those of three gateways with equal load, the CPU time is that of one.
+            (cpu_after - cpu_before) / (answers_after - answers_before) as f64 * 3.0 * 1e6
         };
-        let (with, without) = (cost(&mut on), cost(&mut off));
-        println!("processor for a call: {with:.0} us in a fleet, {without:.0} us alone");
-        ratios.push(with / without);
+        let (fleet_us, standalone_us) = (
+            cpu_time_per_call_us(&mut in_fleet),
+            cpu_time_per_call_us(&mut standalone),
+        );
+        println!(
+            "CPU time per call: {fleet_us:.0} us in a fleet, {standalone_us:.0} us without one"
+        );
+        ratios.push(fleet_us / standalone_us);
     }
     println!(
         "ratio, median of five pairs: {:.2}",
@@ -210,41 +252,44 @@
     );
 }
 
-/// A leader alone with so many members that heartbeat, in virtual time: its processor for a second of that.
-fn single_voter(members: usize) {
+/// Runs a leader without other voters in virtual time, with members that send heartbeats, and prints its CPU time per
+/// second of virtual time.
+fn measure_single_voter(member_count: usize) {
     let policy = json!({"band": []});
     let image = Replica::bootstrap_image("a", 1, 7, policy, None).unwrap();
     let log = Logger::root(Discard, o!());
-    let lease = LEASE as f64;
-    let mut replica: Replica<Value> = Replica::open("a", 0, lease, &image, 0.0, &log).unwrap();
-    let mut all: Vec<Member> = (0..members)
-        .map(|m| Member::new(&format!("g{m}"), m as u64 + 1, false, lease))
+    let lease_ms = LEASE_MS as f64;
+    let mut replica: Replica<Value> = Replica::open("a", 0, lease_ms, &image, 0.0, &log).unwrap();
+    let mut members: Vec<Member> = (0..member_count)
+        .map(|index| Member::new(&format!("g{index}"), index as u64 + 1, false, lease_ms))
         .collect();
-    let (mut now, mut bytes, mut heartbeats, mut since) = (0.0, 0usize, 0usize, Instant::now());
+    let (mut now, mut bytes, mut heartbeats, mut started_at) =
+        (0.0, 0usize, 0usize, Instant::now());
+    // Measured after a warm-up of 20 seconds.
     let seconds = 60.0;
     while now < 20_000.0 + seconds * 1000.0 {
         if (now - 20_000.0f64).abs() < TICK / 2.0 {
-            (bytes, heartbeats, since) = (0, 0, Instant::now());
+            (bytes, heartbeats, started_at) = (0, 0, Instant::now());
         }
         now += TICK;
-        let mut outs = replica.tick(now);
-        for (m, member) in all.iter_mut().enumerate() {
+        let mut outputs = replica.tick(now);
+        for (index, member) in members.iter_mut().enumerate() {
             for action in member.handle::<Value>(now, Input::Due) {
                 if let Action::Heartbeat(heartbeat) = action {
                     heartbeats += 1;
                     bytes += serde_json::to_vec(&heartbeat).unwrap().len();
-                    outs.extend(replica.heartbeat(now, m as u64, heartbeat));
+                    outputs.extend(replica.heartbeat(now, index as u64, heartbeat));
                 }
             }
         }
-        while !outs.is_empty() {
+        while !outputs.is_empty() {
             let mut next = Vec::new();
-            for out in outs {
-                match out {
+            for output in outputs {
+                match output {
                     Output::Save(_) => next.extend(replica.save_completed(now)),
-                    Output::HeartbeatResponse(m, answer) => {
+                    Output::HeartbeatResponse(index, answer) => {
                         bytes += serde_json::to_vec(&answer).unwrap().len();
-                        let member = &mut all[m as usize];
+                        let member = &mut members[index as usize];
                         for action in member.handle(now, Input::Answered(answer)) {
                             if let Action::Apply { policy_index, .. } = action {
                                 member.handle::<Value>(now, Input::Applied { policy_index });
@@ -254,33 +299,36 @@
                     _ => {}
                 }
             }
-            outs = next;
+            outputs = next;
         }
     }
-    let held = all.iter().filter(|m| m.has_lease(now)).count();
-    let used = since.elapsed().as_secs_f64() / seconds * 100.0;
+    let leases = members
+        .iter()
+        .filter(|member| member.has_lease(now))
+        .count();
+    let cpu_percent = started_at.elapsed().as_secs_f64() / seconds * 100.0;
     println!(
-        "| {members} | {held} | {:.1} | {:.0} | {used:.2} |",
+        "| {member_count} | {leases} | {:.1} | {:.0} | {cpu_percent:.2} |",
         heartbeats as f64 / seconds,
         bytes as f64 / seconds
     );
 }
 
 fn main() {
-    // Cargo hands flags of its own to a bench.
-    let only = std::env::args().skip(1).find(|a| !a.starts_with('-'));
-    let wanted = |name: &str| only.as_ref().is_none_or(|o| o == name);
-    if wanted("changes") {
-        changes_and_idle();
+    // An argument selects one measurement. Cargo adds flags of its own, such as `--bench`.
+    let selected = std::env::args().skip(1).find(|arg| !arg.starts_with('-'));
+    let is_selected = |name: &str| selected.as_ref().is_none_or(|selected| selected == name);
+    if is_selected("changes") {
+        measure_changes_and_idle_fleets();
     }
-    if wanted("shares") {
-        shares();
+    if is_selected("shares") {
+        measure_answers_without_rows();
     }
-    if wanted("call") {
-        cost_of_a_call();
+    if is_selected("call") {
+        measure_cpu_time_per_call();
     }
-    if wanted("keeper") {
-        println!("\n| members | with a lease | beats a second | bytes a second, of beats and answers | processor, % of a core |");
-        [10, 100, 300].into_iter().for_each(single_voter);
+    if is_selected("keeper") {
+        println!("\n| members | with a lease | heartbeats per second | bytes per second, of heartbeats and responses | CPU, % of a core |");
+        [10, 100, 300].into_iter().for_each(measure_single_voter);
     }
 }
