--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -1,13 +1,13 @@
-//! What management costs: a gateway between stand-ins on loopback, both sides of each comparison interleaved in one
-//! run. `cargo bench -p ironstair-gateway --bench management` prints the tables of docs/results/gnmi.md.
+//! The cost of management: a gateway with stub clients and engines on loopback. The two sides of each comparison are
+//! interleaved in one run. `cargo bench -p ironstair-gateway --bench management` prints the tables of
+//! docs/results/gnmi.md.
 
-use ironstair_test_cluster::stub as common;
 #[path = "../tests/managed/mod.rs"]
 mod managed;
 
-use common::{done_reply, start_engine, Client};
 use hdrhistogram::Histogram;
-use ironstair_gnmi::proto::gnmi::{self, subscribe_response::Response as Sent, SubscriptionMode};
+use ironstair_gnmi::proto::gnmi::{self, subscribe_response::Response, SubscriptionMode};
+use ironstair_test_cluster::stub::{done_reply, start_engine, Client};
 use managed::{
     connect, get, managed_gateway, managed_gateway_with, path, runtime, set, subscribe,
     subscription_request,
@@ -20,36 +20,43 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Number of measurements of each figure.
 const ROUNDS: usize = 5;
 
-fn us(h: &Histogram<u64>, q: f64) -> u64 {
-    h.value_at_quantile(q) / 1000
+/// A quantile of a histogram of nanoseconds, in microseconds.
+fn quantile_us(histogram: &Histogram<u64>, fraction: f64) -> u64 {
+    histogram.value_at_quantile(fraction) / 1000
 }
 
 fn histogram() -> Histogram<u64> {
     Histogram::new(3).unwrap()
 }
 
-/// Median over rounds, and least to most.
-fn spread(mut all: Vec<u64>) -> String {
-    all.sort_unstable();
+/// Formats the median, the minimum and the maximum.
+fn median_and_range(mut values: Vec<u64>) -> String {
+    values.sort_unstable();
     format!(
         "{} ({} to {})",
-        all[all.len() / 2],
-        all[0],
-        all[all.len() - 1]
+        values[values.len() / 2],
+        values[0],
+        values[values.len() - 1]
     )
 }
 
-fn resident(pid: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let line = text.lines().find(|l| l.starts_with("VmRSS")).unwrap();
+/// Resident memory of a process in KiB.
+fn resident_kib(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS"))
+        .unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-fn processor_ms(pid: u32) -> u64 {
-    let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let fields: Vec<&str> = text
+/// CPU time that a process has used, in milliseconds. The kernel counts it in ticks of 10 ms.
+fn cpu_time_ms(pid: u32) -> u64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
+    let fields: Vec<&str> = stat
         .rsplit_once(')')
         .unwrap()
         .1
@@ -58,188 +65,216 @@
     (fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()) * 10
 }
 
-/// Engines that are told and never asked.
-fn listed(n: usize) -> Vec<(String, SocketAddr)> {
-    let address = |i: usize| SocketAddr::from(([127, 9, (i / 250) as u8, 1 + (i % 250) as u8], 9));
-    (0..n)
-        .map(|i| (format!("engine-{i}"), address(i)))
+/// Names and addresses of engines that are in the gateway's list but never receive a request.
+fn unused_engines(count: usize) -> Vec<(String, SocketAddr)> {
+    let address = |index: usize| {
+        SocketAddr::from(([127, 9, (index / 250) as u8, 1 + (index % 250) as u8], 9))
+    };
+    (0..count)
+        .map(|index| (format!("engine-{index}"), address(index)))
         .collect()
 }
 
-fn reads() {
+fn measure_reads() {
     println!(
-        "\n| engines | one leaf, us | the whole tree, us | its bytes | processor for a watched second, ms |"
+        "\n| engines | Get of one leaf, us | Get of the whole tree, us | bytes of the whole tree | CPU time per second of a subscription, ms |"
     );
     println!("| --- | --- | --- | --- | --- |");
-    for n in [10, 100, 1000] {
-        let engines = listed(n);
-        let engines: Vec<(&str, SocketAddr)> =
-            engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
-        let (gateway, at) = managed_gateway(&format!("bench-reads-{n}"), &engines);
+    for engine_count in [10, 100, 1000] {
+        let engines = unused_engines(engine_count);
+        let engines: Vec<(&str, SocketAddr)> = engines
+            .iter()
+            .map(|(name, address)| (name.as_str(), *address))
+            .collect();
+        let (gateway, address) = managed_gateway(&format!("bench-reads-{engine_count}"), &engines);
         runtime().block_on(async {
-            let mut c = connect(at).await;
-            let (mut leaf, mut whole, mut bytes) = (Vec::new(), Vec::new(), 0);
+            let mut client = connect(address).await;
+            let (mut leaf_us, mut tree_us, mut tree_bytes) = (Vec::new(), Vec::new(), 0);
             for _ in 0..ROUNDS {
-                let (mut a, mut b) = (histogram(), histogram());
+                let (mut leaf_times, mut tree_times) = (histogram(), histogram());
                 for _ in 0..40 {
-                    // Long enough apart for each to ask the gateway's thread.
+                    // The pause is long enough that each read requests the state from the gateway's thread.
                     tokio::time::sleep(Duration::from_millis(25)).await;
-                    let since = Instant::now();
-                    get(&mut c, "/state/process/name").await.unwrap();
-                    a.record(since.elapsed().as_nanos() as u64).unwrap();
+                    let started_at = Instant::now();
+                    get(&mut client, "/state/process/name").await.unwrap();
+                    leaf_times
+                        .record(started_at.elapsed().as_nanos() as u64)
+                        .unwrap();
                     tokio::time::sleep(Duration::from_millis(25)).await;
-                    let since = Instant::now();
-                    let all = get(&mut c, "/").await.unwrap();
-                    b.record(since.elapsed().as_nanos() as u64).unwrap();
-                    bytes = all.to_string().len();
+                    let started_at = Instant::now();
+                    let tree = get(&mut client, "/").await.unwrap();
+                    tree_times
+                        .record(started_at.elapsed().as_nanos() as u64)
+                        .unwrap();
+                    tree_bytes = tree.to_string().len();
                 }
-                leaf.push(us(&a, 0.5));
-                whole.push(us(&b, 0.5));
+                leaf_us.push(quantile_us(&leaf_times, 0.5));
+                tree_us.push(quantile_us(&tree_times, 0.5));
             }
-            let idle = processor_ms(gateway.process.id());
+            let cpu_before_idle = cpu_time_ms(gateway.process.id());
             tokio::time::sleep(Duration::from_secs(3)).await;
-            let idle = processor_ms(gateway.process.id()) - idle;
-            let mut s = subscribe(
-                &mut c,
+            let idle_cpu = cpu_time_ms(gateway.process.id()) - cpu_before_idle;
+            let mut stream = subscribe(
+                &mut client,
                 subscription_request("/state", SubscriptionMode::OnChange),
             )
             .await
             .unwrap();
-            let before = processor_ms(gateway.process.id());
-            let reading = async { while s.message().await.is_ok() {} };
-            let _ = tokio::time::timeout(Duration::from_secs(3), reading).await;
-            let watched = (processor_ms(gateway.process.id()) - before).saturating_sub(idle) / 3;
+            let cpu_before = cpu_time_ms(gateway.process.id());
+            let read_stream = async { while stream.message().await.is_ok() {} };
+            let _ = tokio::time::timeout(Duration::from_secs(3), read_stream).await;
+            let subscription_cpu =
+                (cpu_time_ms(gateway.process.id()) - cpu_before).saturating_sub(idle_cpu) / 3;
             println!(
-                "| {n} | {} | {} | {bytes} | {watched} |",
-                spread(leaf),
-                spread(whole)
+                "| {engine_count} | {} | {} | {tree_bytes} | {subscription_cpu} |",
+                median_and_range(leaf_us),
+                median_and_range(tree_us)
             );
         });
     }
 }
 
-fn changes() {
+fn measure_changes() {
     println!(
-        "\n| subscribers | changes a second | told to each, a second | changes one message stands for |"
+        "\n| subscribers | changes per second | updates per second to each | changes per update |"
     );
     println!("| --- | --- | --- | --- |");
-    for n in [0, 1, 50] {
-        let (_gateway, at) = managed_gateway(&format!("bench-changes-{n}"), &[]);
-        let (mut rates, mut updates_delivered, mut folded) = (Vec::new(), Vec::new(), Vec::new());
-        let heard = Arc::new(AtomicU64::new(0));
-        let duplicates = Arc::new(AtomicU64::new(0));
-        for _ in 0..n {
-            let (heard, duplicates) = (heard.clone(), duplicates.clone());
+    for subscriber_count in [0, 1, 50] {
+        let (_gateway, address) =
+            managed_gateway(&format!("bench-changes-{subscriber_count}"), &[]);
+        let (mut change_rates, mut update_rates, mut changes_per_update) =
+            (Vec::new(), Vec::new(), Vec::new());
+        let update_count = Arc::new(AtomicU64::new(0));
+        // Changes that the updates stand for: an update that replaces earlier ones counts them as duplicates.
+        let covered_count = Arc::new(AtomicU64::new(0));
+        for _ in 0..subscriber_count {
+            let (update_count, covered_count) = (update_count.clone(), covered_count.clone());
             thread::spawn(move || {
                 runtime().block_on(async {
-                    let mut c = connect(at).await;
-                    let first =
+                    let mut client = connect(address).await;
+                    let request =
                         subscription_request("/settings/advice", SubscriptionMode::OnChange);
-                    let mut s = subscribe(&mut c, first).await.unwrap();
-                    while let Ok(Some(m)) = s.message().await {
-                        if let Some(Sent::Update(u)) = m.response {
-                            heard.fetch_add(1, Ordering::Relaxed);
-                            let more: u64 = u.update.iter().map(|u| 1 + u.duplicates as u64).sum();
-                            duplicates.fetch_add(more, Ordering::Relaxed);
+                    let mut stream = subscribe(&mut client, request).await.unwrap();
+                    while let Ok(Some(message)) = stream.message().await {
+                        if let Some(Response::Update(notification)) = message.response {
+                            update_count.fetch_add(1, Ordering::Relaxed);
+                            let covered: u64 = notification
+                                .update
+                                .iter()
+                                .map(|update| 1 + update.duplicates as u64)
+                                .sum();
+                            covered_count.fetch_add(covered, Ordering::Relaxed);
                         }
                     }
                 });
             });
         }
         runtime().block_on(async {
-            let mut c = connect(at).await;
+            let mut client = connect(address).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             for round in 0..ROUNDS as u32 {
-                let (before, stood) = (
-                    heard.load(Ordering::Relaxed),
-                    duplicates.load(Ordering::Relaxed),
+                let (updates_before, covered_before) = (
+                    update_count.load(Ordering::Relaxed),
+                    covered_count.load(Ordering::Relaxed),
                 );
-                let (since, mut made) = (Instant::now(), 0u32);
-                while since.elapsed() < Duration::from_secs(1) {
-                    made += 1;
-                    set(&mut c, "/settings/advice", json!(1 + (made + round) % 5000))
-                        .await
-                        .unwrap();
+                let (started_at, mut change_count) = (Instant::now(), 0u32);
+                while started_at.elapsed() < Duration::from_secs(1) {
+                    change_count += 1;
+                    let value = json!(1 + (change_count + round) % 5000);
+                    set(&mut client, "/settings/advice", value).await.unwrap();
                 }
-                let seconds = since.elapsed().as_secs_f64();
-                rates.push((made as f64 / seconds) as u64);
-                let config = heard.load(Ordering::Relaxed) - before;
-                let stood = duplicates.load(Ordering::Relaxed) - stood;
-                updates_delivered.push((config as f64 / seconds / n.max(1) as f64) as u64);
-                folded.push(stood / config.max(1));
+                let seconds = started_at.elapsed().as_secs_f64();
+                change_rates.push((change_count as f64 / seconds) as u64);
+                let updates = update_count.load(Ordering::Relaxed) - updates_before;
+                let covered = covered_count.load(Ordering::Relaxed) - covered_before;
+                update_rates
+                    .push((updates as f64 / seconds / subscriber_count.max(1) as f64) as u64);
+                changes_per_update.push(covered / updates.max(1));
             }
         });
         println!(
-            "| {n} | {} | {} | {} |",
-            spread(rates),
-            spread(updates_delivered),
-            spread(folded)
+            "| {subscriber_count} | {} | {} | {} |",
+            median_and_range(change_rates),
+            median_and_range(update_rates),
+            median_and_range(changes_per_update)
         );
     }
 }
 
-fn applying() {
+fn measure_set() {
     println!("\n| revisions | time of a Set, us (median) | us (99%) |");
     println!("| --- | --- | --- |");
-    for kept in [false, true] {
-        let (_gateway, at) =
-            managed_gateway_with(&format!("bench-apply-{kept}"), &[], |operator, _| {
-                if !kept {
+    for is_persistent in [false, true] {
+        let (_gateway, address) = managed_gateway_with(
+            &format!("bench-apply-{is_persistent}"),
+            &[],
+            |operator, _| {
+                if !is_persistent {
                     operator["management"]
                         .as_object_mut()
                         .unwrap()
                         .remove("state");
                 }
-            });
+            },
+        );
         runtime().block_on(async {
-            let mut c = connect(at).await;
-            let (mut half, mut tail) = (Vec::new(), Vec::new());
+            let mut client = connect(address).await;
+            let (mut median_us, mut p99_us) = (Vec::new(), Vec::new());
             for _ in 0..ROUNDS {
-                let mut h = histogram();
-                for n in 0..200u32 {
-                    let since = Instant::now();
-                    set(&mut c, "/settings/advice", json!(1 + n)).await.unwrap();
-                    h.record(since.elapsed().as_nanos() as u64).unwrap();
+                let mut times = histogram();
+                for index in 0..200u32 {
+                    let started_at = Instant::now();
+                    set(&mut client, "/settings/advice", json!(1 + index))
+                        .await
+                        .unwrap();
+                    times
+                        .record(started_at.elapsed().as_nanos() as u64)
+                        .unwrap();
                 }
-                half.push(us(&h, 0.5));
-                tail.push(us(&h, 0.99));
+                median_us.push(quantile_us(&times, 0.5));
+                p99_us.push(quantile_us(&times, 0.99));
             }
-            let how = if kept {
-                "kept on disk"
+            let storage = if is_persistent {
+                "stored on disk"
             } else {
-                "as long as the process"
+                "in memory only"
             };
-            println!("| {how} | {} | {} |", spread(half), spread(tail));
+            println!(
+                "| {storage} | {} | {} |",
+                median_and_range(median_us),
+                median_and_range(p99_us)
+            );
         });
     }
 }
 
-/// An engine that tells when each attempt reached it.
-fn telling() -> (SocketAddr, Receiver<Instant>) {
-    let (tell, config) = channel();
-    let tell = Mutex::new(tell);
-    let (at, _) = start_engine(move |line, _| {
+/// Starts an engine that reports the arrival time of each attempt.
+fn start_reporting_engine() -> (SocketAddr, Receiver<Instant>) {
+    let (sender, arrivals) = channel();
+    let sender = Mutex::new(sender);
+    let (address, _) = start_engine(move |line, _| {
         if line.starts_with("fetch") {
-            let _ = tell.lock().unwrap().send(Instant::now());
+            let _ = sender.lock().unwrap().send(Instant::now());
             return (done_reply(line, "a\tb\tc\n"), false);
         }
         (Vec::new(), false)
     });
-    (at, config)
+    (address, arrivals)
 }
 
-/// A client of management that reads the whole tree, or changes a setting, while the gateway is busy.
-fn spawn_caller(nth: u64, at: SocketAddr, busy: Arc<AtomicBool>) {
+/// Starts a management client. While `is_busy` is set, every fourth client changes a setting repeatedly, and the others
+/// read the whole tree.
+fn spawn_management_client(index: u64, address: SocketAddr, is_busy: Arc<AtomicBool>) {
     thread::spawn(move || {
         runtime().block_on(async {
-            let mut c = connect(at).await;
+            let mut client = connect(address).await;
             loop {
-                while !busy.load(Ordering::Relaxed) {
+                while !is_busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
-                match nth % 4 {
-                    0 => drop(set(&mut c, "/settings/advice", json!(nth + 1)).await),
-                    _ => drop(get(&mut c, "/").await),
+                match index % 4 {
+                    0 => drop(set(&mut client, "/settings/advice", json!(index + 1)).await),
+                    _ => drop(get(&mut client, "/").await),
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -247,13 +282,13 @@
     });
 }
 
-/// A subscriber to the state, while the gateway is busy.
-fn spawn_subscriber(at: SocketAddr, busy: Arc<AtomicBool>) {
+/// Starts a client that subscribes to the state while `is_busy` is set.
+fn spawn_subscriber(address: SocketAddr, is_busy: Arc<AtomicBool>) {
     thread::spawn(move || {
         runtime().block_on(async {
-            let mut c = connect(at).await;
+            let mut client = connect(address).await;
             loop {
-                while !busy.load(Ordering::Relaxed) {
+                while !is_busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let subscription = vec![gnmi::Subscription {
@@ -267,107 +302,117 @@
                     ..Default::default()
                 };
                 let request = Some(gnmi::subscribe_request::Request::Subscribe(list));
-                let first = gnmi::SubscribeRequest {
+                let subscribe_request = gnmi::SubscribeRequest {
                     request,
                     extension: Vec::new(),
                 };
-                let Ok(mut s) = subscribe(&mut c, first).await else {
+                let Ok(mut stream) = subscribe(&mut client, subscribe_request).await else {
                     continue;
                 };
-                while busy.load(Ordering::Relaxed) && s.message().await.is_ok() {}
+                while is_busy.load(Ordering::Relaxed) && stream.message().await.is_ok() {}
             }
         });
     });
 }
 
-fn forwarding() {
-    println!("\n| management | submission to first forward, us (median) | us (99%) | us (99.9%) |");
+fn measure_attempt_latency() {
+    println!("\n| management | call to first attempt, us (median) | us (99%) | us (99.9%) |");
     println!("| --- | --- | --- | --- |");
-    let (real, config) = telling();
-    let (gateway, at) = managed_gateway("bench-forwarding", &[("engine-real", real)]);
-    let busy = Arc::new(AtomicBool::new(false));
-    (0..20).for_each(|nth| spawn_caller(nth, at, busy.clone()));
-    (0..30).for_each(|_| spawn_subscriber(at, busy.clone()));
+    let (engine, arrivals) = start_reporting_engine();
+    let (gateway, address) = managed_gateway("bench-forwarding", &[("engine-real", engine)]);
+    let is_busy = Arc::new(AtomicBool::new(false));
+    (0..20).for_each(|index| spawn_management_client(index, address, is_busy.clone()));
+    (0..30).for_each(|_| spawn_subscriber(address, is_busy.clone()));
     thread::sleep(Duration::from_millis(500));
-    let mut asker = Client::connect(&gateway);
-    let mut sides = [(Vec::new(), Vec::new(), Vec::new()), Default::default()];
+    let mut client = Client::connect(&gateway);
+    let mut latencies_us = [(Vec::new(), Vec::new(), Vec::new()), Default::default()];
     let mut call = 0;
     for round in 0..2 * ROUNDS {
-        let side = round % 2;
-        busy.store(side == 1, Ordering::Relaxed);
+        let management = round % 2;
+        is_busy.store(management == 1, Ordering::Relaxed);
         thread::sleep(Duration::from_millis(300));
-        let mut h = histogram();
+        let mut times = histogram();
         for _ in 0..3000 {
             call += 1;
-            while config.try_recv().is_ok() {}
-            let since = Instant::now();
-            asker.send_call(call);
-            let there = config.recv().unwrap();
-            h.record((there - since).as_nanos() as u64).unwrap();
-            asker.receive_rows();
+            while arrivals.try_recv().is_ok() {}
+            let sent_at = Instant::now();
+            client.send_call(call);
+            let arrived_at = arrivals.recv().unwrap();
+            times
+                .record((arrived_at - sent_at).as_nanos() as u64)
+                .unwrap();
+            client.receive_rows();
         }
-        sides[side].0.push(us(&h, 0.5));
-        sides[side].1.push(us(&h, 0.99));
-        sides[side].2.push(us(&h, 0.999));
+        latencies_us[management].0.push(quantile_us(&times, 0.5));
+        latencies_us[management].1.push(quantile_us(&times, 0.99));
+        latencies_us[management].2.push(quantile_us(&times, 0.999));
     }
-    for (name, (a, b, c)) in ["idle", "busy"].iter().zip(sides) {
-        println!("| {name} | {} | {} | {} |", spread(a), spread(b), spread(c));
+    for (name, (median, p99, p999)) in ["idle", "busy"].iter().zip(latencies_us) {
+        println!(
+            "| {name} | {} | {} | {} |",
+            median_and_range(median),
+            median_and_range(p99),
+            median_and_range(p999)
+        );
     }
 }
 
-fn memory() {
-    println!("\n| open streams | resident, KiB | a stream, KiB |");
+fn measure_stream_memory() {
+    println!("\n| open streams | resident memory, KiB | KiB per stream |");
     println!("| --- | --- | --- |");
-    let engines = listed(100);
-    let engines: Vec<(&str, SocketAddr)> = engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
-    let (gateway, at) = managed_gateway_with("bench-memory", &engines, |operator, _| {
+    let engines = unused_engines(100);
+    let engines: Vec<(&str, SocketAddr)> = engines
+        .iter()
+        .map(|(name, address)| (name.as_str(), *address))
+        .collect();
+    let (gateway, address) = managed_gateway_with("bench-memory", &engines, |operator, _| {
         operator["management"]["streams"] = json!(2000);
     });
     runtime().block_on(async {
-        let mut open = Vec::new();
+        let mut streams = Vec::new();
         let mut clients = Vec::new();
-        let mut c = connect(at).await;
-        get(&mut c, "/").await.unwrap();
-        let first = resident(gateway.process.id());
-        println!("| 0 | {first} | - |");
-        for most in [10, 100, 1000] {
-            while open.len() < most {
-                if open.len() % 50 == 0 {
-                    clients.push(connect(at).await);
+        let mut client = connect(address).await;
+        get(&mut client, "/").await.unwrap();
+        let initial_kib = resident_kib(gateway.process.id());
+        println!("| 0 | {initial_kib} | - |");
+        for stream_count in [10, 100, 1000] {
+            while streams.len() < stream_count {
+                if streams.len() % 50 == 0 {
+                    clients.push(connect(address).await);
                 }
-                let c = clients.last_mut().unwrap();
-                let mut s = subscribe(
-                    c,
+                let client = clients.last_mut().unwrap();
+                let mut stream = subscribe(
+                    client,
                     subscription_request("/state", SubscriptionMode::OnChange),
                 )
                 .await
                 .unwrap();
-                // Up to the first word's end; then it is left to itself.
-                while let Some(m) = s.message().await.unwrap() {
-                    if matches!(m.response, Some(Sent::SyncResponse(_))) {
+                // The stream is read up to the sync response, which ends the initial updates, and stays open unread.
+                while let Some(message) = stream.message().await.unwrap() {
+                    if matches!(message.response, Some(Response::SyncResponse(_))) {
                         break;
                     }
                 }
-                open.push(s);
+                streams.push(stream);
             }
             tokio::time::sleep(Duration::from_millis(500)).await;
-            let now = resident(gateway.process.id());
+            let current_kib = resident_kib(gateway.process.id());
             println!(
-                "| {most} | {now} | {} |",
-                now.saturating_sub(first) / most as u64
+                "| {stream_count} | {current_kib} | {} |",
+                current_kib.saturating_sub(initial_kib) / stream_count as u64
             );
         }
     });
 }
 
 fn main() {
-    // `cargo test` runs benches too, with another argument: nothing is measured then.
-    if !std::env::args().any(|a| a == "--bench") {
+    // `cargo test` runs benchmarks without `--bench`, and then nothing is measured.
+    if !std::env::args().any(|arg| arg == "--bench") {
         return;
     }
-    reads();
-    changes();
-    applying();
-    forwarding();
-    memory();
+    measure_reads();
+    measure_changes();
+    measure_set();
+    measure_attempt_latency();
+    measure_stream_memory();
 }
