--- a/crates/gateway/benches/calls.rs
+++ b/crates/gateway/benches/calls.rs
@@ -15,11 +15,11 @@
 
 /// Number of measurements of each figure.
 const ROUNDS: usize = 5;
-/// Sizes of the list of engines.
-const ENGINE_COUNTS: [usize; 3] = [10, 100, 1000];
+/// Numbers of engines in the list.
+const LIST_SIZES: [usize; 3] = [10, 100, 1000];
 
 /// Formats the median, the minimum and the maximum.
-fn median_and_range(mut values: Vec<f64>) -> String {
+fn spread(mut values: Vec<f64>) -> String {
     values.sort_by(f64::total_cmp);
     format!(
         "{:.1} ({:.1} to {:.1})",
@@ -65,7 +65,7 @@
 fn measure_policy() {
     println!("\n| engines | policy CPU time per call, us | with 8 cells |");
     println!("| --- | --- | --- |");
-    for engine_count in ENGINE_COUNTS {
+    for size in LIST_SIZES {
         let mut costs_by_cells = [Vec::new(), Vec::new()];
         for round in 0..2 * ROUNDS {
             let has_cells = round % 2 == 1;
@@ -80,7 +80,7 @@
             );
             let mut policy = Policy::new(policy_config.unwrap(), 7);
             let mut executor = ActionExecutor::default();
-            let endpoints: Vec<Endpoint> = (0..engine_count)
+            let endpoints: Vec<Endpoint> = (0..size)
                 .map(|engine| Endpoint {
                     engine,
                     id: 0x9E37_79B9_7F4A_7C15u64.wrapping_mul(engine as u64 + 1),
@@ -118,12 +118,8 @@
             costs_by_cells[has_cells as usize]
                 .push(started_at.elapsed().as_secs_f64() * 1e6 / calls as f64);
         }
-        let [without_cells, with_cells] = costs_by_cells;
-        println!(
-            "| {engine_count} | {} | {} |",
-            median_and_range(without_cells),
-            median_and_range(with_cells)
-        );
+        let [without, with] = costs_by_cells;
+        println!("| {size} | {} | {} |", spread(without), spread(with));
     }
 }
 
@@ -138,14 +134,12 @@
 fn measure_gateway(group_count: u64) {
     println!("\nTable groups: {group_count}\n\n| engines | CPU time per call, us | calls per second | resident memory, KiB |");
     println!("| --- | --- | --- | --- |");
-    for engine_count in ENGINE_COUNTS {
+    for size in LIST_SIZES {
         // The list names all engines, but their addresses are those of eight stub engines that answer immediately.
         let addresses: Vec<SocketAddr> = (0..8)
             .map(|_| start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false)).0)
             .collect();
-        let names: Vec<String> = (0..engine_count)
-            .map(|index| format!("engine-{index}"))
-            .collect();
+        let names: Vec<String> = (0..size).map(|index| format!("engine-{index}")).collect();
         let named_engines: Vec<(&str, SocketAddr)> = names
             .iter()
             .enumerate()
@@ -155,7 +149,7 @@
         let (mut config, name_answer) = gateway_config(1, json!([class]), &named_engines);
         config["limits"] = json!({"memory_mb": 512, "sockets": 8192});
         let gateway = start_gateway_with_config(
-            &format!("bench-calls-{group_count}-{engine_count}"),
+            &format!("bench-calls-{group_count}-{size}"),
             config,
             name_answer,
             None,
@@ -163,14 +157,14 @@
         let (mut costs_us, mut rates) = (Vec::new(), Vec::new());
         for round in 0..ROUNDS as u64 {
             let (cpu_before_us, started_at) = (cpu_time_us(gateway.process.id()), Instant::now());
-            let clients: Vec<_> = (0..32u64)
+            let tasks: Vec<_> = (0..32u64)
                 .map(|client_index| {
                     let mut client = Client::connect(&gateway);
                     thread::spawn(move || {
                         let first_call = (round * 32 + client_index) * 1_000_000 + 1;
                         let call_count = 400;
                         (0..16).for_each(|index| {
-                            send_call(&mut client, first_call + index, group_count)
+                            send_call(&mut client, first_call + index, group_count);
                         });
                         for index in 0..call_count {
                             client.receive();
@@ -181,9 +175,7 @@
                     })
                 })
                 .collect();
-            clients
-                .into_iter()
-                .for_each(|client| client.join().unwrap());
+            tasks.into_iter().for_each(|task| task.join().unwrap());
             let calls = 32.0 * 400.0;
             costs_us.push((cpu_time_us(gateway.process.id()) - cpu_before_us) / calls);
             rates.push(calls / started_at.elapsed().as_secs_f64());
@@ -198,11 +190,8 @@
             .nth(1)
             .unwrap()
             .to_owned();
-        println!(
-            "| {engine_count} | {} | {} | {resident_kib} |",
-            median_and_range(costs_us),
-            median_and_range(rates)
-        );
+        let (cost, rate) = (spread(costs_us), spread(rates));
+        println!("| {size} | {cost} | {rate} | {resident_kib} |");
     }
 }
 
--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -33,7 +33,7 @@
 }
 
 /// Formats the median, the minimum and the maximum.
-fn median_and_range(mut values: Vec<u64>) -> String {
+fn spread(mut values: Vec<u64>) -> String {
     values.sort_unstable();
     format!(
         "{} ({} to {})",
@@ -127,8 +127,8 @@
                 (cpu_time_ms(gateway.process.id()) - cpu_before).saturating_sub(idle_cpu) / 3;
             println!(
                 "| {engine_count} | {} | {} | {tree_bytes} | {subscription_cpu} |",
-                median_and_range(leaf_us),
-                median_and_range(tree_us)
+                spread(leaf_us),
+                spread(tree_us)
             );
         });
     }
@@ -139,15 +139,14 @@
         "\n| subscribers | changes per second | updates per second to each | changes per update |"
     );
     println!("| --- | --- | --- | --- |");
-    for subscriber_count in [0, 1, 50] {
-        let (_gateway, address) =
-            managed_gateway(&format!("bench-changes-{subscriber_count}"), &[]);
+    for subscribers in [0, 1, 50] {
+        let (_gateway, address) = managed_gateway(&format!("bench-changes-{subscribers}"), &[]);
         let (mut change_rates, mut update_rates, mut changes_per_update) =
             (Vec::new(), Vec::new(), Vec::new());
         let update_count = Arc::new(AtomicU64::new(0));
         // Changes that the updates stand for: an update that replaces earlier ones counts them as duplicates.
         let covered_count = Arc::new(AtomicU64::new(0));
-        for _ in 0..subscriber_count {
+        for _ in 0..subscribers {
             let (update_count, covered_count) = (update_count.clone(), covered_count.clone());
             thread::spawn(move || {
                 runtime().block_on(async {
@@ -158,11 +157,9 @@
                     while let Ok(Some(message)) = stream.message().await {
                         if let Some(Response::Update(notification)) = message.response {
                             update_count.fetch_add(1, Ordering::Relaxed);
-                            let covered: u64 = notification
-                                .update
-                                .iter()
-                                .map(|update| 1 + update.duplicates as u64)
-                                .sum();
+                            let updates = notification.update.iter();
+                            let changes = updates.map(|update| 1 + update.duplicates as u64);
+                            let covered: u64 = changes.sum();
                             covered_count.fetch_add(covered, Ordering::Relaxed);
                         }
                     }
@@ -187,16 +184,15 @@
                 change_rates.push((change_count as f64 / seconds) as u64);
                 let updates = update_count.load(Ordering::Relaxed) - updates_before;
                 let covered = covered_count.load(Ordering::Relaxed) - covered_before;
-                update_rates
-                    .push((updates as f64 / seconds / subscriber_count.max(1) as f64) as u64);
+                update_rates.push((updates as f64 / seconds / subscribers.max(1) as f64) as u64);
                 changes_per_update.push(covered / updates.max(1));
             }
         });
         println!(
-            "| {subscriber_count} | {} | {} | {} |",
-            median_and_range(change_rates),
-            median_and_range(update_rates),
-            median_and_range(changes_per_update)
+            "| {subscribers} | {} | {} | {} |",
+            spread(change_rates),
+            spread(update_rates),
+            spread(changes_per_update)
         );
     }
 }
@@ -239,11 +235,7 @@
             } else {
                 "in memory only"
             };
-            println!(
-                "| {storage} | {} | {} |",
-                median_and_range(median_us),
-                median_and_range(p99_us)
-            );
+            println!("| {storage} | {} | {} |", spread(median_us), spread(p99_us));
         });
     }
 }
@@ -350,9 +342,9 @@
     for (name, (median, p99, p999)) in ["idle", "busy"].iter().zip(latencies_us) {
         println!(
             "| {name} | {} | {} | {} |",
-            median_and_range(median),
-            median_and_range(p99),
-            median_and_range(p999)
+            spread(median),
+            spread(p99),
+            spread(p999)
         );
     }
 }
--- a/crates/test-cluster/src/link.rs
+++ b/crates/test-cluster/src/link.rs
@@ -87,23 +87,19 @@
     /// connections are accepted but not relayed.
     pub fn cut(&self, direction: Direction) {
         self.direction_states(direction)
-            .for_each(|direction_state| direction_state.is_cut.store(true, Relaxed));
+            .for_each(|state| state.is_cut.store(true, Relaxed));
     }
 
     /// Delays the bytes of a direction by `delay_ms` milliseconds until the link heals.
     pub fn delay(&self, direction: Direction, delay_ms: u64) {
         self.direction_states(direction)
-            .for_each(|direction_state| direction_state.delay_ms.store(delay_ms, Relaxed));
+            .for_each(|state| state.delay_ms.store(delay_ms, Relaxed));
     }
 
     /// Limits the rate of a direction in bytes per second until the link heals. 0 means no limit.
     pub fn limit_rate(&self, direction: Direction, bytes_per_second: u64) {
         self.direction_states(direction)
-            .for_each(|direction_state| {
-                direction_state
-                    .bytes_per_second
-                    .store(bytes_per_second, Relaxed)
-            });
+            .for_each(|state| state.bytes_per_second.store(bytes_per_second, Relaxed));
     }
 
     /// Closes all open connections, and every new connection until the link heals.
