--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults and changes for a cluster under load. A seed always gives the same schedule.
+//! Random schedules of faults and changes for a cluster under load. The same seed always gives the same schedule.
 
 use crate::cluster::{gateway_name, wait_until, Cluster, CommandOutput, Isolation, CLASSES};
 use rand_core::{RngCore, SeedableRng};
@@ -11,26 +11,26 @@
 const GATEWAY_COUNT: usize = 5;
 const VOTER_COUNT: usize = 3;
 const STEP_COUNT: usize = 6;
-/// How long a fault lasts, in milliseconds: with leases of a second, from well below one to beyond two.
+/// Duration of a fault in milliseconds: with leases of one second, from well below one lease to more than two.
 const FAULT_DURATION_MS: Range<u64> = 200..2600;
-/// The gateway that is asked for the fleet's state when the schedule has ended. It has no replica that could be wiped.
+/// The gateway through which the fleet's state is read at the end. It isn't a voter, so it has no replica to wipe.
 const STATUS_GATEWAY: usize = 3;
 const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
-/// The settings that schedules change, which must be the same everywhere at the end.
+/// The settings that schedules change. At the end, all gateways must have the same values.
 const CHANGED_SETTINGS: [&str; 3] = [
     MAX_ATTEMPTS_PATH,
     "/settings/band[name=lookup]/zone",
     "/settings/band[name=post]/zone",
 ];
 
-/// A fault of the cluster.
+/// A fault injected into the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// The gateway's process is killed, and started when the fault ends.
+    /// The gateway's process is killed, and restarted when the fault ends.
     Kill(usize),
-    /// The gateway's process is suspended, while its client fills its queue.
+    /// The gateway's process is suspended while its client fills the gateway's queue.
     Pause(usize),
-    /// A gateway is cut off from all others.
+    /// The links between a gateway and all others are cut.
     Isolate {
         /// The gateway.
         gateway: usize,
@@ -41,29 +41,29 @@
     Delay {
         /// The gateway.
         gateway: usize,
-        /// Milliseconds in each direction.
+        /// The delay in each direction, in milliseconds.
         delay_ms: u64,
     },
-    /// The voter's process is killed, and started without its replica.
+    /// The voter's process is killed, and restarted without its replica.
     WipeDisk(usize),
-    /// All voters' processes are killed at once.
+    /// The processes of all voters are killed, and restarted when the fault ends.
     KillVoters,
 }
 
 /// A change of the fleet's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// Forbids the engine of zone b to the class.
+    /// Excludes zone b from the zones of the class.
     ForbidZoneB(&'static str),
-    /// Allows it again.
+    /// Allows zone b for the class again.
     AllowZoneB(&'static str),
-    /// Sets how often a request is attempted at most.
+    /// Sets the maximum number of attempts per request.
     MaxAttempts(u64),
     /// No change.
     None,
 }
 
-/// A fault, and a change that is requested halfway through it.
+/// A fault, and a change that is requested halfway through its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// The fault.
@@ -72,30 +72,30 @@
     pub duration_ms: u64,
     /// The change.
     pub change: Change,
-    /// The gateway that is asked for the change.
+    /// The gateway through which the change is requested.
     pub request_gateway: usize,
 }
 
-/// The schedule of a seed.
+/// Generates the schedule of a seed.
 pub fn generate_steps(seed: u64) -> Vec<Step> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     (0..STEP_COUNT).map(|_| random_step(&mut random)).collect()
 }
 
-/// A random number below a bound. Its tiny bias doesn't matter here.
-fn below(random: &mut Pcg64Mcg, bound: u64) -> u64 {
+/// Draws a random number below a bound. The modulo bias is negligible for these bounds.
+fn random_below(random: &mut Pcg64Mcg, bound: u64) -> u64 {
     random.next_u64() % bound
 }
 
-/// Draws in a fixed order, which failure reports of earlier seeds rely on.
+/// Draws in a fixed order: failures are reported by seed, so a seed must keep giving the same schedule.
 fn random_step(random: &mut Pcg64Mcg) -> Step {
-    let gateway = below(random, GATEWAY_COUNT as u64) as usize;
-    let voter = below(random, VOTER_COUNT as u64) as usize;
+    let gateway = random_below(random, GATEWAY_COUNT as u64) as usize;
+    let voter = random_below(random, VOTER_COUNT as u64) as usize;
     let fault = random_fault(random, gateway, voter);
     let duration_range = FAULT_DURATION_MS.end - FAULT_DURATION_MS.start;
-    let duration_ms = FAULT_DURATION_MS.start + below(random, duration_range);
+    let duration_ms = FAULT_DURATION_MS.start + random_below(random, duration_range);
     let change = random_change(random);
-    let request_gateway = below(random, GATEWAY_COUNT as u64) as usize;
+    let request_gateway = random_below(random, GATEWAY_COUNT as u64) as usize;
     Step {
         fault,
         duration_ms,
@@ -105,7 +105,7 @@
 }
 
 fn random_fault(random: &mut Pcg64Mcg, gateway: usize, voter: usize) -> Fault {
-    match below(random, 9) {
+    match random_below(random, 9) {
         0 | 1 => Fault::Kill(gateway),
         2 | 3 => Fault::Pause(gateway),
         4 => Fault::Isolate {
@@ -114,14 +114,14 @@
         },
         5 => Fault::Isolate {
             gateway,
-            isolation: match below(random, 2) {
+            isolation: match random_below(random, 2) {
                 0 => Isolation::Outbound,
                 _ => Isolation::Inbound,
             },
         },
         6 => Fault::Delay {
             gateway,
-            delay_ms: 50 + below(random, 400),
+            delay_ms: 50 + random_below(random, 400),
         },
         7 => Fault::WipeDisk(voter),
         _ => Fault::KillVoters,
@@ -129,10 +129,10 @@
 }
 
 fn random_change(random: &mut Pcg64Mcg) -> Change {
-    let class = CLASSES[below(random, 2) as usize];
-    // Drawn in any case, so that later draws don't depend on the kind of change.
-    let max_attempts = 2 + below(random, 5);
-    match below(random, 5) {
+    let class = CLASSES[random_below(random, 2) as usize];
+    // Always drawn, so that the number of draws doesn't depend on the kind of change.
+    let max_attempts = 2 + random_below(random, 5);
+    match random_below(random, 5) {
         0 | 1 => Change::ForbidZoneB(class),
         2 => Change::AllowZoneB(class),
         3 => Change::MaxAttempts(max_attempts),
@@ -140,20 +140,20 @@
     }
 }
 
-/// Plays a schedule on a cluster under load, and returns how many of the requested changes were made.
+/// Runs a schedule on a cluster under load, and returns how many of the requested changes succeeded.
 ///
 /// # Panics
 ///
 /// If the cluster doesn't recover from a fault in time, or the gateways' settings differ at the end.
 pub fn run(cluster: &mut Cluster, steps: &[Step]) -> usize {
-    let mut player = Player {
+    let mut runner = ScheduleRunner {
         cluster,
         last_wipe: None,
     };
     let mut changes_made = 0;
     for step in steps {
-        let command = player.play_step(step);
-        player.cluster.heal_links();
+        let command = runner.run_step(step);
+        runner.cluster.heal_links();
         let is_made = command.is_some_and(|command| {
             let output = command.join();
             output.is_ok_and(|output| output.is_success())
@@ -167,22 +167,22 @@
 /// A voter whose disk was wiped.
 struct Wipe {
     voter: usize,
-    /// How often the voter had received a vote before.
+    /// How many times the voter's log had reported a vote before the wipe.
     votes_before: usize,
 }
 
-struct Player<'a> {
+struct ScheduleRunner<'a> {
     cluster: &'a mut Cluster,
     last_wipe: Option<Wipe>,
 }
 
-impl Player<'_> {
-    fn play_step(&mut self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
+impl ScheduleRunner<'_> {
+    fn run_step(&mut self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
         match step.fault {
-            Fault::Kill(gateway) => self.restart_around(&[gateway], step),
+            Fault::Kill(gateway) => self.change_while_killed(&[gateway], step),
             Fault::Pause(gateway) => {
-                // A write that the pause interrupts completes after it, which no promise covers: the client's calls
-                // are answered first.
+                // The client's calls are answered before the pause. Otherwise the pause could interrupt a write that
+                // completes afterwards, which no invariant covers.
                 self.cluster.pause_load(gateway);
                 self.cluster.pause(gateway);
                 self.cluster.fill_queue(gateway);
@@ -200,7 +200,7 @@
             }
             Fault::WipeDisk(voter) => {
                 self.wait_until_wipe_is_tolerable(voter);
-                let votes_before = self.votes(voter);
+                let votes_before = self.vote_count(voter);
                 self.last_wipe = Some(Wipe {
                     voter,
                     votes_before,
@@ -213,13 +213,13 @@
             }
             Fault::KillVoters => {
                 let voters: Vec<usize> = (0..VOTER_COUNT).collect();
-                self.restart_around(&voters, step)
+                self.change_while_killed(&voters, step)
             }
         }
     }
 
-    /// Requests the step's change while the processes are killed.
-    fn restart_around(
+    /// Kills the gateways' processes, requests the step's change, and restarts the processes.
+    fn change_while_killed(
         &mut self,
         gateways: &[usize],
         step: &Step,
@@ -234,7 +234,7 @@
         command
     }
 
-    /// Lets the fault last, and starts the step's change halfway.
+    /// Waits for the duration of the fault, and starts the step's change halfway through.
     fn request_change(&self, step: &Step) -> Option<JoinHandle<CommandOutput>> {
         let half = Duration::from_millis(step.duration_ms) / 2;
         thread::sleep(half);
@@ -257,20 +257,20 @@
         }
     }
 
-    fn votes(&self, voter: usize) -> usize {
+    fn vote_count(&self, voter: usize) -> usize {
         self.cluster
             .log(voter)
             .matches("this voter has a vote")
             .count()
     }
 
-    /// Waits until the fleet can lose another disk. A second loss before the first voter has its vote again is one
-    /// more than the fleet promises to survive.
+    /// Waits until the fleet can lose another disk. It isn't guaranteed to survive a second loss before the first voter
+    /// has its vote again.
     fn wait_until_wipe_is_tolerable(&self, voter: usize) {
-        wait_until("the voter wiped before has a vote", || {
+        wait_until("the previously wiped voter has a vote again", || {
             self.last_wipe
                 .as_ref()
-                .is_none_or(|wipe| self.votes(wipe.voter) > wipe.votes_before)
+                .is_none_or(|wipe| self.vote_count(wipe.voter) > wipe.votes_before)
         });
         let other_voter = usize::from(voter == 0);
         wait_until("no voter is being replaced", || {
@@ -280,7 +280,7 @@
     }
 }
 
-/// Waits until every gateway serves by the same revision, and compares their settings.
+/// Waits until every gateway is fit and has applied the same revision, and compares their settings.
 fn assert_converged(cluster: &Cluster) {
     wait_until("no change is in progress", || {
         let status = cluster.fleet_status(STATUS_GATEWAY);
