--- a/crates/gateway/src/operator_config.rs
+++ b/crates/gateway/src/operator_config.rs
@@ -322,3 +322,7 @@
 
 #[cfg(test)]
 mod tests;
+
+#[cfg(test)]
+#[path = "operator_config_pinned_tests.rs"]
+mod pinned_tests;
--- a/crates/gateway/src/operator_config_pinned_tests.rs
+++ b/crates/gateway/src/operator_config_pinned_tests.rs
@@ -40,8 +40,14 @@
         (fleet.name.as_str(), fleet.listen, fleet.lease_ms),
         ("north", address("127.0.0.1:9340"), 2500)
     );
-    assert_eq!((fleet.voters.len(), fleet.voters["n1"]), (3, address("127.0.0.1:9341")));
-    assert_eq!((fleet.cut_off, fleet.count), (CutOff::Strict, Count::Members));
+    assert_eq!(
+        (fleet.voters.len(), fleet.voters["n1"]),
+        (3, address("127.0.0.1:9341"))
+    );
+    assert_eq!(
+        (fleet.cut_off, fleet.count),
+        (CutOff::Strict, Count::Members)
+    );
     assert_eq!(fleet.state, Some(PathBuf::from("/var/lib/fleet")));
     assert_eq!(
         operator.recovery.unwrap().state,
