--- a/crates/gateway/tests/crossings/client_close.rs
+++ b/crates/gateway/tests/crossings/client_close.rs
@@ -1,7 +1,7 @@
 //! The gateway closes a connection while the client still sends.
 
 use crate::patient_gateway::{answering_engine, ask_patiently, patient_gateway};
-use crate::support::{assert_closed, fetch_count};
+use crate::support::{assert_connection_closed, fetch_count};
 use ironstair_test_cluster::stub::Client;
 use std::io::{Read, Write};
 use std::thread;
@@ -38,7 +38,7 @@
     assert_eq!(client.receive_rows().0, 1);
     gateway.signal("-TERM");
     // The connection is idle, so it is closed.
-    assert_closed(&mut client);
+    assert_connection_closed(&mut client);
 
     // As if sent before the client saw the end: it arrives behind the gateway's close.
     ask_patiently(&mut client, "lookup", 2);
--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -4,7 +4,9 @@
     answer_one_row, ask_patiently, await_marker, await_processed, marker, patient_call,
     patient_gateway, patient_gateway_with_limits, start,
 };
-use crate::support::{assert_closed, cancellation, engine_with_status, fetch_count};
+use crate::support::{
+    assert_connection_closed, cancel_notification, engine_with_status, fetch_count,
+};
 use ironstair_test_cluster::stub::{becomes_true, framed, Client, FullListener, REJECTED};
 use rustix::net::sockopt::{set_socket_linger, set_socket_recv_buffer_size};
 use serde_json::json;
@@ -20,7 +22,7 @@
 /// The ways in which a client gives up its eight requests.
 fn hangups() -> [fn(Client); 4] {
     let cancel_all = |mut client: Client| {
-        (1..=8).for_each(|call| client.send(&cancellation(call)));
+        (1..=8).for_each(|call| client.send(&cancel_notification(call)));
         await_processed(&mut client);
     };
     let close = |client: Client| client.0.get_ref().shutdown(Shutdown::Both).unwrap();
@@ -103,7 +105,7 @@
     ask_patiently(&mut client, "lookup", 77);
     await_processed(&mut client);
 
-    client.send(&cancellation(77));
+    client.send(&cancel_notification(77));
     await_processed(&mut client);
     start_reading.send(()).unwrap();
 
@@ -133,7 +135,7 @@
     assert_eq!(client.receive()["error"]["code"], REJECTED);
     let elapsed = closed_at.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
-    assert_closed(&mut client);
+    assert_connection_closed(&mut client);
 }
 
 #[test]
--- a/crates/gateway/tests/crossings/connection_limits.rs
+++ b/crates/gateway/tests/crossings/connection_limits.rs
@@ -3,7 +3,7 @@
 use crate::patient_gateway::{
     answering_engine, ask_patiently, patient_gateway, patient_gateway_with_limits,
 };
-use crate::support::{engine_with_rows, move_name_service};
+use crate::support::{change_name_service_address, engine_with_rows};
 use ironstair_test_cluster::stub::{becomes_true, engine_list_answer, start_name_service, Client};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::net::TcpStream;
@@ -23,7 +23,7 @@
 
     let (names, name_answer) = start_name_service();
     *name_answer.lock().unwrap() = engine_list_answer(2, &[("e2", new, 0)]);
-    move_name_service(&gateway, names);
+    change_name_service_address(&gateway, names);
 
     let mut call = 1;
     assert!(becomes_true(|| {
--- a/crates/gateway/tests/crossings/name_service.rs
+++ b/crates/gateway/tests/crossings/name_service.rs
@@ -1,7 +1,7 @@
 //! A name service stops answering one of the gateway's sockets.
 
 use crate::patient_gateway::patient_gateway;
-use crate::support::{engine_with_rows, move_name_service};
+use crate::support::{change_name_service_address, engine_with_rows};
 use ironstair_test_cluster::stub::{becomes_true, engine_list_answer, Client};
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
@@ -30,7 +30,7 @@
     let gateway = patient_gateway("silent-socket", &[("e1", old)]);
     drop(Client::connect(&gateway));
 
-    move_name_service(&gateway, name_service_deaf_to_first_socket(new));
+    change_name_service_address(&gateway, name_service_deaf_to_first_socket(new));
 
     let mut client = Client::connect(&gateway);
     let mut call = 1;
--- a/crates/gateway/tests/crossings/patient_gateway.rs
+++ b/crates/gateway/tests/crossings/patient_gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway that waits long for connections to engines, and calls with long deadlines.
 
-use crate::support::{call_with_fields, engine_with_rows, health_check, ROW};
+use crate::support::{call_with_fields, engine_with_rows, health_check_call, ROW};
 use ironstair_test_cluster::stub::{
     done_reply, gateway_config, start_gateway_with_config, Client, Gateway, RecordedLines,
 };
@@ -77,7 +77,7 @@
 
 /// The health check whose answer [`await_marker`] waits for.
 pub(crate) fn marker() -> String {
-    health_check(MARKER_CALL)
+    health_check_call(MARKER_CALL)
 }
 
 /// Reads until the answer to the marker: the policy has all earlier messages of the client then.
--- a/crates/gateway/tests/serve/client_calls.rs
+++ b/crates/gateway/tests/serve/client_calls.rs
@@ -1,8 +1,8 @@
 //! Calls of clients: duplicate ids, cancellation, malformed messages.
 
 use crate::support::{
-    assert_closed, call_with_fields, cancellation, engine_with_latency, engine_with_rows,
-    health_check, ROW,
+    assert_connection_closed, call_with_fields, cancel_notification, engine_with_latency,
+    engine_with_rows, health_check_call, ROW,
 };
 use ironstair_test_cluster::stub::{
     self, becomes_true, done_reply, framed, start_engine, Client, RecordedLines,
@@ -32,7 +32,7 @@
 
     other.send(&duplicate_request(5));
     assert_eq!(other.receive()["error"]["code"], -32602, "an id in use");
-    let refused_and_cancelled = framed(&duplicate_request(6)) + &framed(&cancellation(6));
+    let refused_and_cancelled = framed(&duplicate_request(6)) + &framed(&cancel_notification(6));
     let socket = other.0.get_mut();
     socket.write_all(refused_and_cancelled.as_bytes()).unwrap();
     assert_eq!(
@@ -50,14 +50,14 @@
         (&json!(-32600), &Value::Null),
         "a call number in use"
     );
-    assert_closed(&mut client);
+    assert_connection_closed(&mut client);
     assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
 
     other.send_call(2);
     let socket = other.0.get_mut();
     socket.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert_eq!(other.receive()["error"]["code"], -32700);
-    assert_closed(&mut other);
+    assert_connection_closed(&mut other);
 }
 
 #[test]
@@ -71,10 +71,10 @@
     client.send_call(1);
     assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
 
-    client.send(&cancellation(1));
+    client.send(&cancel_notification(1));
 
     assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
-    client.send(&health_check(2));
+    client.send(&health_check_call(2));
     assert_eq!(
         client.receive(),
         json!({"jsonrpc": "2.0", "id": 2, "result": {"fit": true}})
--- a/crates/gateway/tests/serve/client_connections.rs
+++ b/crates/gateway/tests/serve/client_connections.rs
@@ -1,6 +1,6 @@
 //! Connections of clients that are silent, incomplete, too many, or half closed.
 
-use crate::support::{assert_closed, engine_with_latency, engine_with_rows, ROW};
+use crate::support::{assert_connection_closed, engine_with_latency, engine_with_rows, ROW};
 use ironstair_test_cluster::stub::{self, Client, Gateway};
 use std::io::{BufRead, Read, Write};
 use std::net::Shutdown;
@@ -84,5 +84,5 @@
     client.send_call(1);
     client.0.get_mut().shutdown(Shutdown::Write).unwrap();
     assert_eq!(client.receive_rows().0, 1);
-    assert_closed(&mut client);
+    assert_connection_closed(&mut client);
 }
--- a/crates/gateway/tests/serve/name_service.rs
+++ b/crates/gateway/tests/serve/name_service.rs
@@ -1,6 +1,6 @@
 //! The list of engines follows the name service, also a moved or a slow one.
 
-use crate::support::{engine_with_rows, move_name_service};
+use crate::support::{change_name_service_address, engine_with_rows};
 use ironstair_test_cluster::stub::{
     self, allocate_address, becomes_true, engine_list_answer, start_name_service, Client,
 };
@@ -126,6 +126,6 @@
     let gateway = stub::start_gateway("late", &[("e1", old)]);
     let mut asker = Asker::new(&gateway);
     assert_eq!(asker.ask(), OLD_ROW);
-    move_name_service(&gateway, late_name_service(new));
+    change_name_service_address(&gateway, late_name_service(new));
     assert!(asker.receives_soon(NEW_ROW));
 }
--- a/crates/gateway/tests/serve/process.rs
+++ b/crates/gateway/tests/serve/process.rs
@@ -1,6 +1,8 @@
 //! Shutdown, and the size of the process's descriptor table.
 
-use crate::support::{assert_closed, engine_with_rows, health_check, idempotent_class, ROW};
+use crate::support::{
+    assert_connection_closed, engine_with_rows, health_check_call, idempotent_class, ROW,
+};
 use ironstair_test_cluster::stub::{
     self, becomes_true, done_reply, gateway_config, request_id, start_engine,
     start_gateway_with_config, Client,
@@ -34,10 +36,10 @@
     gateway.signal("-TERM");
 
     let mut late = Client::connect(&gateway);
-    late.send(&health_check(1));
+    late.send(&health_check_call(1));
     assert_eq!(late.receive()["result"]["fit"], false);
     // Idle connections are closed.
-    assert_closed(&mut idle);
+    assert_connection_closed(&mut idle);
     assert_eq!(client.receive_rows().0, 1);
     assert_eq!(client.receive()["error"]["code"], -32014);
     let elapsed = signalled_at.elapsed();
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Engines, classes and observations that several test binaries share. Each binary compiles them and uses some of them.
+//! Stub engines, class settings, client messages and checks that several test programs share. Each program compiles its
+//! own copy and uses part of it.
 #![allow(dead_code)]
 
 use ironstair_test_cluster::stub::{
@@ -12,12 +13,12 @@
 /// One row of three columns.
 pub(crate) const ROW: &str = "x\ty\tz\n";
 
-/// An engine that answers every line with these rows.
+/// Starts an engine that answers every line with these rows.
 pub(crate) fn engine_with_rows(rows: &'static str) -> (SocketAddr, RecordedLines) {
     start_engine(move |line, _| (done_reply(line, rows), false))
 }
 
-/// An engine that answers every line with one row after `latency`.
+/// Starts an engine that answers every line with one row after `latency`.
 pub(crate) fn engine_with_latency(latency: Duration) -> (SocketAddr, RecordedLines) {
     start_engine(move |line, _| {
         thread::sleep(latency);
@@ -25,12 +26,12 @@
     })
 }
 
-/// An engine that reads and never answers.
+/// Starts an engine that reads and never answers.
 pub(crate) fn silent_engine() -> (SocketAddr, RecordedLines) {
     start_engine(|_, _| (Vec::new(), false))
 }
 
-/// An engine that answers every line with a status and no rows, such as `WAIT` or `BROKE`.
+/// Starts an engine that answers every line with a status and no rows, such as `WAIT` or `BROKE`.
 pub(crate) fn engine_with_status(status: &'static str) -> (SocketAddr, RecordedLines) {
     start_engine(move |line, _| (status_reply(line, status), false))
 }
@@ -40,20 +41,23 @@
     format!("{} {status} - 0\r\n\r\n", request_id(line)).into_bytes()
 }
 
-/// The attempts that an engine received.
-pub(crate) fn fetch_count(seen: &RecordedLines) -> usize {
-    let seen = seen.lock().unwrap();
-    seen.iter().filter(|l| l.starts_with("fetch")).count()
+/// The number of attempts that an engine received.
+pub(crate) fn fetch_count(recorded_lines: &RecordedLines) -> usize {
+    let recorded_lines = recorded_lines.lock().unwrap();
+    recorded_lines
+        .iter()
+        .filter(|line| line.starts_with("fetch"))
+        .count()
 }
 
-/// A class with a base objective of 1 s, a hard limit of 5 s and a worth of 1.
-pub(crate) fn class(name: &str, semantics: &str) -> Value {
+/// The settings of a class with a base objective of 1 s, a hard limit of 5 s and a payoff of 1.
+pub(crate) fn class_settings(name: &str, semantics: &str) -> Value {
     json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
 }
 
-/// A class whose requests may run twice.
+/// The settings of an idempotent class, whose requests may run more than once.
 pub(crate) fn idempotent_class(name: &str) -> Value {
-    class(name, "pure")
+    class_settings(name, "pure")
 }
 
 /// A call whose parameters are these JSON members.
@@ -61,23 +65,23 @@
     format!(r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{{fields}}}}}"#)
 }
 
-/// The notification by which a client cancels its call.
-pub(crate) fn cancellation(call: u64) -> String {
+/// The notification with which a client cancels its call.
+pub(crate) fn cancel_notification(call: u64) -> String {
     format!(r#"{{"jsonrpc":"2.0","method":"interrupt","params":{{"id":{call}}}}}"#)
 }
 
-/// The request for the gateway's health.
-pub(crate) fn health_check(call: u64) -> String {
+/// The call that asks for the gateway's health.
+pub(crate) fn health_check_call(call: u64) -> String {
     format!(r#"{{"jsonrpc":"2.0","id":{call},"method":"check"}}"#)
 }
 
-/// Replaces the address of the name service in the gateway's configuration file, and reloads it.
-pub(crate) fn move_name_service(gateway: &Gateway, to: SocketAddr) {
+/// Writes another address of the name service to the gateway's configuration file, and has the gateway reload it.
+pub(crate) fn change_name_service_address(gateway: &Gateway, name_service: SocketAddr) {
     let config = std::fs::read_to_string(gateway.dir.join("told.json")).unwrap();
-    gateway.reload_with_name_service(&config, to);
+    gateway.reload_with_name_service(&config, name_service);
 }
 
-/// Reads until the gateway has closed the connection.
-pub(crate) fn assert_closed(client: &mut Client) {
+/// Asserts that the gateway closes the connection, and sends nothing before that.
+pub(crate) fn assert_connection_closed(client: &mut Client) {
     assert_eq!(std::io::Read::read(&mut client.0, &mut [0; 1]).unwrap(), 0);
 }
