--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -1,8 +1,9 @@
 //! A client cancels, closes or resets while its requests wait for an engine.
 
 use crate::patient_gateway::{
-    answer_one_row, ask_patiently, await_marker, await_processed, marker, patient_call,
-    patient_gateway, patient_gateway_with_limits, start,
+    call_with_long_deadline, marker_message, one_row_reply, send_call_with_long_deadline,
+    start_with_edited_config, start_with_limits, start_with_long_connect_timeout,
+    wait_for_marker_answer, wait_until_processed,
 };
 use crate::support::{
     assert_connection_closed, cancel_notification, engine_with_status, fetch_count,
@@ -23,7 +24,7 @@
 fn hangups() -> [fn(Client); 4] {
     let cancel_all = |mut client: Client| {
         (1..=8).for_each(|call| client.send(&cancel_notification(call)));
-        await_processed(&mut client);
+        wait_until_processed(&mut client);
     };
     let close = |client: Client| client.0.get_ref().shutdown(Shutdown::Both).unwrap();
     let half_close = |mut client: Client| {
@@ -39,26 +40,28 @@
 
 #[test]
 fn client_that_hung_up_while_its_engine_connection_came_up_has_no_attempt_started() {
-    for (nth, hang_up) in hangups().into_iter().enumerate() {
-        let (at, gate) = FullListener::bind();
-        let gateway = patient_gateway(&format!("left-{nth}"), &[("e1", at)]);
+    for (index, hang_up) in hangups().into_iter().enumerate() {
+        let (engine_address, full_listener) = FullListener::bind();
+        let gateway =
+            start_with_long_connect_timeout(&format!("left-{index}"), &[("e1", engine_address)]);
         let mut client = Client::connect(&gateway);
-        (1..=8).for_each(|call| ask_patiently(&mut client, "lookup", call));
-        gate.wait_for_pending_connections(8);
+        (1..=8).for_each(|call| send_call_with_long_deadline(&mut client, "lookup", call));
+        full_listener.wait_for_pending_connections(8);
 
         hang_up(client);
         thread::sleep(MAX_START_AFTER_CLOSE);
-        let opened = gate.open(answer_one_row);
-        opened.wait_for_established_connections(8);
+        let opened_listener = full_listener.open(one_row_reply);
+        opened_listener.wait_for_established_connections(8);
 
-        let mut other = Client::connect(&gateway);
-        ask_patiently(&mut other, "lookup", 77);
-        assert_eq!(other.receive_rows().0, 77, "{nth}");
-        let seen = opened.recorded_lines.lock().unwrap();
+        let mut other_client = Client::connect(&gateway);
+        send_call_with_long_deadline(&mut other_client, "lookup", 77);
+        assert_eq!(other_client.receive_rows().0, 77, "{index}");
+        let recorded_lines = opened_listener.recorded_lines.lock().unwrap();
         assert!(
-            seen.iter()
-                .all(|l| l.starts_with("fetch 000000000000004d ")),
-            "{nth}: {seen:?}"
+            recorded_lines
+                .iter()
+                .all(|line| line.starts_with("fetch 000000000000004d ")),
+            "{index}: {recorded_lines:?}"
         );
     }
 }
@@ -87,26 +90,30 @@
     // The engine's two connections are full of statements that it does not read; the last attempt waits behind them.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     set_socket_recv_buffer_size(&listener, 4096).unwrap();
-    let at = listener.local_addr().unwrap();
+    let engine_address = listener.local_addr().unwrap();
     let (start_reading, read) = mpsc::channel::<()>();
     let engine = stalled_engine(listener, read);
-    let gateway = start("held-back", &[("e1", at)], |config| {
+    let gateway = start_with_edited_config("held-back", &[("e1", engine_address)], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 8});
         config["settings"]["policy_limits"]["multiplex"] = json!(64);
     });
     // For each of the two more than the system buffers for a peer that reads nothing (4 MiB).
     let long_statement = "QUJD".repeat(62_000);
-    let mut filling = [Client::connect(&gateway), Client::connect(&gateway)];
+    let mut filling_clients = [Client::connect(&gateway), Client::connect(&gateway)];
     for call in 1..=60u64 {
-        filling[call as usize % 2].send(&patient_call(call, "lookup", &long_statement));
+        filling_clients[call as usize % 2].send(&call_with_long_deadline(
+            call,
+            "lookup",
+            &long_statement,
+        ));
     }
-    filling.iter_mut().for_each(await_processed);
+    filling_clients.iter_mut().for_each(wait_until_processed);
     let mut client = Client::connect(&gateway);
-    ask_patiently(&mut client, "lookup", 77);
-    await_processed(&mut client);
+    send_call_with_long_deadline(&mut client, "lookup", 77);
+    wait_until_processed(&mut client);
 
     client.send(&cancel_notification(77));
-    await_processed(&mut client);
+    wait_until_processed(&mut client);
     start_reading.send(()).unwrap();
 
     let received = engine.join().unwrap();
@@ -123,11 +130,11 @@
 #[test]
 fn half_closed_client_has_no_further_attempt_started_and_is_answered_at_once() {
     // The engine is full: the request waits between two attempts.
-    let (at, seen) = engine_with_status("WAIT");
-    let gateway = patient_gateway("half-closed", &[("e1", at)]);
+    let (engine_address, recorded_lines) = engine_with_status("WAIT");
+    let gateway = start_with_long_connect_timeout("half-closed", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
-    ask_patiently(&mut client, "lookup", 1);
-    assert!(becomes_true(|| fetch_count(&seen) >= 1));
+    send_call_with_long_deadline(&mut client, "lookup", 1);
+    assert!(becomes_true(|| fetch_count(&recorded_lines) >= 1));
 
     client.0.get_ref().shutdown(Shutdown::Write).unwrap();
     let closed_at = Instant::now();
@@ -142,28 +149,33 @@
 fn client_that_closes_while_the_gateway_does_not_read_it_has_no_attempt_started() {
     // The requests of another client occupy more than half of the buffers: the gateway does not read what this client
     // sends then, and its close comes behind that.
-    let (at, gate) = FullListener::bind();
-    let gateway = patient_gateway_with_limits("unread", &[("e1", at)], 1, 64);
+    let (engine_address, full_listener) = FullListener::bind();
+    let gateway = start_with_limits("unread", &[("e1", engine_address)], 1, 64);
     let mut client = Client::connect(&gateway);
-    let mut occupying = Client::connect(&gateway);
-    (1..=4).for_each(|call| ask_patiently(&mut client, "lookup", call));
-    gate.wait_for_pending_connections(4);
-    let calls = (100..130).map(|call| framed(&patient_call(call, "lookup", "c2VsZWN0IDE=")));
-    let calls: String = calls.chain([framed(&marker())]).collect();
+    let mut occupying_client = Client::connect(&gateway);
+    (1..=4).for_each(|call| send_call_with_long_deadline(&mut client, "lookup", call));
+    full_listener.wait_for_pending_connections(4);
+    let calls =
+        (100..130).map(|call| framed(&call_with_long_deadline(call, "lookup", "c2VsZWN0IDE=")));
+    let calls: String = calls.chain([framed(&marker_message())]).collect();
     // In one write, so that the gateway reads it whole, whatever buffers are free then.
-    let socket = occupying.0.get_mut();
+    let socket = occupying_client.0.get_mut();
     socket.write_all(calls.as_bytes()).unwrap();
-    await_marker(&mut occupying);
+    wait_for_marker_answer(&mut occupying_client);
 
-    (5..=9).for_each(|call| ask_patiently(&mut client, "lookup", call));
+    (5..=9).for_each(|call| send_call_with_long_deadline(&mut client, "lookup", call));
     client.0.get_ref().shutdown(Shutdown::Write).unwrap();
     thread::sleep(Duration::from_millis(200));
-    let opened = gate.open(answer_one_row);
+    let opened_listener = full_listener.open(one_row_reply);
 
-    (0..30).for_each(|_| assert!(occupying.receive_rows().0 >= 100));
+    (0..30).for_each(|_| assert!(occupying_client.receive_rows().0 >= 100));
     // At the end of the connection the gateway has read all that the client sent.
     let _ = client.0.read_to_end(&mut Vec::new());
-    let seen = opened.recorded_lines.lock().unwrap();
+    let recorded_lines = opened_listener.recorded_lines.lock().unwrap();
     let is_of_client = |line: &&String| line.starts_with("fetch 000000000000000");
-    assert_eq!(seen.iter().filter(is_of_client).count(), 0, "{seen:?}");
+    assert_eq!(
+        recorded_lines.iter().filter(is_of_client).count(),
+        0,
+        "{recorded_lines:?}"
+    );
 }
--- a/crates/gateway/tests/crossings/patient_gateway.rs
+++ b/crates/gateway/tests/crossings/patient_gateway.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 
 /// The call number of the health check that marks the end of earlier messages.
-const MARKER_CALL: u64 = 9000;
+const MARKER_CALL_ID: u64 = 9000;
 
 /// The reply of an engine that answers every line with one row, and keeps the connection.
-pub(crate) fn answer_one_row(line: &str, _: &str) -> (Vec<u8>, bool) {
+pub(crate) fn one_row_reply(line: &str, _: &str) -> (Vec<u8>, bool) {
     (done_reply(line, ROW), false)
 }
 
@@ -34,24 +34,27 @@
 }
 
 /// A gateway that waits up to 6 s for a connection to an engine.
-pub(crate) fn patient_gateway(test: &str, engines: &[(&str, SocketAddr)]) -> Gateway {
-    start(test, engines, |_| {})
+pub(crate) fn start_with_long_connect_timeout(
+    test: &str,
+    engines: &[(&str, SocketAddr)],
+) -> Gateway {
+    start_with_edited_config(test, engines, |_| {})
 }
 
-/// As [`patient_gateway`], with these limits of memory in MB and of sockets.
-pub(crate) fn patient_gateway_with_limits(
+/// As [`start_with_long_connect_timeout`], with these limits of memory in MB and of sockets.
+pub(crate) fn start_with_limits(
     test: &str,
     engines: &[(&str, SocketAddr)],
     memory_mb: u32,
     sockets: u32,
 ) -> Gateway {
-    start(test, engines, |config| {
+    start_with_edited_config(test, engines, |config| {
         config["limits"] = json!({"memory_mb": memory_mb, "sockets": sockets});
     })
 }
 
-/// As [`patient_gateway`], with a configuration that `edit` has changed.
-pub(crate) fn start(
+/// As [`start_with_long_connect_timeout`], with a configuration that `edit` has changed.
+pub(crate) fn start_with_edited_config(
     test: &str,
     engines: &[(&str, SocketAddr)],
     edit: impl FnOnce(&mut Value),
@@ -63,30 +66,30 @@
 }
 
 /// A call with a deadline of 7 s and a statement in base64.
-pub(crate) fn patient_call(call: u64, class: &str, statement: &str) -> String {
+pub(crate) fn call_with_long_deadline(call: u64, class: &str, statement: &str) -> String {
     let fields = format!(r#""id":"{call:016x}","wait":7000,"bytes":"{statement}""#);
     call_with_fields(call, class, &fields)
 }
 
 /// Sends a call with a deadline of 7 s and an idempotency key.
-pub(crate) fn ask_patiently(client: &mut Client, class: &str, call: u64) {
+pub(crate) fn send_call_with_long_deadline(client: &mut Client, class: &str, call: u64) {
     let fields =
         format!(r#""id":"{call:016x}","wait":7000,"bytes":"c2VsZWN0IDE=","once":"o{call}""#);
     client.send(&call_with_fields(call, class, &fields));
 }
 
-/// The health check whose answer [`await_marker`] waits for.
-pub(crate) fn marker() -> String {
-    health_check_call(MARKER_CALL)
+/// The health check whose answer [`wait_for_marker_answer`] waits for.
+pub(crate) fn marker_message() -> String {
+    health_check_call(MARKER_CALL_ID)
 }
 
 /// Reads until the answer to the marker: the policy has all earlier messages of the client then.
-pub(crate) fn await_marker(client: &mut Client) {
-    while client.receive()["id"] != MARKER_CALL {}
+pub(crate) fn wait_for_marker_answer(client: &mut Client) {
+    while client.receive()["id"] != MARKER_CALL_ID {}
 }
 
 /// Waits until the policy has all messages that the client has sent.
-pub(crate) fn await_processed(client: &mut Client) {
-    client.send(&marker());
-    await_marker(client);
+pub(crate) fn wait_until_processed(client: &mut Client) {
+    client.send(&marker_message());
+    wait_for_marker_answer(client);
 }
--- a/crates/gateway/tests/crossings/shutdown.rs
+++ b/crates/gateway/tests/crossings/shutdown.rs
@@ -1,7 +1,8 @@
 //! Connections and requests that meet the shutdown of the gateway.
 
 use crate::patient_gateway::{
-    answering_engine, ask_patiently, patient_gateway, patient_gateway_with_limits,
+    answering_engine, send_call_with_long_deadline, start_with_limits,
+    start_with_long_connect_timeout,
 };
 use crate::support::{fetch_count, silent_engine};
 use ironstair_test_cluster::stub::{becomes_true, Client, REJECTED};
@@ -12,31 +13,31 @@
 #[test]
 fn connection_accepted_by_the_system_is_answered_before_the_gateway_ends() {
     // All places are taken by requests that nobody answers; one more connection has arrived and waits for a place.
-    let (at, seen) = silent_engine();
-    let mut gateway = patient_gateway_with_limits("backlog", &[("e1", at)], 192, 32);
-    let mut busy: Vec<Client> = (1..=16).map(|_| Client::connect(&gateway)).collect();
-    for (call, client) in (1..).zip(&mut busy) {
-        ask_patiently(client, "lookup", call);
+    let (engine_address, recorded_lines) = silent_engine();
+    let mut gateway = start_with_limits("backlog", &[("e1", engine_address)], 192, 32);
+    let mut busy_clients: Vec<Client> = (1..=16).map(|_| Client::connect(&gateway)).collect();
+    for (call, client) in (1..).zip(&mut busy_clients) {
+        send_call_with_long_deadline(client, "lookup", call);
     }
-    assert!(becomes_true(|| fetch_count(&seen) == 16));
-    let mut waiting: Vec<Client> = (0..2).map(|_| Client::connect(&gateway)).collect();
-    for (call, client) in (77..).zip(&mut waiting) {
-        ask_patiently(client, "lookup", call);
+    assert!(becomes_true(|| fetch_count(&recorded_lines) == 16));
+    let mut waiting_clients: Vec<Client> = (0..2).map(|_| Client::connect(&gateway)).collect();
+    for (call, client) in (77..).zip(&mut waiting_clients) {
+        send_call_with_long_deadline(client, "lookup", call);
     }
 
     gateway.signal("-TERM");
 
     assert_eq!(
-        waiting[0].receive()["error"]["code"],
+        waiting_clients[0].receive()["error"]["code"],
         REJECTED,
         "accepted by the system, and answered"
     );
-    for client in &mut busy {
+    for client in &mut busy_clients {
         assert!(client.try_receive().is_some());
     }
     assert!(gateway.process.wait().unwrap().success());
     assert_eq!(
-        fetch_count(&seen),
+        fetch_count(&recorded_lines),
         16,
         "requests read after the signal are not sent"
     );
@@ -45,23 +46,24 @@
 #[test]
 fn request_that_meets_the_shutdown_on_an_idle_connection_is_answered_or_never_accepted() {
     for round in 0..3 {
-        let (at, seen) = answering_engine();
-        let mut gateway = patient_gateway(&format!("resting-{round}"), &[("e1", at)]);
+        let (engine_address, recorded_lines) = answering_engine();
+        let mut gateway =
+            start_with_long_connect_timeout(&format!("resting-{round}"), &[("e1", engine_address)]);
         let mut client = Client::connect(&gateway);
-        ask_patiently(&mut client, "lookup", 1);
+        send_call_with_long_deadline(&mut client, "lookup", 1);
         assert_eq!(client.receive_rows().0, 1);
 
         // The stopped gateway finds the shutdown and the request at the same moment.
         gateway.signal("-TERM");
         gateway.signal("-STOP");
         thread::sleep(Duration::from_millis(750));
-        ask_patiently(&mut client, "lookup", 2);
+        send_call_with_long_deadline(&mut client, "lookup", 2);
         gateway.signal("-CONT");
 
         match client.0.get_ref().peek(&mut [0; 1]) {
-            Ok(0) => assert_eq!(fetch_count(&seen), 1, "not answered, and sent"),
+            Ok(0) => assert_eq!(fetch_count(&recorded_lines), 1, "not answered, and sent"),
             Ok(_) => assert_eq!(client.receive()["id"], 2),
-            Err(e) => panic!("{:?}: reset", e.kind() == ErrorKind::ConnectionReset),
+            Err(error) => panic!("{:?}: reset", error.kind() == ErrorKind::ConnectionReset),
         }
         drop(client);
         assert!(gateway.process.wait().unwrap().success());
