--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -1,4 +1,4 @@
-//! A client cancels, closes or resets while its requests wait for an engine.
+//! A client cancels its requests, or closes or resets its connection, while they wait for an engine.
 
 use crate::patient_gateway::{
     call_with_long_deadline, marker_message, one_row_reply, send_call_with_long_deadline,
@@ -17,10 +17,10 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A client that has closed may have attempts started for this time still.
+/// For this long after a client's close the gateway may still start attempts of its requests.
 const MAX_START_AFTER_CLOSE: Duration = Duration::from_millis(100);
 
-/// The ways in which a client gives up its eight requests.
+/// The ways in which a client abandons its eight requests: cancellation, close, half close and reset.
 fn hangups() -> [fn(Client); 4] {
     let cancel_all = |mut client: Client| {
         (1..=8).for_each(|call| client.send(&cancel_notification(call)));
@@ -29,7 +29,7 @@
     let close = |client: Client| client.0.get_ref().shutdown(Shutdown::Both).unwrap();
     let half_close = |mut client: Client| {
         client.0.get_ref().shutdown(Shutdown::Write).unwrap();
-        // The connection is kept open for its answers.
+        // The receiving half stays open for the answers.
         thread::spawn(move || while client.try_receive().is_some() {});
     };
     let reset = |client: Client| {
@@ -39,7 +39,9 @@
 }
 
 #[test]
-fn client_that_hung_up_while_its_engine_connection_came_up_has_no_attempt_started() {
+fn client_that_hung_up_before_its_engine_connection_was_up_has_no_attempt_started() {
+    // An attempt that was queued until its engine connection was established was written to it although its client had
+    // left in the meantime.
     for (index, hang_up) in hangups().into_iter().enumerate() {
         let (engine_address, full_listener) = FullListener::bind();
         let gateway =
@@ -66,7 +68,7 @@
     }
 }
 
-/// Reads to the end of a connection, or until nothing has come for a second: the gateway may keep it open.
+/// Reads to the end of a connection, or until nothing has arrived for a second, since the gateway may keep it open.
 fn read_to_end(mut connection: TcpStream) -> String {
     let timeout = Some(Duration::from_secs(1));
     connection.set_read_timeout(timeout).unwrap();
@@ -75,29 +77,32 @@
     String::from_utf8_lossy(&received).into_owned()
 }
 
-/// An engine that accepts two connections, and reads them only after a signal. Returns all that it read.
-fn stalled_engine(listener: TcpListener, read: mpsc::Receiver<()>) -> JoinHandle<String> {
+/// Starts an engine that accepts two connections, and reads them only once `start_signal` arrives. Its thread returns
+/// all that it read.
+fn stalled_engine(listener: TcpListener, start_signal: mpsc::Receiver<()>) -> JoinHandle<String> {
     thread::spawn(move || {
         let connections = [(); 2].map(|()| listener.accept().unwrap().0);
-        read.recv().unwrap();
+        start_signal.recv().unwrap();
         let readers = connections.map(|connection| thread::spawn(move || read_to_end(connection)));
         readers.map(|reader| reader.join().unwrap()).concat()
     })
 }
 
 #[test]
-fn cancellation_overtakes_an_attempt_that_a_stalled_engine_holds_back() {
-    // The engine's two connections are full of statements that it does not read; the last attempt waits behind them.
+fn cancellation_overtakes_an_attempt_that_waits_behind_a_stalled_engine() {
+    // The cancellation must take back the attempt where it is queued: written behind it, the engine would run the
+    // attempt first. The engine's two connections are full of statements that it does not read; the last attempt waits
+    // behind them.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     set_socket_recv_buffer_size(&listener, 4096).unwrap();
     let engine_address = listener.local_addr().unwrap();
-    let (start_reading, read) = mpsc::channel::<()>();
-    let engine = stalled_engine(listener, read);
+    let (start_reading, start_signal) = mpsc::channel::<()>();
+    let engine = stalled_engine(listener, start_signal);
     let gateway = start_with_edited_config("held-back", &[("e1", engine_address)], |config| {
         config["limits"] = json!({"memory_mb": 192, "sockets": 8});
         config["settings"]["policy_limits"]["multiplex"] = json!(64);
     });
-    // For each of the two more than the system buffers for a peer that reads nothing (4 MiB).
+    // Each connection gets more than the 4 MiB that the kernel buffers for a peer that reads nothing.
     let long_statement = "QUJD".repeat(62_000);
     let mut filling_clients = [Client::connect(&gateway), Client::connect(&gateway)];
     for call in 1..=60u64 {
@@ -119,17 +124,18 @@
     let received = engine.join().unwrap();
     assert!(
         received.contains("fetch 000000000000003c"),
-        "the attempts before it are written"
+        "the attempts queued before it were not written"
     );
     assert!(
         !received.contains("fetch 000000000000004d"),
-        "started after its cancellation"
+        "the attempt was started after its cancellation"
     );
 }
 
 #[test]
 fn half_closed_client_has_no_further_attempt_started_and_is_answered_at_once() {
-    // The engine is full: the request waits between two attempts.
+    // A request whose client had left was retried until its deadline. The engine reports that it is full, so the request
+    // waits between two attempts when its client closes.
     let (engine_address, recorded_lines) = engine_with_status("WAIT");
     let gateway = start_with_long_connect_timeout("half-closed", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
@@ -147,8 +153,8 @@
 
 #[test]
 fn client_that_closes_while_the_gateway_does_not_read_it_has_no_attempt_started() {
-    // The requests of another client occupy more than half of the buffers: the gateway does not read what this client
-    // sends then, and its close comes behind that.
+    // The requests of another client occupy more than half of the buffers. The gateway then stops reading from this
+    // client, whose close comes after bytes that are not read, and must be noticed all the same.
     let (engine_address, full_listener) = FullListener::bind();
     let gateway = start_with_limits("unread", &[("e1", engine_address)], 1, 64);
     let mut client = Client::connect(&gateway);
@@ -158,7 +164,7 @@
     let calls =
         (100..130).map(|call| framed(&call_with_long_deadline(call, "lookup", "c2VsZWN0IDE=")));
     let calls: String = calls.chain([framed(&marker_message())]).collect();
-    // In one write, so that the gateway reads it whole, whatever buffers are free then.
+    // In one write, so that the gateway reads all of it, however many buffers are free by then.
     let socket = occupying_client.0.get_mut();
     socket.write_all(calls.as_bytes()).unwrap();
     wait_for_marker_answer(&mut occupying_client);
--- a/crates/gateway/tests/crossings/connection_limits.rs
+++ b/crates/gateway/tests/crossings/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Clients occupy all places, or all descriptors of the process.
+//! Clients occupy all connection slots, or all file descriptors of the process.
 
 use crate::patient_gateway::{
     answering_engine, send_call_with_long_deadline, start_with_limits,
@@ -9,11 +9,13 @@
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use std::net::TcpStream;
 
-/// The row of the new engine in base64.
+/// The row of the new engine, in base64.
 const NEW_ROW_BASE64: &str = "bmV3CQkK";
 
 #[test]
-fn idle_clients_in_all_places_do_not_prevent_reading_a_moved_name_service() {
+fn idle_clients_in_all_places_do_not_block_queries_to_a_changed_name_service() {
+    // Idle clients must not use up the descriptors: the query to the new address needs a socket, and so does the
+    // connection to the new engine.
     let (old_engine, _) = engine_with_rows("old\t\t\n");
     let (new_engine, _) = engine_with_rows("new\t\t\n");
     let gateway = start_with_limits("fill", &[("e1", old_engine)], 192, 64);
@@ -37,7 +39,7 @@
     drop(idle_connections);
 }
 
-/// Lets a process open only `additional` descriptors beyond those that it has.
+/// Limits a process to `additional` descriptors beyond those that it has open.
 fn limit_descriptors(pid: u32, additional: u64) {
     let directory = std::fs::read_dir(format!("/proc/{pid}/fd")).unwrap();
     let limit = Some(directory.count() as u64 + additional);
@@ -49,7 +51,9 @@
 }
 
 #[test]
-fn client_without_a_descriptor_is_accepted_when_the_next_one_is_released() {
+fn client_without_a_descriptor_is_accepted_when_one_is_released() {
+    // The release of a descriptor must wake the gateway's accept loop, which failed for lack of one. Twelve connections
+    // exceed the four descriptors that are left; dropping ten of them releases some.
     let (engine_address, _) = answering_engine();
     let gateway = start_with_long_connect_timeout("descriptors", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
@@ -67,6 +71,6 @@
     assert_eq!(
         client.receive_rows().0,
         3,
-        "the connection from before serves on"
+        "the connection from before the limit still works"
     );
 }
--- a/crates/gateway/tests/crossings/engine_connection.rs
+++ b/crates/gateway/tests/crossings/engine_connection.rs
@@ -1,4 +1,4 @@
-//! Requests wait for a connection to an engine while their window ends, or the engine starts to drain.
+//! Requests wait for a connection to an engine while their deduplication window ends, or the engine starts to drain.
 
 use crate::patient_gateway::{
     answering_engine, one_row_reply, send_call_with_long_deadline, start_with_long_connect_timeout,
@@ -21,9 +21,10 @@
 }
 
 #[test]
-fn deduplicated_request_is_not_started_again_once_its_window_has_ended() {
-    // Some requests fail at the first engine. The policy decides their second attempt within the window, and the
-    // connection for it comes up after the window.
+fn deduplicated_request_is_not_retried_after_its_window_has_ended() {
+    // A retry after the deduplication window may run the request twice. Some requests fail at the first engine; the
+    // policy decides on their second attempt within the window, but the connection for it is established only after
+    // the window.
     let (failing_engine, failing_engine_lines) = engine_with_status("BROKE");
     let (late_engine, full_listener) = FullListener::bind();
     let gateway =
@@ -47,7 +48,7 @@
         ids_at_failing_engine
             .iter()
             .all(|id| !ids_at_late_engine.contains(id)),
-        "again after the window: {ids_at_failing_engine:?}, {ids_at_late_engine:?}"
+        "retried after the window: {ids_at_failing_engine:?}, {ids_at_late_engine:?}"
     );
     let failed = answers
         .iter()
@@ -55,12 +56,13 @@
     assert_eq!(
         failed.count(),
         ids_at_failing_engine.len(),
-        "it may have run, and may not run again: {answers:?}"
+        "each request that reached the failing engine may have run, so it fails: {answers:?}"
     );
 }
 
 #[test]
 fn request_that_waits_for_a_connection_is_sent_elsewhere_when_its_engine_starts_to_drain() {
+    // An attempt that was queued for a connection was written to an engine that drained by then.
     let (late_engine, full_listener) = FullListener::bind();
     let (other_engine, other_engine_lines) = answering_engine();
     let gateway = start_with_long_connect_timeout("drains", &[("e1", late_engine)]);
@@ -70,7 +72,7 @@
 
     *gateway.name_answer.lock().unwrap() =
         engine_list_answer(2, &[("e1", late_engine, 1), ("e2", other_engine, 0)]);
-    // Only the other engine can answer: the gateway has the new list then.
+    // Only the other engine can answer this call, so the gateway has the new list once it is answered.
     let mut probe_client = Client::connect(&gateway);
     send_call_with_long_deadline(&mut probe_client, "lookup", 77);
     assert_eq!(probe_client.receive_rows().0, 77);
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -1,5 +1,6 @@
-//! Two events that cross, such as a close and an attempt that starts: the built gateway over real connections, where
-//! the bad order is made to happen every time. The rows of docs/design/crossings.md name these tests.
+//! Races between two events, such as the close of a connection and the start of an attempt. The tests run the built
+//! gateway over real connections, and force the unfavourable order on every run. The tables of docs/design/crossings.md
+//! refer to these tests by name.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/gateway/tests/crossings/name_service.rs
+++ b/crates/gateway/tests/crossings/name_service.rs
@@ -1,4 +1,4 @@
-//! A name service stops answering one of the gateway's sockets.
+//! A name service does not answer one of the gateway's sockets.
 
 use crate::patient_gateway::start_with_long_connect_timeout;
 use crate::support::{change_name_service_address, engine_with_rows};
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
 
-/// A name service that never answers the first socket that queries it, and answers all others.
+/// Starts a name service that never answers the first socket that queries it, and answers all others.
 fn name_service_deaf_to_first_socket(engine: SocketAddr) -> SocketAddr {
     let service = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = service.local_addr().unwrap();
@@ -25,6 +25,8 @@
 
 #[test]
 fn name_service_that_is_silent_towards_one_socket_is_queried_from_another() {
+    // A gateway that repeats its queries on a socket that gets no answers keeps an old list for ever, although another
+    // socket would be answered.
     let (old_engine, _) = engine_with_rows("old\t\t\n");
     let (new_engine, _) = engine_with_rows("new\t\t\n");
     let gateway = start_with_long_connect_timeout("silent-socket", &[("e1", old_engine)]);
--- a/crates/gateway/tests/crossings/patient_gateway.rs
+++ b/crates/gateway/tests/crossings/patient_gateway.rs
@@ -1,4 +1,5 @@
-//! A gateway that waits long for connections to engines, and calls with long deadlines.
+//! A gateway with a long connect timeout for engines, and calls with long deadlines, so that neither expires while a
+//! test arranges the order of two events.
 
 use crate::support::{call_with_fields, engine_with_rows, health_check_call, ROW};
 use ironstair_test_cluster::stub::{
@@ -7,20 +8,20 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// The call number of the health check that marks the end of earlier messages.
+/// The call id of the health check that marks the end of a client's earlier messages.
 const MARKER_CALL_ID: u64 = 9000;
 
-/// The reply of an engine that answers every line with one row, and keeps the connection.
+/// The reply of an engine that answers every line with one row, and whether it closes the connection: it does not.
 pub(crate) fn one_row_reply(line: &str, _: &str) -> (Vec<u8>, bool) {
     (done_reply(line, ROW), false)
 }
 
-/// An engine that answers every line with one row.
+/// Starts an engine that answers every line with one row.
 pub(crate) fn answering_engine() -> (SocketAddr, RecordedLines) {
     engine_with_rows(ROW)
 }
 
-/// One class of each effect; requests of `stow` are deduplicated by the engines for half a second.
+/// An idempotent class, a class whose requests the engines deduplicate for half a second, and a non-idempotent class.
 fn classes() -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "slo_ns": 4e9, "give_up_ns": 8e9, "semantics": semantics, "worth": 1.0,
@@ -33,7 +34,7 @@
     ])
 }
 
-/// A gateway that waits up to 6 s for a connection to an engine.
+/// Starts a gateway that waits up to 6 s for a connection to an engine.
 pub(crate) fn start_with_long_connect_timeout(
     test: &str,
     engines: &[(&str, SocketAddr)],
@@ -78,17 +79,17 @@
     client.send(&call_with_fields(call, class, &fields));
 }
 
-/// The health check whose answer [`wait_for_marker_answer`] waits for.
+/// The health check whose answer [`wait_for_marker_answer`] expects.
 pub(crate) fn marker_message() -> String {
     health_check_call(MARKER_CALL_ID)
 }
 
-/// Reads until the answer to the marker: the policy has all earlier messages of the client then.
+/// Reads until the answer to the marker. The policy has processed all earlier messages of the client by then.
 pub(crate) fn wait_for_marker_answer(client: &mut Client) {
     while client.receive()["id"] != MARKER_CALL_ID {}
 }
 
-/// Waits until the policy has all messages that the client has sent.
+/// Waits until the policy has processed all messages that the client has sent.
 pub(crate) fn wait_until_processed(client: &mut Client) {
     client.send(&marker_message());
     wait_for_marker_answer(client);
--- a/crates/gateway/tests/crossings/shutdown.rs
+++ b/crates/gateway/tests/crossings/shutdown.rs
@@ -1,4 +1,4 @@
-//! Connections and requests that meet the shutdown of the gateway.
+//! Connections and requests that arrive during the shutdown of the gateway.
 
 use crate::patient_gateway::{
     answering_engine, send_call_with_long_deadline, start_with_limits,
@@ -11,8 +11,9 @@
 use std::time::Duration;
 
 #[test]
-fn connection_accepted_by_the_system_is_answered_before_the_gateway_ends() {
-    // All places are taken by requests that nobody answers; one more connection has arrived and waits for a place.
+fn connection_accepted_by_the_system_is_answered_before_the_gateway_exits() {
+    // Connections in the kernel's accept queue must not be dropped with the listener. Requests without an answer occupy
+    // all connection slots; further connections have arrived and wait.
     let (engine_address, recorded_lines) = silent_engine();
     let mut gateway = start_with_limits("backlog", &[("e1", engine_address)], 192, 32);
     let mut busy_clients: Vec<Client> = (1..=16).map(|_| Client::connect(&gateway)).collect();
@@ -30,7 +31,7 @@
     assert_eq!(
         waiting_clients[0].receive()["error"]["code"],
         REJECTED,
-        "accepted by the system, and answered"
+        "the connection accepted by the system is answered"
     );
     for client in &mut busy_clients {
         assert!(client.try_receive().is_some());
@@ -39,12 +40,14 @@
     assert_eq!(
         fetch_count(&recorded_lines),
         16,
-        "requests read after the signal are not sent"
+        "requests read after the signal are not sent to an engine"
     );
 }
 
 #[test]
-fn request_that_meets_the_shutdown_on_an_idle_connection_is_answered_or_never_accepted() {
+fn request_that_meets_the_shutdown_on_an_idle_connection_is_answered_or_never_sent() {
+    // A request that arrives as the gateway closes the idle connection must not be sent to an engine and left
+    // unanswered.
     for round in 0..3 {
         let (engine_address, recorded_lines) = answering_engine();
         let mut gateway =
@@ -53,7 +56,8 @@
         send_call_with_long_deadline(&mut client, "lookup", 1);
         assert_eq!(client.receive_rows().0, 1);
 
-        // The stopped gateway finds the shutdown and the request at the same moment.
+        // The process is paused until idle connections are due to be closed. When it continues, it finds that and the
+        // request at the same time.
         gateway.signal("-TERM");
         gateway.signal("-STOP");
         thread::sleep(Duration::from_millis(750));
@@ -61,9 +65,16 @@
         gateway.signal("-CONT");
 
         match client.0.get_ref().peek(&mut [0; 1]) {
-            Ok(0) => assert_eq!(fetch_count(&recorded_lines), 1, "not answered, and sent"),
+            Ok(0) => assert_eq!(
+                fetch_count(&recorded_lines),
+                1,
+                "the request was sent to an engine and not answered"
+            ),
             Ok(_) => assert_eq!(client.receive()["id"], 2),
-            Err(error) => panic!("{:?}: reset", error.kind() == ErrorKind::ConnectionReset),
+            Err(error) => panic!(
+                "the connection failed: {error}; reset: {:?}",
+                error.kind() == ErrorKind::ConnectionReset
+            ),
         }
         drop(client);
         assert!(gateway.process.wait().unwrap().success());
