--- a/crates/gateway/tests/serve/client_calls.rs
+++ b/crates/gateway/tests/serve/client_calls.rs
@@ -12,29 +12,36 @@
 use std::time::Duration;
 
 /// A call with the request id that another call uses already.
-fn duplicate_request(call: u64) -> String {
+fn call_with_request_id_in_use(call: u64) -> String {
     let fields = r#""id":"0000000000000001","wait":400,"bytes":"""#;
     call_with_fields(call, "lookup", fields)
 }
 
-fn last_line(seen: &RecordedLines) -> String {
-    seen.lock().unwrap().last().unwrap().clone()
+fn last_line(recorded_lines: &RecordedLines) -> String {
+    recorded_lines.lock().unwrap().last().unwrap().clone()
 }
 
 #[test]
 fn ambiguous_calls_are_refused() {
-    let (at, seen) = engine_with_latency(Duration::from_millis(500));
-    let gateway = stub::start_gateway("head", &[("e1", at)]);
+    let (engine_address, recorded_lines) = engine_with_latency(Duration::from_millis(500));
+    let gateway = stub::start_gateway("head", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
-    let mut other = Client::connect(&gateway);
+    let mut other_client = Client::connect(&gateway);
     client.send_call(1);
-    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
+    assert!(becomes_true(|| recorded_lines.lock().unwrap().len() == 1));
 
-    other.send(&duplicate_request(5));
-    assert_eq!(other.receive()["error"]["code"], -32602, "an id in use");
-    let refused_and_cancelled = framed(&duplicate_request(6)) + &framed(&cancel_notification(6));
-    let socket = other.0.get_mut();
-    socket.write_all(refused_and_cancelled.as_bytes()).unwrap();
+    other_client.send(&call_with_request_id_in_use(5));
+    assert_eq!(
+        other_client.receive()["error"]["code"],
+        -32602,
+        "an id in use"
+    );
+    let duplicate_and_cancellation =
+        framed(&call_with_request_id_in_use(6)) + &framed(&cancel_notification(6));
+    let socket = other_client.0.get_mut();
+    socket
+        .write_all(duplicate_and_cancellation.as_bytes())
+        .unwrap();
     assert_eq!(
         client.receive_rows().0,
         1,
@@ -42,7 +49,7 @@
     );
 
     client.send_call(1);
-    assert!(becomes_true(|| seen.lock().unwrap().len() == 2));
+    assert!(becomes_true(|| recorded_lines.lock().unwrap().len() == 2));
     client.send_call(1);
     let refused = client.receive();
     assert_eq!(
@@ -51,29 +58,33 @@
         "a call number in use"
     );
     assert_connection_closed(&mut client);
-    assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
+    assert!(becomes_true(
+        || last_line(&recorded_lines) == "abort 0000000000000001"
+    ));
 
-    other.send_call(2);
-    let socket = other.0.get_mut();
+    other_client.send_call(2);
+    let socket = other_client.0.get_mut();
     socket.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(other.receive()["error"]["code"], -32700);
-    assert_connection_closed(&mut other);
+    assert_eq!(other_client.receive()["error"]["code"], -32700);
+    assert_connection_closed(&mut other_client);
 }
 
 #[test]
 fn cancelled_call_is_withdrawn_and_never_answered() {
-    let (at, seen) = start_engine(|line, _| match line.ends_with("prio=9") {
+    let (engine_address, recorded_lines) = start_engine(|line, _| match line.ends_with("prio=9") {
         true => (done_reply(line, ""), false),
         false => (Vec::new(), false),
     });
-    let gateway = stub::start_gateway("interrupt", &[("e1", at)]);
+    let gateway = stub::start_gateway("interrupt", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     client.send_call(1);
-    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
+    assert!(becomes_true(|| recorded_lines.lock().unwrap().len() == 1));
 
     client.send(&cancel_notification(1));
 
-    assert!(becomes_true(|| last_line(&seen) == "abort 0000000000000001"));
+    assert!(becomes_true(
+        || last_line(&recorded_lines) == "abort 0000000000000001"
+    ));
     client.send(&health_check_call(2));
     assert_eq!(
         client.receive(),
@@ -83,8 +94,8 @@
 
 #[test]
 fn malformed_calls_are_refused_and_the_connection_serves_on() {
-    let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("faults", &[("e1", at)]);
+    let (engine_address, _) = engine_with_rows(ROW);
+    let gateway = stub::start_gateway("faults", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     let short_id = call_with_fields(2, "lookup", r#""id":"short","wait":9,"bytes":"""#);
     for (call, code) in [
@@ -106,8 +117,8 @@
 #[test]
 fn calls_with_invalid_numbers_are_refused_and_never_sent() {
     // A number that cannot be read must not be treated as missing, and the call be served.
-    let (at, seen) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("rude-calls", &[("e1", at)]);
+    let (engine_address, recorded_lines) = engine_with_rows(ROW);
+    let gateway = stub::start_gateway("rude-calls", &[("e1", engine_address)]);
     for fields in [
         r#""wait":-1,"bytes":"""#,
         r#""wait":0,"bytes":"""#,
@@ -123,5 +134,5 @@
         client.send(&call_with_fields(1, "lookup", &fields));
         assert_eq!(client.receive()["error"]["code"], -32602, "{fields}");
     }
-    assert!(seen.lock().unwrap().is_empty());
+    assert!(recorded_lines.lock().unwrap().is_empty());
 }
--- a/crates/gateway/tests/serve/client_connections.rs
+++ b/crates/gateway/tests/serve/client_connections.rs
@@ -8,56 +8,56 @@
 
 /// Opens more connections than the gateway has places for, and asks on a further one after each hundred: a connection
 /// accepted later must not wait for the silent ones.
-fn connect_silent_beside_usual(gateway: &Gateway) -> Vec<Client> {
-    let mut silent = Vec::new();
-    for nth in 0..600 {
-        silent.push(Client::connect(gateway));
-        if nth % 100 == 99 {
-            let mut usual = Client::connect(gateway);
-            usual.send_call(nth);
-            assert_eq!(usual.receive_rows().0, nth);
+fn connect_silent_clients_beside_regular_ones(gateway: &Gateway) -> Vec<Client> {
+    let mut silent_clients = Vec::new();
+    for index in 0..600 {
+        silent_clients.push(Client::connect(gateway));
+        if index % 100 == 99 {
+            let mut regular_client = Client::connect(gateway);
+            regular_client.send_call(index);
+            assert_eq!(regular_client.receive_rows().0, index);
         }
     }
-    silent
+    silent_clients
 }
 
 #[test]
 fn silent_incomplete_and_flooding_clients_are_closed_and_usual_ones_served() {
-    let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("rude", &[("e1", at)]);
+    let (engine_address, _) = engine_with_rows(ROW);
+    let gateway = stub::start_gateway("rude", &[("e1", engine_address)]);
     let started_at = Instant::now();
-    let mut incomplete = Client::connect(&gateway);
-    let socket = incomplete.0.get_mut();
+    let mut incomplete_client = Client::connect(&gateway);
+    let socket = incomplete_client.0.get_mut();
     socket.write_all(b"Content-Length: 90\r\n\r\n{").unwrap();
 
-    for mut client in connect_silent_beside_usual(&gateway) {
+    for mut client in connect_silent_clients_beside_regular_ones(&gateway) {
         assert_eq!(client.0.read(&mut [0; 1]).unwrap_or(0), 0);
     }
-    assert_eq!(incomplete.receive()["error"]["code"], -32700);
+    assert_eq!(incomplete_client.receive()["error"]["code"], -32700);
     let elapsed = started_at.elapsed();
     assert!(elapsed < Duration::from_secs(3), "{elapsed:?}");
 
     // The gateway answers a few malformed messages, then closes the connection.
-    let mut flooding = Client::connect(&gateway);
+    let mut flooding_client = Client::connect(&gateway);
     for call in 1..200 {
-        flooding.send(&format!("{call}{}", "|".repeat(100)));
+        flooding_client.send(&format!("{call}{}", "|".repeat(100)));
     }
-    let mut lines = 0;
-    while flooding
+    let mut line_count = 0;
+    while flooding_client
         .0
         .read_line(&mut String::new())
-        .is_ok_and(|n| n > 0)
+        .is_ok_and(|length| length > 0)
     {
-        lines += 1;
+        line_count += 1;
     }
-    assert!((16..100).contains(&lines), "{lines}");
+    assert!((16..100).contains(&line_count), "{line_count}");
 }
 
 #[test]
 fn each_of_more_clients_than_places_is_answered() {
     // A place must not be taken from a connection whose first call has arrived and is not read yet.
-    let (at, _) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("crowd", &[("e1", at)]);
+    let (engine_address, _) = engine_with_rows(ROW);
+    let gateway = stub::start_gateway("crowd", &[("e1", engine_address)]);
     Client::connect(&gateway).send_call(9999);
     for round in 0..2 {
         let first = 1 + 700 * round;
@@ -78,8 +78,8 @@
 
 #[test]
 fn client_that_has_closed_its_sending_half_still_receives_its_answer() {
-    let (at, _) = engine_with_latency(Duration::from_millis(100));
-    let gateway = stub::start_gateway("half", &[("e1", at)]);
+    let (engine_address, _) = engine_with_latency(Duration::from_millis(100));
+    let gateway = stub::start_gateway("half", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     client.send_call(1);
     client.0.get_mut().shutdown(Shutdown::Write).unwrap();
--- a/crates/gateway/tests/serve/engine_answers.rs
+++ b/crates/gateway/tests/serve/engine_answers.rs
@@ -43,9 +43,9 @@
         "d\te\tf\n".repeat(998),
         "g\th\ti\n".repeat(7),
     ];
-    let all = pages.concat();
-    let (at, seen) = engine_with_swapped_pages(pages);
-    let gateway = stub::start_gateway("pages", &[("e1", at)]);
+    let all_rows = pages.concat();
+    let (engine_address, recorded_lines) = engine_with_swapped_pages(pages);
+    let gateway = stub::start_gateway("pages", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
 
     client.send_call(7);
@@ -53,35 +53,47 @@
 
     assert_eq!(call, 7);
     assert!(
-        rows == all.as_bytes(),
+        rows == all_rows.as_bytes(),
         "{} bytes of {}",
         rows.len(),
-        all.len()
+        all_rows.len()
     );
-    assert!(becomes_true(|| seen.lock().unwrap().len() == 4));
-    let seen = seen.lock().unwrap();
+    assert!(becomes_true(|| recorded_lines.lock().unwrap().len() == 4));
+    let recorded_lines = recorded_lines.lock().unwrap();
     assert!(
-        seen[0].starts_with("fetch 0000000000000007 c=lookup,w="),
-        "{seen:?}"
+        recorded_lines[0].starts_with("fetch 0000000000000007 c=lookup,w="),
+        "{recorded_lines:?}"
     );
-    assert!(seen[0].ends_with(" 8select 1\r\n"), "{seen:?}");
-    assert_eq!(seen[3], "done 0000000000000007");
+    assert!(
+        recorded_lines[0].ends_with(" 8select 1\r\n"),
+        "{recorded_lines:?}"
+    );
+    assert_eq!(recorded_lines[3], "done 0000000000000007");
 }
 
 #[test]
 fn failures_before_the_last_row_are_retried_on_another_engine() {
     // Rows of an answer that ended with its engine must not reach the client.
-    let (incomplete, _) = start_engine(|line, _| {
+    let (incomplete_engine, _) = start_engine(|line, _| {
         let reply = format!("{} DONE pages=2,cost=5 4\r\nx\t\t\n\r\n", request_id(line));
         (reply.into_bytes(), true)
     });
-    let (full, _) = engine_with_status("WAIT");
-    let (broken, _) = engine_with_status("BROKE");
-    let (malformed, _) = engine_with_status("HUH");
-    let (good, _) = engine_with_rows(ROW);
-    let bad_engines = [incomplete, full, broken, malformed, allocate_address()];
-    for (nth, bad) in bad_engines.into_iter().enumerate() {
-        let gateway = stub::start_gateway(&format!("again-{nth}"), &[("e1", bad), ("e2", good)]);
+    let (full_engine, _) = engine_with_status("WAIT");
+    let (broken_engine, _) = engine_with_status("BROKE");
+    let (malformed_engine, _) = engine_with_status("HUH");
+    let (good_engine, _) = engine_with_rows(ROW);
+    let bad_engines = [
+        incomplete_engine,
+        full_engine,
+        broken_engine,
+        malformed_engine,
+        allocate_address(),
+    ];
+    for (nth, bad_engine) in bad_engines.into_iter().enumerate() {
+        let gateway = stub::start_gateway(
+            &format!("again-{nth}"),
+            &[("e1", bad_engine), ("e2", good_engine)],
+        );
         let mut client = Client::connect(&gateway);
         for call in 1..6 {
             client.send_call(call);
@@ -108,7 +120,7 @@
 ];
 
 /// An engine that answers the first attempt of call 2 with a malformed reply, later ones well, and no other call.
-fn engine_malformed_once(reply: &'static str) -> (SocketAddr, RecordedLines) {
+fn engine_with_one_malformed_reply(reply: &'static str) -> (SocketAddr, RecordedLines) {
     let attempts = Mutex::new(0);
     start_engine(move |line, _| {
         let is_call_2 = request_id(line).ends_with('2');
@@ -127,18 +139,21 @@
 fn malformed_answers_end_their_connection_at_once_and_no_other() {
     // Late pages of the malformed attempt must not be taken for pages of the next one.
     for (nth, reply) in MALFORMED_REPLIES.into_iter().enumerate() {
-        let (at, seen) = engine_malformed_once(reply);
-        let gateway = stub::start_gateway(&format!("spoilt-{nth}"), &[("e1", at)]);
+        let (engine_address, recorded_lines) = engine_with_one_malformed_reply(reply);
+        let gateway = stub::start_gateway(&format!("spoilt-{nth}"), &[("e1", engine_address)]);
         let mut client = Client::connect(&gateway);
-        let asked_at = Instant::now();
+        let sent_at = Instant::now();
 
         (1..4).for_each(|call| client.send_call(call));
 
         assert_eq!(client.receive_rows().0, 2, "{reply}");
-        assert!(asked_at.elapsed() < Duration::from_millis(900), "{reply}");
-        assert!(becomes_true(|| seen.lock().unwrap().len() >= 4), "{reply}");
+        assert!(sent_at.elapsed() < Duration::from_millis(900), "{reply}");
+        assert!(
+            becomes_true(|| recorded_lines.lock().unwrap().len() >= 4),
+            "{reply}"
+        );
         assert_eq!(
-            seen.lock().unwrap().len(),
+            recorded_lines.lock().unwrap().len(),
             4,
             "those on other connections are not sent again: {reply}"
         );
@@ -147,7 +162,7 @@
 
 #[test]
 fn answers_with_doubled_and_unrequested_pages_are_read_without_harm() {
-    let (at, seen) = start_engine(|line, _| {
+    let (engine_address, recorded_lines) = start_engine(|line, _| {
         let page = |head: &str| format!("{} {head} 4\r\nx\t\t\n\r\n", request_id(line));
         let unrequested = "00000000000000ff DONE - 4\r\ny\t\t\n\r\n".to_owned();
         let first = page("DONE pages=2,cost=1");
@@ -159,41 +174,42 @@
         };
         (reply.into_bytes(), false)
     });
-    let gateway = stub::start_gateway("more", &[("e1", at)]);
+    let gateway = stub::start_gateway("more", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     for call in 1..9 {
         client.send_call(call);
         assert_eq!(client.receive_rows(), (call, b"x\t\t\nx\t\t\n".to_vec()));
     }
-    assert_eq!(fetch_count(&seen), 8);
+    assert_eq!(fetch_count(&recorded_lines), 8);
 }
 
 #[test]
 fn request_that_no_engine_answers_is_rejected_in_time() {
-    let (at, _) = silent_engine();
-    let gateway = stub::start_gateway("silent", &[("e1", at)]);
+    let (engine_address, _) = silent_engine();
+    let gateway = stub::start_gateway("silent", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
-    let asked_at = Instant::now();
+    let sent_at = Instant::now();
 
     client.send(
         r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"id":"00000000000000aa","wait":400,"bytes":""}}"#,
     );
 
     assert_eq!(client.receive()["error"]["code"], -32014);
-    let elapsed = asked_at.elapsed();
+    let elapsed = sent_at.elapsed();
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
 
 #[test]
 fn engine_is_probed_before_an_attempt_where_its_load_is_unknown() {
-    let (at, seen) = start_engine(|line, _| match line.split_once(' ').unwrap() {
-        ("stats", tag) => {
-            let reply = format!("{tag} FIT load=inflight:2;util:0.4 0\r\n\r\n");
-            (reply.into_bytes(), false)
-        }
-        _ => (done_reply(line, ROW), false),
-    });
-    let gateway = start_gateway_in_fleet(300, "report", &[("e1", at)]);
+    let (engine_address, recorded_lines) =
+        start_engine(|line, _| match line.split_once(' ').unwrap() {
+            ("stats", tag) => {
+                let reply = format!("{tag} FIT load=inflight:2;util:0.4 0\r\n\r\n");
+                (reply.into_bytes(), false)
+            }
+            _ => (done_reply(line, ROW), false),
+        });
+    let gateway = start_gateway_in_fleet(300, "report", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     for call in 1..3 {
         client.send_call(call);
@@ -203,11 +219,11 @@
     client.send_call_of_class("report", 3);
 
     assert_eq!(client.receive_rows().0, 3);
-    let seen = seen.lock().unwrap();
-    assert_eq!(seen[2], "stats r1");
+    let recorded_lines = recorded_lines.lock().unwrap();
+    assert_eq!(recorded_lines[2], "stats r1");
     assert!(
-        seen[3].starts_with("fetch 0000000000000003 c=report,"),
-        "{seen:?}"
+        recorded_lines[3].starts_with("fetch 0000000000000003 c=report,"),
+        "{recorded_lines:?}"
     );
 }
 
@@ -215,7 +231,7 @@
 fn silent_connection_is_replaced_when_a_new_one_would_be_answered() {
     // A machine that was cut off leaves its open connections silent, also once it is back.
     let first_connection = Mutex::new(None);
-    let (at, _) = start_engine(move |line, _| {
+    let (engine_address, _) = start_engine(move |line, _| {
         // The stub serves each connection by a thread of its own.
         let connection = thread::current().id();
         let mut first = first_connection.lock().unwrap();
@@ -224,7 +240,7 @@
         }
         (done_reply(line, ROW), false)
     });
-    let gateway = stub::start_gateway("cut-off", &[("e1", at)]);
+    let gateway = stub::start_gateway("cut-off", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     client.send_call(1);
     thread::sleep(Duration::from_millis(1500));
--- a/crates/gateway/tests/serve/process.rs
+++ b/crates/gateway/tests/serve/process.rs
@@ -15,18 +15,18 @@
 #[test]
 fn shutdown_answers_open_requests_and_ends_with_success() {
     // The second call would take longer than the shutdown, though its client would wait: it is rejected.
-    let (at, seen) = start_engine(|line, _| {
+    let (engine_address, recorded_lines) = start_engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
         match request_id(line).ends_with('1') {
             true => (done_reply(line, ROW), false),
             false => (Vec::new(), false),
         }
     });
-    let mut gateway = stub::start_gateway("drain", &[("e1", at)]);
+    let mut gateway = stub::start_gateway("drain", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
-    let mut idle = Client::connect(&gateway);
+    let mut idle_client = Client::connect(&gateway);
     client.send_call(1);
-    assert!(becomes_true(|| seen.lock().unwrap().len() == 1));
+    assert!(becomes_true(|| recorded_lines.lock().unwrap().len() == 1));
     client.send_call(2);
 
     let signalled_at = Instant::now();
@@ -35,11 +35,11 @@
     gateway.signal("-HUP");
     gateway.signal("-TERM");
 
-    let mut late = Client::connect(&gateway);
-    late.send(&health_check_call(1));
-    assert_eq!(late.receive()["result"]["fit"], false);
+    let mut late_client = Client::connect(&gateway);
+    late_client.send(&health_check_call(1));
+    assert_eq!(late_client.receive()["result"]["fit"], false);
     // Idle connections are closed.
-    assert_connection_closed(&mut idle);
+    assert_connection_closed(&mut idle_client);
     assert_eq!(client.receive_rows().0, 1);
     assert_eq!(client.receive()["error"]["code"], -32014);
     let elapsed = signalled_at.elapsed();
@@ -51,17 +51,17 @@
 /// The size of a process's descriptor table.
 fn descriptor_table_size(pid: u32) -> u32 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let size = status.lines().find_map(|l| l.strip_prefix("FDSize:"));
+    let size = status.lines().find_map(|line| line.strip_prefix("FDSize:"));
     size.unwrap().trim().parse().unwrap()
 }
 
 #[test]
 fn descriptor_table_has_its_full_size_before_anything_is_served() {
     // The kernel stops a process for seconds while it enlarges the table of a busy one.
-    let (at, _) = engine_with_rows(ROW);
+    let (engine_address, _) = engine_with_rows(ROW);
     for (sockets, min_size) in [(json!(384), 384), (json!(1e9), 512)] {
         let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-        let (mut config, name_answer) = gateway_config(2, classes, &[("e1", at)]);
+        let (mut config, name_answer) = gateway_config(2, classes, &[("e1", engine_address)]);
         config["limits"] = json!({"memory_mb": 192, "sockets": sockets});
         let gateway =
             start_gateway_with_config(&format!("room-{min_size}"), config, name_answer, None);
