--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -134,8 +134,8 @@
 
 #[test]
 fn half_closed_client_has_no_further_attempt_started_and_is_answered_at_once() {
-    // A request whose client had left was retried until its deadline. The engine reports that it is full, so the request
-    // waits between two attempts when its client closes.
+    // A request whose client had left was retried until its deadline. The engine reports that it is full, so the
+    // request waits between two attempts when its client closes.
     let (engine_address, recorded_lines) = engine_with_status("WAIT");
     let gateway = start_with_long_connect_timeout("half-closed", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
--- a/crates/gateway/tests/serve/client_calls.rs
+++ b/crates/gateway/tests/serve/client_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of clients: duplicate ids, cancellation, malformed messages.
+//! Client calls: duplicate ids, cancellation and malformed messages.
 
 use crate::support::{
     assert_connection_closed, call_with_fields, cancel_notification, engine_with_latency,
@@ -11,7 +11,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// A call with the request id that another call uses already.
+/// A call with the request id of another call, which is still open.
 fn call_with_request_id_in_use(call: u64) -> String {
     let fields = r#""id":"0000000000000001","wait":400,"bytes":"""#;
     call_with_fields(call, "lookup", fields)
@@ -22,9 +22,11 @@
 }
 
 #[test]
-fn ambiguous_calls_are_refused() {
+fn ambiguous_calls_are_refused_while_their_id_is_in_use() {
+    // A second call with an id in use must not replace, cancel or receive the answer of the first one, whether the same
+    // client or another one sends it.
     let (engine_address, recorded_lines) = engine_with_latency(Duration::from_millis(500));
-    let gateway = stub::start_gateway("head", &[("e1", engine_address)]);
+    let gateway = stub::start_gateway("ids-in-use", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     let mut other_client = Client::connect(&gateway);
     client.send_call(1);
@@ -34,7 +36,7 @@
     assert_eq!(
         other_client.receive()["error"]["code"],
         -32602,
-        "an id in use"
+        "the request id is in use"
     );
     let duplicate_and_cancellation =
         framed(&call_with_request_id_in_use(6)) + &framed(&cancel_notification(6));
@@ -45,7 +47,7 @@
     assert_eq!(
         client.receive_rows().0,
         1,
-        "another client cannot cancel it"
+        "another client must not cancel the request"
     );
 
     client.send_call(1);
@@ -55,7 +57,7 @@
     assert_eq!(
         (&refused["error"]["code"], &refused["id"]),
         (&json!(-32600), &Value::Null),
-        "a call number in use"
+        "the call id is in use"
     );
     assert_connection_closed(&mut client);
     assert!(becomes_true(
@@ -71,6 +73,7 @@
 
 #[test]
 fn cancelled_call_is_withdrawn_and_never_answered() {
+    // The engine must be told to stop working on a cancelled call, and the client gets no answer to it.
     let (engine_address, recorded_lines) = start_engine(|line, _| match line.ends_with("prio=9") {
         true => (done_reply(line, ""), false),
         false => (Vec::new(), false),
@@ -93,9 +96,10 @@
 }
 
 #[test]
-fn malformed_calls_are_refused_and_the_connection_serves_on() {
+fn malformed_calls_are_refused_and_the_connection_stays_usable() {
+    // One malformed call must not end the connection with the client's other calls.
     let (engine_address, _) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("faults", &[("e1", engine_address)]);
+    let gateway = stub::start_gateway("malformed-calls", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     let short_id = call_with_fields(2, "lookup", r#""id":"short","wait":9,"bytes":"""#);
     for (call, code) in [
@@ -109,16 +113,20 @@
     let statement = "QUJD".repeat(30_000);
     let fields = format!(r#""id":"{:016x}","wait":4000,"bytes":"{statement}""#, 3);
     client.send(&call_with_fields(3, "lookup", &fields));
-    assert_eq!(client.receive_rows().0, 3, "a statement of many buffers");
+    assert_eq!(
+        client.receive_rows().0,
+        3,
+        "a statement that is longer than one buffer"
+    );
     client.send_call(4);
     assert_eq!(client.receive_rows().0, 4);
 }
 
 #[test]
 fn calls_with_invalid_numbers_are_refused_and_never_sent() {
-    // A number that cannot be read must not be treated as missing, and the call be served.
+    // If an invalid number were treated as a missing field, the call would be sent with a default in its place.
     let (engine_address, recorded_lines) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("rude-calls", &[("e1", engine_address)]);
+    let gateway = stub::start_gateway("invalid-numbers", &[("e1", engine_address)]);
     for fields in [
         r#""wait":-1,"bytes":"""#,
         r#""wait":0,"bytes":"""#,
--- a/crates/gateway/tests/serve/client_connections.rs
+++ b/crates/gateway/tests/serve/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients that are silent, incomplete, too many, or half closed.
+//! Client connections that are silent, send incomplete messages, exceed the connection limit or are half closed.
 
 use crate::support::{assert_connection_closed, engine_with_latency, engine_with_rows, ROW};
 use ironstair_test_cluster::stub::{self, Client, Gateway};
@@ -6,8 +6,8 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Opens more connections than the gateway has places for, and asks on a further one after each hundred: a connection
-/// accepted later must not wait for the silent ones.
+/// Opens more connections than the gateway has slots for, and makes a call on a further one after each hundred: a
+/// connection accepted later must not wait for the silent ones.
 fn connect_silent_clients_beside_regular_ones(gateway: &Gateway) -> Vec<Client> {
     let mut silent_clients = Vec::new();
     for index in 0..600 {
@@ -22,9 +22,11 @@
 }
 
 #[test]
-fn silent_incomplete_and_flooding_clients_are_closed_and_usual_ones_served() {
+fn silent_incomplete_and_flooding_clients_are_closed_while_regular_ones_are_served() {
+    // Clients that send nothing, half a message or only malformed messages must not occupy the connection slots at the
+    // expense of others.
     let (engine_address, _) = engine_with_rows(ROW);
-    let gateway = stub::start_gateway("rude", &[("e1", engine_address)]);
+    let gateway = stub::start_gateway("misbehaving-clients", &[("e1", engine_address)]);
     let started_at = Instant::now();
     let mut incomplete_client = Client::connect(&gateway);
     let socket = incomplete_client.0.get_mut();
@@ -54,8 +56,9 @@
 }
 
 #[test]
-fn each_of_more_clients_than_places_is_answered() {
-    // A place must not be taken from a connection whose first call has arrived and is not read yet.
+fn each_client_is_answered_when_there_are_more_than_connection_slots() {
+    // To accept further clients the gateway closes idle connections. A connection whose first call has arrived but has
+    // not been read yet looks idle, and must be kept.
     let (engine_address, _) = engine_with_rows(ROW);
     let gateway = stub::start_gateway("crowd", &[("e1", engine_address)]);
     Client::connect(&gateway).send_call(9999);
@@ -78,8 +81,10 @@
 
 #[test]
 fn client_that_has_closed_its_sending_half_still_receives_its_answer() {
+    // The end of the requests must not be taken for the end of the connection: the answer of a call that an engine has
+    // received is still sent.
     let (engine_address, _) = engine_with_latency(Duration::from_millis(100));
-    let gateway = stub::start_gateway("half", &[("e1", engine_address)]);
+    let gateway = stub::start_gateway("half-closed", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
     client.send_call(1);
     client.0.get_mut().shutdown(Shutdown::Write).unwrap();
--- a/crates/gateway/tests/serve/engine_answers.rs
+++ b/crates/gateway/tests/serve/engine_answers.rs
@@ -1,4 +1,4 @@
-//! Answers of engines: pages, failures, malformed and missing ones.
+//! Engine answers: in pages, failed, malformed or missing.
 
 use crate::support::{engine_with_rows, engine_with_status, fetch_count, silent_engine, ROW};
 use ironstair_test_cluster::stub::{
@@ -14,16 +14,16 @@
     line.split(' ').next().unwrap()
 }
 
-/// An engine that sends the first of three pages on a fetch, and the two others in the wrong order once both are asked
-/// for.
+/// Starts an engine that sends the first of three pages on a fetch, and the two others in the wrong order once both
+/// have been requested.
 fn engine_with_swapped_pages(pages: [String; 3]) -> (SocketAddr, RecordedLines) {
     start_engine(move |line, _| {
-        let page = |nth: usize| {
-            let head = match nth {
+        let page = |index: usize| {
+            let head = match index {
                 0 => "DONE pages=3,cost=81,need=4".to_owned(),
-                _ => format!("MORE page={nth}"),
+                _ => format!("MORE page={index}"),
             };
-            let rows = &pages[nth];
+            let rows = &pages[index];
             format!("{} {head} {}\r\n{rows}\r\n", request_id(line), rows.len())
         };
         let reply = match first_word(line) {
@@ -37,7 +37,8 @@
 }
 
 #[test]
-fn pages_reach_the_client_in_order_though_the_engine_swaps_them() {
+fn pages_reach_the_client_in_order_when_the_engine_swaps_them() {
+    // Pages that are passed on as they arrive would swap the client's rows.
     let pages = [
         "a\tb\tc\n".repeat(999),
         "d\te\tf\n".repeat(998),
@@ -73,7 +74,7 @@
 
 #[test]
 fn failures_before_the_last_row_are_retried_on_another_engine() {
-    // Rows of an answer that ended with its engine must not reach the client.
+    // Rows of an incomplete answer must not reach the client: the complete answer of another engine would repeat them.
     let (incomplete_engine, _) = start_engine(|line, _| {
         let reply = format!("{} DONE pages=2,cost=5 4\r\nx\t\t\n\r\n", request_id(line));
         (reply.into_bytes(), true)
@@ -89,9 +90,9 @@
         malformed_engine,
         allocate_address(),
     ];
-    for (nth, bad_engine) in bad_engines.into_iter().enumerate() {
+    for (index, bad_engine) in bad_engines.into_iter().enumerate() {
         let gateway = stub::start_gateway(
-            &format!("again-{nth}"),
+            &format!("failing-engine-{index}"),
             &[("e1", bad_engine), ("e2", good_engine)],
         );
         let mut client = Client::connect(&gateway);
@@ -100,13 +101,13 @@
             assert_eq!(
                 client.receive_rows(),
                 (call, ROW.as_bytes().to_vec()),
-                "engine {nth}"
+                "engine {index}"
             );
         }
     }
 }
 
-/// Replies that end their connection; `{0}` is the id of the request.
+/// Malformed replies, after each of which the gateway closes the connection; `{0}` is the id of the request.
 const MALFORMED_REPLIES: [&str; 9] = [
     "{0} DONE pages=3,cost=1,need=1 4\r\na\t\t\n\r\n{0} MORE page=9 4\r\nb\t\t\n\r\n",
     "{0} DONE pages=1,cost=1 4\r\na\tb\n\r\n",
@@ -119,7 +120,8 @@
     "\u{1}\u{2}\u{3}\r\n",
 ];
 
-/// An engine that answers the first attempt of call 2 with a malformed reply, later ones well, and no other call.
+/// Starts an engine that answers the first attempt of call 2 with a malformed reply, later attempts of it with a row,
+/// and no other call.
 fn engine_with_one_malformed_reply(reply: &'static str) -> (SocketAddr, RecordedLines) {
     let attempts = Mutex::new(0);
     start_engine(move |line, _| {
@@ -136,11 +138,12 @@
 }
 
 #[test]
-fn malformed_answers_end_their_connection_at_once_and_no_other() {
-    // Late pages of the malformed attempt must not be taken for pages of the next one.
-    for (nth, reply) in MALFORMED_REPLIES.into_iter().enumerate() {
+fn malformed_answers_close_their_connection_at_once_and_no_other() {
+    // If the connection were kept, late pages of the malformed attempt could be taken for pages of the next one. Calls
+    // on other connections must not be affected.
+    for (index, reply) in MALFORMED_REPLIES.into_iter().enumerate() {
         let (engine_address, recorded_lines) = engine_with_one_malformed_reply(reply);
-        let gateway = stub::start_gateway(&format!("spoilt-{nth}"), &[("e1", engine_address)]);
+        let gateway = stub::start_gateway(&format!("malformed-{index}"), &[("e1", engine_address)]);
         let mut client = Client::connect(&gateway);
         let sent_at = Instant::now();
 
@@ -155,13 +158,14 @@
         assert_eq!(
             recorded_lines.lock().unwrap().len(),
             4,
-            "those on other connections are not sent again: {reply}"
+            "attempts on other connections are not sent again: {reply}"
         );
     }
 }
 
 #[test]
-fn answers_with_doubled_and_unrequested_pages_are_read_without_harm() {
+fn answers_with_doubled_or_unrequested_pages_yield_each_row_once() {
+    // A page that is received twice or was never requested must not add rows to an answer.
     let (engine_address, recorded_lines) = start_engine(|line, _| {
         let page = |head: &str| format!("{} {head} 4\r\nx\t\t\n\r\n", request_id(line));
         let unrequested = "00000000000000ff DONE - 4\r\ny\t\t\n\r\n".to_owned();
@@ -184,7 +188,8 @@
 }
 
 #[test]
-fn request_that_no_engine_answers_is_rejected_in_time() {
+fn request_is_rejected_in_time_when_no_engine_answers() {
+    // A client must not wait for longer than its call allows, 0.4 s here, for an engine that never answers.
     let (engine_address, _) = silent_engine();
     let gateway = stub::start_gateway("silent", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
@@ -200,7 +205,9 @@
 }
 
 #[test]
-fn engine_is_probed_before_an_attempt_where_its_load_is_unknown() {
+fn engine_is_probed_before_an_attempt_when_its_load_is_unknown() {
+    // In a large fleet each gateway has too few attempts in flight to infer the load that the others cause, so that
+    // heavy requests of many gateways could meet at one engine.
     let (engine_address, recorded_lines) =
         start_engine(|line, _| match line.split_once(' ').unwrap() {
             ("stats", tag) => {
@@ -229,7 +236,8 @@
 
 #[test]
 fn silent_connection_is_replaced_when_a_new_one_would_be_answered() {
-    // A machine that was cut off leaves its open connections silent, also once it is back.
+    // A machine that was cut off from the network leaves its open connections silent, even after it is reachable again:
+    // requests on such a connection would wait until they are rejected.
     let first_connection = Mutex::new(None);
     let (engine_address, _) = start_engine(move |line, _| {
         // The stub serves each connection by a thread of its own.
@@ -248,9 +256,13 @@
     assert_eq!(
         client.receive_rows().0,
         2,
-        "while the first is still waited for"
+        "answered while the first call is still open"
+    );
+    assert_eq!(
+        client.receive()["id"],
+        1,
+        "the first call is rejected at its deadline"
     );
-    assert_eq!(client.receive()["id"], 1, "rejected in the end");
     client.send_call(3);
     assert_eq!(client.receive_rows().0, 3);
 }
--- a/crates/gateway/tests/serve/main.rs
+++ b/crates/gateway/tests/serve/main.rs
@@ -1,4 +1,4 @@
-//! The built gateway between stubs on loopback: clients, engines, a name service.
+//! Tests of the built gateway process against stub clients, stub engines and a stub name service on loopback.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/gateway/tests/serve/name_service.rs
+++ b/crates/gateway/tests/serve/name_service.rs
@@ -1,4 +1,4 @@
-//! The list of engines follows the name service, also a moved or a slow one.
+//! The engine list follows the name service, even if that moves to another address or answers slowly.
 
 use crate::support::{change_name_service_address, engine_with_rows};
 use ironstair_test_cluster::stub::{
@@ -11,7 +11,7 @@
 const OLD_ROW: &str = "old\t\t\n";
 const NEW_ROW: &str = "new\t\t\n";
 
-/// A client that asks one call after the other.
+/// A client that makes one call after the other.
 struct SequentialClient {
     client: Client,
     last_call: u64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The rows of the next call.
+    /// Makes the next call, and returns its rows.
     fn call_for_rows(&mut self) -> String {
         self.last_call += 1;
         self.client.send_call(self.last_call);
@@ -34,7 +34,7 @@
         String::from_utf8(rows).unwrap()
     }
 
-    /// Asks until the rows are these, for five seconds.
+    /// Makes calls until one returns `rows`, for at most five seconds. Returns whether one did.
     fn eventually_receives(&mut self, rows: &str) -> bool {
         becomes_true(|| self.call_for_rows() == rows)
     }
@@ -42,6 +42,7 @@
 
 #[test]
 fn engines_follow_the_name_service() {
+    // A draining engine must get no new requests, and a malformed list must not replace the last good one.
     let (old_engine, old_engine_lines) = engine_with_rows(OLD_ROW);
     let (new_engine, _) = engine_with_rows(NEW_ROW);
     let gateway = stub::start_gateway("names", &[("e1", old_engine)]);
@@ -58,30 +59,30 @@
     assert_eq!(
         old_engine_lines.lock().unwrap().len(),
         line_count_before,
-        "nothing new to a draining engine"
+        "a draining engine gets no new requests"
     );
 
     *gateway.name_answer.lock().unwrap() = b"no list at all".to_vec();
     thread::sleep(Duration::from_millis(300));
     assert!(
         client.eventually_receives(NEW_ROW),
-        "the last good list stays"
+        "the last good list stays in force"
     );
 
-    // The engine is gone, and another one has its address: requests open with the old one are sent again.
+    // Engine e1 is gone and e3 has its address: requests that are still open with e1 are sent again.
     *gateway.name_answer.lock().unwrap() = engine_list_answer(3, &[("e3", old_engine, 0)]);
     assert!(client.eventually_receives(OLD_ROW));
 }
 
 #[test]
-fn reload_moves_the_name_service_and_nothing_else() {
+fn reload_moves_the_name_service_and_changes_nothing_else() {
     let (old_engine, _) = engine_with_rows(OLD_ROW);
     let (new_engine, _) = engine_with_rows(NEW_ROW);
     let mut gateway = stub::start_gateway("reload", &[("e1", old_engine)]);
     let mut client = SequentialClient::new(&gateway);
     assert_eq!(client.call_for_rows(), OLD_ROW);
 
-    // A reload of a file that cannot be used changes nothing, and the signal does not end the process.
+    // A reload of an invalid file changes nothing, and the signal does not end the process.
     let path = gateway.dir.join("told.json");
     let config = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "{").unwrap();
@@ -91,7 +92,7 @@
         let (name_service, name_answer) = start_name_service();
         gateway.reload_with_name_service(&config, name_service);
         thread::sleep(Duration::from_millis(100));
-        // The former name service has a higher serial number, and must not be heard any more.
+        // The former name service answers with a higher serial number, and must not be followed any more.
         *gateway.name_answer.lock().unwrap() =
             engine_list_answer(serial + 5, &[("e9", allocate_address(), 0)]);
         *name_answer.lock().unwrap() =
@@ -101,7 +102,7 @@
     assert!(gateway.process.try_wait().unwrap().is_none());
 }
 
-/// A name service that answers each query only after three more have come. A malformed answer comes at once.
+/// Starts a name service that answers each query only after three more have arrived. A malformed answer comes at once.
 fn name_service_with_late_answers(engine: SocketAddr) -> SocketAddr {
     let service = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = service.local_addr().unwrap();
@@ -123,8 +124,9 @@
 }
 
 #[test]
-fn name_service_slower_than_the_interval_of_queries_is_followed() {
-    // An answer must not be dropped because the next query has been sent already.
+fn name_service_slower_than_the_query_interval_is_followed() {
+    // If only answers to the latest query counted, a name service slower than the query interval would never be
+    // followed.
     let (old_engine, _) = engine_with_rows(OLD_ROW);
     let (new_engine, _) = engine_with_rows(NEW_ROW);
     let gateway = stub::start_gateway("late", &[("e1", old_engine)]);
--- a/crates/gateway/tests/serve/process.rs
+++ b/crates/gateway/tests/serve/process.rs
@@ -1,4 +1,4 @@
-//! Shutdown, and the size of the process's descriptor table.
+//! The gateway process: its shutdown, and the size of its descriptor table.
 
 use crate::support::{
     assert_connection_closed, engine_with_rows, health_check_call, idempotent_class, ROW,
@@ -13,8 +13,9 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn shutdown_answers_open_requests_and_ends_with_success() {
-    // The second call would take longer than the shutdown, though its client would wait: it is rejected.
+fn shutdown_answers_open_requests_and_exits_with_success() {
+    // Requests that are open at a shutdown must not be lost without an answer. The second call would take longer than
+    // the shutdown allows, although its client would wait: it is rejected.
     let (engine_address, recorded_lines) = start_engine(|line, _| {
         thread::sleep(Duration::from_millis(1200));
         match request_id(line).ends_with('1') {
@@ -38,7 +39,7 @@
     let mut late_client = Client::connect(&gateway);
     late_client.send(&health_check_call(1));
     assert_eq!(late_client.receive()["result"]["fit"], false);
-    // Idle connections are closed.
+    // The shutdown closes idle connections.
     assert_connection_closed(&mut idle_client);
     assert_eq!(client.receive_rows().0, 1);
     assert_eq!(client.receive()["error"]["code"], -32014);
@@ -56,15 +57,20 @@
 }
 
 #[test]
-fn descriptor_table_has_its_full_size_before_anything_is_served() {
-    // The kernel stops a process for seconds while it enlarges the table of a busy one.
+fn descriptor_table_has_its_full_size_before_the_first_answer() {
+    // The kernel may suspend a busy process for seconds while it enlarges its descriptor table, so the table must be
+    // enlarged at start.
     let (engine_address, _) = engine_with_rows(ROW);
     for (sockets, min_size) in [(json!(384), 384), (json!(1e9), 512)] {
         let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
         let (mut config, name_answer) = gateway_config(2, classes, &[("e1", engine_address)]);
         config["limits"] = json!({"memory_mb": 192, "sockets": sockets});
-        let gateway =
-            start_gateway_with_config(&format!("room-{min_size}"), config, name_answer, None);
+        let gateway = start_gateway_with_config(
+            &format!("descriptor-table-{min_size}"),
+            config,
+            name_answer,
+            None,
+        );
         let mut client = Client::connect(&gateway);
         client.send_call(1);
         assert_eq!(client.receive_rows().0, 1);
