--- a/crates/gateway/tests/switch/invalid_files.rs
+++ b/crates/gateway/tests/switch/invalid_files.rs
@@ -1,6 +1,6 @@
 //! A configuration file with an invalid member changes nothing, and the log names the member.
 
-use crate::reload::{other_settings, LoggedGateway, RELOADED};
+use crate::reload::{other_settings, LoggedGateway, RELOAD_LOG_LINE};
 use crate::support::{engine_with_rows, idempotent_class, ROW};
 use ironstair_test_cluster::stub::{gateway_config, Client};
 use serde_json::{json, Value};
@@ -53,28 +53,32 @@
 
 #[test]
 fn invalid_file_leaves_the_settings_unchanged_and_the_log_names_the_member() {
-    let (at, _) = engine_with_rows(ROW);
+    let (engine_address, _) = engine_with_rows(ROW);
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-    let (config, name_answer) = gateway_config(2, classes, &[("e1", at)]);
-    let logged = LoggedGateway::start("bad", &config, name_answer, None);
-    let mut client = Client::connect(&logged.gateway);
+    let (config, name_answer) = gateway_config(2, classes, &[("e1", engine_address)]);
+    let logged_gateway = LoggedGateway::start("bad", &config, name_answer, None);
+    let mut client = Client::connect(&logged_gateway.gateway);
     let valid = other_settings(&config["settings"]);
-    for (pointer, value, named) in invalid_members() {
+    for (pointer, value, member) in invalid_members() {
         let mut invalid = valid.clone();
         *invalid.pointer_mut(pointer).unwrap() = value;
-        logged.reload_settings(&config, &invalid);
-        assert!(logged.logs_soon(named), "{named}: {:?}", logged.log());
+        logged_gateway.reload_settings(&config, &invalid);
+        assert!(
+            logged_gateway.eventually_logs(member),
+            "{member}: {:?}",
+            logged_gateway.log_lines()
+        );
         client.send_call_of_class("report", 1);
-        assert_eq!(client.receive_rows().0, 1, "{named}");
+        assert_eq!(client.receive_rows().0, 1, "{member}");
     }
-    assert_eq!(logged.log_count(RELOADED), 0);
+    assert_eq!(logged_gateway.log_count(RELOAD_LOG_LINE), 0);
 
-    logged.reload_settings(&config, &valid);
-    assert!(logged.logs_soon(RELOADED));
+    logged_gateway.reload_settings(&config, &valid);
+    assert!(logged_gateway.eventually_logs(RELOAD_LOG_LINE));
     client.send_call_of_class("load", 2);
     assert_eq!(client.receive_rows().0, 2);
-    logged.reload_settings(&config, &config["settings"]);
-    assert!(logged.reloads_soon(2));
+    logged_gateway.reload_settings(&config, &config["settings"]);
+    assert!(logged_gateway.eventually_reloads(2));
     client.send_call_of_class("load", 3);
     assert_eq!(
         client.receive()["error"]["code"],
@@ -83,8 +87,8 @@
     );
 
     // The same file again is no change.
-    logged.reload_settings(&config, &config["settings"]);
+    logged_gateway.reload_settings(&config, &config["settings"]);
     client.send_call_of_class("lookup", 4);
     assert_eq!(client.receive_rows().0, 4);
-    assert_eq!(logged.log_count(RELOADED), 2);
+    assert_eq!(logged_gateway.log_count(RELOAD_LOG_LINE), 2);
 }
--- a/crates/gateway/tests/switch/reload.rs
+++ b/crates/gateway/tests/switch/reload.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 /// The log line of a reload that was applied.
-pub(crate) const RELOADED: &str = "configuration reloaded";
+pub(crate) const RELOAD_LOG_LINE: &str = "configuration reloaded";
 
 /// Settings with one class more, a class of the same name with other threads and an effect, zones and machine types in
 /// another order, and members that the former settings did not have.
@@ -47,7 +47,7 @@
 /// A gateway whose log lines are recorded.
 pub(crate) struct LoggedGateway {
     pub gateway: Gateway,
-    lines: RecordedLines,
+    log_lines: RecordedLines,
 }
 
 impl LoggedGateway {
@@ -72,14 +72,14 @@
             serve.arg("--operator").arg(operator_file);
         }
         let mut process = serve.spawn().unwrap();
-        let lines = record_lines(process.stderr.take().unwrap());
+        let log_lines = record_lines(process.stderr.take().unwrap());
         let gateway = Gateway {
             process,
             address: config["listen"].as_str().unwrap().parse().unwrap(),
             name_answer,
             dir,
         };
-        LoggedGateway { gateway, lines }
+        LoggedGateway { gateway, log_lines }
     }
 
     /// See [`reload_settings`].
@@ -89,33 +89,33 @@
 
     /// The log lines that contain `text`.
     pub(crate) fn log_count(&self, text: &str) -> usize {
-        let lines = self.lines.lock().unwrap();
-        lines.iter().filter(|l| l.contains(text)).count()
+        let log_lines = self.log_lines.lock().unwrap();
+        log_lines.iter().filter(|line| line.contains(text)).count()
     }
 
     /// Whether a log line contains `text` within five seconds.
-    pub(crate) fn logs_soon(&self, text: &str) -> bool {
+    pub(crate) fn eventually_logs(&self, text: &str) -> bool {
         becomes_true(|| self.log_count(text) > 0)
     }
 
     /// Whether this number of reloads is applied within five seconds.
-    pub(crate) fn reloads_soon(&self, times: usize) -> bool {
-        becomes_true(|| self.log_count(RELOADED) == times)
+    pub(crate) fn eventually_reloads(&self, reload_count: usize) -> bool {
+        becomes_true(|| self.log_count(RELOAD_LOG_LINE) == reload_count)
     }
 
     /// All log lines, for the message of a failed assertion.
-    pub(crate) fn log(&self) -> Vec<String> {
-        self.lines.lock().unwrap().clone()
+    pub(crate) fn log_lines(&self) -> Vec<String> {
+        self.log_lines.lock().unwrap().clone()
     }
 }
 
 fn record_lines(stderr: ChildStderr) -> RecordedLines {
-    let lines = RecordedLines::default();
-    let recorded = lines.clone();
+    let log_lines = RecordedLines::default();
+    let shared_lines = log_lines.clone();
     thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-            recorded.lock().unwrap().push(line);
+            shared_lines.lock().unwrap().push(line);
         }
     });
-    lines
+    log_lines
 }
--- a/crates/gateway/tests/switch/reload_under_load.rs
+++ b/crates/gateway/tests/switch/reload_under_load.rs
@@ -15,8 +15,8 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 3;
-const TURNS: u64 = 100;
-const CALLS_PER_TURN: u64 = 6;
+const ROUNDS: u64 = 100;
+const CALLS_PER_ROUND: u64 = 6;
 const CLASSES: [&str; 3] = ["lookup", "report", "load"];
 
 /// How long the engines work on a request.
@@ -36,8 +36,8 @@
 /// The final answers to each call.
 type Answers = Arc<Mutex<BTreeMap<u64, Vec<AnswerKind>>>>;
 /// When each request was sent, by its id.
-type AskedAt = Arc<Mutex<BTreeMap<String, Instant>>>;
-type ReceivedById = Arc<Mutex<BTreeMap<String, Received>>>;
+type SentAt = Arc<Mutex<BTreeMap<String, Instant>>>;
+type ReceivedLinesById = Arc<Mutex<BTreeMap<String, ReceivedLines>>>;
 
 /// An attempt as an engine received it.
 #[derive(Debug)]
@@ -60,29 +60,29 @@
 
 /// The lines that the engines have received about one request.
 #[derive(Default)]
-struct Received {
+struct ReceivedLines {
     attempts: Vec<Attempt>,
     withdrawals: Vec<Instant>,
 }
 
-impl Received {
+impl ReceivedLines {
     /// Whether each attempt that brought no answer was withdrawn.
-    fn is_each_withdrawn(&self, answer: AnswerKind) -> bool {
-        let brought_answer = usize::from(answer == AnswerKind::Rows);
-        self.withdrawals.len() + brought_answer >= self.attempts.len()
+    fn are_unanswered_attempts_withdrawn(&self, answer: AnswerKind) -> bool {
+        let answered_attempts = usize::from(answer == AnswerKind::Rows);
+        self.withdrawals.len() + answered_attempts >= self.attempts.len()
     }
 }
 
 /// The id under which the engines see a call.
-fn id_of_call(call: u64) -> String {
+fn request_id_of_call(call: u64) -> String {
     format!("{call:016x}")
 }
 
 /// An engine that answers after [`SERVICE_TIME`], and records attempts and withdrawals.
-fn recording_engine(zone: &'static str, received: &ReceivedById) -> SocketAddr {
+fn recording_engine(zone: &'static str, received: &ReceivedLinesById) -> SocketAddr {
     let received = received.clone();
     let (address, _) = start_engine(move |line, _| {
-        record(&received, zone, line);
+        record_line(&received, zone, line);
         thread::sleep(SERVICE_TIME);
         match line.starts_with("fetch") {
             true => (done_reply(line, ROW), false),
@@ -92,7 +92,7 @@
     address
 }
 
-fn record(received: &ReceivedById, zone: &'static str, line: &str) {
+fn record_line(received: &ReceivedLinesById, zone: &'static str, line: &str) {
     let now = Instant::now();
     let mut received = received.lock().unwrap();
     if line.starts_with("fetch") {
@@ -122,18 +122,18 @@
         });
     }
     config["settings"]["dcs"] = json!(["a", "b"]);
-    let mut second = other_settings(&config["settings"]);
+    let mut second_settings = other_settings(&config["settings"]);
     config["settings"]["classes"][1]["dcs_allowed"] = json!([0]);
-    second["classes"][1]["dcs_allowed"] = json!([0]);
-    (config["settings"].clone(), second)
+    second_settings["classes"][1]["dcs_allowed"] = json!([0]);
+    (config["settings"].clone(), second_settings)
 }
 
 /// Applies the second settings until a call of class `load` is answered. Calls of a class that no settings ever had
 /// are protocol errors, of which a connection may make few; after this the class is known, and only out of service.
-fn make_load_class_known(gateway: &Gateway, config: &Value, second: &Value) {
+fn make_load_class_known(gateway: &Gateway, config: &Value, second_settings: &Value) {
     // A reload signal before the gateway accepts connections would end it.
     drop(Client::connect(gateway));
-    reload_settings(gateway, config, second);
+    reload_settings(gateway, config, second_settings);
     let mut attempts = 0;
     assert!(becomes_true(|| {
         attempts += 1;
@@ -161,17 +161,20 @@
     client_number: u64,
     mut client: Client,
     answers: Answers,
-    asked_at: AskedAt,
+    sent_at: SentAt,
 ) -> JoinHandle<()> {
     thread::spawn(move || {
-        for turn in 0..TURNS {
-            let first = 1 + client_number * 100_000 + turn * CALLS_PER_TURN;
-            for call in first..first + CALLS_PER_TURN {
+        for round in 0..ROUNDS {
+            let first_call = 1 + client_number * 100_000 + round * CALLS_PER_ROUND;
+            for call in first_call..first_call + CALLS_PER_ROUND {
                 let now = Instant::now();
-                asked_at.lock().unwrap().insert(id_of_call(call), now);
+                sent_at
+                    .lock()
+                    .unwrap()
+                    .insert(request_id_of_call(call), now);
                 client.send_call_of_class(CLASSES[(call % 3) as usize], call);
             }
-            for _ in 0..CALLS_PER_TURN {
+            for _ in 0..CALLS_PER_ROUND {
                 record_answer(&mut client, &answers);
             }
         }
@@ -179,11 +182,24 @@
 }
 
 /// Reloads the second and the first settings by turns, now and then twice with the same file.
-fn change_settings_eight_times(gateway: &Gateway, config: &Value, first: &Value, second: &Value) {
-    for turn in 0..8 {
+fn alternate_settings_eight_times(
+    gateway: &Gateway,
+    config: &Value,
+    first_settings: &Value,
+    second_settings: &Value,
+) {
+    for round in 0..8 {
         thread::sleep(Duration::from_millis(150));
-        reload_settings(gateway, config, if turn % 2 == 0 { second } else { first });
-        if turn % 3 == 0 {
+        reload_settings(
+            gateway,
+            config,
+            if round % 2 == 0 {
+                second_settings
+            } else {
+                first_settings
+            },
+        );
+        if round % 3 == 0 {
             gateway.signal("-HUP");
         }
     }
@@ -195,39 +211,49 @@
 /// that was sent and rejected all the same was withdrawn as often as it was sent, and returned to its queue.
 fn assert_attempts_allowed(
     request: &str,
-    received: &Received,
+    received: &ReceivedLines,
     answer: AnswerKind,
-    asked_at: Instant,
+    sent_at: Instant,
 ) {
     let attempts = &received.attempts;
-    let first = &attempts[0];
+    let first_attempt = &attempts[0];
     let withdrawals = received.withdrawals.len();
     if !attempts.iter().all(Attempt::is_idempotent) {
         assert_eq!(
             (attempts.len(), withdrawals, answer),
             (1, 0, AnswerKind::Rows),
-            "{request}: {first:?} has an effect"
+            "{request}: {first_attempt:?} has an effect"
         );
     }
     assert!(
-        received.is_each_withdrawn(answer),
-        "{request}: {first:?}, {answer:?}, was sent {} times, withdrawn {withdrawals} times",
+        received.are_unanswered_attempts_withdrawn(answer),
+        "{request}: {first_attempt:?}, {answer:?}, was sent {} times, withdrawn {withdrawals} times",
         attempts.len()
     );
     if let Some(withdrawn_at) = received.withdrawals.iter().min() {
-        let after = *withdrawn_at - asked_at;
+        let elapsed = *withdrawn_at - sent_at;
         assert!(
-            after >= EARLIEST_WITHDRAWAL,
-            "{request}: {first:?} withdrawn after {after:?}"
+            elapsed >= EARLIEST_WITHDRAWAL,
+            "{request}: {first_attempt:?} withdrawn after {elapsed:?}"
         );
     }
 }
 
 fn assert_each_answered_once(answers: &BTreeMap<u64, Vec<AnswerKind>>) {
-    let calls = CLIENTS * TURNS * CALLS_PER_TURN;
+    let calls = CLIENTS * ROUNDS * CALLS_PER_ROUND;
     assert_eq!(answers.len() as u64, calls, "each call is answered");
-    assert!(answers.values().all(|a| a.len() == 1), "once");
-    let count = |kind: AnswerKind| answers.values().filter(|a| a[0] == kind).count();
+    assert!(
+        answers
+            .values()
+            .all(|answers_of_call| answers_of_call.len() == 1),
+        "once"
+    );
+    let count = |kind: AnswerKind| {
+        answers
+            .values()
+            .filter(|answers_of_call| answers_of_call[0] == kind)
+            .count()
+    };
     assert_eq!(count(AnswerKind::Failed), 0);
     let with_rows = count(AnswerKind::Rows);
     assert!(with_rows > 1200, "{with_rows} with rows");
@@ -239,26 +265,26 @@
 
 /// Waits until the engines have read the withdrawals: those come by another connection than the next attempt, and may
 /// be read last. The assertions that follow fail if some are missing.
-fn await_withdrawals(answers: &BTreeMap<u64, Vec<AnswerKind>>, received: &ReceivedById) {
+fn wait_for_withdrawals(answers: &BTreeMap<u64, Vec<AnswerKind>>, received: &ReceivedLinesById) {
     becomes_true(|| {
         let received = received.lock().unwrap();
         answers.iter().all(|(call, answer)| {
-            let received = received.get(&id_of_call(*call));
-            received.is_none_or(|received| received.is_each_withdrawn(answer[0]))
+            let received = received.get(&request_id_of_call(*call));
+            received.is_none_or(|received| received.are_unanswered_attempts_withdrawn(answer[0]))
         })
     });
 }
 
-fn assert_sent_as_allowed(
+fn assert_all_attempts_allowed(
     answers: &BTreeMap<u64, Vec<AnswerKind>>,
-    received: &BTreeMap<String, Received>,
-    asked_at: &BTreeMap<String, Instant>,
+    received: &BTreeMap<String, ReceivedLines>,
+    sent_at: &BTreeMap<String, Instant>,
 ) {
     for (call, answer) in answers {
-        let request = id_of_call(*call);
+        let request = request_id_of_call(*call);
         match received.get(&request) {
             Some(received) => {
-                assert_attempts_allowed(&request, received, answer[0], asked_at[&request]);
+                assert_attempts_allowed(&request, received, answer[0], sent_at[&request]);
             }
             None => assert_eq!(
                 answer[0],
@@ -267,41 +293,50 @@
             ),
         }
     }
-    let asked: BTreeSet<String> = answers.keys().map(|call| id_of_call(*call)).collect();
-    let of_no_call = received.keys().filter(|request| !asked.contains(*request));
-    assert_eq!(of_no_call.count(), 1, "the call before the load alone");
+    let sent: BTreeSet<String> = answers
+        .keys()
+        .map(|call| request_id_of_call(*call))
+        .collect();
+    let requests_without_call = received.keys().filter(|request| !sent.contains(*request));
+    assert_eq!(
+        requests_without_call.count(),
+        1,
+        "the call before the load alone"
+    );
 }
 
 #[test]
 fn settings_change_under_load_and_back_with_nothing_lost_or_sent_again_without_cause() {
     // A request in flight must not lose its class, queue or answer with the index of its class, and one with an effect
     // must not be sent again.
-    let received = ReceivedById::default();
+    let received = ReceivedLinesById::default();
     let engines = [("e1", "a"), ("e2", "a"), ("e3", "b"), ("e4", "b")]
         .map(|(name, zone)| (name, recording_engine(zone, &received)));
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
     let (mut config, name_answer) = gateway_config(2, classes, &engines);
-    let (first, second) = settings_with_report_by_zone(&mut config);
+    let (first_settings, second_settings) = settings_with_report_by_zone(&mut config);
     let gateway = start_gateway_with_config("switch", config.clone(), name_answer, None);
-    make_load_class_known(&gateway, &config, &second);
-    reload_settings(&gateway, &config, &first);
+    make_load_class_known(&gateway, &config, &second_settings);
+    reload_settings(&gateway, &config, &first_settings);
 
-    let (answers, asked_at) = (Answers::default(), AskedAt::default());
+    let (answers, sent_at) = (Answers::default(), SentAt::default());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
             let client = Client::connect(&gateway);
-            spawn_client(number, client, answers.clone(), asked_at.clone())
+            spawn_client(number, client, answers.clone(), sent_at.clone())
         })
         .collect();
-    change_settings_eight_times(&gateway, &config, &first, &second);
-    clients.into_iter().for_each(|c| c.join().unwrap());
+    alternate_settings_eight_times(&gateway, &config, &first_settings, &second_settings);
+    clients
+        .into_iter()
+        .for_each(|client| client.join().unwrap());
 
     let answers = answers.lock().unwrap();
     assert_each_answered_once(&answers);
-    await_withdrawals(&answers, &received);
-    assert_sent_as_allowed(
+    wait_for_withdrawals(&answers, &received);
+    assert_all_attempts_allowed(
         &answers,
         &received.lock().unwrap(),
-        &asked_at.lock().unwrap(),
+        &sent_at.lock().unwrap(),
     );
 }
--- a/crates/gateway/tests/switch/scope_of_a_reload.rs
+++ b/crates/gateway/tests/switch/scope_of_a_reload.rs
@@ -1,7 +1,7 @@
 //! Which parts of a gateway a reload changes: limits of its connections and the list of engines, not its cells, and no
 //! settings where management is on.
 
-use crate::reload::{other_settings, LoggedGateway, RELOADED};
+use crate::reload::{other_settings, LoggedGateway, RELOAD_LOG_LINE};
 use crate::support::{
     call_with_fields, engine_with_latency, engine_with_rows, idempotent_class, ROW,
 };
@@ -17,22 +17,22 @@
 #[test]
 fn limit_that_the_policy_does_not_read_is_reloaded_too() {
     // A file that changes nothing for the policy must not be taken for an unchanged file.
-    let (at, _) = engine_with_latency(Duration::from_millis(300));
+    let (engine_address, _) = engine_with_latency(Duration::from_millis(300));
     let classes = json!([idempotent_class("lookup")]);
-    let (config, name_answer) = gateway_config(1, classes, &[("e1", at)]);
-    let logged = LoggedGateway::start("carriage", &config, name_answer, None);
-    let mut client = Client::connect(&logged.gateway);
+    let (config, name_answer) = gateway_config(1, classes, &[("e1", engine_address)]);
+    let logged_gateway = LoggedGateway::start("carriage", &config, name_answer, None);
+    let mut client = Client::connect(&logged_gateway.gateway);
     let mut one_open = config["settings"].clone();
     one_open["policy_limits"]["max_open"] = json!(1);
 
-    logged.reload_settings(&config, &one_open);
-    assert!(logged.reloads_soon(1));
+    logged_gateway.reload_settings(&config, &one_open);
+    assert!(logged_gateway.eventually_reloads(1));
     (1..3).for_each(|call| client.send_call(call));
     assert_eq!(client.receive()["error"]["code"], -32014, "one may be open");
     assert_eq!(client.receive_rows().0, 1);
 
-    logged.reload_settings(&config, &config["settings"]);
-    assert!(logged.reloads_soon(2));
+    logged_gateway.reload_settings(&config, &config["settings"]);
+    assert!(logged_gateway.eventually_reloads(2));
     (3..5).for_each(|call| client.send_call(call));
     assert_eq!([client.receive_rows().0, client.receive_rows().0], [3, 4]);
 }
@@ -40,33 +40,36 @@
 #[test]
 fn reload_under_management_moves_the_name_service_only() {
     // A commit by management and the settings of the file must not contradict each other.
-    let (at, _) = engine_with_rows(ROW);
+    let (engine_address, _) = engine_with_rows(ROW);
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
-    let (config, name_answer) = gateway_config(1, classes, &[("e1", at)]);
+    let (config, name_answer) = gateway_config(1, classes, &[("e1", engine_address)]);
     let operator = json!({"management": {"listen": allocate_address().to_string()}});
-    let logged = LoggedGateway::start("managed-switch", &config, name_answer, Some(operator));
-    let mut client = Client::connect(&logged.gateway);
+    let logged_gateway =
+        LoggedGateway::start("managed-switch", &config, name_answer, Some(operator));
+    let mut client = Client::connect(&logged_gateway.gateway);
 
-    logged.reload_settings(&config, &other_settings(&config["settings"]));
+    logged_gateway.reload_settings(&config, &other_settings(&config["settings"]));
 
     let ignored = "settings of the configuration file ignored: they are changed over gNMI";
-    let moved = "name service settings updated";
+    let changed = "name service settings updated";
     assert!(becomes_true(
-        || logged.log_count(ignored) == 1 && logged.log_count(moved) == 1
+        || logged_gateway.log_count(ignored) == 1 && logged_gateway.log_count(changed) == 1
     ));
     client.send_call_of_class("load", 1);
     assert_eq!(client.receive()["error"]["code"], -32601, "never known");
     client.send_call_of_class("lookup", 2);
     assert_eq!(client.receive_rows().0, 2);
-    assert_eq!(logged.log_count(RELOADED), 0);
+    assert_eq!(logged_gateway.log_count(RELOAD_LOG_LINE), 0);
 }
 
 /// The calls that an engine received.
-fn calls_received(seen: &RecordedLines) -> Vec<u64> {
-    let seen = seen.lock().unwrap();
-    let fetches = seen.iter().filter(|l| l.starts_with("fetch"));
+fn received_calls(recorded_lines: &RecordedLines) -> Vec<u64> {
+    let recorded_lines = recorded_lines.lock().unwrap();
+    let fetches = recorded_lines
+        .iter()
+        .filter(|line| line.starts_with("fetch"));
     fetches
-        .map(|l| u64::from_str_radix(request_id(l), 16).unwrap())
+        .map(|line| u64::from_str_radix(request_id(line), 16).unwrap())
         .collect()
 }
 
@@ -78,11 +81,11 @@
     let (config, name_answer) = gateway_config(1, classes, &listed);
     let cells = json!({"cells": {"names": {"a": 1, "b": 1}, "named_by_clients": true,
         "engines": {"e1": "a", "e2": "b"}, "tenants": {"t1": ["a"], "t2": ["b"]}, "without": {"turn_back": 500}}});
-    let logged = LoggedGateway::start("cells-switch", &config, name_answer, Some(cells));
-    let mut client = Client::connect(&logged.gateway);
+    let logged_gateway = LoggedGateway::start("cells-switch", &config, name_answer, Some(cells));
+    let mut client = Client::connect(&logged_gateway.gateway);
 
-    logged.reload_settings(&config, &other_settings(&config["settings"]));
-    assert!(logged.reloads_soon(1));
+    logged_gateway.reload_settings(&config, &other_settings(&config["settings"]));
+    assert!(logged_gateway.eventually_reloads(1));
     for call in 1..20u64 {
         let tenant = ["t1", "t2"][call as usize % 2];
         let fields =
@@ -91,11 +94,11 @@
         assert_eq!(client.receive_rows().0, call);
     }
 
-    for (nth, (_, seen)) in engines.iter().enumerate() {
-        let calls = calls_received(seen);
+    for (index, (_, recorded_lines)) in engines.iter().enumerate() {
+        let calls = received_calls(recorded_lines);
         assert!(
-            !calls.is_empty() && calls.iter().all(|c| *c as usize % 2 == nth),
-            "engine {nth}: {calls:?}"
+            !calls.is_empty() && calls.iter().all(|call| *call as usize % 2 == index),
+            "engine {index}: {calls:?}"
         );
     }
 }
@@ -108,8 +111,13 @@
 }
 
 /// A list with one engine, in place of the whole former list.
-fn list_of_one_engine(revision: u32, name: &str, at: SocketAddr, machine_type: &str) -> Value {
-    let engine = json!({"instanceId": name, "hostPort": at.to_string(), "zone": "a", "machineType": machine_type,
+fn list_of_one_engine(
+    revision: u32,
+    name: &str,
+    engine_address: SocketAddr,
+    machine_type: &str,
+) -> Value {
+    let engine = json!({"instanceId": name, "hostPort": engine_address.to_string(), "zone": "a", "machineType": machine_type,
         "cell": 0, "lifecycle": "ready", "startedAtMs": 0});
     let pool = json!({"reset": true, "instances": [engine]});
     json!({"rev": revision, "notices": [{"rev": revision, "pool": pool}]})
@@ -119,22 +127,26 @@
 fn engine_list_that_changes_with_the_settings_is_read_by_the_new_machine_types() {
     // Machine types are indices: read by the former file's, a class would find no engine, or a wrong one.
     let (old_rows, new_rows) = ("old\t\t\n", "new\t\t\n");
-    let (old, _) = engine_with_rows(old_rows);
-    let (new, _) = engine_with_rows(new_rows);
-    let (config, name_answer) = gateway_config(1, class_on_machine_type(0), &[("e1", old)]);
-    let logged = LoggedGateway::start("list-switch", &config, name_answer, None);
-    let mut client = Client::connect(&logged.gateway);
-    let mut moved = config.clone();
-    moved["settings"]["machine_types"] = json!(["new", "m"]);
-    moved["settings"]["family_info"]["size_cores"] = json!([4, 16]);
-    moved["settings"]["classes"] = class_on_machine_type(0);
-    moved["known"] = list_of_one_engine(2, "e9", new, "new");
-    let mut back = config.clone();
-    back["known"] = list_of_one_engine(3, "e1", old, "m");
+    let (old_engine, _) = engine_with_rows(old_rows);
+    let (new_engine, _) = engine_with_rows(new_rows);
+    let (config, name_answer) = gateway_config(1, class_on_machine_type(0), &[("e1", old_engine)]);
+    let logged_gateway = LoggedGateway::start("list-switch", &config, name_answer, None);
+    let mut client = Client::connect(&logged_gateway.gateway);
+    let mut changed = config.clone();
+    changed["settings"]["machine_types"] = json!(["new", "m"]);
+    changed["settings"]["family_info"]["size_cores"] = json!([4, 16]);
+    changed["settings"]["classes"] = class_on_machine_type(0);
+    changed["known"] = list_of_one_engine(2, "e9", new_engine, "new");
+    let mut restored = config.clone();
+    restored["known"] = list_of_one_engine(3, "e1", old_engine, "m");
 
     let mut call = 0;
-    for (file, rows) in [(&config, old_rows), (&moved, new_rows), (&back, old_rows)] {
-        logged.reload_settings(file, &file["settings"]);
+    for (config_file, rows) in [
+        (&config, old_rows),
+        (&changed, new_rows),
+        (&restored, old_rows),
+    ] {
+        logged_gateway.reload_settings(config_file, &config_file["settings"]);
         assert!(becomes_true(|| {
             call += 1;
             client.send_call(call);
