--- a/crates/gateway/tests/switch/invalid_files.rs
+++ b/crates/gateway/tests/switch/invalid_files.rs
@@ -1,11 +1,11 @@
-//! A configuration file with an invalid member changes nothing, and the log names the member.
+//! A reload of a configuration file with an invalid member changes nothing, and the log names the member.
 
 use crate::reload::{other_settings, LoggedGateway, RELOAD_LOG_LINE};
 use crate::support::{engine_with_rows, idempotent_class, ROW};
 use ironstair_test_cluster::stub::{gateway_config, Client};
 use serde_json::{json, Value};
 
-/// Invalid values by JSON pointer, and the text by which the log names the member.
+/// JSON pointers to members, an invalid value of each, and the text with which the log names the member.
 fn invalid_members() -> Vec<(&'static str, Value, &'static str)> {
     vec![
         (
@@ -53,10 +53,12 @@
 
 #[test]
 fn invalid_file_leaves_the_settings_unchanged_and_the_log_names_the_member() {
+    // A file that is applied up to its first invalid member would leave the gateway with settings of two files. The
+    // classes of the valid file show which settings are in force: only that file has the class `load`.
     let (engine_address, _) = engine_with_rows(ROW);
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
     let (config, name_answer) = gateway_config(2, classes, &[("e1", engine_address)]);
-    let logged_gateway = LoggedGateway::start("bad", &config, name_answer, None);
+    let logged_gateway = LoggedGateway::start("invalid-files", &config, name_answer, None);
     let mut client = Client::connect(&logged_gateway.gateway);
     let valid = other_settings(&config["settings"]);
     for (pointer, value, member) in invalid_members() {
@@ -83,10 +85,10 @@
     assert_eq!(
         client.receive()["error"]["code"],
         -32014,
-        "out of service again"
+        "the former settings have no class load"
     );
 
-    // The same file again is no change.
+    // A reload of an unchanged file is not applied.
     logged_gateway.reload_settings(&config, &config["settings"]);
     client.send_call_of_class("lookup", 4);
     assert_eq!(client.receive_rows().0, 4);
--- a/crates/gateway/tests/switch/main.rs
+++ b/crates/gateway/tests/switch/main.rs
@@ -1,5 +1,5 @@
-//! A running gateway gets other settings by its configuration file, and the former ones back. Engines, clients and the
-//! name service are stubs on loopback.
+//! A running gateway reloads other settings from its configuration file, and then the former ones again. Engines,
+//! clients and the name service are stubs on loopback.
 
 #[path = "../support/mod.rs"]
 mod support;
--- a/crates/gateway/tests/switch/reload.rs
+++ b/crates/gateway/tests/switch/reload.rs
@@ -1,4 +1,4 @@
-//! Other settings, their reload, and a gateway whose log lines are recorded.
+//! A second set of settings, the reload of a file with given settings, and a gateway whose log lines are recorded.
 
 use ironstair_test_cluster::stub::{becomes_true, Gateway, NameServiceAnswer, RecordedLines};
 use serde_json::{json, Value};
@@ -9,8 +9,8 @@
 /// The log line of a reload that was applied.
 pub(crate) const RELOAD_LOG_LINE: &str = "configuration reloaded";
 
-/// Settings with one class more, a class of the same name with other threads and an effect, zones and machine types in
-/// another order, and members that the former settings did not have.
+/// Settings with one more class, a class of the same name with other threads that is not idempotent, zones and machine
+/// types in another order, and members that `settings` do not have.
 pub(crate) fn other_settings(settings: &Value) -> Value {
     let mut other = settings.clone();
     let class = |name: &str, semantics: &str| {
@@ -36,7 +36,7 @@
     other
 }
 
-/// Writes the configuration with these settings to the gateway's file, and signals a reload.
+/// Writes the configuration with these settings to the gateway's file, and has the gateway reload it.
 pub(crate) fn reload_settings(gateway: &Gateway, config: &Value, settings: &Value) {
     let mut config = config.clone();
     config["settings"] = settings.clone();
@@ -87,18 +87,18 @@
         reload_settings(&self.gateway, config, settings);
     }
 
-    /// The log lines that contain `text`.
+    /// The number of log lines that contain `text`.
     pub(crate) fn log_count(&self, text: &str) -> usize {
         let log_lines = self.log_lines.lock().unwrap();
         log_lines.iter().filter(|line| line.contains(text)).count()
     }
 
-    /// Whether a log line contains `text` within five seconds.
+    /// Waits until a log line contains `text`, at most five seconds. Returns whether one does.
     pub(crate) fn eventually_logs(&self, text: &str) -> bool {
         becomes_true(|| self.log_count(text) > 0)
     }
 
-    /// Whether this number of reloads is applied within five seconds.
+    /// Waits until this number of reloads has been applied, at most five seconds. Returns whether it has.
     pub(crate) fn eventually_reloads(&self, reload_count: usize) -> bool {
         becomes_true(|| self.log_count(RELOAD_LOG_LINE) == reload_count)
     }
--- a/crates/gateway/tests/switch/reload_under_load.rs
+++ b/crates/gateway/tests/switch/reload_under_load.rs
@@ -1,4 +1,4 @@
-//! Settings change there and back while clients keep requests in flight: no request is lost, and none is sent again
+//! Settings change back and forth while clients have requests in flight: no request is lost, and none is sent again
 //! without cause.
 
 use crate::reload::{other_settings, reload_settings};
@@ -19,11 +19,12 @@
 const CALLS_PER_ROUND: u64 = 6;
 const CLASSES: [&str; 3] = ["lookup", "report", "load"];
 
-/// How long the engines work on a request.
+/// The time that the engines take to answer a request.
 const SERVICE_TIME: Duration = Duration::from_millis(4);
 
-/// The policy withdraws an unanswered attempt from five times the service time on, by its own estimate of that time.
-/// The estimate leans to the best pace by a third of a request, so the bound here is a little lower than five times.
+/// The policy withdraws an unanswered attempt after five times the service time, by its own estimate of that time. The
+/// estimate is weighted towards the best pace by a third of a request, so the bound here is a little lower than five
+/// times [`SERVICE_TIME`].
 const EARLIEST_WITHDRAWAL: Duration = Duration::from_millis(15);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,18 +48,19 @@
 }
 
 impl Attempt {
-    /// Whether the settings by which the request was accepted allow a second attempt: the zone tells them apart.
+    /// Whether the settings under which the request was accepted allow a second attempt. The zone of the engine shows
+    /// which settings those were.
     fn is_idempotent(&self) -> bool {
         match self.class.as_str() {
             "lookup" => true,
             "report" => self.zone == "a",
             "load" => false,
-            class => panic!("class {class} is in no settings"),
+            class => panic!("class {class} is in neither of the settings"),
         }
     }
 }
 
-/// The lines that the engines have received about one request.
+/// The attempts of one request that the engines have received, and the times of their withdrawals.
 #[derive(Default)]
 struct ReceivedLines {
     attempts: Vec<Attempt>,
@@ -66,19 +68,19 @@
 }
 
 impl ReceivedLines {
-    /// Whether each attempt that brought no answer was withdrawn.
+    /// Whether each attempt was withdrawn, other than the one that returned rows.
     fn are_unanswered_attempts_withdrawn(&self, answer: AnswerKind) -> bool {
         let answered_attempts = usize::from(answer == AnswerKind::Rows);
         self.withdrawals.len() + answered_attempts >= self.attempts.len()
     }
 }
 
-/// The id under which the engines see a call.
+/// The request id of a call, as the engines receive it.
 fn request_id_of_call(call: u64) -> String {
     format!("{call:016x}")
 }
 
-/// An engine that answers after [`SERVICE_TIME`], and records attempts and withdrawals.
+/// Starts an engine that answers after [`SERVICE_TIME`], and records attempts and withdrawals.
 fn recording_engine(zone: &'static str, received: &ReceivedLinesById) -> SocketAddr {
     let received = received.clone();
     let (address, _) = start_engine(move |line, _| {
@@ -109,8 +111,8 @@
     }
 }
 
-/// Settings under which `report` is idempotent and confined to zone a, and others under which it is non-idempotent and
-/// confined to zone b: the zone of the engine shows by which of them a request was accepted.
+/// Returns settings under which `report` is idempotent and confined to zone a, and second settings under which it is
+/// non-idempotent and confined to zone b. The zone of the engine shows under which settings a request was accepted.
 fn settings_with_report_by_zone(config: &mut Value) -> (Value, Value) {
     for endpoint in config["known"]["notices"][0]["pool"]["instances"]
         .as_array_mut()
@@ -128,10 +130,11 @@
     (config["settings"].clone(), second_settings)
 }
 
-/// Applies the second settings until a call of class `load` is answered. Calls of a class that no settings ever had
-/// are protocol errors, of which a connection may make few; after this the class is known, and only out of service.
+/// Applies the second settings until a call of class `load` is answered. A call of a class that no settings ever had is
+/// a protocol error, and a connection is closed after a few of those. From here on the class is known, and its calls are
+/// rejected while the first settings are in force.
 fn make_load_class_known(gateway: &Gateway, config: &Value, second_settings: &Value) {
-    // A reload signal before the gateway accepts connections would end it.
+    // A reload signal before the gateway accepts connections would end its process.
     drop(Client::connect(gateway));
     reload_settings(gateway, config, second_settings);
     let mut attempts = 0;
@@ -156,7 +159,7 @@
     answers.entry(call).or_default().push(kind);
 }
 
-/// Sends six calls of all classes at a time, and reads their answers.
+/// Starts a client that in each round sends six calls, of all classes, and reads their answers.
 fn spawn_client(
     client_number: u64,
     mut client: Client,
@@ -181,7 +184,7 @@
     })
 }
 
-/// Reloads the second and the first settings by turns, now and then twice with the same file.
+/// Reloads the second and the first settings by turns. Every third time a second signal reloads the same file.
 fn alternate_settings_eight_times(
     gateway: &Gateway,
     config: &Value,
@@ -205,10 +208,11 @@
     }
 }
 
-/// Rule 2: a non-idempotent request has one attempt. An idempotent one has another only after the withdrawal of the
-/// one before, which the policy may ask for once the answer is late. A withdrawal that the engine reads sooner after
-/// the client's call had no cause, however slow the machine is: every delay adds to the time measured here. A request
-/// that was sent and rejected all the same was withdrawn as often as it was sent, and returned to its queue.
+/// Asserts rule 2: a non-idempotent request has one attempt. An idempotent one has another attempt only after the
+/// withdrawal of the previous one, which the policy may send once the answer is late. A withdrawal that the engine
+/// reads earlier than [`EARLIEST_WITHDRAWAL`] after the client's call had no cause, however slow the machine is: every delay
+/// adds to the time measured here. A request that was sent and then rejected was withdrawn as often as it was sent, and
+/// returned to its queue.
 fn assert_attempts_allowed(
     request: &str,
     received: &ReceivedLines,
@@ -222,7 +226,7 @@
         assert_eq!(
             (attempts.len(), withdrawals, answer),
             (1, 0, AnswerKind::Rows),
-            "{request}: {first_attempt:?} has an effect"
+            "{request}: {first_attempt:?} is not idempotent"
         );
     }
     assert!(
@@ -241,12 +245,12 @@
 
 fn assert_each_answered_once(answers: &BTreeMap<u64, Vec<AnswerKind>>) {
     let calls = CLIENTS * ROUNDS * CALLS_PER_ROUND;
-    assert_eq!(answers.len() as u64, calls, "each call is answered");
+    assert_eq!(answers.len() as u64, calls, "number of answered calls");
     assert!(
         answers
             .values()
             .all(|answers_of_call| answers_of_call.len() == 1),
-        "once"
+        "a call has more than one answer"
     );
     let count = |kind: AnswerKind| {
         answers
@@ -263,8 +267,8 @@
     );
 }
 
-/// Waits until the engines have read the withdrawals: those come by another connection than the next attempt, and may
-/// be read last. The assertions that follow fail if some are missing.
+/// Waits until the engines have read the withdrawals. Those are sent over another connection than the next attempt, and
+/// may be read last. The assertions that follow fail if some are missing.
 fn wait_for_withdrawals(answers: &BTreeMap<u64, Vec<AnswerKind>>, received: &ReceivedLinesById) {
     becomes_true(|| {
         let received = received.lock().unwrap();
@@ -289,7 +293,7 @@
             None => assert_eq!(
                 answer[0],
                 AnswerKind::Rejected,
-                "{request} was answered, and never sent"
+                "{request} was answered but never sent"
             ),
         }
     }
@@ -301,14 +305,14 @@
     assert_eq!(
         requests_without_call.count(),
         1,
-        "the call before the load alone"
+        "only the call of make_load_class_known was made besides the clients' calls"
     );
 }
 
 #[test]
-fn settings_change_under_load_and_back_with_nothing_lost_or_sent_again_without_cause() {
-    // A request in flight must not lose its class, queue or answer with the index of its class, and one with an effect
-    // must not be sent again.
+fn settings_change_under_load_loses_no_request_and_sends_none_again_without_cause() {
+    // A change of settings gives the classes new indices. A request in flight that is looked up by its former index may
+    // lose its queue or its answer, or be treated as a request of an idempotent class and sent again.
     let received = ReceivedLinesById::default();
     let engines = [("e1", "a"), ("e2", "a"), ("e3", "b"), ("e4", "b")]
         .map(|(name, zone)| (name, recording_engine(zone, &received)));
--- a/crates/gateway/tests/switch/scope_of_a_reload.rs
+++ b/crates/gateway/tests/switch/scope_of_a_reload.rs
@@ -1,5 +1,5 @@
-//! Which parts of a gateway a reload changes: limits of its connections and the list of engines, not its cells, and no
-//! settings where management is on.
+//! What a reload changes: the limits of client connections and the engine list. It does not change the cells, nor any
+//! settings while management is on.
 
 use crate::reload::{other_settings, LoggedGateway, RELOAD_LOG_LINE};
 use crate::support::{
@@ -15,12 +15,12 @@
 use std::time::Duration;
 
 #[test]
-fn limit_that_the_policy_does_not_read_is_reloaded_too() {
-    // A file that changes nothing for the policy must not be taken for an unchanged file.
+fn connection_limit_that_the_policy_does_not_read_is_reloaded() {
+    // A file whose changes do not concern the policy must not be taken for an unchanged file.
     let (engine_address, _) = engine_with_latency(Duration::from_millis(300));
     let classes = json!([idempotent_class("lookup")]);
     let (config, name_answer) = gateway_config(1, classes, &[("e1", engine_address)]);
-    let logged_gateway = LoggedGateway::start("carriage", &config, name_answer, None);
+    let logged_gateway = LoggedGateway::start("connection-limit", &config, name_answer, None);
     let mut client = Client::connect(&logged_gateway.gateway);
     let mut one_open = config["settings"].clone();
     one_open["policy_limits"]["max_open"] = json!(1);
@@ -28,7 +28,11 @@
     logged_gateway.reload_settings(&config, &one_open);
     assert!(logged_gateway.eventually_reloads(1));
     (1..3).for_each(|call| client.send_call(call));
-    assert_eq!(client.receive()["error"]["code"], -32014, "one may be open");
+    assert_eq!(
+        client.receive()["error"]["code"],
+        -32014,
+        "the limit is one open call"
+    );
     assert_eq!(client.receive_rows().0, 1);
 
     logged_gateway.reload_settings(&config, &config["settings"]);
@@ -38,8 +42,8 @@
 }
 
 #[test]
-fn reload_under_management_moves_the_name_service_only() {
-    // A commit by management and the settings of the file must not contradict each other.
+fn reload_changes_only_the_name_service_when_management_is_on() {
+    // The settings of the file must not override what was committed over gNMI.
     let (engine_address, _) = engine_with_rows(ROW);
     let classes = json!([idempotent_class("lookup"), idempotent_class("report")]);
     let (config, name_answer) = gateway_config(1, classes, &[("e1", engine_address)]);
@@ -56,13 +60,17 @@
         || logged_gateway.log_count(ignored) == 1 && logged_gateway.log_count(changed) == 1
     ));
     client.send_call_of_class("load", 1);
-    assert_eq!(client.receive()["error"]["code"], -32601, "never known");
+    assert_eq!(
+        client.receive()["error"]["code"],
+        -32601,
+        "class load is unknown, so the settings are unchanged"
+    );
     client.send_call_of_class("lookup", 2);
     assert_eq!(client.receive_rows().0, 2);
     assert_eq!(logged_gateway.log_count(RELOAD_LOG_LINE), 0);
 }
 
-/// The calls that an engine received.
+/// The calls of which an engine received an attempt.
 fn received_calls(recorded_lines: &RecordedLines) -> Vec<u64> {
     let recorded_lines = recorded_lines.lock().unwrap();
     let fetches = recorded_lines
@@ -74,7 +82,9 @@
 }
 
 #[test]
-fn cells_of_the_operators_file_are_kept_by_a_reload() {
+fn cells_of_the_operator_file_stay_in_force_after_a_reload() {
+    // The configuration file says nothing about cells. A reload that dropped them would let a tenant's requests reach
+    // the engines of another cell.
     let engines = [engine_with_rows(ROW), engine_with_rows(ROW)];
     let classes = json!([idempotent_class("lookup")]);
     let listed = [("e1", engines[0].0), ("e2", engines[1].0)];
@@ -103,29 +113,25 @@
     }
 }
 
-/// The class list with one class that may run on one machine type.
+/// A class list of one class, which may run on one machine type.
 fn class_on_machine_type(index: u16) -> Value {
     let mut class = idempotent_class("lookup");
     class["machine_types_allowed"] = json!([index]);
     json!([class])
 }
 
-/// A list with one engine, in place of the whole former list.
-fn list_of_one_engine(
-    revision: u32,
-    name: &str,
-    engine_address: SocketAddr,
-    machine_type: &str,
-) -> Value {
-    let engine = json!({"instanceId": name, "hostPort": engine_address.to_string(), "zone": "a", "machineType": machine_type,
+/// An engine list of one engine, which replaces the whole former list.
+fn list_of_one_engine(revision: u32, name: &str, address: SocketAddr, machine_type: &str) -> Value {
+    let engine = json!({"instanceId": name, "hostPort": address.to_string(), "zone": "a", "machineType": machine_type,
         "cell": 0, "lifecycle": "ready", "startedAtMs": 0});
     let pool = json!({"reset": true, "instances": [engine]});
     json!({"rev": revision, "notices": [{"rev": revision, "pool": pool}]})
 }
 
 #[test]
-fn engine_list_that_changes_with_the_settings_is_read_by_the_new_machine_types() {
-    // Machine types are indices: read by the former file's, a class would find no engine, or a wrong one.
+fn engine_list_that_changes_with_the_settings_is_read_with_the_new_machine_types() {
+    // Classes and engines refer to machine types by index. With the indices of the former file, a class would find no
+    // engine or a wrong one.
     let (old_rows, new_rows) = ("old\t\t\n", "new\t\t\n");
     let (old_engine, _) = engine_with_rows(old_rows);
     let (new_engine, _) = engine_with_rows(new_rows);
--- a/crates/gateway/tests/switch/unanswered_requests.rs
+++ b/crates/gateway/tests/switch/unanswered_requests.rs
@@ -15,14 +15,15 @@
 
 /// The statement of requests whose first attempt the engine never answers.
 const UNANSWERED_STATEMENT: &str = "select held";
-/// Time in which the policy learns the class's usual service time: until then an answer is late only after seconds.
+/// Time in which the policy learns the usual service time of the class. Before that, an answer counts as late only
+/// after seconds.
 const LEARNING_TIME: Duration = Duration::from_millis(300);
-/// Time for which other requests overtake the held one.
+/// Time for which other requests overtake the unanswered one.
 const OVERTAKING_TIME: Duration = Duration::from_millis(700);
-/// Before the hard limit of 4 s, at which the request is answered and withdrawn in any case.
+/// A time before the hard limit of 4 s, at which the request is answered and withdrawn in any case.
 const BEFORE_HARD_LIMIT: Duration = Duration::from_secs(3);
 
-/// An engine that never answers the first attempt of a request with the statement [`UNANSWERED_STATEMENT`].
+/// Starts an engine that never answers the first attempt of a request with the statement [`UNANSWERED_STATEMENT`].
 fn engine_that_never_answers_first_attempt() -> (SocketAddr, RecordedLines) {
     let unanswered_ids = Mutex::new(BTreeSet::new());
     start_engine(move |line, body| {
@@ -62,7 +63,7 @@
     attempt_count(recorded_lines, call) > 1 || is_withdrawn && is_before_limit
 }
 
-/// Sends the held request, and waits until its first attempt has arrived.
+/// Sends a request that the engine leaves unanswered, and waits until the engine has received its first attempt.
 fn send_unanswered_request(
     client: &mut Client,
     class: &str,
@@ -73,7 +74,7 @@
     assert!(becomes_true(|| attempt_count(recorded_lines, call) == 1));
 }
 
-/// A client whose answered requests overtake the held one.
+/// A client whose answered requests overtake the unanswered one.
 struct OvertakingClient {
     client: Client,
     last_call: u64,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Asks one request after the other until the time is up or `condition` holds. Returns whether it holds.
+    /// Makes one call after the other until the time is up or `condition` holds. Returns whether it holds.
     fn overtake(&mut self, class: &str, duration: Duration, condition: impl Fn() -> bool) -> bool {
         let deadline = Instant::now() + duration;
         while Instant::now() < deadline && !condition() {
@@ -103,15 +104,15 @@
     }
 }
 
-/// A class whose objective is far beyond the time at which an answer counts as late here: from the objective on an
-/// attempt counts as overdue, and is waited for.
+/// The settings of a class whose objective is long after the time at which an answer counts as late here. Once the
+/// objective has passed, an attempt counts as overdue, and the policy waits for it instead of sending another.
 fn class_with_late_objective(name: &str, semantics: &str) -> Value {
     json!({"name": name, "slo_ns": 3e9, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
 }
 
 #[test]
 fn unanswered_request_is_sent_again_only_if_it_was_accepted_as_idempotent() {
-    // A request with an effect must not be sent again, also where its class is idempotent by then.
+    // A non-idempotent request must not be sent again, even if a reload has made its class idempotent in the meantime.
     let (engine_address, recorded_lines) = engine_that_never_answers_first_attempt();
     let idempotent = json!([
         class_with_late_objective("lookup", "pure"),
@@ -120,7 +121,7 @@
     let (config, name_answer) = gateway_config(1, idempotent, &[("e1", engine_address)]);
     let mut non_idempotent = config["settings"].clone();
     non_idempotent["classes"][1] = class_with_late_objective("report", "side_effect");
-    let logged_gateway = LoggedGateway::start("held", &config, name_answer, None);
+    let logged_gateway = LoggedGateway::start("unanswered", &config, name_answer, None);
     let mut waiting_client = Client::connect(&logged_gateway.gateway);
     let mut overtaking_client = OvertakingClient::new(Client::connect(&logged_gateway.gateway));
 
@@ -129,11 +130,11 @@
     let is_sent_again = || attempt_count(&recorded_lines, 1) > 1;
     assert!(overtaking_client.overtake("report", Duration::from_secs(5), is_sent_again));
     assert_eq!(waiting_client.receive_rows().0, 1);
-    // A withdrawal comes by another connection than the next attempt: it may be read last.
+    // A withdrawal is sent over another connection than the next attempt, and may be read after it.
     let attempts = attempt_count(&recorded_lines, 1);
     assert!(
         becomes_true(|| line_count(&recorded_lines, "abort", 1) + 1 >= attempts),
-        "each withdrawn but the last"
+        "each attempt but the last was withdrawn"
     );
 
     logged_gateway.reload_settings(&config, &non_idempotent);
@@ -144,25 +145,25 @@
     let is_sent_again = || was_sent_again_or_withdrawn(&recorded_lines, 2, sent_at);
     assert!(
         !overtaking_client.overtake("report", OVERTAKING_TIME, is_sent_again),
-        "has an effect"
+        "the class is not idempotent"
     );
     logged_gateway.reload_settings(&config, &config["settings"]);
     assert!(logged_gateway.eventually_reloads(2));
     assert!(
         !overtaking_client.overtake("report", OVERTAKING_TIME, is_sent_again),
-        "had when accepted"
+        "the class was not idempotent when the request was accepted"
     );
     assert_eq!(
         waiting_client.receive()["error"]["code"],
         FAILED,
-        "whether it ran is unknown"
+        "whether the request ran is unknown"
     );
     assert_eq!(attempt_count(&recorded_lines, 2), 1);
 }
 
 #[test]
-fn idempotent_request_that_nothing_overtook_is_not_sent_again() {
-    // Where an engine is slow with every request, further attempts would only add to its load.
+fn idempotent_request_is_not_sent_again_when_no_request_overtook_it() {
+    // If an engine is slow with every request, further attempts would only add to its load.
     let (engine_address, recorded_lines) = engine_that_never_answers_first_attempt();
     let classes = json!([idempotent_class("lookup")]);
     let (config, name_answer) = gateway_config(1, classes, &[("e1", engine_address)]);
