--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,9 +1,8 @@
 //! Tenants confined to cells, at a gateway process between stubs on loopback.
 
-use ironstair_test_cluster::stub as common;
 mod managed;
 
-use common::{
+use ironstair_test_cluster::stub::{
     done_reply, engine_list_answer, gateway_config, request_id, start_engine,
     start_gateway_with_config, Client, Gateway, RecordedLines,
 };
@@ -34,20 +33,24 @@
 }
 
 /// An engine that settles every request.
-struct SettlingEngine {
+struct AnsweringEngine {
     address: SocketAddr,
-    seen: RecordedLines,
+    recorded_lines: RecordedLines,
 }
 
-impl SettlingEngine {
-    fn start() -> SettlingEngine {
-        let (address, seen) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-        SettlingEngine { address, seen }
+impl AnsweringEngine {
+    fn start() -> AnsweringEngine {
+        let (address, recorded_lines) =
+            start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+        AnsweringEngine {
+            address,
+            recorded_lines,
+        }
     }
 
     /// The calls of which an attempt reached this engine.
     fn calls(&self) -> BTreeSet<u64> {
-        let lines = self.seen.lock().unwrap();
+        let lines = self.recorded_lines.lock().unwrap();
         let fetches = lines.iter().filter(|line| line.starts_with("fetch"));
         fetches
             .map(|line| u64::from_str_radix(request_id(line), 16).unwrap())
@@ -55,8 +58,8 @@
     }
 }
 
-fn start_with_two_engines(test: &str, operator: Option<Value>) -> (Gateway, [SettlingEngine; 2]) {
-    let engines = [SettlingEngine::start(), SettlingEngine::start()];
+fn start_with_two_engines(test: &str, operator: Option<Value>) -> (Gateway, [AnsweringEngine; 2]) {
+    let engines = [AnsweringEngine::start(), AnsweringEngine::start()];
     let named_engines = [("e1", engines[0].address), ("e2", engines[1].address)];
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let (config, name_answer) = gateway_config(1, json!([class]), &named_engines);
@@ -67,7 +70,7 @@
 }
 
 /// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, fifteen open at a time, and waits for their rows.
-fn play_two_tenants(client: &mut Client) {
+fn make_calls_of_two_tenants(client: &mut Client) {
     for batch in 0..4 {
         for index in 0..15 {
             let call = 1 + batch * 15 + index;
@@ -82,7 +85,7 @@
 fn requests_of_a_tenant_reach_only_engines_of_its_cell() {
     let (gateway, engines) =
         start_with_two_engines("cells", Some(two_cells(json!({"turn_back": 500}))));
-    play_two_tenants(&mut Client::connect(&gateway));
+    make_calls_of_two_tenants(&mut Client::connect(&gateway));
     assert_eq!(engines[0].calls(), (1..=30).collect());
     assert_eq!(engines[1].calls(), (31..=60).collect());
 }
@@ -90,7 +93,7 @@
 #[test]
 fn control_without_cells_both_tenants_reach_the_same_engines() {
     let (gateway, engines) = start_with_two_engines("cells-off", None);
-    play_two_tenants(&mut Client::connect(&gateway));
+    make_calls_of_two_tenants(&mut Client::connect(&gateway));
     let engines_reached_by = |calls: std::ops::RangeInclusive<u64>| {
         engines
             .iter()
@@ -122,7 +125,7 @@
 
 #[test]
 fn cell_without_ready_engine_rejects_or_lends_at_once_and_affects_no_other() {
-    for (test, without_capacity, expected_lent) in [
+    for (test, without_capacity, expected_lent_count) in [
         ("cells-back", json!({"turn_back": 500}), 0),
         ("cells-lend", json!({"lend": 0.5}), 10),
     ] {
@@ -133,23 +136,26 @@
         let mut client = Client::connect(&gateway);
         wait_until_cell_has_no_engine(&mut client);
         let calls_before = engines[0].calls();
-        let mut lent: u32 = 0;
-        let since = Instant::now();
+        let mut lent_count: u32 = 0;
+        let started_at = Instant::now();
         for call in 1..=20 {
             call_for_tenant(&mut client, "lookup", call, "t1");
-            lent += client.receive()["result"].is_object() as u32;
+            lent_count += client.receive()["result"].is_object() as u32;
             call_for_tenant(&mut client, "lookup", 100 + call, "t2");
             assert_eq!(client.receive_rows().0, 100 + call);
             call_for_tenant(&mut client, "lookup", 200 + call, "both");
             assert_eq!(client.receive_rows().0, 200 + call);
         }
-        assert!(since.elapsed() < Duration::from_secs(2), "at once");
+        assert!(started_at.elapsed() < Duration::from_secs(2), "at once");
         assert_eq!(
             engines[0].calls(),
             calls_before,
             "nothing new to a draining engine"
         );
-        assert!(lent.abs_diff(expected_lent) <= 1, "{lent} lent");
+        assert!(
+            lent_count.abs_diff(expected_lent_count) <= 1,
+            "{lent_count} lent"
+        );
     }
 }
 
@@ -158,7 +164,7 @@
 
 struct ReceivedAttempt {
     line: String,
-    at: Instant,
+    received_at: Instant,
 }
 
 /// An engine that closes the connection at every n-th attempt.
@@ -178,7 +184,7 @@
             }
             shared.lock().unwrap().push(ReceivedAttempt {
                 line: line.to_owned(),
-                at: Instant::now(),
+                received_at: Instant::now(),
             });
             std::thread::sleep(Duration::from_millis(3));
             match attempt_count.fetch_add(1, Ordering::Relaxed) % fails_every == fails_every - 1 {
@@ -245,30 +251,30 @@
 /// # Panics
 ///
 /// At a second answer to a call.
-fn play_client(mut client: Client, client_index: u64) -> u32 {
+fn make_calls_of_client(mut client: Client, client_index: u64) -> u32 {
     let tenant = match client_index < CLIENTS_OF_FIRST_TENANT {
         true => "t1",
         false => "t2",
     };
-    let mut open = BTreeSet::new();
-    let mut settled = 0;
-    let mut requested = 0;
+    let mut open_calls = BTreeSet::new();
+    let mut settled_count = 0;
+    let mut sent_count = 0;
     for _ in 0..CALLS_PER_CLIENT {
-        while requested < CALLS_PER_CLIENT && open.len() < MAX_OPEN_CALLS {
-            requested += 1;
-            let call = client_index * CALL_IDS_PER_CLIENT + requested;
-            let class = ["lookup", "post"][requested as usize % 2];
+        while sent_count < CALLS_PER_CLIENT && open_calls.len() < MAX_OPEN_CALLS {
+            sent_count += 1;
+            let call = client_index * CALL_IDS_PER_CLIENT + sent_count;
+            let class = ["lookup", "post"][sent_count as usize % 2];
             call_for_tenant(&mut client, class, call, tenant);
-            open.insert(call);
+            open_calls.insert(call);
         }
         let answer = client.receive();
         assert!(
-            open.remove(&answer["id"].as_u64().unwrap()),
+            open_calls.remove(&answer["id"].as_u64().unwrap()),
             "a second answer: {answer}"
         );
-        settled += answer["result"].is_object() as u32;
+        settled_count += answer["result"].is_object() as u32;
     }
-    settled
+    settled_count
 }
 
 /// Migrations to a cell that doesn't exist or has no ready engine are refused.
@@ -317,7 +323,7 @@
 
 /// Each tenant's attempts reached engines of its cells alone, and none of class `post` was sent twice. Returns when
 /// the last attempt reached cell a.
-fn check_attempts(engines: &[FailingEngine], is_migrated: bool) -> Option<Instant> {
+fn assert_attempts_in_cells(engines: &[FailingEngine], is_migrated: bool) -> Option<Instant> {
     let first_call_of_second_tenant = CLIENTS_OF_FIRST_TENANT * CALL_IDS_PER_CLIENT;
     let mut attempts_by_request: BTreeMap<String, u32> = BTreeMap::new();
     let mut last_in_cell_a = None;
@@ -338,7 +344,7 @@
                     .or_default() += 1;
             }
             if ENGINES_OF_CELL_A.contains(&index) {
-                last_in_cell_a = last_in_cell_a.max(Some(attempt.at));
+                last_in_cell_a = last_in_cell_a.max(Some(attempt.received_at));
             }
             assert!(
                 is_migrated || !ENGINES_OF_CELL_B.contains(&index),
@@ -354,13 +360,13 @@
 }
 
 /// Plays both tenants' calls. If `is_migrated`, tenant t1 is migrated from cell a to cell b meanwhile.
-fn play_tenants_beside_failing_engines(test: &str, is_migrated: bool) {
+fn run_tenants_with_failing_engines(test: &str, is_migrated: bool) {
     let engines = FAILS_EVERY.map(FailingEngine::start);
     let (gateway, management) = start_gateway_of_three_cells(test, &engines);
     let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|client_index| {
             let client = Client::connect(&gateway);
-            std::thread::spawn(move || play_client(client, client_index))
+            std::thread::spawn(move || make_calls_of_client(client, client_index))
         })
         .collect();
     std::thread::sleep(Duration::from_millis(80));
@@ -368,23 +374,26 @@
         assert_impossible_migrations_are_refused(management);
         migrate_first_tenant(management)
     });
-    let settled: Vec<u32> = clients
+    let settled_counts: Vec<u32> = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .collect();
     assert!(
-        settled[CLIENTS_OF_FIRST_TENANT as usize..]
+        settled_counts[CLIENTS_OF_FIRST_TENANT as usize..]
             .iter()
             .all(|count| u64::from(*count) == CALLS_PER_CLIENT),
-        "the other tenant is settled throughout: {settled:?}"
+        "the other tenant is settled throughout: {settled_counts:?}"
+    );
+    assert!(
+        settled_counts.iter().sum::<u32>() > 1000,
+        "{settled_counts:?}"
     );
-    assert!(settled.iter().sum::<u32>() > 1000, "{settled:?}");
-    let last_in_cell_a = check_attempts(&engines, is_migrated);
-    if let (Some(migrated_at), Some(last)) = (migrated_at, last_in_cell_a) {
+    let last_in_cell_a = assert_attempts_in_cells(&engines, is_migrated);
+    if let (Some(migrated_at), Some(last_attempt_at)) = (migrated_at, last_in_cell_a) {
         assert!(
-            last < migrated_at + LATE_ATTEMPT_TOLERANCE,
+            last_attempt_at < migrated_at + LATE_ATTEMPT_TOLERANCE,
             "{:?} after the migration",
-            last - migrated_at
+            last_attempt_at - migrated_at
         );
         let in_cell_b: usize = engines[ENGINES_OF_CELL_B]
             .iter()
@@ -397,10 +406,10 @@
 /// Case 1 of the design.
 #[test]
 fn tenant_migrates_under_load_while_engines_of_both_cells_fail() {
-    play_tenants_beside_failing_engines("cells-move", true);
+    run_tenants_with_failing_engines("cells-move", true);
 }
 
 #[test]
 fn control_requests_of_a_tenant_that_does_not_migrate_stay_in_its_cell() {
-    play_tenants_beside_failing_engines("cells-stay", false);
+    run_tenants_with_failing_engines("cells-stay", false);
 }
--- a/crates/gateway/tests/example_config.rs
+++ b/crates/gateway/tests/example_config.rs
@@ -3,13 +3,13 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-fn example(name: &str) -> PathBuf {
+fn example_file(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("../../deploy/example")
         .join(name)
 }
 
-fn check(arguments: &[&str]) -> Output {
+fn run_check(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_ironstair"))
         .env_remove("ROUTER_CONFIG")
         .arg("check")
@@ -20,9 +20,9 @@
 
 #[test]
 fn sample_configuration_and_operators_file_pass_the_check() {
-    let config = example("config.json");
-    let operator = example("operator.json");
-    let output = check(&[
+    let config = example_file("config.json");
+    let operator = example_file("operator.json");
+    let output = run_check(&[
         config.to_str().expect("a path in UTF-8"),
         "--operator",
         operator.to_str().expect("a path in UTF-8"),
--- a/crates/gateway/tests/switch/reload_under_load.rs
+++ b/crates/gateway/tests/switch/reload_under_load.rs
@@ -131,8 +131,8 @@
 }
 
 /// Applies the second settings until a call of class `load` is answered. A call of a class that no settings ever had is
-/// a protocol error, and a connection is closed after a few of those. From here on the class is known, and its calls are
-/// rejected while the first settings are in force.
+/// a protocol error, and a connection is closed after a few of those. From here on the class is known, and its calls
+/// are rejected while the first settings are in force.
 fn make_load_class_known(gateway: &Gateway, config: &Value, second_settings: &Value) {
     // A reload signal before the gateway accepts connections would end its process.
     drop(Client::connect(gateway));
@@ -210,9 +210,9 @@
 
 /// Asserts rule 2: a non-idempotent request has one attempt. An idempotent one has another attempt only after the
 /// withdrawal of the previous one, which the policy may send once the answer is late. A withdrawal that the engine
-/// reads earlier than [`EARLIEST_WITHDRAWAL`] after the client's call had no cause, however slow the machine is: every delay
-/// adds to the time measured here. A request that was sent and then rejected was withdrawn as often as it was sent, and
-/// returned to its queue.
+/// reads earlier than [`EARLIEST_WITHDRAWAL`] after the client's call had no cause, however slow the machine is: every
+/// delay adds to the time measured here. A request that was sent and then rejected was withdrawn as often as it was
+/// sent, and returned to its queue.
 fn assert_attempts_allowed(
     request: &str,
     received: &ReceivedLines,
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -54,14 +54,14 @@
     }
 }
 
-fn removed(pointer: &'static str) -> Edit {
+fn removal(pointer: &'static str) -> Edit {
     Edit {
         pointer,
         value: None,
     }
 }
 
-fn replaced(pointer: &'static str, value: Value) -> Edit {
+fn replacement(pointer: &'static str, value: Value) -> Edit {
     Edit {
         pointer,
         value: Some(value),
@@ -71,119 +71,121 @@
 /// Edits of a class that are refused.
 fn refused_class_edits() -> Vec<Edit> {
     vec![
-        replaced("/band", json!([])),
-        removed("/band/0/expected"),
-        replaced("/band/0/expected", json!(0)),
-        replaced("/band/0/expected", json!(3_600_001)),
-        replaced("/band/0/expected", json!("soon")),
-        replaced("/band/0/expected-stretch", json!("1.2345")),
-        replaced("/band/0/expected-stretch", json!("-1.0")),
-        replaced("/band/0/hard-limit", json!(999)),
-        removed("/band/0/hard-limit"),
-        replaced("/band/0/payoff", json!("0.0")),
-        replaced("/band/0/payoff", json!("1.0000001")),
-        removed("/band/0/payoff"),
-        replaced("/band/0/threads", json!(0)),
-        replaced("/band/0/threads", json!(70_000)),
-        replaced("/band/0/repeat", json!("twice")),
-        removed("/band/0/repeat"),
-        replaced("/band/0/within", json!("zone")),
-        replaced("/band/0/window", json!(5)),
-        replaced("/band/0/in-order", json!("perhaps")),
-        replaced("/band/0/zone", json!(["a", "a"])),
-        replaced("/band/0/zone", json!([""])),
-        replaced("/band/0/kind", json!(["no name"])),
-        replaced("/band/0/name", json!("report")),
-        replaced("/band/0/name", json!("1st")),
-        removed("/band/0/name"),
-        replaced("/band/0/colour", json!("red")),
+        replacement("/band", json!([])),
+        removal("/band/0/expected"),
+        replacement("/band/0/expected", json!(0)),
+        replacement("/band/0/expected", json!(3_600_001)),
+        replacement("/band/0/expected", json!("soon")),
+        replacement("/band/0/expected-stretch", json!("1.2345")),
+        replacement("/band/0/expected-stretch", json!("-1.0")),
+        replacement("/band/0/hard-limit", json!(999)),
+        removal("/band/0/hard-limit"),
+        replacement("/band/0/payoff", json!("0.0")),
+        replacement("/band/0/payoff", json!("1.0000001")),
+        removal("/band/0/payoff"),
+        replacement("/band/0/threads", json!(0)),
+        replacement("/band/0/threads", json!(70_000)),
+        replacement("/band/0/repeat", json!("twice")),
+        removal("/band/0/repeat"),
+        replacement("/band/0/within", json!("zone")),
+        replacement("/band/0/window", json!(5)),
+        replacement("/band/0/in-order", json!("perhaps")),
+        replacement("/band/0/zone", json!(["a", "a"])),
+        replacement("/band/0/zone", json!([""])),
+        replacement("/band/0/kind", json!(["no name"])),
+        replacement("/band/0/name", json!("report")),
+        replacement("/band/0/name", json!("1st")),
+        removal("/band/0/name"),
+        replacement("/band/0/colour", json!("red")),
     ]
 }
 
 /// Edits of other settings that are refused.
 fn refused_settings_edits() -> Vec<Edit> {
     vec![
-        replaced("/gateways", json!(0)),
-        removed("/gateways"),
-        replaced("/forwards-most", json!(256)),
-        replaced("/advice", json!(86_400_001)),
-        replaced("/ration", json!({"spare": 1})),
-        replaced("/ration", json!({"spare": 1, "share": "11.0", "span": 10})),
-        replaced("/ration", json!({"spare": 1, "share": "0.1", "span": 0})),
-        removed("/cold"),
-        replaced("/cold/from", json!("0.0")),
-        replaced("/cold/multiple", json!("0.05")),
-        replaced("/cold/span", json!(600_001)),
-        replaced("/cold/warm-after", json!(-1)),
-        replaced("/log/level", json!("loud")),
-        replaced("/log", json!({"colour": true})),
-        replaced("/ration", json!({})),
+        replacement("/gateways", json!(0)),
+        removal("/gateways"),
+        replacement("/forwards-most", json!(256)),
+        replacement("/advice", json!(86_400_001)),
+        replacement("/ration", json!({"spare": 1})),
+        replacement("/ration", json!({"spare": 1, "share": "11.0", "span": 10})),
+        replacement("/ration", json!({"spare": 1, "share": "0.1", "span": 0})),
+        removal("/cold"),
+        replacement("/cold/from", json!("0.0")),
+        replacement("/cold/multiple", json!("0.05")),
+        replacement("/cold/span", json!(600_001)),
+        replacement("/cold/warm-after", json!(-1)),
+        replacement("/log/level", json!("loud")),
+        replacement("/log", json!({"colour": true})),
+        replacement("/ration", json!({})),
     ]
 }
 
 /// Edits of the cells that are refused.
 fn refused_cells_edits() -> Vec<Edit> {
     vec![
-        replaced("/cells", json!({})),
-        replaced("/cells", json!({"cell": []})),
-        replaced("/cells", json!({"shard": 1})),
-        replaced("/cells", json!({"cell": [{"name": "a"}], "shard": 2})),
-        replaced("/cells", json!({"cell": [{"name": "a"}], "shard": 0})),
-        replaced("/cells", json!({"cell": [{"name": "a", "weight": "-1.0"}]})),
-        replaced("/cells", json!({"cell": [{"name": "a"}, {"name": "a"}]})),
-        replaced(
+        replacement("/cells", json!({})),
+        replacement("/cells", json!({"cell": []})),
+        replacement("/cells", json!({"shard": 1})),
+        replacement("/cells", json!({"cell": [{"name": "a"}], "shard": 2})),
+        replacement("/cells", json!({"cell": [{"name": "a"}], "shard": 0})),
+        replacement("/cells", json!({"cell": [{"name": "a", "weight": "-1.0"}]})),
+        replacement("/cells", json!({"cell": [{"name": "a"}, {"name": "a"}]})),
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}], "engine": [{"name": "e1"}]}),
         ),
-        replaced(
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}], "engine": [{"name": "e1", "cell": "b"}]}),
         ),
-        replaced(
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}], "tenant": [{"name": "t"}]}),
         ),
-        replaced(
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}], "tenant": [{"name": "t", "cell": ["a", "b"]}]}),
         ),
-        replaced(
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}], "turn-back": 5, "lend": "0.5"}),
         ),
-        replaced("/cells", json!({"cell": [{"name": "a"}], "lend": "1.5"})),
+        replacement("/cells", json!({"cell": [{"name": "a"}], "lend": "1.5"})),
     ]
 }
 
 /// Edits that are accepted.
 fn accepted_edits() -> Vec<Edit> {
     vec![
-        replaced("/cells", json!({"cell": [{"name": "a"}]})),
-        replaced(
+        replacement("/cells", json!({"cell": [{"name": "a"}]})),
+        replacement(
             "/cells",
             json!({"cell": [{"name": "a"}, {"name": "b", "weight": "0.0"}], "shard": 2, "lend": "0.5", "engine": [{"name": "e1", "cell": "b"}], "tenant": [{"name": "t 1", "cell": ["b", "a"]}]}),
         ),
-        replaced("/band/0/expected", json!(1)),
-        replaced("/band/0/payoff", json!("0.000001")),
-        replaced("/band/0/expected-stretch", json!("1000.0")),
-        removed("/band/0/expected-stretch"),
-        removed("/band/0/threads"),
-        removed("/advice"),
-        replaced("/ration", json!({"spare": 0, "share": "0.0001", "span": 1})),
-        removed("/log"),
-        replaced("/log/level", json!("debug")),
+        replacement("/band/0/expected", json!(1)),
+        replacement("/band/0/payoff", json!("0.000001")),
+        replacement("/band/0/expected-stretch", json!("1000.0")),
+        removal("/band/0/expected-stretch"),
+        removal("/band/0/threads"),
+        removal("/advice"),
+        replacement("/ration", json!({"spare": 0, "share": "0.0001", "span": 1})),
+        removal("/log"),
+        replacement("/log/level", json!("debug")),
     ]
 }
 
 /// Makes one change that is in force, and one that waits for its confirmation.
-async fn make_changes(client: &mut GnmiClient) {
-    set(client, "/settings/advice", json!(70)).await.unwrap();
+async fn make_changes(gnmi_client: &mut GnmiClient) {
+    set(gnmi_client, "/settings/advice", json!(70))
+        .await
+        .unwrap();
     let update = vec![update("/settings/advice", json!(80))];
     let unconfirmed = set_request(update, commit("waits", rollback_after(600, 0)));
-    send_set(client, unconfirmed).await.unwrap();
+    send_set(gnmi_client, unconfirmed).await.unwrap();
 }
 
-fn completed_lookups(state: &Value) -> &Value {
+fn settled_lookups(state: &Value) -> &Value {
     let classes = state["band"].as_array().unwrap();
     &classes.iter().find(|c| c["name"] == "lookup").unwrap()["settled"]
 }
@@ -193,24 +195,24 @@
 fn yanglint_accepts_the_module_and_the_data_of_a_running_gateway() {
     let module = Command::new("yanglint").arg(yang_module()).status();
     assert!(module.unwrap().success());
-    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-    let (gateway, at) = managed_gateway("yang-data", &[("e1", at_engine)]);
-    let mut asker = Client::connect(&gateway);
+    let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+    let (gateway, gnmi_address) = managed_gateway("yang-data", &[("e1", engine_address)]);
+    let mut query_client = Client::connect(&gateway);
     for call in 1..9 {
-        asker.send_call(call);
-        asker.receive_rows();
+        query_client.send_call(call);
+        query_client.receive_rows();
     }
     runtime().block_on(async {
-        let mut client = connect(at).await;
-        make_changes(&mut client).await;
+        let mut gnmi_client = connect(gnmi_address).await;
+        make_changes(&mut gnmi_client).await;
 
-        let all = get(&mut client, "/").await.unwrap();
+        let all = get(&mut gnmi_client, "/").await.unwrap();
 
         assert_eq!(yanglint_errors(&gateway.dir, "data", &all), None, "{all:#}");
         let state = &all["ironstair-gateway:state"];
         assert_eq!(state["engine"][0]["name"], json!("e1"));
         assert_eq!(state["revision"][1]["outcome"], json!("unconfirmed"));
-        assert_eq!(completed_lookups(state), &json!("8"));
+        assert_eq!(settled_lookups(state), &json!("8"));
         // yanglint can refuse: the same data with a value that the module does not allow.
         let mut invalid = all.clone();
         invalid["ironstair-gateway:state"]["engine"][0]["inflight"] = json!("many");
@@ -221,15 +223,15 @@
 /// Whether each reason of a refusal is about the running gateway: terms that are fixed in service, engines that are
 /// not ready. The YANG module cannot express these.
 fn is_about_the_running_gateway(refusal: &Status) -> bool {
-    let of_now = ["cannot change in service", "no engine there is ready"];
+    let runtime_reasons = ["cannot change in service", "no engine there is ready"];
     let mut reasons = refusal.message().split("; ");
-    reasons.all(|reason| of_now.iter().any(|text| reason.contains(text)))
+    reasons.all(|reason| runtime_reasons.iter().any(|text| reason.contains(text)))
 }
 
 #[test]
 #[ignore = "needs yanglint, which .ci/run installs"]
 fn gateway_refuses_and_accepts_the_settings_that_yanglint_does() {
-    let (gateway, at) = managed_gateway("yang-cases", &[]);
+    let (gateway, gnmi_address) = managed_gateway("yang-cases", &[]);
     let edits = [
         refused_class_edits(),
         refused_settings_edits(),
@@ -237,36 +239,36 @@
         accepted_edits(),
     ];
     runtime().block_on(async {
-        let mut client = connect(at).await;
-        let all = get(&mut client, "/").await.unwrap();
+        let mut gnmi_client = connect(gnmi_address).await;
+        let all = get(&mut gnmi_client, "/").await.unwrap();
         let settings = &all["ironstair-gateway:settings"];
-        let (mut refused, mut accepted) = (0, 0);
+        let (mut refused_count, mut accepted_count) = (0, 0);
         for edit in edits.into_iter().flatten() {
             let edited = edit.apply(settings);
             let config = json!({"ironstair-gateway:settings": edited});
-            let judged = yanglint_errors(&gateway.dir, "config", &config);
+            let yanglint_errors_found = yanglint_errors(&gateway.dir, "config", &config);
             let request = gnmi::SetRequest {
                 replace: vec![update("/settings", edited)],
                 ..Default::default()
             };
-            let ours = send_set(&mut client, request).await;
-            let is_refused = match &ours {
+            let gateway_result = send_set(&mut gnmi_client, request).await;
+            let is_refused = match &gateway_result {
                 Ok(()) => false,
                 Err(refusal) => !is_about_the_running_gateway(refusal),
             };
             assert_eq!(
-                judged.is_some(),
+                yanglint_errors_found.is_some(),
                 is_refused,
-                "{edit:?}: {judged:?}, {ours:?}"
+                "{edit:?}: {yanglint_errors_found:?}, {gateway_result:?}"
             );
-            match judged {
-                Some(_) => refused += 1,
-                None => accepted += 1,
+            match yanglint_errors_found {
+                Some(_) => refused_count += 1,
+                None => accepted_count += 1,
             }
         }
         assert!(
-            refused >= 54 && accepted >= 11,
-            "{refused} refused, {accepted} accepted"
+            refused_count >= 54 && accepted_count >= 11,
+            "{refused_count} refused, {accepted_count} accepted"
         );
     });
 }
