--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Tenants confined to cells, at a gateway process between stubs on loopback.
+//! Tenants confined to cells: tests of the built gateway process against stubs on loopback.
 
 mod managed;
 
@@ -14,14 +14,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Calls a class for a tenant, with the statement `select 1`.
+/// Sends a call of a class for a tenant, with the statement `select 1`.
 fn call_for_tenant(client: &mut Client, class: &str, call: u64, tenant: &str) {
     client.send(&format!(
         r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
     ));
 }
 
-/// An operator file with engine e1 in cell a and e2 in cell b, and what becomes of requests whose cell has no engine.
+/// An operator file with engine e1 in cell a and e2 in cell b. `without_capacity` says what happens to requests whose
+/// cells have no ready engine.
 fn two_cells(without_capacity: Value) -> Value {
     json!({"cells": {
         "names": {"a": 1, "b": 1},
@@ -32,7 +33,7 @@
     }})
 }
 
-/// An engine that settles every request.
+/// An engine that answers every attempt with a row.
 struct AnsweringEngine {
     address: SocketAddr,
     recorded_lines: RecordedLines,
@@ -69,7 +70,7 @@
     )
 }
 
-/// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, fifteen open at a time, and waits for their rows.
+/// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, in batches of fifteen, and waits for their rows.
 fn make_calls_of_two_tenants(client: &mut Client) {
     for batch in 0..4 {
         for index in 0..15 {
@@ -83,6 +84,7 @@
 
 #[test]
 fn requests_of_a_tenant_reach_only_engines_of_its_cell() {
+    // A request that is sent to an engine of another cell spreads one tenant's load or faults to other tenants.
     let (gateway, engines) =
         start_with_two_engines("cells", Some(two_cells(json!({"turn_back": 500}))));
     make_calls_of_two_tenants(&mut Client::connect(&gateway));
@@ -91,7 +93,9 @@
 }
 
 #[test]
-fn control_without_cells_both_tenants_reach_the_same_engines() {
+fn both_tenants_reach_the_same_engines_when_cells_are_off() {
+    // The control for the test above: without cells its assertions do not hold, so it is the cells that separate the
+    // tenants.
     let (gateway, engines) = start_with_two_engines("cells-off", None);
     make_calls_of_two_tenants(&mut Client::connect(&gateway));
     let engines_reached_by = |calls: std::ops::RangeInclusive<u64>| {
@@ -100,7 +104,7 @@
             .filter(|engine| calls.clone().any(|call| engine.calls().contains(&call)))
             .count()
     };
-    // All statements are of one table group, whose preferred engines are the same for both tenants.
+    // All statements are of one table group, so the preferred engines are the same for both tenants.
     assert_eq!(engines_reached_by(1..=30), engines_reached_by(31..=60));
     assert!(engines.iter().any(|engine| {
         let calls = engine.calls();
@@ -108,7 +112,7 @@
     }));
 }
 
-/// Calls for tenant t1 until one is given up, because its cell has no ready engine any more.
+/// Makes calls for tenant t1 until one is rejected because its cell has no ready engine any more.
 fn wait_until_cell_has_no_engine(client: &mut Client) {
     let deadline = Instant::now() + Duration::from_secs(5);
     for call in 1000.. {
@@ -118,13 +122,15 @@
         }
         assert!(
             Instant::now() < deadline,
-            "the gateway does not know that the engine is draining"
+            "the gateway has not received the list with the draining engine"
         );
     }
 }
 
 #[test]
 fn cell_without_ready_engine_rejects_or_lends_at_once_and_affects_no_other() {
+    // Requests of a cell without a ready engine must not wait for one, and must not slow down other tenants. Of the
+    // twenty requests none is lent to the other cell with `turn_back`, and half of them are with a `lend` of 0.5.
     for (test, without_capacity, expected_lent_count) in [
         ("cells-back", json!({"turn_back": 500}), 0),
         ("cells-lend", json!({"lend": 0.5}), 10),
@@ -146,11 +152,14 @@
             call_for_tenant(&mut client, "lookup", 200 + call, "both");
             assert_eq!(client.receive_rows().0, 200 + call);
         }
-        assert!(started_at.elapsed() < Duration::from_secs(2), "at once");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(2),
+            "requests are answered at once"
+        );
         assert_eq!(
             engines[0].calls(),
             calls_before,
-            "nothing new to a draining engine"
+            "a draining engine gets no new requests"
         );
         assert!(
             lent_count.abs_diff(expected_lent_count) <= 1,
@@ -159,15 +168,16 @@
     }
 }
 
-/// Attempts by the line that an engine received, and when it received it.
+/// The attempts that an engine has received, in order.
 type ReceivedAttempts = Arc<Mutex<Vec<ReceivedAttempt>>>;
 
+/// The line of an attempt, and when the engine received it.
 struct ReceivedAttempt {
     line: String,
     received_at: Instant,
 }
 
-/// An engine that closes the connection at every n-th attempt.
+/// An engine that closes the connection at every n-th attempt, and answers all others with a row.
 struct FailingEngine {
     address: SocketAddr,
     received: ReceivedAttempts,
@@ -202,8 +212,9 @@
 
 /// The engines of the migration tests, two in each of the cells a, b and c. Those of cell c never fail.
 const ENGINE_NAMES: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
-const NEVER: usize = usize::MAX;
+/// By engine, how often it fails: at every n-th attempt.
 const FAILS_EVERY: [usize; 6] = [19, 23, 17, 29, NEVER, NEVER];
+const NEVER: usize = usize::MAX;
 const ENGINES_OF_CELL_A: std::ops::Range<usize> = 0..2;
 const ENGINES_OF_CELL_B: std::ops::Range<usize> = 2..4;
 /// Clients 0 to 3 call for tenant t1, which is in cell a at first. Clients 4 and 5 call for t2, which is in cell c.
@@ -211,9 +222,9 @@
 const CLIENTS_OF_FIRST_TENANT: u64 = 4;
 const CALLS_PER_CLIENT: u64 = 200;
 const MAX_OPEN_CALLS: usize = 16;
-/// Call ids of client n begin at n times this.
+/// The call ids of client n begin at n times this.
 const CALL_IDS_PER_CLIENT: u64 = 1000;
-/// An attempt that was under way when the migration's command was answered may reach its engine this much later.
+/// An attempt that was under way when the migration command returned may reach its engine this much later.
 const LATE_ATTEMPT_TOLERANCE: Duration = Duration::from_millis(500);
 
 fn start_gateway_of_three_cells(test: &str, engines: &[FailingEngine]) -> (Gateway, SocketAddr) {
@@ -246,7 +257,7 @@
     )
 }
 
-/// Makes one client's calls, and returns how many were settled.
+/// Makes one client's calls, and returns how many were answered with rows.
 ///
 /// # Panics
 ///
@@ -270,14 +281,14 @@
         let answer = client.receive();
         assert!(
             open_calls.remove(&answer["id"].as_u64().unwrap()),
-            "a second answer: {answer}"
+            "second answer to a call: {answer}"
         );
         settled_count += answer["result"].is_object() as u32;
     }
     settled_count
 }
 
-/// Migrations to a cell that doesn't exist or has no ready engine are refused.
+/// Asserts that migrations to a cell that doesn't exist or has no ready engine are refused.
 fn assert_impossible_migrations_are_refused(management: SocketAddr) {
     const CELLS_OF_TENANT: &str = "/settings/cells/tenant[name=t1]/cell";
     runtime().block_on(async {
@@ -307,7 +318,7 @@
     });
 }
 
-/// Migrates tenant t1 to cell b by the command line, and returns when the command was answered.
+/// Migrates tenant t1 to cell b with the command-line tool, and returns the time at which the command finished.
 fn migrate_first_tenant(management: SocketAddr) -> Instant {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"))
         .args(["move", "t1", "b", "--at", &management.to_string()])
@@ -321,8 +332,8 @@
     Instant::now()
 }
 
-/// Each tenant's attempts reached engines of its cells alone, and none of class `post` was sent twice. Returns when
-/// the last attempt reached cell a.
+/// Asserts that each tenant's attempts reached only engines of its cells, and that no request of class `post` was sent
+/// twice. Returns the time at which the last attempt reached cell a.
 fn assert_attempts_in_cells(engines: &[FailingEngine], is_migrated: bool) -> Option<Instant> {
     let first_call_of_second_tenant = CLIENTS_OF_FIRST_TENANT * CALL_IDS_PER_CLIENT;
     let mut attempts_by_request: BTreeMap<String, u32> = BTreeMap::new();
@@ -348,18 +359,19 @@
             }
             assert!(
                 is_migrated || !ENGINES_OF_CELL_B.contains(&index),
-                "no tenant is in cell b"
+                "an attempt reached cell b, to which no tenant was assigned"
             );
         }
     }
     assert!(
         attempts_by_request.values().all(|count| *count == 1),
-        "a request with an effect was sent twice"
+        "a non-idempotent request was sent twice"
     );
     last_in_cell_a
 }
 
-/// Plays both tenants' calls. If `is_migrated`, tenant t1 is migrated from cell a to cell b meanwhile.
+/// Makes both tenants' calls, and checks their answers and attempts. If `is_migrated`, tenant t1 is migrated from cell
+/// a to cell b meanwhile.
 fn run_tenants_with_failing_engines(test: &str, is_migrated: bool) {
     let engines = FAILS_EVERY.map(FailingEngine::start);
     let (gateway, management) = start_gateway_of_three_cells(test, &engines);
@@ -382,7 +394,7 @@
         settled_counts[CLIENTS_OF_FIRST_TENANT as usize..]
             .iter()
             .all(|count| u64::from(*count) == CALLS_PER_CLIENT),
-        "the other tenant is settled throughout: {settled_counts:?}"
+        "calls of the other tenant, whose engines never fail, were not all answered: {settled_counts:?}"
     );
     assert!(
         settled_counts.iter().sum::<u32>() > 1000,
@@ -403,13 +415,15 @@
     }
 }
 
-/// Case 1 of the design.
 #[test]
 fn tenant_migrates_under_load_while_engines_of_both_cells_fail() {
+    // Case 1 of the design. A migration must not send attempts to the former cell, send non-idempotent requests again
+    // or affect another tenant, even if engines fail while it is applied.
     run_tenants_with_failing_engines("cells-move", true);
 }
 
 #[test]
-fn control_requests_of_a_tenant_that_does_not_migrate_stay_in_its_cell() {
+fn requests_of_a_tenant_that_does_not_migrate_stay_in_its_cell() {
+    // The control for the test above: without a migration, failing engines alone send no request to another cell.
     run_tenants_with_failing_engines("cells-stay", false);
 }
--- a/crates/gateway/tests/example_config.rs
+++ b/crates/gateway/tests/example_config.rs
@@ -1,4 +1,4 @@
-//! The sample configuration that the README starts with.
+//! The sample configuration and operator file in deploy/example, with which the README starts a gateway.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -15,11 +15,12 @@
         .arg("check")
         .args(arguments)
         .output()
-        .expect("the gateway's program starts")
+        .expect("the built gateway can be executed")
 }
 
 #[test]
-fn sample_configuration_and_operators_file_pass_the_check() {
+fn sample_configuration_and_operator_file_pass_the_check() {
+    // A change to the file formats or their checks may leave the samples invalid.
     let config = example_file("config.json");
     let operator = example_file("operator.json");
     let output = run_check(&[
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -1,5 +1,6 @@
-//! yanglint, an independent implementation of YANG, judges the module `ironstair-gateway` and the data of a running
-//! gateway: both have to accept and to refuse the same. `.ci/run` installs yanglint; without it the tests are ignored.
+//! Compares the gateway with yanglint, an independent implementation of YANG: yanglint has to accept the module
+//! `ironstair-gateway` and the data of a running gateway, and both have to accept and refuse the same settings. The
+//! tests are ignored by default, because they need yanglint; `.ci/run` installs it and runs them.
 
 mod managed;
 
@@ -18,7 +19,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../yang/ironstair-gateway.yang")
 }
 
-/// The errors that yanglint prints about the data, and nothing when it accepts them.
+/// Validates data with yanglint. Returns the errors that it prints, or `None` if it accepts the data.
 fn yanglint_errors(dir: &Path, data_type: &str, data: &Value) -> Option<String> {
     let file = dir.join("data.json");
     std::fs::write(&file, data.to_string()).unwrap();
@@ -31,11 +32,12 @@
     (!output.status.success()).then(|| String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// One member of the settings that is replaced, or removed without a value.
+/// A change of one member of the settings.
 #[derive(Debug)]
 struct Edit {
     /// A JSON pointer into the settings.
     pointer: &'static str,
+    /// The new value, or `None` to remove the member.
     value: Option<Value>,
 }
 
@@ -44,7 +46,7 @@
         let mut edited = settings.clone();
         let (parent, name) = self.pointer.rsplit_once('/').unwrap();
         let Some(Value::Object(members)) = edited.pointer_mut(parent) else {
-            panic!("{}", self.pointer)
+            panic!("the settings have no object above {}", self.pointer)
         };
         match &self.value {
             Some(value) => members.insert(name.into(), value.clone()),
@@ -175,7 +177,7 @@
     ]
 }
 
-/// Makes one change that is in force, and one that waits for its confirmation.
+/// Makes one change that takes effect for good, and one that waits for its confirmation.
 async fn make_changes(gnmi_client: &mut GnmiClient) {
     set(gnmi_client, "/settings/advice", json!(70))
         .await
@@ -185,6 +187,7 @@
     send_set(gnmi_client, unconfirmed).await.unwrap();
 }
 
+/// The number of requests of class `lookup` that were answered.
 fn settled_lookups(state: &Value) -> &Value {
     let classes = state["band"].as_array().unwrap();
     &classes.iter().find(|c| c["name"] == "lookup").unwrap()["settled"]
@@ -193,6 +196,7 @@
 #[test]
 #[ignore = "needs yanglint, which .ci/run installs"]
 fn yanglint_accepts_the_module_and_the_data_of_a_running_gateway() {
+    // The gateway's own encoder and its tests may share an error about YANG, which other management tools then reject.
     let module = Command::new("yanglint").arg(yang_module()).status();
     assert!(module.unwrap().success());
     let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
@@ -213,15 +217,15 @@
         assert_eq!(state["engine"][0]["name"], json!("e1"));
         assert_eq!(state["revision"][1]["outcome"], json!("unconfirmed"));
         assert_eq!(settled_lookups(state), &json!("8"));
-        // yanglint can refuse: the same data with a value that the module does not allow.
+        // yanglint does validate the data: it refuses them with one value that the module does not allow.
         let mut invalid = all.clone();
         invalid["ironstair-gateway:state"]["engine"][0]["inflight"] = json!("many");
         assert!(yanglint_errors(&gateway.dir, "data", &invalid).is_some());
     });
 }
 
-/// Whether each reason of a refusal is about the running gateway: terms that are fixed in service, engines that are
-/// not ready. The YANG module cannot express these.
+/// Whether every reason of a refusal is about the state of the running gateway: settings that cannot change in service,
+/// or engines that are not ready. The YANG module cannot express these.
 fn is_about_the_running_gateway(refusal: &Status) -> bool {
     let runtime_reasons = ["cannot change in service", "no engine there is ready"];
     let mut reasons = refusal.message().split("; ");
@@ -230,7 +234,9 @@
 
 #[test]
 #[ignore = "needs yanglint, which .ci/run installs"]
-fn gateway_refuses_and_accepts_the_settings_that_yanglint_does() {
+fn gateway_refuses_and_accepts_the_same_settings_as_yanglint() {
+    // A management tool that validates settings against the YANG module must not accept settings that the gateway
+    // refuses, or refuse settings that it accepts.
     let (gateway, gnmi_address) = managed_gateway("yang-cases", &[]);
     let edits = [
         refused_class_edits(),
