--- a/crates/gateway/src/operator_config_pinned_tests.rs
+++ b/crates/gateway/src/operator_config_pinned_tests.rs
@@ -22,12 +22,12 @@
     let cells = operator.cells.unwrap();
     assert_eq!(
         cells.names,
-        BTreeMap::from([("n".to_string(), 1.5), ("s".to_string(), 1.0)])
+        BTreeMap::from([("n".to_owned(), 1.5), ("s".to_owned(), 1.0)])
     );
     assert_eq!((cells.shard, cells.named_by_clients), (2, true));
     assert_eq!(
         cells.engines,
-        BTreeMap::from([("e-1".to_string(), "n".to_string())])
+        BTreeMap::from([("e-1".to_owned(), "n".to_owned())])
     );
     assert_eq!(cells.tenants["t 1"], ["s", "n"]);
     assert!(
