--- a/crates/gateway/tests/crossings/client_hangup.rs
+++ b/crates/gateway/tests/crossings/client_hangup.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn client_that_hung_up_before_its_engine_connection_was_up_has_no_attempt_started() {
-    // An attempt that was queued until its engine connection was established was written to it although its client had
+    // An attempt that waits for its engine connection must not be written once that is established, if its client has
     // left in the meantime.
     for (index, hang_up) in hangups().into_iter().enumerate() {
         let (engine_address, full_listener) = FullListener::bind();
@@ -134,8 +134,8 @@
 
 #[test]
 fn half_closed_client_has_no_further_attempt_started_and_is_answered_at_once() {
-    // A request whose client had left was retried until its deadline. The engine reports that it is full, so the
-    // request waits between two attempts when its client closes.
+    // A request whose client has left must not be retried until its deadline. The engine reports that it is full, so
+    // the request waits between two attempts when its client closes.
     let (engine_address, recorded_lines) = engine_with_status("WAIT");
     let gateway = start_with_long_connect_timeout("half-closed", &[("e1", engine_address)]);
     let mut client = Client::connect(&gateway);
--- a/crates/gateway/tests/crossings/engine_connection.rs
+++ b/crates/gateway/tests/crossings/engine_connection.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn request_that_waits_for_a_connection_is_sent_elsewhere_when_its_engine_starts_to_drain() {
-    // An attempt that was queued for a connection was written to an engine that drained by then.
+    // An attempt that waits for its connection must not be written to an engine that has started to drain by then.
     let (late_engine, full_listener) = FullListener::bind();
     let (other_engine, other_engine_lines) = answering_engine();
     let gateway = start_with_long_connect_timeout("drains", &[("e1", late_engine)]);
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -190,7 +190,10 @@
 /// The number of requests of class `lookup` that were answered.
 fn settled_lookups(state: &Value) -> &Value {
     let classes = state["band"].as_array().unwrap();
-    &classes.iter().find(|c| c["name"] == "lookup").unwrap()["settled"]
+    &classes
+        .iter()
+        .find(|class| class["name"] == "lookup")
+        .unwrap()["settled"]
 }
 
 #[test]
