--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -1,9 +1,8 @@
-//! Tenants confined to cells, at a gateway process between stubs on loopback.
+//! Tenants confined to cells: tests of the built gateway process against stubs on loopback.
 
-use ironstair_test_cluster::stub as common;
 mod managed;
 
-use common::{
+use ironstair_test_cluster::stub::{
     done_reply, engine_list_answer, gateway_config, request_id, start_engine,
     start_gateway_with_config, Client, Gateway, RecordedLines,
 };
@@ -15,14 +14,15 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Calls a class for a tenant, with the statement `select 1`.
+/// Sends a call of a class for a tenant, with the statement `select 1`.
 fn call_for_tenant(client: &mut Client, class: &str, call: u64, tenant: &str) {
     client.send(&format!(
         r#"{{"jsonrpc":"2.0","id":{call},"method":"{class}","params":{{"id":"{call:016x}","wait":4000,"bytes":"c2VsZWN0IDE=","tenant":"{tenant}"}}}}"#
     ));
 }
 
-/// An operator file with engine e1 in cell a and e2 in cell b, and what becomes of requests whose cell has no engine.
+/// An operator file with engine e1 in cell a and e2 in cell b. `without_capacity` says what happens to requests whose
+/// cells have no ready engine.
 fn two_cells(without_capacity: Value) -> Value {
     json!({"cells": {
         "names": {"a": 1, "b": 1},
@@ -33,21 +33,25 @@
     }})
 }
 
-/// An engine that settles every request.
-struct SettlingEngine {
+/// An engine that answers every attempt with a row.
+struct AnsweringEngine {
     address: SocketAddr,
-    seen: RecordedLines,
+    recorded_lines: RecordedLines,
 }
 
-impl SettlingEngine {
-    fn start() -> SettlingEngine {
-        let (address, seen) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-        SettlingEngine { address, seen }
+impl AnsweringEngine {
+    fn start() -> AnsweringEngine {
+        let (address, recorded_lines) =
+            start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+        AnsweringEngine {
+            address,
+            recorded_lines,
+        }
     }
 
     /// The calls of which an attempt reached this engine.
     fn calls(&self) -> BTreeSet<u64> {
-        let lines = self.seen.lock().unwrap();
+        let lines = self.recorded_lines.lock().unwrap();
         let fetches = lines.iter().filter(|line| line.starts_with("fetch"));
         fetches
             .map(|line| u64::from_str_radix(request_id(line), 16).unwrap())
@@ -55,8 +59,8 @@
     }
 }
 
-fn start_with_two_engines(test: &str, operator: Option<Value>) -> (Gateway, [SettlingEngine; 2]) {
-    let engines = [SettlingEngine::start(), SettlingEngine::start()];
+fn start_with_two_engines(test: &str, operator: Option<Value>) -> (Gateway, [AnsweringEngine; 2]) {
+    let engines = [AnsweringEngine::start(), AnsweringEngine::start()];
     let named_engines = [("e1", engines[0].address), ("e2", engines[1].address)];
     let class = json!({"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let (config, name_answer) = gateway_config(1, json!([class]), &named_engines);
@@ -66,8 +70,8 @@
     )
 }
 
-/// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, fifteen open at a time, and waits for their rows.
-fn play_two_tenants(client: &mut Client) {
+/// Makes calls 1 to 30 for tenant t1 and 31 to 60 for t2, in batches of fifteen, and waits for their rows.
+fn make_calls_of_two_tenants(client: &mut Client) {
     for batch in 0..4 {
         for index in 0..15 {
             let call = 1 + batch * 15 + index;
@@ -80,24 +84,27 @@
 
 #[test]
 fn requests_of_a_tenant_reach_only_engines_of_its_cell() {
+    // A request that is sent to an engine of another cell spreads one tenant's load or faults to other tenants.
     let (gateway, engines) =
         start_with_two_engines("cells", Some(two_cells(json!({"turn_back": 500}))));
-    play_two_tenants(&mut Client::connect(&gateway));
+    make_calls_of_two_tenants(&mut Client::connect(&gateway));
     assert_eq!(engines[0].calls(), (1..=30).collect());
     assert_eq!(engines[1].calls(), (31..=60).collect());
 }
 
 #[test]
-fn control_without_cells_both_tenants_reach_the_same_engines() {
+fn both_tenants_reach_the_same_engines_when_cells_are_off() {
+    // The control for the test above: without cells its assertions do not hold, so it is the cells that separate the
+    // tenants.
     let (gateway, engines) = start_with_two_engines("cells-off", None);
-    play_two_tenants(&mut Client::connect(&gateway));
+    make_calls_of_two_tenants(&mut Client::connect(&gateway));
     let engines_reached_by = |calls: std::ops::RangeInclusive<u64>| {
         engines
             .iter()
             .filter(|engine| calls.clone().any(|call| engine.calls().contains(&call)))
             .count()
     };
-    // All statements are of one table group, whose preferred engines are the same for both tenants.
+    // All statements are of one table group, so the preferred engines are the same for both tenants.
     assert_eq!(engines_reached_by(1..=30), engines_reached_by(31..=60));
     assert!(engines.iter().any(|engine| {
         let calls = engine.calls();
@@ -105,7 +112,7 @@
     }));
 }
 
-/// Calls for tenant t1 until one is given up, because its cell has no ready engine any more.
+/// Makes calls for tenant t1 until one is rejected because its cell has no ready engine any more.
 fn wait_until_cell_has_no_engine(client: &mut Client) {
     let deadline = Instant::now() + Duration::from_secs(5);
     for call in 1000.. {
@@ -115,14 +122,16 @@
         }
         assert!(
             Instant::now() < deadline,
-            "the gateway does not know that the engine is draining"
+            "the gateway has not received the list with the draining engine"
         );
     }
 }
 
 #[test]
 fn cell_without_ready_engine_rejects_or_lends_at_once_and_affects_no_other() {
-    for (test, without_capacity, expected_lent) in [
+    // Requests of a cell without a ready engine must not wait for one, and must not slow down other tenants. Of the
+    // twenty requests none is lent to the other cell with `turn_back`, and half of them are with a `lend` of 0.5.
+    for (test, without_capacity, expected_lent_count) in [
         ("cells-back", json!({"turn_back": 500}), 0),
         ("cells-lend", json!({"lend": 0.5}), 10),
     ] {
@@ -133,35 +142,42 @@
         let mut client = Client::connect(&gateway);
         wait_until_cell_has_no_engine(&mut client);
         let calls_before = engines[0].calls();
-        let mut lent: u32 = 0;
-        let since = Instant::now();
+        let mut lent_count: u32 = 0;
+        let started_at = Instant::now();
         for call in 1..=20 {
             call_for_tenant(&mut client, "lookup", call, "t1");
-            lent += client.receive()["result"].is_object() as u32;
+            lent_count += client.receive()["result"].is_object() as u32;
             call_for_tenant(&mut client, "lookup", 100 + call, "t2");
             assert_eq!(client.receive_rows().0, 100 + call);
             call_for_tenant(&mut client, "lookup", 200 + call, "both");
             assert_eq!(client.receive_rows().0, 200 + call);
         }
-        assert!(since.elapsed() < Duration::from_secs(2), "at once");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(2),
+            "requests are answered at once"
+        );
         assert_eq!(
             engines[0].calls(),
             calls_before,
-            "nothing new to a draining engine"
+            "a draining engine gets no new requests"
+        );
+        assert!(
+            lent_count.abs_diff(expected_lent_count) <= 1,
+            "{lent_count} lent"
         );
-        assert!(lent.abs_diff(expected_lent) <= 1, "{lent} lent");
     }
 }
 
-/// Attempts by the line that an engine received, and when it received it.
+/// The attempts that an engine has received, in order.
 type ReceivedAttempts = Arc<Mutex<Vec<ReceivedAttempt>>>;
 
+/// The line of an attempt, and when the engine received it.
 struct ReceivedAttempt {
     line: String,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// An engine that closes the connection at every n-th attempt.
+/// An engine that closes the connection at every n-th attempt, and answers all others with a row.
 struct FailingEngine {
     address: SocketAddr,
     received: ReceivedAttempts,
@@ -178,7 +194,7 @@
             }
             shared.lock().unwrap().push(ReceivedAttempt {
                 line: line.to_owned(),
-                at: Instant::now(),
+                received_at: Instant::now(),
             });
             std::thread::sleep(Duration::from_millis(3));
             match attempt_count.fetch_add(1, Ordering::Relaxed) % fails_every == fails_every - 1 {
@@ -196,8 +212,9 @@
 
 /// The engines of the migration tests, two in each of the cells a, b and c. Those of cell c never fail.
 const ENGINE_NAMES: [&str; 6] = ["a1", "a2", "b1", "b2", "c1", "c2"];
-const NEVER: usize = usize::MAX;
+/// By engine, how often it fails: at every n-th attempt.
 const FAILS_EVERY: [usize; 6] = [19, 23, 17, 29, NEVER, NEVER];
+const NEVER: usize = usize::MAX;
 const ENGINES_OF_CELL_A: std::ops::Range<usize> = 0..2;
 const ENGINES_OF_CELL_B: std::ops::Range<usize> = 2..4;
 /// Clients 0 to 3 call for tenant t1, which is in cell a at first. Clients 4 and 5 call for t2, which is in cell c.
@@ -205,9 +222,9 @@
 const CLIENTS_OF_FIRST_TENANT: u64 = 4;
 const CALLS_PER_CLIENT: u64 = 200;
 const MAX_OPEN_CALLS: usize = 16;
-/// Call ids of client n begin at n times this.
+/// The call ids of client n begin at n times this.
 const CALL_IDS_PER_CLIENT: u64 = 1000;
-/// An attempt that was under way when the migration's command was answered may reach its engine this much later.
+/// An attempt that was under way when the migration command returned may reach its engine this much later.
 const LATE_ATTEMPT_TOLERANCE: Duration = Duration::from_millis(500);
 
 fn start_gateway_of_three_cells(test: &str, engines: &[FailingEngine]) -> (Gateway, SocketAddr) {
@@ -240,38 +257,38 @@
     )
 }
 
-/// Makes one client's calls, and returns how many were settled.
+/// Makes one client's calls, and returns how many were answered with rows.
 ///
 /// # Panics
 ///
 /// At a second answer to a call.
-fn play_client(mut client: Client, client_index: u64) -> u32 {
+fn make_calls_of_client(mut client: Client, client_index: u64) -> u32 {
     let tenant = match client_index < CLIENTS_OF_FIRST_TENANT {
         true => "t1",
         false => "t2",
     };
-    let mut open = BTreeSet::new();
-    let mut settled = 0;
-    let mut requested = 0;
+    let mut open_calls = BTreeSet::new();
+    let mut settled_count = 0;
+    let mut sent_count = 0;
     for _ in 0..CALLS_PER_CLIENT {
-        while requested < CALLS_PER_CLIENT && open.len() < MAX_OPEN_CALLS {
-            requested += 1;
-            let call = client_index * CALL_IDS_PER_CLIENT + requested;
-            let class = ["lookup", "post"][requested as usize % 2];
+        while sent_count < CALLS_PER_CLIENT && open_calls.len() < MAX_OPEN_CALLS {
+            sent_count += 1;
+            let call = client_index * CALL_IDS_PER_CLIENT + sent_count;
+            let class = ["lookup", "post"][sent_count as usize % 2];
             call_for_tenant(&mut client, class, call, tenant);
-            open.insert(call);
+            open_calls.insert(call);
         }
         let answer = client.receive();
         assert!(
-            open.remove(&answer["id"].as_u64().unwrap()),
-            "a second answer: {answer}"
+            open_calls.remove(&answer["id"].as_u64().unwrap()),
+            "second answer to a call: {answer}"
         );
-        settled += answer["result"].is_object() as u32;
+        settled_count += answer["result"].is_object() as u32;
     }
-    settled
+    settled_count
 }
 
-/// Migrations to a cell that doesn't exist or has no ready engine are refused.
+/// Asserts that migrations to a cell that doesn't exist or has no ready engine are refused.
 fn assert_impossible_migrations_are_refused(management: SocketAddr) {
     const CELLS_OF_TENANT: &str = "/settings/cells/tenant[name=t1]/cell";
     runtime().block_on(async {
@@ -303,7 +320,7 @@
     });
 }
 
-/// Migrates tenant t1 to cell b by the command line, and returns when the command was answered.
+/// Migrates tenant t1 to cell b with the command-line tool, and returns the time at which the command finished.
 fn migrate_first_tenant(management: SocketAddr) -> Instant {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_ironstair"))
         .args(["move", "t1", "b", "--at", &management.to_string()])
@@ -317,9 +334,9 @@
     Instant::now()
 }
 
-/// Each tenant's attempts reached engines of its cells alone, and none of class `post` was sent twice. Returns when
-/// the last attempt reached cell a.
-fn check_attempts(engines: &[FailingEngine], is_migrated: bool) -> Option<Instant> {
+/// Asserts that each tenant's attempts reached only engines of its cells, and that no request of class `post` was sent
+/// twice. Returns the time at which the last attempt reached cell a.
+fn assert_attempts_in_cells(engines: &[FailingEngine], is_migrated: bool) -> Option<Instant> {
     let first_call_of_second_tenant = CLIENTS_OF_FIRST_TENANT * CALL_IDS_PER_CLIENT;
     let mut attempts_by_request: BTreeMap<String, u32> = BTreeMap::new();
     let mut last_in_cell_a = None;
@@ -340,29 +357,30 @@
                     .or_default() += 1;
             }
             if ENGINES_OF_CELL_A.contains(&index) {
-                last_in_cell_a = last_in_cell_a.max(Some(attempt.at));
+                last_in_cell_a = last_in_cell_a.max(Some(attempt.received_at));
             }
             assert!(
                 is_migrated || !ENGINES_OF_CELL_B.contains(&index),
-                "no tenant is in cell b"
+                "an attempt reached cell b, to which no tenant was assigned"
             );
         }
     }
     assert!(
         attempts_by_request.values().all(|count| *count == 1),
-        "a request with an effect was sent twice"
+        "a non-idempotent request was sent twice"
     );
     last_in_cell_a
 }
 
-/// Plays both tenants' calls. If `is_migrated`, tenant t1 is migrated from cell a to cell b meanwhile.
-fn play_tenants_beside_failing_engines(test: &str, is_migrated: bool) {
+/// Makes both tenants' calls, and checks their answers and attempts. If `is_migrated`, tenant t1 is migrated from cell
+/// a to cell b meanwhile.
+fn run_tenants_with_failing_engines(test: &str, is_migrated: bool) {
     let engines = FAILS_EVERY.map(FailingEngine::start);
     let (gateway, management) = start_gateway_of_three_cells(test, &engines);
     let clients: Vec<_> = (0..CLIENT_COUNT)
         .map(|client_index| {
             let client = Client::connect(&gateway);
-            std::thread::spawn(move || play_client(client, client_index))
+            std::thread::spawn(move || make_calls_of_client(client, client_index))
         })
         .collect();
     std::thread::sleep(Duration::from_millis(80));
@@ -370,23 +388,26 @@
         assert_impossible_migrations_are_refused(management);
         migrate_first_tenant(management)
     });
-    let settled: Vec<u32> = clients
+    let settled_counts: Vec<u32> = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .collect();
     assert!(
-        settled[CLIENTS_OF_FIRST_TENANT as usize..]
+        settled_counts[CLIENTS_OF_FIRST_TENANT as usize..]
             .iter()
             .all(|count| u64::from(*count) == CALLS_PER_CLIENT),
-        "the other tenant is settled throughout: {settled:?}"
+        "calls of the other tenant, whose engines never fail, were not all answered: {settled_counts:?}"
+    );
+    assert!(
+        settled_counts.iter().sum::<u32>() > 1000,
+        "{settled_counts:?}"
     );
-    assert!(settled.iter().sum::<u32>() > 1000, "{settled:?}");
-    let last_in_cell_a = check_attempts(&engines, is_migrated);
-    if let (Some(migrated_at), Some(last)) = (migrated_at, last_in_cell_a) {
+    let last_in_cell_a = assert_attempts_in_cells(&engines, is_migrated);
+    if let (Some(migrated_at), Some(last_attempt_at)) = (migrated_at, last_in_cell_a) {
         assert!(
-            last < migrated_at + LATE_ATTEMPT_TOLERANCE,
+            last_attempt_at < migrated_at + LATE_ATTEMPT_TOLERANCE,
             "{:?} after the migration",
-            last - migrated_at
+            last_attempt_at - migrated_at
         );
         let in_cell_b: usize = engines[ENGINES_OF_CELL_B]
             .iter()
@@ -396,13 +417,15 @@
     }
 }
 
-/// Case 1 of the design.
 #[test]
 fn tenant_migrates_under_load_while_engines_of_both_cells_fail() {
-    play_tenants_beside_failing_engines("cells-move", true);
+    // Case 1 of the design. A migration must not send attempts to the former cell, send non-idempotent requests again
+    // or affect another tenant, even if engines fail while it is applied.
+    run_tenants_with_failing_engines("cells-move", true);
 }
 
 #[test]
-fn control_requests_of_a_tenant_that_does_not_migrate_stay_in_its_cell() {
-    play_tenants_beside_failing_engines("cells-stay", false);
+fn requests_of_a_tenant_that_does_not_migrate_stay_in_its_cell() {
+    // The control for the test above: without a migration, failing engines alone send no request to another cell.
+    run_tenants_with_failing_engines("cells-stay", false);
 }
