--- a/crates/test-cluster/src/schedule.rs
+++ b/crates/test-cluster/src/schedule.rs
@@ -302,7 +302,7 @@
     let first = settings_of(0);
     for gateway in 1..GATEWAY_COUNT {
         let names = [gateway_name(gateway), gateway_name(0)];
-        assert_eq!(settings_of(gateway), first, "{names:?}");
+        assert_eq!(settings_of(gateway), first, "settings of {names:?} differ");
     }
 }
 
--- a/crates/test-cluster/src/stub/gateway.rs
+++ b/crates/test-cluster/src/stub/gateway.rs
@@ -66,9 +66,9 @@
     /// # Panics
     ///
     /// If the configuration isn't JSON, or can't be written.
-    pub fn reload_with_name_service(&self, config: &str, names: SocketAddr) {
+    pub fn reload_with_name_service(&self, config: &str, name_service: SocketAddr) {
         let mut config: Value = serde_json::from_str(config).expect("the configuration is JSON");
-        config["names"] = json!(names.to_string());
+        config["names"] = json!(name_service.to_string());
         fs::write(self.dir.join(CONFIG_FILE), config.to_string())
             .expect("the gateway's directory is writable");
         self.signal("-HUP");
@@ -121,13 +121,13 @@
 ///
 /// If its files can't be written or its process can't be started.
 pub fn start_gateway_in_fleet(
-    gateways: u32,
+    fleet_size: u32,
     test: &str,
     engines: &[(&str, SocketAddr)],
 ) -> Gateway {
     let class = |name: &str| json!({"name": name, "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0});
     let classes = json!([class("lookup"), class("report")]);
-    let (config, name_answer) = gateway_config(gateways, classes, engines);
+    let (config, name_answer) = gateway_config(fleet_size, classes, engines);
     start_gateway_with_config(test, config, name_answer, None)
 }
 
@@ -137,11 +137,11 @@
 ///
 /// If `classes` isn't an array, or the name service can't be started.
 pub fn gateway_config(
-    gateways: u32,
+    fleet_size: u32,
     classes: Value,
     engines: &[(&str, SocketAddr)],
 ) -> (Value, NameServiceAnswer) {
-    let (names, name_answer) = start_name_service();
+    let (name_service, name_answer) = start_name_service();
     let instances: Vec<Value> = engines
         .iter()
         .map(|(name, address)| instance(name, *address))
@@ -151,9 +151,9 @@
         "name": "n0",
         "listen": allocate_address().to_string(),
         "seed": SEED,
-        "names": names.to_string(),
+        "names": name_service.to_string(),
         "known": {"rev": 1, "notices": [notice]},
-        "settings": settings(gateways, classes),
+        "settings": settings(fleet_size, classes),
     });
     (config, name_answer)
 }
@@ -163,7 +163,7 @@
         "lifecycle": "ready", "weight": 4, "startedAtMs": 0})
 }
 
-fn settings(gateways: u32, classes: Value) -> Value {
+fn settings(fleet_size: u32, classes: Value) -> Value {
     let class_count = classes.as_array().expect("classes are an array").len();
     // Classes alternate between one thread and four.
     let threads: Vec<u32> = (0..class_count)
@@ -171,7 +171,7 @@
         .collect();
     json!({
         "classes": classes,
-        "fleet_size": gateways,
+        "fleet_size": fleet_size,
         "machine_types": ["m"],
         "dcs": ["a"],
         "registry_mode": "automatic",
--- a/crates/test-cluster/src/stub/late_listener.rs
+++ b/crates/test-cluster/src/stub/late_listener.rs
@@ -37,9 +37,12 @@
     /// If that takes more than five seconds.
     pub fn wait_for_established_connections(&self, connections: usize) {
         let expected = connections + self.filler_connections.len();
-        assert!(becomes_true(|| self.accepted.load(Ordering::Relaxed)
-            as usize
-            >= expected));
+        let accepted = || self.accepted.load(Ordering::Relaxed) as usize;
+        assert!(
+            becomes_true(|| accepted() >= expected),
+            "{} connections accepted, expected {expected}",
+            accepted()
+        );
     }
 }
 
@@ -78,15 +81,15 @@
             .expect("a bound listener has an address");
         // Matches the remote port and the state SYN_SENT (02) in a row of the table.
         let syn_sent_pattern = format!(":{:04X} 02 ", address.port());
-        let attempted = || {
+        let pending = || {
             let sockets = fs::read_to_string("/proc/net/tcp")
                 .expect("the system's table of sockets is readable");
             sockets.matches(&syn_sent_pattern).count()
         };
         assert!(
-            becomes_true(|| attempted() >= connections),
+            becomes_true(|| pending() >= connections),
             "{} pending connections, expected {connections}",
-            attempted()
+            pending()
         );
     }
 
