--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -9,8 +9,8 @@
 use hdrhistogram::Histogram;
 use ironstair_gnmi::proto::gnmi::{self, subscribe_response::Response as Sent, SubscriptionMode};
 use managed::{
-    connect, get, managed_gateway, managed_gateway_with, path, runtime, set, subscribe,
-    subscription_request,
+    connect_without_tls, current_thread_runtime, get_json, open_subscription, parse_path,
+    set_value, start_managed_gateway, start_managed_gateway_with, subscription_request,
 };
 use serde_json::json;
 use std::net::SocketAddr;
@@ -75,9 +75,9 @@
         let engines = listed(n);
         let engines: Vec<(&str, SocketAddr)> =
             engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
-        let (gateway, at) = managed_gateway(&format!("bench-reads-{n}"), &engines);
-        runtime().block_on(async {
-            let mut c = connect(at).await;
+        let (gateway, at) = start_managed_gateway(&format!("bench-reads-{n}"), &engines);
+        current_thread_runtime().block_on(async {
+            let mut c = connect_without_tls(at).await;
             let (mut leaf, mut whole, mut bytes) = (Vec::new(), Vec::new(), 0);
             for _ in 0..ROUNDS {
                 let (mut a, mut b) = (histogram(), histogram());
@@ -85,11 +85,11 @@
                     // Long enough apart for each to ask the gateway's thread.
                     tokio::time::sleep(Duration::from_millis(25)).await;
                     let since = Instant::now();
-                    get(&mut c, "/state/process/name").await.unwrap();
+                    get_json(&mut c, "/state/process/name").await.unwrap();
                     a.record(since.elapsed().as_nanos() as u64).unwrap();
                     tokio::time::sleep(Duration::from_millis(25)).await;
                     let since = Instant::now();
-                    let all = get(&mut c, "/").await.unwrap();
+                    let all = get_json(&mut c, "/").await.unwrap();
                     b.record(since.elapsed().as_nanos() as u64).unwrap();
                     bytes = all.to_string().len();
                 }
@@ -99,7 +99,7 @@
             let idle = processor_ms(gateway.process.id());
             tokio::time::sleep(Duration::from_secs(3)).await;
             let idle = processor_ms(gateway.process.id()) - idle;
-            let mut s = subscribe(
+            let mut s = open_subscription(
                 &mut c,
                 subscription_request("/state", SubscriptionMode::OnChange),
             )
@@ -124,18 +124,18 @@
     );
     println!("| --- | --- | --- | --- |");
     for n in [0, 1, 50] {
-        let (_gateway, at) = managed_gateway(&format!("bench-changes-{n}"), &[]);
+        let (_gateway, at) = start_managed_gateway(&format!("bench-changes-{n}"), &[]);
         let (mut rates, mut updates_delivered, mut folded) = (Vec::new(), Vec::new(), Vec::new());
         let heard = Arc::new(AtomicU64::new(0));
         let duplicates = Arc::new(AtomicU64::new(0));
         for _ in 0..n {
             let (heard, duplicates) = (heard.clone(), duplicates.clone());
             thread::spawn(move || {
-                runtime().block_on(async {
-                    let mut c = connect(at).await;
+                current_thread_runtime().block_on(async {
+                    let mut c = connect_without_tls(at).await;
                     let first =
                         subscription_request("/settings/advice", SubscriptionMode::OnChange);
-                    let mut s = subscribe(&mut c, first).await.unwrap();
+                    let mut s = open_subscription(&mut c, first).await.unwrap();
                     while let Ok(Some(m)) = s.message().await {
                         if let Some(Sent::Update(u)) = m.response {
                             heard.fetch_add(1, Ordering::Relaxed);
@@ -146,8 +146,8 @@
                 });
             });
         }
-        runtime().block_on(async {
-            let mut c = connect(at).await;
+        current_thread_runtime().block_on(async {
+            let mut c = connect_without_tls(at).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             for round in 0..ROUNDS as u32 {
                 let (before, stood) = (
@@ -157,7 +157,7 @@
                 let (since, mut made) = (Instant::now(), 0u32);
                 while since.elapsed() < Duration::from_secs(1) {
                     made += 1;
-                    set(&mut c, "/settings/advice", json!(1 + (made + round) % 5000))
+                    set_value(&mut c, "/settings/advice", json!(1 + (made + round) % 5000))
                         .await
                         .unwrap();
                 }
@@ -183,7 +183,7 @@
     println!("| --- | --- | --- |");
     for kept in [false, true] {
         let (_gateway, at) =
-            managed_gateway_with(&format!("bench-apply-{kept}"), &[], |operator, _| {
+            start_managed_gateway_with(&format!("bench-apply-{kept}"), &[], |operator, _| {
                 if !kept {
                     operator["management"]
                         .as_object_mut()
@@ -191,14 +191,16 @@
                         .remove("state");
                 }
             });
-        runtime().block_on(async {
-            let mut c = connect(at).await;
+        current_thread_runtime().block_on(async {
+            let mut c = connect_without_tls(at).await;
             let (mut half, mut tail) = (Vec::new(), Vec::new());
             for _ in 0..ROUNDS {
                 let mut h = histogram();
                 for n in 0..200u32 {
                     let since = Instant::now();
-                    set(&mut c, "/settings/advice", json!(1 + n)).await.unwrap();
+                    set_value(&mut c, "/settings/advice", json!(1 + n))
+                        .await
+                        .unwrap();
                     h.record(since.elapsed().as_nanos() as u64).unwrap();
                 }
                 half.push(us(&h, 0.5));
@@ -231,15 +233,15 @@
 /// A client of management that reads the whole tree, or changes a setting, while the gateway is busy.
 fn spawn_caller(nth: u64, at: SocketAddr, busy: Arc<AtomicBool>) {
     thread::spawn(move || {
-        runtime().block_on(async {
-            let mut c = connect(at).await;
+        current_thread_runtime().block_on(async {
+            let mut c = connect_without_tls(at).await;
             loop {
                 while !busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 match nth % 4 {
-                    0 => drop(set(&mut c, "/settings/advice", json!(nth + 1)).await),
-                    _ => drop(get(&mut c, "/").await),
+                    0 => drop(set_value(&mut c, "/settings/advice", json!(nth + 1)).await),
+                    _ => drop(get_json(&mut c, "/").await),
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -250,14 +252,14 @@
 /// A subscriber to the state, while the gateway is busy.
 fn spawn_subscriber(at: SocketAddr, busy: Arc<AtomicBool>) {
     thread::spawn(move || {
-        runtime().block_on(async {
-            let mut c = connect(at).await;
+        current_thread_runtime().block_on(async {
+            let mut c = connect_without_tls(at).await;
             loop {
                 while !busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let subscription = vec![gnmi::Subscription {
-                    path: Some(path("/state")),
+                    path: Some(parse_path("/state")),
                     mode: SubscriptionMode::Sample as i32,
                     ..Default::default()
                 }];
@@ -271,7 +273,7 @@
                     request,
                     extension: Vec::new(),
                 };
-                let Ok(mut s) = subscribe(&mut c, first).await else {
+                let Ok(mut s) = open_subscription(&mut c, first).await else {
                     continue;
                 };
                 while busy.load(Ordering::Relaxed) && s.message().await.is_ok() {}
@@ -284,7 +286,7 @@
     println!("\n| management | submission to first forward, us (median) | us (99%) | us (99.9%) |");
     println!("| --- | --- | --- | --- |");
     let (real, config) = telling();
-    let (gateway, at) = managed_gateway("bench-forwarding", &[("engine-real", real)]);
+    let (gateway, at) = start_managed_gateway("bench-forwarding", &[("engine-real", real)]);
     let busy = Arc::new(AtomicBool::new(false));
     (0..20).for_each(|nth| spawn_caller(nth, at, busy.clone()));
     (0..30).for_each(|_| spawn_subscriber(at, busy.clone()));
@@ -320,23 +322,23 @@
     println!("| --- | --- | --- |");
     let engines = listed(100);
     let engines: Vec<(&str, SocketAddr)> = engines.iter().map(|(n, a)| (n.as_str(), *a)).collect();
-    let (gateway, at) = managed_gateway_with("bench-memory", &engines, |operator, _| {
+    let (gateway, at) = start_managed_gateway_with("bench-memory", &engines, |operator, _| {
         operator["management"]["streams"] = json!(2000);
     });
-    runtime().block_on(async {
+    current_thread_runtime().block_on(async {
         let mut open = Vec::new();
         let mut clients = Vec::new();
-        let mut c = connect(at).await;
-        get(&mut c, "/").await.unwrap();
+        let mut c = connect_without_tls(at).await;
+        get_json(&mut c, "/").await.unwrap();
         let first = resident(gateway.process.id());
         println!("| 0 | {first} | - |");
         for most in [10, 100, 1000] {
             while open.len() < most {
                 if open.len() % 50 == 0 {
-                    clients.push(connect(at).await);
+                    clients.push(connect_without_tls(at).await);
                 }
                 let c = clients.last_mut().unwrap();
-                let mut s = subscribe(
+                let mut s = open_subscription(
                     c,
                     subscription_request("/state", SubscriptionMode::OnChange),
                 )
--- a/crates/gateway/tests/cells.rs
+++ b/crates/gateway/tests/cells.rs
@@ -7,7 +7,7 @@
     done_reply, engine_list_answer, gateway_config, request_id, start_engine,
     start_gateway_with_config, Client, Gateway, RecordedLines,
 };
-use managed::{connect, get, runtime, set};
+use managed::{connect_without_tls, current_thread_runtime, get_json, set_value};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -274,13 +274,15 @@
 /// Migrations to a cell that doesn't exist or has no ready engine are refused.
 fn assert_impossible_migrations_are_refused(management: SocketAddr) {
     const CELLS_OF_TENANT: &str = "/settings/cells/tenant[name=t1]/cell";
-    runtime().block_on(async {
-        let mut gnmi = connect(management).await;
+    current_thread_runtime().block_on(async {
+        let mut gnmi = connect_without_tls(management).await;
         assert_eq!(
-            get(&mut gnmi, "/state/engine[name=a1]/cell").await.unwrap(),
+            get_json(&mut gnmi, "/state/engine[name=a1]/cell")
+                .await
+                .unwrap(),
             json!("a")
         );
-        let refusal = set(&mut gnmi, CELLS_OF_TENANT, json!(["z"]))
+        let refusal = set_value(&mut gnmi, CELLS_OF_TENANT, json!(["z"]))
             .await
             .unwrap_err();
         assert!(
@@ -288,10 +290,10 @@
             "{refusal:?}"
         );
         let weight_of_new_cell = "/settings/cells/cell[name=empty]/weight";
-        set(&mut gnmi, weight_of_new_cell, json!("0.0"))
+        set_value(&mut gnmi, weight_of_new_cell, json!("0.0"))
             .await
             .unwrap();
-        let refusal = set(&mut gnmi, CELLS_OF_TENANT, json!(["empty"]))
+        let refusal = set_value(&mut gnmi, CELLS_OF_TENANT, json!(["empty"]))
             .await
             .unwrap_err();
         assert!(
--- a/crates/gateway/tests/manage/arbitration.rs
+++ b/crates/gateway/tests/manage/arbitration.rs
@@ -1,13 +1,14 @@
 //! Master arbitration between two clients that change the settings.
 
 use crate::managed::{
-    connect, get, managed_gateway, runtime, send_set, set_request, update, GnmiClient,
+    connect_without_tls, current_thread_runtime, get_json, json_update, send_set_request,
+    set_request, start_managed_gateway, GnmiClient,
 };
 use ironstair_gnmi::proto::gnmi_ext::{self, extension::Ext, Extension};
 use serde_json::json;
 use tonic::{Code, Status};
 
-const ADVICE: &str = "/settings/advice";
+const ADVICE_PATH: &str = "/settings/advice";
 
 /// Changes the advice as the master with the election id `high`, `low`.
 async fn set_advice_as_master(
@@ -22,15 +23,15 @@
     let extension = vec![Extension {
         ext: Some(Ext::MasterArbitration(arbitration)),
     }];
-    let update = vec![update(ADVICE, json!(advice_ms))];
-    send_set(client, set_request(update, extension)).await
+    let update = vec![json_update(ADVICE_PATH, json!(advice_ms))];
+    send_set_request(client, set_request(update, extension)).await
 }
 
 #[test]
 fn master_with_the_older_election_id_is_refused() {
-    let (_gateway, at) = managed_gateway("case-6", &[]);
-    runtime().block_on(async {
-        let mut client = connect(at).await;
+    let (_gateway, gnmi_address) = start_managed_gateway("case-6", &[]);
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
         set_advice_as_master(&mut client, (0, 5), 1).await.unwrap();
         set_advice_as_master(&mut client, (1, 0), 2).await.unwrap();
 
@@ -41,6 +42,6 @@
         assert_eq!(older.code(), Code::PermissionDenied);
         assert!(older.message().contains("lower than"), "{older:?}");
         set_advice_as_master(&mut client, (1, 0), 4).await.unwrap();
-        assert_eq!(get(&mut client, ADVICE).await.unwrap(), json!(4));
+        assert_eq!(get_json(&mut client, ADVICE_PATH).await.unwrap(), json!(4));
     });
 }
--- a/crates/gateway/tests/manage/certificate_rotation.rs
+++ b/crates/gateway/tests/manage/certificate_rotation.rs
@@ -1,8 +1,8 @@
 //! Certificates of gateway and clients are replaced while streams are open.
 
 use crate::managed::{
-    connect_to, get, managed_gateway_with, runtime, set, subscribe, subscription_request,
-    GnmiClient,
+    connect_to_endpoint, current_thread_runtime, get_json, open_subscription, set_value,
+    start_managed_gateway_with, subscription_request, GnmiClient,
 };
 use ironstair_gnmi::proto::gnmi::{
     g_nmi_client::GNmiClient, subscribe_response::Response, typed_value, SubscribeResponse,
@@ -16,7 +16,7 @@
 use tonic::transport::{Certificate, ClientTlsConfig, Endpoint, Identity};
 use tonic::{Code, Streaming};
 
-const ADVICE: &str = "/settings/advice";
+const ADVICE_PATH: &str = "/settings/advice";
 const LAST_ADVICE: u64 = 59;
 
 /// A certificate and its key, as PEM.
@@ -83,26 +83,28 @@
     params
 }
 
-fn tls_endpoint(at: SocketAddr, server: &Authority, client: &KeyPair) -> Endpoint {
+fn tls_endpoint(gnmi_address: SocketAddr, server: &Authority, client: &KeyPair) -> Endpoint {
     let tls = ClientTlsConfig::new()
         .ca_certificate(Certificate::from_pem(&server.certificate))
         .identity(Identity::from_pem(&client.certificate, &client.key));
-    Endpoint::from_shared(format!("https://{at}"))
+    Endpoint::from_shared(format!("https://{gnmi_address}"))
         .unwrap()
         .tls_config(tls)
         .unwrap()
 }
 
 /// Whether a client with that certificate can read.
-async fn may_read(at: SocketAddr, server: &Authority, client: &KeyPair) -> bool {
-    match tls_endpoint(at, server, client).connect().await {
+async fn may_read(gnmi_address: SocketAddr, server: &Authority, client: &KeyPair) -> bool {
+    match tls_endpoint(gnmi_address, server, client).connect().await {
         Err(_) => false,
-        Ok(channel) => get(&mut GNmiClient::new(channel), ADVICE).await.is_ok(),
+        Ok(channel) => get_json(&mut GNmiClient::new(channel), ADVICE_PATH)
+            .await
+            .is_ok(),
     }
 }
 
 async fn await_may_read(
-    at: SocketAddr,
+    gnmi_address: SocketAddr,
     server: &Authority,
     client: &KeyPair,
     timeout: Duration,
@@ -110,7 +112,7 @@
     failure: &str,
 ) {
     let deadline = Instant::now() + timeout;
-    while !may_read(at, server, client).await {
+    while !may_read(gnmi_address, server, client).await {
         assert!(Instant::now() < deadline, "{failure}");
         tokio::time::sleep(poll_interval).await;
     }
@@ -126,7 +128,7 @@
 /// A gateway that serves `ops-*` for changes and `reader` for reads, with certificates of `authority`.
 fn tls_gateway(authority: &Authority) -> (Gateway, SocketAddr, PathBuf) {
     let mut tls_dir = PathBuf::new();
-    let (gateway, at) = managed_gateway_with("case-5", &[], |operator, dir| {
+    let (gateway, gnmi_address) = start_managed_gateway_with("case-5", &[], |operator, dir| {
         let listen = operator["management"]["listen"].as_str().unwrap();
         let listen: SocketAddr = listen.parse().unwrap();
         write_tls_files(dir, &authority.sign_gateway(listen.ip()), authority);
@@ -134,26 +136,26 @@
             "clients": dir.join("clients.pem"), "change": ["ops-*"], "read": ["reader"]});
         tls_dir = dir.to_path_buf();
     });
-    (gateway, at, tls_dir)
+    (gateway, gnmi_address, tls_dir)
 }
 
-async fn assert_denied_to_others(at: SocketAddr, old: &Authority, new: &Authority) {
+async fn assert_denied_to_others(gnmi_address: SocketAddr, old: &Authority, new: &Authority) {
     for (wrong, reason) in [
         (old.sign_expired_client("ops-2"), "expired"),
         (new.sign_client("ops-1"), "foreign"),
         (old.sign_client("stranger"), "of no role"),
     ] {
-        assert!(!may_read(at, old, &wrong).await, "{reason}");
+        assert!(!may_read(gnmi_address, old, &wrong).await, "{reason}");
     }
-    let without_tls = Endpoint::from_shared(format!("http://{at}")).unwrap();
+    let without_tls = Endpoint::from_shared(format!("http://{gnmi_address}")).unwrap();
     if let Ok(channel) = without_tls.connect().await {
-        let read = get(&mut GNmiClient::new(channel), "/settings").await;
+        let read = get_json(&mut GNmiClient::new(channel), "/settings").await;
         assert!(read.is_err());
     }
 }
 
 async fn assert_reader_may_not_change(reader: &mut GnmiClient) {
-    let denied = set(reader, ADVICE, json!(2)).await.unwrap_err();
+    let denied = set_value(reader, ADVICE_PATH, json!(2)).await.unwrap_err();
     assert_eq!(
         (denied.code(), denied.message()),
         (
@@ -170,8 +172,11 @@
         let Some(Response::Update(notification)) = message.response else {
             continue;
         };
-        let last = notification.update.last().and_then(|u| u.val.clone());
-        if last.and_then(|v| v.value) == Some(typed_value::Value::UintVal(LAST_ADVICE)) {
+        let last = notification
+            .update
+            .last()
+            .and_then(|update| update.val.clone());
+        if last.and_then(|value| value.value) == Some(typed_value::Value::UintVal(LAST_ADVICE)) {
             return;
         }
     }
@@ -180,32 +185,42 @@
 #[test]
 fn certificates_are_replaced_under_open_streams_and_wrong_ones_change_nothing() {
     let (old, new) = (Authority::new("old"), Authority::new("new"));
-    let (gateway, at, dir) = tls_gateway(&old);
+    let (gateway, gnmi_address, dir) = tls_gateway(&old);
     let ops = old.sign_client("ops-1");
-    runtime().block_on(async {
-        let mut client = connect_to(tls_endpoint(at, &old, &ops)).await;
+    current_thread_runtime().block_on(async {
+        let mut client = connect_to_endpoint(tls_endpoint(gnmi_address, &old, &ops)).await;
         let reader = old.sign_client("reader");
-        let mut reader = connect_to(tls_endpoint(at, &old, &reader)).await;
-        set(&mut client, ADVICE, json!(1)).await.unwrap();
+        let mut reader = connect_to_endpoint(tls_endpoint(gnmi_address, &old, &reader)).await;
+        set_value(&mut client, ADVICE_PATH, json!(1)).await.unwrap();
         assert_reader_may_not_change(&mut reader).await;
-        assert_denied_to_others(at, &old, &new).await;
-        assert_eq!(get(&mut reader, ADVICE).await.unwrap(), json!(1));
+        assert_denied_to_others(gnmi_address, &old, &new).await;
+        assert_eq!(get_json(&mut reader, ADVICE_PATH).await.unwrap(), json!(1));
 
-        let request = subscription_request(ADVICE, SubscriptionMode::OnChange);
-        let mut stream = subscribe(&mut reader, request).await.unwrap();
+        let request = subscription_request(ADVICE_PATH, SubscriptionMode::OnChange);
+        let mut stream = open_subscription(&mut reader, request).await.unwrap();
         let changing = tokio::spawn(async move {
             for advice in 2..=LAST_ADVICE {
-                set(&mut client, ADVICE, json!(advice)).await.unwrap();
+                set_value(&mut client, ADVICE_PATH, json!(advice))
+                    .await
+                    .unwrap();
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         });
-        write_tls_files(&dir, &new.sign_gateway(at.ip()), &new);
+        write_tls_files(&dir, &new.sign_gateway(gnmi_address.ip()), &new);
         gateway.signal("-HUP");
         let renewed = new.sign_client("ops-1");
         let (timeout, interval) = (Duration::from_secs(5), Duration::from_millis(20));
-        await_may_read(at, &new, &renewed, timeout, interval, "new keys not used").await;
+        await_may_read(
+            gnmi_address,
+            &new,
+            &renewed,
+            timeout,
+            interval,
+            "new keys not used",
+        )
+        .await;
         assert!(
-            !may_read(at, &old, &ops).await,
+            !may_read(gnmi_address, &old, &ops).await,
             "the old authority's clients are refused"
         );
         changing.await.unwrap();
@@ -218,12 +233,22 @@
         std::fs::write(dir.join("key.pem"), "no key").unwrap();
         gateway.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let mut client = connect_to(tls_endpoint(at, &new, &renewed)).await;
-        set(&mut client, ADVICE, json!(60)).await.unwrap();
+        let mut client = connect_to_endpoint(tls_endpoint(gnmi_address, &new, &renewed)).await;
+        set_value(&mut client, ADVICE_PATH, json!(60))
+            .await
+            .unwrap();
 
         // Changed files are read without a signal too.
-        write_tls_files(&dir, &old.sign_gateway(at.ip()), &old);
+        write_tls_files(&dir, &old.sign_gateway(gnmi_address.ip()), &old);
         let (timeout, interval) = (Duration::from_secs(20), Duration::from_millis(100));
-        await_may_read(at, &old, &ops, timeout, interval, "changed files not read").await;
+        await_may_read(
+            gnmi_address,
+            &old,
+            &ops,
+            timeout,
+            interval,
+            "changed files not read",
+        )
+        .await;
     });
 }
--- a/crates/gateway/tests/manage/change_under_load.rs
+++ b/crates/gateway/tests/manage/change_under_load.rs
@@ -1,7 +1,9 @@
 //! Settings change and engines drain while clients keep requests in flight.
 
-use crate::managed::{connect, managed_gateway, runtime, set, GnmiClient};
-use crate::support::slow_engine_that_hangs_up;
+use crate::managed::{
+    connect_without_tls, current_thread_runtime, set_value, start_managed_gateway, GnmiClient,
+};
+use crate::support::start_slow_engine_that_disconnects;
 use ironstair_test_cluster::stub::{
     engine_list_answer, request_id, Client, NameServiceAnswer, RecordedLines,
 };
@@ -38,45 +40,45 @@
 }
 
 /// Makes one of six changes by turns; the last changes a fixed term and is refused.
-async fn make_change(client: &mut GnmiClient, nth: u64) -> Result<(), Status> {
-    match nth % 6 {
+async fn make_change(client: &mut GnmiClient, index: u64) -> Result<(), Status> {
+    match index % 6 {
         0 => {
-            let payoff = json!(format!("{}.5", nth % 9 + 1));
-            set(client, "/settings/band[name=lookup]/payoff", payoff).await
+            let payoff = json!(format!("{}.5", index % 9 + 1));
+            set_value(client, "/settings/band[name=lookup]/payoff", payoff).await
         }
         1 => {
-            let objective_ms = json!(500 + nth % 900);
-            set(client, "/settings/band[name=report]/expected", objective_ms).await
+            let objective_ms = json!(500 + index % 900);
+            set_value(client, "/settings/band[name=report]/expected", objective_ms).await
         }
         2 => {
             let retry_budget =
-                json!({"spare": 5 + nth % 50, "share": "0.5", "span": 1000 + nth % 5000});
-            set(client, "/settings/ration", retry_budget).await
+                json!({"spare": 5 + index % 50, "share": "0.5", "span": 1000 + index % 5000});
+            set_value(client, "/settings/ration", retry_budget).await
         }
-        3 => set(client, "/settings/gateways", json!(1 + nth % 3)).await,
-        4 => set(client, "/settings/forwards-most", json!(2 + nth % 5)).await,
-        _ => set(client, "/settings/band[name=post]/threads", json!(7)).await,
+        3 => set_value(client, "/settings/gateways", json!(1 + index % 3)).await,
+        4 => set_value(client, "/settings/forwards-most", json!(2 + index % 5)).await,
+        _ => set_value(client, "/settings/band[name=post]/threads", json!(7)).await,
     }
 }
 
 /// Changes the settings every 5 ms until `stop` is set.
 fn spawn_changer(
-    at: SocketAddr,
+    gnmi_address: SocketAddr,
     stop: Arc<AtomicBool>,
     attempted: Arc<AtomicU64>,
 ) -> JoinHandle<ChangeCounts> {
     thread::spawn(move || {
-        runtime().block_on(async {
-            let mut client = connect(at).await;
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(gnmi_address).await;
             let mut counts = ChangeCounts::default();
-            let mut nth = 0;
+            let mut index = 0;
             while !stop.load(Ordering::Relaxed) {
-                match make_change(&mut client, nth).await {
+                match make_change(&mut client, index).await {
                     Ok(()) => counts.accepted += 1,
                     Err(_) => counts.refused += 1,
                 }
-                nth += 1;
-                attempted.store(nth, Ordering::Relaxed);
+                index += 1;
+                attempted.store(index, Ordering::Relaxed);
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
             counts
@@ -92,12 +94,12 @@
 ) -> JoinHandle<()> {
     thread::spawn(move || {
         for serial in 2.. {
-            let state = |nth: usize| u16::from(serial % 2 == 0 && nth == 3);
+            let state = |index: usize| u16::from(serial % 2 == 0 && index == 3);
             let listed: Vec<(&str, SocketAddr, u16)> = ENGINE_NAMES
                 .iter()
                 .zip(&engines)
                 .enumerate()
-                .map(|(nth, (name, address))| (*name, *address, state(nth)))
+                .map(|(index, (name, address))| (*name, *address, state(index)))
                 .collect();
             *name_answer.lock().unwrap() = engine_list_answer(serial, &listed);
             thread::sleep(Duration::from_millis(300));
@@ -115,29 +117,29 @@
     attempted: Arc<AtomicU64>,
 ) -> JoinHandle<ClientResult> {
     thread::spawn(move || {
-        let mut open: BTreeMap<u64, Instant> = BTreeMap::new();
+        let mut open_calls: BTreeMap<u64, Instant> = BTreeMap::new();
         let mut result = ClientResult {
             codes: BTreeMap::new(),
             slowest: Duration::ZERO,
             requested: 0,
         };
-        let asks_on = |requested: usize| {
+        let has_more_to_request = |requested: usize| {
             requested < MIN_REQUESTS_PER_CLIENT
                 || attempted.load(Ordering::Relaxed) < MIN_CHANGES_ATTEMPTED
         };
-        while result.codes.len() < result.requested || asks_on(result.requested) {
-            while asks_on(result.requested) && open.len() < MAX_OPEN_PER_CLIENT {
+        while result.codes.len() < result.requested || has_more_to_request(result.requested) {
+            while has_more_to_request(result.requested) && open_calls.len() < MAX_OPEN_PER_CLIENT {
                 result.requested += 1;
                 let call = client_number * 1_000_000 + result.requested as u64;
                 client.send_call_of_class(["lookup", "report", "post"][result.requested % 3], call);
-                open.insert(call, Instant::now());
+                open_calls.insert(call, Instant::now());
             }
             let reply = client.receive();
             let call = reply["id"].as_u64().unwrap();
-            let asked_at = open
+            let sent_at = open_calls
                 .remove(&call)
                 .unwrap_or_else(|| panic!("a second answer: {reply}"));
-            result.slowest = result.slowest.max(asked_at.elapsed());
+            result.slowest = result.slowest.max(sent_at.elapsed());
             let code = reply["error"]["code"].as_i64();
             result.codes.insert(call, code);
         }
@@ -159,13 +161,16 @@
 /// A request of a class with effect may have run once it was sent: the engines received each one once.
 fn assert_requests_with_effect_sent_once(engines: &[(SocketAddr, RecordedLines)]) {
     let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
-    for line in engines.iter().flat_map(|e| e.1.lock().unwrap().clone()) {
+    for line in engines
+        .iter()
+        .flat_map(|engine| engine.1.lock().unwrap().clone())
+    {
         if line.starts_with("fetch") && line.contains(" c=post,") {
             *attempts.entry(request_id(&line).to_owned()).or_default() += 1;
         }
     }
     assert!(attempts.len() > 200, "{}", attempts.len());
-    assert!(attempts.values().all(|n| *n == 1), "{attempts:?}");
+    assert!(attempts.values().all(|count| *count == 1), "{attempts:?}");
 }
 
 fn assert_each_answered_in_time(results: &[ClientResult]) {
@@ -183,7 +188,9 @@
     let requested: usize = results.iter().map(|result| result.requested).sum();
     assert_eq!(codes.len(), requested, "each one answer");
     assert!(
-        results.iter().all(|r| r.slowest < MAX_ANSWER_TIME),
+        results
+            .iter()
+            .all(|result| result.slowest < MAX_ANSWER_TIME),
         "in time"
     );
     assert!(
@@ -196,26 +203,29 @@
 fn requests_get_one_answer_in_time_while_settings_change_under_load() {
     // Two engines now and then lose a connection with everything that is open on it.
     let engines: Vec<(SocketAddr, RecordedLines)> = (0..4)
-        .map(|nth| {
-            let latency = Duration::from_millis(4 + 3 * nth);
-            slow_engine_that_hangs_up(latency, move |fetch| nth < 2 && fetch % 23 == 22)
+        .map(|index| {
+            let latency = Duration::from_millis(4 + 3 * index);
+            start_slow_engine_that_disconnects(latency, move |fetch| index < 2 && fetch % 23 == 22)
         })
         .collect();
-    let addresses: Vec<SocketAddr> = engines.iter().map(|e| e.0).collect();
+    let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.0).collect();
     let listed: Vec<(&str, SocketAddr)> = ENGINE_NAMES
         .into_iter()
         .zip(addresses.iter().copied())
         .collect();
-    let (gateway, at) = managed_gateway("case-1", &listed);
+    let (gateway, gnmi_address) = start_managed_gateway("case-1", &listed);
     let stop = Arc::new(AtomicBool::new(false));
     let attempted = Arc::new(AtomicU64::new(0));
 
-    let changer = spawn_changer(at, stop.clone(), attempted.clone());
+    let changer = spawn_changer(gnmi_address, stop.clone(), attempted.clone());
     let drains = spawn_drain_toggler(addresses, gateway.name_answer.clone(), stop.clone());
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| spawn_client(number, Client::connect(&gateway), attempted.clone()))
         .collect();
-    let results: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    let results: Vec<_> = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .collect();
     stop.store(true, Ordering::Relaxed);
     let counts = changer.join().unwrap();
     drains.join().unwrap();
--- a/crates/gateway/tests/manage/class_removal.rs
+++ b/crates/gateway/tests/manage/class_removal.rs
@@ -1,6 +1,9 @@
 //! A class is deleted and created again while its requests are in flight.
 
-use crate::managed::{connect, delete, get, managed_gateway, runtime, set, GnmiClient};
+use crate::managed::{
+    connect_without_tls, current_thread_runtime, delete_subtree, get_json, set_value,
+    start_managed_gateway, GnmiClient,
+};
 use ironstair_test_cluster::stub::{becomes_true, done_reply, start_engine, Client};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,27 +20,27 @@
 const REPORT_STATE: &str = "/state/band[name=report]";
 
 /// An engine that holds its answers until the flag is set.
-fn held_engine() -> (SocketAddr, Arc<AtomicBool>) {
-    let is_open = Arc::new(AtomicBool::new(false));
-    let opened = is_open.clone();
+fn start_held_engine() -> (SocketAddr, Arc<AtomicBool>) {
+    let answers_are_released = Arc::new(AtomicBool::new(false));
+    let may_answer = answers_are_released.clone();
     let (address, _) = start_engine(move |line, _| {
         if !line.starts_with("fetch") {
             return (Vec::new(), false);
         }
-        while !opened.load(Ordering::Relaxed) {
+        while !may_answer.load(Ordering::Relaxed) {
             thread::sleep(Duration::from_millis(2));
         }
         (done_reply(line, "a\tb\tc\n"), false)
     });
-    (address, is_open)
+    (address, answers_are_released)
 }
 
 /// Waits until 12 requests of the class are accepted and all of them run. A fixed wait would not do: a call that the
 /// gateway reads after the class was deleted is rejected.
-fn await_twelve_running(rt: &Runtime, client: &mut GnmiClient) {
+fn await_twelve_running(runtime: &Runtime, client: &mut GnmiClient) {
     let mut state = Value::Null;
     let all_accepted = becomes_true(|| {
-        state = rt.block_on(get(client, REPORT_STATE)).unwrap();
+        state = runtime.block_on(get_json(client, REPORT_STATE)).unwrap();
         state["ironstair-gateway:taken"] == "12"
     });
     assert!(all_accepted, "{state}");
@@ -46,10 +49,10 @@
 }
 
 /// Reads one answer to each of the 17 calls: 12 have rows, those after the deletion are rejected at once.
-fn assert_running_finish_and_later_rejected(asker: &mut Client, deleted_at: Instant) {
+fn assert_running_finish_and_later_rejected(request_client: &mut Client, deleted_at: Instant) {
     let (mut finished, mut rejected) = (BTreeSet::new(), BTreeMap::new());
     while finished.len() + rejected.len() < 17 {
-        let reply = asker.receive();
+        let reply = request_client.receive();
         let call = reply["id"].as_u64().unwrap();
         let is_first = match reply["error"]["code"].as_i64() {
             None => finished.insert(call),
@@ -63,7 +66,9 @@
         [101, 102, 103, 104, 105]
     );
     assert!(
-        rejected.values().all(|t| *t < Duration::from_secs(1)),
+        rejected
+            .values()
+            .all(|elapsed| *elapsed < Duration::from_secs(1)),
         "rejected at once: {rejected:?}"
     );
 }
@@ -74,29 +79,33 @@
 
 #[test]
 fn deleted_class_finishes_its_running_requests_and_rejects_new_ones_until_created_again() {
-    let (at_engine, engine_is_open) = held_engine();
-    let (gateway, at) = managed_gateway("case-2", &[("e1", at_engine)]);
-    let rt = runtime();
-    let mut client = rt.block_on(connect(at));
-    let mut asker = Client::connect(&gateway);
-    (1..=12).for_each(|call| asker.send_call_of_class("report", call));
-    await_twelve_running(&rt, &mut client);
+    let (engine_address, answers_are_released) = start_held_engine();
+    let (gateway, gnmi_address) = start_managed_gateway("case-2", &[("e1", engine_address)]);
+    let runtime = current_thread_runtime();
+    let mut client = runtime.block_on(connect_without_tls(gnmi_address));
+    let mut request_client = Client::connect(&gateway);
+    (1..=12).for_each(|call| request_client.send_call_of_class("report", call));
+    await_twelve_running(&runtime, &mut client);
 
-    rt.block_on(delete(&mut client, REPORT_SETTINGS)).unwrap();
+    runtime
+        .block_on(delete_subtree(&mut client, REPORT_SETTINGS))
+        .unwrap();
     let deleted_at = Instant::now();
-    (101..=105).for_each(|call| asker.send_call_of_class("report", call));
-    engine_is_open.store(true, Ordering::Relaxed);
+    (101..=105).for_each(|call| request_client.send_call_of_class("report", call));
+    answers_are_released.store(true, Ordering::Relaxed);
 
-    assert_running_finish_and_later_rejected(&mut asker, deleted_at);
+    assert_running_finish_and_later_rejected(&mut request_client, deleted_at);
     // Without the wait a view from before the rejections could be read.
     thread::sleep(MAX_STATE_AGE);
-    let state = rt.block_on(get(&mut client, REPORT_STATE)).unwrap();
+    let state = runtime
+        .block_on(get_json(&mut client, REPORT_STATE))
+        .unwrap();
     assert_eq!(state["ironstair-gateway:in-service"], json!(false));
     assert_eq!(state["ironstair-gateway:turned-back"], json!("5"));
 
     // The class can come back with its old fixed terms only.
-    let refused = rt
-        .block_on(set(&mut client, REPORT_SETTINGS, report_class(2)))
+    let refused = runtime
+        .block_on(set_value(&mut client, REPORT_SETTINGS, report_class(2)))
         .unwrap_err();
     assert!(
         refused
@@ -104,8 +113,9 @@
             .starts_with("/settings/band[name=report]/threads: cannot"),
         "{refused:?}"
     );
-    rt.block_on(set(&mut client, REPORT_SETTINGS, report_class(4)))
+    runtime
+        .block_on(set_value(&mut client, REPORT_SETTINGS, report_class(4)))
         .unwrap();
-    asker.send_call_of_class("report", 200);
-    assert_eq!(asker.receive_rows().0, 200);
+    request_client.send_call_of_class("report", 200);
+    assert_eq!(request_client.receive_rows().0, 200);
 }
--- a/crates/gateway/tests/manage/confirmed_commit.rs
+++ b/crates/gateway/tests/manage/confirmed_commit.rs
@@ -1,8 +1,9 @@
 //! Commits that roll back unless they are confirmed, across kills of the gateway.
 
 use crate::managed::{
-    commit, connect, get, managed_gateway, rollback_after, runtime, send_set, set, set_request,
-    update, GnmiClient,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    get_json, json_update, send_set_request, set_request, set_value, start_managed_gateway,
+    GnmiClient,
 };
 use ironstair_gnmi::proto::gnmi;
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action};
@@ -12,31 +13,39 @@
 use std::time::Duration;
 use tonic::Code;
 
-const OBJECTIVE: &str = "/settings/band[name=lookup]/expected";
+const OBJECTIVE_PATH: &str = "/settings/band[name=lookup]/expected";
 
-async fn objective(at: SocketAddr) -> Value {
-    get(&mut connect(at).await, OBJECTIVE).await.unwrap()
+async fn get_objective(gnmi_address: SocketAddr) -> Value {
+    get_json(&mut connect_without_tls(gnmi_address).await, OBJECTIVE_PATH)
+        .await
+        .unwrap()
 }
 
 /// A commit of an objective that rolls back after `seconds` without a confirmation.
-fn unconfirmed(id: &str, objective_ms: u32, seconds: i64) -> gnmi::SetRequest {
-    let update = vec![update(OBJECTIVE, json!(objective_ms))];
-    set_request(update, commit(id, rollback_after(seconds, 0)))
+fn unconfirmed_commit(id: &str, objective_ms: u32, seconds: i64) -> gnmi::SetRequest {
+    let update = vec![json_update(OBJECTIVE_PATH, json!(objective_ms))];
+    set_request(
+        update,
+        commit_extension(id, commit_with_rollback_after(seconds, 0)),
+    )
 }
 
-fn confirmation(id: &str) -> gnmi::SetRequest {
+fn confirmation_request(id: &str) -> gnmi::SetRequest {
     let confirm = Action::Confirm(gnmi_ext::CommitConfirm {});
-    set_request(Vec::new(), commit(id, confirm))
+    set_request(Vec::new(), commit_extension(id, confirm))
 }
 
-fn longer_rollback(id: &str, seconds: i64) -> gnmi::SetRequest {
+fn longer_rollback_request(id: &str, seconds: i64) -> gnmi::SetRequest {
     let rollback_duration = Some(prost_types::Duration { seconds, nanos: 0 });
-    let longer = gnmi_ext::CommitSetRollbackDuration { rollback_duration };
-    set_request(Vec::new(), commit(id, Action::SetRollbackDuration(longer)))
+    let set_duration = gnmi_ext::CommitSetRollbackDuration { rollback_duration };
+    set_request(
+        Vec::new(),
+        commit_extension(id, Action::SetRollbackDuration(set_duration)),
+    )
 }
 
 async fn assert_failed_precondition(client: &mut GnmiClient, request: gnmi::SetRequest) {
-    let refused = send_set(client, request).await.unwrap_err();
+    let refused = send_set_request(client, request).await.unwrap_err();
     assert_eq!(refused.code(), Code::FailedPrecondition, "{refused:?}");
 }
 
@@ -51,58 +60,78 @@
 }
 
 /// A commit of 1 s, prolonged to 2 s, is in force after 1.3 s and rolled back after 2.3 s.
-async fn assert_rolls_back_by_itself(at: SocketAddr) {
-    let mut client = connect(at).await;
-    send_set(&mut client, unconfirmed("c3", 500, 1))
+async fn assert_rolls_back_by_itself(gnmi_address: SocketAddr) {
+    let mut client = connect_without_tls(gnmi_address).await;
+    send_set_request(&mut client, unconfirmed_commit("c3", 500, 1))
         .await
         .unwrap();
-    send_set(&mut client, longer_rollback("c3", 2))
+    send_set_request(&mut client, longer_rollback_request("c3", 2))
         .await
         .unwrap();
     tokio::time::sleep(Duration::from_millis(1300)).await;
-    assert_eq!(get(&mut client, OBJECTIVE).await.unwrap(), json!(500));
+    assert_eq!(
+        get_json(&mut client, OBJECTIVE_PATH).await.unwrap(),
+        json!(500)
+    );
     tokio::time::sleep(Duration::from_millis(1000)).await;
-    assert_eq!(get(&mut client, OBJECTIVE).await.unwrap(), json!(700));
+    assert_eq!(
+        get_json(&mut client, OBJECTIVE_PATH).await.unwrap(),
+        json!(700)
+    );
 }
 
 #[test]
 fn gateway_killed_between_apply_and_confirm_starts_with_the_settings_before() {
-    let (mut gateway, at) = managed_gateway("case-4", &[]);
-    let rt = runtime();
-    rt.block_on(async {
-        let mut client = connect(at).await;
-        set(&mut client, OBJECTIVE, json!(900)).await.unwrap();
-        let request = unconfirmed("c1", 800, 600);
-        send_set(&mut client, request.clone()).await.unwrap();
+    let (mut gateway, gnmi_address) = start_managed_gateway("case-4", &[]);
+    let runtime = current_thread_runtime();
+    runtime.block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
+        set_value(&mut client, OBJECTIVE_PATH, json!(900))
+            .await
+            .unwrap();
+        let request = unconfirmed_commit("c1", 800, 600);
+        send_set_request(&mut client, request.clone())
+            .await
+            .unwrap();
         assert_failed_precondition(&mut client, request).await;
     });
-    assert_eq!(rt.block_on(objective(at)), json!(800));
+    assert_eq!(runtime.block_on(get_objective(gnmi_address)), json!(800));
     gateway.restart();
     assert_eq!(
-        rt.block_on(objective(at)),
+        runtime.block_on(get_objective(gnmi_address)),
         json!(900),
         "not confirmed, not kept"
     );
 
-    rt.block_on(async {
-        let mut client = connect(at).await;
-        assert_failed_precondition(&mut client, confirmation("c1")).await;
-        send_set(&mut client, unconfirmed("c2", 700, 600))
+    runtime.block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
+        assert_failed_precondition(&mut client, confirmation_request("c1")).await;
+        send_set_request(&mut client, unconfirmed_commit("c2", 700, 600))
+            .await
+            .unwrap();
+        send_set_request(&mut client, confirmation_request("c2"))
             .await
             .unwrap();
-        send_set(&mut client, confirmation("c2")).await.unwrap();
     });
     gateway.restart();
-    assert_eq!(rt.block_on(objective(at)), json!(700), "confirmed, kept");
+    assert_eq!(
+        runtime.block_on(get_objective(gnmi_address)),
+        json!(700),
+        "confirmed, kept"
+    );
 
     // The revision before the torn record comes into force.
-    rt.block_on(async {
-        set(&mut connect(at).await, OBJECTIVE, json!(600))
-            .await
-            .unwrap();
+    runtime.block_on(async {
+        set_value(
+            &mut connect_without_tls(gnmi_address).await,
+            OBJECTIVE_PATH,
+            json!(600),
+        )
+        .await
+        .unwrap();
     });
     restart_with_torn_journal(&mut gateway);
-    assert_eq!(rt.block_on(objective(at)), json!(700));
+    assert_eq!(runtime.block_on(get_objective(gnmi_address)), json!(700));
 
-    rt.block_on(assert_rolls_back_by_itself(at));
+    runtime.block_on(assert_rolls_back_by_itself(gnmi_address));
 }
--- a/crates/gateway/tests/manage/malformed_messages.rs
+++ b/crates/gateway/tests/manage/malformed_messages.rs
@@ -1,10 +1,11 @@
 //! Random and mutated protobuf messages, and values that are no JSON.
 
 use crate::managed::{
-    commit, connect, get, managed_gateway, path, rollback_after, runtime, send_set, set_request,
-    subscription_request, update, GnmiClient,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    get_json, json_update, parse_path, send_set_request, set_request, start_managed_gateway,
+    subscription_request, GnmiClient,
 };
-use crate::support::resident_kib;
+use crate::support::resident_memory_kib;
 use ironstair_gnmi::proto::gnmi::{self, typed_value, SubscriptionMode, TypedValue};
 use prost::Message;
 use serde_json::json;
@@ -53,11 +54,11 @@
     let mut grpc = tonic::client::Grpc::new(channel.clone());
     grpc.ready()
         .await
-        .map_err(|e| Status::unavailable(e.to_string()))?;
-    let at = format!("/gnmi.gNMI/{method}").parse().unwrap();
+        .map_err(|error| Status::unavailable(error.to_string()))?;
+    let method_path = format!("/gnmi.gNMI/{method}").parse().unwrap();
     let once = tokio_stream::once(message);
     let mut stream = grpc
-        .streaming(tonic::Request::new(once), at, RawBytes)
+        .streaming(tonic::Request::new(once), method_path, RawBytes)
         .await?
         .into_inner();
     let read_to_end = async {
@@ -70,7 +71,7 @@
 }
 
 /// The same pseudo-random number for the same input, in every run.
-fn scramble(input: u64) -> u64 {
+fn pseudo_random(input: u64) -> u64 {
     let mixed = (input ^ 0x9E37_79B9_7F4A_7C15).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     (mixed ^ (mixed >> 29)).wrapping_mul(0x94D0_49BB_1331_11EB) >> 16
 }
@@ -83,14 +84,17 @@
 
 fn templates() -> [Template; 3] {
     let get = gnmi::GetRequest {
-        path: vec![path("/state/engine[name=x]")],
+        path: vec![parse_path("/state/engine[name=x]")],
         encoding: 4,
         ..Default::default()
     };
     let set = gnmi::SetRequest {
-        update: vec![update("/settings/band[name=lookup]/expected", json!(0))],
-        delete: vec![path("/state/process")],
-        extension: commit("x", rollback_after(-5, 7)),
+        update: vec![json_update(
+            "/settings/band[name=lookup]/expected",
+            json!(0),
+        )],
+        delete: vec![parse_path("/state/process")],
+        extension: commit_extension("x", commit_with_rollback_after(-5, 7)),
         ..Default::default()
     };
     let subscribe = subscription_request("/state/band[name=lookup]", SubscriptionMode::Sample);
@@ -103,16 +107,18 @@
 }
 
 /// The message after one to six truncations, extensions and changed bytes.
-fn mutated(template: &[u8], nth: u64) -> Vec<u8> {
+fn mutated(template: &[u8], message_index: u64) -> Vec<u8> {
     let mut message = template.to_vec();
-    for turn in 0..1 + scramble(nth) % 6 {
-        let random = scramble(nth * 31 + turn);
+    for mutation_index in 0..1 + pseudo_random(message_index) % 6 {
+        let random = pseudo_random(message_index * 31 + mutation_index);
         match random % 4 {
             0 if !message.is_empty() => message.truncate(random as usize / 4 % message.len()),
-            1 => message.extend((0..random / 4 % 40).map(|i| scramble(nth + i) as u8)),
+            1 => message.extend(
+                (0..random / 4 % 40).map(|offset| pseudo_random(message_index + offset) as u8),
+            ),
             _ if !message.is_empty() => {
-                let at = random as usize / 4 % message.len();
-                message[at] = scramble(random) as u8;
+                let position = random as usize / 4 % message.len();
+                message[position] = pseudo_random(random) as u8;
             }
             _ => {}
         }
@@ -123,18 +129,18 @@
 /// Sends 900 mutated messages. Returns the gateway's resident memory after the first 101, in KiB.
 async fn send_mutated_messages(channel: &Channel, gateway_pid: u32) -> u64 {
     let templates = templates();
-    let mut resident_early = 0;
+    let mut early_resident_kib = 0;
     let mut refused = 0;
-    for nth in 0..900u64 {
-        let Template { method, message } = &templates[nth as usize % 3];
-        let message = mutated(message, nth);
+    for message_index in 0..900u64 {
+        let Template { method, message } = &templates[message_index as usize % 3];
+        let message = mutated(message, message_index);
         refused += u32::from(call_raw(channel, method, message).await.is_err());
-        if nth == 100 {
-            resident_early = resident_kib(gateway_pid);
+        if message_index == 100 {
+            early_resident_kib = resident_memory_kib(gateway_pid);
         }
     }
     assert!(refused > 300, "{refused}");
-    resident_early
+    early_resident_kib
 }
 
 async fn assert_bad_json_refused(client: &mut GnmiClient) {
@@ -145,11 +151,11 @@
             value: Some(typed_value::Value::JsonIetfVal(value.into())),
         });
         let update = vec![gnmi::Update {
-            path: Some(path("/settings/advice")),
+            path: Some(parse_path("/settings/advice")),
             val,
             duplicates: 0,
         }];
-        let refused = send_set(client, set_request(update, Vec::new()))
+        let refused = send_set_request(client, set_request(update, Vec::new()))
             .await
             .unwrap_err();
         assert_eq!(
@@ -166,15 +172,15 @@
 
 #[test]
 fn malformed_messages_are_refused_and_change_nothing() {
-    let (mut gateway, at) = managed_gateway("case-7", &[]);
+    let (mut gateway, gnmi_address) = start_managed_gateway("case-7", &[]);
     let pid = gateway.process.id();
-    runtime().block_on(async {
-        let mut client = connect(at).await;
-        let before = get(&mut client, "/settings").await.unwrap();
-        let endpoint = Endpoint::from_shared(format!("http://{at}")).unwrap();
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
+        let before = get_json(&mut client, "/settings").await.unwrap();
+        let endpoint = Endpoint::from_shared(format!("http://{gnmi_address}")).unwrap();
         let channel = endpoint.connect().await.unwrap();
 
-        let resident_early = send_mutated_messages(&channel, pid).await;
+        let early_resident_kib = send_mutated_messages(&channel, pid).await;
         for (method, message) in [("Get", vec![0x12; 2 << 20]), ("Nothing", Vec::new())] {
             let called = call_raw(&channel, method, message).await;
             assert!(called.is_err(), "{method}");
@@ -182,12 +188,12 @@
         assert_bad_json_refused(&mut client).await;
 
         assert_eq!(
-            get(&mut client, "/settings").await.unwrap(),
+            get_json(&mut client, "/settings").await.unwrap(),
             before,
             "nothing has changed"
         );
-        let grown = resident_kib(pid).saturating_sub(resident_early);
-        assert!(grown < 16 << 10, "grown by {grown} KiB");
+        let growth_kib = resident_memory_kib(pid).saturating_sub(early_resident_kib);
+        assert!(growth_kib < 16 << 10, "grown by {growth_kib} KiB");
     });
     assert!(
         gateway.process.try_wait().unwrap().is_none(),
--- a/crates/gateway/tests/manage/persistence.rs
+++ b/crates/gateway/tests/manage/persistence.rs
@@ -1,7 +1,10 @@
 //! Changes of the settings on disk: replaced as a union, refused by a full disk, superseded by the configuration file.
 
-use crate::managed::{connect, get, managed_gateway, managed_gateway_with, runtime, set, update};
-use crate::support::slow_engine;
+use crate::managed::{
+    connect_without_tls, current_thread_runtime, get_json, json_update, set_value,
+    start_managed_gateway, start_managed_gateway_with,
+};
+use crate::support::start_slow_engine;
 use ironstair_gnmi::proto::gnmi;
 use ironstair_test_cluster::stub::Client;
 use serde_json::{json, Value};
@@ -10,16 +13,16 @@
 
 #[test]
 fn union_replace_sets_the_settings_to_the_union_of_its_values() {
-    let (_gateway, at) = managed_gateway("union", &[]);
-    runtime().block_on(async {
-        let mut client = connect(at).await;
-        let settings = get(&mut client, "/settings").await.unwrap();
+    let (_gateway, gnmi_address) = start_managed_gateway("union", &[]);
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
+        let settings = get_json(&mut client, "/settings").await.unwrap();
         let member = |name: &str| settings[format!("ironstair-gateway:{name}")].clone();
         let two_classes = json!([member("band")[0], member("band")[2]]);
         let union_replace = vec![
-            update("/settings/band", two_classes),
-            update("/settings/cold", member("cold")),
-            update("/settings", json!({"gateways": 7, "forwards-most": 3})),
+            json_update("/settings/band", two_classes),
+            json_update("/settings/cold", member("cold")),
+            json_update("/settings", json!({"gateways": 7, "forwards-most": 3})),
         ];
 
         let request = gnmi::SetRequest {
@@ -28,7 +31,7 @@
         };
         client.set(request).await.unwrap();
 
-        let new = get(&mut client, "/settings").await.unwrap();
+        let new = get_json(&mut client, "/settings").await.unwrap();
         assert_eq!(new["ironstair-gateway:band"].as_array().unwrap().len(), 2);
         assert_eq!(new["ironstair-gateway:gateways"], json!(7));
         assert_eq!(new["ironstair-gateway:forwards-most"], json!(3));
@@ -37,47 +40,69 @@
 
 #[test]
 fn full_disk_refuses_the_change_and_the_gateway_serves_on() {
-    let (at_engine, _) = slow_engine(Duration::from_millis(1));
-    let engines = [("e1", at_engine)];
-    let (mut gateway, at) = managed_gateway_with("full-disk", &engines, |_, dir| {
-        std::fs::create_dir_all(dir.join("state")).unwrap();
-        // Every write to this device fails for lack of space.
-        std::os::unix::fs::symlink("/dev/full", dir.join("state/revisions.new")).unwrap();
-    });
-    let rt = runtime();
-    rt.block_on(async {
-        let mut client = connect(at).await;
+    let (engine_address, _) = start_slow_engine(Duration::from_millis(1));
+    let engines = [("e1", engine_address)];
+    let (mut gateway, gnmi_address) =
+        start_managed_gateway_with("full-disk", &engines, |_, dir| {
+            std::fs::create_dir_all(dir.join("state")).unwrap();
+            // Every write to this device fails for lack of space.
+            std::os::unix::fs::symlink("/dev/full", dir.join("state/revisions.new")).unwrap();
+        });
+    let runtime = current_thread_runtime();
+    runtime.block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
 
-        let refused = set(&mut client, "/settings/advice", json!(9))
+        let refused = set_value(&mut client, "/settings/advice", json!(9))
             .await
             .unwrap_err();
 
         assert_eq!(refused.code(), Code::ResourceExhausted, "{refused:?}");
         assert!(refused.message().contains("was not made"), "{refused:?}");
-        let advice = get(&mut client, "/settings/advice").await.unwrap();
+        let advice = get_json(&mut client, "/settings/advice").await.unwrap();
         assert_eq!(advice, json!(0));
-        let mut asker = Client::connect(&gateway);
-        asker.send_call(1);
-        assert_eq!(asker.receive_rows().0, 1);
+        let mut request_client = Client::connect(&gateway);
+        request_client.send_call(1);
+        assert_eq!(request_client.receive_rows().0, 1);
         std::fs::remove_file(gateway.dir.join("state/revisions.new")).unwrap();
-        set(&mut client, "/settings/advice", json!(10))
+        set_value(&mut client, "/settings/advice", json!(10))
             .await
             .unwrap();
     });
     gateway.restart();
-    let persisted = rt.block_on(async { get(&mut connect(at).await, "/settings/advice").await });
+    let persisted = runtime.block_on(async {
+        get_json(
+            &mut connect_without_tls(gnmi_address).await,
+            "/settings/advice",
+        )
+        .await
+    });
     assert_eq!(persisted.unwrap(), json!(10));
 }
 
 #[test]
 fn configuration_file_that_has_changed_supersedes_the_revisions_at_the_next_start() {
-    let (mut gateway, at) = managed_gateway("told-anew", &[]);
-    let rt = runtime();
+    let (mut gateway, gnmi_address) = start_managed_gateway("told-anew", &[]);
+    let runtime = current_thread_runtime();
     let fleet_size = || {
-        rt.block_on(async { get(&mut connect(at).await, "/settings/gateways").await })
+        runtime
+            .block_on(async {
+                get_json(
+                    &mut connect_without_tls(gnmi_address).await,
+                    "/settings/gateways",
+                )
+                .await
+            })
             .unwrap()
     };
-    rt.block_on(async { set(&mut connect(at).await, "/settings/gateways", json!(5)).await })
+    runtime
+        .block_on(async {
+            set_value(
+                &mut connect_without_tls(gnmi_address).await,
+                "/settings/gateways",
+                json!(5),
+            )
+            .await
+        })
         .unwrap();
     let path = gateway.dir.join("told.json");
     let config = std::fs::read_to_string(&path).unwrap();
--- a/crates/gateway/tests/manage/process.rs
+++ b/crates/gateway/tests/manage/process.rs
@@ -1,6 +1,8 @@
 //! Threads, descriptors and log lines of the gateway's process.
 
-use crate::managed::{classes, connect, get, managed_gateway, runtime};
+use crate::managed::{
+    class_configs, connect_without_tls, current_thread_runtime, get_json, start_managed_gateway,
+};
 use ironstair_test_cluster::stub::{
     allocate_address, gateway_config, start_gateway_with_config, Client,
 };
@@ -30,30 +32,34 @@
 
 #[test]
 fn management_without_the_operators_file_has_no_thread_and_no_descriptor() {
-    let (managed, at) = managed_gateway("holds-with", &[]);
-    let (config, name_answer) = gateway_config(1, classes(), &[]);
+    let (managed, gnmi_address) = start_managed_gateway("holds-with", &[]);
+    let (config, name_answer) = gateway_config(1, class_configs(), &[]);
     let unmanaged = start_gateway_with_config("holds-without", config, name_answer, None);
     Client::connect(&managed).send_call(1);
     Client::connect(&unmanaged).send_call(1);
-    runtime().block_on(async { get(&mut connect(at).await, "/settings").await.unwrap() });
+    current_thread_runtime().block_on(async {
+        get_json(&mut connect_without_tls(gnmi_address).await, "/settings")
+            .await
+            .unwrap()
+    });
 
-    let with = ProcessResources::of(managed.process.id());
-    let without = ProcessResources::of(unmanaged.process.id());
+    let managed_resources = ProcessResources::of(managed.process.id());
+    let unmanaged_resources = ProcessResources::of(unmanaged.process.id());
 
     // One thread for the gateway, one each for the log and for async-io.
     assert!(
-        without.threads <= 3 && with.threads > without.threads,
-        "{without:?} {with:?}"
+        unmanaged_resources.threads <= 3 && managed_resources.threads > unmanaged_resources.threads,
+        "{unmanaged_resources:?} {managed_resources:?}"
     );
     assert!(
-        with.descriptors > without.descriptors,
-        "{without:?} {with:?}"
+        managed_resources.descriptors > unmanaged_resources.descriptors,
+        "{unmanaged_resources:?} {managed_resources:?}"
     );
 }
 
 #[test]
 fn log_as_json_lines_has_stable_keys() {
-    let (config, name_answer) = gateway_config(1, classes(), &[]);
+    let (config, name_answer) = gateway_config(1, class_configs(), &[]);
     let gateway = start_gateway_with_config("log-json", config, name_answer, None);
     let path = gateway.dir.join("other.json");
     let serve = || {
@@ -61,9 +67,9 @@
         command.args(["serve", "--log", "json"]).arg(&path);
         command
     };
-    let without_file = serve().output().unwrap();
+    let output_without_config = serve().output().unwrap();
     assert!(
-        String::from_utf8_lossy(&without_file.stderr).starts_with("ironstair: "),
+        String::from_utf8_lossy(&output_without_config.stderr).starts_with("ironstair: "),
         "no file, one sentence"
     );
     let config = std::fs::read_to_string(gateway.dir.join("told.json")).unwrap();
--- a/crates/gateway/tests/manage/refused_calls.rs
+++ b/crates/gateway/tests/manage/refused_calls.rs
@@ -1,8 +1,9 @@
 //! Calls that cannot be served are refused with a code, a reason and the place.
 
 use crate::managed::{
-    commit, connect, managed_gateway_with, path, rollback_after, runtime, send_set, set_request,
-    subscribe, subscription_list_request, subscription_request, update, GnmiClient,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    json_update, open_subscription, parse_path, send_set_request, set_request,
+    start_managed_gateway_with, subscription_list_request, subscription_request, GnmiClient,
 };
 use crate::support::poll_request;
 use ironstair_gnmi::proto::gnmi::{self, SubscriptionMode};
@@ -12,11 +13,11 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::Code;
 
-const ADVICE: &str = "/settings/advice";
+const ADVICE_PATH: &str = "/settings/advice";
 const MAX_STREAMS: usize = 2;
 const JSON_IETF: i32 = gnmi::Encoding::JsonIetf as i32;
 const BYTES: i32 = gnmi::Encoding::Bytes as i32;
-const UNKNOWN: i32 = 77;
+const UNKNOWN_ENCODING: i32 = 77;
 
 async fn assert_capabilities(client: &mut GnmiClient) {
     let capabilities = client
@@ -44,9 +45,9 @@
     );
 }
 
-fn get_request(at: gnmi::Path, encoding: i32, kind: i32) -> gnmi::GetRequest {
+fn get_request(path: gnmi::Path, encoding: i32, kind: i32) -> gnmi::GetRequest {
     gnmi::GetRequest {
-        path: vec![at],
+        path: vec![path],
         encoding,
         r#type: kind,
         ..Default::default()
@@ -54,7 +55,7 @@
 }
 
 async fn assert_absent_or_unsupported_refused(client: &mut GnmiClient) {
-    for (at, encoding, kind, code, reason) in [
+    for (path_text, encoding, kind, code, reason) in [
         (
             "/settings/bands",
             JSON_IETF,
@@ -79,14 +80,14 @@
         ("/settings", BYTES, 0, Code::Unimplemented, "encoding BYTES"),
         (
             "/settings",
-            UNKNOWN,
+            UNKNOWN_ENCODING,
             0,
             Code::InvalidArgument,
             "encoding 77",
         ),
         ("/settings", JSON_IETF, 9, Code::InvalidArgument, "type 9"),
     ] {
-        let request = get_request(path(at), encoding, kind);
+        let request = get_request(parse_path(path_text), encoding, kind);
         assert_get_refused(client, request, code, reason).await;
     }
 }
@@ -94,11 +95,11 @@
 async fn assert_bad_paths_refused(client: &mut GnmiClient) {
     let foreign_origin = gnmi::Path {
         origin: "openconfig".into(),
-        ..path("/settings")
+        ..parse_path("/settings")
     };
     let foreign_target = gnmi::Path {
         target: "n9".into(),
-        ..path("/settings")
+        ..parse_path("/settings")
     };
     let two_keys = gnmi::PathElem {
         name: "band".into(),
@@ -108,17 +109,17 @@
         elem: vec![two_keys],
         ..Default::default()
     };
-    for (at, reason) in [
+    for (path, reason) in [
         (foreign_origin, "origin \"openconfig\""),
         (foreign_target, "target \"n9\""),
         (two_keys, "band: the elem has 2 keys, at most one"),
-        (path(&"/a".repeat(40)), "the path has 40 steps"),
+        (parse_path(&"/a".repeat(40)), "the path has 40 steps"),
     ] {
-        let request = get_request(at, JSON_IETF, 0);
+        let request = get_request(path, JSON_IETF, 0);
         assert_get_refused(client, request, Code::InvalidArgument, reason).await;
     }
     let too_many = gnmi::GetRequest {
-        path: vec![path("/"); 300],
+        path: vec![parse_path("/"); 300],
         encoding: JSON_IETF,
         ..Default::default()
     };
@@ -132,9 +133,9 @@
 }
 
 async fn assert_bad_sets_refused(client: &mut GnmiClient) {
-    let advice = || vec![update(ADVICE, json!(1))];
+    let advice = || vec![json_update(ADVICE_PATH, json!(1))];
     let union_with_update = gnmi::SetRequest {
-        union_replace: vec![update("/settings", json!(1))],
+        union_replace: vec![json_update("/settings", json!(1))],
         update: advice(),
         ..Default::default()
     };
@@ -142,19 +143,25 @@
     for (request, reason) in [
         (union_with_update, "union_replace cannot be combined"),
         (
-            set_request(advice(), commit("a", confirm)),
+            set_request(advice(), commit_extension("a", confirm)),
             "confirm, cancel and set_rollback_duration",
         ),
         (
-            set_request(advice(), commit("a", rollback_after(0, 5))),
+            set_request(
+                advice(),
+                commit_extension("a", commit_with_rollback_after(0, 5)),
+            ),
             "rollback_duration is outside 1 s to 86400 s",
         ),
         (
-            set_request(advice(), commit("", rollback_after(5, 0))),
+            set_request(
+                advice(),
+                commit_extension("", commit_with_rollback_after(5, 0)),
+            ),
             "the commit id has 0 bytes, 1 to 128",
         ),
     ] {
-        let refused = send_set(client, request).await.unwrap_err();
+        let refused = send_set_request(client, request).await.unwrap_err();
         assert!(
             refused.code() == Code::InvalidArgument && refused.message().starts_with(reason),
             "{reason}: {refused:?}"
@@ -172,13 +179,13 @@
 
 async fn assert_bad_subscriptions_refused(client: &mut GnmiClient) {
     let too_frequent = gnmi::Subscription {
-        path: Some(path("/state")),
+        path: Some(parse_path("/state")),
         mode: SubscriptionMode::Sample as i32,
         sample_interval: 5,
         ..Default::default()
     };
     let unknown_node = gnmi::Subscription {
-        path: Some(path("/nothing")),
+        path: Some(parse_path("/nothing")),
         ..Default::default()
     };
     let empty_list = subscription_list_request(gnmi::SubscriptionList {
@@ -200,7 +207,7 @@
             "the subscription list has 0 subscriptions, 1 to 64",
         ),
     ] {
-        let mut stream = subscribe(client, first).await.unwrap();
+        let mut stream = open_subscription(client, first).await.unwrap();
         let refused = stream.message().await.unwrap_err();
         assert!(
             refused.code() == Code::InvalidArgument && refused.message().starts_with(reason),
@@ -213,20 +220,20 @@
 async fn assert_streams_limited(client: &mut GnmiClient) {
     let request = || subscription_request("/settings", SubscriptionMode::OnChange);
     let mut open = Vec::new();
-    for nth in 0..=MAX_STREAMS {
+    for index in 0..=MAX_STREAMS {
         let (requests, requested) = tokio::sync::mpsc::channel(1);
         requests.send(request()).await.unwrap();
         let requested = ReceiverStream::new(requested);
         let mut stream = client.subscribe(requested).await.unwrap().into_inner();
         let first = stream.message().await;
-        assert_eq!(first.is_ok(), nth < MAX_STREAMS);
-        assert!(nth < MAX_STREAMS || first.unwrap_err().code() == Code::ResourceExhausted);
+        assert_eq!(first.is_ok(), index < MAX_STREAMS);
+        assert!(index < MAX_STREAMS || first.unwrap_err().code() == Code::ResourceExhausted);
         open.push((requests, stream));
     }
     drop(open);
     let deadline = Instant::now() + Duration::from_secs(5);
     loop {
-        let mut stream = subscribe(client, request()).await.unwrap();
+        let mut stream = open_subscription(client, request()).await.unwrap();
         if stream.message().await.is_ok() {
             break;
         }
@@ -237,11 +244,11 @@
 
 #[test]
 fn calls_that_cannot_be_served_are_refused_with_reason_and_place() {
-    let (_gateway, at) = managed_gateway_with("wrong-calls", &[], |operator, _| {
+    let (_gateway, gnmi_address) = start_managed_gateway_with("wrong-calls", &[], |operator, _| {
         operator["management"]["streams"] = json!(MAX_STREAMS);
     });
-    runtime().block_on(async {
-        let mut client = connect(at).await;
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
         assert_capabilities(&mut client).await;
         assert_absent_or_unsupported_refused(&mut client).await;
         assert_bad_paths_refused(&mut client).await;
--- a/crates/gateway/tests/manage/stalled_subscribers.rs
+++ b/crates/gateway/tests/manage/stalled_subscribers.rs
@@ -1,10 +1,10 @@
 //! Subscribers that read slowly or not at all delay neither requests nor the subscribers that read.
 
 use crate::managed::{
-    connect, connect_to, delete, leaves, managed_gateway, runtime, set, subscribe,
-    subscription_request, GnmiClient,
+    connect_to_endpoint, connect_without_tls, current_thread_runtime, delete_subtree, get_leaves,
+    open_subscription, set_value, start_managed_gateway, subscription_request, GnmiClient,
 };
-use crate::support::{resident_kib, slow_engine, SubscribedValues};
+use crate::support::{resident_memory_kib, start_slow_engine, SubscribedValues};
 use ironstair_gnmi::proto::gnmi::{subscribe_response::Response, SubscriptionMode, TypedValue};
 use ironstair_test_cluster::stub::Client;
 use serde_json::json;
@@ -17,9 +17,9 @@
 use std::time::{Duration, Instant};
 use tonic::transport::Endpoint;
 
-const READERS: usize = 50;
-const PAYOFF: &str = "/settings/band[name=lookup]/payoff";
-const ADVICE: &str = "/settings/advice";
+const READER_COUNT: usize = 50;
+const PAYOFF_PATH: &str = "/settings/band[name=lookup]/payoff";
+const ADVICE_PATH: &str = "/settings/advice";
 /// Growth of the gateway's resident memory that the stalled subscribers may cause.
 const MAX_GROWTH_KIB: u64 = 64 << 10;
 
@@ -33,24 +33,24 @@
 }
 
 /// A proxy to `to` that passes requests at once, and the answers at about one byte in 50 ms.
-fn dripping_proxy(to: SocketAddr) -> SocketAddr {
+fn start_slow_proxy(to: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let proxy_address = listener.local_addr().unwrap();
     thread::spawn(move || {
-        for near in listener.incoming().flatten() {
-            let far = TcpStream::connect(to).unwrap();
-            let mut requests_from = near.try_clone().unwrap();
-            let mut requests_to = far.try_clone().unwrap();
+        for client_side in listener.incoming().flatten() {
+            let gateway_side = TcpStream::connect(to).unwrap();
+            let mut requests_from = client_side.try_clone().unwrap();
+            let mut requests_to = gateway_side.try_clone().unwrap();
             thread::spawn(move || std::io::copy(&mut requests_from, &mut requests_to));
-            thread::spawn(move || drip(far, near));
+            thread::spawn(move || forward_slowly(gateway_side, client_side));
         }
     });
-    at
+    proxy_address
 }
 
-fn drip(mut from: TcpStream, mut to: TcpStream) {
+fn forward_slowly(mut from: TcpStream, mut to: TcpStream) {
     let mut byte = [0];
-    while from.read(&mut byte).is_ok_and(|n| n > 0) {
+    while from.read(&mut byte).is_ok_and(|length| length > 0) {
         if to.write_all(&byte).is_err() {
             return;
         }
@@ -60,7 +60,7 @@
 }
 
 /// Asks one request after the other until `stop` is set.
-fn spawn_traffic(mut asker: Client, stop: Arc<AtomicBool>) -> JoinHandle<Traffic> {
+fn spawn_traffic(mut request_client: Client, stop: Arc<AtomicBool>) -> JoinHandle<Traffic> {
     thread::spawn(move || {
         let mut traffic = Traffic {
             calls: 0,
@@ -68,10 +68,10 @@
         };
         loop {
             traffic.calls += 1;
-            let asked_at = Instant::now();
-            asker.send_call(traffic.calls);
-            assert_eq!(asker.receive_rows().0, traffic.calls);
-            traffic.slowest = traffic.slowest.max(asked_at.elapsed());
+            let sent_at = Instant::now();
+            request_client.send_call(traffic.calls);
+            assert_eq!(request_client.receive_rows().0, traffic.calls);
+            traffic.slowest = traffic.slowest.max(sent_at.elapsed());
             if stop.load(Ordering::Relaxed) {
                 return traffic;
             }
@@ -82,7 +82,7 @@
 /// Follows the settings until the last payoff has arrived.
 async fn read_until_last(mut client: GnmiClient, last_payoff: LastPayoff) -> SubscribedValues {
     let request = subscription_request("/settings", SubscriptionMode::OnChange);
-    let mut stream = subscribe(&mut client, request).await.unwrap();
+    let mut stream = open_subscription(&mut client, request).await.unwrap();
     let mut values = SubscribedValues::default();
     loop {
         let message = stream.message().await.unwrap().unwrap();
@@ -90,7 +90,7 @@
             continue;
         };
         values.apply(&notification);
-        let payoff = values.0.get(PAYOFF).map(|value| format!("{value:?}"));
+        let payoff = values.0.get(PAYOFF_PATH).map(|value| format!("{value:?}"));
         let last_payoff = last_payoff.lock().unwrap();
         if last_payoff.is_some() && payoff == *last_payoff {
             return values;
@@ -100,50 +100,52 @@
 
 /// Changes a leaf, a leaf-list and a container 40 times; ends with a payoff of 77.5.
 async fn change_settings(client: &mut GnmiClient) {
-    for nth in 0..40 {
-        set(client, PAYOFF, json!(format!("{nth}.25")))
+    for index in 0..40 {
+        set_value(client, PAYOFF_PATH, json!(format!("{index}.25")))
             .await
-            .unwrap_or_else(|e| assert_eq!(nth, 0, "{e}"));
-        let zone = if nth % 2 == 0 {
+            .unwrap_or_else(|error| assert_eq!(index, 0, "{error}"));
+        let zone = if index % 2 == 0 {
             json!(["a"])
         } else {
             json!([])
         };
-        set(client, "/settings/band[name=lookup]/zone", zone)
+        set_value(client, "/settings/band[name=lookup]/zone", zone)
             .await
             .unwrap();
-        if nth % 4 == 0 {
-            delete(client, "/settings/ration").await.unwrap();
+        if index % 4 == 0 {
+            delete_subtree(client, "/settings/ration").await.unwrap();
         } else {
-            let retry_budget = json!({"spare": nth, "share": "0.5", "span": 1000});
-            set(client, "/settings/ration", retry_budget).await.unwrap();
+            let retry_budget = json!({"spare": index, "share": "0.5", "span": 1000});
+            set_value(client, "/settings/ration", retry_budget)
+                .await
+                .unwrap();
         }
     }
-    set(client, PAYOFF, json!("77.5")).await.unwrap();
+    set_value(client, PAYOFF_PATH, json!("77.5")).await.unwrap();
 }
 
 /// The advice changes after the last payoff is known, so a reader may have seen any value of it.
 fn without_advice(all: &BTreeMap<String, TypedValue>) -> BTreeMap<String, TypedValue> {
     let mut rest = all.clone();
-    rest.remove(ADVICE);
+    rest.remove(ADVICE_PATH);
     rest
 }
 
 /// Starts the readers, changes the settings, and compares each reader's values with the settings at the end.
-async fn assert_readers_miss_nothing(at: SocketAddr) {
+async fn assert_readers_miss_nothing(gnmi_address: SocketAddr) {
     let last_payoff = LastPayoff::default();
     let mut readers = Vec::new();
-    for _ in 0..READERS {
-        let client = connect(at).await;
+    for _ in 0..READER_COUNT {
+        let client = connect_without_tls(gnmi_address).await;
         readers.push(tokio::spawn(read_until_last(client, last_payoff.clone())));
     }
-    let mut client = connect(at).await;
+    let mut client = connect_without_tls(gnmi_address).await;
     change_settings(&mut client).await;
-    let expected = leaves(&mut client, "/settings").await;
-    *last_payoff.lock().unwrap() = Some(format!("{:?}", expected[PAYOFF]));
+    let expected = get_leaves(&mut client, "/settings").await;
+    *last_payoff.lock().unwrap() = Some(format!("{:?}", expected[PAYOFF_PATH]));
     // Every reader receives something after the last payoff is known, and compares then.
-    set(&mut client, ADVICE, json!(1)).await.unwrap();
-    set(&mut client, ADVICE, json!(0)).await.unwrap();
+    set_value(&mut client, ADVICE_PATH, json!(1)).await.unwrap();
+    set_value(&mut client, ADVICE_PATH, json!(0)).await.unwrap();
     for reader in readers {
         let values = tokio::time::timeout(Duration::from_secs(10), reader)
             .await
@@ -155,28 +157,35 @@
 
 #[test]
 fn stalled_subscribers_delay_no_attempt_and_fifty_that_read_miss_nothing() {
-    let (at_engine, _) = slow_engine(Duration::from_millis(1));
-    let (gateway, at) = managed_gateway("case-3", &[("e1", at_engine)]);
+    let (engine_address, _) = start_slow_engine(Duration::from_millis(1));
+    let (gateway, gnmi_address) = start_managed_gateway("case-3", &[("e1", engine_address)]);
     let stop = Arc::new(AtomicBool::new(false));
     let traffic = spawn_traffic(Client::connect(&gateway), stop.clone());
 
-    runtime().block_on(async {
-        let before = resident_kib(gateway.process.id());
-        let mut unreading = connect(at).await;
+    current_thread_runtime().block_on(async {
+        let before = resident_memory_kib(gateway.process.id());
+        let mut unread_client = connect_without_tls(gnmi_address).await;
         let request = subscription_request("/", SubscriptionMode::OnChange);
-        let _unread = subscribe(&mut unreading, request).await.unwrap();
-        let proxy = dripping_proxy(at);
-        let mut slow = connect_to(Endpoint::from_shared(format!("http://{proxy}")).unwrap()).await;
-        let dripped = tokio::spawn(async move {
+        let _unread = open_subscription(&mut unread_client, request)
+            .await
+            .unwrap();
+        let proxy = start_slow_proxy(gnmi_address);
+        let mut slow_client =
+            connect_to_endpoint(Endpoint::from_shared(format!("http://{proxy}")).unwrap()).await;
+        let slow_subscription = tokio::spawn(async move {
             let request = subscription_request("/state", SubscriptionMode::Sample);
-            if let Ok(mut stream) = subscribe(&mut slow, request).await {
-                while stream.message().await.is_ok_and(|m| m.is_some()) {}
+            if let Ok(mut stream) = open_subscription(&mut slow_client, request).await {
+                while stream
+                    .message()
+                    .await
+                    .is_ok_and(|message| message.is_some())
+                {}
             }
         });
-        assert_readers_miss_nothing(at).await;
-        let grown = resident_kib(gateway.process.id()).saturating_sub(before);
-        assert!(grown < MAX_GROWTH_KIB, "grown by {grown} KiB");
-        dripped.abort();
+        assert_readers_miss_nothing(gnmi_address).await;
+        let growth_kib = resident_memory_kib(gateway.process.id()).saturating_sub(before);
+        assert!(growth_kib < MAX_GROWTH_KIB, "grown by {growth_kib} KiB");
+        slow_subscription.abort();
     });
     stop.store(true, Ordering::Relaxed);
 
--- a/crates/gateway/tests/manage/subscription_modes.rs
+++ b/crates/gateway/tests/manage/subscription_modes.rs
@@ -1,9 +1,10 @@
 //! Subscriptions in the modes ONCE, POLL and STREAM.
 
 use crate::managed::{
-    connect, leaves, managed_gateway, path_text, runtime, set, subscribe, GnmiClient,
+    connect_without_tls, current_thread_runtime, format_path, get_leaves, open_subscription,
+    set_value, start_managed_gateway, GnmiClient,
 };
-use crate::support::{poll_request, subscribe_to_paths};
+use crate::support::{paths_subscription_request, poll_request};
 use ironstair_gnmi::proto::gnmi::{
     subscribe_response::Response, subscription_list::Mode, SubscribeResponse,
 };
@@ -11,15 +12,17 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Status, Streaming};
 
-const CLASSES: &str = "/settings/band";
+const CLASSES_PATH: &str = "/settings/band";
 /// Leaves of one class: a change of one leaf is sent with its whole list entry, which must not be seen half.
 const LEAVES_OF_ONE_CLASS: usize = 9;
 
 /// Counts the updates before the sync response.
-async fn updates_until_sync(stream: &mut Streaming<SubscribeResponse>) -> Result<usize, Status> {
+async fn count_updates_until_sync(
+    stream: &mut Streaming<SubscribeResponse>,
+) -> Result<usize, Status> {
     let mut updates = 0;
     loop {
-        match stream.message().await?.and_then(|m| m.response) {
+        match stream.message().await?.and_then(|message| message.response) {
             Some(Response::SyncResponse(true)) => return Ok(updates),
             Some(Response::Update(notification)) => updates += notification.update.len(),
             other => panic!("{other:?}"),
@@ -30,18 +33,21 @@
 /// Polls twice, changes one leaf, and polls again.
 async fn assert_polls(client: &mut GnmiClient, updates_only: bool, class_leaves: usize) {
     let (requests, requested) = tokio::sync::mpsc::channel(4);
-    let first = subscribe_to_paths(&[CLASSES], Mode::Poll, updates_only);
+    let first = paths_subscription_request(&[CLASSES_PATH], Mode::Poll, updates_only);
     requests.send(first).await.unwrap();
     let requested = ReceiverStream::new(requested);
     let mut polled = client.subscribe(requested).await.unwrap().into_inner();
     let unchanged = if updates_only { 0 } else { class_leaves };
     for _ in 0..2 {
         requests.send(poll_request()).await.unwrap();
-        assert_eq!(updates_until_sync(&mut polled).await.unwrap(), unchanged);
+        assert_eq!(
+            count_updates_until_sync(&mut polled).await.unwrap(),
+            unchanged
+        );
     }
 
     let payoff = json!(if updates_only { "3.5" } else { "2.5" });
-    set(client, "/settings/band[name=lookup]/payoff", payoff)
+    set_value(client, "/settings/band[name=lookup]/payoff", payoff)
         .await
         .unwrap();
     requests.send(poll_request()).await.unwrap();
@@ -51,35 +57,42 @@
     } else {
         class_leaves
     };
-    assert_eq!(updates_until_sync(&mut polled).await.unwrap(), changed);
+    assert_eq!(
+        count_updates_until_sync(&mut polled).await.unwrap(),
+        changed
+    );
 }
 
 #[test]
 fn once_poll_and_stream_send_all_values_then_the_sync_response() {
-    let (_gateway, at) = managed_gateway("modes", &[("e1", "127.0.0.1:9".parse().unwrap())]);
-    runtime().block_on(async {
-        let mut client = connect(at).await;
-        let class_leaves = leaves(&mut client, CLASSES).await.len();
-        let once = subscribe_to_paths(&[CLASSES], Mode::Once, false);
-        let mut once = subscribe(&mut client, once).await.unwrap();
-        assert_eq!(updates_until_sync(&mut once).await.unwrap(), class_leaves);
+    let (_gateway, gnmi_address) =
+        start_managed_gateway("modes", &[("e1", "127.0.0.1:9".parse().unwrap())]);
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(gnmi_address).await;
+        let class_leaves = get_leaves(&mut client, CLASSES_PATH).await.len();
+        let once = paths_subscription_request(&[CLASSES_PATH], Mode::Once, false);
+        let mut once = open_subscription(&mut client, once).await.unwrap();
+        assert_eq!(
+            count_updates_until_sync(&mut once).await.unwrap(),
+            class_leaves
+        );
         assert!(once.message().await.unwrap().is_none(), "and it ends");
 
         assert_polls(&mut client, false, class_leaves).await;
         assert_polls(&mut client, true, class_leaves).await;
 
         let both = ["/settings/advice", "/state/process/name"];
-        let stream = subscribe_to_paths(&both, Mode::Stream, false);
-        let mut stream = subscribe(&mut client, stream).await.unwrap();
-        assert_eq!(updates_until_sync(&mut stream).await.unwrap(), 2);
-        set(&mut client, "/settings/advice", json!(5))
+        let stream = paths_subscription_request(&both, Mode::Stream, false);
+        let mut stream = open_subscription(&mut client, stream).await.unwrap();
+        assert_eq!(count_updates_until_sync(&mut stream).await.unwrap(), 2);
+        set_value(&mut client, "/settings/advice", json!(5))
             .await
             .unwrap();
         let message = stream.message().await.unwrap().unwrap();
         let Some(Response::Update(notification)) = message.response else {
             panic!("{message:?}")
         };
-        let changed = path_text(None, notification.update[0].path.as_ref());
+        let changed = format_path(None, notification.update[0].path.as_ref());
         assert_eq!(changed, "/settings/advice");
     });
 }
--- a/crates/gateway/tests/manage/support.rs
+++ b/crates/gateway/tests/manage/support.rs
@@ -1,6 +1,6 @@
 //! Engines, subscriptions and measurements that several tests of this binary use.
 
-use crate::managed::{path, path_text, subscription_list_request};
+use crate::managed::{format_path, parse_path, subscription_list_request};
 use ironstair_gnmi::proto::gnmi::{self, TypedValue};
 use ironstair_test_cluster::stub::{done_reply, start_engine, RecordedLines};
 use std::collections::BTreeMap;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 /// An engine that answers each fetch after `latency`, and records the lines that it received.
-pub(crate) fn slow_engine(latency: Duration) -> (SocketAddr, RecordedLines) {
-    slow_engine_that_hangs_up(latency, |_| false)
+pub(crate) fn start_slow_engine(latency: Duration) -> (SocketAddr, RecordedLines) {
+    start_slow_engine_that_disconnects(latency, |_| false)
 }
 
-/// An engine that answers each fetch after `latency`, and closes the connection instead where `hangs_up` holds for the
+/// An engine that answers each fetch after `latency`, and closes the connection instead where `disconnects` holds for the
 /// number of the fetch (from 0).
-pub(crate) fn slow_engine_that_hangs_up(
+pub(crate) fn start_slow_engine_that_disconnects(
     latency: Duration,
-    hangs_up: impl Fn(usize) -> bool + Send + Sync + 'static,
+    disconnects: impl Fn(usize) -> bool + Send + Sync + 'static,
 ) -> (SocketAddr, RecordedLines) {
     let fetches = AtomicUsize::new(0);
     start_engine(move |line, _| {
@@ -26,7 +26,7 @@
             return (Vec::new(), false);
         }
         thread::sleep(latency);
-        if hangs_up(fetches.fetch_add(1, Ordering::Relaxed)) {
+        if disconnects(fetches.fetch_add(1, Ordering::Relaxed)) {
             return (Vec::new(), true);
         }
         (done_reply(line, "a\tb\tc\n"), false)
@@ -34,9 +34,12 @@
 }
 
 /// Resident memory of a process in KiB.
-pub(crate) fn resident_kib(pid: u32) -> u64 {
+pub(crate) fn resident_memory_kib(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let line = status.lines().find(|l| l.starts_with("VmRSS")).unwrap();
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS"))
+        .unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
@@ -49,13 +52,13 @@
     pub(crate) fn apply(&mut self, notification: &gnmi::Notification) {
         let prefix = notification.prefix.as_ref();
         for deleted in &notification.delete {
-            self.remove_subtree(&path_text(prefix, Some(deleted)));
+            self.remove_subtree(&format_path(prefix, Some(deleted)));
         }
         if notification.atomic {
-            self.remove_subtree(&path_text(prefix, None));
+            self.remove_subtree(&format_path(prefix, None));
         }
         for update in &notification.update {
-            let path = path_text(prefix, update.path.as_ref());
+            let path = format_path(prefix, update.path.as_ref());
             self.0.insert(path, update.val.clone().unwrap());
         }
     }
@@ -68,13 +71,13 @@
 }
 
 /// A request for several paths in one subscription list.
-pub(crate) fn subscribe_to_paths(
+pub(crate) fn paths_subscription_request(
     paths: &[&str],
     mode: gnmi::subscription_list::Mode,
     updates_only: bool,
 ) -> gnmi::SubscribeRequest {
-    let subscription = paths.iter().map(|at| gnmi::Subscription {
-        path: Some(path(at)),
+    let subscription = paths.iter().map(|path| gnmi::Subscription {
+        path: Some(parse_path(path)),
         ..Default::default()
     });
     subscription_list_request(gnmi::SubscriptionList {
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -25,47 +25,50 @@
 pub(crate) type GnmiClient = GNmiClient<Channel>;
 
 /// A class with a base objective in ms, a hard limit of 5 s and a worth of 1.
-pub(crate) fn class(name: &str, semantics: &str, objective_ms: f64) -> Value {
+pub(crate) fn class_config(name: &str, semantics: &str, objective_ms: f64) -> Value {
     json!({"name": name, "slo_ns": objective_ms * 1e6, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
 }
 
 /// Two idempotent classes and one with effect.
-pub(crate) fn classes() -> Value {
+pub(crate) fn class_configs() -> Value {
     json!([
-        class("lookup", "pure", 1000.0),
-        class("report", "pure", 2000.0),
-        class("post", "side_effect", 1000.0)
+        class_config("lookup", "pure", 1000.0),
+        class_config("report", "pure", 2000.0),
+        class_config("post", "side_effect", 1000.0)
     ])
 }
 
 /// Starts a gateway with management, and returns it with the address of its gNMI service. `edit` may change the
 /// operator's file, and prepare the gateway's directory.
-pub(crate) fn managed_gateway_with(
+pub(crate) fn start_managed_gateway_with(
     test: &str,
     engines: &[(&str, SocketAddr)],
     edit: impl FnOnce(&mut Value, &Path),
 ) -> (Gateway, SocketAddr) {
-    let (config, name_answer) = gateway_config(1, classes(), engines);
+    let (config, name_answer) = gateway_config(1, class_configs(), engines);
     let listen: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
-    let at = SocketAddr::new(listen.ip(), GNMI_PORT);
+    let gnmi_address = SocketAddr::new(listen.ip(), GNMI_PORT);
     let dir = std::env::temp_dir().join(format!("ironstair-{test}-{}", std::process::id()));
     let mut operator =
-        json!({"management": {"listen": at.to_string(), "state": dir.join("state")}});
+        json!({"management": {"listen": gnmi_address.to_string(), "state": dir.join("state")}});
     std::fs::create_dir_all(&dir).unwrap();
     edit(&mut operator, &dir);
     (
         start_gateway_with_config(test, config, name_answer, Some(operator)),
-        at,
+        gnmi_address,
     )
 }
 
-/// As [`managed_gateway_with`], with the operator's file as it is.
-pub(crate) fn managed_gateway(test: &str, engines: &[(&str, SocketAddr)]) -> (Gateway, SocketAddr) {
-    managed_gateway_with(test, engines, |_, _| {})
+/// As [`start_managed_gateway_with`], with the operator's file as it is.
+pub(crate) fn start_managed_gateway(
+    test: &str,
+    engines: &[(&str, SocketAddr)],
+) -> (Gateway, SocketAddr) {
+    start_managed_gateway_with(test, engines, |_, _| {})
 }
 
 /// A runtime on the test's own thread.
-pub(crate) fn runtime() -> Runtime {
+pub(crate) fn current_thread_runtime() -> Runtime {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -73,7 +76,7 @@
 }
 
 /// Connects, with further attempts while the gateway starts.
-pub(crate) async fn connect_to(endpoint: Endpoint) -> GnmiClient {
+pub(crate) async fn connect_to_endpoint(endpoint: Endpoint) -> GnmiClient {
     let deadline = Instant::now() + MAX_START;
     loop {
         match endpoint.connect().await {
@@ -85,20 +88,20 @@
 }
 
 /// Connects without TLS.
-pub(crate) async fn connect(at: SocketAddr) -> GnmiClient {
-    connect_to(Endpoint::from_shared(format!("http://{at}")).unwrap()).await
+pub(crate) async fn connect_without_tls(gnmi_address: SocketAddr) -> GnmiClient {
+    connect_to_endpoint(Endpoint::from_shared(format!("http://{gnmi_address}")).unwrap()).await
 }
 
 /// Parses a path such as `/settings/band[name=lookup]/payoff`.
-pub(crate) fn path(text: &str) -> gnmi::Path {
+pub(crate) fn parse_path(text: &str) -> gnmi::Path {
     let steps = text.split('/').filter(|step| !step.is_empty());
     gnmi::Path {
-        elem: steps.map(path_step).collect(),
+        elem: steps.map(parse_path_step).collect(),
         ..Default::default()
     }
 }
 
-fn path_step(text: &str) -> gnmi::PathElem {
+fn parse_path_step(text: &str) -> gnmi::PathElem {
     let Some((name, key)) = text.split_once('[') else {
         return gnmi::PathElem {
             name: text.into(),
@@ -113,7 +116,7 @@
 }
 
 /// The text of a path below a prefix.
-pub(crate) fn path_text(prefix: Option<&gnmi::Path>, path: Option<&gnmi::Path>) -> String {
+pub(crate) fn format_path(prefix: Option<&gnmi::Path>, path: Option<&gnmi::Path>) -> String {
     let steps = prefix.into_iter().chain(path).flat_map(|path| &path.elem);
     let step_text = |step: &gnmi::PathElem| {
         let keys = step
@@ -126,13 +129,13 @@
 }
 
 /// An update whose value is JSON.
-pub(crate) fn update(at: &str, value: Value) -> gnmi::Update {
+pub(crate) fn json_update(path: &str, value: Value) -> gnmi::Update {
     let bytes = value.to_string().into_bytes();
     let val = Some(TypedValue {
         value: Some(typed_value::Value::JsonIetfVal(bytes)),
     });
     gnmi::Update {
-        path: Some(path(at)),
+        path: Some(parse_path(path)),
         val,
         duplicates: 0,
     }
@@ -151,7 +154,7 @@
 }
 
 /// Sends a request to change settings.
-pub(crate) async fn send_set(
+pub(crate) async fn send_set_request(
     client: &mut GnmiClient,
     request: gnmi::SetRequest,
 ) -> Result<(), Status> {
@@ -159,25 +162,33 @@
 }
 
 /// Updates one value.
-pub(crate) async fn set(client: &mut GnmiClient, at: &str, value: Value) -> Result<(), Status> {
-    send_set(client, set_request(vec![update(at, value)], Vec::new())).await
+pub(crate) async fn set_value(
+    client: &mut GnmiClient,
+    path: &str,
+    value: Value,
+) -> Result<(), Status> {
+    send_set_request(
+        client,
+        set_request(vec![json_update(path, value)], Vec::new()),
+    )
+    .await
 }
 
 /// Deletes one subtree.
-pub(crate) async fn delete(client: &mut GnmiClient, at: &str) -> Result<(), Status> {
+pub(crate) async fn delete_subtree(client: &mut GnmiClient, path: &str) -> Result<(), Status> {
     let request = gnmi::SetRequest {
-        delete: vec![path(at)],
+        delete: vec![parse_path(path)],
         ..Default::default()
     };
-    send_set(client, request).await
+    send_set_request(client, request).await
 }
 
 /// Reads one subtree as JSON.
-pub(crate) async fn get(client: &mut GnmiClient, at: &str) -> Result<Value, Status> {
+pub(crate) async fn get_json(client: &mut GnmiClient, path: &str) -> Result<Value, Status> {
     let encoding = gnmi::Encoding::JsonIetf as i32;
     let answer = client
         .get(gnmi::GetRequest {
-            path: vec![path(at)],
+            path: vec![parse_path(path)],
             encoding,
             ..Default::default()
         })
@@ -190,21 +201,27 @@
 }
 
 /// Reads one subtree as typed values by path.
-pub(crate) async fn leaves(client: &mut GnmiClient, at: &str) -> BTreeMap<String, TypedValue> {
+pub(crate) async fn get_leaves(
+    client: &mut GnmiClient,
+    path: &str,
+) -> BTreeMap<String, TypedValue> {
     let encoding = gnmi::Encoding::Proto as i32;
     let request = gnmi::GetRequest {
-        path: vec![path(at)],
+        path: vec![parse_path(path)],
         encoding,
         ..Default::default()
     };
     let answer = client.get(request).await.unwrap().into_inner();
-    let all = answer.notification.into_iter().flat_map(|n| n.update);
-    all.map(|u| (path_text(None, u.path.as_ref()), u.val.unwrap()))
+    let all = answer
+        .notification
+        .into_iter()
+        .flat_map(|notification| notification.update);
+    all.map(|update| (format_path(None, update.path.as_ref()), update.val.unwrap()))
         .collect()
 }
 
 /// The extension of a commit with this id.
-pub(crate) fn commit(id: &str, action: Action) -> Vec<Extension> {
+pub(crate) fn commit_extension(id: &str, action: Action) -> Vec<Extension> {
     let commit = gnmi_ext::Commit {
         id: id.into(),
         action: Some(action),
@@ -215,15 +232,15 @@
 }
 
 /// A commit that rolls back after this time without a confirmation.
-pub(crate) fn rollback_after(seconds: i64, nanos: i32) -> Action {
+pub(crate) fn commit_with_rollback_after(seconds: i64, nanos: i32) -> Action {
     let rollback_duration = Some(prost_types::Duration { seconds, nanos });
     Action::Commit(gnmi_ext::CommitRequest { rollback_duration })
 }
 
 /// A request to subscribe to one subtree as a stream.
-pub(crate) fn subscription_request(at: &str, mode: SubscriptionMode) -> gnmi::SubscribeRequest {
+pub(crate) fn subscription_request(path: &str, mode: SubscriptionMode) -> gnmi::SubscribeRequest {
     let subscription = gnmi::Subscription {
-        path: Some(path(at)),
+        path: Some(parse_path(path)),
         mode: mode as i32,
         ..Default::default()
     };
@@ -243,7 +260,7 @@
 }
 
 /// Opens a stream with one request, and keeps its sending half open.
-pub(crate) async fn subscribe(
+pub(crate) async fn open_subscription(
     client: &mut GnmiClient,
     first: gnmi::SubscribeRequest,
 ) -> Result<tonic::Streaming<gnmi::SubscribeResponse>, Status> {
--- a/crates/gateway/tests/pinned_forms/gnmi_messages.rs
+++ b/crates/gateway/tests/pinned_forms/gnmi_messages.rs
@@ -1,6 +1,9 @@
 //! The bytes of gNMI's paths, extensions and requests.
 
-use crate::managed::{commit, path, rollback_after, set_request, subscription_request, update};
+use crate::managed::{
+    commit_extension, commit_with_rollback_after, json_update, parse_path, set_request,
+    subscription_request,
+};
 use crate::FORMS;
 use ironstair_gnmi::proto::gnmi;
 use ironstair_gnmi::proto::gnmi_ext::{self, commit::Action, extension::Ext, Extension};
@@ -9,7 +12,7 @@
 use serde_json::json;
 
 fn commit_hex(action: Action) -> String {
-    hex(&commit("c1", action)[0].encode_to_vec())
+    hex(&commit_extension("c1", action)[0].encode_to_vec())
 }
 
 fn longer_rollback() -> Action {
@@ -39,21 +42,24 @@
 
 #[test]
 fn paths_and_extensions_of_management_have_the_pinned_bytes() {
-    let update = vec![update("/settings/advice", json!(70))];
+    let update = vec![json_update("/settings/advice", json!(70))];
     let set = gnmi::SetRequest {
         prefix: Some(fleet_path()),
-        ..set_request(update, commit("c1", rollback_after(60, 0)))
+        ..set_request(
+            update,
+            commit_extension("c1", commit_with_rollback_after(60, 0)),
+        )
     };
     let get = gnmi::GetRequest {
-        path: vec![path("/state/revision[number=3]/who")],
+        path: vec![parse_path("/state/revision[number=3]/who")],
         encoding: gnmi::Encoding::JsonIetf as i32,
         ..Default::default()
     };
     let subscribe =
         subscription_request("/state/engine[name=e1]", gnmi::SubscriptionMode::OnChange);
-    let class_path = path("/settings/band[name=lookup]/expected");
+    let class_path = parse_path("/settings/band[name=lookup]/expected");
     let lines = [
-        ("commit", commit_hex(rollback_after(60, 5))),
+        ("commit", commit_hex(commit_with_rollback_after(60, 5))),
         (
             "confirm",
             commit_hex(Action::Confirm(gnmi_ext::CommitConfirm {})),
--- a/crates/gateway/tests/pinned_forms/printed_json.rs
+++ b/crates/gateway/tests/pinned_forms/printed_json.rs
@@ -2,7 +2,8 @@
 
 use crate::command_line::stdout_of;
 use crate::managed::{
-    commit, connect, managed_gateway, rollback_after, runtime, send_set, set, set_request, update,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    json_update, send_set_request, set_request, set_value, start_managed_gateway,
 };
 use crate::FORMS;
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
@@ -23,7 +24,10 @@
             .map(|(name, value)| (name.clone(), shape(value)))
             .collect(),
         Value::Array(all) => {
-            let shapes = all.iter().map(shape).map(|s| (s.to_string(), s));
+            let shapes = all
+                .iter()
+                .map(shape)
+                .map(|entry_shape| (entry_shape.to_string(), entry_shape));
             let distinct: BTreeMap<String, Value> = shapes.collect();
             distinct.into_values().collect()
         }
@@ -59,21 +63,24 @@
 
 #[test]
 fn get_and_revisions_print_the_pinned_json() {
-    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-    let (_gateway, address) = managed_gateway("pinned-get", &[("e1", at_engine)]);
-    let at = address.to_string();
+    let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+    let (_gateway, address) = start_managed_gateway("pinned-get", &[("e1", engine_address)]);
+    let at_address = address.to_string();
     let json_of = |args: &[&str]| -> Value {
-        let args = [args, &["--json", "--at", &at]].concat();
+        let args = [args, &["--json", "--at", &at_address]].concat();
         serde_json::from_str(&stdout_of(&args)).unwrap()
     };
-    runtime().block_on(async {
-        let mut client = connect(address).await;
-        set(&mut client, "/settings/advice", json!(70))
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(address).await;
+        set_value(&mut client, "/settings/advice", json!(70))
             .await
             .unwrap();
-        let update = vec![update("/settings/advice", json!(80))];
-        let unconfirmed = set_request(update, commit("waits", rollback_after(600, 0)));
-        send_set(&mut client, unconfirmed).await.unwrap();
+        let update = vec![json_update("/settings/advice", json!(80))];
+        let unconfirmed = set_request(
+            update,
+            commit_extension("waits", commit_with_rollback_after(600, 0)),
+        );
+        send_set_request(&mut client, unconfirmed).await.unwrap();
     });
 
     assert_same_json("get-settings.json", &json_of(&["get", "/settings"]));
@@ -116,7 +123,7 @@
     let output = cluster.cli(0, &["revisions", "--fleet", "--json"]);
     let mut revisions: Value = serde_json::from_str(&output.stdout).unwrap();
     for revision in revisions.as_array_mut().unwrap() {
-        let is_moment = |at: f64| at > 1.7e12;
+        let is_moment = |at_address: f64| at_address > 1.7e12;
         assert!(
             revision["when"].as_f64().is_some_and(is_moment),
             "{revision}"
--- a/crates/gateway/tests/pinned_forms/snapshot_file.rs
+++ b/crates/gateway/tests/pinned_forms/snapshot_file.rs
@@ -1,6 +1,6 @@
 //! The file that a gateway writes for its next process.
 
-use crate::managed::managed_gateway_with;
+use crate::managed::start_managed_gateway_with;
 use ironstair_test_cluster::cluster::wait_until;
 use ironstair_test_cluster::stub::{done_reply, engine_list_answer, start_engine};
 use serde_json::json;
@@ -8,23 +8,24 @@
 
 #[test]
 fn snapshot_for_the_next_process_is_in_the_pinned_file() {
-    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+    let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
     let mut folder = PathBuf::new();
-    let engines = [("e1", at_engine)];
-    let (gateway, _) = managed_gateway_with("pinned-kept", &engines, |operator, dir| {
+    let engines = [("e1", engine_address)];
+    let (gateway, _) = start_managed_gateway_with("pinned-kept", &engines, |operator, dir| {
         folder = dir.join("kept");
         operator["recovery"] = json!({"state": folder});
     });
     let file_names = || -> Vec<String> {
         let all = std::fs::read_dir(&folder).into_iter().flatten().flatten();
-        all.map(|f| f.file_name().into_string().unwrap()).collect()
+        all.map(|entry| entry.file_name().into_string().unwrap())
+            .collect()
     };
     let snapshot = || {
         let bytes = std::fs::read(folder.join("gateway.kept")).unwrap();
         ironstair_recovery::decode(&bytes).unwrap()
     };
 
-    *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &[("e1", at_engine, 0)]);
+    *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &[("e1", engine_address, 0)]);
     wait_until("it is written", || file_names() == ["gateway.kept"]);
     wait_until("with its engine", || snapshot().engines.len() == 1);
 
@@ -36,6 +37,6 @@
     let engine = &snapshot.engines[0];
     assert_eq!(
         (engine.name.as_str(), engine.address, engine.draining),
-        ("e1", at_engine, false)
+        ("e1", engine_address, false)
     );
 }
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -6,8 +6,9 @@
 use ironstair_gnmi::proto::gnmi;
 use ironstair_test_cluster::stub::{done_reply, start_engine, Client};
 use managed::{
-    commit, connect, get, managed_gateway, rollback_after, runtime, send_set, set, set_request,
-    update, GnmiClient,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    get_json, json_update, send_set_request, set_request, set_value, start_managed_gateway,
+    GnmiClient,
 };
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -177,10 +178,15 @@
 
 /// Makes one change that is in force, and one that waits for its confirmation.
 async fn make_changes(client: &mut GnmiClient) {
-    set(client, "/settings/advice", json!(70)).await.unwrap();
-    let update = vec![update("/settings/advice", json!(80))];
-    let unconfirmed = set_request(update, commit("waits", rollback_after(600, 0)));
-    send_set(client, unconfirmed).await.unwrap();
+    set_value(client, "/settings/advice", json!(70))
+        .await
+        .unwrap();
+    let update = vec![json_update("/settings/advice", json!(80))];
+    let unconfirmed = set_request(
+        update,
+        commit_extension("waits", commit_with_rollback_after(600, 0)),
+    );
+    send_set_request(client, unconfirmed).await.unwrap();
 }
 
 fn completed_lookups(state: &Value) -> &Value {
@@ -194,17 +200,17 @@
     let module = Command::new("yanglint").arg(yang_module()).status();
     assert!(module.unwrap().success());
     let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-    let (gateway, at) = managed_gateway("yang-data", &[("e1", at_engine)]);
+    let (gateway, at) = start_managed_gateway("yang-data", &[("e1", at_engine)]);
     let mut asker = Client::connect(&gateway);
     for call in 1..9 {
         asker.send_call(call);
         asker.receive_rows();
     }
-    runtime().block_on(async {
-        let mut client = connect(at).await;
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(at).await;
         make_changes(&mut client).await;
 
-        let all = get(&mut client, "/").await.unwrap();
+        let all = get_json(&mut client, "/").await.unwrap();
 
         assert_eq!(yanglint_errors(&gateway.dir, "data", &all), None, "{all:#}");
         let state = &all["ironstair-gateway:state"];
@@ -229,16 +235,16 @@
 #[test]
 #[ignore = "needs yanglint, which .ci/run installs"]
 fn gateway_refuses_and_accepts_the_settings_that_yanglint_does() {
-    let (gateway, at) = managed_gateway("yang-cases", &[]);
+    let (gateway, at) = start_managed_gateway("yang-cases", &[]);
     let edits = [
         refused_class_edits(),
         refused_settings_edits(),
         refused_cells_edits(),
         accepted_edits(),
     ];
-    runtime().block_on(async {
-        let mut client = connect(at).await;
-        let all = get(&mut client, "/").await.unwrap();
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(at).await;
+        let all = get_json(&mut client, "/").await.unwrap();
         let settings = &all["ironstair-gateway:settings"];
         let (mut refused, mut accepted) = (0, 0);
         for edit in edits.into_iter().flatten() {
@@ -246,10 +252,10 @@
             let config = json!({"ironstair-gateway:settings": edited});
             let judged = yanglint_errors(&gateway.dir, "config", &config);
             let request = gnmi::SetRequest {
-                replace: vec![update("/settings", edited)],
+                replace: vec![json_update("/settings", edited)],
                 ..Default::default()
             };
-            let ours = send_set(&mut client, request).await;
+            let ours = send_set_request(&mut client, request).await;
             let is_refused = match &ours {
                 Ok(()) => false,
                 Err(refusal) => !is_about_the_running_gateway(refusal),
