--- a/crates/gateway/tests/fleet/changes.rs
+++ b/crates/gateway/tests/fleet/changes.rs
@@ -1,30 +1,37 @@
 //! Changes by several operators, cancelled and confirmed changes (case 6 of the design).
 
-use crate::support::{last_revision, MAX_ATTEMPTS};
+use crate::support::{last_revision, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
 use serde_json::{json, Value};
 
-const LOOKUP_OBJECTIVE: &str = "/settings/band[name=lookup]/expected";
+const LOOKUP_OBJECTIVE_PATH: &str = "/settings/band[name=lookup]/expected";
 
 /// Arguments of a change that is rolled back unless it is confirmed in time.
-fn tentative<'a>(value: &'a str, id: &'a str, within: &'a str) -> [&'a str; 6] {
-    [MAX_ATTEMPTS, value, "--confirm-within", within, "--id", id]
+fn tentative_change_args<'a>(value: &'a str, id: &'a str, confirm_within: &'a str) -> [&'a str; 6] {
+    [
+        MAX_ATTEMPTS_PATH,
+        value,
+        "--confirm-within",
+        confirm_within,
+        "--id",
+        id,
+    ]
 }
 
 #[test]
 fn concurrent_cancelled_and_confirmed_changes_leave_one_policy() {
     let mut cluster = Cluster::started_under_load("case-6", &Plan::default());
-    let first_value = change_by_two_operators_at_once(&cluster);
-    cancel_a_change_that_waits_for_its_confirmation(&cluster, &first_value);
-    cancel_a_change_that_waits_for_a_paused_gateway(&mut cluster);
-    confirm_a_change_too_late(&cluster, &first_value);
-    confirm_a_change_in_time(&cluster);
+    let first_value = make_two_changes_at_once(&cluster);
+    cancel_change_that_waits_for_its_confirmation(&cluster, &first_value);
+    cancel_change_that_waits_for_a_paused_gateway(&mut cluster);
+    confirm_change_too_late(&cluster, &first_value);
+    confirm_change_in_time(&cluster);
     cluster.stop_load_and_check();
 }
 
 /// Exactly one of two simultaneous changes is made. Returns the value that it set.
-fn change_by_two_operators_at_once(cluster: &Cluster) -> Value {
-    let set = |gateway, value| cluster.cli(gateway, &["set", MAX_ATTEMPTS, value, "--fleet"]);
+fn make_two_changes_at_once(cluster: &Cluster) -> Value {
+    let set = |gateway, value| cluster.cli(gateway, &["set", MAX_ATTEMPTS_PATH, value, "--fleet"]);
     let outputs = std::thread::scope(|scope| {
         let first = scope.spawn(|| set(0, "3"));
         [set(1, "4"), first.join().unwrap()]
@@ -42,25 +49,31 @@
                 .contains("is not based on the running revision"),
         "{refused:?}"
     );
-    let value = cluster.setting(0, MAX_ATTEMPTS);
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &value);
+    let value = cluster.setting(0, MAX_ATTEMPTS_PATH);
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &value);
     value
 }
 
-fn cancel_a_change_that_waits_for_its_confirmation(cluster: &Cluster, value_before: &Value) {
-    cluster.set(2, &tentative("2", "a", "1h")).assert_success();
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &json!(2));
+fn cancel_change_that_waits_for_its_confirmation(cluster: &Cluster, value_before: &Value) {
     cluster
-        .set(1, &[MAX_ATTEMPTS, "6"])
+        .set(2, &tentative_change_args("2", "a", "1h"))
+        .assert_success();
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &json!(2));
+    cluster
+        .set(1, &[MAX_ATTEMPTS_PATH, "6"])
         .assert_refused_with("pending confirmation");
     cluster.cli(3, &["cancel", "a", "--fleet"]).assert_success();
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, value_before);
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, value_before);
 }
 
-fn cancel_a_change_that_waits_for_a_paused_gateway(cluster: &mut Cluster) {
+fn cancel_change_that_waits_for_a_paused_gateway(cluster: &mut Cluster) {
     cluster.pause_load(4);
     cluster.pause(4);
-    let args = [&["set", "--fleet"][..], &tentative("2", "b", "1h")].concat();
+    let args = [
+        &["set", "--fleet"][..],
+        &tentative_change_args("2", "b", "1h"),
+    ]
+    .concat();
     let change = cluster.spawn_cli(0, &args);
     wait_until("the change is staged", || {
         cluster.fleet_status(1)["change"]["step"] == json!("staged")
@@ -71,21 +84,25 @@
     cluster.resume_load(4);
 }
 
-fn confirm_a_change_too_late(cluster: &Cluster, value_before: &Value) {
-    cluster.set(0, &tentative("2", "c", "1s")).assert_success();
+fn confirm_change_too_late(cluster: &Cluster, value_before: &Value) {
+    cluster
+        .set(0, &tentative_change_args("2", "c", "1s"))
+        .assert_success();
     wait_until("the change is rolled back", || {
         last_revision(cluster, 0)["outcome"] == json!("taken-back")
     });
     cluster
         .cli(0, &["confirm", "c", "--fleet"])
         .assert_refused_with("rolled back");
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, value_before);
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, value_before);
 }
 
-fn confirm_a_change_in_time(cluster: &Cluster) {
-    cluster.set(0, &tentative("5", "d", "1h")).assert_success();
+fn confirm_change_in_time(cluster: &Cluster) {
+    cluster
+        .set(0, &tentative_change_args("5", "d", "1h"))
+        .assert_success();
     cluster.cli(4, &["confirm", "--fleet"]).assert_success();
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &json!(5));
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &json!(5));
 }
 
 #[test]
@@ -95,9 +112,10 @@
     // The first change is made while gateway 4 hears nothing of it. The second is requested at gateway 4, so its base is
     // the policy before the first.
     cluster.isolate(4, Isolation::Inbound);
-    cluster.set(0, &[MAX_ATTEMPTS, "3"]).assert_success();
+    cluster.set(0, &[MAX_ATTEMPTS_PATH, "3"]).assert_success();
     let second = std::thread::scope(|scope| {
-        let change = scope.spawn(|| cluster.cli(4, &["set", LOOKUP_OBJECTIVE, "700", "--fleet"]));
+        let change =
+            scope.spawn(|| cluster.cli(4, &["set", LOOKUP_OBJECTIVE_PATH, "700", "--fleet"]));
         wait_until("the second change is requested", || {
             change.is_finished() || last_revision(&cluster, 0)["number"] == json!(2)
         });
@@ -105,7 +123,7 @@
         change.join().unwrap()
     });
     second.assert_success();
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &json!(6));
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &json!(6));
 }
 
 #[test]
@@ -113,7 +131,7 @@
     let plan = Plan::default().disable_guard("confirm-timeout");
     let cluster = Cluster::started("control-trial", &plan);
     cluster
-        .set(0, &[MAX_ATTEMPTS, "2", "--confirm-within", "1s"])
+        .set(0, &[MAX_ATTEMPTS_PATH, "2", "--confirm-within", "1s"])
         .assert_success();
     assert_eq!(
         last_revision(&cluster, 0)["outcome"],
--- a/crates/gateway/tests/fleet/disks.rs
+++ b/crates/gateway/tests/fleet/disks.rs
@@ -1,6 +1,6 @@
 //! Voters whose disks are lost, old, slow or full (cases 7 and 10 of the design).
 
-use crate::support::{used_stale_policy, MAX_ATTEMPTS};
+use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, CommandOutput, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 /// Kills all voters at once. Voters 1 and 2 come back, one wiped and one with a disk from before two changes.
-fn restarted_with_a_wiped_and_an_old_disk(test: &str, plan: &Plan) -> Cluster {
+fn restart_voters_with_one_wiped_and_one_old_disk(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     cluster.kill(2);
     let old_disk = cluster.copy_disk(2);
@@ -31,7 +31,7 @@
 
 #[test]
 fn decided_changes_survive_a_kill_of_all_voters_with_one_disk_wiped_and_one_old() {
-    let mut cluster = restarted_with_a_wiped_and_an_old_disk("case-7", &Plan::default());
+    let mut cluster = restart_voters_with_one_wiped_and_one_old_disk("case-7", &Plan::default());
     // Two of three voters are no majority here, because the wiped one has no vote.
     cluster.wait_for_answers(AnswerKind::Rejected, 100);
     assert!((1..5).all(|gateway| !cluster.is_fit(gateway)));
@@ -44,14 +44,14 @@
     });
     cluster.kill(0);
     cluster.wait_for_answers(AnswerKind::Rows, 200);
-    cluster.set(1, &[MAX_ATTEMPTS, "5"]).assert_success();
+    cluster.set(1, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
     cluster.stop_load_and_check();
 }
 
 #[test]
 fn control_wiped_voter_that_keeps_its_replica_id_brings_the_old_policy_back() {
     let plan = Plan::default().disable_guard("random-replica-id");
-    let mut cluster = restarted_with_a_wiped_and_an_old_disk("control-7", &plan);
+    let mut cluster = restart_voters_with_one_wiped_and_one_old_disk("control-7", &plan);
     cluster.wait_until_fit(2);
     cluster.wait_for_answers(AnswerKind::Rows, 100);
     let violations = cluster.stop_load();
@@ -79,11 +79,11 @@
         .disable_guard_at(2, "disk-space");
     let mut cluster = Cluster::started_under_load("case-10", &plan);
     fs::write(slow_disk_marker(&cluster, 1), "").unwrap();
-    cluster.set(0, &[MAX_ATTEMPTS, "3"]).assert_success();
+    cluster.set(0, &[MAX_ATTEMPTS_PATH, "3"]).assert_success();
     fs::remove_file(slow_disk_marker(&cluster, 1)).unwrap();
     // One after the other: both at once would leave one usable disk of three, which is no majority.
     fs::write(full_disk_marker(&cluster, 2), "").unwrap();
-    cluster.set(3, &[MAX_ATTEMPTS, "4"]).assert_success();
+    cluster.set(3, &[MAX_ATTEMPTS_PATH, "4"]).assert_success();
     wait_until("the voter logs that its disk is full", || {
         cluster.log(2).contains("fleet log can't be written")
     });
@@ -91,25 +91,27 @@
     wait_until("the voter logs that it writes again", || {
         cluster.log(2).contains("fleet log is written again")
     });
-    cluster.set(2, &[MAX_ATTEMPTS, "5"]).assert_success();
+    cluster.set(2, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
     cluster.wait_for_revision_everywhere(3);
     cluster.stop_load_and_check();
 }
 
-/// The value of [`MAX_ATTEMPTS`] that every voter's disk holds before the disks are filled.
+/// The value of [`MAX_ATTEMPTS_PATH`] that every voter's disk holds before the disks are filled.
 const STORED_MAX_ATTEMPTS: u64 = 5;
 
 /// The disks of voters 1 and 2 are full over a change; after it voter 0's disk is lost, and all voters restart with
 /// free disks.
-fn two_full_disks_over_a_change(test: &str, plan: &Plan) -> (Cluster, CommandOutput) {
+fn change_setting_while_two_disks_are_full(test: &str, plan: &Plan) -> (Cluster, CommandOutput) {
     let mut cluster = Cluster::started(test, plan);
     // Right after the bootstrap the disks of voters 1 and 2 may not hold yet that there are three voters. Without the
     // disk of voter 0 they could then never elect a leader, whatever becomes of the change.
-    let stored = STORED_MAX_ATTEMPTS.to_string();
-    cluster.set(0, &[MAX_ATTEMPTS, &stored]).assert_success();
+    let stored_value = STORED_MAX_ATTEMPTS.to_string();
+    cluster
+        .set(0, &[MAX_ATTEMPTS_PATH, &stored_value])
+        .assert_success();
     cluster.wait_for_revision_everywhere(1);
     (1..3).for_each(|voter| fs::write(full_disk_marker(&cluster, voter), "").unwrap());
-    let change = cluster.spawn_cli(3, &["set", MAX_ATTEMPTS, "3", "--fleet"]);
+    let change = cluster.spawn_cli(3, &["set", MAX_ATTEMPTS_PATH, "3", "--fleet"]);
     wait_until("the change is made, or two voters can't write it", || {
         change.is_finished()
             || (1..3).all(|voter| cluster.log(voter).contains("fleet log can't be written"))
@@ -123,7 +125,7 @@
 }
 
 /// Lets the disks of voters 1 and 2 be filled.
-fn plan_with_full_disks() -> Plan {
+fn plan_with_fillable_disks() -> Plan {
     Plan::default()
         .disable_guard_at(1, "disk-space")
         .disable_guard_at(2, "disk-space")
@@ -131,26 +133,27 @@
 
 #[test]
 fn change_that_two_full_disks_did_not_store_was_not_decided() {
-    let (cluster, output) = two_full_disks_over_a_change("full", &plan_with_full_disks());
+    let (cluster, command_output) =
+        change_setting_while_two_disks_are_full("full", &plan_with_fillable_disks());
     // The command repeats its request, so the change may be made once the disks are free. Otherwise the command must not
     // have succeeded.
-    let value = match output.exit_code {
+    let value = match command_output.exit_code {
         0 => json!(3),
-        _ => cluster.setting(0, MAX_ATTEMPTS),
+        _ => cluster.setting(0, MAX_ATTEMPTS_PATH),
     };
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &value);
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &value);
 }
 
 #[test]
 fn control_voter_that_ignores_write_errors_loses_a_decided_change() {
-    let plan = plan_with_full_disks()
+    let plan = plan_with_fillable_disks()
         .disable_guard_at(1, "write-errors")
         .disable_guard_at(2, "write-errors");
-    let (cluster, output) = two_full_disks_over_a_change("control-10", &plan);
-    output.assert_success();
+    let (cluster, command_output) = change_setting_while_two_disks_are_full("control-10", &plan);
+    command_output.assert_success();
     for gateway in 1..3 {
         assert_eq!(
-            cluster.setting(gateway, MAX_ATTEMPTS),
+            cluster.setting(gateway, MAX_ATTEMPTS_PATH),
             json!(STORED_MAX_ATTEMPTS)
         );
     }
--- a/crates/gateway/tests/fleet/foreign_gateways.rs
+++ b/crates/gateway/tests/fleet/foreign_gateways.rs
@@ -6,23 +6,23 @@
 use std::path::PathBuf;
 
 /// The replica's directory of the gateway that uses another's name.
-fn duplicate_state_dir() -> PathBuf {
+fn state_dir_of_duplicate_gateway() -> PathBuf {
     std::env::temp_dir().join(format!("strange-{}", std::process::id()))
 }
 
 /// Gateway 3 belongs to another fleet, and gateway 4 has the name of voter 2.
-fn foreign_fleet_and_duplicate_name(gateway: usize, files: &mut StartupFiles) {
+fn configure_foreign_fleet_and_duplicate_name(gateway: usize, files: &mut StartupFiles) {
     match gateway {
         3 => files.operator["fleet"]["name"] = json!("other"),
         4 => {
             files.config["name"] = json!("g3");
-            files.operator["fleet"]["state"] = json!(duplicate_state_dir());
+            files.operator["fleet"]["state"] = json!(state_dir_of_duplicate_gateway());
         }
         _ => {}
     }
 }
 
-fn member_names(cluster: &Cluster) -> Vec<String> {
+fn read_member_names(cluster: &Cluster) -> Vec<String> {
     let members = cluster.fleet_status(0)["members"]
         .as_array()
         .cloned()
@@ -38,7 +38,7 @@
     // Leases last so long that the terminated member's can't be the reason for its removal.
     let plan = Plan::default()
         .lease_ms(10_000)
-        .edit_config(foreign_fleet_and_duplicate_name);
+        .edit_config(configure_foreign_fleet_and_duplicate_name);
     let mut cluster = Cluster::prepare("strangers", &plan);
     (0..4).for_each(|gateway| cluster.start(gateway));
     cluster.bootstrap_voters();
@@ -49,7 +49,7 @@
         .log(voter)
         .contains("message of another gateway rejected")));
     wait_until("the voters are members", || {
-        member_names(&cluster) == ["g1", "g2", "g3"]
+        read_member_names(&cluster) == ["g1", "g2", "g3"]
     });
     cluster.start(4);
     wait_until("the second gateway of a name logs the reason", || {
@@ -57,11 +57,11 @@
     });
     assert!(!cluster.is_fit(3) && !cluster.is_fit(4));
     cluster.kill(4);
-    let _ = fs::remove_dir_all(duplicate_state_dir());
-    terminated_voter_leaves_at_once(&mut cluster);
+    let _ = fs::remove_dir_all(state_dir_of_duplicate_gateway());
+    assert_terminated_voter_leaves_at_once(&mut cluster);
 }
 
-fn terminated_voter_leaves_at_once(cluster: &mut Cluster) {
+fn assert_terminated_voter_leaves_at_once(cluster: &mut Cluster) {
     let follower = if cluster.leader() == 1 { 0 } else { 1 };
     cluster.terminate(follower);
     assert!(
--- a/crates/gateway/tests/fleet/leader_loss.rs
+++ b/crates/gateway/tests/fleet/leader_loss.rs
@@ -1,6 +1,6 @@
 //! The leader is killed: during a change (case 2 of the design), and under load.
 
-use crate::support::{last_revision, MAX_ATTEMPTS};
+use crate::support::{last_revision, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use ironstair_test_cluster::link::Direction;
@@ -23,22 +23,23 @@
             KilledDuring::Binding => status["change"]["step"] == json!("binding"),
             KilledDuring::HalfApplied => {
                 status["change"]["step"] == json!("half told")
-                    || is_running(status, revision_number) && some_member_lags(status)
+                    || is_revision_running(status, revision_number) && has_lagging_member(status)
             }
         }
     }
 }
 
-fn is_running(status: &Value, revision_number: usize) -> bool {
+fn is_revision_running(status: &Value, revision_number: usize) -> bool {
     let revisions = status["revisions"].as_array();
     revisions
         .and_then(|revisions| revisions.last())
-        .is_some_and(|last| {
-            last["number"] == json!(revision_number) && last["outcome"] == json!("running")
+        .is_some_and(|last_revision_status| {
+            last_revision_status["number"] == json!(revision_number)
+                && last_revision_status["outcome"] == json!("running")
         })
 }
 
-fn some_member_lags(status: &Value) -> bool {
+fn has_lagging_member(status: &Value) -> bool {
     let members = status["members"].as_array();
     members.is_some_and(|members| {
         members
@@ -52,16 +53,16 @@
     cluster: &mut Cluster,
     step: KilledDuring,
     revision_number: usize,
-    value: &Value,
+    new_value: &Value,
 ) -> usize {
     // Member 4 answers late, so that each step of the change lasts long enough to be seen.
     for voter in 0..3 {
         cluster
             .links_between(4, voter)
-            .for_each(|between| between.link.delay(Direction::Both, 250));
+            .for_each(|link_between| link_between.link.delay(Direction::Both, 250));
     }
     let leader = cluster.leader();
-    let args = ["set", MAX_ATTEMPTS, &value.to_string(), "--fleet"];
+    let args = ["set", MAX_ATTEMPTS_PATH, &new_value.to_string(), "--fleet"];
     let change = cluster.spawn_cli(leader, &args);
     wait_until(&format!("{step:?}"), || {
         assert!(
@@ -89,8 +90,8 @@
         KilledDuring::HalfApplied,
     ];
     for (index, step) in steps.into_iter().enumerate() {
-        let value = json!(3 + index as u64);
-        let leader = kill_leader_during_change(&mut cluster, step, index + 1, &value);
+        let new_value = json!(3 + index as u64);
+        let leader = kill_leader_during_change(&mut cluster, step, index + 1, &new_value);
         wait_until("the change ends", || {
             let status = cluster.fleet_status(leader);
             status["revisions"].is_array() && status["change"].is_null()
@@ -104,10 +105,10 @@
         );
         let revision = cluster.fleet_status(leader)["revision"].as_u64().unwrap();
         cluster.wait_for_revision_everywhere(revision);
-        let applied = cluster.setting(0, MAX_ATTEMPTS);
-        cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &applied);
+        let applied = cluster.setting(0, MAX_ATTEMPTS_PATH);
+        cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &applied);
         assert_eq!(
-            applied == value,
+            applied == new_value,
             outcome == json!("running"),
             "{step:?}: {applied}"
         );
@@ -126,7 +127,7 @@
     cluster.kill(leader);
     cluster.wait_for_answers(AnswerKind::Rows, 500);
     assert_ne!(cluster.leader(), leader);
-    cluster.set(3, &[MAX_ATTEMPTS, "5"]).assert_success();
+    cluster.set(3, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
     let answers = cluster.stop_load_and_check();
     assert_eq!(
         answers.keys().collect::<Vec<_>>(),
--- a/crates/gateway/tests/fleet/leases.rs
+++ b/crates/gateway/tests/fleet/leases.rs
@@ -1,18 +1,18 @@
 //! A gateway that misses a change, because it is down, cut off or paused, doesn't decide by the old policy
 //! (cases 1, 3 and 4 of the design).
 
-use crate::support::{used_stale_policy, MAX_ATTEMPTS};
+use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::json;
 
 /// Kills gateways 3 and 4. Gateway 3 comes back during a change; gateway 4 comes back after a second one, and is cut
 /// off from the fleet at first.
-fn two_gateways_down_at_a_change(test: &str, plan: &Plan) -> Cluster {
+fn change_policy_while_two_gateways_are_down(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     cluster.kill(3);
     cluster.kill(4);
-    let change = cluster.spawn_cli(0, &["set", MAX_ATTEMPTS, "5", "--fleet"]);
+    let change = cluster.spawn_cli(0, &["set", MAX_ATTEMPTS_PATH, "5", "--fleet"]);
     cluster.start(3);
     change.join().unwrap().assert_success();
     cluster.forbid_zone_b(1, "lookup").assert_success();
@@ -26,21 +26,21 @@
 
 #[test]
 fn gateways_down_at_a_change_come_back_with_the_new_policy() {
-    let mut cluster = two_gateways_down_at_a_change("case-1", &Plan::default());
+    let mut cluster = change_policy_while_two_gateways_are_down("case-1", &Plan::default());
     // Gateway 4 rejects its clients' calls at once instead of leaving them unanswered.
     cluster.wait_for_answers(AnswerKind::Rejected, 50);
     assert!(!cluster.is_fit(4));
     cluster.heal_links();
     cluster.wait_for_revision_everywhere(2);
     cluster.wait_for_answers(AnswerKind::Rows, 300);
-    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS, &json!(5));
+    cluster.wait_for_setting_everywhere(MAX_ATTEMPTS_PATH, &json!(5));
     cluster.stop_load_and_check();
 }
 
 #[test]
 fn control_start_without_lease_uses_the_old_policy() {
     let plan = Plan::default().disable_guard("no-lease-at-start");
-    let mut cluster = two_gateways_down_at_a_change("control-1", &plan);
+    let mut cluster = change_policy_while_two_gateways_are_down("control-1", &plan);
     cluster.wait_for_answers(AnswerKind::Rows, 300);
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
@@ -55,7 +55,7 @@
 }
 
 /// Cuts gateway 4 off in one direction over a change, and in the other over a second one.
-fn cut_off_in_each_direction_over_a_change(test: &str, plan: &Plan) -> Cluster {
+fn change_policy_while_gateway_is_cut_off_in_each_direction(test: &str, plan: &Plan) -> Cluster {
     let cluster = Cluster::started_under_load(test, plan);
     for (isolation, class) in [
         (Isolation::Outbound, "lookup"),
@@ -72,7 +72,8 @@
 
 #[test]
 fn gateway_cut_off_in_one_direction_does_not_use_the_old_policy() {
-    let mut cluster = cut_off_in_each_direction_over_a_change("case-3", &Plan::default());
+    let mut cluster =
+        change_policy_while_gateway_is_cut_off_in_each_direction("case-3", &Plan::default());
     cluster.wait_for_revision_everywhere(2);
     let answers = cluster.stop_load_and_check();
     assert!(
@@ -84,12 +85,12 @@
 #[test]
 fn control_gateway_cut_off_without_lease_expiry_uses_the_old_policy() {
     let plan = Plan::default().disable_guard("lease-expiry");
-    let mut cluster = cut_off_in_each_direction_over_a_change("control-3", &plan);
+    let mut cluster = change_policy_while_gateway_is_cut_off_in_each_direction("control-3", &plan);
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
 
 /// Pauses gateway 3 over two changes, with calls in its queue.
-fn paused_over_two_changes(test: &str, plan: &Plan) -> Cluster {
+fn change_policy_twice_while_gateway_is_paused(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     // An attempt that the pause interrupts is written after it, which no promise covers: none may be in progress.
     cluster.pause_load(3);
@@ -105,7 +106,7 @@
 
 #[test]
 fn gateway_paused_over_changes_does_not_use_the_old_policy() {
-    let mut cluster = paused_over_two_changes("case-4", &Plan::default());
+    let mut cluster = change_policy_twice_while_gateway_is_paused("case-4", &Plan::default());
     cluster.wait_for_revision_everywhere(2);
     cluster.stop_load_and_check();
 }
@@ -113,6 +114,6 @@
 #[test]
 fn control_paused_gateway_without_lease_expiry_uses_the_old_policy() {
     let plan = Plan::default().disable_guard("lease-expiry");
-    let mut cluster = paused_over_two_changes("control-4", &plan);
+    let mut cluster = change_policy_twice_while_gateway_is_paused("control-4", &plan);
     assert!(used_stale_policy(&cluster.stop_load(), 3));
 }
--- a/crates/gateway/tests/fleet/majority_loss.rs
+++ b/crates/gateway/tests/fleet/majority_loss.rs
@@ -1,6 +1,6 @@
 //! A majority of the voters is lost, or a member is cut off: a strict gateway stops, a steady one continues.
 
-use crate::support::{used_stale_policy, MAX_ATTEMPTS};
+use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::json;
@@ -15,7 +15,7 @@
     cluster.wait_for_answers_at(4, AnswerKind::Rows, 100);
     assert!(cluster.is_fit(4) && !cluster.is_fit(3));
     cluster
-        .set(3, &[MAX_ATTEMPTS, "5"])
+        .set(3, &[MAX_ATTEMPTS_PATH, "5"])
         .assert_refused_with("no leader");
     cluster.start(0);
     cluster.start(1);
--- a/crates/gateway/tests/fleet/random_schedules.rs
+++ b/crates/gateway/tests/fleet/random_schedules.rs
@@ -15,15 +15,15 @@
 }
 
 /// Plays one schedule on a fleet of its own. Returns how many changes were made.
-fn play_seed(seed: u64) -> usize {
+fn run_schedule_of_seed(seed: u64) -> usize {
     let steps = schedule::generate_steps(seed);
-    let played = std::panic::catch_unwind(|| {
+    let run_result = std::panic::catch_unwind(|| {
         let mut cluster = Cluster::started_under_load(&format!("case-9-{seed}"), &Plan::default());
         let changes_made = schedule::run(&mut cluster, &steps);
         cluster.stop_load_and_check();
         changes_made
     });
-    match played {
+    match run_result {
         Ok(changes_made) => changes_made,
         Err(_) => panic!("seed {seed}: {steps:#?}"),
     }
@@ -45,7 +45,7 @@
                 if seed >= first_seed + seed_count {
                     return;
                 }
-                changes_made.fetch_add(play_seed(seed), Ordering::Relaxed);
+                changes_made.fetch_add(run_schedule_of_seed(seed), Ordering::Relaxed);
             });
         }
     });
--- a/crates/gateway/tests/fleet/settings_sources.rs
+++ b/crates/gateway/tests/fleet/settings_sources.rs
@@ -1,11 +1,11 @@
 //! In a fleet, settings come from the fleet alone: neither from the configuration file nor from one gateway's `set`.
 
-use crate::support::MAX_ATTEMPTS;
+use crate::support::MAX_ATTEMPTS_PATH;
 use ironstair_test_cluster::cluster::{gateway_name, wait_until, Cluster, Plan};
 use serde_json::{json, Value};
 
 /// A leaf of a member in the leader's tree.
-fn member_leaf(cluster: &Cluster, leader: usize, member: usize, leaf: &str) -> Value {
+fn read_member_leaf(cluster: &Cluster, leader: usize, member: usize, leaf: &str) -> Value {
     let name = gateway_name(member);
     cluster.setting(leader, &format!("/state/fleet/member[name={name}]/{leaf}"))
 }
@@ -13,33 +13,36 @@
 #[test]
 fn settings_by_sighup_and_by_plain_commands_are_refused_in_a_fleet() {
     let mut cluster = Cluster::started("sighup", &Plan::default());
-    let refusal = "settings of the configuration file ignored: they come from the fleet";
+    let ignored_message = "settings of the configuration file ignored: they come from the fleet";
     cluster.edit_config_and_reload(4, |config| config["names"] = json!("127.0.0.1:9"));
     cluster.edit_config_and_reload(3, |config| {
         config["settings"]["policy_limits"]["max_attempts"] = json!(2);
     });
     wait_until("the settings are ignored", || {
-        cluster.log(3).contains(refusal)
+        cluster.log(3).contains(ignored_message)
     });
     wait_until("the name service's address changes", || {
         cluster.log(4).contains("name service settings updated")
     });
     assert!(
-        !cluster.log(4).contains(refusal),
+        !cluster.log(4).contains(ignored_message),
         "the name service's address is no setting of the fleet"
     );
-    assert_eq!(cluster.setting(3, MAX_ATTEMPTS), json!(6));
+    assert_eq!(cluster.setting(3, MAX_ATTEMPTS_PATH), json!(6));
     cluster
-        .cli(3, &["set", MAX_ATTEMPTS, "2"])
+        .cli(3, &["set", MAX_ATTEMPTS_PATH, "2"])
         .assert_refused_with("ironstair set --fleet");
     let leader = cluster.leader();
     for member in 0..cluster.size() {
         wait_until(
             "the leader's tree shows that the member holds the policy",
-            || member_leaf(&cluster, leader, member, "holds") == json!(true),
+            || read_member_leaf(&cluster, leader, member, "holds") == json!(true),
         );
     }
-    assert_eq!(member_leaf(&cluster, leader, 4, "cut-off"), json!("strict"));
+    assert_eq!(
+        read_member_leaf(&cluster, leader, 4, "cut-off"),
+        json!("strict")
+    );
     let status = cluster.cli(1, &["fleet"]);
     assert!(
         status.stdout.contains("leader g") && status.stdout.contains("lease-left-ms"),
--- a/crates/gateway/tests/recovery/disaster_recovery.rs
+++ b/crates/gateway/tests/recovery/disaster_recovery.rs
@@ -4,23 +4,23 @@
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::{json, Value};
 
-const MAX_ATTEMPTS: &str = "/settings/forwards-most";
+const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
 const VOTER_COUNT: usize = 3;
 
 /// Waits until each gateway is fit and has that value of the setting.
-fn wait_until_all_fit_with_max_attempts(cluster: &Cluster, value: &Value) {
+fn wait_until_all_are_fit_with_max_attempts(cluster: &Cluster, value: &Value) {
     for gateway in 0..cluster.size() {
         cluster.wait_until_fit(gateway);
         wait_until("the gateway has the setting", || {
-            cluster.setting(gateway, MAX_ATTEMPTS) == *value
+            cluster.setting(gateway, MAX_ATTEMPTS_PATH) == *value
         });
     }
 }
 
 /// Makes a change, ends all gateways, wipes the disks of some voters and starts all gateways again.
-fn restarted_without_disks(test: &str, wiped_voters: &[usize]) -> Cluster {
+fn restart_fleet_with_wiped_disks(test: &str, wiped_voters: &[usize]) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, &Plan::default());
-    cluster.set(0, &[MAX_ATTEMPTS, "5"]).assert_success();
+    cluster.set(0, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
     (0..cluster.size()).for_each(|gateway| cluster.kill(gateway));
     wiped_voters
         .iter()
@@ -34,7 +34,7 @@
 
 #[test]
 fn loss_of_a_majority_of_disks_stops_the_fleet_until_an_operator_begins_a_new_generation() {
-    let mut cluster = restarted_without_disks("anew", &[0, 1]);
+    let mut cluster = restart_fleet_with_wiped_disks("anew", &[0, 1]);
     cluster.wait_for_answers(AnswerKind::Rejected, 100);
     assert!((0..cluster.size()).all(|gateway| !cluster.is_fit(gateway)));
     // A first bootstrap is refused, because one disk has a generation already.
@@ -48,7 +48,7 @@
             && recovery.stdout.contains("0 voters did not answer"),
         "{recovery:?}"
     );
-    wait_until_all_fit_with_max_attempts(&cluster, &json!(5));
+    wait_until_all_are_fit_with_max_attempts(&cluster, &json!(5));
     assert!(cluster
         .cli(1, &["revisions", "--fleet"])
         .stdout
@@ -58,8 +58,8 @@
         .contains("disaster recovery done, new cluster generation begins"));
     cluster.wait_for_answers(AnswerKind::Rows, 200);
     cluster.wait_until_all_vote(3);
-    cluster.set(4, &[MAX_ATTEMPTS, "3"]).assert_success();
-    wait_until_all_fit_with_max_attempts(&cluster, &json!(3));
+    cluster.set(4, &[MAX_ATTEMPTS_PATH, "3"]).assert_success();
+    wait_until_all_are_fit_with_max_attempts(&cluster, &json!(3));
     cluster
         .cli(2, &["fleet", "begin-anew"])
         .assert_refused_with("is the leader: the fleet's state is not lost");
@@ -69,7 +69,7 @@
 /// Against two generations of the same number, of which neither supersedes the other: they would stay two fleets.
 #[test]
 fn two_simultaneous_disaster_recoveries_leave_one_generation() {
-    let cluster = restarted_without_disks("two-anew", &[0, 1]);
+    let cluster = restart_fleet_with_wiped_disks("two-anew", &[0, 1]);
     // Neither operator's voter learns of the other's recovery.
     cluster.isolate(0, Isolation::Full);
     std::thread::scope(|scope| {
@@ -97,7 +97,7 @@
 
 #[test]
 fn loss_of_all_disks_restarts_from_the_configuration_and_a_foreign_disk_is_refused() {
-    let mut cluster = restarted_without_disks("nothing-left", &[0, 1, 2]);
+    let mut cluster = restart_fleet_with_wiped_disks("nothing-left", &[0, 1, 2]);
     cluster.wait_for_answers(AnswerKind::Rejected, 50);
     let recovery = cluster.cli(1, &["fleet", "begin-anew"]);
     recovery.assert_success();
@@ -107,7 +107,7 @@
             .contains("with the settings that this gateway started with"),
         "{recovery:?}"
     );
-    wait_until_all_fit_with_max_attempts(&cluster, &json!(6));
+    wait_until_all_are_fit_with_max_attempts(&cluster, &json!(6));
     // A gateway with another's disk names the owner, and doesn't use it.
     cluster.kill(2);
     let disk = cluster.copy_disk(1);
@@ -127,9 +127,9 @@
 
 /// Kills a majority of the voters, which their operator believes lost, begins a new generation without them, and
 /// starts them again.
-fn restarted_after_disaster_recovery(test: &str, plan: &Plan) -> Cluster {
+fn restart_voters_after_disaster_recovery(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
-    cluster.set(0, &[MAX_ATTEMPTS, "5"]).assert_success();
+    cluster.set(0, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
     cluster.kill(0);
     cluster.kill(1);
     let recovery = cluster.cli(2, &["fleet", "begin-anew"]);
@@ -139,7 +139,7 @@
         "{recovery:?}"
     );
     (2..cluster.size()).for_each(|gateway| cluster.wait_until_fit(gateway));
-    cluster.set(3, &[MAX_ATTEMPTS, "2"]).assert_success();
+    cluster.set(3, &[MAX_ATTEMPTS_PATH, "2"]).assert_success();
     cluster.start(0);
     cluster.start(1);
     cluster
@@ -147,8 +147,8 @@
 
 #[test]
 fn voters_of_an_earlier_generation_that_come_back_quarantine_it() {
-    let mut cluster = restarted_after_disaster_recovery("earlier", &Plan::default());
-    wait_until_all_fit_with_max_attempts(&cluster, &json!(2));
+    let mut cluster = restart_voters_after_disaster_recovery("earlier", &Plan::default());
+    wait_until_all_are_fit_with_max_attempts(&cluster, &json!(2));
     wait_until("the voters quarantine their replicas", || {
         (0..2).all(|voter| {
             cluster
@@ -157,14 +157,14 @@
         })
     });
     cluster.wait_until_all_vote(3);
-    wait_until_all_fit_with_max_attempts(&cluster, &json!(2));
+    wait_until_all_are_fit_with_max_attempts(&cluster, &json!(2));
     cluster.stop_load_and_check();
 }
 
 #[test]
 fn control_without_generation_check_two_generations_live_side_by_side() {
     let plan = Plan::default().disable_guard("generation-check");
-    let cluster = restarted_after_disaster_recovery("control-earlier", &plan);
+    let cluster = restart_voters_after_disaster_recovery("control-earlier", &plan);
     let generation = |gateway: usize| cluster.fleet_status(gateway)["history"].clone();
     wait_until("two generations each have a leader", || {
         generation(0).is_string() && generation(2).is_string() && generation(0) != generation(2)
--- a/crates/gateway/tests/recovery/membership_count.rs
+++ b/crates/gateway/tests/recovery/membership_count.rs
@@ -4,13 +4,13 @@
 use serde_json::json;
 
 /// Each gateway is configured with a fleet of two, and counts members instead.
-fn count_members(_: usize, files: &mut StartupFiles) {
+fn configure_sharing_by_member_count(_: usize, files: &mut StartupFiles) {
     files.config["settings"]["fleet_size"] = json!(2);
     files.operator["fleet"]["count"] = json!("members");
 }
 
 /// The number of members among which a gateway shares limits; 0 where it has none.
-fn shares_among(cluster: &Cluster, gateway: usize) -> u64 {
+fn member_count_for_shares(cluster: &Cluster, gateway: usize) -> u64 {
     cluster
         .setting(gateway, "/state/fleet/shares-among")
         .as_u64()
@@ -21,17 +21,18 @@
     cluster.setting(gateway, "/state/fleet/takes-share") == json!(true)
 }
 
-fn all_share_among_five(cluster: &Cluster) -> bool {
-    (0..cluster.size())
-        .all(|gateway| shares_among(cluster, gateway) == 5 && has_share(cluster, gateway))
+fn all_have_shares_among_five(cluster: &Cluster) -> bool {
+    (0..cluster.size()).all(|gateway| {
+        member_count_for_shares(cluster, gateway) == 5 && has_share(cluster, gateway)
+    })
 }
 
 #[test]
 fn membership_count_grows_at_once_and_stays_when_voters_are_lost() {
-    let plan = Plan::default().edit_config(count_members);
+    let plan = Plan::default().edit_config(configure_sharing_by_member_count);
     let mut cluster = Cluster::started("count", &plan);
     wait_until("all five are counted and have shares", || {
-        all_share_among_five(&cluster)
+        all_have_shares_among_five(&cluster)
     });
     // Two of three voters are lost. The remaining gateways must not share among fewer, as if they were alone.
     cluster.kill(0);
@@ -39,10 +40,10 @@
     wait_until("the remaining gateways have no lease", || {
         (2..5).all(|gateway| !cluster.is_fit(gateway))
     });
-    assert!((2..5).all(|gateway| shares_among(&cluster, gateway) == 5));
+    assert!((2..5).all(|gateway| member_count_for_shares(&cluster, gateway) == 5));
     cluster.start(0);
     cluster.start(1);
     wait_until("all have their shares again", || {
-        all_share_among_five(&cluster)
+        all_have_shares_among_five(&cluster)
     });
 }
--- a/crates/gateway/tests/recovery/restarts.rs
+++ b/crates/gateway/tests/recovery/restarts.rs
@@ -4,7 +4,7 @@
 use ironstair_test_cluster::invariants::AnswerKind;
 
 /// Kills and starts one gateway of a fleet whose leases last as long as any condition may take.
-fn restarted_within_its_lease(test: &str, plan: &Plan) -> Cluster {
+fn restart_gateway_within_its_lease(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started(test, plan);
     cluster.kill(4);
     cluster.start(4);
@@ -14,7 +14,7 @@
 #[test]
 fn killed_gateway_that_restarts_in_place_does_not_wait_for_its_old_lease() {
     let plan = Plan::default().lease_ms(40_000);
-    let cluster = restarted_within_its_lease("in-place", &plan);
+    let cluster = restart_gateway_within_its_lease("in-place", &plan);
     cluster.wait_until_fit(4);
 }
 
@@ -23,7 +23,7 @@
     let plan = Plan::default()
         .lease_ms(40_000)
         .disable_guard("proof-of-end");
-    let cluster = restarted_within_its_lease("no-proof", &plan);
+    let cluster = restart_gateway_within_its_lease("no-proof", &plan);
     wait_until("the gateway logs why it waits", || {
         cluster
             .log(4)
@@ -49,7 +49,7 @@
 #[test]
 fn crash_loop_of_one_and_pause_of_a_majority_leave_a_serving_fleet() {
     let mut cluster = Cluster::started_under_load("again", &Plan::default());
-    crash_loop_does_not_slow_the_others(&mut cluster);
+    assert_crash_loop_does_not_slow_the_others(&mut cluster);
     let paused = [1, 2, 4];
     for gateway in paused {
         cluster.pause_load(gateway);
@@ -68,7 +68,7 @@
 }
 
 /// Kills gateway 3 as soon as it listens, then as soon as it is fit, three times.
-fn crash_loop_does_not_slow_the_others(cluster: &mut Cluster) {
+fn assert_crash_loop_does_not_slow_the_others(cluster: &mut Cluster) {
     for _ in 0..3 {
         cluster.kill(3);
         cluster.start(3);
--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -23,12 +23,12 @@
 
 /// Starts it with a snapshot folder, or without.
 fn start_discovering_gateway(test: &str, folder: Option<&Path>) -> DiscoveringGateway {
-    let settle = |line: &str, _: &str| match line.starts_with("fetch") {
+    let answer_fetch = |line: &str, _: &str| match line.starts_with("fetch") {
         true => (stub::done_reply(line, "a\tb\tc\n"), false),
         false => (Vec::new(), false),
     };
-    let (ready_engine, _) = start_engine(settle);
-    let (draining_engine, _) = start_engine(settle);
+    let (ready_engine, _) = start_engine(answer_fetch);
+    let (draining_engine, _) = start_engine(answer_fetch);
     let classes = json!([{"name": "lookup", "slo_ns": 1e9, "give_up_ns": 5e9, "semantics": "pure", "worth": 1.0}]);
     let (mut config, name_answer) = stub::gateway_config(1, classes, &[]);
     config["known"] = json!({"rev": 0, "notices": []});
@@ -50,7 +50,7 @@
 }
 
 /// The leaves below a path of a gateway's tree, by the command line; null where it answers none.
-fn leaves(gateway: &stub::Gateway, path: &str) -> Value {
+fn get_leaves(gateway: &stub::Gateway, path: &str) -> Value {
     let management = SocketAddr::new(gateway.address.ip(), gateway.address.port() + 1).to_string();
     let output = Command::new(stub::gateway_binary())
         .args(["get", path, "--json", "--at", &management])
@@ -71,50 +71,50 @@
     let folder = tempfile::tempdir().unwrap();
     for has_folder in [true, false] {
         let test = format!("remembers-{has_folder}");
-        let mut started = start_discovering_gateway(&test, has_folder.then_some(folder.path()));
-        *started.gateway.name_answer.lock().unwrap() = engine_list_answer(
+        let mut discovering = start_discovering_gateway(&test, has_folder.then_some(folder.path()));
+        *discovering.gateway.name_answer.lock().unwrap() = engine_list_answer(
             7,
             &[
-                ("e1", started.ready_engine, READY),
-                ("e2", started.draining_engine, DRAINING),
+                ("e1", discovering.ready_engine, READY),
+                ("e2", discovering.draining_engine, DRAINING),
             ],
         );
         wait_until("the gateway knows its engines", || {
-            is_settled(&started.gateway, 1)
+            is_settled(&discovering.gateway, 1)
         });
         wait_until("the gateway is in its last start stage", || {
-            leaves(&started.gateway, "/state/process/stage")[0]["value"] == json!("full")
+            get_leaves(&discovering.gateway, "/state/process/stage")[0]["value"] == json!("full")
         });
         // The first snapshot, at the start, has no endpoint list yet.
         let file = folder.path().join(SNAPSHOT_FILE);
         wait_until("a snapshot with the engines is written", || {
-            !has_folder || contains(&file, b"e1")
+            !has_folder || file_contains(&file, b"e1")
         });
         // The name service answers no list any more.
-        started.gateway.name_answer.lock().unwrap().clear();
-        started.gateway.restart();
+        discovering.gateway.name_answer.lock().unwrap().clear();
+        discovering.gateway.restart();
         assert_eq!(
-            is_settled(&started.gateway, 2),
+            is_settled(&discovering.gateway, 2),
             has_folder,
             "without a folder it knows no engine"
         );
         if has_folder {
-            assert_serves_by_the_snapshot(&started.gateway);
+            assert_serves_by_the_snapshot(&discovering.gateway);
         }
     }
 }
 
-fn contains(file: &Path, text: &[u8]) -> bool {
+fn file_contains(file: &Path, text: &[u8]) -> bool {
     let bytes = fs::read(file).unwrap_or_default();
     bytes.windows(text.len()).any(|window| window == text)
 }
 
 fn assert_serves_by_the_snapshot(gateway: &stub::Gateway) {
     wait_until("the gateway reports that its list is a snapshot's", || {
-        leaves(gateway, "/state/process/held-back-by")[0]["value"]
+        get_leaves(gateway, "/state/process/held-back-by")[0]["value"]
             == json!("the list of engines was not heard since the start")
     });
-    let engines = leaves(gateway, "/state/engine").to_string();
+    let engines = get_leaves(gateway, "/state/engine").to_string();
     assert!(
         engines.contains("e1") && !engines.contains("e2"),
         "{engines}"
@@ -146,17 +146,17 @@
         cluster.wait_until_fit(0);
         cluster.start_load();
         cluster.wait_for_answers(AnswerKind::Rows, 30);
-        let logged = |text: &str| cluster.log(0).matches(text).count();
+        let count_in_log = |text: &str| cluster.log(0).matches(text).count();
         match name {
             "file" => wait_until("the failed write is logged once", || {
-                logged("snapshot not written") == 1
+                count_in_log("snapshot not written") == 1
             }),
             "corrupt" => assert_eq!(
-                logged("is not a gateway snapshot")
-                    + logged("is not supported, this program reads"),
+                count_in_log("is not a gateway snapshot")
+                    + count_in_log("is not supported, this program reads"),
                 1
             ),
-            "slow" => assert_eq!(logged("not read within"), 1),
+            "slow" => assert_eq!(count_in_log("not read within"), 1),
             _ => wait_until("the snapshot is written", || {
                 folder.join(SNAPSHOT_FILE).exists()
             }),
@@ -166,9 +166,9 @@
 }
 
 /// Whether a gateway quarantines idempotency keys, once it knows its engine.
-fn quarantines_keys(gateway: &stub::Gateway) -> bool {
+fn is_quarantining_keys(gateway: &stub::Gateway) -> bool {
     let text = |path: &str| {
-        leaves(gateway, path)[0]["value"]
+        get_leaves(gateway, path)[0]["value"]
             .as_str()
             .unwrap_or_default()
             .to_owned()
@@ -197,7 +197,7 @@
     let mut gateway =
         stub::start_gateway_with_config("keys-rest", config, name_answer, Some(operator));
     assert!(
-        quarantines_keys(&gateway),
+        is_quarantining_keys(&gateway),
         "nothing is known of a process before the first"
     );
     wait_until("the snapshot is written", || {
@@ -210,7 +210,7 @@
         }
         gateway.restart();
         assert_eq!(
-            quarantines_keys(&gateway),
+            is_quarantining_keys(&gateway),
             !ends_cleanly,
             "ended cleanly: {ends_cleanly}"
         );
@@ -219,7 +219,7 @@
     gateway.restart();
     gateway.restart();
     assert!(
-        quarantines_keys(&gateway),
+        is_quarantining_keys(&gateway),
         "a snapshot of the process before the last one is no evidence"
     );
 }
