--- a/crates/gateway/tests/fleet/changes.rs
+++ b/crates/gateway/tests/fleet/changes.rs
@@ -1,4 +1,7 @@
-//! Changes by several operators, cancelled and confirmed changes (case 6 of the design).
+//! Changes that operators make at the same time, cancel, confirm in time or confirm too late (case 6 of the design).
+//!
+//! The tests guard against two failures: a change that undoes another one because it was made from an outdated
+//! revision, and a change that stays in force although it was cancelled or not confirmed in time.
 
 use crate::support::{last_revision, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
@@ -6,7 +9,7 @@
 
 const LOOKUP_OBJECTIVE_PATH: &str = "/settings/band[name=lookup]/expected";
 
-/// Arguments of a change that is rolled back unless it is confirmed in time.
+/// The arguments of a change to [`MAX_ATTEMPTS_PATH`] that is rolled back unless it is confirmed in time.
 fn tentative_change_args<'a>(value: &'a str, id: &'a str, confirm_within: &'a str) -> [&'a str; 6] {
     [
         MAX_ATTEMPTS_PATH,
@@ -29,7 +32,7 @@
     cluster.stop_load_and_check();
 }
 
-/// Exactly one of two simultaneous changes is made. Returns the value that it set.
+/// Requests two changes at the same time and asserts that exactly one of them is made. Returns the value that it set.
 fn make_two_changes_at_once(cluster: &Cluster) -> Value {
     let set = |gateway, value| cluster.cli(gateway, &["set", MAX_ATTEMPTS_PATH, value, "--fleet"]);
     let outputs = std::thread::scope(|scope| {
@@ -39,7 +42,7 @@
     let exit_codes = (outputs[0].exit_code, outputs[1].exit_code);
     assert!(
         exit_codes == (0, 3) || exit_codes == (3, 0),
-        "one of them: {outputs:?}"
+        "exactly one of the two changes must be made: {outputs:?}"
     );
     let refused = outputs.iter().find(|output| output.exit_code == 3).unwrap();
     assert!(
@@ -109,8 +112,8 @@
 fn control_change_without_check_of_its_base_undoes_an_earlier_one() {
     let plan = Plan::default().disable_guard("base-revision");
     let cluster = Cluster::started("control-6", &plan);
-    // The first change is made while gateway 4 hears nothing of it. The second is requested at gateway 4, so its base is
-    // the policy before the first.
+    // While the first change is made, gateway 4 receives nothing. The second change is requested at gateway 4, so it is
+    // based on the policy before the first change.
     cluster.isolate(4, Isolation::Inbound);
     cluster.set(0, &[MAX_ATTEMPTS_PATH, "3"]).assert_success();
     let second = std::thread::scope(|scope| {
@@ -136,6 +139,6 @@
     assert_eq!(
         last_revision(&cluster, 0)["outcome"],
         json!("running"),
-        "nobody confirmed it, and no timer rolls it back"
+        "without the timeout, an unconfirmed change is not rolled back"
     );
 }
--- a/crates/gateway/tests/fleet/disks.rs
+++ b/crates/gateway/tests/fleet/disks.rs
@@ -1,4 +1,7 @@
-//! Voters whose disks are lost, old, slow or full (cases 7 and 10 of the design).
+//! Voters whose disks are lost, outdated, slow or full (cases 7 and 10 of the design).
+//!
+//! The tests guard against the loss of a decided change. A voter that lost its log, or counts an entry as stored
+//! although the write failed, could form a majority with another voter that never stored the change.
 
 use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, CommandOutput, Plan};
@@ -7,7 +10,8 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// Kills all voters at once. Voters 1 and 2 come back, one wiped and one with a disk from before two changes.
+/// Makes two changes, kills all voters, and starts voters 1 and 2: voter 1 with a wiped disk, voter 2 with a copy of
+/// its disk from before the changes.
 fn restart_voters_with_one_wiped_and_one_old_disk(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     cluster.kill(2);
@@ -22,7 +26,7 @@
     cluster.start(1);
     cluster.start(2);
     for gateway in 1..5 {
-        wait_until("no gateway is fit without a majority", || {
+        wait_until("the gateway is not fit without a majority", || {
             !cluster.is_fit(gateway)
         });
     }
@@ -32,13 +36,13 @@
 #[test]
 fn decided_changes_survive_a_kill_of_all_voters_with_one_disk_wiped_and_one_old() {
     let mut cluster = restart_voters_with_one_wiped_and_one_old_disk("case-7", &Plan::default());
-    // Two of three voters are no majority here, because the wiped one has no vote.
+    // The two running voters are not a majority, because the wiped one has no vote.
     cluster.wait_for_answers(AnswerKind::Rejected, 100);
     assert!((1..5).all(|gateway| !cluster.is_fit(gateway)));
     cluster.start(0);
     cluster.wait_for_revision_everywhere(2);
     cluster.wait_for_answers(AnswerKind::Rows, 200);
-    // Once the wiped voter has a vote again, the fleet works without voter 0.
+    // Once the wiped voter has a vote again, voters 1 and 2 are a majority, and the fleet serves without voter 0.
     wait_until("the wiped voter has a vote again", || {
         cluster.log(1).matches("this voter has a vote").count() == 2
     });
@@ -61,18 +65,18 @@
     );
 }
 
-/// While this file exists, a voter with the guard `disk-space` disabled treats its disk as full.
+/// The file whose existence makes a voter treat its disk as full, if the guard `disk-space` is disabled.
 fn full_disk_marker(cluster: &Cluster, voter: usize) -> PathBuf {
     cluster.state_dir(voter).join("full")
 }
 
-/// While this file exists, a voter with the guard `fast-disk` disabled writes slowly.
+/// The file whose existence makes a voter write slowly, if the guard `fast-disk` is disabled.
 fn slow_disk_marker(cluster: &Cluster, voter: usize) -> PathBuf {
     cluster.state_dir(voter).join("slow")
 }
 
 #[test]
-fn one_slow_or_full_disk_of_a_voter_costs_nothing() {
+fn changes_are_made_when_one_voter_has_a_slow_or_full_disk() {
     let plan = Plan::default()
         .lease_ms(3000)
         .disable_guard_at(1, "fast-disk")
@@ -81,7 +85,8 @@
     fs::write(slow_disk_marker(&cluster, 1), "").unwrap();
     cluster.set(0, &[MAX_ATTEMPTS_PATH, "3"]).assert_success();
     fs::remove_file(slow_disk_marker(&cluster, 1)).unwrap();
-    // One after the other: both at once would leave one usable disk of three, which is no majority.
+    // The slow disk is fast again before the other one is full. Both faults at once would leave one usable disk of
+    // three, which is not a majority.
     fs::write(full_disk_marker(&cluster, 2), "").unwrap();
     cluster.set(3, &[MAX_ATTEMPTS_PATH, "4"]).assert_success();
     wait_until("the voter logs that its disk is full", || {
@@ -99,12 +104,13 @@
 /// The value of [`MAX_ATTEMPTS_PATH`] that every voter's disk holds before the disks are filled.
 const STORED_MAX_ATTEMPTS: u64 = 5;
 
-/// The disks of voters 1 and 2 are full over a change; after it voter 0's disk is lost, and all voters restart with
-/// free disks.
+/// Requests a change while the disks of voters 1 and 2 are full. Then wipes the disk of voter 0, frees the other two
+/// and restarts all voters. Returns the cluster and the output of the command that requested the change.
 fn change_setting_while_two_disks_are_full(test: &str, plan: &Plan) -> (Cluster, CommandOutput) {
     let mut cluster = Cluster::started(test, plan);
-    // Right after the bootstrap the disks of voters 1 and 2 may not hold yet that there are three voters. Without the
-    // disk of voter 0 they could then never elect a leader, whatever becomes of the change.
+    // Right after the bootstrap, the logs of voters 1 and 2 may not contain the configuration with three voters yet.
+    // Without the disk of voter 0 they could then never elect a leader. A first change that every gateway applies
+    // excludes that.
     let stored_value = STORED_MAX_ATTEMPTS.to_string();
     cluster
         .set(0, &[MAX_ATTEMPTS_PATH, &stored_value])
@@ -112,10 +118,13 @@
     cluster.wait_for_revision_everywhere(1);
     (1..3).for_each(|voter| fs::write(full_disk_marker(&cluster, voter), "").unwrap());
     let change = cluster.spawn_cli(3, &["set", MAX_ATTEMPTS_PATH, "3", "--fleet"]);
-    wait_until("the change is made, or two voters can't write it", || {
-        change.is_finished()
-            || (1..3).all(|voter| cluster.log(voter).contains("fleet log can't be written"))
-    });
+    wait_until(
+        "the command ends, or both voters fail to write the change",
+        || {
+            change.is_finished()
+                || (1..3).all(|voter| cluster.log(voter).contains("fleet log can't be written"))
+        },
+    );
     (0..3).for_each(|voter| cluster.kill(voter));
     cluster.wipe_disk(0);
     (1..3).for_each(|voter| fs::remove_file(full_disk_marker(&cluster, voter)).unwrap());
@@ -124,7 +133,7 @@
     (cluster, change.join().unwrap())
 }
 
-/// Lets the disks of voters 1 and 2 be filled.
+/// A plan in which the disks of voters 1 and 2 can be marked as full.
 fn plan_with_fillable_disks() -> Plan {
     Plan::default()
         .disable_guard_at(1, "disk-space")
@@ -135,8 +144,8 @@
 fn change_that_two_full_disks_did_not_store_was_not_decided() {
     let (cluster, command_output) =
         change_setting_while_two_disks_are_full("full", &plan_with_fillable_disks());
-    // The command repeats its request, so the change may be made once the disks are free. Otherwise the command must not
-    // have succeeded.
+    // The command repeats its request, so the change may be made after all once the disks are free. After a success the
+    // new value must be in force. After a failure either value is allowed, as long as all gateways have the same one.
     let value = match command_output.exit_code {
         0 => json!(3),
         _ => cluster.setting(0, MAX_ATTEMPTS_PATH),
@@ -157,7 +166,7 @@
             json!(STORED_MAX_ATTEMPTS)
         );
     }
-    // Members that applied the change don't go back, and get no lease beside voters that lost it.
+    // Members that applied the change don't return to the older policy, and voters that lost it grant them no lease.
     for gateway in 3..5 {
         wait_until("a member that applied the change has no lease", || {
             !cluster.is_fit(gateway)
--- a/crates/gateway/tests/fleet/foreign_gateways.rs
+++ b/crates/gateway/tests/fleet/foreign_gateways.rs
@@ -1,16 +1,19 @@
 //! Gateways that don't belong to the fleet, and a member that leaves it.
+//!
+//! The tests guard against a misconfigured gateway, of another fleet or with another member's name, that joins the
+//! fleet. They also guard against a terminated member whose lease has to expire before it is removed.
 
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan, StartupFiles};
 use serde_json::json;
 use std::fs;
 use std::path::PathBuf;
 
-/// The replica's directory of the gateway that uses another's name.
+/// The replica directory of the gateway that has the same name as voter 2.
 fn state_dir_of_duplicate_gateway() -> PathBuf {
     std::env::temp_dir().join(format!("strange-{}", std::process::id()))
 }
 
-/// Gateway 3 belongs to another fleet, and gateway 4 has the name of voter 2.
+/// Configures gateway 3 for another fleet, and gives gateway 4 the name of voter 2.
 fn configure_foreign_fleet_and_duplicate_name(gateway: usize, files: &mut StartupFiles) {
     match gateway {
         3 => files.operator["fleet"]["name"] = json!("other"),
@@ -35,16 +38,17 @@
 
 #[test]
 fn foreign_gateways_are_refused_with_a_reason_and_a_terminated_one_leaves_at_once() {
-    // Leases last so long that the terminated member's can't be the reason for its removal.
+    // With leases this long, the terminated member can't be removed because its lease expired.
     let plan = Plan::default()
         .lease_ms(10_000)
         .edit_config(configure_foreign_fleet_and_duplicate_name);
     let mut cluster = Cluster::prepare("strangers", &plan);
     (0..4).for_each(|gateway| cluster.start(gateway));
     cluster.bootstrap_voters();
-    wait_until("the other fleet's gateway logs the reason", || {
-        cluster.log(3).contains(r#"g4 belongs to fleet "other""#)
-    });
+    wait_until(
+        "the gateway of the other fleet logs why it is refused",
+        || cluster.log(3).contains(r#"g4 belongs to fleet "other""#),
+    );
     assert!((0..3).any(|voter| cluster
         .log(voter)
         .contains("message of another gateway rejected")));
@@ -52,9 +56,10 @@
         read_member_names(&cluster) == ["g1", "g2", "g3"]
     });
     cluster.start(4);
-    wait_until("the second gateway of a name logs the reason", || {
-        cluster.log(4).contains("another process is")
-    });
+    wait_until(
+        "the gateway with a duplicate name logs why it is refused",
+        || cluster.log(4).contains("another process is"),
+    );
     assert!(!cluster.is_fit(3) && !cluster.is_fit(4));
     cluster.kill(4);
     let _ = fs::remove_dir_all(state_dir_of_duplicate_gateway());
@@ -69,7 +74,7 @@
         "{}",
         cluster.log(follower)
     );
-    wait_until("the terminated voter is no member", || {
+    wait_until("the terminated voter is removed from the members", || {
         cluster.fleet_status(1 - follower)["members"]
             .as_array()
             .is_some_and(|members| members.len() == 2)
--- a/crates/gateway/tests/fleet/leader_loss.rs
+++ b/crates/gateway/tests/fleet/leader_loss.rs
@@ -1,4 +1,7 @@
-//! The leader is killed: during a change (case 2 of the design), and under load.
+//! The leader is killed during a change (case 2 of the design) or under load.
+//!
+//! The tests guard against a change that only some members apply because its leader is lost between two steps, and
+//! against requests that fail because the fleet has no leader until the next election.
 
 use crate::support::{last_revision, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
@@ -6,17 +9,17 @@
 use ironstair_test_cluster::link::Direction;
 use serde_json::{json, Value};
 
-/// A step of a change during which the leader is killed.
+/// The step of a change during which the leader is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum KilledDuring {
     Staged,
     Binding,
-    /// The change is decided, and some member hasn't applied it yet.
+    /// The change is decided, and at least one member hasn't applied it yet.
     HalfApplied,
 }
 
 impl KilledDuring {
-    /// Whether the fleet's state shows this step of the change that gives the revision of that number.
+    /// Whether the fleet's status shows this step of the change that creates the revision with that number.
     fn is_shown_by(self, status: &Value, revision_number: usize) -> bool {
         match self {
             KilledDuring::Staged => status["change"]["step"] == json!("staged"),
@@ -48,14 +51,14 @@
     })
 }
 
-/// Starts a change, kills the leader during that step of it, and starts the leader again.
+/// Starts a change, kills the leader during the given step, and starts the leader again. Returns the leader's index.
 fn kill_leader_during_change(
     cluster: &mut Cluster,
     step: KilledDuring,
     revision_number: usize,
     new_value: &Value,
 ) -> usize {
-    // Member 4 answers late, so that each step of the change lasts long enough to be seen.
+    // The links to member 4 are slow, so that each step of the change lasts long enough to be observed.
     for voter in 0..3 {
         cluster
             .links_between(4, voter)
@@ -64,10 +67,10 @@
     let leader = cluster.leader();
     let args = ["set", MAX_ATTEMPTS_PATH, &new_value.to_string(), "--fleet"];
     let change = cluster.spawn_cli(leader, &args);
-    wait_until(&format!("{step:?}"), || {
+    wait_until(&format!("the change is at step {step:?}"), || {
         assert!(
             !change.is_finished(),
-            "{step:?} was not seen: {} {}",
+            "the change ended before step {step:?} was observed: {} {}",
             cluster.fleet_status(leader),
             cluster.log(leader)
         );
@@ -101,7 +104,7 @@
             ["running", "refused"]
                 .iter()
                 .any(|expected| outcome == json!(expected)),
-            "{step:?}: {outcome}"
+            "leader killed at step {step:?}, outcome {outcome}"
         );
         let revision = cluster.fleet_status(leader)["revision"].as_u64().unwrap();
         cluster.wait_for_revision_everywhere(revision);
@@ -110,7 +113,7 @@
         assert_eq!(
             applied == new_value,
             outcome == json!("running"),
-            "{step:?}: {applied}"
+            "leader killed at step {step:?}, applied value {applied}"
         );
     }
     cluster.wait_for_answers(AnswerKind::Rows, 100);
@@ -118,11 +121,11 @@
 }
 
 #[test]
-fn killed_leader_costs_no_request() {
+fn requests_of_other_gateways_all_succeed_when_the_leader_is_killed() {
     let plan = Plan::default().lease_ms(5000);
     let mut cluster = Cluster::started_under_load("minority", &plan);
     let leader = cluster.leader();
-    // The calls of its own client would be lost with it.
+    // Calls that the leader's own client has open would be lost with the leader.
     cluster.pause_load(leader);
     cluster.kill(leader);
     cluster.wait_for_answers(AnswerKind::Rows, 500);
--- a/crates/gateway/tests/fleet/leases.rs
+++ b/crates/gateway/tests/fleet/leases.rs
@@ -1,13 +1,16 @@
-//! A gateway that misses a change, because it is down, cut off or paused, doesn't decide by the old policy
-//! (cases 1, 3 and 4 of the design).
+//! A gateway that is down, cut off or paused during a change doesn't decide by the old policy afterwards (cases 1, 3
+//! and 4 of the design).
+//!
+//! The fleet decides a change without such a gateway. The gateway still has the old policy when it starts, while it is
+//! cut off and when it resumes, and would use it if it could decide without a valid lease.
 
 use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::json;
 
-/// Kills gateways 3 and 4. Gateway 3 comes back during a change; gateway 4 comes back after a second one, and is cut
-/// off from the fleet at first.
+/// Kills gateways 3 and 4 and makes two changes. Gateway 3 starts during the first one. Gateway 4 starts after the
+/// second one, and is isolated from the fleet until the links are healed.
 fn change_policy_while_two_gateways_are_down(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     cluster.kill(3);
@@ -27,7 +30,7 @@
 #[test]
 fn gateways_down_at_a_change_come_back_with_the_new_policy() {
     let mut cluster = change_policy_while_two_gateways_are_down("case-1", &Plan::default());
-    // Gateway 4 rejects its clients' calls at once instead of leaving them unanswered.
+    // Gateway 4 has no lease, and rejects its clients' calls instead of leaving them unanswered.
     cluster.wait_for_answers(AnswerKind::Rejected, 50);
     assert!(!cluster.is_fit(4));
     cluster.heal_links();
@@ -54,7 +57,7 @@
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
 
-/// Cuts gateway 4 off in one direction over a change, and in the other over a second one.
+/// Makes a change while nothing from gateway 4 arrives, and a second one while gateway 4 receives nothing.
 fn change_policy_while_gateway_is_cut_off_in_each_direction(test: &str, plan: &Plan) -> Cluster {
     let cluster = Cluster::started_under_load(test, plan);
     for (isolation, class) in [
@@ -78,7 +81,7 @@
     let answers = cluster.stop_load_and_check();
     assert!(
         answers[&AnswerKind::Rejected] > 0,
-        "it was without a lease: {answers:?}"
+        "gateway 4 must have rejected calls while it had no lease: {answers:?}"
     );
 }
 
@@ -89,10 +92,11 @@
     assert!(used_stale_policy(&cluster.stop_load(), 4));
 }
 
-/// Pauses gateway 3 over two changes, with calls in its queue.
+/// Pauses gateway 3, fills its queue with calls, makes two changes and resumes the gateway.
 fn change_policy_twice_while_gateway_is_paused(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
-    // An attempt that the pause interrupts is written after it, which no promise covers: none may be in progress.
+    // An attempt that the pause interrupts is sent after the pause, which no guarantee covers. So none may be in
+    // progress when the pause begins.
     cluster.pause_load(3);
     cluster.pause(3);
     cluster.fill_queue(3);
--- a/crates/gateway/tests/fleet/main.rs
+++ b/crates/gateway/tests/fleet/main.rs
@@ -1,6 +1,8 @@
-//! A fleet of gateway processes with faults in the links, processes and disks: the promises of
-//! `docs/design/fleet.md`. Each promise has a control test, which disables a guard and shows that the test would notice
-//! its absence.
+//! Tests of the guarantees in `docs/design/fleet.md`, with a fleet of gateway processes whose links, processes and
+//! disks fail.
+//!
+//! A test whose name begins with `control` disables the guard behind a guarantee and asserts that the failure then
+//! occurs. Without it, a test that can't detect the failure would pass as well.
 
 mod changes;
 mod disks;
--- a/crates/gateway/tests/fleet/majority_loss.rs
+++ b/crates/gateway/tests/fleet/majority_loss.rs
@@ -1,4 +1,8 @@
-//! A majority of the voters is lost, or a member is cut off: a strict gateway stops, a steady one continues.
+//! A majority of the voters is lost, or a member is cut off: a gateway with `cut_off: strict` stops, one with
+//! `cut_off: steady` continues.
+//!
+//! The tests guard against a strict gateway that decides without a lease, and against a change that is decided while a
+//! steady gateway, which continues without a lease, still applies the old policy.
 
 use crate::support::{used_stale_policy, MAX_ATTEMPTS_PATH};
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
--- a/crates/gateway/tests/fleet/random_schedules.rs
+++ b/crates/gateway/tests/fleet/random_schedules.rs
@@ -1,10 +1,12 @@
-//! Seeded schedules of faults and changes (case 9 of the design).
+//! Random schedules of faults and changes, generated from seeds (case 9 of the design).
+//!
+//! The test guards against failures that need a combination of faults which no other test sets up.
 
 use ironstair_test_cluster::cluster::{Cluster, Plan};
 use ironstair_test_cluster::schedule;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-/// Schedules played at once. Each is a fleet of five processes.
+/// The number of schedules that run at the same time. Each of them has a fleet of five processes.
 const MAX_CONCURRENT_SCHEDULES: u64 = 4;
 
 fn number_from_environment(name: &str, default: u64) -> u64 {
@@ -14,7 +16,7 @@
         .unwrap_or(default)
 }
 
-/// Plays one schedule on a fleet of its own. Returns how many changes were made.
+/// Runs the schedule of the seed on a fleet of its own. Returns the number of changes that were made.
 fn run_schedule_of_seed(seed: u64) -> usize {
     let steps = schedule::generate_steps(seed);
     let run_result = std::panic::catch_unwind(|| {
@@ -25,12 +27,12 @@
     });
     match run_result {
         Ok(changes_made) => changes_made,
-        Err(_) => panic!("seed {seed}: {steps:#?}"),
+        Err(_) => panic!("the schedule of seed {seed} failed: {steps:#?}"),
     }
 }
 
-/// `SEEDS=200 FIRST=1000 cargo test -p ironstair-gateway --test fleet seeded_schedules` plays 200 schedules from seed
-/// 1000 on; the default is three from seed 1 on.
+/// `SEEDS` is the number of schedules and `FIRST` the first seed; the defaults are 3 and 1. The command for 200
+/// schedules from seed 1000 on is `SEEDS=200 FIRST=1000 cargo test -p ironstair-gateway --test fleet seeded_schedules`.
 #[test]
 fn seeded_schedules_of_faults_violate_no_invariant() {
     let seed_count = number_from_environment("SEEDS", 3);
--- a/crates/gateway/tests/fleet/refusals.rs
+++ b/crates/gateway/tests/fleet/refusals.rs
@@ -1,4 +1,7 @@
 //! A change that a live member refuses is applied nowhere (cases 5 and 8 of the design).
+//!
+//! A member refuses a policy that names something it isn't configured with, or that has a field its version doesn't
+//! know. Without the refusal, the other members would apply the policy and this one would keep the old one.
 
 use crate::support::last_revision;
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan, StartupFiles};
@@ -8,7 +11,7 @@
 const ADVICE_PATH: &str = "/settings/advice";
 const LOOKUP_ZONES_PATH: &str = "/settings/band[name=lookup]/zone";
 
-/// Gateway 4 is configured with zone a alone.
+/// Configures gateway 4 with zone `a` only, so that it refuses a policy that names zone `b`.
 fn configure_only_zone_a_at_gateway_4(gateway: usize, files: &mut StartupFiles) {
     if gateway == 4 {
         files.config["settings"]["dcs"] = json!(["a"]);
@@ -80,7 +83,7 @@
     for gateway in 0..4 {
         assert_eq!(cluster.setting(gateway, ADVICE_PATH), json!(500));
     }
-    // With a policy that it can read, the older gateway is a member again.
+    // Once the policy has no field that it doesn't know, the older gateway is a member again.
     cluster.set(1, &[ADVICE_PATH, "0"]).assert_success();
     cluster.wait_until_fit(4);
     cluster.stop_load_and_check();
@@ -93,10 +96,13 @@
         .disable_guard_at(4, "policy-validated");
     let cluster = Cluster::started("control-8", &plan);
     cluster.set(0, &[ADVICE_PATH, "500"]).assert_success();
-    wait_until("a live member can't apply the policy", || {
-        cluster
-            .log(4)
-            .contains("the fleet's policy can't be applied here")
-            && !cluster.is_fit(4)
-    });
+    wait_until(
+        "the live member can't apply the policy and is not fit",
+        || {
+            cluster
+                .log(4)
+                .contains("the fleet's policy can't be applied here")
+                && !cluster.is_fit(4)
+        },
+    );
 }
--- a/crates/gateway/tests/fleet/support.rs
+++ b/crates/gateway/tests/fleet/support.rs
@@ -1,12 +1,13 @@
-//! Paths and checks that several groups of tests use.
+//! Setting paths, checks and queries that several modules of the fleet tests share.
 
 use ironstair_test_cluster::cluster::Cluster;
 use ironstair_test_cluster::invariants::Violation;
 use serde_json::Value;
 
+/// The setting that limits how often a request is attempted.
 pub(crate) const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
 
-/// Whether a gateway decided by a policy that the fleet had replaced.
+/// Whether the gateway decided by a policy that the fleet had already replaced.
 pub(crate) fn used_stale_policy(violations: &[Violation], gateway: usize) -> bool {
     violations.iter().any(|violation| {
         matches!(
@@ -16,7 +17,7 @@
     })
 }
 
-/// The last revision in the fleet's log, asked at a gateway; null where there is none.
+/// The last revision of the fleet, as the gateway reports it; null if there is none.
 pub(crate) fn last_revision(cluster: &Cluster, gateway: usize) -> Value {
     cluster.fleet_status(gateway)["revisions"]
         .as_array()
--- a/crates/gateway/tests/recovery/disaster_recovery.rs
+++ b/crates/gateway/tests/recovery/disaster_recovery.rs
@@ -1,13 +1,19 @@
-//! Disks of a majority of the voters are lost, and an operator begins a new cluster generation (case 2 of the design).
+//! The disks of a majority of the voters are lost, and an operator begins a new cluster generation (case 2 of the
+//! design).
+//!
+//! The tests guard against a fleet that continues with an older policy than the one it had decided, and against two
+//! generations that each have a leader: voters that weren't lost after all, or a second operator, would keep another
+//! generation alive.
 
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Isolation, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 use serde_json::{json, Value};
 
+/// The setting that limits how often a request is attempted.
 const MAX_ATTEMPTS_PATH: &str = "/settings/forwards-most";
 const VOTER_COUNT: usize = 3;
 
-/// Waits until each gateway is fit and has that value of the setting.
+/// Waits until each gateway is fit and [`MAX_ATTEMPTS_PATH`] has the given value there.
 fn wait_until_all_are_fit_with_max_attempts(cluster: &Cluster, value: &Value) {
     for gateway in 0..cluster.size() {
         cluster.wait_until_fit(gateway);
@@ -17,7 +23,7 @@
     }
 }
 
-/// Makes a change, ends all gateways, wipes the disks of some voters and starts all gateways again.
+/// Makes a change, kills all gateways, wipes the disks of the given voters and starts all gateways.
 fn restart_fleet_with_wiped_disks(test: &str, wiped_voters: &[usize]) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, &Plan::default());
     cluster.set(0, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
@@ -37,7 +43,7 @@
     let mut cluster = restart_fleet_with_wiped_disks("anew", &[0, 1]);
     cluster.wait_for_answers(AnswerKind::Rejected, 100);
     assert!((0..cluster.size()).all(|gateway| !cluster.is_fit(gateway)));
-    // A first bootstrap is refused, because one disk has a generation already.
+    // A bootstrap is refused, because one of the disks already has a generation.
     cluster
         .cli(0, &["fleet", "begin"])
         .assert_refused_with("g3 knows a cluster generation");
@@ -66,11 +72,12 @@
     cluster.stop_load_and_check();
 }
 
-/// Against two generations of the same number, of which neither supersedes the other: they would stay two fleets.
+/// Guards against two generations with the same number. Neither would supersede the other, and the fleet would stay
+/// split.
 #[test]
 fn two_simultaneous_disaster_recoveries_leave_one_generation() {
     let cluster = restart_fleet_with_wiped_disks("two-anew", &[0, 1]);
-    // Neither operator's voter learns of the other's recovery.
+    // The isolation of voter 0 keeps each of the two voters from learning of the other one's recovery.
     cluster.isolate(0, Isolation::Full);
     std::thread::scope(|scope| {
         let recoveries = [0, 2].map(|gateway| {
@@ -82,7 +89,7 @@
         }
     });
     cluster.heal_links();
-    wait_until("every voter has a vote in one generation", || {
+    wait_until("all voters have a vote in the same generation", || {
         let statuses: Vec<Value> = (0..VOTER_COUNT)
             .map(|voter| cluster.fleet_status(voter))
             .collect();
@@ -108,7 +115,7 @@
         "{recovery:?}"
     );
     wait_until_all_are_fit_with_max_attempts(&cluster, &json!(6));
-    // A gateway with another's disk names the owner, and doesn't use it.
+    // A gateway that finds another gateway's disk logs the owner's name, and doesn't use the disk.
     cluster.kill(2);
     let disk = cluster.copy_disk(1);
     cluster.restore_disk(2, &disk);
@@ -125,8 +132,8 @@
     cluster.stop_load_and_check();
 }
 
-/// Kills a majority of the voters, which their operator believes lost, begins a new generation without them, and
-/// starts them again.
+/// Kills a majority of the voters, begins a new generation without them, makes a change in it and starts the killed
+/// voters, as an operator would who wrongly believed their disks to be lost.
 fn restart_voters_after_disaster_recovery(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started_under_load(test, plan);
     cluster.set(0, &[MAX_ATTEMPTS_PATH, "5"]).assert_success();
@@ -166,7 +173,8 @@
     let plan = Plan::default().disable_guard("generation-check");
     let cluster = restart_voters_after_disaster_recovery("control-earlier", &plan);
     let generation = |gateway: usize| cluster.fleet_status(gateway)["history"].clone();
-    wait_until("two generations each have a leader", || {
-        generation(0).is_string() && generation(2).is_string() && generation(0) != generation(2)
-    });
+    wait_until(
+        "voters 0 and 2 each see a leader, of different generations",
+        || generation(0).is_string() && generation(2).is_string() && generation(0) != generation(2),
+    );
 }
--- a/crates/gateway/tests/recovery/main.rs
+++ b/crates/gateway/tests/recovery/main.rs
@@ -1,5 +1,8 @@
-//! A fleet of gateway processes that comes back after most of them, or most of what they stored, is lost: the promises
-//! of `docs/design/recovery.md`.
+//! Tests of the guarantees in `docs/design/recovery.md`, with gateway processes that are killed, paused or lose what
+//! they stored.
+//!
+//! A test whose name begins with `control` disables the guard behind a guarantee and asserts that the failure then
+//! occurs.
 
 mod disaster_recovery;
 mod membership_count;
--- a/crates/gateway/tests/recovery/restarts.rs
+++ b/crates/gateway/tests/recovery/restarts.rs
@@ -1,9 +1,13 @@
 //! Gateways that are killed or paused and come back (cases 1, 6 and 7 of the design).
+//!
+//! The tests guard against a restarted gateway that has to wait until the lease of its previous process expires, and
+//! against a fleet that serves no requests after several gateways were killed or paused at the same time.
 
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
 
-/// Kills and starts one gateway of a fleet whose leases last as long as any condition may take.
+/// Kills and starts gateway 4. The plan's leases last as long as a test waits for a condition, so that the gateway
+/// can't be fit in time by waiting for the end of its old lease.
 fn restart_gateway_within_its_lease(test: &str, plan: &Plan) -> Cluster {
     let mut cluster = Cluster::started(test, plan);
     cluster.kill(4);
@@ -24,7 +28,7 @@
         .lease_ms(40_000)
         .disable_guard("proof-of-end");
     let cluster = restart_gateway_within_its_lease("no-proof", &plan);
-    wait_until("the gateway logs why it waits", || {
+    wait_until("the gateway logs why it doesn't join the fleet", || {
         cluster
             .log(4)
             .contains("another process is g5 in this fleet")
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn crash_loop_of_one_and_pause_of_a_majority_leave_a_serving_fleet() {
+fn fleet_serves_after_a_crash_loop_of_one_gateway_and_a_pause_of_a_majority() {
     let mut cluster = Cluster::started_under_load("again", &Plan::default());
     assert_crash_loop_does_not_slow_the_others(&mut cluster);
     let paused = [1, 2, 4];
@@ -56,7 +60,7 @@
         cluster.pause(gateway);
         cluster.fill_queue(gateway);
     }
-    wait_until("the others have no lease", || {
+    wait_until("the gateways that run have no lease", || {
         !cluster.is_fit(0) && !cluster.is_fit(3)
     });
     paused
@@ -67,7 +71,8 @@
     cluster.stop_load_and_check();
 }
 
-/// Kills gateway 3 as soon as it listens, then as soon as it is fit, three times.
+/// Restarts gateway 3 six times: by turns, it is killed as soon as it listens and when it has been fit. Meanwhile,
+/// gateway 0 must keep answering.
 fn assert_crash_loop_does_not_slow_the_others(cluster: &mut Cluster) {
     for _ in 0..3 {
         cluster.kill(3);
--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -1,4 +1,8 @@
-//! The folder in which a gateway keeps a snapshot for its next process (cases 5, 6 and 8 of the design).
+//! The folder in which a gateway stores a snapshot for its next process (cases 5, 6 and 8 of the design).
+//!
+//! The tests guard against a gateway that can't serve after a restart because the name service is down, that fails
+//! requests because the folder is unusable or slow, or that repeats requests of its previous process because it doesn't
+//! quarantine their idempotency keys.
 
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
 use ironstair_test_cluster::invariants::AnswerKind;
@@ -9,19 +13,21 @@
 use std::path::Path;
 use std::process::Command;
 
+/// The name of the snapshot file in the folder.
 const SNAPSHOT_FILE: &str = "gateway.kept";
-/// States of an engine in the name service's list.
+/// The state of an engine in the name service's list that accepts requests.
 const READY: u16 = 0;
+/// The state of an engine in the name service's list that accepts no new requests.
 const DRAINING: u16 = 1;
 
-/// A gateway that knows its engines from the name service alone.
+/// A gateway that learns its engines only from the name service, and the two engines.
 struct DiscoveringGateway {
     gateway: stub::Gateway,
     ready_engine: SocketAddr,
     draining_engine: SocketAddr,
 }
 
-/// Starts it with a snapshot folder, or without.
+/// Starts a gateway, with a snapshot folder if one is given, and two engines.
 fn start_discovering_gateway(test: &str, folder: Option<&Path>) -> DiscoveringGateway {
     let answer_fetch = |line: &str, _: &str| match line.starts_with("fetch") {
         true => (stub::done_reply(line, "a\tb\tc\n"), false),
@@ -43,13 +49,13 @@
     }
 }
 
-/// The management address of a gateway: the port after its clients'.
+/// The management address of a gateway: its port is the one after the port for clients.
 fn management_address(config: &Value) -> String {
     let listen: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
     SocketAddr::new(listen.ip(), listen.port() + 1).to_string()
 }
 
-/// The leaves below a path of a gateway's tree, by the command line; null where it answers none.
+/// The leaves below a path of the gateway's data tree, as `ironstair get` prints them; null if it prints none.
 fn get_leaves(gateway: &stub::Gateway, path: &str) -> Value {
     let management = SocketAddr::new(gateway.address.ip(), gateway.address.port() + 1).to_string();
     let output = Command::new(stub::gateway_binary())
@@ -59,7 +65,7 @@
     serde_json::from_slice(&output.stdout).unwrap_or_default()
 }
 
-/// Whether a call is settled; otherwise it was given up.
+/// Sends a call and returns whether it is answered with a result instead of an error.
 fn is_settled(gateway: &stub::Gateway, call: u64) -> bool {
     let mut client = Client::connect(gateway);
     client.send_call(call);
@@ -67,7 +73,7 @@
 }
 
 #[test]
-fn snapshot_serves_without_the_name_service_and_leaves_out_draining_engines() {
+fn restarted_gateway_serves_by_its_snapshot_without_the_name_service_and_omits_draining_engines() {
     let folder = tempfile::tempdir().unwrap();
     for has_folder in [true, false] {
         let test = format!("remembers-{has_folder}");
@@ -85,18 +91,18 @@
         wait_until("the gateway is in its last start stage", || {
             get_leaves(&discovering.gateway, "/state/process/stage")[0]["value"] == json!("full")
         });
-        // The first snapshot, at the start, has no endpoint list yet.
+        // The first snapshot, which the gateway writes at its start, has no engine list yet.
         let file = folder.path().join(SNAPSHOT_FILE);
         wait_until("a snapshot with the engines is written", || {
             !has_folder || file_contains(&file, b"e1")
         });
-        // The name service answers no list any more.
+        // From now on the name service answers without a list.
         discovering.gateway.name_answer.lock().unwrap().clear();
         discovering.gateway.restart();
         assert_eq!(
             is_settled(&discovering.gateway, 2),
             has_folder,
-            "without a folder it knows no engine"
+            "a restarted gateway without a snapshot folder knows no engine, one with a folder does"
         );
         if has_folder {
             assert_serves_by_the_snapshot(&discovering.gateway);
@@ -110,10 +116,13 @@
 }
 
 fn assert_serves_by_the_snapshot(gateway: &stub::Gateway) {
-    wait_until("the gateway reports that its list is a snapshot's", || {
-        get_leaves(gateway, "/state/process/held-back-by")[0]["value"]
-            == json!("the list of engines was not heard since the start")
-    });
+    wait_until(
+        "the gateway reports that its engine list is not from the name service",
+        || {
+            get_leaves(gateway, "/state/process/held-back-by")[0]["value"]
+                == json!("the list of engines was not heard since the start")
+        },
+    );
     let engines = get_leaves(gateway, "/state/engine").to_string();
     assert!(
         engines.contains("e1") && !engines.contains("e2"),
@@ -121,7 +130,8 @@
     );
 }
 
-/// Prepares snapshot folders: a file instead of a folder, one with a corrupt snapshot, and one on a slow disk.
+/// Creates a file in place of a snapshot folder, a folder with a corrupt snapshot, and a folder whose file `slow`
+/// delays reads.
 fn write_unusable_folders(parent: &Path) {
     fs::write(parent.join("file"), "").unwrap();
     for (name, file) in [("corrupt", SNAPSHOT_FILE), ("slow", "slow")] {
@@ -132,7 +142,7 @@
 }
 
 #[test]
-fn unusable_or_slow_snapshot_folder_costs_no_request() {
+fn requests_are_answered_when_the_snapshot_folder_is_unusable_or_slow() {
     let parent = tempfile::tempdir().unwrap();
     write_unusable_folders(parent.path());
     for name in ["file", "corrupt", "slow", "not-there-yet"] {
@@ -165,7 +175,7 @@
     }
 }
 
-/// Whether a gateway quarantines idempotency keys, once it knows its engine.
+/// Waits until the gateway knows its engine, and returns whether it quarantines idempotency keys.
 fn is_quarantining_keys(gateway: &stub::Gateway) -> bool {
     let text = |path: &str| {
         get_leaves(gateway, path)[0]["value"]
@@ -198,7 +208,7 @@
         stub::start_gateway_with_config("keys-rest", config, name_answer, Some(operator));
     assert!(
         is_quarantining_keys(&gateway),
-        "nothing is known of a process before the first"
+        "without a snapshot, nothing is known about a previous process"
     );
     wait_until("the snapshot is written", || {
         folder.path().join(SNAPSHOT_FILE).exists()
@@ -215,11 +225,12 @@
             "ended cleanly: {ends_cleanly}"
         );
     }
-    // The last process is killed before it can write a snapshot. The folder holds that of the process before it.
+    // The last process but one is killed before it can write a snapshot, so the folder contains a snapshot of the
+    // process before that one.
     gateway.restart();
     gateway.restart();
     assert!(
         is_quarantining_keys(&gateway),
-        "a snapshot of the process before the last one is no evidence"
+        "a snapshot that the previous process didn't write is no evidence that it ended cleanly"
     );
 }
