--- a/crates/gateway/tests/manage/arbitration.rs
+++ b/crates/gateway/tests/manage/arbitration.rs
@@ -1,4 +1,7 @@
-//! Master arbitration between two clients that change the settings.
+//! Master arbitration between clients that change the settings.
+//!
+//! The test guards against a former master that still changes settings after a client with a higher election id has
+//! taken over. The ids are chosen so that a comparison of their low halves alone would accept the former master.
 
 use crate::managed::{
     connect_without_tls, current_thread_runtime, get_json, json_update, send_set_request,
@@ -10,7 +13,7 @@
 
 const ADVICE_PATH: &str = "/settings/advice";
 
-/// Changes the advice as the master with the election id `high`, `low`.
+/// Sets the advice as the master whose election id has the given high and low halves.
 async fn set_advice_as_master(
     client: &mut GnmiClient,
     (high, low): (u64, u64),
--- a/crates/gateway/tests/manage/certificate_rotation.rs
+++ b/crates/gateway/tests/manage/certificate_rotation.rs
@@ -1,4 +1,7 @@
-//! Certificates of gateway and clients are replaced while streams are open.
+//! The certificates of the gateway and of its clients are replaced while streams are open.
+//!
+//! The test guards against a replacement that closes open streams or is ignored, against a gateway that still accepts
+//! clients of the old authority, and against an invalid file that puts the current key out of use.
 
 use crate::managed::{
     connect_to_endpoint, current_thread_runtime, get_json, open_subscription, set_value,
@@ -16,7 +19,9 @@
 use tonic::transport::{Certificate, ClientTlsConfig, Endpoint, Identity};
 use tonic::{Code, Streaming};
 
+/// A setting that the test changes; its value is a number.
 const ADVICE_PATH: &str = "/settings/advice";
+/// The last value that the test sets while the certificates are replaced.
 const LAST_ADVICE: u64 = 59;
 
 /// A certificate and its key, as PEM.
@@ -25,7 +30,7 @@
     key: String,
 }
 
-/// A certificate authority that lives for one test.
+/// A certificate authority for one test.
 struct Authority {
     issuer: rcgen::Issuer<'static, rcgen::KeyPair>,
     certificate: String,
@@ -93,7 +98,7 @@
         .unwrap()
 }
 
-/// Whether a client with that certificate can read.
+/// Whether a client with the given certificate can connect and read a setting.
 async fn may_read(gnmi_address: SocketAddr, server: &Authority, client: &KeyPair) -> bool {
     match tls_endpoint(gnmi_address, server, client).connect().await {
         Err(_) => false,
@@ -118,14 +123,15 @@
     }
 }
 
-/// Writes the gateway's own certificate and key, and the authority that its clients' certificates need.
+/// Writes the gateway's certificate and key, and the certificate of the authority that signs its clients.
 fn write_tls_files(dir: &Path, gateway: &KeyPair, clients: &Authority) {
     std::fs::write(dir.join("cert.pem"), &gateway.certificate).unwrap();
     std::fs::write(dir.join("key.pem"), &gateway.key).unwrap();
     std::fs::write(dir.join("clients.pem"), &clients.certificate).unwrap();
 }
 
-/// A gateway that serves `ops-*` for changes and `reader` for reads, with certificates of `authority`.
+/// Starts a gateway with a certificate signed by `authority`. Clients named `ops-*` may change settings, and the client
+/// `reader` may read them. Returns the gateway, its gNMI address and the directory of the certificate files.
 fn tls_gateway(authority: &Authority) -> (Gateway, SocketAddr, PathBuf) {
     let mut tls_dir = PathBuf::new();
     let (gateway, gnmi_address) = start_managed_gateway_with("case-5", &[], |operator, dir| {
@@ -142,8 +148,8 @@
 async fn assert_denied_to_others(gnmi_address: SocketAddr, old: &Authority, new: &Authority) {
     for (wrong, reason) in [
         (old.sign_expired_client("ops-2"), "expired"),
-        (new.sign_client("ops-1"), "foreign"),
-        (old.sign_client("stranger"), "of no role"),
+        (new.sign_client("ops-1"), "signed by another authority"),
+        (old.sign_client("stranger"), "without a role"),
     ] {
         assert!(!may_read(gnmi_address, old, &wrong).await, "{reason}");
     }
@@ -165,7 +171,7 @@
     );
 }
 
-/// Returns at a notification whose last value is [`LAST_ADVICE`].
+/// Reads until a notification whose last value is [`LAST_ADVICE`].
 async fn read_until_last_advice(stream: &mut Streaming<SubscribeResponse>) {
     loop {
         let message = stream.message().await.unwrap().unwrap();
@@ -216,20 +222,21 @@
             &renewed,
             timeout,
             interval,
-            "new keys not used",
+            "the gateway does not use the new certificates after SIGHUP",
         )
         .await;
         assert!(
             !may_read(gnmi_address, &old, &ops).await,
-            "the old authority's clients are refused"
+            "clients of the old authority must be refused"
         );
         changing.await.unwrap();
-        // The stream opened before receives the last change, which came by a connection of the old keys.
+        // The stream, which was opened with the old certificates, receives the last change. That change was also sent
+        // over a connection with the old certificates.
         tokio::time::timeout(Duration::from_secs(5), read_until_last_advice(&mut stream))
             .await
             .unwrap();
 
-        // A bad key leaves the present one in force.
+        // After an invalid key file, the gateway continues to use the current key.
         std::fs::write(dir.join("key.pem"), "no key").unwrap();
         gateway.signal("-HUP");
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -238,7 +245,7 @@
             .await
             .unwrap();
 
-        // Changed files are read without a signal too.
+        // The gateway also reads changed files without a signal.
         write_tls_files(&dir, &old.sign_gateway(gnmi_address.ip()), &old);
         let (timeout, interval) = (Duration::from_secs(20), Duration::from_millis(100));
         await_may_read(
@@ -247,7 +254,7 @@
             &ops,
             timeout,
             interval,
-            "changed files not read",
+            "the gateway does not read changed certificate files without a signal",
         )
         .await;
     });
--- a/crates/gateway/tests/manage/change_under_load.rs
+++ b/crates/gateway/tests/manage/change_under_load.rs
@@ -1,4 +1,7 @@
-//! Settings change and engines drain while clients keep requests in flight.
+//! Settings change, engines drain and connections to engines break while clients keep requests in flight.
+//!
+//! The test guards against requests that get no answer, a second one or a late one because the settings by which they
+//! were accepted have changed, and against requests with side effects that are sent twice.
 
 use crate::managed::{
     connect_without_tls, current_thread_runtime, set_value, start_managed_gateway, GnmiClient,
@@ -17,12 +20,14 @@
 use tonic::Status;
 
 const ENGINE_NAMES: [&str; 4] = ["e1", "e2", "e3", "e4"];
+/// The number of clients.
 const CLIENTS: u64 = 8;
 const MIN_REQUESTS_PER_CLIENT: usize = 100;
 const MAX_OPEN_PER_CLIENT: usize = 12;
-/// The load lasts until so many changes were attempted: a slow machine makes fewer in a second.
+/// The load lasts until this many changes have been attempted. A duration would not do, because a slow machine makes
+/// fewer changes in the same time.
 const MIN_CHANGES_ATTEMPTED: u64 = 36;
-/// The clients' deadline of 4 s, and 0.3 s for the way of the answer.
+/// The clients' deadline of 4 s, and 0.3 s until the client has read the answer.
 const MAX_ANSWER_TIME: Duration = Duration::from_millis(4300);
 
 #[derive(Default)]
@@ -33,13 +38,14 @@
 
 /// The answers to one client's requests.
 struct ClientResult {
-    /// The error code of each call, `None` for rows.
+    /// The error code of the answer to each call; `None` if the answer has rows.
     codes: BTreeMap<u64, Option<i64>>,
     slowest: Duration,
     requested: usize,
 }
 
-/// Makes one of six changes by turns; the last changes a fixed term and is refused.
+/// Attempts one of six changes, by turns. The last one is refused, because it changes a setting that is fixed for a
+/// class.
 async fn make_change(client: &mut GnmiClient, index: u64) -> Result<(), Status> {
     match index % 6 {
         0 => {
@@ -61,7 +67,7 @@
     }
 }
 
-/// Changes the settings every 5 ms until `stop` is set.
+/// Attempts a change of the settings every 5 ms until `stop` is set. `attempted` counts the attempts.
 fn spawn_changer(
     gnmi_address: SocketAddr,
     stop: Arc<AtomicBool>,
@@ -86,7 +92,8 @@
     })
 }
 
-/// Lists the last engine as draining and as ready by turns, every 300 ms, until `stop` is set.
+/// Has the name service list the last engine by turns as draining and as ready, and changes that every 300 ms until
+/// `stop` is set.
 fn spawn_drain_toggler(
     engines: Vec<SocketAddr>,
     name_answer: NameServiceAnswer,
@@ -110,7 +117,8 @@
     })
 }
 
-/// Keeps requests of all classes open, and panics at a second answer to one of them.
+/// Keeps requests of all classes open until enough requests are sent and enough changes attempted, and reads all
+/// answers. Panics at a second answer to a request.
 fn spawn_client(
     client_number: u64,
     mut client: Client,
@@ -138,7 +146,7 @@
             let call = reply["id"].as_u64().unwrap();
             let sent_at = open_calls
                 .remove(&call)
-                .unwrap_or_else(|| panic!("a second answer: {reply}"));
+                .unwrap_or_else(|| panic!("an answer to no open call: {reply}"));
             result.slowest = result.slowest.max(sent_at.elapsed());
             let code = reply["error"]["code"].as_i64();
             result.codes.insert(call, code);
@@ -148,17 +156,21 @@
     })
 }
 
-/// A message after the last answer would be a second answer to some request.
+/// Asserts that nothing is received after the last answer: a further message would be a second answer to a request.
 fn assert_nothing_more_comes(client: &mut Client) {
     let socket = client.0.get_mut();
     socket
         .set_read_timeout(Some(Duration::from_millis(200)))
         .unwrap();
     let read = std::io::Read::read(&mut client.0, &mut [0; 16]);
-    assert!(read.is_err(), "more than one answer for some");
+    assert!(
+        read.is_err(),
+        "a message was received after the last answer"
+    );
 }
 
-/// A request of a class with effect may have run once it was sent: the engines received each one once.
+/// Asserts that the engines received each request of the class `post` once. Such a request has side effects and may
+/// have run as soon as it was sent, so it must not be sent again.
 fn assert_requests_with_effect_sent_once(engines: &[(SocketAddr, RecordedLines)]) {
     let mut attempts: BTreeMap<String, u32> = BTreeMap::new();
     for line in engines
@@ -186,22 +198,22 @@
         .collect();
     let with_rows = calls_with_rows.len();
     let requested: usize = results.iter().map(|result| result.requested).sum();
-    assert_eq!(codes.len(), requested, "each one answer");
+    assert_eq!(codes.len(), requested, "each request must have one answer");
     assert!(
         results
             .iter()
             .all(|result| result.slowest < MAX_ANSWER_TIME),
-        "in time"
+        "each answer must arrive within {MAX_ANSWER_TIME:?}"
     );
     assert!(
         with_rows * 10 > requested * 8,
-        "{with_rows} with rows of {requested}"
+        "{with_rows} of {requested} answers have rows"
     );
 }
 
 #[test]
 fn requests_get_one_answer_in_time_while_settings_change_under_load() {
-    // Two engines now and then lose a connection with everything that is open on it.
+    // The first two engines close the connection, with all attempts that are open on it, at every 23rd fetch.
     let engines: Vec<(SocketAddr, RecordedLines)> = (0..4)
         .map(|index| {
             let latency = Duration::from_millis(4 + 3 * index);
@@ -234,7 +246,7 @@
     let ChangeCounts { accepted, refused } = counts;
     assert!(
         accepted > 20 && refused > 3,
-        "{accepted} changes, {refused} refused"
+        "{accepted} changes accepted, {refused} refused"
     );
     assert_requests_with_effect_sent_once(&engines);
 }
--- a/crates/gateway/tests/manage/class_removal.rs
+++ b/crates/gateway/tests/manage/class_removal.rs
@@ -1,4 +1,7 @@
 //! A class is deleted and created again while its requests are in flight.
+//!
+//! The test guards against a deletion that drops the running requests of the class, and against requests of a deleted
+//! class that wait for their deadline instead of being rejected at once.
 
 use crate::managed::{
     connect_without_tls, current_thread_runtime, delete_subtree, get_json, set_value,
@@ -14,12 +17,13 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::Runtime;
 
-/// The gateway answers reads of its state within 20 ms of each other from one view.
+/// After this time a read of the state gets a new view: the gateway answers reads that are at most 20 ms apart from the
+/// same one.
 const MAX_STATE_AGE: Duration = Duration::from_millis(25);
 const REPORT_SETTINGS: &str = "/settings/band[name=report]";
 const REPORT_STATE: &str = "/state/band[name=report]";
 
-/// An engine that holds its answers until the flag is set.
+/// Starts an engine that holds back its answers until the returned flag is set.
 fn start_held_engine() -> (SocketAddr, Arc<AtomicBool>) {
     let answers_are_released = Arc::new(AtomicBool::new(false));
     let may_answer = answers_are_released.clone();
@@ -35,8 +39,8 @@
     (address, answers_are_released)
 }
 
-/// Waits until 12 requests of the class are accepted and all of them run. A fixed wait would not do: a call that the
-/// gateway reads after the class was deleted is rejected.
+/// Waits until 12 requests of the class are accepted, and asserts that all of them run. A fixed wait would not do: a
+/// call that the gateway reads after the deletion of the class is rejected.
 fn await_twelve_running(runtime: &Runtime, client: &mut GnmiClient) {
     let mut state = Value::Null;
     let all_accepted = becomes_true(|| {
@@ -45,10 +49,14 @@
     });
     assert!(all_accepted, "{state}");
     assert_eq!(state["ironstair-gateway:released"], "12", "{state}");
-    assert_eq!(state["ironstair-gateway:settled"], "0", "all run: {state}");
+    assert_eq!(
+        state["ironstair-gateway:settled"], "0",
+        "all requests must still run: {state}"
+    );
 }
 
-/// Reads one answer to each of the 17 calls: 12 have rows, those after the deletion are rejected at once.
+/// Reads one answer to each of the 17 calls, and asserts that the 12 calls from before the deletion have rows and the 5
+/// later ones were rejected at once.
 fn assert_running_finish_and_later_rejected(request_client: &mut Client, deleted_at: Instant) {
     let (mut finished, mut rejected) = (BTreeSet::new(), BTreeMap::new());
     while finished.len() + rejected.len() < 17 {
@@ -58,9 +66,13 @@
             None => finished.insert(call),
             Some(_) => rejected.insert(call, deleted_at.elapsed()).is_none(),
         };
-        assert!(is_first, "twice");
+        assert!(is_first, "second answer to call {call}");
     }
-    assert_eq!(finished, (1..=12).collect(), "open ones finish");
+    assert_eq!(
+        finished,
+        (1..=12).collect(),
+        "the calls from before the deletion must finish"
+    );
     assert_eq!(
         rejected.keys().copied().collect::<Vec<_>>(),
         [101, 102, 103, 104, 105]
@@ -95,7 +107,7 @@
     answers_are_released.store(true, Ordering::Relaxed);
 
     assert_running_finish_and_later_rejected(&mut request_client, deleted_at);
-    // Without the wait a view from before the rejections could be read.
+    // Without the wait, the state could be read from a view from before the rejections.
     thread::sleep(MAX_STATE_AGE);
     let state = runtime
         .block_on(get_json(&mut client, REPORT_STATE))
@@ -103,7 +115,7 @@
     assert_eq!(state["ironstair-gateway:in-service"], json!(false));
     assert_eq!(state["ironstair-gateway:turned-back"], json!("5"));
 
-    // The class can come back with its old fixed terms only.
+    // The class can only be created again with the same values of its fixed settings, such as `threads`.
     let refused = runtime
         .block_on(set_value(&mut client, REPORT_SETTINGS, report_class(2)))
         .unwrap_err();
--- a/crates/gateway/tests/manage/confirmed_commit.rs
+++ b/crates/gateway/tests/manage/confirmed_commit.rs
@@ -1,4 +1,7 @@
-//! Commits that roll back unless they are confirmed, across kills of the gateway.
+//! Commits that are rolled back unless they are confirmed, and a gateway that is killed in between.
+//!
+//! The test guards against an unconfirmed commit that survives a restart, a confirmed one that doesn't, a journal whose
+//! last record is incomplete after a kill and that can't be read any more, and a rollback that comes early or never.
 
 use crate::managed::{
     commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
@@ -21,7 +24,7 @@
         .unwrap()
 }
 
-/// A commit of an objective that rolls back after `seconds` without a confirmation.
+/// A request that commits an objective, which is rolled back unless it is confirmed within `seconds`.
 fn unconfirmed_commit(id: &str, objective_ms: u32, seconds: i64) -> gnmi::SetRequest {
     let update = vec![json_update(OBJECTIVE_PATH, json!(objective_ms))];
     set_request(
@@ -49,7 +52,7 @@
     assert_eq!(refused.code(), Code::FailedPrecondition, "{refused:?}");
 }
 
-/// Kills the gateway, cuts its journal in the middle of the last record, and starts it.
+/// Kills the gateway, truncates its journal within the last record, and starts the gateway again.
 fn restart_with_torn_journal(gateway: &mut Gateway) {
     let journal = gateway.dir.join("state/revisions.journal");
     let bytes = std::fs::read(&journal).unwrap();
@@ -59,7 +62,8 @@
     gateway.restart();
 }
 
-/// A commit of 1 s, prolonged to 2 s, is in force after 1.3 s and rolled back after 2.3 s.
+/// Makes a commit with a rollback after 1 s and extends that to 2 s. Asserts that the commit is in force after 1.3 s
+/// and rolled back after 2.3 s.
 async fn assert_rolls_back_by_itself(gnmi_address: SocketAddr) {
     let mut client = connect_without_tls(gnmi_address).await;
     send_set_request(&mut client, unconfirmed_commit("c3", 500, 1))
@@ -100,7 +104,7 @@
     assert_eq!(
         runtime.block_on(get_objective(gnmi_address)),
         json!(900),
-        "not confirmed, not kept"
+        "an unconfirmed commit must not survive a restart"
     );
 
     runtime.block_on(async {
@@ -117,10 +121,10 @@
     assert_eq!(
         runtime.block_on(get_objective(gnmi_address)),
         json!(700),
-        "confirmed, kept"
+        "a confirmed commit must survive a restart"
     );
 
-    // The revision before the torn record comes into force.
+    // After a restart with an incomplete last record, the revision before that record is in force.
     runtime.block_on(async {
         set_value(
             &mut connect_without_tls(gnmi_address).await,
--- a/crates/gateway/tests/manage/main.rs
+++ b/crates/gateway/tests/manage/main.rs
@@ -1,5 +1,5 @@
-//! Management of the built gateway over gNMI, under traffic and faults. Engines, clients and the name service are stubs
-//! on loopback.
+//! Tests of the gateway's management over gNMI, under load and faults. The gateway is the built binary; engines,
+//! clients and the name service are stubs on the loopback interface.
 
 #[path = "../managed/mod.rs"]
 mod managed;
--- a/crates/gateway/tests/manage/malformed_messages.rs
+++ b/crates/gateway/tests/manage/malformed_messages.rs
@@ -1,4 +1,7 @@
-//! Random and mutated protobuf messages, and values that are no JSON.
+//! Mutated protobuf messages, an unknown method, a very large message, and values that are not valid JSON.
+//!
+//! The test guards against a malformed message that ends the gateway, changes a setting or makes the gateway's memory
+//! grow.
 
 use crate::managed::{
     commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
@@ -14,7 +17,7 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// Messages sent and received as bytes, well formed or not.
+/// A codec that sends and receives messages as they are, well-formed or not.
 #[derive(Clone, Default)]
 struct RawBytes;
 
@@ -49,7 +52,8 @@
     }
 }
 
-/// Calls a method with a message of these bytes. A stream that goes on after 20 ms was understood, and is no error.
+/// Calls a method with the given bytes as the message. A stream that is still open after 20 ms counts as a success,
+/// because the gateway has accepted its request.
 async fn call_raw(channel: &Channel, method: &str, message: Vec<u8>) -> Result<(), Status> {
     let mut grpc = tonic::client::Grpc::new(channel.clone());
     grpc.ready()
@@ -70,13 +74,13 @@
         .unwrap_or(Ok(()))
 }
 
-/// The same pseudo-random number for the same input, in every run.
+/// Maps an input to a pseudo-random number, so that every run uses the same messages.
 fn pseudo_random(input: u64) -> u64 {
     let mixed = (input ^ 0x9E37_79B9_7F4A_7C15).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     (mixed ^ (mixed >> 29)).wrapping_mul(0x94D0_49BB_1331_11EB) >> 16
 }
 
-/// A method and a well-formed message of it that mutations start from.
+/// A method and a well-formed request for it, which the mutations start from.
 struct Template {
     method: &'static str,
     message: Vec<u8>,
@@ -106,7 +110,7 @@
     .map(|(method, message)| Template { method, message })
 }
 
-/// The message after one to six truncations, extensions and changed bytes.
+/// The message after one to six mutations, each of which truncates or extends it or changes a byte.
 fn mutated(template: &[u8], message_index: u64) -> Vec<u8> {
     let mut message = template.to_vec();
     for mutation_index in 0..1 + pseudo_random(message_index) % 6 {
@@ -126,7 +130,7 @@
     message
 }
 
-/// Sends 900 mutated messages. Returns the gateway's resident memory after the first 101, in KiB.
+/// Sends 900 mutated messages. Returns the gateway's resident memory in KiB after the first 101 of them.
 async fn send_mutated_messages(channel: &Channel, gateway_pid: u32) -> u64 {
     let templates = templates();
     let mut early_resident_kib = 0;
@@ -139,7 +143,7 @@
             early_resident_kib = resident_memory_kib(gateway_pid);
         }
     }
-    assert!(refused > 300, "{refused}");
+    assert!(refused > 300, "{refused} of 900 messages refused");
     early_resident_kib
 }
 
@@ -190,13 +194,16 @@
         assert_eq!(
             get_json(&mut client, "/settings").await.unwrap(),
             before,
-            "nothing has changed"
+            "malformed messages must not change the settings"
         );
         let growth_kib = resident_memory_kib(pid).saturating_sub(early_resident_kib);
-        assert!(growth_kib < 16 << 10, "grown by {growth_kib} KiB");
+        assert!(
+            growth_kib < 16 << 10,
+            "resident memory has grown by {growth_kib} KiB"
+        );
     });
     assert!(
         gateway.process.try_wait().unwrap().is_none(),
-        "it still runs"
+        "the gateway must still run"
     );
 }
--- a/crates/gateway/tests/manage/persistence.rs
+++ b/crates/gateway/tests/manage/persistence.rs
@@ -1,4 +1,8 @@
-//! Changes of the settings on disk: replaced as a union, refused by a full disk, superseded by the configuration file.
+//! Changes of the settings that are replaced as a union, that a full disk can't store, or that a changed configuration
+//! file supersedes.
+//!
+//! The tests guard against a change that is in force but not stored, so that the next process starts without it, and
+//! against stored revisions that hide a changed configuration file.
 
 use crate::managed::{
     connect_without_tls, current_thread_runtime, get_json, json_update, set_value,
@@ -39,13 +43,13 @@
 }
 
 #[test]
-fn full_disk_refuses_the_change_and_the_gateway_serves_on() {
+fn change_is_refused_and_the_gateway_continues_to_serve_when_the_disk_is_full() {
     let (engine_address, _) = start_slow_engine(Duration::from_millis(1));
     let engines = [("e1", engine_address)];
     let (mut gateway, gnmi_address) =
         start_managed_gateway_with("full-disk", &engines, |_, dir| {
             std::fs::create_dir_all(dir.join("state")).unwrap();
-            // Every write to this device fails for lack of space.
+            // Every write to this device fails with ENOSPC.
             std::os::unix::fs::symlink("/dev/full", dir.join("state/revisions.new")).unwrap();
         });
     let runtime = current_thread_runtime();
@@ -111,9 +115,17 @@
     std::fs::write(&path, config.to_string()).unwrap();
 
     gateway.signal("-HUP");
-    assert_eq!(fleet_size(), json!(5), "a signal changes no settings");
+    assert_eq!(
+        fleet_size(),
+        json!(5),
+        "SIGHUP must not change the settings"
+    );
     gateway.restart();
     assert_eq!(fleet_size(), json!(8));
     gateway.restart();
-    assert_eq!(fleet_size(), json!(8), "and so it stays");
+    assert_eq!(
+        fleet_size(),
+        json!(8),
+        "the configuration file must still be in force after another restart"
+    );
 }
--- a/crates/gateway/tests/manage/process.rs
+++ b/crates/gateway/tests/manage/process.rs
@@ -1,4 +1,7 @@
-//! Threads, descriptors and log lines of the gateway's process.
+//! Threads, file descriptors and log lines of the gateway's process.
+//!
+//! The tests guard against resources for management in a gateway that doesn't use it, and against renamed keys in the
+//! JSON log, which log processors rely on.
 
 use crate::managed::{
     class_configs, connect_without_tls, current_thread_runtime, get_json, start_managed_gateway,
@@ -10,6 +13,7 @@
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 
+/// The numbers of threads and open file descriptors of a process.
 #[derive(Debug)]
 struct ProcessResources {
     threads: usize,
@@ -31,7 +35,7 @@
 }
 
 #[test]
-fn management_without_the_operators_file_has_no_thread_and_no_descriptor() {
+fn gateway_without_an_operators_file_has_no_thread_and_no_descriptor_for_management() {
     let (managed, gnmi_address) = start_managed_gateway("holds-with", &[]);
     let (config, name_answer) = gateway_config(1, class_configs(), &[]);
     let unmanaged = start_gateway_with_config("holds-without", config, name_answer, None);
@@ -46,7 +50,7 @@
     let managed_resources = ProcessResources::of(managed.process.id());
     let unmanaged_resources = ProcessResources::of(unmanaged.process.id());
 
-    // One thread for the gateway, one each for the log and for async-io.
+    // Without management there are at most three threads: one for the gateway, one for the log and one for async-io.
     assert!(
         unmanaged_resources.threads <= 3 && managed_resources.threads > unmanaged_resources.threads,
         "{unmanaged_resources:?} {managed_resources:?}"
@@ -70,7 +74,7 @@
     let output_without_config = serve().output().unwrap();
     assert!(
         String::from_utf8_lossy(&output_without_config.stderr).starts_with("ironstair: "),
-        "no file, one sentence"
+        "a missing configuration file is reported as a sentence, not as a log line"
     );
     let config = std::fs::read_to_string(gateway.dir.join("told.json")).unwrap();
     let mut config: Value = serde_json::from_str(&config).unwrap();
--- a/crates/gateway/tests/manage/refused_calls.rs
+++ b/crates/gateway/tests/manage/refused_calls.rs
@@ -1,4 +1,7 @@
-//! Calls that cannot be served are refused with a code, a reason and the place.
+//! Calls that cannot be served are refused with a status code, a reason and the path or field that is at fault.
+//!
+//! The test guards against invalid requests that are accepted or answered with a code or reason that misleads the
+//! client, and against streams beyond the limit.
 
 use crate::managed::{
     commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
@@ -14,6 +17,7 @@
 use tonic::Code;
 
 const ADVICE_PATH: &str = "/settings/advice";
+/// The limit of concurrent streams that the gateway is configured with.
 const MAX_STREAMS: usize = 2;
 const JSON_IETF: i32 = gnmi::Encoding::JsonIetf as i32;
 const BYTES: i32 = gnmi::Encoding::Bytes as i32;
@@ -216,7 +220,7 @@
     }
 }
 
-/// The stream above the limit is refused; once the others are dropped, a new one is served.
+/// Asserts that a stream beyond the limit is refused, and that a new one is served once the open ones are dropped.
 async fn assert_streams_limited(client: &mut GnmiClient) {
     let request = || subscription_request("/settings", SubscriptionMode::OnChange);
     let mut open = Vec::new();
@@ -243,7 +247,7 @@
 }
 
 #[test]
-fn calls_that_cannot_be_served_are_refused_with_reason_and_place() {
+fn calls_that_cannot_be_served_are_refused_with_code_and_reason() {
     let (_gateway, gnmi_address) = start_managed_gateway_with("wrong-calls", &[], |operator, _| {
         operator["management"]["streams"] = json!(MAX_STREAMS);
     });
--- a/crates/gateway/tests/manage/stalled_subscribers.rs
+++ b/crates/gateway/tests/manage/stalled_subscribers.rs
@@ -1,4 +1,7 @@
-//! Subscribers that read slowly or not at all delay neither requests nor the subscribers that read.
+//! Subscribers that read slowly or not at all.
+//!
+//! The test guards against a gateway that waits until such a subscriber has read its notifications, which would delay
+//! requests and other subscribers, or that buffers notifications for it without a limit.
 
 use crate::managed::{
     connect_to_endpoint, connect_without_tls, current_thread_runtime, delete_subtree, get_leaves,
@@ -17,22 +20,25 @@
 use std::time::{Duration, Instant};
 use tonic::transport::Endpoint;
 
+/// The number of subscribers that read at once.
 const READER_COUNT: usize = 50;
 const PAYOFF_PATH: &str = "/settings/band[name=lookup]/payoff";
 const ADVICE_PATH: &str = "/settings/advice";
-/// Growth of the gateway's resident memory that the stalled subscribers may cause.
+/// The growth of the gateway's resident memory that is allowed during the test.
 const MAX_GROWTH_KIB: u64 = 64 << 10;
 
-/// The value of the last change, once it is known, as text.
+/// The payoff after the last change, formatted as text; `None` until it is known.
 type LastPayoff = Arc<Mutex<Option<String>>>;
 
-/// The requests of the traffic that runs beside the subscriptions.
+/// The measurements of the calls that run at the same time as the subscriptions.
 struct Traffic {
+    /// The number of calls.
     calls: u64,
+    /// The longest time from a call to its answer.
     slowest: Duration,
 }
 
-/// A proxy to `to` that passes requests at once, and the answers at about one byte in 50 ms.
+/// Starts a proxy to `to` that forwards requests at once and answers at about one byte per 50 ms.
 fn start_slow_proxy(to: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let proxy_address = listener.local_addr().unwrap();
@@ -54,12 +60,13 @@
         if to.write_all(&byte).is_err() {
             return;
         }
-        // Zero bytes, of which the HTTP/2 handshake has many, pass faster, so that the stream is opened at all.
+        // Zero bytes, of which the HTTP/2 handshake has many, are forwarded faster. Otherwise the stream would not be
+        // open before the end of the test.
         thread::sleep(Duration::from_millis(if byte[0] == 0 { 1 } else { 50 }));
     }
 }
 
-/// Asks one request after the other until `stop` is set.
+/// Sends one call after the other, each after the answer to the previous one, until `stop` is set.
 fn spawn_traffic(mut request_client: Client, stop: Arc<AtomicBool>) -> JoinHandle<Traffic> {
     thread::spawn(move || {
         let mut traffic = Traffic {
@@ -79,7 +86,7 @@
     })
 }
 
-/// Follows the settings until the last payoff has arrived.
+/// Subscribes to the settings and reads until the last payoff is known and received. Returns the values received.
 async fn read_until_last(mut client: GnmiClient, last_payoff: LastPayoff) -> SubscribedValues {
     let request = subscription_request("/settings", SubscriptionMode::OnChange);
     let mut stream = open_subscription(&mut client, request).await.unwrap();
@@ -98,7 +105,7 @@
     }
 }
 
-/// Changes a leaf, a leaf-list and a container 40 times; ends with a payoff of 77.5.
+/// Changes a leaf, a leaf-list and a container 40 times, and then sets the payoff to 77.5.
 async fn change_settings(client: &mut GnmiClient) {
     for index in 0..40 {
         set_value(client, PAYOFF_PATH, json!(format!("{index}.25")))
@@ -124,14 +131,15 @@
     set_value(client, PAYOFF_PATH, json!("77.5")).await.unwrap();
 }
 
-/// The advice changes after the last payoff is known, so a reader may have seen any value of it.
+/// The values without the advice, which changes after the last payoff is known, so that a reader may have received any
+/// of its values.
 fn without_advice(all: &BTreeMap<String, TypedValue>) -> BTreeMap<String, TypedValue> {
     let mut rest = all.clone();
     rest.remove(ADVICE_PATH);
     rest
 }
 
-/// Starts the readers, changes the settings, and compares each reader's values with the settings at the end.
+/// Starts the readers, changes the settings, and asserts that each reader's values are the settings at the end.
 async fn assert_readers_miss_nothing(gnmi_address: SocketAddr) {
     let last_payoff = LastPayoff::default();
     let mut readers = Vec::new();
@@ -143,7 +151,8 @@
     change_settings(&mut client).await;
     let expected = get_leaves(&mut client, "/settings").await;
     *last_payoff.lock().unwrap() = Some(format!("{:?}", expected[PAYOFF_PATH]));
-    // Every reader receives something after the last payoff is known, and compares then.
+    // A reader compares the payoff when it receives a notification. These changes cause one after the last payoff is
+    // known.
     set_value(&mut client, ADVICE_PATH, json!(1)).await.unwrap();
     set_value(&mut client, ADVICE_PATH, json!(0)).await.unwrap();
     for reader in readers {
@@ -184,13 +193,17 @@
         });
         assert_readers_miss_nothing(gnmi_address).await;
         let growth_kib = resident_memory_kib(gateway.process.id()).saturating_sub(before);
-        assert!(growth_kib < MAX_GROWTH_KIB, "grown by {growth_kib} KiB");
+        assert!(
+            growth_kib < MAX_GROWTH_KIB,
+            "resident memory has grown by {growth_kib} KiB"
+        );
         slow_subscription.abort();
     });
     stop.store(true, Ordering::Relaxed);
 
     let Traffic { calls, slowest } = traffic.join().unwrap();
-    // The limit is generous: an attempt that waited for a subscriber would wait for as long as that is silent.
+    // The limit is far above the usual latency and suffices, because an attempt that waits for a stalled subscriber
+    // waits for as long as the subscriber doesn't read.
     assert!(
         calls > 50 && slowest < Duration::from_secs(2),
         "{calls} calls, the slowest {slowest:?}"
--- a/crates/gateway/tests/manage/subscription_modes.rs
+++ b/crates/gateway/tests/manage/subscription_modes.rs
@@ -1,4 +1,7 @@
 //! Subscriptions in the modes ONCE, POLL and STREAM.
+//!
+//! The test guards against a sync response that precedes some of the current values, and against polls that repeat
+//! unchanged values although the client asked for updates only.
 
 use crate::managed::{
     connect_without_tls, current_thread_runtime, format_path, get_leaves, open_subscription,
@@ -12,8 +15,10 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::{Status, Streaming};
 
+/// The list of all classes.
 const CLASSES_PATH: &str = "/settings/band";
-/// Leaves of one class: a change of one leaf is sent with its whole list entry, which must not be seen half.
+/// The number of leaves of one class. The change of a leaf is sent with its whole list entry, so that a client never
+/// sees a part of an entry.
 const LEAVES_OF_ONE_CLASS: usize = 9;
 
 /// Counts the updates before the sync response.
@@ -30,7 +35,7 @@
     }
 }
 
-/// Polls twice, changes one leaf, and polls again.
+/// Polls twice, changes one leaf and polls again. Asserts the number of updates of each poll.
 async fn assert_polls(client: &mut GnmiClient, updates_only: bool, class_leaves: usize) {
     let (requests, requested) = tokio::sync::mpsc::channel(4);
     let first = paths_subscription_request(&[CLASSES_PATH], Mode::Poll, updates_only);
@@ -76,7 +81,10 @@
             count_updates_until_sync(&mut once).await.unwrap(),
             class_leaves
         );
-        assert!(once.message().await.unwrap().is_none(), "and it ends");
+        assert!(
+            once.message().await.unwrap().is_none(),
+            "the stream must end after the sync response"
+        );
 
         assert_polls(&mut client, false, class_leaves).await;
         assert_polls(&mut client, true, class_leaves).await;
--- a/crates/gateway/tests/manage/support.rs
+++ b/crates/gateway/tests/manage/support.rs
@@ -1,4 +1,4 @@
-//! Engines, subscriptions and measurements that several tests of this binary use.
+//! Engines, subscriptions and measurements that several modules of this test binary share.
 
 use crate::managed::{format_path, parse_path, subscription_list_request};
 use ironstair_gnmi::proto::gnmi::{self, TypedValue};
@@ -9,13 +9,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// An engine that answers each fetch after `latency`, and records the lines that it received.
+/// Starts an engine that answers each fetch after `latency`. Returns its address and the lines that it has received.
 pub(crate) fn start_slow_engine(latency: Duration) -> (SocketAddr, RecordedLines) {
     start_slow_engine_that_disconnects(latency, |_| false)
 }
 
-/// An engine that answers each fetch after `latency`, and closes the connection instead where `disconnects` holds for the
-/// number of the fetch (from 0).
+/// Starts an engine that answers each fetch after `latency`, or closes the connection instead if `disconnects` returns
+/// true for the number of the fetch, counted from 0.
 pub(crate) fn start_slow_engine_that_disconnects(
     latency: Duration,
     disconnects: impl Fn(usize) -> bool + Send + Sync + 'static,
@@ -33,7 +33,7 @@
     })
 }
 
-/// Resident memory of a process in KiB.
+/// The resident memory of a process in KiB.
 pub(crate) fn resident_memory_kib(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
     let line = status
@@ -48,7 +48,8 @@
 pub(crate) struct SubscribedValues(pub BTreeMap<String, TypedValue>);
 
 impl SubscribedValues {
-    /// Deletes come before updates; an atomic notification replaces everything below its prefix.
+    /// Applies the deletes of a notification before its updates. An atomic notification replaces everything below its
+    /// prefix.
     pub(crate) fn apply(&mut self, notification: &gnmi::Notification) {
         let prefix = notification.prefix.as_ref();
         for deleted in &notification.delete {
@@ -70,7 +71,7 @@
     }
 }
 
-/// A request for several paths in one subscription list.
+/// A subscribe request for several paths in one subscription list.
 pub(crate) fn paths_subscription_request(
     paths: &[&str],
     mode: gnmi::subscription_list::Mode,
@@ -89,7 +90,7 @@
     })
 }
 
-/// Asks for the next values of a subscription in POLL mode.
+/// A subscribe request for the next values of a subscription in POLL mode.
 pub(crate) fn poll_request() -> gnmi::SubscribeRequest {
     gnmi::SubscribeRequest {
         request: Some(gnmi::subscribe_request::Request::Poll(gnmi::Poll {})),
--- a/crates/gateway/tests/managed/mod.rs
+++ b/crates/gateway/tests/managed/mod.rs
@@ -1,4 +1,6 @@
-//! A gateway with management, and a gNMI client of it. Each test binary compiles these helpers and uses some of them.
+//! Helpers that start a gateway with management and call it as a gNMI client.
+//!
+//! Several test binaries and a benchmark include this module, and each uses only some of the helpers.
 #![allow(dead_code)]
 
 use ironstair_gnmi::proto::gnmi::g_nmi_client::GNmiClient;
@@ -16,20 +18,21 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::Status;
 
-/// The registered port of gNMI.
+/// The port that IANA registered for gNMI.
 const GNMI_PORT: u16 = 9339;
-/// A gateway accepts connections within this time of its start.
+/// How long a gateway may take from its start until it accepts connections.
 const MAX_START: Duration = Duration::from_secs(10);
 
 /// A gNMI client over plain HTTP/2 or TLS.
 pub(crate) type GnmiClient = GNmiClient<Channel>;
 
-/// A class with a base objective in ms, a hard limit of 5 s and a worth of 1.
+/// The configuration of a class with the given base objective, a hard limit of 5 s and a worth of 1.
 pub(crate) fn class_config(name: &str, semantics: &str, objective_ms: f64) -> Value {
     json!({"name": name, "slo_ns": objective_ms * 1e6, "give_up_ns": 5e9, "semantics": semantics, "worth": 1.0})
 }
 
-/// Two idempotent classes and one with effect.
+/// The configurations of two idempotent classes, `lookup` and `report`, and of `post`, whose requests have side
+/// effects.
 pub(crate) fn class_configs() -> Value {
     json!([
         class_config("lookup", "pure", 1000.0),
@@ -38,8 +41,8 @@
     ])
 }
 
-/// Starts a gateway with management, and returns it with the address of its gNMI service. `edit` may change the
-/// operator's file, and prepare the gateway's directory.
+/// Starts a gateway with management, and returns it with the address of its gNMI service. Before the start, `edit` can
+/// change the operator's file and prepare the gateway's directory.
 pub(crate) fn start_managed_gateway_with(
     test: &str,
     engines: &[(&str, SocketAddr)],
@@ -59,7 +62,7 @@
     )
 }
 
-/// As [`start_managed_gateway_with`], with the operator's file as it is.
+/// Like [`start_managed_gateway_with`], without changes to the operator's file.
 pub(crate) fn start_managed_gateway(
     test: &str,
     engines: &[(&str, SocketAddr)],
@@ -67,7 +70,7 @@
     start_managed_gateway_with(test, engines, |_, _| {})
 }
 
-/// A runtime on the test's own thread.
+/// A Tokio runtime that runs on the calling thread.
 pub(crate) fn current_thread_runtime() -> Runtime {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -75,7 +78,7 @@
         .unwrap()
 }
 
-/// Connects, with further attempts while the gateway starts.
+/// Connects a client to the endpoint, and retries while the gateway starts.
 pub(crate) async fn connect_to_endpoint(endpoint: Endpoint) -> GnmiClient {
     let deadline = Instant::now() + MAX_START;
     loop {
@@ -87,7 +90,7 @@
     }
 }
 
-/// Connects without TLS.
+/// Connects a client without TLS, and retries while the gateway starts.
 pub(crate) async fn connect_without_tls(gnmi_address: SocketAddr) -> GnmiClient {
     connect_to_endpoint(Endpoint::from_shared(format!("http://{gnmi_address}")).unwrap()).await
 }
@@ -115,7 +118,7 @@
     }
 }
 
-/// The text of a path below a prefix.
+/// Formats a path below a prefix as text, such as `/settings/band[name=lookup]/payoff`.
 pub(crate) fn format_path(prefix: Option<&gnmi::Path>, path: Option<&gnmi::Path>) -> String {
     let steps = prefix.into_iter().chain(path).flat_map(|path| &path.elem);
     let step_text = |step: &gnmi::PathElem| {
@@ -128,7 +131,7 @@
     steps.map(step_text).collect()
 }
 
-/// An update whose value is JSON.
+/// An update that sets the path to a value in JSON.
 pub(crate) fn json_update(path: &str, value: Value) -> gnmi::Update {
     let bytes = value.to_string().into_bytes();
     let val = Some(TypedValue {
@@ -141,7 +144,7 @@
     }
 }
 
-/// A request that updates values, with extensions.
+/// A `Set` request with the given updates and extensions.
 pub(crate) fn set_request(
     update: Vec<gnmi::Update>,
     extension: Vec<Extension>,
@@ -153,7 +156,7 @@
     }
 }
 
-/// Sends a request to change settings.
+/// Sends a `Set` request.
 pub(crate) async fn send_set_request(
     client: &mut GnmiClient,
     request: gnmi::SetRequest,
@@ -161,7 +164,7 @@
     client.set(request).await.map(drop)
 }
 
-/// Updates one value.
+/// Sets the path to a value.
 pub(crate) async fn set_value(
     client: &mut GnmiClient,
     path: &str,
@@ -174,7 +177,7 @@
     .await
 }
 
-/// Deletes one subtree.
+/// Deletes the subtree at the path.
 pub(crate) async fn delete_subtree(client: &mut GnmiClient, path: &str) -> Result<(), Status> {
     let request = gnmi::SetRequest {
         delete: vec![parse_path(path)],
@@ -183,7 +186,7 @@
     send_set_request(client, request).await
 }
 
-/// Reads one subtree as JSON.
+/// Reads the subtree at the path as JSON.
 pub(crate) async fn get_json(client: &mut GnmiClient, path: &str) -> Result<Value, Status> {
     let encoding = gnmi::Encoding::JsonIetf as i32;
     let answer = client
@@ -200,7 +203,7 @@
     Ok(serde_json::from_slice(bytes).unwrap())
 }
 
-/// Reads one subtree as typed values by path.
+/// Reads the leaves below the path as typed values, by their paths.
 pub(crate) async fn get_leaves(
     client: &mut GnmiClient,
     path: &str,
@@ -220,7 +223,7 @@
         .collect()
 }
 
-/// The extension of a commit with this id.
+/// The commit extension with the given id and action.
 pub(crate) fn commit_extension(id: &str, action: Action) -> Vec<Extension> {
     let commit = gnmi_ext::Commit {
         id: id.into(),
@@ -231,13 +234,13 @@
     }]
 }
 
-/// A commit that rolls back after this time without a confirmation.
+/// The action of a commit that is rolled back unless it is confirmed within the given time.
 pub(crate) fn commit_with_rollback_after(seconds: i64, nanos: i32) -> Action {
     let rollback_duration = Some(prost_types::Duration { seconds, nanos });
     Action::Commit(gnmi_ext::CommitRequest { rollback_duration })
 }
 
-/// A request to subscribe to one subtree as a stream.
+/// A request for a stream subscription to the subtree at the path.
 pub(crate) fn subscription_request(path: &str, mode: SubscriptionMode) -> gnmi::SubscribeRequest {
     let subscription = gnmi::Subscription {
         path: Some(parse_path(path)),
@@ -251,7 +254,7 @@
     })
 }
 
-/// The first request of a stream, with its subscription list.
+/// A subscribe request with the given subscription list.
 pub(crate) fn subscription_list_request(list: gnmi::SubscriptionList) -> gnmi::SubscribeRequest {
     gnmi::SubscribeRequest {
         request: Some(subscribe_request::Request::Subscribe(list)),
@@ -259,7 +262,7 @@
     }
 }
 
-/// Opens a stream with one request, and keeps its sending half open.
+/// Opens a stream with the given request, and keeps the request side of the stream open.
 pub(crate) async fn open_subscription(
     client: &mut GnmiClient,
     first: gnmi::SubscribeRequest,
--- a/crates/gateway/tests/pinned_forms/checked_files.rs
+++ b/crates/gateway/tests/pinned_forms/checked_files.rs
@@ -1,16 +1,22 @@
-//! The files that `check` accepts, and the member that it names when it refuses one.
+//! The files that `check` accepts, and the member that it names when it refuses a file.
+//!
+//! The tests guard against a renamed or newly required member, with which existing files would be refused, and against
+//! a refusal that doesn't name the member at fault.
 
 use crate::command_line::{refusal_of, stdout_of};
 use crate::FORMS;
 use serde_json::{json, Value};
 
-/// One member of a file that is replaced, or removed, and the text by which the refusal names it.
+/// A change that makes a file invalid: the JSON pointer of a member, the value that replaces it (`None` removes it),
+/// and a text that the refusal must contain.
 type InvalidMember = (&'static str, Option<Value>, &'static str);
 
+/// Removes the member.
 fn missing_member(pointer: &'static str, refusal_text: &'static str) -> InvalidMember {
     (pointer, None, refusal_text)
 }
 
+/// Replaces the value of the member, or adds the member.
 fn replaced_member(
     pointer: &'static str,
     value: Value,
@@ -33,7 +39,7 @@
     FORMS.assert_same("check.txt", &printed);
 }
 
-/// A pinned file with one member replaced, or removed.
+/// The text of a pinned file in which one member is replaced, or removed if `value` is `None`.
 fn pinned_file_with_member(name: &str, pointer: &str, value: Option<&Value>) -> String {
     let mut file = FORMS.json(name);
     let (parent, key) = pointer.rsplit_once('/').unwrap();
--- a/crates/gateway/tests/pinned_forms/gnmi_messages.rs
+++ b/crates/gateway/tests/pinned_forms/gnmi_messages.rs
@@ -1,4 +1,7 @@
-//! The bytes of gNMI's paths, extensions and requests.
+//! The encoding of gNMI paths, extensions and requests.
+//!
+//! The test guards against a change to the protobuf messages with which existing clients and gateways no longer
+//! understand each other.
 
 use crate::managed::{
     commit_extension, commit_with_rollback_after, json_update, parse_path, set_request,
@@ -11,6 +14,7 @@
 use prost::Message;
 use serde_json::json;
 
+/// The encoded commit extension with the action, in hexadecimal.
 fn commit_hex(action: Action) -> String {
     hex(&commit_extension("c1", action)[0].encode_to_vec())
 }
@@ -33,6 +37,7 @@
     }
 }
 
+/// The prefix of a request that concerns the whole fleet.
 fn fleet_path() -> gnmi::Path {
     gnmi::Path {
         origin: ironstair_gnmi::FLEET.into(),
--- a/crates/gateway/tests/pinned_forms/main.rs
+++ b/crates/gateway/tests/pinned_forms/main.rs
@@ -1,8 +1,10 @@
-//! The command line's input and output, and the messages of management: the schema of the operator's file, the YANG
-//! module that `yang` prints, the files that `check` accepts and refuses, the JSON of `get`, `revisions` and `fleet`,
-//! the file that is written for the next process, and the bytes of gNMI's paths and extensions. The files under
-//! `tests/pinned` were written by an earlier version of the program; operators' files, scripts and clients hold the
-//! same forms.
+//! Tests that compare the program's external formats with the files under `tests/pinned`, which an earlier version of
+//! the program wrote.
+//!
+//! The tests guard against a renamed field, command or message that breaks operators' files, scripts and clients, or
+//! the snapshot of an earlier version. They cover the schema of the operator's file, the YANG module that `yang`
+//! prints, the files that `check` accepts and refuses, the JSON that `get`, `revisions` and `fleet` print, the snapshot
+//! file, and the encoding of gNMI paths, extensions and requests.
 
 #[path = "../managed/mod.rs"]
 mod managed;
--- a/crates/gateway/tests/pinned_forms/printed_json.rs
+++ b/crates/gateway/tests/pinned_forms/printed_json.rs
@@ -1,4 +1,7 @@
 //! The JSON that `get`, `revisions` and `fleet` print.
+//!
+//! The tests guard against a renamed key or a value of another type, which would break operators' scripts. They compare
+//! values that differ in each run by their type only.
 
 use crate::command_line::stdout_of;
 use crate::managed::{
@@ -12,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Keys and types; entries of a list that have the same shape appear once.
+/// Replaces each value by the name of its type. Of list entries with the same shape, only one remains.
 fn shape(value: &Value) -> Value {
     match value {
         Value::Null => json!("null"),
@@ -38,13 +41,17 @@
     FORMS.assert_same(name, &format!("{value:#}\n"));
 }
 
-/// Without TLS keys the author of a change is an address, which differs in each run.
+/// Asserts that the author of a change is an address, which differs in each run. Clients without certificates have no
+/// other name.
 fn assert_is_address(author: &Value) {
     let address = author.as_str().unwrap().parse::<SocketAddr>();
-    assert!(address.is_ok(), "without keys it is an address: {author}");
+    assert!(
+        address.is_ok(),
+        "the author must be a socket address: {author}"
+    );
 }
 
-/// Replaces author and times of a revision, which differ in each run, and asserts their form.
+/// Asserts the form of a revision's author and times, which differ in each run, and replaces them by fixed texts.
 fn replace_varying_members(revision: &mut Map<String, Value>) {
     let author = revision.get_mut("ironstair-gateway:who").unwrap();
     assert_is_address(author);
@@ -54,7 +61,7 @@
             let text = moment.as_str().unwrap();
             assert!(
                 text.len() == 13 && text.parse::<u64>().is_ok(),
-                "Unix time in ms as text: {text}"
+                "a time must be the Unix time in ms as text: {text}"
             );
             *moment = json!("moment");
         }
@@ -115,7 +122,7 @@
     cluster
         .set(0, &[path, "4", "--confirm-within", "10m", "--id", "waits"])
         .assert_success();
-    wait_until("all hold it", || {
+    wait_until("all members have applied the second change", || {
         is_second_change_applied(&cluster.fleet_status(0))
     });
 
@@ -137,7 +144,7 @@
     let state = cluster.cli(0, &["get", "/state/fleet", "--json"]);
     let state: Value = serde_json::from_str(&state.stdout).unwrap();
     let mut state = shape(&state[0]["value"]);
-    // Only the leader knows the members, and any voter may be the leader.
+    // Only the leader reports members, and any voter can be the leader.
     let members = state.as_object_mut().unwrap();
     members.remove("ironstair-gateway:member");
     assert_same_json("get-fleet-shape.json", &state);
--- a/crates/gateway/tests/pinned_forms/snapshot_file.rs
+++ b/crates/gateway/tests/pinned_forms/snapshot_file.rs
@@ -1,4 +1,6 @@
-//! The file that a gateway writes for its next process.
+//! The snapshot file that a gateway writes for its next process.
+//!
+//! The test guards against a renamed snapshot file, which the next version of the program would not find.
 
 use crate::managed::start_managed_gateway_with;
 use ironstair_test_cluster::cluster::wait_until;
@@ -7,7 +9,7 @@
 use std::path::PathBuf;
 
 #[test]
-fn snapshot_for_the_next_process_is_in_the_pinned_file() {
+fn snapshot_is_written_to_the_file_of_the_pinned_name() {
     let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
     let mut folder = PathBuf::new();
     let engines = [("e1", engine_address)];
@@ -26,8 +28,12 @@
     };
 
     *gateway.name_answer.lock().unwrap() = engine_list_answer(2, &[("e1", engine_address, 0)]);
-    wait_until("it is written", || file_names() == ["gateway.kept"]);
-    wait_until("with its engine", || snapshot().engines.len() == 1);
+    wait_until("the snapshot file is written", || {
+        file_names() == ["gateway.kept"]
+    });
+    wait_until("the snapshot contains the engine", || {
+        snapshot().engines.len() == 1
+    });
 
     let snapshot = snapshot();
     assert_eq!(
--- a/crates/gateway/tests/recovery/snapshot_folder.rs
+++ b/crates/gateway/tests/recovery/snapshot_folder.rs
@@ -131,7 +131,7 @@
 }
 
 /// Creates a file in place of a snapshot folder, a folder with a corrupt snapshot, and a folder whose file `slow`
-/// delays reads.
+/// delays reads and writes.
 fn write_unusable_folders(parent: &Path) {
     fs::write(parent.join("file"), "").unwrap();
     for (name, file) in [("corrupt", SNAPSHOT_FILE), ("slow", "slow")] {
