--- a/crates/gateway/tests/manage/certificate_rotation.rs
+++ b/crates/gateway/tests/manage/certificate_rotation.rs
@@ -216,15 +216,8 @@
         gateway.signal("-HUP");
         let renewed = new.sign_client("ops-1");
         let (timeout, interval) = (Duration::from_secs(5), Duration::from_millis(20));
-        await_may_read(
-            gnmi_address,
-            &new,
-            &renewed,
-            timeout,
-            interval,
-            "the gateway does not use the new certificates after SIGHUP",
-        )
-        .await;
+        let failure = "the gateway does not use the new certificates after SIGHUP";
+        await_may_read(gnmi_address, &new, &renewed, timeout, interval, failure).await;
         assert!(
             !may_read(gnmi_address, &old, &ops).await,
             "clients of the old authority must be refused"
@@ -248,14 +241,7 @@
         // The gateway also reads changed files without a signal.
         write_tls_files(&dir, &old.sign_gateway(gnmi_address.ip()), &old);
         let (timeout, interval) = (Duration::from_secs(20), Duration::from_millis(100));
-        await_may_read(
-            gnmi_address,
-            &old,
-            &ops,
-            timeout,
-            interval,
-            "the gateway does not read changed certificate files without a signal",
-        )
-        .await;
+        let failure = "the gateway does not read changed certificate files without a signal";
+        await_may_read(gnmi_address, &old, &ops, timeout, interval, failure).await;
     });
 }
