--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -9,8 +9,8 @@
 use ironstair_gnmi::proto::gnmi::{self, subscribe_response::Response, SubscriptionMode};
 use ironstair_test_cluster::stub::{done_reply, start_engine, Client};
 use managed::{
-    connect, get, managed_gateway, managed_gateway_with, path, runtime, set, subscribe,
-    subscription_request,
+    connect_without_tls, current_thread_runtime, get_json, open_subscription, parse_path,
+    set_value, start_managed_gateway, start_managed_gateway_with, subscription_request,
 };
 use serde_json::json;
 use std::net::SocketAddr;
@@ -86,9 +86,10 @@
             .iter()
             .map(|(name, address)| (name.as_str(), *address))
             .collect();
-        let (gateway, address) = managed_gateway(&format!("bench-reads-{engine_count}"), &engines);
-        runtime().block_on(async {
-            let mut client = connect(address).await;
+        let (gateway, address) =
+            start_managed_gateway(&format!("bench-reads-{engine_count}"), &engines);
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(address).await;
             let (mut leaf_us, mut tree_us, mut tree_bytes) = (Vec::new(), Vec::new(), 0);
             for _ in 0..ROUNDS {
                 let (mut leaf_times, mut tree_times) = (histogram(), histogram());
@@ -96,13 +97,13 @@
                     // The pause is long enough that each read requests the state from the gateway's thread.
                     tokio::time::sleep(Duration::from_millis(25)).await;
                     let started_at = Instant::now();
-                    get(&mut client, "/state/process/name").await.unwrap();
+                    get_json(&mut client, "/state/process/name").await.unwrap();
                     leaf_times
                         .record(started_at.elapsed().as_nanos() as u64)
                         .unwrap();
                     tokio::time::sleep(Duration::from_millis(25)).await;
                     let started_at = Instant::now();
-                    let tree = get(&mut client, "/").await.unwrap();
+                    let tree = get_json(&mut client, "/").await.unwrap();
                     tree_times
                         .record(started_at.elapsed().as_nanos() as u64)
                         .unwrap();
@@ -114,7 +115,7 @@
             let cpu_before_idle = cpu_time_ms(gateway.process.id());
             tokio::time::sleep(Duration::from_secs(3)).await;
             let idle_cpu = cpu_time_ms(gateway.process.id()) - cpu_before_idle;
-            let mut stream = subscribe(
+            let mut stream = open_subscription(
                 &mut client,
                 subscription_request("/state", SubscriptionMode::OnChange),
             )
@@ -140,7 +141,8 @@
     );
     println!("| --- | --- | --- | --- |");
     for subscribers in [0, 1, 50] {
-        let (_gateway, address) = managed_gateway(&format!("bench-changes-{subscribers}"), &[]);
+        let (_gateway, address) =
+            start_managed_gateway(&format!("bench-changes-{subscribers}"), &[]);
         let (mut change_rates, mut update_rates, mut changes_per_update) =
             (Vec::new(), Vec::new(), Vec::new());
         let update_count = Arc::new(AtomicU64::new(0));
@@ -149,11 +151,11 @@
         for _ in 0..subscribers {
             let (update_count, covered_count) = (update_count.clone(), covered_count.clone());
             thread::spawn(move || {
-                runtime().block_on(async {
-                    let mut client = connect(address).await;
+                current_thread_runtime().block_on(async {
+                    let mut client = connect_without_tls(address).await;
                     let request =
                         subscription_request("/settings/advice", SubscriptionMode::OnChange);
-                    let mut stream = subscribe(&mut client, request).await.unwrap();
+                    let mut stream = open_subscription(&mut client, request).await.unwrap();
                     while let Ok(Some(message)) = stream.message().await {
                         if let Some(Response::Update(notification)) = message.response {
                             update_count.fetch_add(1, Ordering::Relaxed);
@@ -166,8 +168,8 @@
                 });
             });
         }
-        runtime().block_on(async {
-            let mut client = connect(address).await;
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(address).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             for round in 0..ROUNDS as u32 {
                 let (updates_before, covered_before) = (
@@ -178,7 +180,9 @@
                 while started_at.elapsed() < Duration::from_secs(1) {
                     change_count += 1;
                     let value = json!(1 + (change_count + round) % 5000);
-                    set(&mut client, "/settings/advice", value).await.unwrap();
+                    set_value(&mut client, "/settings/advice", value)
+                        .await
+                        .unwrap();
                 }
                 let seconds = started_at.elapsed().as_secs_f64();
                 change_rates.push((change_count as f64 / seconds) as u64);
@@ -201,7 +205,7 @@
     println!("\n| revisions | time of a Set, us (median) | us (99%) |");
     println!("| --- | --- | --- |");
     for is_persistent in [false, true] {
-        let (_gateway, address) = managed_gateway_with(
+        let (_gateway, address) = start_managed_gateway_with(
             &format!("bench-apply-{is_persistent}"),
             &[],
             |operator, _| {
@@ -213,14 +217,14 @@
                 }
             },
         );
-        runtime().block_on(async {
-            let mut client = connect(address).await;
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(address).await;
             let (mut median_us, mut p99_us) = (Vec::new(), Vec::new());
             for _ in 0..ROUNDS {
                 let mut times = histogram();
                 for index in 0..200u32 {
                     let started_at = Instant::now();
-                    set(&mut client, "/settings/advice", json!(1 + index))
+                    set_value(&mut client, "/settings/advice", json!(1 + index))
                         .await
                         .unwrap();
                     times
@@ -258,15 +262,15 @@
 /// read the whole tree.
 fn spawn_management_client(index: u64, address: SocketAddr, is_busy: Arc<AtomicBool>) {
     thread::spawn(move || {
-        runtime().block_on(async {
-            let mut client = connect(address).await;
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(address).await;
             loop {
                 while !is_busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 match index % 4 {
-                    0 => drop(set(&mut client, "/settings/advice", json!(index + 1)).await),
-                    _ => drop(get(&mut client, "/").await),
+                    0 => drop(set_value(&mut client, "/settings/advice", json!(index + 1)).await),
+                    _ => drop(get_json(&mut client, "/").await),
                 }
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -277,14 +281,14 @@
 /// Starts a client that subscribes to the state while `is_busy` is set.
 fn spawn_subscriber(address: SocketAddr, is_busy: Arc<AtomicBool>) {
     thread::spawn(move || {
-        runtime().block_on(async {
-            let mut client = connect(address).await;
+        current_thread_runtime().block_on(async {
+            let mut client = connect_without_tls(address).await;
             loop {
                 while !is_busy.load(Ordering::Relaxed) {
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
                 let subscription = vec![gnmi::Subscription {
-                    path: Some(path("/state")),
+                    path: Some(parse_path("/state")),
                     mode: SubscriptionMode::Sample as i32,
                     ..Default::default()
                 }];
@@ -298,7 +302,7 @@
                     request,
                     extension: Vec::new(),
                 };
-                let Ok(mut stream) = subscribe(&mut client, subscribe_request).await else {
+                let Ok(mut stream) = open_subscription(&mut client, subscribe_request).await else {
                     continue;
                 };
                 while is_busy.load(Ordering::Relaxed) && stream.message().await.is_ok() {}
@@ -311,7 +315,7 @@
     println!("\n| management | call to first attempt, us (median) | us (99%) | us (99.9%) |");
     println!("| --- | --- | --- | --- |");
     let (engine, arrivals) = start_reporting_engine();
-    let (gateway, address) = managed_gateway("bench-forwarding", &[("engine-real", engine)]);
+    let (gateway, address) = start_managed_gateway("bench-forwarding", &[("engine-real", engine)]);
     let is_busy = Arc::new(AtomicBool::new(false));
     (0..20).for_each(|index| spawn_management_client(index, address, is_busy.clone()));
     (0..30).for_each(|_| spawn_subscriber(address, is_busy.clone()));
@@ -357,23 +361,23 @@
         .iter()
         .map(|(name, address)| (name.as_str(), *address))
         .collect();
-    let (gateway, address) = managed_gateway_with("bench-memory", &engines, |operator, _| {
+    let (gateway, address) = start_managed_gateway_with("bench-memory", &engines, |operator, _| {
         operator["management"]["streams"] = json!(2000);
     });
-    runtime().block_on(async {
+    current_thread_runtime().block_on(async {
         let mut streams = Vec::new();
         let mut clients = Vec::new();
-        let mut client = connect(address).await;
-        get(&mut client, "/").await.unwrap();
+        let mut client = connect_without_tls(address).await;
+        get_json(&mut client, "/").await.unwrap();
         let initial_kib = resident_kib(gateway.process.id());
         println!("| 0 | {initial_kib} | - |");
         for stream_count in [10, 100, 1000] {
             while streams.len() < stream_count {
                 if streams.len() % 50 == 0 {
-                    clients.push(connect(address).await);
+                    clients.push(connect_without_tls(address).await);
                 }
                 let client = clients.last_mut().unwrap();
-                let mut stream = subscribe(
+                let mut stream = open_subscription(
                     client,
                     subscription_request("/state", SubscriptionMode::OnChange),
                 )
--- a/crates/gateway/tests/pinned_forms/printed_json.rs
+++ b/crates/gateway/tests/pinned_forms/printed_json.rs
@@ -1,8 +1,12 @@
 //! The JSON that `get`, `revisions` and `fleet` print.
+//!
+//! The tests guard against a renamed key or a value of another type, which would break operators' scripts. They compare
+//! values that differ in each run by their type only.
 
 use crate::command_line::stdout_of;
 use crate::managed::{
-    commit, connect, managed_gateway, rollback_after, runtime, send_set, set, set_request, update,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    json_update, send_set_request, set_request, set_value, start_managed_gateway,
 };
 use crate::FORMS;
 use ironstair_test_cluster::cluster::{wait_until, Cluster, Plan};
@@ -11,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Keys and types; entries of a list that have the same shape appear once.
+/// Replaces each value by the name of its type. Of list entries with the same shape, only one remains.
 fn shape(value: &Value) -> Value {
     match value {
         Value::Null => json!("null"),
@@ -23,7 +27,10 @@
             .map(|(name, value)| (name.clone(), shape(value)))
             .collect(),
         Value::Array(all) => {
-            let shapes = all.iter().map(shape).map(|s| (s.to_string(), s));
+            let shapes = all
+                .iter()
+                .map(shape)
+                .map(|entry_shape| (entry_shape.to_string(), entry_shape));
             let distinct: BTreeMap<String, Value> = shapes.collect();
             distinct.into_values().collect()
         }
@@ -34,13 +41,17 @@
     FORMS.assert_same(name, &format!("{value:#}\n"));
 }
 
-/// Without TLS keys the author of a change is an address, which differs in each run.
+/// Asserts that the author of a change is an address, which differs in each run. Clients without certificates have no
+/// other name.
 fn assert_is_address(author: &Value) {
     let address = author.as_str().unwrap().parse::<SocketAddr>();
-    assert!(address.is_ok(), "without keys it is an address: {author}");
+    assert!(
+        address.is_ok(),
+        "the author must be a socket address: {author}"
+    );
 }
 
-/// Replaces author and times of a revision, which differ in each run, and asserts their form.
+/// Asserts the form of a revision's author and times, which differ in each run, and replaces them by fixed texts.
 fn replace_varying_members(revision: &mut Map<String, Value>) {
     let author = revision.get_mut("ironstair-gateway:who").unwrap();
     assert_is_address(author);
@@ -50,7 +61,7 @@
             let text = moment.as_str().unwrap();
             assert!(
                 text.len() == 13 && text.parse::<u64>().is_ok(),
-                "Unix time in ms as text: {text}"
+                "a time must be the Unix time in ms as text: {text}"
             );
             *moment = json!("moment");
         }
@@ -59,21 +70,24 @@
 
 #[test]
 fn get_and_revisions_print_the_pinned_json() {
-    let (at_engine, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-    let (_gateway, address) = managed_gateway("pinned-get", &[("e1", at_engine)]);
-    let at = address.to_string();
+    let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
+    let (_gateway, address) = start_managed_gateway("pinned-get", &[("e1", engine_address)]);
+    let at_address = address.to_string();
     let json_of = |args: &[&str]| -> Value {
-        let args = [args, &["--json", "--at", &at]].concat();
+        let args = [args, &["--json", "--at", &at_address]].concat();
         serde_json::from_str(&stdout_of(&args)).unwrap()
     };
-    runtime().block_on(async {
-        let mut client = connect(address).await;
-        set(&mut client, "/settings/advice", json!(70))
+    current_thread_runtime().block_on(async {
+        let mut client = connect_without_tls(address).await;
+        set_value(&mut client, "/settings/advice", json!(70))
             .await
             .unwrap();
-        let update = vec![update("/settings/advice", json!(80))];
-        let unconfirmed = set_request(update, commit("waits", rollback_after(600, 0)));
-        send_set(&mut client, unconfirmed).await.unwrap();
+        let update = vec![json_update("/settings/advice", json!(80))];
+        let unconfirmed = set_request(
+            update,
+            commit_extension("waits", commit_with_rollback_after(600, 0)),
+        );
+        send_set_request(&mut client, unconfirmed).await.unwrap();
     });
 
     assert_same_json("get-settings.json", &json_of(&["get", "/settings"]));
@@ -108,7 +122,7 @@
     cluster
         .set(0, &[path, "4", "--confirm-within", "10m", "--id", "waits"])
         .assert_success();
-    wait_until("all hold it", || {
+    wait_until("all members have applied the second change", || {
         is_second_change_applied(&cluster.fleet_status(0))
     });
 
@@ -116,7 +130,7 @@
     let output = cluster.cli(0, &["revisions", "--fleet", "--json"]);
     let mut revisions: Value = serde_json::from_str(&output.stdout).unwrap();
     for revision in revisions.as_array_mut().unwrap() {
-        let is_moment = |at: f64| at > 1.7e12;
+        let is_moment = |at_address: f64| at_address > 1.7e12;
         assert!(
             revision["when"].as_f64().is_some_and(is_moment),
             "{revision}"
@@ -130,7 +144,7 @@
     let state = cluster.cli(0, &["get", "/state/fleet", "--json"]);
     let state: Value = serde_json::from_str(&state.stdout).unwrap();
     let mut state = shape(&state[0]["value"]);
-    // Only the leader knows the members, and any voter may be the leader.
+    // Only the leader reports members, and any voter can be the leader.
     let members = state.as_object_mut().unwrap();
     members.remove("ironstair-gateway:member");
     assert_same_json("get-fleet-shape.json", &state);
--- a/crates/gateway/tests/yang.rs
+++ b/crates/gateway/tests/yang.rs
@@ -7,8 +7,9 @@
 use ironstair_gnmi::proto::gnmi;
 use ironstair_test_cluster::stub::{done_reply, start_engine, Client};
 use managed::{
-    commit, connect, get, managed_gateway, rollback_after, runtime, send_set, set, set_request,
-    update, GnmiClient,
+    commit_extension, commit_with_rollback_after, connect_without_tls, current_thread_runtime,
+    get_json, json_update, send_set_request, set_request, set_value, start_managed_gateway,
+    GnmiClient,
 };
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -179,12 +180,15 @@
 
 /// Makes one change that takes effect for good, and one that waits for its confirmation.
 async fn make_changes(gnmi_client: &mut GnmiClient) {
-    set(gnmi_client, "/settings/advice", json!(70))
+    set_value(gnmi_client, "/settings/advice", json!(70))
         .await
         .unwrap();
-    let update = vec![update("/settings/advice", json!(80))];
-    let unconfirmed = set_request(update, commit("waits", rollback_after(600, 0)));
-    send_set(gnmi_client, unconfirmed).await.unwrap();
+    let update = vec![json_update("/settings/advice", json!(80))];
+    let unconfirmed = set_request(
+        update,
+        commit_extension("waits", commit_with_rollback_after(600, 0)),
+    );
+    send_set_request(gnmi_client, unconfirmed).await.unwrap();
 }
 
 /// The number of requests of class `lookup` that were answered.
@@ -203,17 +207,17 @@
     let module = Command::new("yanglint").arg(yang_module()).status();
     assert!(module.unwrap().success());
     let (engine_address, _) = start_engine(|line, _| (done_reply(line, "a\tb\tc\n"), false));
-    let (gateway, gnmi_address) = managed_gateway("yang-data", &[("e1", engine_address)]);
+    let (gateway, gnmi_address) = start_managed_gateway("yang-data", &[("e1", engine_address)]);
     let mut query_client = Client::connect(&gateway);
     for call in 1..9 {
         query_client.send_call(call);
         query_client.receive_rows();
     }
-    runtime().block_on(async {
-        let mut gnmi_client = connect(gnmi_address).await;
+    current_thread_runtime().block_on(async {
+        let mut gnmi_client = connect_without_tls(gnmi_address).await;
         make_changes(&mut gnmi_client).await;
 
-        let all = get(&mut gnmi_client, "/").await.unwrap();
+        let all = get_json(&mut gnmi_client, "/").await.unwrap();
 
         assert_eq!(yanglint_errors(&gateway.dir, "data", &all), None, "{all:#}");
         let state = &all["ironstair-gateway:state"];
@@ -243,16 +247,16 @@
 fn gateway_refuses_and_accepts_the_same_settings_as_yanglint() {
     // A management tool that validates settings against the YANG module must not accept settings that the gateway
     // refuses, or refuse settings that it accepts.
-    let (gateway, gnmi_address) = managed_gateway("yang-cases", &[]);
+    let (gateway, gnmi_address) = start_managed_gateway("yang-cases", &[]);
     let edits = [
         refused_class_edits(),
         refused_settings_edits(),
         refused_cells_edits(),
         accepted_edits(),
     ];
-    runtime().block_on(async {
-        let mut gnmi_client = connect(gnmi_address).await;
-        let all = get(&mut gnmi_client, "/").await.unwrap();
+    current_thread_runtime().block_on(async {
+        let mut gnmi_client = connect_without_tls(gnmi_address).await;
+        let all = get_json(&mut gnmi_client, "/").await.unwrap();
         let settings = &all["ironstair-gateway:settings"];
         let (mut refused_count, mut accepted_count) = (0, 0);
         for edit in edits.into_iter().flatten() {
@@ -260,10 +264,10 @@
             let config = json!({"ironstair-gateway:settings": edited});
             let yanglint_errors_found = yanglint_errors(&gateway.dir, "config", &config);
             let request = gnmi::SetRequest {
-                replace: vec![update("/settings", edited)],
+                replace: vec![json_update("/settings", edited)],
                 ..Default::default()
             };
-            let gateway_result = send_set(&mut gnmi_client, request).await;
+            let gateway_result = send_set_request(&mut gnmi_client, request).await;
             let is_refused = match &gateway_result {
                 Ok(()) => false,
                 Err(refusal) => !is_about_the_running_gateway(refusal),
