--- a/crates/gateway/benches/management.rs
+++ b/crates/gateway/benches/management.rs
@@ -172,10 +172,8 @@
             let mut client = connect_without_tls(address).await;
             tokio::time::sleep(Duration::from_millis(300)).await;
             for round in 0..ROUNDS as u32 {
-                let (updates_before, covered_before) = (
-                    update_count.load(Ordering::Relaxed),
-                    covered_count.load(Ordering::Relaxed),
-                );
+                let updates_before = update_count.load(Ordering::Relaxed);
+                let covered_before = covered_count.load(Ordering::Relaxed);
                 let (started_at, mut change_count) = (Instant::now(), 0u32);
                 while started_at.elapsed() < Duration::from_secs(1) {
                     change_count += 1;
